--- a/crates/front/src/crash.rs
+++ b/crates/front/src/crash.rs
@@ -37,7 +37,7 @@
         let agent = witness(&upstream, born_ms);
         let mut suspects = node.suspects.lock();
         let incarnation = born_ms.unwrap_or(0);
-        suspects.on_crash(node.now(), &[fingerprint], &agent, incarnation, false);
+        suspects.record_crash(node.now(), &[fingerprint], &agent, incarnation, false);
     });
 }
 
--- a/crates/front/src/peers/tell.rs
+++ b/crates/front/src/peers/tell.rs
@@ -198,7 +198,7 @@
         suspects: node
             .suspects
             .lock()
-            .export_part(now, round, suspects_told(peers)),
+            .export_batch(now, round, suspects_told(peers)),
         lease_ask: node.relay.asking(now),
         lease_told: node.relay.telling(now),
         domain: node.options.domain.clone(),
--- a/crates/front/src/state/node.rs
+++ b/crates/front/src/state/node.rs
@@ -8,7 +8,7 @@
 use plat::ObjectApi;
 use rand_core::Rng;
 use rand_pcg::Pcg64Mcg;
-use route::{Suspects, Verdict};
+use route::{CrashVerdict, SuspectRequests};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::fmt::Display;
@@ -67,7 +67,7 @@
     pub(crate) repeats: Mutex<Repeats>,
     pub(crate) paces: Mutex<Paces>,
     pub(crate) readings: Mutex<Readings>,
-    pub(crate) suspects: Mutex<Suspects>,
+    pub(crate) suspects: Mutex<SuspectRequests>,
     pub(crate) wants: Wants,
     /// Tokens of workspaces.
     pub(crate) quota: Quotas,
@@ -128,7 +128,7 @@
             repeats: Mutex::new(repeats),
             paces: Mutex::default(),
             readings: Mutex::default(),
-            suspects: Mutex::new(Suspects::new(VERDICT_MS)),
+            suspects: Mutex::new(SuspectRequests::new(VERDICT_MS)),
             wants: Wants::default(),
             quota: Quotas::new(bounds.quota_overdraft),
             upstream_tokens: Quotas::new(0.0),
@@ -173,7 +173,7 @@
     /// another one.
     pub(crate) fn is_convicted(&self, fingerprint: u64) -> bool {
         let verdict = self.suspects.lock().verdict(self.now(), fingerprint);
-        matches!(verdict, Verdict::Convicted { .. })
+        matches!(verdict, CrashVerdict::Convicted { .. })
     }
 
     /// Whether this entry can serve callers.
--- a/crates/place/src/adapters.rs
+++ b/crates/place/src/adapters.rs
@@ -2,7 +2,7 @@
 
 use crate::board::{Held, Unit};
 use crate::choose::Choice;
-use crate::types::PlaceReason;
+use crate::types::PlacementReason;
 
 /// Adds each adapter that is worth its load where its base is held.
 pub(crate) fn place(choice: &mut Choice<'_, '_>) {
@@ -27,10 +27,10 @@
             continue;
         }
         if !choice.scale.worth_move(worth, 0.0) {
-            choice.note(adapter, PlaceReason::NotWorthMove);
+            choice.note(adapter, PlacementReason::NotWorthMove);
             continue;
         }
-        place_one(choice, adapter, worth, PlaceReason::Demand);
+        place_one(choice, adapter, worth, PlacementReason::Demand);
     }
 }
 
@@ -46,7 +46,7 @@
 /// Gives an adapter a turn, whatever it displaces beside its base.
 pub(crate) fn give(choice: &mut Choice<'_, '_>, adapter: usize) {
     if !choice.holds_adapter(adapter) {
-        place_one(choice, adapter, f64::INFINITY, PlaceReason::WaitBound);
+        place_one(choice, adapter, f64::INFINITY, PlacementReason::WaitBound);
     }
 }
 
@@ -54,7 +54,7 @@
     choice: &mut Choice<'_, '_>,
     adapter: usize,
     worth: f64,
-    reason: PlaceReason,
+    reason: PlacementReason,
 ) {
     let size = u64::from(choice.catalog.models[adapter].spec.size_mib);
     let group = choice.catalog.models[adapter].group;
@@ -80,9 +80,9 @@
         }
     }
     match best {
-        None => choice.note(adapter, PlaceReason::NoRoom),
+        None => choice.note(adapter, PlacementReason::NoRoom),
         Some(_) if !choice.allowance.open() => {
-            choice.note(adapter, PlaceReason::StoreBudget);
+            choice.note(adapter, PlacementReason::StoreBudget);
         }
         Some((_, _, index)) => add(choice, index, adapter, worth, reason),
     }
@@ -129,7 +129,7 @@
     slot: usize,
     adapter: usize,
     worth: f64,
-    reason: PlaceReason,
+    reason: PlacementReason,
 ) {
     let spec = choice.catalog.models[adapter].spec;
     let group = choice.catalog.models[adapter].group;
@@ -144,7 +144,7 @@
         .map(|held| held.model)
         .collect();
     for model in &off {
-        choice.note(*model, PlaceReason::Displaced);
+        choice.note(*model, PlacementReason::Displaced);
     }
     let held = Held {
         model: adapter,
--- a/crates/place/src/board.rs
+++ b/crates/place/src/board.rs
@@ -3,7 +3,7 @@
 use base::prelude::*;
 
 use crate::catalog::Catalog;
-use crate::types::{AgentView, PlaceReason, ResidentState, ResidentView};
+use crate::types::{AgentView, PlacementReason, ResidentState, ResidentView};
 
 /// Times its duration at full speed after which a load counts as slow.
 const SLOW_FACTOR: u64 = 2;
@@ -31,7 +31,7 @@
     /// When the state was entered.
     pub(crate) since: Instant,
     /// Why it is wanted.
-    pub(crate) reason: PlaceReason,
+    pub(crate) reason: PlacementReason,
 }
 
 impl Held {
@@ -256,6 +256,6 @@
         size_mib: resident.size_mib,
         state: Some(resident.state),
         since: resident.since,
-        reason: PlaceReason::Kept,
+        reason: PlacementReason::Kept,
     }
 }
--- a/crates/place/src/choose.rs
+++ b/crates/place/src/choose.rs
@@ -4,7 +4,7 @@
 use crate::budget::Allowance;
 use crate::catalog::Catalog;
 pub(crate) use crate::spot::Spot;
-use crate::types::{PlaceReason, PlanInput, PlanNote};
+use crate::types::{PlacementReason, PlanInput, PlanNote};
 use crate::worth::Scale;
 
 /// Whom a new unit may displace.
@@ -129,7 +129,7 @@
         let mut least_loss = self.least_loss();
         for (_, group) in gains {
             if self.base_size(group) > largest_mib {
-                self.note_missing(group, PlaceReason::NoRoom);
+                self.note_missing(group, PlacementReason::NoRoom);
                 continue;
             }
             while self.grow(group, least_loss) {
@@ -159,17 +159,17 @@
             return false;
         }
         if !self.is_worth(group, gain, least_loss) {
-            return self.omit(group, PlaceReason::NotWorthMove);
+            return self.omit(group, PlacementReason::NotWorthMove);
         }
         if !self.allowance.open() {
             self.delayed[group] = true;
-            return self.omit(group, PlaceReason::StoreBudget);
+            return self.omit(group, PlacementReason::StoreBudget);
         }
         let Some(spot) = self.spot(group, Force::Residence) else {
-            return self.omit(group, PlaceReason::NoRoom);
+            return self.omit(group, PlacementReason::NoRoom);
         };
         if !self.is_worth(group, self.gain_at(group, &spot), spot.loss) {
-            return self.omit(group, PlaceReason::NotWorthMove);
+            return self.omit(group, PlacementReason::NotWorthMove);
         }
         let reason = self.reason(group, &spot);
         self.add(group, &spot, reason);
@@ -185,7 +185,7 @@
     }
 
     /// Notes why a group does not grow.
-    fn omit(&mut self, group: usize, reason: PlaceReason) -> bool {
+    fn omit(&mut self, group: usize, reason: PlacementReason) -> bool {
         self.note_missing(group, reason);
         false
     }
@@ -200,13 +200,13 @@
         self.holders[group] == 0 && (ending.leaving || ending.outdated)
     }
 
-    fn reason(&self, group: usize, spot: &Spot) -> PlaceReason {
+    fn reason(&self, group: usize, spot: &Spot) -> PlacementReason {
         let ending = self.ending[group];
         if self.holders[group] == 0 && ending.outdated {
-            return PlaceReason::NewVersion;
+            return PlacementReason::NewVersion;
         }
         if self.holders[group] == 0 && ending.leaving {
-            return PlaceReason::Leaving;
+            return PlacementReason::Leaving;
         }
         if self.holders[group] > 0 {
             let domain = |slot: &Slot| &self.board.agents[slot.agent].domain;
@@ -216,16 +216,16 @@
                 !slot.leaving && slot.unit(group).is_some() && domain(slot) == here
             });
             return if near {
-                PlaceReason::Replica
+                PlacementReason::Replica
             } else {
-                PlaceReason::Spread
+                PlacementReason::Spread
             };
         }
         let base = &self.catalog.models[self.catalog.groups[group].base];
         if base.work.any() {
-            PlaceReason::Demand
+            PlacementReason::Demand
         } else {
-            PlaceReason::BaseOfAdapter
+            PlacementReason::BaseOfAdapter
         }
     }
 
@@ -254,7 +254,7 @@
     }
 
     /// Wants a unit.
-    pub(crate) fn add(&mut self, group: usize, spot: &Spot, reason: PlaceReason) {
+    pub(crate) fn add(&mut self, group: usize, spot: &Spot, reason: PlacementReason) {
         for unit in &spot.off {
             self.take_off(spot.slot, *unit);
         }
@@ -290,7 +290,7 @@
             self.places[unit.group] = (self.places[unit.group] - less).max(0.0);
             self.holders[unit.group] -= 1;
         }
-        self.note_base(unit.group, PlaceReason::Displaced);
+        self.note_base(unit.group, PlacementReason::Displaced);
     }
 
     /// Memory of a group's base.
@@ -300,7 +300,7 @@
     }
 
     /// Notes something of a model.
-    pub(crate) fn note(&mut self, model: usize, reason: PlaceReason) {
+    pub(crate) fn note(&mut self, model: usize, reason: PlacementReason) {
         self.notes.push(PlanNote {
             model: self.catalog.models[model].spec.id.clone(),
             reason,
@@ -308,12 +308,12 @@
     }
 
     /// Notes something of a group's base.
-    pub(crate) fn note_base(&mut self, group: usize, reason: PlaceReason) {
+    pub(crate) fn note_base(&mut self, group: usize, reason: PlacementReason) {
         self.note(self.catalog.groups[group].base, reason);
     }
 
     /// Notes a group that nothing holds.
-    fn note_missing(&mut self, group: usize, reason: PlaceReason) {
+    fn note_missing(&mut self, group: usize, reason: PlacementReason) {
         if self.holders[group] == 0 {
             self.note_base(group, reason);
         }
--- a/crates/place/src/emit.rs
+++ b/crates/place/src/emit.rs
@@ -2,7 +2,9 @@
 
 use crate::board::{Board, Held, Slot};
 use crate::catalog::Catalog;
-use crate::types::{AgentTarget, Assignment, PlaceReason, Plan, PlanInput, PlanNote};
+use crate::types::{
+    AgentTarget, Assignment, PlacementReason, Plan, PlanInput, PlanNote,
+};
 
 /// The plan: one target for each agent, in order of name, and the notes.
 pub(crate) fn plan(
@@ -38,7 +40,9 @@
     let least_ms = u64::from(input.config.weights().min_residence_ms);
     let young = held.is_loaded() && input.now.ms_since(held.since) < least_ms;
     let reason = match held.reason {
-        PlaceReason::Kept if young && !model.work.any() => PlaceReason::MinResidence,
+        PlacementReason::Kept if young && !model.work.any() => {
+            PlacementReason::MinResidence
+        }
         reason => reason,
     };
     Assignment {
--- a/crates/place/src/leaving.rs
+++ b/crates/place/src/leaving.rs
@@ -1,7 +1,7 @@
 //! Empties the instances that are leaving.
 
 use crate::choose::Choice;
-use crate::types::PlaceReason;
+use crate::types::PlacementReason;
 
 /// Takes off leaving instances what is held elsewhere, or not worth a place.
 ///
@@ -20,9 +20,9 @@
     let slots = choice.board.slots.iter_mut();
     for slot in slots.filter(|slot| slot.leaving) {
         slot.units.retain_mut(|unit| {
-            unit.base.reason = PlaceReason::Leaving;
+            unit.base.reason = PlacementReason::Leaving;
             for adapter in &mut unit.adapters {
-                adapter.reason = PlaceReason::Leaving;
+                adapter.reason = PlacementReason::Leaving;
             }
             let coming = placed[unit.group] > 0 || delayed[unit.group];
             !loaded[unit.group] && coming
--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -43,6 +43,6 @@
 
 pub use planner::Planner;
 pub use types::{
-    AgentTarget, AgentView, Assignment, ModelDemand, PlaceReason, Plan, PlanInput,
+    AgentTarget, AgentView, Assignment, ModelDemand, PlacementReason, Plan, PlanInput,
     PlanNote, ResidentState, ResidentView,
 };
--- a/crates/place/src/memory.rs
+++ b/crates/place/src/memory.rs
@@ -5,7 +5,7 @@
 
 use crate::board::{Board, Held, Unit};
 use crate::catalog::Catalog;
-use crate::types::{PlaceReason, ResidentState};
+use crate::types::{PlacementReason, ResidentState};
 
 /// A load that no heartbeat shows this long after its place was free is planned
 /// anew: its target was lost, or the agent refused it.
@@ -35,7 +35,7 @@
     version: u32,
     /// When it could have started.
     free_at: Instant,
-    reason: PlaceReason,
+    reason: PlacementReason,
 }
 
 /// A model with work that nothing could serve.
--- a/crates/place/src/turns.rs
+++ b/crates/place/src/turns.rs
@@ -4,7 +4,7 @@
 
 use crate::adapters;
 use crate::choose::{Choice, Force};
-use crate::types::PlaceReason;
+use crate::types::PlacementReason;
 
 /// Part of the bound from which a turn goes before everything else; the rest is
 /// for late reports, slow loads and running work that delays an unload.
@@ -51,7 +51,7 @@
 
 fn give_base(choice: &mut Choice<'_, '_>, group: usize, late: bool) {
     if !choice.allowance.open() {
-        choice.note_base(group, PlaceReason::StoreBudget);
+        choice.note_base(group, PlacementReason::StoreBudget);
         return;
     }
     let mut spot = choice.spot(group, Force::Residence);
@@ -59,8 +59,8 @@
         spot = spot.or_else(|| choice.spot(group, Force::Any));
     }
     match spot {
-        Some(spot) => choice.add(group, &spot, PlaceReason::WaitBound),
-        None => choice.note_base(group, PlaceReason::NoRoom),
+        Some(spot) => choice.add(group, &spot, PlacementReason::WaitBound),
+        None => choice.note_base(group, PlacementReason::NoRoom),
     }
 }
 
--- a/crates/place/src/types.rs
+++ b/crates/place/src/types.rs
@@ -108,7 +108,7 @@
     /// Index of the accelerator.
     pub accelerator: u32,
     /// Why it is wanted there.
-    pub reason: PlaceReason,
+    pub reason: PlacementReason,
 }
 
 /// Something an operator may ask about a model.
@@ -117,12 +117,12 @@
     /// Model or adapter.
     pub model: ModelId,
     /// Why.
-    pub reason: PlaceReason,
+    pub reason: PlacementReason,
 }
 
 /// Why a model is where it is, or is not.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum PlaceReason {
+pub enum PlacementReason {
     /// It was there and nothing is worth moving it.
     Kept = 1,
     /// Its demand is worth more than what it replaces and the move.
@@ -151,7 +151,7 @@
     NoRoom = 13,
 }
 
-impl PlaceReason {
+impl PlacementReason {
     /// The word used in metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
--- a/crates/place/src/versions.rs
+++ b/crates/place/src/versions.rs
@@ -1,7 +1,7 @@
 //! Replaces units of versions that no request is sent to any more.
 
 use crate::choose::{Choice, Spot};
-use crate::types::PlaceReason;
+use crate::types::PlacementReason;
 
 /// Ends units of old versions.
 ///
@@ -30,12 +30,12 @@
         let size = choice.base_size(group);
         if size > slot.free_mib() + slot.units[old].size_mib() {
             choice.take_off(index, old);
-            choice.note_base(group, PlaceReason::NoRoom);
+            choice.note_base(group, PlacementReason::NoRoom);
         } else if choice.allowance.open() {
             let spot = Spot::in_place_of(index, old);
-            choice.add(group, &spot, PlaceReason::NewVersion);
+            choice.add(group, &spot, PlacementReason::NewVersion);
         } else {
-            choice.note_base(group, PlaceReason::StoreBudget);
+            choice.note_base(group, PlacementReason::StoreBudget);
         }
     }
 }
--- a/crates/place/tests/all/feasible.rs
+++ b/crates/place/tests/all/feasible.rs
@@ -3,7 +3,7 @@
 use crate::world::*;
 use arbtest::arbitrary::Unstructured;
 use arbtest::arbtest;
-use place::{PlaceReason, ResidentState};
+use place::{PlacementReason, ResidentState};
 
 // An operator sees an agent refuse a target, or a model come up without its base,
 // when a plan asks for what can't be held. Cells, demand and figures out of range
@@ -62,9 +62,9 @@
         model.size_mib = 90 * GIB;
     }
     let cases = [
-        (worth, 1.0, 1.0, PlaceReason::NotWorthMove),
-        (large, 5.0, 1.0, PlaceReason::NoRoom),
-        (fleet(1, 0), 5.0, 0.0, PlaceReason::StoreBudget),
+        (worth, 1.0, 1.0, PlacementReason::NotWorthMove),
+        (large, 5.0, 1.0, PlacementReason::NoRoom),
+        (fleet(1, 0), 5.0, 0.0, PlacementReason::StoreBudget),
     ];
     for (fleet, rate_per_s, share, reason) in cases {
         let agents = vec![agent(0, &[80 * GIB])];
--- a/crates/place/tests/all/leaving.rs
+++ b/crates/place/tests/all/leaving.rs
@@ -2,7 +2,7 @@
 
 use crate::world::*;
 use base::prelude::*;
-use place::{PlaceReason, ResidentState};
+use place::{PlacementReason, ResidentState};
 use std::collections::BTreeSet;
 
 // An instance is about to go and holds the only copies of two models. They have to
@@ -33,7 +33,7 @@
             let kept = left.iter().any(|model| model.model.as_str() == name);
             assert!(kept || elsewhere(name), "{name} went before it was placed");
         }
-        assert!(left.iter().all(|m| m.reason == PlaceReason::Leaving));
+        assert!(left.iter().all(|m| m.reason == PlacementReason::Leaving));
         emptied |= left.is_empty();
     }
     assert!(emptied, "models stayed on the leaving instance");
--- a/crates/place/tests/all/moves.rs
+++ b/crates/place/tests/all/moves.rs
@@ -1,7 +1,7 @@
 //! Models that are placed stay where they are without a reason to move.
 
 use crate::world::*;
-use place::{PlaceReason, Plan, ResidentState};
+use place::{PlacementReason, Plan, ResidentState};
 
 // A model that has just been loaded serves nobody yet, and taking it off again
 // would waste the load. Demand for another model is far higher; it may come once
@@ -20,7 +20,7 @@
         let expected = if moved { "b01" } else { "b00" };
         assert_eq!(wanted.model.as_str(), expected, "at {age_ms} ms");
         if !moved {
-            assert_eq!(wanted.reason, PlaceReason::MinResidence);
+            assert_eq!(wanted.reason, PlacementReason::MinResidence);
         }
     }
 }
--- a/crates/place/tests/all/turns.rs
+++ b/crates/place/tests/all/turns.rs
@@ -1,7 +1,7 @@
 //! Models that wait get their turn within the bound.
 
 use crate::world::*;
-use place::{PlaceReason, ResidentState};
+use place::{PlacementReason, ResidentState};
 
 // Forty models are asked for at the same moment and eighteen accelerators can hold
 // one each. The store starts two loads a second, so the last turn has to be planned
@@ -71,8 +71,8 @@
 #[test]
 fn a_late_turn_displaces_a_young_model_but_no_load() {
     let states = [
-        (ResidentState::Loaded, "b01", PlaceReason::WaitBound),
-        (ResidentState::Loading, "b00", PlaceReason::Kept),
+        (ResidentState::Loaded, "b01", PlacementReason::WaitBound),
+        (ResidentState::Loading, "b00", PlacementReason::Kept),
     ];
     for (state, expected, reason) in states {
         let mut holder = agent(0, &[80 * GIB]);
--- a/crates/place/tests/all/versions.rs
+++ b/crates/place/tests/all/versions.rs
@@ -1,7 +1,7 @@
 //! Adapters and their bases, and new versions of models.
 
 use crate::world::*;
-use place::{PlaceReason, ResidentState};
+use place::{PlacementReason, ResidentState};
 
 // Two adapters share a base that nobody asks for by its own name. All three have to
 // come to one accelerator, the base first, and they leave it together.
@@ -17,7 +17,7 @@
         .flat_map(|target| &target.models)
         .collect();
     assert_eq!(first.len(), 1);
-    assert_eq!(first[0].reason, PlaceReason::BaseOfAdapter);
+    assert_eq!(first[0].reason, PlacementReason::BaseOfAdapter);
     world.run(10_000);
     assert_eq!(world.holders("x00"), world.holders("b00"));
     assert_eq!(world.holders("x01"), world.holders("b00"));
@@ -47,7 +47,7 @@
         assert_eq!(wanted.len(), 1);
         assert_eq!(
             (wanted[0].version, wanted[0].reason),
-            (2, PlaceReason::NewVersion)
+            (2, PlacementReason::NewVersion)
         );
     }
 }
--- a/crates/quota/src/keeper.rs
+++ b/crates/quota/src/keeper.rs
@@ -13,5 +13,5 @@
 ) -> Option<&'a str> {
     let key = xxh3_64(workspace.as_bytes());
     let entries = entries.into_iter();
-    entries.max_by_key(|entry| (route::rank(key, entry), *entry))
+    entries.max_by_key(|entry| (route::rendezvous_weight(key, entry), *entry))
 }
--- a/crates/role/benches/gate_limit.rs
+++ b/crates/role/benches/gate_limit.rs
@@ -7,7 +7,7 @@
 use rand_core::Rng;
 use rand_pcg::Pcg64Mcg;
 use role::agent::PlaceLimit;
-use route::StepLimit;
+use route::AdaptiveConcurrencyLimit;
 use std::collections::VecDeque;
 
 /// Length of a run.
@@ -119,7 +119,7 @@
     let mut rng = Pcg64Mcg::new(0x5eed_1234_5678_9abc_def1);
     let per_s = growth.capacity_milli() as f64 * load_percent as f64 / 100_000.0;
     let gap_us = 1_000_000.0 / per_s;
-    let mut limit = StepLimit::new(CONCURRENT_MAX, STEP_US as u32);
+    let mut limit = AdaptiveConcurrencyLimit::new(CONCURRENT_MAX, STEP_US as u32);
     let mut expected = PlaceLimit::default();
     expected.configure(CONCURRENT_MAX);
     let mut sums = Sums::default();
--- a/crates/role/src/entry/accept.rs
+++ b/crates/role/src/entry/accept.rs
@@ -1,7 +1,7 @@
 //! What is checked of a request before it is in progress.
 
 use base::prelude::*;
-use route::Verdict;
+use route::CrashVerdict;
 use schema::timeline::EventKind;
 
 use super::Arrival;
@@ -48,14 +48,14 @@
         let mut suspects = ctx.shared.suspects.lock();
         suspects.verdict(ctx.now, resolved.fingerprint)
     };
-    if let Verdict::Convicted { remaining_ms } = verdict {
+    if let CrashVerdict::Convicted { remaining_ms } = verdict {
         return Err(refuse(Code::Convicted).retry_after_ms(remaining_ms));
     }
     let max = match caller.concurrent_max {
         0 => u32::MAX,
         max => max,
     };
-    if !ctx.shared.callers.lock().try_enter(&caller.id, max) {
+    if !ctx.shared.callers.lock().try_start_request(&caller.id, max) {
         return Err(refuse(Code::CallerLimit).retry_after_ms(CALLER_LIMIT_MS));
     }
     let percent = config.limits().retry_percent;
--- a/crates/role/src/entry/book.rs
+++ b/crates/role/src/entry/book.rs
@@ -69,14 +69,14 @@
     /// Counts a first try towards the budget.
     pub(crate) fn first_try(&mut self, now: Instant, wanted: &Wanted) {
         if let Some(record) = self.records.get_mut(wanted) {
-            record.budget.first_try(now);
+            record.budget.record_first_attempt(now);
         }
     }
 
     /// Takes a retry from the budget.
     pub(crate) fn try_retry(&mut self, now: Instant, wanted: &Wanted) -> bool {
         let record = self.records.get_mut(wanted);
-        record.is_some_and(|record| record.budget.try_take(now))
+        record.is_some_and(|record| record.budget.try_acquire(now))
     }
 
     /// Notes how long an upstream was busy with a request.
--- a/crates/role/src/entry/control/mod.rs
+++ b/crates/role/src/entry/control/mod.rs
@@ -205,7 +205,7 @@
         let others = self.entries.all().filter(|held| !held.leaving);
         let alive = others.filter(|held| self.entries.alive(now, &held.id));
         let names = alive.map(|held| &held.id).chain([&self.me]);
-        route::prober(agent, names) == Some(&self.me)
+        route::probing_entry(agent, names) == Some(&self.me)
     }
 
     /// Time until this entry may start a suspect alone; 0 if it may now.
--- a/crates/role/src/entry/control/plan.rs
+++ b/crates/role/src/entry/control/plan.rs
@@ -4,7 +4,7 @@
 use conf::Config;
 use live::rendezvous;
 use place::{
-    AgentTarget, ModelDemand, PlaceReason, Plan, PlanInput, PlanNote, Planner,
+    AgentTarget, ModelDemand, PlacementReason, Plan, PlanInput, PlanNote, Planner,
 };
 use schema::link::{Demand, Target, TargetModel, frame};
 use std::collections::BTreeMap;
@@ -127,7 +127,7 @@
     pub(crate) fn wishes<'a>(
         &'a self,
         model: &'a str,
-    ) -> impl Iterator<Item = (&'a AgentId, PlaceReason)> {
+    ) -> impl Iterator<Item = (&'a AgentId, PlacementReason)> {
         let wishes = self.cells.values().flat_map(|cell| &cell.wishes);
         wishes
             .filter(move |((_, _, held), _)| held.as_str() == model)
@@ -138,7 +138,7 @@
     pub(crate) fn notes<'a>(
         &'a self,
         model: &'a str,
-    ) -> impl Iterator<Item = PlaceReason> {
+    ) -> impl Iterator<Item = PlacementReason> {
         let notes = self.cells.values().flat_map(|cell| &cell.notes);
         notes
             .filter(move |note| note.model.as_str() == model)
--- a/crates/role/src/entry/control/wishes.rs
+++ b/crates/role/src/entry/control/wishes.rs
@@ -1,7 +1,7 @@
 //! What is wanted where, and its events.
 
 use base::prelude::*;
-use place::{PlaceReason, Plan};
+use place::{PlacementReason, Plan};
 use schema::timeline::EventKind;
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 use super::super::trace::Note;
 
 /// What is wanted where, by agent, accelerator and model.
-pub(super) type Wishes = BTreeMap<(AgentId, u32, ModelId), PlaceReason>;
+pub(super) type Wishes = BTreeMap<(AgentId, u32, ModelId), PlacementReason>;
 
 /// What a plan wants.
 pub(super) fn wishes(plan: &Plan) -> Wishes {
@@ -33,7 +33,7 @@
 ) {
     for (key, reason) in after {
         // What was merely found in place is no decision.
-        if before.contains_key(key) || *reason == PlaceReason::Kept {
+        if before.contains_key(key) || *reason == PlacementReason::Kept {
             continue;
         }
         let (agent, accelerator, model) = key;
@@ -53,31 +53,31 @@
         if after.contains_key(&key) {
             continue;
         }
-        tally.decided("place", PlaceReason::Displaced.as_str());
+        tally.decided("place", PlacementReason::Displaced.as_str());
         let detail = format!("no longer wanted on {agent}, accelerator {accelerator}");
         Note::new(EventKind::ModelPlanned, detail)
             .model(model.as_str())
             .peer(agent)
-            .reason(PlaceReason::Displaced as u32)
+            .reason(PlacementReason::Displaced as u32)
             .put(out);
     }
 }
 
 /// A reason in words.
-pub(crate) const fn sentence(reason: PlaceReason) -> &'static str {
+pub(crate) const fn sentence(reason: PlacementReason) -> &'static str {
     match reason {
-        PlaceReason::Kept => "it was there and nothing is worth moving it",
-        PlaceReason::Demand => "its demand is worth the move",
-        PlaceReason::WaitBound => "work waited for it and it got its turn",
-        PlaceReason::Replica => "one holder does not serve its demand",
-        PlaceReason::Spread => "a replica in another failure domain",
-        PlaceReason::Leaving => "a holder is leaving",
-        PlaceReason::MinResidence => "it stays for its minimum residence",
-        PlaceReason::BaseOfAdapter => "it is the base of a wanted adapter",
-        PlaceReason::NewVersion => "a newer version is to be held",
-        PlaceReason::Displaced => "it was taken off for a model worth more",
-        PlaceReason::StoreBudget => "the weight store's budget is used up for now",
-        PlaceReason::NotWorthMove => "its demand is not worth a move",
-        PlaceReason::NoRoom => "no accelerator has room",
+        PlacementReason::Kept => "it was there and nothing is worth moving it",
+        PlacementReason::Demand => "its demand is worth the move",
+        PlacementReason::WaitBound => "work waited for it and it got its turn",
+        PlacementReason::Replica => "one holder does not serve its demand",
+        PlacementReason::Spread => "a replica in another failure domain",
+        PlacementReason::Leaving => "a holder is leaving",
+        PlacementReason::MinResidence => "it stays for its minimum residence",
+        PlacementReason::BaseOfAdapter => "it is the base of a wanted adapter",
+        PlacementReason::NewVersion => "a newer version is to be held",
+        PlacementReason::Displaced => "it was taken off for a model worth more",
+        PlacementReason::StoreBudget => "the weight store's budget is used up for now",
+        PlacementReason::NotWorthMove => "its demand is not worth a move",
+        PlacementReason::NoRoom => "no accelerator has room",
     }
 }
--- a/crates/role/src/entry/health.rs
+++ b/crates/role/src/entry/health.rs
@@ -6,7 +6,7 @@
 
 use base::prelude::*;
 use live::Directory;
-use route::{Allow, HealthView, UpstreamHealth};
+use route::{BreakerState, CircuitBreaker, Permission};
 use schema::link::UpstreamVerdict;
 use schema::timeline::EventKind;
 use std::collections::BTreeMap;
@@ -23,7 +23,7 @@
 
 #[derive(Debug)]
 struct Upstream {
-    health: UpstreamHealth,
+    health: CircuitBreaker,
     /// When the verdict changed, or a probe was sent here.
     touched_at: Instant,
 }
@@ -72,7 +72,7 @@
         };
         let orphaned = now.ms_since(held.touched_at) >= ORPHANED_MS;
         let probes = orphaned || prober && idempotent;
-        let probe = held.health.allow(now, probes) == Allow::Probe;
+        let probe = held.health.acquire_permission(now, probes) == Permission::Probe;
         if probe {
             held.touched_at = now;
         }
@@ -90,7 +90,7 @@
         if ok && !self.upstreams.contains_key(agent) {
             return None;
         }
-        self.change(now, agent, |health| health.observe(now, ok, probe))
+        self.change(now, agent, |health| health.record_outcome(now, ok, probe))
     }
 
     /// Takes over another entry's verdict if it is newer.
@@ -99,7 +99,7 @@
         now: Instant,
         from: &UpstreamVerdict,
     ) -> Option<Change> {
-        let view = HealthView {
+        let view = BreakerState {
             version: from.version,
             open: from.open,
         };
@@ -112,10 +112,10 @@
     pub(crate) fn export(&self, now: Instant) -> Vec<UpstreamVerdict> {
         let told = self.upstreams.iter().filter(|(_, held)| {
             let lately = now.ms_since(held.touched_at) < TOLD_MS;
-            held.health.is_open() || held.health.view().version > 0 && lately
+            held.health.is_open() || held.health.state().version > 0 && lately
         });
         told.map(|(agent, held)| {
-            let view = held.health.view();
+            let view = held.health.state();
             UpstreamVerdict {
                 agent: agent.to_string(),
                 version: view.version,
@@ -135,11 +135,11 @@
         &mut self,
         now: Instant,
         agent: &AgentId,
-        work: impl FnOnce(&mut UpstreamHealth),
+        work: impl FnOnce(&mut CircuitBreaker),
     ) -> Option<Change> {
         let held = self.upstreams.entry(agent.clone());
         let held = held.or_insert_with(|| Upstream {
-            health: UpstreamHealth::new(),
+            health: CircuitBreaker::new(),
             touched_at: now,
         });
         let before = held.health.is_open();
--- a/crates/role/src/entry/requests/answers.rs
+++ b/crates/role/src/entry/requests/answers.rs
@@ -249,7 +249,10 @@
         ctx.shared.book.lock().served(wanted, ms);
         if attempt.alone {
             let fingerprint = request.resolved.fingerprint;
-            ctx.shared.suspects.lock().completed(fingerprint);
+            ctx.shared
+                .suspects
+                .lock()
+                .record_completed_alone(fingerprint);
         }
     }
 
@@ -263,7 +266,7 @@
             let mut suspects = ctx.shared.suspects.lock();
             charged_by(&mut suspects, ctx.now, fingerprints, |suspects| {
                 let run = frame.upstream_incarnation;
-                suspects.on_crash(ctx.now, fingerprints, agent, run, alone);
+                suspects.record_crash(ctx.now, fingerprints, agent, run, alone);
             })
         };
         let attempt = attempt_of(frame.attempt.as_ref());
--- a/crates/role/src/entry/requests/end.rs
+++ b/crates/role/src/entry/requests/end.rs
@@ -93,9 +93,9 @@
         let request = self.live.remove(&sequence)?;
         if let State::Waiting(place) = request.state {
             ctx.shared.waiting.lock().remove(place);
-            ctx.shared.callers.lock().end_wait(&request.caller);
+            ctx.shared.callers.lock().dequeue(&request.caller);
         }
-        ctx.shared.callers.lock().leave(&request.caller);
+        ctx.shared.callers.lock().finish_request(&request.caller);
         Some(request)
     }
 
@@ -135,7 +135,7 @@
         {
             let fingerprint = request.resolved.fingerprint;
             let mut suspects = ctx.shared.suspects.lock();
-            suspects.end_alone(model, fingerprint);
+            suspects.end_alone_run(model, fingerprint);
             ctx.later.wake.insert(request.resolved.wanted.clone());
             ctx.later.gossip = true;
         }
--- a/crates/role/src/entry/requests/holders.rs
+++ b/crates/role/src/entry/requests/holders.rs
@@ -2,7 +2,7 @@
 
 use base::prelude::*;
 use live::{Agent, Life, ResidencyState};
-use route::{AdmitInput, Holder};
+use route::{AdmissionInput, Holder};
 
 use super::super::control::{Control, back_ms};
 use super::super::shared::Ctx;
@@ -90,17 +90,17 @@
             let load = held
                 .running
                 .saturating_add(held.waiting)
-                .saturating_add(held.sent_since_hint);
+                .saturating_add(held.sent_since_report);
             let free = held.running_max.saturating_sub(load);
             // The little queue that a holder may have beyond its places.
-            free.max(u32::from(route::has_room(held)))
+            free.max(u32::from(route::has_capacity(held)))
         });
         free.sum()
     }
 }
 
 const fn is_idle(held: &Holder<'_>) -> bool {
-    held.running == 0 && held.waiting == 0 && held.sent_since_hint == 0
+    held.running == 0 && held.waiting == 0 && held.sent_since_report == 0
 }
 
 fn model_agents<'a>(
@@ -158,8 +158,8 @@
         waiting: hint.waiting,
         running_max: hint.running_max,
         step_time_us: hint.step_time_us,
-        hint_age_ms: hint.age_ms,
-        sent_since_hint: hint.sent_since,
+        report_age_ms: hint.age_ms,
+        sent_since_report: hint.sent_since,
         suspected: false,
     }
 }
@@ -171,14 +171,14 @@
     candidates: &Candidates<'_>,
     avoided: &[AgentId],
     ahead: u32,
-) -> AdmitInput {
+) -> AdmissionInput {
     let wanted = &request.resolved.wanted;
     let stats = ctx.shared.book.lock().stats(ctx.now, wanted);
     let load_wait_ms = match candidates.holders.is_empty() {
         true => load_wait_ms(ctx, request, avoided),
         false => None,
     };
-    AdmitInput {
+    AdmissionInput {
         remaining_ms: request.remaining_ms(ctx.now),
         // One that waits already, or ran, has lost its first token's time to a
         // load or a failure; refusing it would only add to that.
@@ -188,12 +188,12 @@
         },
         interactive: request.resolved.interactive,
         holders: u32::try_from(candidates.holders.len()).unwrap_or(u32::MAX),
-        free_places: candidates.free_places(),
-        places: candidates.places(),
-        ahead,
+        free_slots: candidates.free_places(),
+        slots: candidates.places(),
+        queued_ahead: ahead,
         service_time_ms: stats.service_time_ms.unwrap_or(SERVICE_TIME_DEFAULT_MS),
         load_wait_ms,
-        whole_ms: whole_ms(request, candidates, stats.service_time_ms),
+        answer_time_ms: whole_ms(request, candidates, stats.service_time_ms),
     }
 }
 
@@ -259,7 +259,7 @@
 pub(super) fn waits_for_load(
     ctx: &Ctx<'_>,
     request: &Request,
-    input: &AdmitInput,
+    input: &AdmissionInput,
     avoided: &[AgentId],
 ) -> bool {
     let Some(model) = request.resolved.wanted.model() else {
@@ -267,7 +267,7 @@
     };
     let waits = matches!(request.state, State::Waiting(_));
     let look_ms = ctx.control.directory.timing().heartbeat_ms();
-    let in_time = input.whole_ms.saturating_add(look_ms) < input.remaining_ms;
+    let in_time = input.answer_time_ms.saturating_add(look_ms) < input.remaining_ms;
     let mut agents = ctx.control.directory.agents();
     waits
         && input.holders == 0
@@ -298,7 +298,7 @@
         return false;
     }
     let fingerprint = request.resolved.fingerprint;
-    let crashed_at = ctx.shared.suspects.lock().crash_heard_at(fingerprint);
+    let crashed_at = ctx.shared.suspects.lock().last_crash_at(fingerprint);
     let crashed = avoided.iter();
     let mut crashed = crashed.filter_map(|id| ctx.control.directory.get(id));
     crashed.any(|agent| {
--- a/crates/role/src/entry/requests/place.rs
+++ b/crates/role/src/entry/requests/place.rs
@@ -2,8 +2,8 @@
 
 use base::prelude::*;
 use route::{
-    ALONE_RETRY_MS, Admit, AdmitInput, ChooseInput, RouteReason, Verdict, admit,
-    choose, has_room,
+    ALONE_RUN_RETRY_MS, Admission, AdmissionInput, CrashVerdict, RouteReason,
+    RoutingInput, admit, choose_holder, has_capacity,
 };
 use schema::timeline::EventKind;
 
@@ -70,9 +70,9 @@
         let fingerprint = request.resolved.fingerprint;
         let verdict = ctx.shared.suspects.lock().verdict(ctx.now, fingerprint);
         match verdict {
-            Verdict::Free => self.place_as(ctx, sequence, ahead, false),
-            Verdict::Suspect => self.place_as(ctx, sequence, ahead, true),
-            Verdict::Convicted { remaining_ms } => {
+            CrashVerdict::Clear => self.place_as(ctx, sequence, ahead, false),
+            CrashVerdict::Suspect => self.place_as(ctx, sequence, ahead, true),
+            CrashVerdict::Convicted { remaining_ms } => {
                 self.refuse(ctx, sequence, Code::Convicted, Some(remaining_ms))
             }
         }
@@ -107,20 +107,20 @@
             return self.refuse(ctx, sequence, code, Some(ms));
         }
         match admit(&input) {
-            Admit::Refuse(_) if waits_for_load(ctx, request, &input, &avoided) => {
+            Admission::Refuse(_) if waits_for_load(ctx, request, &input, &avoided) => {
                 self.wait(ctx, sequence, input.load_wait_ms)
             }
-            Admit::Refuse(refusal) => {
+            Admission::Refuse(refusal) => {
                 self.refuse(ctx, sequence, refusal.code, refusal.retry_after_ms)
             }
-            Admit::Wait { predicted_ms } => {
+            Admission::Wait { predicted_ms } => {
                 ctx.later.plan |= input.holders == 0;
                 self.wait(ctx, sequence, Some(predicted_ms))
             }
-            Admit::Send if request.not_before > ctx.now => {
+            Admission::Send if request.not_before > ctx.now => {
                 self.wait(ctx, sequence, None)
             }
-            Admit::Send => {
+            Admission::Send => {
                 match self.route(ctx, sequence, &candidates, &failing, alone) {
                     Some(route) => self.send(ctx, sequence, &route),
                     None => self.wait(ctx, sequence, None),
@@ -142,12 +142,12 @@
         if !alone && let Some(route) = probe(ctx, request, failing, candidates) {
             return Some(route);
         }
-        let input = ChooseInput {
+        let input = RoutingInput {
             prefix_hash: request.arrival.prefix_hash,
             domain: &ctx.shared.options.domain,
             excluded: &request.excluded,
         };
-        let chosen = choose(&candidates.holders, &input, &mut self.rng)?;
+        let chosen = choose_holder(&candidates.holders, &input, &mut self.rng)?;
         if alone && !start_alone(ctx, request) {
             return None;
         }
@@ -242,7 +242,7 @@
     let config = ctx.control.config();
     let max = config.map_or(0, |held| held.limits().waiting_max);
     let caller = &request.caller;
-    let within = ctx.shared.callers.lock().try_wait(caller, max);
+    let within = ctx.shared.callers.lock().try_enqueue(caller, max);
     let queued = {
         let mut waiting = ctx.shared.waiting.lock();
         if !within && waiting.len() < max as usize {
@@ -251,7 +251,7 @@
         waiting.add(&request.resolved.wanted, place, ctx.now, max as usize)
     };
     match queued {
-        Queued::Full if within => ctx.shared.callers.lock().end_wait(caller),
+        Queued::Full if within => ctx.shared.callers.lock().dequeue(caller),
         Queued::Instead(other) => ctx.later.evicted.push(other),
         Queued::Full | Queued::Yes => {}
     }
@@ -259,7 +259,7 @@
         return Err(Code::QueueFull);
     }
     if !within {
-        ctx.shared.callers.lock().wait_instead(caller);
+        ctx.shared.callers.lock().enqueue_displacing(caller);
     }
     Ok(())
 }
@@ -306,7 +306,7 @@
         return None;
     }
     let mut fit = held.filter(|(holder, (agent, _))| {
-        has_room(holder) && !request.excluded.contains(&agent.id)
+        has_capacity(holder) && !request.excluded.contains(&agent.id)
     });
     let (_, (agent, version)) = fit.find(|(_, (agent, _))| {
         let prober = ctx.control.probes(ctx.now, &agent.id);
@@ -329,7 +329,9 @@
 /// Agents whose upstreams crashed with a request in flight.
 fn crashed_on(ctx: &Ctx<'_>, request: &Request) -> Vec<AgentId> {
     let suspects = ctx.shared.suspects.lock();
-    suspects.crashed_on(request.resolved.fingerprint).collect()
+    suspects
+        .crashed_agents(request.resolved.fingerprint)
+        .collect()
 }
 
 /// Why a suspect can't be run before its deadline, with when to come back.
@@ -340,7 +342,7 @@
 fn out_of_reach(
     ctx: &Ctx<'_>,
     request: &Request,
-    input: &AdmitInput,
+    input: &AdmissionInput,
     crashed: &[AgentId],
 ) -> Option<(Code, u64)> {
     if input.holders == 0 && crashed_all(ctx, request, crashed) {
@@ -351,8 +353,8 @@
     }
     request.resolved.wanted.model()?;
     let turn_ms = ctx.control.alone_turn_in_ms(ctx.now);
-    let late = turn_ms.saturating_add(input.whole_ms) > input.remaining_ms;
-    late.then_some((Code::Overloaded, turn_ms.max(ALONE_RETRY_MS)))
+    let late = turn_ms.saturating_add(input.answer_time_ms) > input.remaining_ms;
+    late.then_some((Code::Overloaded, turn_ms.max(ALONE_RUN_RETRY_MS)))
 }
 
 fn start_alone(ctx: &mut Ctx<'_>, request: &Request) -> bool {
@@ -365,7 +367,7 @@
     let me = &ctx.shared.options.id;
     let fingerprint = request.resolved.fingerprint;
     let mut suspects = ctx.shared.suspects.lock();
-    let started = suspects.try_start_alone(model, fingerprint, me);
+    let started = suspects.try_start_alone_run(model, fingerprint, me);
     ctx.later.gossip |= started;
     started
 }
--- a/crates/role/src/entry/requests/send.rs
+++ b/crates/role/src/entry/requests/send.rs
@@ -54,7 +54,7 @@
         };
         if let State::Waiting(place) = request.state {
             ctx.shared.waiting.lock().remove(place);
-            ctx.shared.callers.lock().end_wait(&request.caller);
+            ctx.shared.callers.lock().dequeue(&request.caller);
         }
         let attempt = Attempt {
             id,
--- a/crates/role/src/entry/shared.rs
+++ b/crates/role/src/entry/shared.rs
@@ -6,7 +6,7 @@
 
 use base::prelude::*;
 use parking_lot::Mutex;
-use route::{CallerLimits, Suspects};
+use route::{CallerLimits, SuspectRequests};
 use std::collections::BTreeSet;
 
 use super::book::Book;
@@ -29,7 +29,7 @@
     pub(crate) waiting: Mutex<Waiting>,
     pub(crate) book: Mutex<Book>,
     pub(crate) callers: Mutex<CallerLimits>,
-    pub(crate) suspects: Mutex<Suspects>,
+    pub(crate) suspects: Mutex<SuspectRequests>,
     pub(crate) health: Mutex<Health>,
     pub(crate) tally: Mutex<Tally>,
 }
@@ -42,7 +42,7 @@
             waiting: Mutex::new(Waiting::default()),
             book: Mutex::new(Book::new()),
             callers: Mutex::new(CallerLimits::new()),
-            suspects: Mutex::new(Suspects::new(VERDICT_DEFAULT_MS)),
+            suspects: Mutex::new(SuspectRequests::new(VERDICT_DEFAULT_MS)),
             health: Mutex::new(Health::default()),
             tally: Mutex::new(Tally::default()),
         }
--- a/crates/role/src/entry/suspicion.rs
+++ b/crates/role/src/entry/suspicion.rs
@@ -1,7 +1,7 @@
 //! What changes in what is held against requests, and its events.
 
 use base::prelude::*;
-use route::{Suspects, Verdict};
+use route::{CrashVerdict, SuspectRequests};
 use schema::timeline::EventKind;
 use std::mem::discriminant;
 
@@ -23,25 +23,26 @@
 
 /// Does something to the verdicts and tells what it changed for the worse.
 pub(crate) fn charged_by(
-    suspects: &mut Suspects,
+    suspects: &mut SuspectRequests,
     now: Instant,
     fingerprints: &[u64],
-    work: impl FnOnce(&mut Suspects),
+    work: impl FnOnce(&mut SuspectRequests),
 ) -> Vec<Charged> {
     let verdicts = fingerprints.iter();
-    let before: Vec<Verdict> =
+    let before: Vec<CrashVerdict> =
         verdicts.map(|held| suspects.verdict(now, *held)).collect();
     work(suspects);
     let mut charged = Vec::new();
     for (fingerprint, before) in fingerprints.iter().zip(before) {
         let after = suspects.verdict(now, *fingerprint);
-        if after == Verdict::Free || discriminant(&after) == discriminant(&before) {
+        if after == CrashVerdict::Clear || discriminant(&after) == discriminant(&before)
+        {
             continue;
         }
         charged.push(Charged {
             fingerprint: *fingerprint,
-            convicted: after != Verdict::Suspect,
-            agents: suspects.crashed_on(*fingerprint).collect(),
+            convicted: after != CrashVerdict::Suspect,
+            agents: suspects.crashed_agents(*fingerprint).collect(),
             alone: suspects.crashed_alone(*fingerprint),
             remaining_ms: suspects.remaining_ms(now, *fingerprint),
         });
--- a/crates/role/tests/entry/failing.rs
+++ b/crates/role/tests/entry/failing.rs
@@ -135,7 +135,7 @@
     let entries = ["e1", "e2"].map(EntryId::new);
     let of_other = |name: &String| {
         let agent = AgentId::new(name);
-        route::prober(&agent, &entries) == Some(&entries[1])
+        route::probing_entry(&agent, &entries) == Some(&entries[1])
     };
     let name = (0..).map(|n| format!("s{n}")).find(of_other);
     let name = name.expect("one of many");
--- a/crates/route/benches/policy/admission.rs
+++ b/crates/route/benches/policy/admission.rs
@@ -5,7 +5,7 @@
 //! refuses only what would miss its deadline, the third also interactive
 //! requests whose first token would be late.
 
-use route::{Admit, AdmitInput, admit};
+use route::{Admission, AdmissionInput, admit};
 use std::collections::VecDeque;
 
 use crate::events::{Draw, Events};
@@ -126,7 +126,7 @@
         } else {
             interactive_ahead + batch_ahead
         };
-        let input = AdmitInput {
+        let input = AdmissionInput {
             remaining_ms: request.deadline_ms() - now_ms,
             first_token_ms: match self.way {
                 Way::FirstToken => request.first_token_ms(),
@@ -134,14 +134,14 @@
             },
             interactive: request.interactive,
             holders: 4,
-            free_places: PLACES - self.running,
-            places: PLACES,
-            ahead: ahead as u32,
+            free_slots: PLACES - self.running,
+            slots: PLACES,
+            queued_ahead: ahead as u32,
             service_time_ms: SERVICE_MS as u32,
             load_wait_ms: None,
-            whole_ms: SERVICE_MS as u64,
+            answer_time_ms: SERVICE_MS as u64,
         };
-        matches!(admit(&input), Admit::Refuse(_))
+        matches!(admit(&input), Admission::Refuse(_))
     }
 
     fn start(&mut self, now_ms: u64) {
--- a/crates/route/benches/policy/retries.rs
+++ b/crates/route/benches/policy/retries.rs
@@ -31,7 +31,7 @@
         let now = Instant::from_us(now_us as u64);
         tally.first_tries += 1;
         if let Some(budget) = &mut budget {
-            budget.first_try(now);
+            budget.record_first_attempt(now);
         }
         one(now, failing, budget.as_mut(), &mut draw, &mut tally);
     }
@@ -53,7 +53,7 @@
             tally.done += 1;
             return;
         }
-        if !budget.as_mut().is_none_or(|budget| budget.try_take(now)) {
+        if !budget.as_mut().is_none_or(|budget| budget.try_acquire(now)) {
             return;
         }
     }
--- a/crates/route/benches/policy/routing.rs
+++ b/crates/route/benches/policy/routing.rs
@@ -6,7 +6,7 @@
 //! often as the hint lag says.
 
 use base::prelude::*;
-use route::{ChooseInput, Holder, choose};
+use route::{Holder, RoutingInput, choose_holder};
 use std::collections::VecDeque;
 
 use crate::events::{Draw, Events, percentile};
@@ -285,8 +285,8 @@
                 waiting: hint.waiting,
                 running_max: RUNNING_MAX,
                 step_time_us: self.engines[index].step_us as u32,
-                hint_age_ms: (now - hint.made_us) / 1_000,
-                sent_since_hint: hint.sent[entry],
+                report_age_ms: (now - hint.made_us) / 1_000,
+                sent_since_report: hint.sent[entry],
                 suspected: false,
             }
         };
@@ -322,7 +322,7 @@
         let holders = self.holders(now, request.entry);
         let load = |index: &usize| {
             let holder = &holders[*index];
-            holder.running + holder.waiting + holder.sent_since_hint
+            holder.running + holder.waiting + holder.sent_since_report
         };
         open.iter().copied().min_by_key(load)
     }
@@ -330,12 +330,12 @@
     fn choose(&mut self, now: u64, request: &Request, prefix: u64) -> Option<usize> {
         let mut rng = self.draw.0.clone();
         let holders = self.holders(now, request.entry);
-        let input = ChooseInput {
+        let input = RoutingInput {
             prefix_hash: prefix,
             domain: &self.domains[request.entry],
             excluded: &request.excluded,
         };
-        let chosen = choose(&holders, &input, &mut rng);
+        let chosen = choose_holder(&holders, &input, &mut rng);
         let index = chosen.map(|chosen| chosen.index);
         self.draw.0 = rng;
         index
--- a/crates/route/benches/verdicts.rs
+++ b/crates/route/benches/verdicts.rs
@@ -8,7 +8,7 @@
 use base::prelude::*;
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use route::{Allow, UpstreamHealth};
+use route::{CircuitBreaker, Permission};
 use std::collections::BTreeMap;
 
 const SECONDS: u64 = 40;
@@ -54,7 +54,7 @@
     shared: bool,
     fault: Fault,
     rng: Pcg64Mcg,
-    entries: Vec<UpstreamHealth>,
+    entries: Vec<CircuitBreaker>,
     ending: BTreeMap<(u64, u64), Ending>,
     sequence: u64,
     probes: usize,
@@ -68,7 +68,7 @@
             shared,
             fault,
             rng: Pcg64Mcg::seed_from_u64(seed),
-            entries: (0..count).map(|_| UpstreamHealth::new()).collect(),
+            entries: (0..count).map(|_| CircuitBreaker::new()).collect(),
             ending: BTreeMap::new(),
             sequence: 0,
             probes: 0,
@@ -108,7 +108,7 @@
 
     /// The newest verdict goes to everybody.
     fn gossip(&mut self, now: Instant) {
-        let newest = self.entries.iter().map(UpstreamHealth::view).max();
+        let newest = self.entries.iter().map(CircuitBreaker::state).max();
         let Some(newest) = newest else { return };
         for entry in &mut self.entries {
             entry.merge(now, newest);
@@ -123,11 +123,12 @@
             return;
         }
         let prober = !self.shared || entry == 0;
-        let allow = self.entries[entry].allow(Instant::from_us(now_us), prober);
+        let allow =
+            self.entries[entry].acquire_permission(Instant::from_us(now_us), prober);
         match allow {
-            Allow::No => self.tally.turned_away += 1,
-            Allow::Yes => self.send(now_us, entry, false),
-            Allow::Probe => self.send(now_us, entry, true),
+            Permission::Denied => self.tally.turned_away += 1,
+            Permission::Granted => self.send(now_us, entry, false),
+            Permission::Probe => self.send(now_us, entry, true),
         }
     }
 
@@ -159,7 +160,7 @@
             self.tally.failed += u64::from(!ending.ok);
             let health = &mut self.entries[ending.entry];
             let was_open = health.is_open();
-            health.observe(Instant::from_us(now_us), ending.ok, ending.probe);
+            health.record_outcome(Instant::from_us(now_us), ending.ok, ending.probe);
             self.tally.opened += u64::from(!was_open && health.is_open());
         }
     }
--- a/crates/route/src/admit.rs
+++ b/crates/route/src/admit.rs
@@ -18,7 +18,7 @@
 
 /// What the prediction needs.
 #[derive(Debug, Clone, Copy)]
-pub struct AdmitInput {
+pub struct AdmissionInput {
     /// Time left until the deadline.
     pub remaining_ms: u64,
     /// Expected time to the first token; 0 for none.
@@ -28,23 +28,23 @@
     /// Agents that have the model loaded.
     pub holders: u32,
     /// Places free at them.
-    pub free_places: u32,
+    pub free_slots: u32,
     /// Places of all of them.
-    pub places: u32,
+    pub slots: u32,
     /// Waiting requests that go before this one.
-    pub ahead: u32,
+    pub queued_ahead: u32,
     /// Mean time that one request holds a place.
     pub service_time_ms: u32,
     /// Predicted time until an agent holds the model, if none does; `None` when
     /// it can't be foreseen.
     pub load_wait_ms: Option<u64>,
     /// Predicted time of the whole answer once it runs.
-    pub whole_ms: u64,
+    pub answer_time_ms: u64,
 }
 
 /// What to do with a new request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Admit {
+pub enum Admission {
     /// A place is free.
     Send,
     /// It waits and will be in time.
@@ -63,7 +63,7 @@
 /// that would have met its own; under twice the load that fits, nearly all work
 /// is late. Refusing at once what can't be in time keeps the rest in time and
 /// lets the caller go elsewhere.
-pub fn admit(input: &AdmitInput) -> Admit {
+pub fn admit(input: &AdmissionInput) -> Admission {
     if input.holders == 0 {
         return without_holder(input);
     }
@@ -73,21 +73,21 @@
         return refuse(Code::Overloaded, late_ms);
     }
     if wait_ms == 0 {
-        return Admit::Send;
+        return Admission::Send;
     }
-    Admit::Wait {
+    Admission::Wait {
         predicted_ms: wait_ms,
     }
 }
 
-fn without_holder(input: &AdmitInput) -> Admit {
+fn without_holder(input: &AdmissionInput) -> Admission {
     let Some(load_wait_ms) = input.load_wait_ms else {
         return refuse(Code::ModelUnavailable, RETRY_UNFORESEEN_MS);
     };
-    if load_wait_ms.saturating_add(input.whole_ms) > input.remaining_ms {
+    if load_wait_ms.saturating_add(input.answer_time_ms) > input.remaining_ms {
         return refuse(Code::ModelUnavailable, load_wait_ms);
     }
-    Admit::Wait {
+    Admission::Wait {
         predicted_ms: load_wait_ms,
     }
 }
@@ -97,8 +97,8 @@
 ///
 /// A first token that is late because the model must be loaded first does not
 /// count: refusing would keep a model without a holder out of reach.
-fn late_by_ms(input: &AdmitInput, wait_ms: u64) -> u64 {
-    let needed_ms = wait_ms.saturating_add(input.whole_ms);
+fn late_by_ms(input: &AdmissionInput, wait_ms: u64) -> u64 {
+    let needed_ms = wait_ms.saturating_add(input.answer_time_ms);
     let deadline_late_ms = needed_ms.saturating_sub(input.remaining_ms);
     if !input.interactive || input.first_token_ms == 0 {
         return deadline_late_ms;
@@ -109,19 +109,19 @@
 }
 
 /// Time until the requests ahead have gone and a place is free.
-fn wait_for_place_ms(input: &AdmitInput) -> u64 {
-    if input.free_places > input.ahead {
+fn wait_for_place_ms(input: &AdmissionInput) -> u64 {
+    if input.free_slots > input.queued_ahead {
         return 0;
     }
-    let before = u64::from(input.ahead - input.free_places) + 1;
-    let places = u64::from(input.places.max(1));
+    let before = u64::from(input.queued_ahead - input.free_slots) + 1;
+    let slots = u64::from(input.slots.max(1));
     before
         .saturating_mul(u64::from(input.service_time_ms))
-        .div_ceil(places)
+        .div_ceil(slots)
         .max(1)
 }
 
-fn refuse(code: Code, retry_after_ms: u64) -> Admit {
+fn refuse(code: Code, retry_after_ms: u64) -> Admission {
     let retry_after_ms = retry_after_ms.max(RETRY_MIN_MS);
-    Admit::Refuse(Refusal::not_run(code).retry_after_ms(retry_after_ms))
+    Admission::Refuse(Refusal::not_run(code).retry_after_ms(retry_after_ms))
 }
--- a/crates/route/src/budget.rs
+++ b/crates/route/src/budget.rs
@@ -50,12 +50,12 @@
     }
 
     /// Counts a first try.
-    pub fn first_try(&mut self, now: Instant) {
+    pub fn record_first_attempt(&mut self, now: Instant) {
         self.part(now).first_tries += 1;
     }
 
     /// Takes one retry from the budget; false when it is spent.
-    pub fn try_take(&mut self, now: Instant) -> bool {
+    pub fn try_acquire(&mut self, now: Instant) -> bool {
         let (first_tries, retries) = self.in_window(now);
         let allowed = FLOOR + first_tries * u64::from(self.percent) / 100;
         if retries >= allowed {
--- a/crates/route/src/callers.rs
+++ b/crates/route/src/callers.rs
@@ -29,7 +29,7 @@
     }
 
     /// Counts a request in progress; false when the caller has `max` already.
-    pub fn try_enter(&mut self, caller: &CallerId, max: u32) -> bool {
+    pub fn try_start_request(&mut self, caller: &CallerId, max: u32) -> bool {
         let in_progress = self.in_progress(caller);
         if in_progress >= max {
             return false;
@@ -40,7 +40,7 @@
     }
 
     /// Ends a request in progress.
-    pub fn leave(&mut self, caller: &CallerId) {
+    pub fn finish_request(&mut self, caller: &CallerId) {
         if let Some(used) = self.callers.get_mut(caller) {
             used.in_progress = used.in_progress.saturating_sub(1);
         }
@@ -60,16 +60,16 @@
     /// two thirds of the queue, `n` busy callers get `2 / (2n + 1)` each, and a
     /// caller that has nothing waiting always finds some room, because the
     /// others stop short of the end.
-    pub fn waiting_share(&self, waiting_max: u32) -> u32 {
+    pub fn waiting_limit(&self, waiting_max: u32) -> u32 {
         let free = waiting_max.saturating_sub(self.waiting);
         free.saturating_mul(SHARE_OF_FREE)
     }
 
     /// Counts a waiting request; false when the caller has its share or the
     /// queue is full.
-    pub fn try_wait(&mut self, caller: &CallerId, waiting_max: u32) -> bool {
+    pub fn try_enqueue(&mut self, caller: &CallerId, waiting_max: u32) -> bool {
         let waiting = self.callers.get(caller).map_or(0, |used| used.waiting);
-        if waiting >= self.waiting_share(waiting_max) {
+        if waiting >= self.waiting_limit(waiting_max) {
             return false;
         }
         self.callers.entry(caller.clone()).or_default().waiting += 1;
@@ -79,13 +79,13 @@
 
     /// Counts a waiting request that takes the place of a less urgent one, which
     /// has yet to be refused; the caller's share does not count for it.
-    pub fn wait_instead(&mut self, caller: &CallerId) {
+    pub fn enqueue_displacing(&mut self, caller: &CallerId) {
         self.callers.entry(caller.clone()).or_default().waiting += 1;
         self.waiting += 1;
     }
 
-    /// Ends the wait of a request that [`CallerLimits::try_wait`] counted.
-    pub fn end_wait(&mut self, caller: &CallerId) {
+    /// Ends the wait of a request that [`CallerLimits::try_enqueue`] counted.
+    pub fn dequeue(&mut self, caller: &CallerId) {
         let Some(used) = self.callers.get_mut(caller) else {
             return;
         };
--- a/crates/route/src/choose.rs
+++ b/crates/route/src/choose.rs
@@ -4,7 +4,7 @@
 use rand_core::Rng;
 use rand_pcg::Pcg64Mcg;
 
-use crate::rendezvous::rank;
+use crate::rendezvous::rendezvous_weight;
 
 /// Load bound factor: a holder takes requests of its prefixes up to this
 /// multiple of the mean load per place, in percent.
@@ -15,7 +15,7 @@
 const LOAD_BOUND_FLOOR: u64 = 2;
 
 /// Age at which a load hint counts half, the mean of all hints the other half.
-const HINT_HALF_LIFE_MS: u64 = 100;
+const REPORT_HALF_LIFE_MS: u64 = 100;
 
 /// Requests an agent may hold beyond `running_max`, as a divisor of it; one at
 /// least.
@@ -26,7 +26,7 @@
 
 /// Ages and places above these count as these, so that no report, however
 /// broken, overflows a product of them.
-const HINT_AGE_MAX_MS: u64 = 60_000;
+const REPORT_AGE_MAX_MS: u64 = 60_000;
 const PLACES_MAX: u32 = 4_096;
 
 /// Fixed point of loads.
@@ -48,16 +48,16 @@
     /// Smoothed duration of one engine step; 0 when not known.
     pub step_time_us: u32,
     /// Age of the hint.
-    pub hint_age_ms: u64,
+    pub report_age_ms: u64,
     /// This entry's own attempts sent since the hint was made.
-    pub sent_since_hint: u32,
+    pub sent_since_report: u32,
     /// Whether the agent has been silent for too long.
     pub suspected: bool,
 }
 
 /// What the choice depends on besides the holders.
 #[derive(Debug, Clone, Copy)]
-pub struct ChooseInput<'a> {
+pub struct RoutingInput<'a> {
     /// Hash of the prompt's prefix; 0 for none.
     pub prefix_hash: u64,
     /// Failure domain of this entry.
@@ -114,7 +114,7 @@
 
 /// A chosen holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Chosen {
+pub struct ChosenHolder {
     /// Index into the holders given.
     pub index: usize,
     /// Why.
@@ -122,7 +122,7 @@
 }
 
 /// Whether a holder can be sent one more request.
-pub fn has_room(holder: &Holder<'_>) -> bool {
+pub fn has_capacity(holder: &Holder<'_>) -> bool {
     let places = places(holder);
     let margin = (places / u64::from(QUEUE_DIVISOR)).max(1);
     places > 0 && known_load(holder) < places + margin
@@ -133,15 +133,15 @@
 /// Returns `None` when no holder that is not excluded has room. A suspected
 /// holder is chosen only when no other has room: it may well be alive, and a
 /// request sent to a dead one is retried. Nothing is allocated.
-pub fn choose(
+pub fn choose_holder(
     holders: &[Holder<'_>],
-    input: &ChooseInput<'_>,
+    input: &RoutingInput<'_>,
     rng: &mut Pcg64Mcg,
-) -> Option<Chosen> {
+) -> Option<ChosenHolder> {
     let view = View::new(holders, input)?;
     if view.count == 1 {
         let index = view.nth(0);
-        return Some(Chosen {
+        return Some(ChosenHolder {
             index,
             reason: RouteReason::OnlyHolder,
         });
@@ -161,14 +161,14 @@
 fn known_load(holder: &Holder<'_>) -> u64 {
     u64::from(holder.running)
         + u64::from(holder.waiting)
-        + u64::from(holder.sent_since_hint)
+        + u64::from(holder.sent_since_report)
 }
 
 /// The holders that may be chosen, and their mean load.
 #[derive(Debug)]
 struct View<'v, 'a> {
     holders: &'v [Holder<'a>],
-    input: &'v ChooseInput<'v>,
+    input: &'v RoutingInput<'v>,
     /// Whether only suspected holders are left.
     suspected: bool,
     count: usize,
@@ -179,7 +179,7 @@
 }
 
 impl<'v, 'a> View<'v, 'a> {
-    fn new(holders: &'v [Holder<'a>], input: &'v ChooseInput<'v>) -> Option<Self> {
+    fn new(holders: &'v [Holder<'a>], input: &'v RoutingInput<'v>) -> Option<Self> {
         let mut view = Self {
             holders,
             input,
@@ -198,7 +198,7 @@
 
     fn eligible(&self, holder: &Holder<'_>) -> bool {
         holder.suspected == self.suspected
-            && has_room(holder)
+            && has_capacity(holder)
             && !self.input.excluded.contains(holder.agent)
     }
 
@@ -232,10 +232,10 @@
     fn aged_load(&self, holder: &Holder<'_>) -> u64 {
         let hint = (u64::from(holder.running) + u64::from(holder.waiting)) * ONE;
         let mean = self.mean * places(holder);
-        let age_ms = holder.hint_age_ms.min(HINT_AGE_MAX_MS);
-        let blended = (hint * HINT_HALF_LIFE_MS + mean * age_ms)
-            / (HINT_HALF_LIFE_MS + age_ms).max(1);
-        blended + u64::from(holder.sent_since_hint) * ONE
+        let age_ms = holder.report_age_ms.min(REPORT_AGE_MAX_MS);
+        let blended = (hint * REPORT_HALF_LIFE_MS + mean * age_ms)
+            / (REPORT_HALF_LIFE_MS + age_ms).max(1);
+        blended + u64::from(holder.sent_since_report) * ONE
     }
 
     /// Expected slowness: load per place with one more request, weighted by
@@ -252,14 +252,14 @@
         self.aged_load(holder) < bound.max(LOAD_BOUND_FLOOR * ONE)
     }
 
-    fn by_prefix(&self, prefix_hash: u64) -> Chosen {
+    fn by_prefix(&self, prefix_hash: u64) -> ChosenHolder {
         let mut first = (0, 0);
         let mut bounded = None;
         for (index, holder) in self.holders.iter().enumerate() {
             if !self.eligible(holder) {
                 continue;
             }
-            let weight = rank(prefix_hash, holder.agent.as_str());
+            let weight = rendezvous_weight(prefix_hash, holder.agent.as_str());
             first = first.max((weight, index));
             let candidate = Some((weight, index));
             if candidate > bounded && self.within_bound(holder) {
@@ -273,17 +273,17 @@
         } else {
             RouteReason::PrefixBounded
         };
-        Chosen {
+        ChosenHolder {
             index: chosen.1,
             reason,
         }
     }
 
-    fn by_two_choices(&self, rng: &mut Pcg64Mcg) -> Chosen {
+    fn by_two_choices(&self, rng: &mut Pcg64Mcg) -> ChosenHolder {
         let first = below(rng, self.count);
         let second = (first + 1 + below(rng, self.count - 1)) % self.count;
         let (a, b) = (self.nth(first), self.nth(second));
-        Chosen {
+        ChosenHolder {
             index: self.better(a, b),
             reason: RouteReason::TwoChoices,
         }
--- a/crates/route/src/health.rs
+++ b/crates/route/src/health.rs
@@ -10,18 +10,18 @@
 
 /// Whether a request may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Allow {
+pub enum Permission {
     /// It may.
-    Yes,
+    Granted,
     /// It may, and its outcome decides for the fleet.
     Probe,
     /// It goes to another upstream.
-    No,
+    Denied,
 }
 
 /// A verdict as entries tell one another; the greatest is the newest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct HealthView {
+pub struct BreakerState {
     /// Number of changes that led to it.
     pub version: u64,
     /// Whether the upstream is not sent to; of two verdicts that were made at
@@ -32,7 +32,7 @@
 
 /// One entry's verdict on one upstream.
 #[derive(Debug, Default)]
-pub struct UpstreamHealth {
+pub struct CircuitBreaker {
     failures: u32,
     open: bool,
     probe_at: Instant,
@@ -40,38 +40,38 @@
     version: u64,
 }
 
-impl UpstreamHealth {
+impl CircuitBreaker {
     /// An upstream that is sent to.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Whether a request may be sent; `prober` tells whether this entry is the
-    /// one that probes. A probe must be followed by [`UpstreamHealth::observe`].
-    pub fn allow(&mut self, now: Instant, prober: bool) -> Allow {
+    /// Whether a request may be sent; `is_prober` tells whether this entry is the
+    /// one that probes. A probe must be followed by [`CircuitBreaker::record_outcome`].
+    pub fn acquire_permission(&mut self, now: Instant, is_prober: bool) -> Permission {
         if !self.open {
-            return Allow::Yes;
+            return Permission::Granted;
         }
-        if !prober || self.probing || now < self.probe_at {
-            return Allow::No;
+        if !is_prober || self.probing || now < self.probe_at {
+            return Permission::Denied;
         }
         self.probing = true;
-        Allow::Probe
+        Permission::Probe
     }
 
-    /// Takes the outcome of a request into account; `probe` tells whether it was
+    /// Takes the outcome of a request into account; `is_probe` tells whether it was
     /// sent as one.
     ///
     /// While the verdict stands only a probe changes it: requests sent before
     /// the fault still end, and a late success would send the whole fleet back
     /// to an upstream that is out.
-    pub fn observe(&mut self, now: Instant, ok: bool, probe: bool) {
-        if probe {
+    pub fn record_outcome(&mut self, now: Instant, ok: bool, is_probe: bool) {
+        if is_probe {
             self.probing = false;
             self.probe_at = now.plus_ms(PROBE_EVERY_MS);
         }
         if self.open {
-            if probe && ok {
+            if is_probe && ok {
                 self.change(now, false);
             }
             return;
@@ -88,16 +88,16 @@
     }
 
     /// What to tell other entries.
-    pub const fn view(&self) -> HealthView {
-        HealthView {
+    pub const fn state(&self) -> BreakerState {
+        BreakerState {
             version: self.version,
             open: self.open,
         }
     }
 
     /// Takes over another entry's verdict if it is newer.
-    pub fn merge(&mut self, now: Instant, from: HealthView) {
-        if from <= self.view() {
+    pub fn merge(&mut self, now: Instant, from: BreakerState) {
+        if from <= self.state() {
             return;
         }
         if from.open != self.open {
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -8,16 +8,16 @@
 //! run: time is an argument, randomness a generator seeded by the caller, and
 //! nothing does I/O.
 //!
-//! - [`choose`] picks a holder of the model: the same prompt prefix goes to the
+//! - [`choose_holder`] picks a holder of the model: the same prompt prefix goes to the
 //!   same holder by rendezvous hash with bounded load, anything else to the
 //!   better of two drawn at random.
 //! - [`admit`] predicts whether a request can meet its deadline and refuses at
 //!   once if it can't.
 //! - [`RetryBudget`] bounds the load that retries add; [`CallerLimits`] bounds
 //!   what one caller takes from the others.
-//! - [`StepLimit`] learns how many requests an upstream runs well at once.
-//! - [`Suspects`] bounds how many upstreams one request may crash.
-//! - [`UpstreamHealth`] stops sending to an upstream that fails, with one
+//! - [`AdaptiveConcurrencyLimit`] learns how many requests an upstream runs well at once.
+//! - [`SuspectRequests`] bounds how many upstreams one request may crash.
+//! - [`CircuitBreaker`] stops sending to an upstream that fails, with one
 //!   prober for the whole fleet.
 
 mod admit;
@@ -30,11 +30,13 @@
 mod step_limit;
 mod suspects;
 
-pub use admit::{Admit, AdmitInput, admit};
+pub use admit::{Admission, AdmissionInput, admit};
 pub use budget::RetryBudget;
 pub use callers::CallerLimits;
-pub use choose::{ChooseInput, Chosen, Holder, RouteReason, choose, has_room};
-pub use health::{Allow, HealthView, UpstreamHealth};
-pub use rendezvous::{alone_owner, prober, rank};
-pub use step_limit::StepLimit;
-pub use suspects::{ALONE_RETRY_MS, Suspects, Verdict};
+pub use choose::{
+    ChosenHolder, Holder, RouteReason, RoutingInput, choose_holder, has_capacity,
+};
+pub use health::{BreakerState, CircuitBreaker, Permission};
+pub use rendezvous::{alone_run_owner, probing_entry, rendezvous_weight};
+pub use step_limit::AdaptiveConcurrencyLimit;
+pub use suspects::{ALONE_RUN_RETRY_MS, CrashVerdict, SuspectRequests};
--- a/crates/route/src/rendezvous.rs
+++ b/crates/route/src/rendezvous.rs
@@ -7,7 +7,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Weight of `name` for `key`; the highest weight wins.
-pub fn rank(key: u64, name: &str) -> u64 {
+pub fn rendezvous_weight(key: u64, name: &str) -> u64 {
     xxh3_64_with_seed(name.as_bytes(), key)
 }
 
@@ -15,7 +15,7 @@
 ///
 /// The key is the model and not the fingerprint, because "one suspect in flight
 /// for each model" then needs no agreement: the owner counts its own.
-pub fn alone_owner<'a>(
+pub fn alone_run_owner<'a>(
     model: &ModelId,
     entries: impl IntoIterator<Item = &'a EntryId>,
 ) -> Option<&'a EntryId> {
@@ -27,7 +27,7 @@
 
 /// The entry that probes a failing upstream for the fleet; `None` without
 /// entries.
-pub fn prober<'a>(
+pub fn probing_entry<'a>(
     agent: &AgentId,
     entries: impl IntoIterator<Item = &'a EntryId>,
 ) -> Option<&'a EntryId> {
@@ -49,5 +49,5 @@
     // The name breaks a tie, so the winner does not depend on the order.
     entries
         .into_iter()
-        .max_by_key(|entry| (rank(key, entry.as_str()), *entry))
+        .max_by_key(|entry| (rendezvous_weight(key, entry.as_str()), *entry))
 }
--- a/crates/route/src/step_limit.rs
+++ b/crates/route/src/step_limit.rs
@@ -21,7 +21,7 @@
 
 /// How many requests an upstream runs at once without slowing down.
 #[derive(Debug)]
-pub struct StepLimit {
+pub struct AdaptiveConcurrencyLimit {
     limit: u32,
     limit_max: u32,
     floor_us: u64,
@@ -29,7 +29,7 @@
     observations: u32,
 }
 
-impl StepLimit {
+impl AdaptiveConcurrencyLimit {
     /// A limit that starts at `limit_max`, the number the settings state, and
     /// never exceeds it. `step_time_us` is the expected step time; 0 for none.
     pub fn new(limit_max: u32, step_time_us: u32) -> Self {
--- a/crates/route/src/suspects.rs
+++ b/crates/route/src/suspects.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use crate::record::{CRASHES_MAX, Record, same_crash};
-use crate::rendezvous::alone_owner;
+use crate::rendezvous::alone_run_owner;
 
 /// Fingerprints kept at most; the verdict that ends first makes room.
 const RECORDS_MAX: usize = 4_096;
@@ -29,13 +29,13 @@
 const NEW_MS: u64 = 1_500;
 
 /// When to come back with a suspect that can't be run alone now.
-pub const ALONE_RETRY_MS: u64 = 1_000;
+pub const ALONE_RUN_RETRY_MS: u64 = 1_000;
 
 /// What is held against a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum CrashVerdict {
     /// Nothing.
-    Free,
+    Clear,
     /// It was in flight at a crash: it may run only alone.
     Suspect,
     /// It was in flight when two upstreams crashed: it is not run again.
@@ -61,7 +61,7 @@
 /// of a second upstream convicts it. `docs/design/retries.md` tells what the bound of two
 /// crashes rests on.
 #[derive(Debug)]
-pub struct Suspects {
+pub struct SuspectRequests {
     verdict_ms: u64,
     records: BTreeMap<u64, Record>,
     /// Suspect in flight alone at this entry, by model.
@@ -75,7 +75,7 @@
     now: Instant,
 }
 
-impl Suspects {
+impl SuspectRequests {
     /// No suspects; a verdict ends after `verdict_ms`.
     pub fn new(verdict_ms: u64) -> Self {
         Self {
@@ -102,7 +102,7 @@
 
     /// An upstream crashed with these requests in flight; `alone` when there was
     /// only one. Reports of one crash may come several times.
-    pub fn on_crash(
+    pub fn record_crash(
         &mut self,
         now: Instant,
         fingerprints: &[u64],
@@ -123,24 +123,27 @@
     }
 
     /// What is held against a request.
-    pub fn verdict(&mut self, now: Instant, fingerprint: u64) -> Verdict {
+    pub fn verdict(&mut self, now: Instant, fingerprint: u64) -> CrashVerdict {
         self.expire(now);
         let Some(record) = self.records.get(&fingerprint) else {
-            return Verdict::Free;
+            return CrashVerdict::Clear;
         };
         if record.convicted {
             let remaining_ms = record.ends_at.ms_since(now);
-            return Verdict::Convicted { remaining_ms };
+            return CrashVerdict::Convicted { remaining_ms };
         }
         if record.is_free() {
-            return Verdict::Free;
+            return CrashVerdict::Clear;
         }
-        Verdict::Suspect
+        CrashVerdict::Suspect
     }
 
     /// Agents whose upstreams crashed with the request in flight; the run alone
     /// must go to another, or its crash would show nothing.
-    pub fn crashed_on(&self, fingerprint: u64) -> impl Iterator<Item = AgentId> + '_ {
+    pub fn crashed_agents(
+        &self,
+        fingerprint: u64,
+    ) -> impl Iterator<Item = AgentId> + '_ {
         let record = self.records.get(&fingerprint);
         let crashes = record.map_or(&[][..], Record::open_crashes);
         crashes.iter().map(|crash| AgentId::new(&crash.agent))
@@ -155,7 +158,7 @@
     }
 
     /// When a crash was last heard of with the request in flight.
-    pub fn crash_heard_at(&self, fingerprint: u64) -> Option<Instant> {
+    pub fn last_crash_at(&self, fingerprint: u64) -> Option<Instant> {
         self.records.get(&fingerprint).map(|record| record.heard_at)
     }
 
@@ -168,14 +171,14 @@
 
     /// Takes the model's place for a suspect that runs alone; `entry` is this
     /// entry. False when another entry owns the model or another suspect of the
-    /// model runs: the caller is to come back after [`ALONE_RETRY_MS`].
-    pub fn try_start_alone(
+    /// model runs: the caller is to come back after [`ALONE_RUN_RETRY_MS`].
+    pub fn try_start_alone_run(
         &mut self,
         model: &ModelId,
         fingerprint: u64,
         entry: &EntryId,
     ) -> bool {
-        let owner = alone_owner(model, &self.entries);
+        let owner = alone_run_owner(model, &self.entries);
         if owner.is_some_and(|owner| owner != entry) {
             return false;
         }
@@ -190,8 +193,8 @@
         true
     }
 
-    /// Gives back what [`Suspects::try_start_alone`] took.
-    pub fn end_alone(&mut self, model: &ModelId, fingerprint: u64) {
+    /// Gives back what [`SuspectRequests::try_start_alone_run`] took.
+    pub fn end_alone_run(&mut self, model: &ModelId, fingerprint: u64) {
         if self.running.get(model) != Some(&fingerprint) {
             return;
         }
@@ -202,7 +205,7 @@
     }
 
     /// A suspect ran alone to its end: the crashes known so far are excused.
-    pub fn completed(&mut self, fingerprint: u64) {
+    pub fn record_completed_alone(&mut self, fingerprint: u64) {
         if let Some(record) = self.records.get_mut(&fingerprint)
             && !record.convicted
         {
@@ -241,7 +244,7 @@
     /// A crash makes suspects of all that ran there. Told whole each time by every
     /// entry to every other, the suspects of a few crashes filled their links, and
     /// what else the messages say was lost with them.
-    pub fn export_part(&self, now: Instant, turn: u64, most: usize) -> Vec<Suspect> {
+    pub fn export_batch(&self, now: Instant, turn: u64, most: usize) -> Vec<Suspect> {
         let is_new =
             |record: &Record| record.ends_at.ms_since(now) + NEW_MS > self.verdict_ms;
         let new = self.live(now).filter(|(_, record)| is_new(record));
--- a/crates/route/tests/all/admission.rs
+++ b/crates/route/tests/all/admission.rs
@@ -1,75 +1,75 @@
 use base::prelude::*;
-use route::{Admit, AdmitInput, StepLimit, admit};
+use route::{AdaptiveConcurrencyLimit, Admission, AdmissionInput, admit};
 use std::ops::RangeInclusive;
 
-fn input() -> AdmitInput {
-    AdmitInput {
+fn input() -> AdmissionInput {
+    AdmissionInput {
         remaining_ms: 8_000,
         first_token_ms: 1_000,
         interactive: true,
         holders: 2,
-        free_places: 0,
-        places: 10,
-        ahead: 9,
+        free_slots: 0,
+        slots: 10,
+        queued_ahead: 9,
         service_time_ms: 1_000,
         load_wait_ms: None,
-        whole_ms: 2_000,
+        answer_time_ms: 2_000,
     }
 }
 
-fn refused(code: Code, ms: u64) -> Admit {
-    Admit::Refuse(Refusal::not_run(code).retry_after_ms(ms))
+fn refused(code: Code, ms: u64) -> Admission {
+    Admission::Refuse(Refusal::not_run(code).retry_after_ms(ms))
 }
 
 /// What each state of the fleet means for a new request.
 #[test]
 fn admits_what_can_be_in_time() {
-    let wait = |predicted_ms| Admit::Wait { predicted_ms };
-    let cases: [(&str, AdmitInput, Admit); 14] = [
+    let wait = |predicted_ms| Admission::Wait { predicted_ms };
+    let cases: [(&str, AdmissionInput, Admission); 14] = [
         (
             "a place is free",
-            AdmitInput {
-                free_places: 10,
+            AdmissionInput {
+                free_slots: 10,
                 ..input()
             },
-            Admit::Send,
+            Admission::Send,
         ),
         (
             "the free places go to those ahead",
-            AdmitInput {
-                free_places: 9,
+            AdmissionInput {
+                free_slots: 9,
                 ..input()
             },
             wait(100),
         ),
         (
             "half a turn of all places",
-            AdmitInput {
-                ahead: 4,
+            AdmissionInput {
+                queued_ahead: 4,
                 ..input()
             },
             wait(500),
         ),
         (
             "the first token would just be late",
-            AdmitInput {
-                ahead: 5,
+            AdmissionInput {
+                queued_ahead: 5,
                 ..input()
             },
             refused(Code::Overloaded, 100),
         ),
         (
             "the first token would be late",
-            AdmitInput {
-                ahead: 19,
+            AdmissionInput {
+                queued_ahead: 19,
                 ..input()
             },
             refused(Code::Overloaded, 1_500),
         ),
         (
             "no first token is expected",
-            AdmitInput {
-                ahead: 19,
+            AdmissionInput {
+                queued_ahead: 19,
                 first_token_ms: 0,
                 ..input()
             },
@@ -77,8 +77,8 @@
         ),
         (
             "nobody waits for the first token",
-            AdmitInput {
-                ahead: 19,
+            AdmissionInput {
+                queued_ahead: 19,
                 interactive: false,
                 ..input()
             },
@@ -86,8 +86,8 @@
         ),
         (
             "the deadline would be missed",
-            AdmitInput {
-                ahead: 79,
+            AdmissionInput {
+                queued_ahead: 79,
                 first_token_ms: 0,
                 ..input()
             },
@@ -95,16 +95,16 @@
         ),
         (
             "too late even when idle",
-            AdmitInput {
-                free_places: 10,
-                whole_ms: 9_000,
+            AdmissionInput {
+                free_slots: 10,
+                answer_time_ms: 9_000,
                 ..input()
             },
             refused(Code::Overloaded, 1_000),
         ),
         (
             "no holder, and none to be foreseen",
-            AdmitInput {
+            AdmissionInput {
                 holders: 0,
                 ..input()
             },
@@ -112,7 +112,7 @@
         ),
         (
             "a holder in time",
-            AdmitInput {
+            AdmissionInput {
                 holders: 0,
                 load_wait_ms: Some(4_000),
                 ..input()
@@ -121,7 +121,7 @@
         ),
         (
             "a holder too late",
-            AdmitInput {
+            AdmissionInput {
                 holders: 0,
                 load_wait_ms: Some(6_001),
                 ..input()
@@ -130,7 +130,7 @@
         ),
         (
             "a holder never",
-            AdmitInput {
+            AdmissionInput {
                 holders: 0,
                 load_wait_ms: Some(u64::MAX),
                 ..input()
@@ -139,11 +139,11 @@
         ),
         (
             "numbers out of all bounds",
-            AdmitInput {
-                ahead: u32::MAX,
+            AdmissionInput {
+                queued_ahead: u32::MAX,
                 service_time_ms: u32::MAX,
-                places: 0,
-                whole_ms: u64::MAX,
+                slots: 0,
+                answer_time_ms: u64::MAX,
                 ..input()
             },
             refused(Code::Overloaded, u64::MAX - 8_000),
@@ -186,7 +186,7 @@
         ),
     ];
     for (name, phases, expected) in cases {
-        let mut limit = StepLimit::new(16, 0);
+        let mut limit = AdaptiveConcurrencyLimit::new(16, 0);
         for (step_time_us, count) in phases {
             for _ in 0..*count {
                 limit.observe(*step_time_us);
--- a/crates/route/tests/all/budgets.rs
+++ b/crates/route/tests/all/budgets.rs
@@ -12,9 +12,9 @@
         let mut window = std::collections::VecDeque::new();
         for ms in (0..600_000u64).step_by(1_000 / per_s) {
             let now = Instant::from_ms(ms);
-            budget.first_try(now);
+            budget.record_first_attempt(now);
             for _ in 0..3 {
-                if budget.try_take(now) {
+                if budget.try_acquire(now) {
                     window.push_back(ms);
                 }
             }
@@ -38,8 +38,8 @@
     let mut budget = RetryBudget::new(10);
     for hour in 0..10 {
         let now = Instant::from_ms(hour * 3_601_000);
-        budget.first_try(now);
-        let taken = [(); 3].map(|()| budget.try_take(now));
+        budget.record_first_attempt(now);
+        let taken = [(); 3].map(|()| budget.try_acquire(now));
         assert_eq!(taken, [true, true, false], "hour {hour}");
     }
 }
@@ -50,23 +50,25 @@
 fn a_burst_leaves_room_for_other_callers() {
     let mut limits = CallerLimits::new();
     let callers = ["a", "b", "c"].map(CallerId::new);
-    let got = callers
-        .each_ref()
-        .map(|caller| (0..1_000).filter(|_| limits.try_wait(caller, 90)).count());
+    let got = callers.each_ref().map(|caller| {
+        (0..1_000)
+            .filter(|_| limits.try_enqueue(caller, 90))
+            .count()
+    });
     assert_eq!(got, [60, 20, 7]);
     assert_eq!(limits.waiting(), 87);
 
     for _ in 0..60 {
-        limits.end_wait(&callers[0]);
+        limits.dequeue(&callers[0]);
     }
     assert!(
-        limits.try_wait(&callers[2], 90),
+        limits.try_enqueue(&callers[2], 90),
         "freed room is given again"
     );
-    limits.end_wait(&CallerId::new("unknown"));
+    limits.dequeue(&CallerId::new("unknown"));
     let idle = CallerId::new("d");
-    assert!(limits.try_enter(&idle, 1));
-    limits.end_wait(&idle);
+    assert!(limits.try_start_request(&idle, 1));
+    limits.dequeue(&idle);
     assert_eq!(limits.waiting(), 28);
 }
 
@@ -76,15 +78,21 @@
 fn callers_have_a_limit_of_their_own() {
     let mut limits = CallerLimits::new();
     let (a, b) = (CallerId::new("a"), CallerId::new("b"));
-    let entered = (0..5).filter(|_| limits.try_enter(&a, 3)).count();
+    let entered = (0..5).filter(|_| limits.try_start_request(&a, 3)).count();
     assert_eq!(entered, 3);
-    assert!(limits.try_enter(&b, 3), "another caller has its own");
-    limits.leave(&a);
-    assert!(limits.try_enter(&a, 3));
-    assert!(!limits.try_enter(&a, 3));
+    assert!(
+        limits.try_start_request(&b, 3),
+        "another caller has its own"
+    );
+    limits.finish_request(&a);
+    assert!(limits.try_start_request(&a, 3));
+    assert!(!limits.try_start_request(&a, 3));
     for _ in 0..9 {
-        limits.leave(&a);
+        limits.finish_request(&a);
     }
     assert_eq!(limits.in_progress(&a), 0);
-    assert!(!limits.try_enter(&a, 0), "a limit of zero lets nothing in");
+    assert!(
+        !limits.try_start_request(&a, 0),
+        "a limit of zero lets nothing in"
+    );
 }
--- a/crates/route/tests/all/choice.rs
+++ b/crates/route/tests/all/choice.rs
@@ -1,7 +1,7 @@
 use base::prelude::*;
 use rand_core::SeedableRng;
 use rand_pcg::Pcg64Mcg;
-use route::{ChooseInput, Holder, RouteReason, choose};
+use route::{Holder, RouteReason, RoutingInput, choose_holder};
 
 /// Owns the names that holders borrow.
 struct Names {
@@ -27,8 +27,8 @@
             waiting: 0,
             running_max: 16,
             step_time_us: 10_000,
-            hint_age_ms: 0,
-            sent_since_hint: 0,
+            report_age_ms: 0,
+            sent_since_report: 0,
             suspected: false,
         };
         self.agents.iter().map(holder).collect()
@@ -44,13 +44,13 @@
         let mut rng = Pcg64Mcg::seed_from_u64(7);
         let mut counts = vec![0; holders.len()];
         let mut reason = None;
-        let input = ChooseInput {
+        let input = RoutingInput {
             prefix_hash,
             domain: &self.here,
             excluded,
         };
         for _ in 0..1_000 {
-            let chosen = choose(holders, &input, &mut rng);
+            let chosen = choose_holder(holders, &input, &mut rng);
             reason = chosen.map(|chosen| chosen.reason);
             if let Some(chosen) = chosen {
                 counts[chosen.index] += 1;
@@ -70,7 +70,7 @@
         ("all alike", |_, _| (), [1, 1, 1]),
         ("one busier", |h, _| h[0].running = 9, [0, 1, 1]),
         ("one queueing", |h, _| h[0].waiting = 1, [0, 1, 1]),
-        ("one sent to", |h, _| h[0].sent_since_hint = 1, [0, 1, 1]),
+        ("one sent to", |h, _| h[0].sent_since_report = 1, [0, 1, 1]),
         ("one slower", |h, _| h[0].step_time_us = 40_000, [0, 1, 1]),
         ("one full", |h, _| h[0].running = 18, [0, 1, 1]),
         ("one without places", |h, _| h[0].running_max = 0, [0, 1, 1]),
@@ -93,8 +93,8 @@
             "a number out of all bounds",
             |h, _| {
                 h[0].running = u32::MAX;
-                h[0].sent_since_hint = u32::MAX;
-                h[1].hint_age_ms = u64::MAX;
+                h[0].sent_since_report = u32::MAX;
+                h[1].report_age_ms = u64::MAX;
                 h[2].step_time_us = u32::MAX;
             },
             [0, 2, 0],
@@ -125,7 +125,7 @@
     holders[1].running = 1;
     holders[2].running = 14;
     let (fresh, _) = names.tally(&holders, 0, &[]);
-    holders[0].hint_age_ms = 60_000;
+    holders[0].report_age_ms = 60_000;
     let (aged, _) = names.tally(&holders, 0, &[]);
     assert!(fresh[0] > fresh[1], "{fresh:?}");
     assert!(aged[0] < aged[1], "{aged:?}");
@@ -204,19 +204,21 @@
             holder.running %= 40;
             holder.running_max = u.arbitrary::<u32>()? % 32;
             holder.step_time_us = u.arbitrary()?;
-            holder.hint_age_ms = u.arbitrary()?;
+            holder.report_age_ms = u.arbitrary()?;
             holder.suspected = u.arbitrary()?;
         }
-        let input = ChooseInput {
+        let input = RoutingInput {
             prefix_hash: u.arbitrary()?,
             domain: &names.here,
             excluded: &[],
         };
         let mut rng = Pcg64Mcg::seed_from_u64(u.arbitrary()?);
-        let chosen = choose(&holders, &input, &mut rng);
-        let room = holders.iter().any(route::has_room);
+        let chosen = choose_holder(&holders, &input, &mut rng);
+        let room = holders.iter().any(route::has_capacity);
         assert_eq!(chosen.is_some(), room);
-        assert!(chosen.is_none_or(|chosen| route::has_room(&holders[chosen.index])));
+        assert!(
+            chosen.is_none_or(|chosen| route::has_capacity(&holders[chosen.index]))
+        );
         Ok(())
     });
 }
--- a/crates/route/tests/all/health.rs
+++ b/crates/route/tests/all/health.rs
@@ -1,10 +1,10 @@
 use base::prelude::*;
-use route::{Allow, HealthView, UpstreamHealth, prober};
+use route::{BreakerState, CircuitBreaker, Permission, probing_entry};
 
-fn failed(now: Instant) -> UpstreamHealth {
-    let mut health = UpstreamHealth::new();
+fn failed(now: Instant) -> CircuitBreaker {
+    let mut health = CircuitBreaker::new();
     for _ in 0..5 {
-        health.observe(now, false, false);
+        health.record_outcome(now, false, false);
     }
     health
 }
@@ -15,30 +15,34 @@
 fn one_entry_probes_for_all() {
     let start = Instant::ZERO;
     let mut first = failed(start);
-    let mut second = UpstreamHealth::new();
-    assert_eq!(second.allow(start, false), Allow::Yes);
-    second.merge(start, first.view());
-    assert_eq!(second.allow(start, false), Allow::No);
+    let mut second = CircuitBreaker::new();
+    assert_eq!(second.acquire_permission(start, false), Permission::Granted);
+    second.merge(start, first.state());
+    assert_eq!(second.acquire_permission(start, false), Permission::Denied);
     let later = start.plus_ms(1_000);
     assert_eq!(
-        second.allow(later, false),
-        Allow::No,
+        second.acquire_permission(later, false),
+        Permission::Denied,
         "it is not the prober"
     );
-    assert_eq!(first.allow(later, true), Allow::Probe);
-    assert_eq!(first.allow(later, true), Allow::No, "one probe at a time");
+    assert_eq!(first.acquire_permission(later, true), Permission::Probe);
+    assert_eq!(
+        first.acquire_permission(later, true),
+        Permission::Denied,
+        "one probe at a time"
+    );
 
-    first.observe(later, false, true);
+    first.record_outcome(later, false, true);
     assert_eq!(
-        first.allow(later, true),
-        Allow::No,
+        first.acquire_permission(later, true),
+        Permission::Denied,
         "not before the interval"
     );
     let later = later.plus_ms(1_000);
-    assert_eq!(first.allow(later, true), Allow::Probe);
-    first.observe(later, true, true);
-    second.merge(later, first.view());
-    assert_eq!(second.allow(later, false), Allow::Yes);
+    assert_eq!(first.acquire_permission(later, true), Permission::Probe);
+    first.record_outcome(later, true, true);
+    second.merge(later, first.state());
+    assert_eq!(second.acquire_permission(later, false), Permission::Granted);
 }
 
 /// What changes a verdict and what does not.
@@ -46,47 +50,47 @@
 fn only_news_changes_a_verdict() {
     let now = Instant::ZERO;
     let mut late = failed(now);
-    late.observe(now, true, false);
+    late.record_outcome(now, true, false);
     assert!(
         late.is_open(),
         "a success of a request sent before the fault"
     );
 
-    let mut mixed = UpstreamHealth::new();
+    let mut mixed = CircuitBreaker::new();
     for _ in 0..4 {
-        (0..4).for_each(|_| mixed.observe(now, false, false));
-        mixed.observe(now, true, false);
+        (0..4).for_each(|_| mixed.record_outcome(now, false, false));
+        mixed.record_outcome(now, true, false);
     }
     assert!(
         !mixed.is_open(),
         "failures in a row count, not scattered ones"
     );
 
-    let open = failed(now).view();
+    let open = failed(now).state();
     for (from, expected) in [
         (
-            HealthView {
+            BreakerState {
                 version: 0,
                 open: false,
             },
             true,
         ),
         (
-            HealthView {
+            BreakerState {
                 version: 1,
                 open: false,
             },
             true,
         ),
         (
-            HealthView {
+            BreakerState {
                 version: 2,
                 open: false,
             },
             false,
         ),
         (
-            HealthView {
+            BreakerState {
                 version: u64::MAX,
                 open: true,
             },
@@ -94,7 +98,7 @@
         ),
     ] {
         let mut health = failed(now);
-        assert_eq!(health.view(), open);
+        assert_eq!(health.state(), open);
         health.merge(now, from);
         assert_eq!(health.is_open(), expected, "{from:?}");
     }
@@ -105,8 +109,8 @@
 fn all_entries_agree_on_the_prober() {
     let entries = ["e1", "e2", "e3"].map(EntryId::new);
     let agent = AgentId::new("a1");
-    let chosen = prober(&agent, &entries);
+    let chosen = probing_entry(&agent, &entries);
     assert!(chosen.is_some());
-    assert_eq!(prober(&agent, entries.iter().rev()), chosen);
-    assert_eq!(prober(&agent, &[]), None);
+    assert_eq!(probing_entry(&agent, entries.iter().rev()), chosen);
+    assert_eq!(probing_entry(&agent, &[]), None);
 }
--- a/crates/route/tests/all/suspects.rs
+++ b/crates/route/tests/all/suspects.rs
@@ -1,5 +1,5 @@
 use base::prelude::*;
-use route::{Suspects, Verdict, alone_owner};
+use route::{CrashVerdict, SuspectRequests, alone_run_owner};
 use schema::link::Suspect;
 
 const VERDICT_MS: u64 = 600_000;
@@ -8,20 +8,26 @@
 /// One crash: agent, upstream incarnation, fingerprints, alone.
 type Crash = (&'static str, u64, &'static [u64], bool);
 
-fn after(crashes: &[Crash]) -> Suspects {
-    let mut suspects = Suspects::new(VERDICT_MS);
+fn after(crashes: &[Crash]) -> SuspectRequests {
+    let mut suspects = SuspectRequests::new(VERDICT_MS);
     report(&mut suspects, crashes);
     suspects
 }
 
-fn report(suspects: &mut Suspects, crashes: &[Crash]) {
+fn report(suspects: &mut SuspectRequests, crashes: &[Crash]) {
     for (agent, incarnation, fingerprints, alone) in crashes {
         let agent = AgentId::new(agent);
-        suspects.on_crash(Instant::ZERO, fingerprints, &agent, *incarnation, *alone);
+        suspects.record_crash(
+            Instant::ZERO,
+            fingerprints,
+            &agent,
+            *incarnation,
+            *alone,
+        );
     }
 }
 
-fn tell(to: &mut Suspects, from: &Suspects, now: Instant) -> bool {
+fn tell(to: &mut SuspectRequests, from: &SuspectRequests, now: Instant) -> bool {
     let mut changed = false;
     for suspect in from.export(now) {
         changed |= to.merge(now, &suspect);
@@ -29,7 +35,7 @@
     changed
 }
 
-const CONVICTED: Verdict = Verdict::Convicted {
+const CONVICTED: CrashVerdict = CrashVerdict::Convicted {
     remaining_ms: VERDICT_MS,
 };
 
@@ -40,15 +46,19 @@
 /// again: a third run might be a third crash.
 #[test]
 fn crashes_of_two_upstreams_convict() {
-    let cases: [(&str, &[Crash], Verdict); 11] = [
-        ("nothing", &[], Verdict::Free),
-        ("of others", &[("a", 1, &[8, 9], false)], Verdict::Free),
+    let cases: [(&str, &[Crash], CrashVerdict); 11] = [
+        ("nothing", &[], CrashVerdict::Clear),
+        (
+            "of others",
+            &[("a", 1, &[8, 9], false)],
+            CrashVerdict::Clear,
+        ),
         (
             "one among others",
             &[("a", 1, &[7, 8], false)],
-            Verdict::Suspect,
+            CrashVerdict::Suspect,
         ),
-        ("one alone", &[("a", 1, &[7], true)], Verdict::Suspect),
+        ("one alone", &[("a", 1, &[7], true)], CrashVerdict::Suspect),
         (
             "twice among others",
             &[("a", 1, &[7, 8], false), ("b", 1, &[7, 9], false)],
@@ -67,22 +77,22 @@
         (
             "one crash reported by two entries",
             &[("a", 1, &[7], true), ("a", 1, &[7], true)],
-            Verdict::Suspect,
+            CrashVerdict::Suspect,
         ),
         (
             "the same upstream twice, which may be broken itself",
             &[("a", 1, &[7, 8], false), ("a", 2, &[7], true)],
-            Verdict::Suspect,
+            CrashVerdict::Suspect,
         ),
         (
             "a report that calls two requests alone",
             &[("a", 1, &[7, 8], true)],
-            Verdict::Suspect,
+            CrashVerdict::Suspect,
         ),
         (
             "the same upstream twice among others",
             &[("a", 1, &[7, 8], false), ("a", 2, &[7, 9], false)],
-            Verdict::Suspect,
+            CrashVerdict::Suspect,
         ),
     ];
     for (name, crashes, expected) in cases {
@@ -97,20 +107,24 @@
 fn a_run_alone_clears_a_bystander() {
     let now = Instant::ZERO;
     let mut here = after(&[("a", 1, &[7, 8, 9], false)]);
-    let mut there = Suspects::new(VERDICT_MS);
+    let mut there = SuspectRequests::new(VERDICT_MS);
     assert!(tell(&mut there, &here, now));
-    here.completed(8);
-    assert_eq!(here.verdict(now, 8), Verdict::Free);
-    assert_eq!(here.verdict(now, 9), Verdict::Suspect);
+    here.record_completed_alone(8);
+    assert_eq!(here.verdict(now, 8), CrashVerdict::Clear);
+    assert_eq!(here.verdict(now, 9), CrashVerdict::Suspect);
     assert!(!tell(&mut here, &there, now), "old news does not undo it");
-    assert_eq!(here.verdict(now, 8), Verdict::Free);
+    assert_eq!(here.verdict(now, 8), CrashVerdict::Clear);
     assert!(tell(&mut there, &here, now));
-    assert_eq!(there.verdict(now, 8), Verdict::Free);
+    assert_eq!(there.verdict(now, 8), CrashVerdict::Clear);
 
     report(&mut here, &[("b", 1, &[8], true)]);
-    assert_eq!(here.verdict(now, 8), Verdict::Suspect, "it starts anew");
-    here.on_crash(now, &[7], &AgentId::new("b"), 2, true);
-    here.completed(7);
+    assert_eq!(
+        here.verdict(now, 8),
+        CrashVerdict::Suspect,
+        "it starts anew"
+    );
+    here.record_crash(now, &[7], &AgentId::new("b"), 2, true);
+    here.record_completed_alone(7);
     assert_eq!(
         here.verdict(now, 7),
         CONVICTED,
@@ -131,7 +145,7 @@
         assert_eq!(here.verdict(now, GUILTY), CONVICTED);
         assert!(tell(&mut there, &here, now));
         assert_eq!(there.verdict(now, GUILTY), CONVICTED);
-        let mut third = Suspects::new(VERDICT_MS);
+        let mut third = SuspectRequests::new(VERDICT_MS);
         assert!(tell(&mut third, &there, now));
         assert_eq!(third.verdict(now, GUILTY), CONVICTED);
         assert_eq!(third.verdict(now, 8), there.verdict(now, 8));
@@ -147,8 +161,8 @@
         remaining_ms: VERDICT_MS,
         ..Suspect::default()
     };
-    let mut here = Suspects::new(VERDICT_MS);
-    let mut there = Suspects::new(VERDICT_MS);
+    let mut here = SuspectRequests::new(VERDICT_MS);
+    let mut there = SuspectRequests::new(VERDICT_MS);
     assert!(here.merge(Instant::ZERO, &word));
     assert!(tell(&mut there, &here, Instant::ZERO));
     assert_eq!(there.verdict(Instant::ZERO, GUILTY), CONVICTED);
@@ -159,7 +173,7 @@
 #[test]
 fn a_verdict_ends() {
     let crashes: &[Crash] = &[("a", 1, &[7, 8], false), ("b", 1, &[7], true)];
-    let (mut here, mut there) = (after(crashes), Suspects::new(VERDICT_MS));
+    let (mut here, mut there) = (after(crashes), SuspectRequests::new(VERDICT_MS));
     let mut told = here.export(Instant::ZERO);
     let mut now = Instant::ZERO;
     while now < Instant::from_ms(VERDICT_MS + 10_000) {
@@ -171,8 +185,8 @@
         told = there.export(now);
         told.extend(here.export(now));
     }
-    assert_eq!(here.verdict(now, GUILTY), Verdict::Free);
-    assert_eq!(there.verdict(now, GUILTY), Verdict::Free);
+    assert_eq!(here.verdict(now, GUILTY), CrashVerdict::Clear);
+    assert_eq!(there.verdict(now, GUILTY), CrashVerdict::Clear);
     assert!(here.is_empty() && there.is_empty());
 }
 
@@ -183,22 +197,28 @@
 fn one_entry_runs_one_suspect_of_a_model() {
     let entries = ["e1", "e2", "e3"].map(EntryId::new);
     let model = ModelId::new("m");
-    let owner = alone_owner(&model, &entries).expect("there are entries");
+    let owner = alone_run_owner(&model, &entries).expect("there are entries");
     let mut started = 0;
     for entry in &entries {
         let mut suspects = after(&[("a", 1, &[7, 8], false)]);
         suspects.set_entries(entries.to_vec());
-        let first = suspects.try_start_alone(&model, 7, entry);
+        let first = suspects.try_start_alone_run(&model, 7, entry);
         assert_eq!(first, entry == owner);
-        assert!(!suspects.try_start_alone(&model, 8, entry), "one at a time");
+        assert!(
+            !suspects.try_start_alone_run(&model, 8, entry),
+            "one at a time"
+        );
         started += usize::from(first);
-        suspects.end_alone(&model, 8);
+        suspects.end_alone_run(&model, 8);
         assert!(
-            !suspects.try_start_alone(&model, 8, entry),
+            !suspects.try_start_alone_run(&model, 8, entry),
             "not its to end"
         );
-        suspects.end_alone(&model, 7);
-        assert_eq!(suspects.try_start_alone(&model, 8, entry), entry == owner);
+        suspects.end_alone_run(&model, 7);
+        assert_eq!(
+            suspects.try_start_alone_run(&model, 8, entry),
+            entry == owner
+        );
     }
     assert_eq!(started, 1);
 }
@@ -210,22 +230,22 @@
     let (model, old, new) = (ModelId::new("m"), EntryId::new("e1"), EntryId::new("e2"));
     for heard_end in [true, false] {
         let mut at_old = after(&[("a", 1, &[7, 8], false)]);
-        let mut at_new = Suspects::new(VERDICT_MS);
-        assert!(at_old.try_start_alone(&model, 7, &old));
+        let mut at_new = SuspectRequests::new(VERDICT_MS);
+        assert!(at_old.try_start_alone_run(&model, 7, &old));
         tell(&mut at_new, &at_old, Instant::ZERO);
-        assert!(!at_new.try_start_alone(&model, 8, &new));
+        assert!(!at_new.try_start_alone_run(&model, 8, &new));
         let mut now = Instant::from_ms(4_999);
         if heard_end {
-            at_old.end_alone(&model, 7);
+            at_old.end_alone_run(&model, 7);
             tell(&mut at_new, &at_old, now);
         } else {
             at_new.verdict(now, 8);
-            assert!(!at_new.try_start_alone(&model, 8, &new));
+            assert!(!at_new.try_start_alone_run(&model, 8, &new));
             now = Instant::from_ms(5_000);
             at_new.verdict(now, 8);
         }
         assert!(
-            at_new.try_start_alone(&model, 8, &new),
+            at_new.try_start_alone_run(&model, 8, &new),
             "heard end: {heard_end}"
         );
     }
@@ -234,15 +254,16 @@
 /// The run alone must show something new: the agents crashed before are named.
 #[test]
 fn crashed_agents_are_named() {
-    let named =
-        |suspects: &Suspects| -> Vec<AgentId> { suspects.crashed_on(7).collect() };
+    let named = |suspects: &SuspectRequests| -> Vec<AgentId> {
+        suspects.crashed_agents(7).collect()
+    };
     let mut cleared = after(&[("a", 1, &[7, 8], false)]);
     assert_eq!(named(&cleared), [AgentId::new("a")]);
-    cleared.completed(7);
+    cleared.record_completed_alone(7);
     assert!(named(&cleared).is_empty());
     let mut both = after(&[("a", 1, &[7, 8], false), ("b", 1, &[7, 9], false)]);
     assert!(!both.crashed_alone(7));
-    both.completed(7);
+    both.record_completed_alone(7);
     assert_eq!(named(&both), ["a", "b"].map(AgentId::new));
 }
 
@@ -259,13 +280,13 @@
     assert!(tell(&mut there, &here, now));
     for suspects in [&mut here, &mut there] {
         assert_eq!(suspects.verdict(now, GUILTY), CONVICTED);
-        assert_eq!(suspects.verdict(now, 9), Verdict::Suspect);
+        assert_eq!(suspects.verdict(now, 9), CrashVerdict::Suspect);
     }
 
     let mut cleared = after(&[("a", 1, &[7, 8], false)]);
-    cleared.completed(7);
+    cleared.record_completed_alone(7);
     report(&mut cleared, &[("b", 1, &[7, 9], false)]);
-    assert_eq!(cleared.verdict(now, GUILTY), Verdict::Suspect);
+    assert_eq!(cleared.verdict(now, GUILTY), CrashVerdict::Suspect);
 }
 
 /// A flood of crash reports and a peer that sends nonsense cost no more memory
@@ -275,12 +296,18 @@
     let mut suspects = after(&[("a", 1, &[7, 8], false), ("b", 1, &[7], true)]);
     for round in 0..6u64 {
         let flood: Vec<u64> = (0..1_000).map(|n| 1_000 + round * 1_000 + n).collect();
-        suspects.on_crash(Instant::ZERO, &flood, &AgentId::new("c"), round, false);
+        suspects.record_crash(Instant::ZERO, &flood, &AgentId::new("c"), round, false);
     }
     for incarnation in 0..1_000 {
-        suspects.on_crash(Instant::ZERO, &[7], &AgentId::new("d"), incarnation, false);
+        suspects.record_crash(
+            Instant::ZERO,
+            &[7],
+            &AgentId::new("d"),
+            incarnation,
+            false,
+        );
     }
-    let mut empty = Suspects::new(VERDICT_MS);
+    let mut empty = SuspectRequests::new(VERDICT_MS);
     for fingerprint in 0..100 {
         let nonsense = Suspect {
             fingerprint: 1 << 40 | fingerprint,
@@ -299,10 +326,10 @@
 /// After many crashes of one upstream the crash of another still convicts.
 #[test]
 fn a_long_list_of_crashes_still_convicts() {
-    let mut suspects = Suspects::new(VERDICT_MS);
+    let mut suspects = SuspectRequests::new(VERDICT_MS);
     for incarnation in 0..20 {
         let agent = AgentId::new("a");
-        suspects.on_crash(Instant::ZERO, &[7, 8], &agent, incarnation, false);
+        suspects.record_crash(Instant::ZERO, &[7, 8], &agent, incarnation, false);
     }
     report(&mut suspects, &[("b", 1, &[7], true)]);
     assert_eq!(suspects.verdict(Instant::ZERO, GUILTY), CONVICTED);
@@ -314,14 +341,14 @@
 #[test]
 fn messages_tell_suspects_in_parts() {
     const MOST: usize = 16;
-    let mut suspects = Suspects::new(60_000);
+    let mut suspects = SuspectRequests::new(60_000);
     let many: Vec<u64> = (1_000..1_300).collect();
-    suspects.on_crash(Instant::ZERO, &many, &AgentId::new("a"), 1, false);
+    suspects.record_crash(Instant::ZERO, &many, &AgentId::new("a"), 1, false);
     let now = Instant::ZERO.plus_ms(5_000);
-    suspects.on_crash(now, &[7], &AgentId::new("b"), 1, false);
+    suspects.record_crash(now, &[7], &AgentId::new("b"), 1, false);
     let mut told = std::collections::BTreeSet::new();
     for turn in 0..=(many.len() / MOST) as u64 {
-        let part = suspects.export_part(now, turn, MOST);
+        let part = suspects.export_batch(now, turn, MOST);
         assert!(part.len() <= 2 * MOST, "{}", part.len());
         assert!(part.iter().any(|suspect| suspect.fingerprint == 7));
         told.extend(part.iter().map(|suspect| suspect.fingerprint));
