--- a/crates/role/src/entry/requests/answers.rs
+++ b/crates/role/src/entry/requests/answers.rs
@@ -252,7 +252,7 @@
             ctx.shared
                 .suspects
                 .lock()
-                .record_completed_alone(fingerprint);
+                .record_completed_exclusive_run(fingerprint);
         }
     }
 
--- a/crates/role/src/entry/requests/end.rs
+++ b/crates/role/src/entry/requests/end.rs
@@ -135,7 +135,7 @@
         {
             let fingerprint = request.resolved.fingerprint;
             let mut suspects = ctx.shared.suspects.lock();
-            suspects.end_alone_run(model, fingerprint);
+            suspects.end_exclusive_run(model, fingerprint);
             ctx.later.wake.insert(request.resolved.wanted.clone());
             ctx.later.gossip = true;
         }
--- a/crates/role/src/entry/requests/place.rs
+++ b/crates/role/src/entry/requests/place.rs
@@ -2,7 +2,7 @@
 
 use base::prelude::*;
 use route::{
-    ALONE_RUN_RETRY_MS, Admission, AdmissionInput, CrashVerdict, RouteReason,
+    Admission, AdmissionInput, CrashVerdict, EXCLUSIVE_RUN_RETRY_MS, RouteReason,
     RoutingInput, admit, choose_holder, has_capacity,
 };
 use schema::timeline::EventKind;
@@ -354,7 +354,7 @@
     request.resolved.wanted.model()?;
     let turn_ms = ctx.control.alone_turn_in_ms(ctx.now);
     let late = turn_ms.saturating_add(input.answer_time_ms) > input.remaining_ms;
-    late.then_some((Code::Overloaded, turn_ms.max(ALONE_RUN_RETRY_MS)))
+    late.then_some((Code::Overloaded, turn_ms.max(EXCLUSIVE_RUN_RETRY_MS)))
 }
 
 fn start_alone(ctx: &mut Ctx<'_>, request: &Request) -> bool {
@@ -367,7 +367,7 @@
     let me = &ctx.shared.options.id;
     let fingerprint = request.resolved.fingerprint;
     let mut suspects = ctx.shared.suspects.lock();
-    let started = suspects.try_start_alone_run(model, fingerprint, me);
+    let started = suspects.try_start_exclusive_run(model, fingerprint, me);
     ctx.later.gossip |= started;
     started
 }
--- a/crates/role/src/entry/suspicion.rs
+++ b/crates/role/src/entry/suspicion.rs
@@ -43,7 +43,7 @@
             fingerprint: *fingerprint,
             convicted: after != CrashVerdict::Suspect,
             agents: suspects.crashed_agents(*fingerprint).collect(),
-            alone: suspects.crashed_alone(*fingerprint),
+            alone: suspects.crashed_as_sole_request(*fingerprint),
             remaining_ms: suspects.remaining_ms(now, *fingerprint),
         });
     }
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -37,6 +37,6 @@
     ChosenHolder, Holder, RouteReason, RoutingInput, choose_holder, has_capacity,
 };
 pub use health::{BreakerState, CircuitBreaker, Permission};
-pub use rendezvous::{alone_run_owner, probing_entry, rendezvous_weight};
+pub use rendezvous::{exclusive_run_owner, probing_entry, rendezvous_weight};
 pub use step_limit::AdaptiveConcurrencyLimit;
-pub use suspects::{ALONE_RUN_RETRY_MS, CrashVerdict, SuspectRequests};
+pub use suspects::{CrashVerdict, EXCLUSIVE_RUN_RETRY_MS, SuspectRequests};
--- a/crates/route/src/rendezvous.rs
+++ b/crates/route/src/rendezvous.rs
@@ -15,7 +15,7 @@
 ///
 /// The key is the model and not the fingerprint, because "one suspect in flight
 /// for each model" then needs no agreement: the owner counts its own.
-pub fn alone_run_owner<'a>(
+pub fn exclusive_run_owner<'a>(
     model: &ModelId,
     entries: impl IntoIterator<Item = &'a EntryId>,
 ) -> Option<&'a EntryId> {
--- a/crates/route/src/suspects.rs
+++ b/crates/route/src/suspects.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use crate::record::{CRASHES_MAX, Record, same_crash};
-use crate::rendezvous::alone_run_owner;
+use crate::rendezvous::exclusive_run_owner;
 
 /// Fingerprints kept at most; the verdict that ends first makes room.
 const RECORDS_MAX: usize = 4_096;
@@ -29,7 +29,7 @@
 const NEW_MS: u64 = 1_500;
 
 /// When to come back with a suspect that can't be run alone now.
-pub const ALONE_RUN_RETRY_MS: u64 = 1_000;
+pub const EXCLUSIVE_RUN_RETRY_MS: u64 = 1_000;
 
 /// What is held against a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -151,7 +151,7 @@
 
     /// Whether one of the crashes held against the request happened while it
     /// was the only one in flight, which shows that it was the cause.
-    pub fn crashed_alone(&self, fingerprint: u64) -> bool {
+    pub fn crashed_as_sole_request(&self, fingerprint: u64) -> bool {
         let record = self.records.get(&fingerprint);
         let crashes = record.map_or(&[][..], Record::open_crashes);
         crashes.iter().any(|crash| crash.alone)
@@ -171,14 +171,14 @@
 
     /// Takes the model's place for a suspect that runs alone; `entry` is this
     /// entry. False when another entry owns the model or another suspect of the
-    /// model runs: the caller is to come back after [`ALONE_RUN_RETRY_MS`].
-    pub fn try_start_alone_run(
+    /// model runs: the caller is to come back after [`EXCLUSIVE_RUN_RETRY_MS`].
+    pub fn try_start_exclusive_run(
         &mut self,
         model: &ModelId,
         fingerprint: u64,
         entry: &EntryId,
     ) -> bool {
-        let owner = alone_run_owner(model, &self.entries);
+        let owner = exclusive_run_owner(model, &self.entries);
         if owner.is_some_and(|owner| owner != entry) {
             return false;
         }
@@ -193,8 +193,8 @@
         true
     }
 
-    /// Gives back what [`SuspectRequests::try_start_alone_run`] took.
-    pub fn end_alone_run(&mut self, model: &ModelId, fingerprint: u64) {
+    /// Gives back what [`SuspectRequests::try_start_exclusive_run`] took.
+    pub fn end_exclusive_run(&mut self, model: &ModelId, fingerprint: u64) {
         if self.running.get(model) != Some(&fingerprint) {
             return;
         }
@@ -205,7 +205,7 @@
     }
 
     /// A suspect ran alone to its end: the crashes known so far are excused.
-    pub fn record_completed_alone(&mut self, fingerprint: u64) {
+    pub fn record_completed_exclusive_run(&mut self, fingerprint: u64) {
         if let Some(record) = self.records.get_mut(&fingerprint)
             && !record.convicted
         {
--- a/crates/route/tests/all/suspects.rs
+++ b/crates/route/tests/all/suspects.rs
@@ -1,5 +1,5 @@
 use base::prelude::*;
-use route::{CrashVerdict, SuspectRequests, alone_run_owner};
+use route::{CrashVerdict, SuspectRequests, exclusive_run_owner};
 use schema::link::Suspect;
 
 const VERDICT_MS: u64 = 600_000;
@@ -109,7 +109,7 @@
     let mut here = after(&[("a", 1, &[7, 8, 9], false)]);
     let mut there = SuspectRequests::new(VERDICT_MS);
     assert!(tell(&mut there, &here, now));
-    here.record_completed_alone(8);
+    here.record_completed_exclusive_run(8);
     assert_eq!(here.verdict(now, 8), CrashVerdict::Clear);
     assert_eq!(here.verdict(now, 9), CrashVerdict::Suspect);
     assert!(!tell(&mut here, &there, now), "old news does not undo it");
@@ -124,7 +124,7 @@
         "it starts anew"
     );
     here.record_crash(now, &[7], &AgentId::new("b"), 2, true);
-    here.record_completed_alone(7);
+    here.record_completed_exclusive_run(7);
     assert_eq!(
         here.verdict(now, 7),
         CONVICTED,
@@ -197,26 +197,26 @@
 fn one_entry_runs_one_suspect_of_a_model() {
     let entries = ["e1", "e2", "e3"].map(EntryId::new);
     let model = ModelId::new("m");
-    let owner = alone_run_owner(&model, &entries).expect("there are entries");
+    let owner = exclusive_run_owner(&model, &entries).expect("there are entries");
     let mut started = 0;
     for entry in &entries {
         let mut suspects = after(&[("a", 1, &[7, 8], false)]);
         suspects.set_entries(entries.to_vec());
-        let first = suspects.try_start_alone_run(&model, 7, entry);
+        let first = suspects.try_start_exclusive_run(&model, 7, entry);
         assert_eq!(first, entry == owner);
         assert!(
-            !suspects.try_start_alone_run(&model, 8, entry),
+            !suspects.try_start_exclusive_run(&model, 8, entry),
             "one at a time"
         );
         started += usize::from(first);
-        suspects.end_alone_run(&model, 8);
+        suspects.end_exclusive_run(&model, 8);
         assert!(
-            !suspects.try_start_alone_run(&model, 8, entry),
+            !suspects.try_start_exclusive_run(&model, 8, entry),
             "not its to end"
         );
-        suspects.end_alone_run(&model, 7);
+        suspects.end_exclusive_run(&model, 7);
         assert_eq!(
-            suspects.try_start_alone_run(&model, 8, entry),
+            suspects.try_start_exclusive_run(&model, 8, entry),
             entry == owner
         );
     }
@@ -231,21 +231,21 @@
     for heard_end in [true, false] {
         let mut at_old = after(&[("a", 1, &[7, 8], false)]);
         let mut at_new = SuspectRequests::new(VERDICT_MS);
-        assert!(at_old.try_start_alone_run(&model, 7, &old));
+        assert!(at_old.try_start_exclusive_run(&model, 7, &old));
         tell(&mut at_new, &at_old, Instant::ZERO);
-        assert!(!at_new.try_start_alone_run(&model, 8, &new));
+        assert!(!at_new.try_start_exclusive_run(&model, 8, &new));
         let mut now = Instant::from_ms(4_999);
         if heard_end {
-            at_old.end_alone_run(&model, 7);
+            at_old.end_exclusive_run(&model, 7);
             tell(&mut at_new, &at_old, now);
         } else {
             at_new.verdict(now, 8);
-            assert!(!at_new.try_start_alone_run(&model, 8, &new));
+            assert!(!at_new.try_start_exclusive_run(&model, 8, &new));
             now = Instant::from_ms(5_000);
             at_new.verdict(now, 8);
         }
         assert!(
-            at_new.try_start_alone_run(&model, 8, &new),
+            at_new.try_start_exclusive_run(&model, 8, &new),
             "heard end: {heard_end}"
         );
     }
@@ -259,11 +259,11 @@
     };
     let mut cleared = after(&[("a", 1, &[7, 8], false)]);
     assert_eq!(named(&cleared), [AgentId::new("a")]);
-    cleared.record_completed_alone(7);
+    cleared.record_completed_exclusive_run(7);
     assert!(named(&cleared).is_empty());
     let mut both = after(&[("a", 1, &[7, 8], false), ("b", 1, &[7, 9], false)]);
-    assert!(!both.crashed_alone(7));
-    both.record_completed_alone(7);
+    assert!(!both.crashed_as_sole_request(7));
+    both.record_completed_exclusive_run(7);
     assert_eq!(named(&both), ["a", "b"].map(AgentId::new));
 }
 
@@ -284,7 +284,7 @@
     }
 
     let mut cleared = after(&[("a", 1, &[7, 8], false)]);
-    cleared.record_completed_alone(7);
+    cleared.record_completed_exclusive_run(7);
     report(&mut cleared, &[("b", 1, &[7, 9], false)]);
     assert_eq!(cleared.verdict(now, GUILTY), CrashVerdict::Suspect);
 }
