--- a/crates/place/src/adapters.rs
+++ b/crates/place/src/adapters.rs
@@ -1,163 +1,186 @@
-//! Chooses the adapters beside the bases.
+//! Places adapters next to their base models.
 
-use crate::board::{Held, Unit};
-use crate::choose::Choice;
+use crate::cell::{PlannedModel, Replica};
+use crate::plan_builder::PlanBuilder;
 use crate::types::PlacementReason;
 
-/// Adds each adapter that is worth its load where its base is held.
-pub(crate) fn place(choice: &mut Choice<'_, '_>) {
+/// Adds each adapter whose value justifies its load where its base model is held.
+pub(crate) fn place_worthwhile(builder: &mut PlanBuilder<'_, '_>) {
     let mut wanted: Vec<(f64, usize)> = Vec::new();
-    for (index, model) in choice.catalog.models.iter().enumerate() {
-        let adapter = model.spec.base.is_some();
-        let held = choice
-            .holders
+    for (index, model) in builder.catalog.models.iter().enumerate() {
+        let is_adapter = model.spec.base.is_some();
+        let base_held = builder
+            .replica_counts
             .get(model.group)
             .is_some_and(|count| *count > 0);
-        if adapter && held && (model.work.any() || model.wait_ms > 0) {
-            wanted.push((choice.scale.adapter(&model.work), index));
+        if is_adapter && base_held && (model.demand.is_active() || model.wait_ms > 0) {
+            wanted.push((builder.costs.adapter_value(&model.demand), index));
         }
     }
     wanted.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
-    for (worth, adapter) in wanted {
-        if choice.holds_adapter(adapter) {
+    for (value, adapter) in wanted {
+        if builder.holds_adapter(adapter) {
             continue;
         }
-        if waits_long(choice, adapter) {
-            give(choice, adapter);
+        if has_waited_long(builder, adapter) {
+            place_for_wait(builder, adapter);
             continue;
         }
-        if !choice.scale.worth_move(worth, 0.0) {
-            choice.note(adapter, PlacementReason::NotWorthMove);
+        if !builder.costs.justifies_move(value, 0.0) {
+            builder.note(adapter, PlacementReason::NotWorthMove);
             continue;
         }
-        place_one(choice, adapter, worth, PlacementReason::Demand);
+        place_adapter(builder, adapter, value, PlacementReason::Demand);
     }
 }
 
-/// Whether an adapter is worth its load for the sake of its wait.
+/// Whether an adapter is placed because of its wait alone.
 ///
-/// Its base is there now; a turn of its own later would load both.
-fn waits_long(choice: &Choice<'_, '_>, adapter: usize) -> bool {
-    let model = &choice.catalog.models[adapter];
-    let bound_ms = u64::from(choice.input.config.weights().wait_max_ms);
+/// Its base model is held now. If the adapter waited for the wait bound, both might
+/// have to be loaded.
+fn has_waited_long(builder: &PlanBuilder<'_, '_>, adapter: usize) -> bool {
+    let model = &builder.catalog.models[adapter];
+    let bound_ms = u64::from(builder.input.config.weights().wait_max_ms);
     model.wait_ms >= bound_ms / 4
 }
 
-/// Gives an adapter a turn, whatever it displaces beside its base.
-pub(crate) fn give(choice: &mut Choice<'_, '_>, adapter: usize) {
-    if !choice.holds_adapter(adapter) {
-        place_one(choice, adapter, f64::INFINITY, PlacementReason::WaitBound);
+/// Places an adapter because of the wait bound, displacing any adapters next to its
+/// base model that are past their minimum residence.
+pub(crate) fn place_for_wait(builder: &mut PlanBuilder<'_, '_>, adapter: usize) {
+    if !builder.holds_adapter(adapter) {
+        place_adapter(builder, adapter, f64::INFINITY, PlacementReason::WaitBound);
     }
 }
 
-fn place_one(
-    choice: &mut Choice<'_, '_>,
+fn place_adapter(
+    builder: &mut PlanBuilder<'_, '_>,
     adapter: usize,
-    worth: f64,
+    value: f64,
     reason: PlacementReason,
 ) {
-    let size = u64::from(choice.catalog.models[adapter].spec.size_mib);
-    let group = choice.catalog.models[adapter].group;
+    let size_mib = u64::from(builder.catalog.models[adapter].spec.size_mib);
+    let group = builder.catalog.models[adapter].group;
     let mut best: Option<(f64, u64, usize)> = None;
-    for (index, slot) in choice.board.slots.iter().enumerate() {
-        let Some(unit) = slot.unit(group).filter(|_| !slot.leaving) else {
+    for (index, accelerator) in builder.cell.accelerators.iter().enumerate() {
+        let Some(replica) = accelerator
+            .current_replica(group)
+            .filter(|_| !accelerator.leaving)
+        else {
             continue;
         };
-        // The base has to be on its way, or the engine would refuse the order.
-        if unit.base.state.is_none() {
+        // The engine refuses to load an adapter whose base model it has not been
+        // ordered to load yet.
+        if replica.base.state.is_none() {
             continue;
         }
-        let Some(off) = displaced(choice, unit, slot.free_mib(), size, worth) else {
+        let Some(displaced) = adapters_to_displace(
+            builder,
+            replica,
+            accelerator.free_mib(),
+            size_mib,
+            value,
+        ) else {
             continue;
         };
-        let loss: f64 = off.iter().map(|held| loss(choice, held)).sum();
-        let free = slot.free_mib();
-        let better = |held: &(f64, u64, usize)| {
-            loss < held.0 || (loss == held.0 && free > held.1)
+        let loss: f64 = displaced
+            .iter()
+            .map(|planned| value_of(builder, planned))
+            .sum();
+        let free_mib = accelerator.free_mib();
+        let better = |best: &(f64, u64, usize)| {
+            loss < best.0 || (loss == best.0 && free_mib > best.1)
         };
         if best.as_ref().is_none_or(better) {
-            best = Some((loss, free, index));
+            best = Some((loss, free_mib, index));
         }
     }
     match best {
-        None => choice.note(adapter, PlacementReason::NoRoom),
-        Some(_) if !choice.allowance.open() => {
-            choice.note(adapter, PlacementReason::StoreBudget);
+        None => builder.note(adapter, PlacementReason::NoRoom),
+        Some(_) if !builder.allowance.can_start() => {
+            builder.note(adapter, PlacementReason::StoreBudget);
         }
-        Some((_, _, index)) => add(choice, index, adapter, worth, reason),
+        Some((_, _, index)) => add_adapter(builder, index, adapter, value, reason),
     }
 }
 
-/// Adapters that have to go for one of this size; none if they are worth more.
-fn displaced<'u>(
-    choice: &Choice<'_, '_>,
-    unit: &'u Unit,
-    mut free: u64,
-    size: u64,
-    worth: f64,
-) -> Option<Vec<&'u Held>> {
-    let mut off = Vec::new();
-    let adapters = unit.adapters.iter();
-    let mut movable: Vec<&Held> =
-        adapters.filter(|held| !choice.is_young(held)).collect();
-    movable.sort_by(|a, b| {
-        let by_loss = loss(choice, a).total_cmp(&loss(choice, b));
+/// Returns the adapters to remove to make room for one of the given size; `None` if
+/// there are too few or they are worth more.
+fn adapters_to_displace<'u>(
+    builder: &PlanBuilder<'_, '_>,
+    replica: &'u Replica,
+    mut free_mib: u64,
+    size_mib: u64,
+    value: f64,
+) -> Option<Vec<&'u PlannedModel>> {
+    let mut displaced = Vec::new();
+    let adapters = replica.adapters.iter();
+    let mut displaceable: Vec<&PlannedModel> = adapters
+        .filter(|planned| !builder.within_min_residence(planned))
+        .collect();
+    displaceable.sort_by(|a, b| {
+        let by_loss = value_of(builder, a).total_cmp(&value_of(builder, b));
         by_loss.then(a.model.cmp(&b.model))
     });
-    let mut movable = movable.into_iter();
-    let mut lost = 0.0;
-    while free < size {
-        let held = movable.next()?;
-        lost += loss(choice, held);
-        if !choice.scale.worth_move(worth, lost) {
+    let mut displaceable = displaceable.into_iter();
+    let mut total_loss = 0.0;
+    while free_mib < size_mib {
+        let planned = displaceable.next()?;
+        total_loss += value_of(builder, planned);
+        if !builder.costs.justifies_move(value, total_loss) {
             return None;
         }
-        free += u64::from(held.size_mib);
-        off.push(held);
+        free_mib += u64::from(planned.size_mib);
+        displaced.push(planned);
     }
-    Some(off)
+    Some(displaced)
 }
 
-fn loss(choice: &Choice<'_, '_>, held: &Held) -> f64 {
-    choice
-        .scale
-        .adapter(&choice.catalog.models[held.model].work)
+fn value_of(builder: &PlanBuilder<'_, '_>, planned: &PlannedModel) -> f64 {
+    builder
+        .costs
+        .adapter_value(&builder.catalog.models[planned.model].demand)
 }
 
-fn add(
-    choice: &mut Choice<'_, '_>,
-    slot: usize,
+fn add_adapter(
+    builder: &mut PlanBuilder<'_, '_>,
+    accelerator: usize,
     adapter: usize,
-    worth: f64,
+    value: f64,
     reason: PlacementReason,
 ) {
-    let spec = choice.catalog.models[adapter].spec;
-    let group = choice.catalog.models[adapter].group;
-    let size = u64::from(spec.size_mib);
-    let free = choice.board.slots[slot].free_mib();
-    let Some(unit) = choice.board.slots[slot].unit(group) else {
+    let spec = builder.catalog.models[adapter].spec;
+    let group = builder.catalog.models[adapter].group;
+    let size_mib = u64::from(spec.size_mib);
+    let free_mib = builder.cell.accelerators[accelerator].free_mib();
+    let Some(replica) = builder.cell.accelerators[accelerator].current_replica(group)
+    else {
         return;
     };
-    let off: Vec<usize> = displaced(choice, unit, free, size, worth)
-        .into_iter()
-        .flatten()
-        .map(|held| held.model)
-        .collect();
-    for model in &off {
-        choice.note(*model, PlacementReason::Displaced);
+    let displaced: Vec<usize> =
+        adapters_to_displace(builder, replica, free_mib, size_mib, value)
+            .into_iter()
+            .flatten()
+            .map(|planned| planned.model)
+            .collect();
+    for model in &displaced {
+        builder.note(*model, PlacementReason::Displaced);
     }
-    let held = Held {
+    let planned = PlannedModel {
         model: adapter,
         version: spec.version,
         size_mib: spec.size_mib,
         state: None,
-        since: choice.input.now,
+        since: builder.input.now,
         reason,
     };
-    let mut units = choice.board.slots[slot].units.iter_mut();
-    if let Some(unit) = units.find(|unit| unit.group == group && !unit.outdated) {
-        unit.adapters.retain(|held| !off.contains(&held.model));
-        unit.adapters.push(held);
-        choice.allowance.take();
+    let mut replicas = builder.cell.accelerators[accelerator].replicas.iter_mut();
+    if let Some(replica) =
+        replicas.find(|replica| replica.group == group && !replica.outdated)
+    {
+        replica
+            .adapters
+            .retain(|planned| !displaced.contains(&planned.model));
+        replica.adapters.push(planned);
+        builder.allowance.record_start();
     }
 }
--- a/crates/place/src/budget.rs
+++ b/crates/place/src/budget.rs
@@ -1,92 +1,93 @@
-//! The weight store's budget: how many loads may start now.
+//! Weight store budget: how many loads a plan may start.
 
 use base::prelude::*;
 use schema::settings::Store;
 
-use crate::board::Loading;
+use crate::cell::LoadCounts;
 
-/// Starts saved up while nothing was loaded, in seconds of the allowed rate.
-const SAVED_S: f64 = 1.0;
+/// Capacity of the token bucket, in seconds of the allowed load rate.
+const BURST_S: f64 = 1.0;
 
-/// Counts starts against the store's rate, over plans.
+/// Token bucket that limits the rate of load starts across plans.
 #[derive(Debug, Default)]
 pub(crate) struct StoreBudget {
-    saved_starts: f64,
-    filled_at: Option<Instant>,
+    tokens: f64,
+    refilled_at: Option<Instant>,
 }
 
 /// Loads that one plan may still start.
 #[derive(Debug)]
-pub(crate) struct Allowance {
-    /// By the rate.
-    starts: f64,
-    /// By the number at full speed.
-    at_once: u32,
-    /// Loads allowed per second.
+pub(crate) struct LoadAllowance {
+    /// Starts allowed by the rate.
+    tokens: f64,
+    /// Further loads that the store can serve at full speed.
+    concurrent_max: u32,
+    /// Allowed load starts per second.
     pub(crate) rate_per_s: f64,
-    /// Loads started by this plan.
+    /// Loads that this plan has started.
     pub(crate) started: u32,
 }
 
 impl StoreBudget {
-    /// Fills up for the time passed.
+    /// Refills the token bucket for the time since the last plan.
     ///
-    /// Slow loads show that others use the store too: a planner of another cell,
-    /// or a second one of this cell. Each then keeps to half, so that both only
-    /// become slower and neither is shut out.
-    pub(crate) fn allow(
+    /// Slow loads indicate that another planner uses the store too, either that of
+    /// another cell or a second one of this cell. Each planner that sees them
+    /// halves its concurrent loads, so that both slow down and neither is locked
+    /// out.
+    pub(crate) fn refill(
         &mut self,
         now: Instant,
         store: &Store,
         share: f64,
-        loading: &Loading,
-    ) -> Allowance {
+        loads: &LoadCounts,
+    ) -> LoadAllowance {
         let share = if share.is_finite() {
             share.clamp(0.0, 1.0)
         } else {
             0.0
         };
         let rate_per_s = (store.loads_per_s * share).max(0.0);
-        let most = (rate_per_s * SAVED_S).max(1.0);
+        let tokens_max = (rate_per_s * BURST_S).max(1.0);
         let passed_s = self
-            .filled_at
-            .map_or(SAVED_S, |filled| now.since(filled).as_secs_f64());
-        self.filled_at = Some(now);
-        self.saved_starts = (self.saved_starts + passed_s * rate_per_s).min(most);
-        let mut at_once = at_once(store.full_speed_loads, share);
-        if loading.slow > 0 {
-            at_once = at_once.div_ceil(2);
+            .refilled_at
+            .map_or(BURST_S, |refilled_at| now.since(refilled_at).as_secs_f64());
+        self.refilled_at = Some(now);
+        self.tokens = (self.tokens + passed_s * rate_per_s).min(tokens_max);
+        let mut concurrent_max = concurrent_loads(store.full_speed_loads, share);
+        if loads.slow > 0 {
+            concurrent_max = concurrent_max.div_ceil(2);
         }
-        Allowance {
-            starts: self.saved_starts,
-            at_once: at_once.saturating_sub(loading.all),
+        LoadAllowance {
+            tokens: self.tokens,
+            concurrent_max: concurrent_max.saturating_sub(loads.in_progress),
             rate_per_s,
             started: 0,
         }
     }
 
-    /// Books what the plan has started.
-    pub(crate) fn book(&mut self, allowance: &Allowance) {
-        self.saved_starts = (self.saved_starts - f64::from(allowance.started)).max(0.0);
+    /// Removes the tokens of the loads that the plan has started.
+    pub(crate) fn commit(&mut self, allowance: &LoadAllowance) {
+        self.tokens = (self.tokens - f64::from(allowance.started)).max(0.0);
     }
 }
 
-impl Allowance {
+impl LoadAllowance {
     /// Whether one more load may start.
-    pub(crate) fn open(&self) -> bool {
-        self.started < self.at_once
-            && f64::from(self.started) + 1.0 <= self.starts + 1e-9
+    pub(crate) fn can_start(&self) -> bool {
+        self.started < self.concurrent_max
+            && f64::from(self.started) + 1.0 <= self.tokens + 1e-9
     }
 
-    /// Takes one start.
-    pub(crate) fn take(&mut self) {
+    /// Counts one load as started.
+    pub(crate) fn record_start(&mut self) {
         self.started += 1;
     }
 }
 
-/// Share of the loads at full speed; one at least, or a small share would never
-/// load anything.
-fn at_once(full_speed_loads: u32, share: f64) -> u32 {
+/// Returns this planner's share of the loads that the store serves at full speed,
+/// but at least one, because a small share would otherwise never load anything.
+fn concurrent_loads(full_speed_loads: u32, share: f64) -> u32 {
     if share <= 0.0 {
         return 0;
     }
--- a/crates/place/src/leaving.rs
+++ b/crates/place/src/leaving.rs
@@ -1,31 +1,42 @@
-//! Empties the instances that are leaving.
+//! Empties instances that are shutting down.
 
-use crate::choose::Choice;
+use crate::plan_builder::PlanBuilder;
 use crate::types::PlacementReason;
 
-/// Takes off leaving instances what is held elsewhere, or not worth a place.
+/// Removes from instances that are shutting down the models that are served
+/// elsewhere or not worth placing elsewhere.
 ///
-/// What still waits for its new place stays wanted: the plan shows what the
-/// instance is waited for, and a stop that is called off costs no load.
-pub(crate) fn empty(choice: &mut Choice<'_, '_>) {
-    let catalog = choice.catalog;
-    let mut loaded = vec![false; catalog.groups.len()];
-    for slot in choice.board.slots.iter().filter(|slot| !slot.leaving) {
-        for unit in slot.units.iter().filter(|unit| unit.serves()) {
-            loaded[unit.group] = true;
+/// Models that still wait for their replacement stay wanted. The plan then shows
+/// what the shutdown waits for, and cancelling the shutdown needs no load.
+pub(crate) fn evacuate(builder: &mut PlanBuilder<'_, '_>) {
+    let catalog = builder.catalog;
+    let mut served_elsewhere = vec![false; catalog.groups.len()];
+    for accelerator in builder
+        .cell
+        .accelerators
+        .iter()
+        .filter(|accelerator| !accelerator.leaving)
+    {
+        for replica in accelerator
+            .replicas
+            .iter()
+            .filter(|replica| replica.serves())
+        {
+            served_elsewhere[replica.group] = true;
         }
     }
-    let placed = &choice.holders;
-    let delayed = &choice.delayed;
-    let slots = choice.board.slots.iter_mut();
-    for slot in slots.filter(|slot| slot.leaving) {
-        slot.units.retain_mut(|unit| {
-            unit.base.reason = PlacementReason::Leaving;
-            for adapter in &mut unit.adapters {
+    let replica_counts = &builder.replica_counts;
+    let awaiting_budget = &builder.awaiting_budget;
+    let accelerators = builder.cell.accelerators.iter_mut();
+    for accelerator in accelerators.filter(|accelerator| accelerator.leaving) {
+        accelerator.replicas.retain_mut(|replica| {
+            replica.base.reason = PlacementReason::Leaving;
+            for adapter in &mut replica.adapters {
                 adapter.reason = PlacementReason::Leaving;
             }
-            let coming = placed[unit.group] > 0 || delayed[unit.group];
-            !loaded[unit.group] && coming
+            let replacement_coming =
+                replica_counts[replica.group] > 0 || awaiting_budget[replica.group];
+            !served_elsewhere[replica.group] && replacement_coming
         });
     }
 }
--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -1,45 +1,45 @@
-//! Placement: which models are held by which accelerators.
+//! Plans which accelerators hold which models.
 //!
-//! A [`Planner`] is called about twice a second with what the heartbeats and
-//! the entries' demand show, and answers with the residency wanted of every
-//! agent of its cell. A plan is an opinion: the agent's memory ledger decides
-//! what may be ordered, so a planner that is behind, or a second one, costs
-//! extra moves and never memory.
+//! A [`Planner`] runs in the entry that plans for a cell (the engine agents of one
+//! pool and region) about twice a second. From the agents' heartbeats and the
+//! demand that all entries report, it computes the models that each agent should
+//! hold. Plans are advisory: each agent checks every order against its own memory
+//! ledger, so a planner with stale input, or a second planner for the same cell,
+//! causes unnecessary loads and unloads but never exceeds an accelerator's memory.
 //!
-//! A base model and its adapters form a *group*; a *unit* is one group on one
-//! accelerator. A plan starts from the units that are there and changes them in
+//! A base model and its adapters form a *group*. A *replica* is one group on one
+//! accelerator. Each plan starts from the replicas that exist and changes them in
 //! this order:
 //!
-//! 1. Groups whose waiting work is close to its bound get a turn, the oldest
-//!    first.
-//! 2. Units are added in the order of what they are expected to attain, each in
-//!    free room or in place of the unit whose loss costs least, as long as the
-//!    difference is worth the move.
-//! 3. Adapters are added beside their bases in the same way.
+//! 1. Groups whose requests have waited for most of the configured bound
+//!    (`wait_max_ms`) are placed first, the longest wait first.
+//! 2. Replicas are added in decreasing order of expected gain, either in free
+//!    memory or in place of the replicas whose loss costs least, as long as the
+//!    gain justifies the move.
+//! 3. Adapters are added next to their base models by the same rule.
 //!
 //! Invariants:
 //!
-//! - What is wanted on an accelerator fits its memory, together with what is
-//!   still being unloaded there when the choice is made.
-//! - Loads that a plan starts stay within the weight store's budget.
-//! - An adapter is only wanted where its base model is wanted.
-//! - The same inputs in the same order give the same plans, and inputs that do
-//!   not change end in plans that do not change.
+//! - The models wanted on an accelerator fit its memory together with those that
+//!   are still being unloaded when the plan is made.
+//! - The loads that a plan starts stay within the weight store's budget.
+//! - An adapter is wanted only where its base model is wanted.
+//! - Plans are deterministic, and constant input leads to a constant plan.
 
 mod adapters;
-mod board;
 mod budget;
+mod candidates;
 mod catalog;
-mod choose;
-mod emit;
+mod cell;
+mod costs;
+mod history;
 mod leaving;
-mod memory;
+mod output;
+mod plan_builder;
 mod planner;
-mod spot;
-mod turns;
 mod types;
 mod versions;
-mod worth;
+mod wait_bound;
 
 pub use planner::Planner;
 pub use types::{
--- a/crates/place/src/planner.rs
+++ b/crates/place/src/planner.rs
@@ -1,48 +1,46 @@
-//! The planner.
+//! The planner and the steps of a plan.
 
-use crate::board::Board;
 use crate::budget::StoreBudget;
 use crate::catalog::Catalog;
-use crate::choose::Choice;
-use crate::memory::Memory;
+use crate::cell::CellState;
+use crate::history::PlanHistory;
+use crate::plan_builder::PlanBuilder;
 use crate::types::{Plan, PlanInput};
-use crate::{adapters, emit, leaving, turns, versions};
+use crate::{adapters, leaving, output, versions, wait_bound};
 
-/// Plans the residency of one cell.
+/// Plans which models the agents of one cell should hold.
 #[derive(Debug, Default)]
 pub struct Planner {
     budget: StoreBudget,
-    memory: Memory,
+    history: PlanHistory,
 }
 
 impl Planner {
-    /// A planner that has made no plan yet.
+    /// Creates a planner without history.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Makes the next plan.
-    ///
-    /// Agents and demands have to be in order of name.
+    /// Makes the next plan. Agents and demands must be sorted by name.
     pub fn plan(&mut self, input: &PlanInput<'_>) -> Plan {
         let mut catalog = Catalog::new(input);
-        let mut board = Board::new(input.agents, &catalog);
-        self.memory.recall(input.now, &mut board, &mut catalog);
+        let mut cell = CellState::new(input.agents, &catalog);
+        self.history.apply_to(input.now, &mut cell, &mut catalog);
         let store = input.config.store();
-        let loading = board.loading(input.now, store.load_time_ms);
+        let loads = cell.loads_in_progress(input.now, store.load_time_ms);
         let mut allowance =
             self.budget
-                .allow(input.now, store, input.store_share, &loading);
-        let mut choice = Choice::new(input, &catalog, board, &mut allowance);
-        turns::give_urgent(&mut choice);
-        choice.by_worth();
-        versions::renew(&mut choice);
-        adapters::place(&mut choice);
-        turns::give_early(&mut choice);
-        leaving::empty(&mut choice);
-        let (board, notes) = choice.finish();
-        self.budget.book(&allowance);
-        self.memory.remember(input.now, &board, &catalog);
-        emit::plan(&board, &catalog, notes, input)
+                .refill(input.now, store, input.store_share, &loads);
+        let mut builder = PlanBuilder::new(input, &catalog, cell, &mut allowance);
+        wait_bound::place_urgent(&mut builder);
+        builder.add_by_gain();
+        versions::replace_outdated(&mut builder);
+        adapters::place_worthwhile(&mut builder);
+        wait_bound::place_early(&mut builder);
+        leaving::evacuate(&mut builder);
+        let (cell, notes) = builder.finish();
+        self.budget.commit(&allowance);
+        self.history.record(input.now, &cell, &catalog);
+        output::to_plan(&cell, &catalog, notes, input)
     }
 }
--- a/crates/place/src/types.rs
+++ b/crates/place/src/types.rs
@@ -1,158 +1,163 @@
-//! What the planner is told and what it answers.
+//! Input and output types of the planner.
 
 use base::prelude::*;
 use conf::Config;
 
-/// All that one plan depends on.
+/// Everything that a plan depends on, apart from the planner's history.
 #[derive(Debug)]
 pub struct PlanInput<'a> {
-    /// The present.
+    /// Time of the plan.
     pub now: Instant,
     /// Configuration in force.
     pub config: &'a Config,
-    /// Agents of the cell, in order of name.
+    /// Agents of the cell, sorted by name.
     pub agents: &'a [AgentView],
-    /// Demand for each model and adapter, in order of name.
+    /// Demand for each model and adapter, sorted by name.
     pub demands: &'a [ModelDemand],
-    /// Share of the weight store's budget this planner may use, 0 to 1.
+    /// Fraction (0 to 1) of the weight store's budget that this planner may use.
     pub store_share: f64,
 }
 
-/// One agent as its heartbeats show it.
+/// State of one agent as reported by its heartbeats.
 #[derive(Debug, Clone)]
 pub struct AgentView {
-    /// Name.
+    /// Name of the agent.
     pub id: AgentId,
-    /// Failure domain of the instance.
+    /// Failure domain of the agent's instance.
     pub domain: DomainId,
-    /// Pool of the upstream.
+    /// Pool of the agent's upstream.
     pub pool: PoolId,
-    /// Memory of each accelerator.
+    /// Memory of each accelerator of the instance.
     pub accelerators_mib: Vec<u32>,
-    /// What is on the accelerators.
+    /// Models and adapters in the memory of the accelerators.
     pub residents: Vec<ResidentView>,
-    /// The instance is stopping and has to be emptied.
+    /// Whether the instance is shutting down, so that its models have to be placed
+    /// elsewhere.
     pub leaving: bool,
 }
 
-/// One model or adapter on one accelerator.
+/// One model or adapter in the memory of one accelerator.
 #[derive(Debug, Clone)]
 pub struct ResidentView {
-    /// Model or adapter.
+    /// Name of the model or adapter.
     pub model: ModelId,
-    /// Version loaded.
+    /// Version in memory.
     pub version: u32,
-    /// Index of the accelerator.
+    /// Index of the accelerator on the instance.
     pub accelerator: u32,
-    /// Memory it takes.
+    /// Memory that it occupies.
     pub size_mib: u32,
-    /// Where it is in its life.
+    /// Loading state.
     pub state: ResidentState,
-    /// When the state was entered.
+    /// When it entered this state.
     pub since: Instant,
 }
 
-/// Where a resident is in its life.
+/// Loading state of a resident model or adapter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ResidentState {
-    /// Being loaded; not yet able to serve.
+    /// Being loaded; it can't serve requests yet.
     Loading,
-    /// Able to serve.
+    /// Able to serve requests.
     Loaded,
-    /// Being unloaded; its memory is still taken.
+    /// Being unloaded; it still occupies its memory.
     Unloading,
 }
 
-/// Demand for one model or adapter over all entries.
+/// Demand for one model or adapter, summed over all entries.
 #[derive(Debug, Clone)]
 pub struct ModelDemand {
-    /// Model or adapter.
+    /// Name of the model or adapter.
     pub model: ModelId,
-    /// Smoothed arrivals.
+    /// Smoothed arrival rate of requests.
     pub rate_per_s: f64,
-    /// Requests waiting for the model.
+    /// Number of requests waiting for the model.
     pub waiting: u32,
-    /// Wait of the oldest of them.
+    /// Wait of the oldest waiting request.
     pub oldest_wait_ms: u64,
-    /// Mean time one request occupies a place in a batch.
+    /// Mean time for which one request occupies a batch slot.
     pub service_time_ms: u32,
-    /// Mean worth of one request that meets its expectation.
+    /// Mean value of a request that meets its latency targets, in the unit of the
+    /// profiles' `value` setting.
     pub value: f64,
 }
 
-/// The residency wanted of each agent.
+/// Models that each agent of the cell should hold.
 #[derive(Debug, Clone, Default)]
 pub struct Plan {
-    /// One target for each agent of the cell, in order of name.
+    /// One target for each agent of the cell, sorted by agent name.
     pub targets: Vec<AgentTarget>,
-    /// Why models are not where their demand would have them.
+    /// Explains why models were displaced or not placed.
     pub notes: Vec<PlanNote>,
 }
 
-/// The residency wanted of one agent.
+/// Models that one agent should hold.
 #[derive(Debug, Clone)]
 pub struct AgentTarget {
-    /// Agent.
+    /// Name of the agent.
     pub agent: AgentId,
-    /// What its accelerators should hold.
+    /// Models and adapters wanted on the agent's accelerators.
     pub models: Vec<Assignment>,
 }
 
 /// One model or adapter wanted on one accelerator.
 #[derive(Debug, Clone)]
 pub struct Assignment {
-    /// Model or adapter.
+    /// Name of the model or adapter.
     pub model: ModelId,
-    /// Version to hold.
+    /// Wanted version.
     pub version: u32,
-    /// Index of the accelerator.
+    /// Index of the accelerator on the instance.
     pub accelerator: u32,
     /// Why it is wanted there.
     pub reason: PlacementReason,
 }
 
-/// Something an operator may ask about a model.
+/// Explains to operators why a model was displaced or not placed.
 #[derive(Debug, Clone)]
 pub struct PlanNote {
-    /// Model or adapter.
+    /// Name of the model or adapter.
     pub model: ModelId,
-    /// Why.
+    /// Why it was displaced or not placed.
     pub reason: PlacementReason,
 }
 
-/// Why a model is where it is, or is not.
+/// Why a model is wanted on an accelerator, or is not. The discriminants appear in
+/// timeline events.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PlacementReason {
-    /// It was there and nothing is worth moving it.
+    /// It is already there, and no move is worth its cost.
     Kept = 1,
-    /// Its demand is worth more than what it replaces and the move.
+    /// The value of its demand exceeds the loss of what it replaces plus the cost
+    /// of the move.
     Demand = 2,
-    /// Work waited for it, and it got its turn.
+    /// Requests have waited for it for most of the configured bound.
     WaitBound = 3,
-    /// A further replica, for more demand than one holder serves.
+    /// A further replica in the same failure domain, because the demand exceeds the
+    /// capacity of the existing replicas.
     Replica = 4,
-    /// A replica in another failure domain.
+    /// A further replica, in a failure domain that has none yet.
     Spread = 5,
-    /// It replaces a holder that is leaving.
+    /// It replaces a replica on an instance that is shutting down.
     Leaving = 6,
-    /// It stays for its minimum residence.
+    /// It has no demand but stays for its minimum residence.
     MinResidence = 7,
     /// It is the base model of a wanted adapter.
     BaseOfAdapter = 8,
-    /// A newer version is to be held.
+    /// It replaces an older version.
     NewVersion = 9,
-    /// It was taken off for a model worth more.
+    /// It was removed in favor of a model of higher value.
     Displaced = 10,
-    /// It waits until the weight store's budget allows its load.
+    /// Its load is postponed until the weight store's budget allows it.
     StoreBudget = 11,
-    /// Its demand is not worth a move.
+    /// The value of its demand does not justify a move.
     NotWorthMove = 12,
-    /// No accelerator has room.
+    /// No accelerator has enough memory that is free or may be freed.
     NoRoom = 13,
 }
 
 impl PlacementReason {
-    /// The word used in metrics.
+    /// Label value used in metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Kept => "kept",
--- a/crates/place/src/versions.rs
+++ b/crates/place/src/versions.rs
@@ -1,41 +1,48 @@
-//! Replaces units of versions that no request is sent to any more.
+//! Replaces replicas whose version no longer receives requests.
 
-use crate::choose::{Choice, Spot};
+use crate::plan_builder::{Candidate, PlanBuilder};
 use crate::types::PlacementReason;
 
-/// Ends units of old versions.
+/// Removes replicas of old versions.
 ///
-/// Demand has brought the new versions that are asked for; here the rest of the
-/// old ones go. A group that nothing else holds is renewed in its place, so that
-/// a change of version doesn't make a model wait that was held before.
-pub(crate) fn renew(choice: &mut Choice<'_, '_>) {
-    for index in 0..choice.board.slots.len() {
-        let slot = &choice.board.slots[index];
-        let old = slot.units.iter().position(|unit| unit.outdated);
-        let Some(old) = old.filter(|_| !slot.leaving) else {
+/// New versions with demand have been placed by now. Of the old replicas that
+/// remain, one whose group has no other replica is replaced in place, so that
+/// publishing a version does not make a model unavailable that was held before.
+pub(crate) fn replace_outdated(builder: &mut PlanBuilder<'_, '_>) {
+    for index in 0..builder.cell.accelerators.len() {
+        let accelerator = &builder.cell.accelerators[index];
+        let old = accelerator
+            .replicas
+            .iter()
+            .position(|replica| replica.outdated);
+        let Some(old) = old.filter(|_| !accelerator.leaving) else {
             continue;
         };
-        let group = slot.units[old].group;
-        let loaded = choice.board.slots.iter().any(|slot| {
-            !slot.leaving && slot.unit(group).is_some_and(|unit| unit.serves())
+        let group = accelerator.replicas[old].group;
+        let new_version_serves = builder.cell.accelerators.iter().any(|accelerator| {
+            !accelerator.leaving
+                && accelerator
+                    .current_replica(group)
+                    .is_some_and(|replica| replica.serves())
         });
-        if loaded {
-            choice.take_off(index, old);
+        if new_version_serves {
+            builder.remove_replica(index, old);
             continue;
         }
-        if choice.holders[group] > 0 {
-            // The new version is on its way; the old one can end its streams.
+        if builder.replica_counts[group] > 0 {
+            // The new version is loading; meanwhile the old one can finish its
+            // responses.
             continue;
         }
-        let size = choice.base_size(group);
-        if size > slot.free_mib() + slot.units[old].size_mib() {
-            choice.take_off(index, old);
-            choice.note_base(group, PlacementReason::NoRoom);
-        } else if choice.allowance.open() {
-            let spot = Spot::in_place_of(index, old);
-            choice.add(group, &spot, PlacementReason::NewVersion);
+        let size = builder.base_size_mib(group);
+        if size > accelerator.free_mib() + accelerator.replicas[old].size_mib() {
+            builder.remove_replica(index, old);
+            builder.note_base(group, PlacementReason::NoRoom);
+        } else if builder.allowance.can_start() {
+            let candidate = Candidate::replacing(index, old);
+            builder.add_replica(group, &candidate, PlacementReason::NewVersion);
         } else {
-            choice.note_base(group, PlacementReason::StoreBudget);
+            builder.note_base(group, PlacementReason::StoreBudget);
         }
     }
 }
