--- a/crates/place/benches/plan.rs
+++ b/crates/place/benches/plan.rs
@@ -1,7 +1,8 @@
-//! Prints the time of one plan against the size of the cell.
+//! Measures the time of one plan for different sizes of the cell.
 //!
-//! `cargo bench -p place --bench plan`. Each figure is the median of the plans of
-//! a cell whose accelerators are full and whose demand changes with each plan.
+//! Run with `cargo bench -p place --bench plan`. Each row gives the median and the
+//! maximum over the plans of a cell with full accelerators whose demand changes
+//! with each plan.
 #![allow(missing_docs)]
 
 use base::Revision;
@@ -102,7 +103,7 @@
         .collect()
 }
 
-/// Demand whose ranking differs from plan to plan.
+/// Demand whose order by value differs from plan to plan.
 fn demands(models: usize, nth: u64) -> Vec<ModelDemand> {
     (0..models)
         .map(|model| ModelDemand {
--- a/crates/place/benches/policy.rs
+++ b/crates/place/benches/policy.rs
@@ -1,13 +1,13 @@
-//! Compares placement policies on the same demand and prints a table.
+//! Compares placement policies on the same demand.
 //!
-//! `cargo bench -p place --bench policy`; words after `--` pick the workloads
-//! whose names contain one of them, `quick` leaves out the upper bound, and `bare`
-//! leaves out the adapters, which the bound doesn't know.
+//! Run with `cargo bench -p place --bench policy`. Words after `--` select the
+//! workloads whose names contain one of them. `quick` leaves out the upper bound,
+//! and `bare` leaves out adapters, which the upper bound does not model.
 #![allow(missing_docs, missing_debug_implementations, dead_code)]
 
 mod queue;
 
-use queue::{Deployment, Lru, Outcome, Planned, Policy, Setup, Static, Workload};
+use queue::{Deployment, Lru, Outcome, PlannerPolicy, Policy, Setup, Static, Workload};
 
 const SEED: u64 = 7;
 
@@ -67,11 +67,11 @@
         ("lru+copies", Box::new(Lru { replicas: true })),
         (
             "planner H",
-            Box::new(Planned::new(setup, workload, harbourline)),
+            Box::new(PlannerPolicy::new(setup, workload, harbourline)),
         ),
         (
             "planner N",
-            Box::new(Planned::new(setup, workload, naskhah)),
+            Box::new(PlannerPolicy::new(setup, workload, naskhah)),
         ),
     ];
     for (name, mut policy) in policies {
--- a/crates/place/benches/queue/cell.rs
+++ b/crates/place/benches/queue/cell.rs
@@ -1,4 +1,4 @@
-//! The cell: queues, accelerators and the weight store.
+//! Simulated cell: request queues, accelerators and the weight store.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,39 +6,40 @@
 use super::setup::Setup;
 use super::traffic::{Request, Workload};
 
-/// Length of one step.
+/// Length of one simulation step.
 pub const STEP_MS: u64 = 50;
 
-/// Time an unload takes once nothing runs any more.
+/// Duration of an unload once no request of the model runs.
 const UNLOAD_MS: u64 = 200;
 
-/// Time constant of the smoothed arrivals.
-const SMOOTH_MS: f64 = 5_000.0;
+/// Time constant of the smoothed arrival rates.
+const RATE_SMOOTHING_MS: f64 = 5_000.0;
 
-/// A model whose work was given up on waits on if more comes within this time.
-const ASKED_AGAIN_MS: u64 = 30_000;
+/// A model whose requests expired still counts as waiting if further ones arrive
+/// within this time.
+const DEMAND_GAP_MAX_MS: u64 = 30_000;
 
-/// When the loss happens, and how long it takes to be seen.
-const LOSS_MS: u64 = 100_000;
-const BACK_MS: u64 = 200_000;
-const SEEN_AFTER_MS: u64 = 2_000;
+/// When servers fail and come back, and how long a failure takes to be detected.
+const FAILURE_MS: u64 = 100_000;
+const RECOVERY_MS: u64 = 200_000;
+const DETECTION_MS: u64 = 2_000;
 
-/// The cell at one moment.
+/// State of the simulated cell.
 #[derive(Debug)]
 pub struct Cell {
     pub setup: Setup,
     pub workload: Workload,
     pub servers: Vec<Server>,
-    /// Interactive requests before batch ones, for each model.
+    /// Queues of interactive and of batch requests, in this order, for each model.
     queues: Vec<[VecDeque<Request>; 2]>,
     pub rate_per_s: Vec<f64>,
     next_request: usize,
-    store_starts: f64,
+    store_tokens: f64,
     /// When a request of each model last started.
-    pub used_ms: Vec<u64>,
-    /// When work last waited for each model.
-    asked_ms: Vec<u64>,
-    /// First work without a start since, for each model.
+    pub last_started_ms: Vec<u64>,
+    /// When requests last waited for each model.
+    last_waiting_ms: Vec<u64>,
+    /// Arrival of the first request since the last start, for each model.
     unserved_since_ms: Vec<Option<u64>>,
     outcome: Outcome,
 }
@@ -52,15 +53,15 @@
             queues: vec![Default::default(); setup.models()],
             rate_per_s: vec![0.0; setup.models()],
             next_request: 0,
-            store_starts: 1.0,
-            asked_ms: vec![0; setup.models()],
-            used_ms: vec![0; setup.models()],
+            store_tokens: 1.0,
+            last_waiting_ms: vec![0; setup.models()],
+            last_started_ms: vec![0; setup.models()],
             unserved_since_ms: vec![None; setup.models()],
             outcome: Outcome::default(),
         }
     }
 
-    /// Fills the accelerators before the run.
+    /// Loads models at the start of a run without using the weight store.
     pub fn preload(&mut self, targets: &[Vec<usize>]) {
         for (server, models) in self.servers.iter_mut().zip(targets) {
             server.target = models.clone();
@@ -70,13 +71,13 @@
                     model: *model,
                     stage: Stage::Loaded,
                     since_ms: 0,
-                    left_ms: 0.0,
+                    remaining_ms: 0.0,
                 })
                 .collect();
         }
     }
 
-    pub fn follow(&mut self, targets: Vec<Vec<usize>>) {
+    pub fn set_targets(&mut self, targets: Vec<Vec<usize>>) {
         for (server, target) in self.servers.iter_mut().zip(targets) {
             server.target = target;
         }
@@ -107,10 +108,11 @@
         self.servers[server].running.len()
     }
 
-    /// Whether the cell's directory still lists the server.
-    pub fn listed(&self, server: usize, now_ms: u64) -> bool {
-        let lost = self.servers[server].lost_at_ms;
-        lost.is_none_or(|lost| now_ms < lost + SEEN_AFTER_MS)
+    /// Whether the cell's directory still lists the server, which lags behind
+    /// failures.
+    pub fn is_listed(&self, server: usize, now_ms: u64) -> bool {
+        let lost = self.servers[server].failed_at_ms;
+        lost.is_none_or(|lost| now_ms < lost + DETECTION_MS)
     }
 
     pub fn outcome(self) -> Outcome {
@@ -121,31 +123,33 @@
         if now_ms.is_multiple_of(1_000) {
             self.outcome.seconds.push((0, 0));
         }
-        self.lose(now_ms);
+        self.fail_servers(now_ms);
         self.arrive(now_ms, traffic);
         self.complete(now_ms);
-        self.move_models(now_ms);
-        self.store(now_ms);
-        self.give_up(now_ms);
+        self.reconcile(now_ms);
+        self.run_weight_store(now_ms);
+        self.expire_requests(now_ms);
         self.dispatch(now_ms);
-        self.measure(now_ms);
-        let alive = self.servers.iter().filter(|s| s.lost_at_ms.is_none());
-        self.outcome.accelerator_s += alive.count() as f64 * STEP_MS as f64 / 1_000.0;
+        self.record_waits(now_ms);
+        let servers_up = self.servers.iter().filter(|s| s.failed_at_ms.is_none());
+        self.outcome.accelerator_s +=
+            servers_up.count() as f64 * STEP_MS as f64 / 1_000.0;
     }
 
-    /// Takes the longest wait.
+    /// Updates the longest wait of any model.
     ///
-    /// It ends with a start, when one is possible, or when nobody has asked for
-    /// a while; not when a request is given up on.
-    fn measure(&mut self, now_ms: u64) {
+    /// A model's wait ends when one of its requests starts, when it is served
+    /// again, or when no request has waited for a while. It does not end when a
+    /// request expires.
+    fn record_waits(&mut self, now_ms: u64) {
         for model in 0..self.setup.models() {
             let Some(since) = self.unserved_since_ms[model] else {
                 continue;
             };
             if self.waiting(model) > 0 {
-                self.asked_ms[model] = now_ms;
-            } else if self.holds(model)
-                || now_ms >= self.asked_ms[model] + ASKED_AGAIN_MS
+                self.last_waiting_ms[model] = now_ms;
+            } else if self.is_served(model)
+                || now_ms >= self.last_waiting_ms[model] + DEMAND_GAP_MAX_MS
             {
                 self.unserved_since_ms[model] = None;
                 continue;
@@ -156,7 +160,7 @@
         }
     }
 
-    fn holds(&self, model: usize) -> bool {
+    fn is_served(&self, model: usize) -> bool {
         let base = self.setup.base(model);
         let loaded = |server: &Server, model: usize| {
             let mut residents = server.residents.iter();
@@ -166,8 +170,9 @@
         servers.any(|server| loaded(server, base) && loaded(server, model))
     }
 
-    /// Loads the store could start at once, none of them in the queue yet.
-    pub fn open_starts(&self) -> usize {
+    /// Number of further loads that the store could start at once, beyond those
+    /// already wanted or in progress.
+    pub fn available_load_starts(&self) -> usize {
         let residents = self.servers.iter().flat_map(|server| &server.residents);
         let coming = residents
             .filter(|r| matches!(r.stage, Stage::Queued | Stage::Loading))
@@ -180,36 +185,36 @@
             missing.count()
         });
         let coming = coming + wanted.sum::<usize>();
-        let at_once = self.setup.full_speed.saturating_sub(coming);
-        at_once.min(self.store_starts as usize)
+        let at_once = self.setup.full_speed_loads.saturating_sub(coming);
+        at_once.min(self.store_tokens as usize)
     }
 
-    fn lose(&mut self, now_ms: u64) {
-        let goes: Vec<usize> = match self.workload {
+    fn fail_servers(&mut self, now_ms: u64) {
+        let failed_servers: Vec<usize> = match self.workload {
             Workload::LoseServer => vec![0],
             Workload::LoseDomain => (0..self.setup.servers)
                 .filter(|server| self.setup.domain(*server) == 0)
                 .collect(),
             _ => return,
         };
-        for server in goes {
-            if now_ms == LOSS_MS {
+        for server in failed_servers {
+            if now_ms == FAILURE_MS {
                 let lost = std::mem::take(&mut self.servers[server]);
-                self.servers[server].lost_at_ms = Some(now_ms);
+                self.servers[server].failed_at_ms = Some(now_ms);
                 for running in lost.running {
                     let request = running.request;
                     let class = usize::from(request.batch);
                     self.queues[request.model][class].push_front(request);
                 }
             }
-            if now_ms == BACK_MS {
+            if now_ms == RECOVERY_MS {
                 self.servers[server] = Server::default();
             }
         }
     }
 
     fn arrive(&mut self, now_ms: u64, traffic: &[Request]) {
-        let decay = (-(STEP_MS as f64) / SMOOTH_MS).exp();
+        let decay = (-(STEP_MS as f64) / RATE_SMOOTHING_MS).exp();
         for rate in &mut self.rate_per_s {
             *rate *= decay;
         }
@@ -246,10 +251,10 @@
         }
     }
 
-    /// What an agent does to get to its target.
-    fn move_models(&mut self, now_ms: u64) {
+    /// Moves the agents towards their targets: unloads models, and queues loads.
+    fn reconcile(&mut self, now_ms: u64) {
         let setup = &self.setup;
-        for server in self.servers.iter_mut().filter(|s| s.lost_at_ms.is_none()) {
+        for server in self.servers.iter_mut().filter(|s| s.failed_at_ms.is_none()) {
             let Server {
                 residents,
                 running,
@@ -264,7 +269,7 @@
                         || setup.base(r.request.model) == resident.model
                 });
                 match resident.stage {
-                    Stage::Queued if !wanted => resident.left_ms = -1.0,
+                    Stage::Queued if !wanted => resident.remaining_ms = -1.0,
                     Stage::Loaded if !wanted => {
                         resident.stage = Stage::Draining;
                         resident.since_ms = now_ms;
@@ -272,17 +277,17 @@
                     Stage::Draining if wanted => resident.stage = Stage::Loaded,
                     Stage::Draining if !runs => {
                         resident.stage = Stage::Unloading;
-                        resident.left_ms = UNLOAD_MS as f64;
+                        resident.remaining_ms = UNLOAD_MS as f64;
                         resident.since_ms = now_ms;
                         moves += 1;
                     }
-                    Stage::Unloading => resident.left_ms -= STEP_MS as f64,
+                    Stage::Unloading => resident.remaining_ms -= STEP_MS as f64,
                     _ => {}
                 }
             }
             residents.retain(|resident| match resident.stage {
-                Stage::Queued => resident.left_ms >= 0.0,
-                Stage::Unloading => resident.left_ms > 0.0,
+                Stage::Queued => resident.remaining_ms >= 0.0,
+                Stage::Unloading => resident.remaining_ms > 0.0,
                 _ => true,
             });
             for model in target.iter() {
@@ -300,7 +305,7 @@
                         model: *model,
                         stage: Stage::Queued,
                         since_ms: now_ms,
-                        left_ms: 0.0,
+                        remaining_ms: 0.0,
                     });
                 }
             }
@@ -311,11 +316,11 @@
         }
     }
 
-    fn store(&mut self, now_ms: u64) {
+    fn run_weight_store(&mut self, now_ms: u64) {
         let step_s = STEP_MS as f64 / 1_000.0;
-        let most = self.setup.loads_per_s.max(1.0);
-        self.store_starts =
-            (self.store_starts + step_s * self.setup.loads_per_s).min(most);
+        let tokens_max = self.setup.loads_per_s.max(1.0);
+        self.store_tokens =
+            (self.store_tokens + step_s * self.setup.loads_per_s).min(tokens_max);
         let mut queued: BTreeMap<(u64, usize, usize), ()> = BTreeMap::new();
         let mut loading = 0;
         for (index, server) in self.servers.iter().enumerate() {
@@ -330,26 +335,27 @@
             }
         }
         for (_, server, place) in queued.into_keys() {
-            if self.store_starts < 1.0 {
+            if self.store_tokens < 1.0 {
                 break;
             }
-            self.store_starts -= 1.0;
+            self.store_tokens -= 1.0;
             loading += 1;
             let resident = &mut self.servers[server].residents[place];
             resident.stage = Stage::Loading;
             resident.since_ms = now_ms;
-            resident.left_ms = self.setup.load_ms as f64;
+            resident.remaining_ms = self.setup.load_ms as f64;
             self.outcome.moves += 1;
             if let Some(second) = self.outcome.seconds.last_mut() {
                 second.1 += 1;
             }
         }
-        let speed = (self.setup.full_speed as f64 / loading.max(1) as f64).min(1.0);
+        let speed =
+            (self.setup.full_speed_loads as f64 / loading.max(1) as f64).min(1.0);
         for server in &mut self.servers {
             for resident in &mut server.residents {
                 if resident.stage == Stage::Loading {
-                    resident.left_ms -= STEP_MS as f64 * speed;
-                    if resident.left_ms <= 0.0 {
+                    resident.remaining_ms -= STEP_MS as f64 * speed;
+                    if resident.remaining_ms <= 0.0 {
                         resident.stage = Stage::Loaded;
                         resident.since_ms = now_ms;
                     }
@@ -358,7 +364,7 @@
         }
     }
 
-    fn give_up(&mut self, now_ms: u64) {
+    fn expire_requests(&mut self, now_ms: u64) {
         for queue in self.queues.iter_mut().flatten() {
             queue.retain(|request| now_ms + request.service_ms <= request.deadline_ms);
         }
@@ -371,15 +377,15 @@
             for nth in 0..models {
                 let model = (first + nth) % models;
                 while !self.queues[model][class].is_empty() {
-                    let Some(server) = self.place_for(model) else {
+                    let Some(server) = self.least_loaded_holder(model) else {
                         break;
                     };
                     let Some(request) = self.queues[model][class].pop_front() else {
                         break;
                     };
-                    self.used_ms[model] = now_ms;
+                    self.last_started_ms[model] = now_ms;
                     let base = self.setup.base(model);
-                    self.used_ms[base] = now_ms;
+                    self.last_started_ms[base] = now_ms;
                     self.unserved_since_ms[model] = None;
                     self.servers[server].running.push(Running {
                         end_ms: now_ms + request.service_ms,
@@ -390,16 +396,16 @@
         }
     }
 
-    /// The holder with the most free places.
-    fn place_for(&self, model: usize) -> Option<usize> {
+    /// Returns the holder of the model with the most free batch slots.
+    fn least_loaded_holder(&self, model: usize) -> Option<usize> {
         let base = self.setup.base(model);
         let holds = |server: &Server, model: usize| {
             let mut residents = server.residents.iter();
             residents.any(|r| r.model == model && r.stage == Stage::Loaded)
         };
         let open = self.servers.iter().enumerate().filter(|(_, server)| {
-            server.lost_at_ms.is_none()
-                && server.running.len() < self.setup.places
+            server.failed_at_ms.is_none()
+                && server.running.len() < self.setup.slots
                 && holds(server, base)
                 && holds(server, model)
         });
--- a/crates/place/benches/queue/mod.rs
+++ b/crates/place/benches/queue/mod.rs
@@ -1,12 +1,12 @@
-//! A small seeded, time-stepped queue model of one cell, for comparing
-//! placement policies on the same demand.
+//! Seeded, time-stepped queueing model of one cell, for comparing placement
+//! policies on the same demand.
 //!
-//! Each server has one accelerator that runs `places` requests at once; a
-//! request occupies its place for its tokens times the step time. A load waits
-//! for the store's rate, then takes the load time, stretched when more loads run
-//! than the store serves at full speed. A model that is taken off finishes its
-//! running requests first. A request that can no longer end by its deadline is
-//! given up on.
+//! Each server has one accelerator with `slots` batch slots. A request occupies a
+//! slot for its number of tokens times the step time. A load waits for the weight
+//! store's rate limit and then takes the load time, or longer when more loads run
+//! than the store serves at full speed. A model is unloaded after its running
+//! requests have finished. A request that can no longer meet its deadline is
+//! dropped.
 
 pub mod bound;
 pub mod cell;
@@ -16,7 +16,7 @@
 pub mod traffic;
 
 pub use cell::{Cell, Outcome};
-pub use policies::{Lru, Planned, Policy, Static};
+pub use policies::{Lru, PlannerPolicy, Policy, Static};
 pub use setup::{Deployment, Setup};
 pub use traffic::Workload;
 
@@ -29,7 +29,7 @@
     for now_ms in (0..setup.duration_ms).step_by(cell::STEP_MS as usize) {
         cell.step(now_ms, &traffic);
         if let Some(targets) = policy.targets(&cell, now_ms) {
-            cell.follow(targets);
+            cell.set_targets(targets);
         }
     }
     cell.outcome()
--- a/crates/place/benches/queue/policies.rs
+++ b/crates/place/benches/queue/policies.rs
@@ -1,4 +1,4 @@
-//! The policies that are compared.
+//! Placement policies to compare.
 
 use base::prelude::*;
 use conf::Config;
@@ -10,19 +10,23 @@
 use super::setup::Setup;
 use super::traffic::{Workload, popularity};
 
-/// Decides what the accelerators hold.
+/// Decides which models the accelerators hold.
 pub trait Policy {
-    /// New targets by server, if they are to change now.
+    /// Returns new targets by server, or `None` to keep the current ones.
     fn targets(&mut self, cell: &Cell, now_ms: u64) -> Option<Vec<Vec<usize>>>;
 }
 
-/// The most popular models, each once, with as many adapters as fit.
+/// Places the most popular models, one replica each, with as many adapters as fit.
 pub fn static_targets(setup: &Setup) -> Vec<Vec<usize>> {
     let popular = popularity(setup);
     let mut order: Vec<usize> = (0..setup.bases).collect();
     order.sort_by(|a, b| popular[*b].total_cmp(&popular[*a]).then(a.cmp(b)));
     let mut targets = vec![Vec::new(); setup.servers];
-    for (nth, base) in order.iter().enumerate().take(setup.servers * setup.slots()) {
+    for (nth, base) in order
+        .iter()
+        .enumerate()
+        .take(setup.servers * setup.bases_per_accelerator())
+    {
         targets[nth % setup.servers].push(*base);
     }
     for models in &mut targets {
@@ -38,7 +42,7 @@
     targets
 }
 
-/// Never moves anything.
+/// Keeps the initial placement.
 #[derive(Debug, Default)]
 pub struct Static;
 
@@ -48,50 +52,53 @@
     }
 }
 
-/// Loads what is asked for in place of the least recently used.
+/// Loads requested models in place of the least recently used ones.
 #[derive(Debug, Default)]
 pub struct Lru {
-    /// Loads a further copy when more than one batch waits.
+    /// Whether to load a further replica when more than one batch of requests
+    /// waits.
     pub replicas: bool,
 }
 
 impl Policy for Lru {
     fn targets(&mut self, cell: &Cell, now_ms: u64) -> Option<Vec<Vec<usize>>> {
         let setup = &cell.setup;
-        // A load that the store could not start would only empty a place.
-        let mut starts = cell.open_starts();
+        // Displacing a model for a load that the store can't start yet would only
+        // leave the accelerator empty.
+        let mut available_starts = cell.available_load_starts();
         let mut targets: Vec<Vec<usize>> = (0..setup.servers)
             .map(|server| cell.target(server).to_vec())
             .collect();
-        let mut asked: Vec<usize> = (0..setup.models())
+        let mut requested_models: Vec<usize> = (0..setup.models())
             .filter(|model| cell.waiting(*model) > 0)
             .collect();
-        asked.sort_by_key(|model| {
+        requested_models.sort_by_key(|model| {
             std::cmp::Reverse(cell.oldest_wait_ms(*model, now_ms))
         });
-        for model in asked {
-            if starts == 0 {
+        for model in requested_models {
+            if available_starts == 0 {
                 break;
             }
             let waiting = cell.waiting(model);
             let base = setup.base(model);
             let holders: Vec<usize> = (0..setup.servers)
                 .filter(|server| targets[*server].contains(&base))
-                .filter(|server| cell.listed(*server, now_ms))
+                .filter(|server| cell.is_listed(*server, now_ms))
                 .collect();
             let ready = holders.iter().all(|server| {
                 let mut residents = cell.servers[*server].residents.iter();
                 residents.any(|r| r.model == base && r.stage == Stage::Loaded)
             });
-            let more = self.replicas && ready && waiting > setup.places;
+            let more = self.replicas && ready && waiting > setup.slots;
             if holders.is_empty() || more {
-                starts -= usize::from(load_base(base, cell, now_ms, &mut targets));
+                available_starts -=
+                    usize::from(load_base(base, cell, now_ms, &mut targets));
             } else if model != base
                 && !holders
                     .iter()
                     .any(|server| targets[*server].contains(&model))
             {
-                starts -=
+                available_starts -=
                     usize::from(load_adapter(model, cell, &mut targets[holders[0]]));
             }
         }
@@ -108,23 +115,25 @@
     let setup = &cell.setup;
     let mut best: Option<(u64, usize, Option<usize>)> = None;
     for (server, target) in targets.iter().enumerate() {
-        if !cell.listed(server, now_ms) || target.contains(&base) {
+        if !cell.is_listed(server, now_ms) || target.contains(&base) {
             continue;
         }
-        let settled = target.iter().all(|model| {
+        let all_loaded = target.iter().all(|model| {
             let mut residents = cell.servers[server].residents.iter();
             *model >= setup.bases
                 || residents.any(|r| r.model == *model && r.stage == Stage::Loaded)
         });
-        if !settled {
+        if !all_loaded {
             continue;
         }
         let bases = target.iter().filter(|model| **model < setup.bases);
-        let candidate = if bases.clone().count() < setup.slots() {
+        let candidate = if bases.clone().count() < setup.bases_per_accelerator() {
             (0, server, None)
         } else {
-            let oldest = bases.min_by_key(|model| cell.used_ms[**model]).copied();
-            let used = oldest.map_or(0, |oldest| cell.used_ms[oldest] + 1);
+            let oldest = bases
+                .min_by_key(|model| cell.last_started_ms[**model])
+                .copied();
+            let used = oldest.map_or(0, |oldest| cell.last_started_ms[oldest] + 1);
             (used, server, oldest)
         };
         if best.is_none_or(|held| (candidate.0, candidate.1) < (held.0, held.1)) {
@@ -137,7 +146,7 @@
     if let Some(victim) = victim {
         targets[server].retain(|model| setup.base(*model) != victim);
     }
-    // Adapters of the other base make room when the new one needs it.
+    // Remove adapters of the other base model if the new one needs their memory.
     let size = |models: &[usize]| -> u32 {
         models.iter().map(|model| setup.size_mib[*model]).sum()
     };
@@ -161,7 +170,9 @@
     };
     while size(target) + setup.size_mib[adapter] > setup.capacity_mib {
         let adapters = target.iter().filter(|model| **model >= setup.bases);
-        let oldest = adapters.min_by_key(|model| cell.used_ms[**model]).copied();
+        let oldest = adapters
+            .min_by_key(|model| cell.last_started_ms[**model])
+            .copied();
         let Some(oldest) = oldest else {
             return false;
         };
@@ -171,25 +182,25 @@
     true
 }
 
-/// The planner of this crate, called twice a second on late reports.
-pub struct Planned {
+/// The planner of this crate, called twice a second with outdated reports.
+pub struct PlannerPolicy {
     config: Config,
     planner: Planner,
     reports: VecDeque<(Vec<AgentView>, Vec<ModelDemand>)>,
-    /// Reports that a report is behind.
-    behind: usize,
+    /// Number of planning intervals by which reports are late.
+    report_lag: usize,
 }
 
-/// Interval of plans and reports.
+/// Interval between plans, and between reports.
 const PLAN_MS: u64 = 500;
 
-impl Planned {
+impl PlannerPolicy {
     pub fn new(setup: &Setup, workload: Workload, weights: Weights) -> Self {
         Self {
             config: setup.config(weights),
             planner: Planner::new(),
             reports: VecDeque::new(),
-            behind: if workload == Workload::LateReports {
+            report_lag: if workload == Workload::LateReports {
                 6
             } else {
                 1
@@ -198,14 +209,14 @@
     }
 }
 
-impl Policy for Planned {
+impl Policy for PlannerPolicy {
     fn targets(&mut self, cell: &Cell, now_ms: u64) -> Option<Vec<Vec<usize>>> {
         if !now_ms.is_multiple_of(PLAN_MS) {
             return None;
         }
         self.reports
             .push_back((agents(cell, now_ms), demands(cell, now_ms)));
-        if self.reports.len() > self.behind + 1 {
+        if self.reports.len() > self.report_lag + 1 {
             self.reports.pop_front();
         }
         let (agents, demands) = self.reports.front()?;
@@ -242,7 +253,7 @@
 
 fn agents(cell: &Cell, now_ms: u64) -> Vec<AgentView> {
     let setup = &cell.setup;
-    let listed = (0..setup.servers).filter(|server| cell.listed(*server, now_ms));
+    let listed = (0..setup.servers).filter(|server| cell.is_listed(*server, now_ms));
     listed
         .map(|server| AgentView {
             id: AgentId::new(&format!("s{server:02}")),
--- a/crates/place/benches/queue/server.rs
+++ b/crates/place/benches/queue/server.rs
@@ -1,15 +1,15 @@
-//! One server, and what a run gives.
+//! State of one server, and the result of a run.
 
 use super::traffic::Request;
 
-/// Where a resident is in its life.
+/// Loading state of a resident model.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
-    /// Waits for the store.
+    /// Waits for the weight store.
     Queued,
     Loading,
     Loaded,
-    /// Finishes what runs before it is unloaded.
+    /// Finishes its running requests before it is unloaded.
     Draining,
     Unloading,
 }
@@ -19,7 +19,7 @@
     pub model: usize,
     pub stage: Stage,
     pub since_ms: u64,
-    pub left_ms: f64,
+    pub remaining_ms: f64,
 }
 
 #[derive(Debug, Clone)]
@@ -28,16 +28,16 @@
     pub end_ms: u64,
 }
 
-/// One accelerator.
+/// A server with one accelerator.
 #[derive(Debug, Clone, Default)]
 pub struct Server {
     pub residents: Vec<Resident>,
     pub running: Vec<Running>,
     pub target: Vec<usize>,
-    pub lost_at_ms: Option<u64>,
+    pub failed_at_ms: Option<u64>,
 }
 
-/// What one run gave.
+/// Result of one run.
 #[derive(Debug, Clone, Default)]
 pub struct Outcome {
     pub offered: u64,
@@ -45,10 +45,10 @@
     pub offered_interactive: u64,
     pub attained_interactive: u64,
     pub moves: u64,
-    /// Longest time a model with work went without any of it being started.
+    /// Longest time during which a model had requests and none of them started.
     pub longest_wait_ms: u64,
     pub accelerator_s: f64,
-    /// Attained and moves in each second.
+    /// Attained requests and moves in each second.
     pub seconds: Vec<(u64, u64)>,
 }
 
--- a/crates/place/benches/queue/setup.rs
+++ b/crates/place/benches/queue/setup.rs
@@ -1,35 +1,35 @@
-//! Sizes of the two deployments.
+//! Parameters of the two deployments.
 
 use base::Revision;
 use conf::Config;
 use schema::settings::{Adapter, Fleet, Model, Pool, Profile, Store, Weights};
 
-/// Whose sizes are used.
+/// Deployment whose parameters are used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Deployment {
-    /// Three failure domains, 100 adapters, 6 loads at full speed.
+    /// Three failure domains, 100 adapters, 6 concurrent loads at full speed.
     Harbourline,
-    /// Four failure domains, 95 adapters, 23 loads at full speed.
+    /// Four failure domains, 95 adapters, 23 concurrent loads at full speed.
     Naskhah,
 }
 
-/// One cell to be modelled.
+/// Parameters of the simulated cell.
 #[derive(Debug, Clone)]
 pub struct Setup {
     pub deployment: Deployment,
     pub servers: usize,
     pub domains: usize,
     pub bases: usize,
-    /// Base of each adapter; adapter `i` is model `bases + i`.
+    /// Base model of each adapter; adapter `i` is model `bases + i`.
     pub adapter_base: Vec<usize>,
-    /// Size of each model, bases before adapters.
+    /// Size of each model: base models first, then adapters.
     pub size_mib: Vec<u32>,
     pub capacity_mib: u32,
-    pub places: usize,
+    pub slots: usize,
     pub step_us: u64,
     pub load_ms: u64,
     pub loads_per_s: f64,
-    pub full_speed: usize,
+    pub full_speed_loads: usize,
     pub interactive_ms: u64,
     pub batch_ms: u64,
     pub duration_ms: u64,
@@ -39,7 +39,7 @@
 const GIB: u32 = 1_024;
 
 impl Setup {
-    /// A deployment whose accelerators hold one base model or two.
+    /// Creates a deployment whose accelerators hold one or two base models each.
     pub fn new(deployment: Deployment, models_per_accelerator: u32, seed: u64) -> Self {
         let harbourline = deployment == Deployment::Harbourline;
         let adapters = if harbourline { 100 } else { 95 };
@@ -56,11 +56,11 @@
             adapter_base: (0..adapters).map(|adapter| adapter % bases).collect(),
             size_mib,
             capacity_mib: 80 * GIB * models_per_accelerator,
-            places: 16,
+            slots: 16,
             step_us: if harbourline { 10_000 } else { 9_500 },
             load_ms: 2_000,
             loads_per_s: 2.0,
-            full_speed: if harbourline { 6 } else { 23 },
+            full_speed_loads: if harbourline { 6 } else { 23 },
             interactive_ms: if harbourline { 8_000 } else { 15_000 },
             batch_ms: 60_000,
             duration_ms: 600_000,
@@ -68,18 +68,18 @@
         }
     }
 
-    /// Leaves base models only.
+    /// Removes all adapters.
     pub fn without_adapters(&mut self) {
         self.adapter_base.clear();
         self.size_mib.truncate(self.bases);
     }
 
-    /// Base models and adapters.
+    /// Number of base models and adapters.
     pub fn models(&self) -> usize {
         self.size_mib.len()
     }
 
-    /// Base of a model; a base model's is itself.
+    /// Base model of a model; a base model is its own.
     pub fn base(&self, model: usize) -> usize {
         if model < self.bases {
             model
@@ -88,12 +88,12 @@
         }
     }
 
-    /// Base models one accelerator holds.
-    pub fn slots(&self) -> usize {
+    /// Number of base models that fit one accelerator.
+    pub fn bases_per_accelerator(&self) -> usize {
         (self.capacity_mib / (80 * GIB)) as usize
     }
 
-    /// Name of a model; the order of names is that of the indices.
+    /// Name of a model; names sort like indices.
     pub fn name(&self, model: usize) -> String {
         if model < self.bases {
             format!("base-{model:03}")
@@ -107,7 +107,7 @@
         server % self.domains
     }
 
-    /// Weights of a deployment's operators.
+    /// Weights configured by the deployment's operators.
     pub fn weights(deployment: Deployment) -> Weights {
         match deployment {
             Deployment::Harbourline => Weights {
@@ -125,13 +125,13 @@
         }
     }
 
-    /// The configuration the planner reads.
+    /// Configuration for the planner.
     pub fn config(&self, weights: Weights) -> Config {
         let mut fleet = Fleet {
             weights: Some(weights),
             store: Some(Store {
                 loads_per_s: self.loads_per_s,
-                full_speed_loads: self.full_speed as u32,
+                full_speed_loads: self.full_speed_loads as u32,
                 load_time_ms: self.load_ms as u32,
             }),
             ..Fleet::default()
@@ -143,7 +143,7 @@
                 instances: self.servers as u32,
                 accelerators_mib: vec![self.capacity_mib],
                 step_time_us: self.step_us as u32,
-                concurrent_max: self.places as u32,
+                concurrent_max: self.slots as u32,
                 ..Pool::default()
             },
         );
--- a/crates/place/benches/queue/traffic.rs
+++ b/crates/place/benches/queue/traffic.rs
@@ -1,4 +1,4 @@
-//! Demand over time.
+//! Simulated demand.
 
 use rand_core::Rng;
 use rand_pcg::Pcg64Mcg;
@@ -6,13 +6,13 @@
 use super::cell::STEP_MS;
 use super::setup::Setup;
 
-/// What the demand or the cell does.
+/// Pattern of the demand, or failure of servers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Workload {
     Calm,
     Bursts,
     Tenfold,
-    AllALittle,
+    UniformLow,
     Overnight,
     LoseServer,
     LoseDomain,
@@ -24,7 +24,7 @@
         Self::Calm,
         Self::Bursts,
         Self::Tenfold,
-        Self::AllALittle,
+        Self::UniformLow,
         Self::Overnight,
         Self::LoseServer,
         Self::LoseDomain,
@@ -36,7 +36,7 @@
             Self::Calm => "calm",
             Self::Bursts => "bursts",
             Self::Tenfold => "tenfold",
-            Self::AllALittle => "all a little",
+            Self::UniformLow => "all a little",
             Self::Overnight => "overnight",
             Self::LoseServer => "lose server",
             Self::LoseDomain => "lose domain",
@@ -55,32 +55,32 @@
     pub batch: bool,
 }
 
-/// Draws numbers for the model.
-pub struct Dice(Pcg64Mcg);
+/// Seeded random number generator.
+pub struct Random(Pcg64Mcg);
 
-impl Dice {
+impl Random {
     pub fn new(seed: u64) -> Self {
         Self(Pcg64Mcg::new(u128::from(seed) << 1 | 1))
     }
 
-    /// Between 0 and 1.
-    pub fn unit(&mut self) -> f64 {
+    /// Draws uniformly from 0 to 1.
+    pub fn uniform(&mut self) -> f64 {
         (self.0.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
     fn poisson(&mut self, mean: f64) -> usize {
         let floor = (-mean).exp();
-        let mut product = self.unit();
+        let mut product = self.uniform();
         let mut count = 0;
         while product > floor {
-            product *= self.unit();
+            product *= self.uniform();
             count += 1;
         }
         count
     }
 }
 
-/// Popularity of each base model at the start; adds up to 1.
+/// Fraction of the requests for each base model at the start.
 pub fn popularity(setup: &Setup) -> Vec<f64> {
     let weights: Vec<f64> = (0..setup.bases)
         .map(|base| 1.0 / ((base * 11 % setup.bases) as f64 + 2.0))
@@ -89,10 +89,10 @@
     weights.iter().map(|weight| weight / total).collect()
 }
 
-/// Length of one burst.
+/// Duration of one burst.
 const BURST_MS: u64 = 40_000;
 
-/// Interactive arrivals per second of a base model at a time.
+/// Interactive requests per second for a base model at a given time.
 fn rate(setup: &Setup, workload: Workload, base: usize, now_ms: u64) -> f64 {
     let popular = popularity(setup)[base];
     let bases = setup.bases;
@@ -107,14 +107,14 @@
             let hot = (base + moved) % bases < 8;
             if hot { 10.0 } else { 1.0 }
         }
-        Workload::AllALittle => 1.5,
+        Workload::UniformLow => 1.5,
         Workload::Overnight => 50.0 * popular,
         Workload::LoseServer | Workload::LoseDomain => 80.0 * popular,
         Workload::Calm | Workload::LateReports => 90.0 * popular,
     }
 }
 
-/// Batch arrivals per second of a base model.
+/// Batch requests per second for a base model.
 fn batch_rate(workload: Workload, base: usize) -> f64 {
     if workload == Workload::Overnight && base.is_multiple_of(4) {
         5.0
@@ -123,20 +123,20 @@
     }
 }
 
-/// All requests in order of arrival.
+/// Returns all requests in order of arrival.
 pub fn generate(setup: &Setup, workload: Workload) -> Vec<Request> {
-    let mut dice = Dice::new(setup.seed);
+    let mut random = Random::new(setup.seed);
     let mut requests = Vec::new();
     for now_ms in (0..setup.duration_ms).step_by(STEP_MS as usize) {
         for base in 0..setup.bases {
             let per_step = STEP_MS as f64 / 1_000.0;
-            let count = dice.poisson(rate(setup, workload, base, now_ms) * per_step);
+            let count = random.poisson(rate(setup, workload, base, now_ms) * per_step);
             for _ in 0..count {
-                requests.push(request(setup, base, now_ms, false, &mut dice));
+                requests.push(request(setup, base, now_ms, false, &mut random));
             }
-            let count = dice.poisson(batch_rate(workload, base) * per_step);
+            let count = random.poisson(batch_rate(workload, base) * per_step);
             for _ in 0..count {
-                requests.push(request(setup, base, now_ms, true, &mut dice));
+                requests.push(request(setup, base, now_ms, true, &mut random));
             }
         }
     }
@@ -148,20 +148,20 @@
     base: usize,
     now_ms: u64,
     batch: bool,
-    dice: &mut Dice,
+    random: &mut Random,
 ) -> Request {
-    let tokens = 50 + (dice.unit() * 100.0) as u64;
+    let tokens = 50 + (random.uniform() * 100.0) as u64;
     let adapters: Vec<usize> = (0..setup.adapter_base.len())
         .filter(|adapter| setup.adapter_base[*adapter] == base)
         .collect();
-    let pick = dice.unit();
-    // Three tenths of the requests name an adapter.
+    let pick = random.uniform();
+    // 30 percent of the requests name an adapter if the base model has any.
     let model = if pick < 0.3 && !adapters.is_empty() {
         setup.bases + adapters[(pick / 0.3 * adapters.len() as f64) as usize]
     } else {
         base
     };
-    let patience_ms = if batch {
+    let max_wait_ms = if batch {
         setup.batch_ms
     } else {
         setup.interactive_ms
@@ -169,7 +169,7 @@
     Request {
         model,
         arrival_ms: now_ms,
-        deadline_ms: now_ms + patience_ms,
+        deadline_ms: now_ms + max_wait_ms,
         service_ms: tokens * setup.step_us / 1_000,
         batch,
     }
--- a/crates/place/examples/report.rs
+++ b/crates/place/examples/report.rs
@@ -1,23 +1,24 @@
-//! Draws attainment and moves over time of the planner and of its rivals.
+//! Plots attained requests and moves over time for the planner and other policies.
 //!
-//! `cargo run --release -p place --example report -- [file.svg] [workload]`
-//! runs one workload on Harbourline's sizes, prints the figures and writes an
-//! SVG with the attained requests per second above and the moves below.
+//! `cargo run --release -p place --example report -- [file.svg] [workload]` runs
+//! one workload with the sizes of the Harbourline deployment, prints the totals and
+//! writes an SVG with the attained requests per second above and the moves per
+//! second below.
 #![allow(missing_docs, missing_debug_implementations, dead_code)]
 
 #[path = "../benches/queue/mod.rs"]
 mod queue;
 
 use plotters::prelude::*;
-use queue::{Deployment, Lru, Outcome, Planned, Policy, Setup, Static, Workload};
+use queue::{Deployment, Lru, Outcome, PlannerPolicy, Policy, Setup, Static, Workload};
 use std::error::Error;
 
 const SEED: u64 = 7;
 
-/// Seconds averaged into one point.
+/// Seconds averaged into one data point.
 const WINDOW_S: usize = 10;
 
-/// One figure of a second: attained requests, or moves.
+/// Selects attained requests or moves from the counts of one second.
 type Series = fn(&(u64, u64)) -> u64;
 
 fn main() -> Result<(), Box<dyn Error>> {
@@ -51,11 +52,11 @@
         ("lru", Box::new(Lru::default())),
         (
             "planner H",
-            Box::new(Planned::new(setup, workload, harbourline)),
+            Box::new(PlannerPolicy::new(setup, workload, harbourline)),
         ),
         (
             "planner N",
-            Box::new(Planned::new(setup, workload, naskhah)),
+            Box::new(PlannerPolicy::new(setup, workload, naskhah)),
         ),
     ];
     policies
@@ -64,7 +65,7 @@
         .collect()
 }
 
-/// Means over windows of a series by second.
+/// Averages a series over windows of `WINDOW_S` seconds.
 fn windows(outcome: &Outcome, of: Series) -> Vec<(f64, f64)> {
     let windows = outcome.seconds.chunks(WINDOW_S).enumerate();
     windows
@@ -89,8 +90,8 @@
         let mut chart = ChartBuilder::on(half)
             .margin(16)
             .build_cartesian_2d(0.0..last, 0.0..most * 1.1)?;
-        // Axes are plain lines: text needs a font library that the build leaves
-        // out. The colours follow the order of the printed lines.
+        // Axes have no labels: text needs a font library that the build leaves out.
+        // The colors follow the order of the printed lines.
         let frame = [(0.0, most * 1.1), (0.0, 0.0), (last, 0.0)];
         chart.draw_series(LineSeries::new(frame, &BLACK))?;
         for (index, line) in lines.into_iter().enumerate() {
--- a/crates/place/src/cell.rs
+++ b/crates/place/src/cell.rs
@@ -244,7 +244,7 @@
         let host = accelerator.adapter_host(group);
         match host {
             Some(host) if current => {
-                host.adapters.push(reported_model(model, resident))
+                host.adapters.push(reported_model(model, resident));
             }
             _ => accelerator.unloading_mib += u64::from(resident.size_mib),
         }
--- a/crates/place/src/wait_bound.rs
+++ b/crates/place/src/wait_bound.rs
@@ -64,7 +64,7 @@
     }
     match candidate {
         Some(candidate) => {
-            builder.add_replica(group, &candidate, PlacementReason::WaitBound)
+            builder.add_replica(group, &candidate, PlacementReason::WaitBound);
         }
         None => builder.note_base(group, PlacementReason::NoRoom),
     }
--- a/crates/place/tests/all/leaving.rs
+++ b/crates/place/tests/all/leaving.rs
@@ -1,13 +1,13 @@
-//! Instances and failure domains that go.
+//! Instances that shut down and failure domains that are lost.
 
-use crate::world::*;
+use crate::simulation::*;
 use base::prelude::*;
 use place::{PlacementReason, ResidentState};
 use std::collections::BTreeSet;
 
-// An instance is about to go and holds the only copies of two models. They have to
-// be loaded elsewhere while it is still there; once they are, it is emptied. The
-// store's price of a move does not keep them from being placed.
+// Guards against models that become unavailable because the only instance that
+// holds them shuts down. They must be loaded elsewhere before they are removed,
+// whatever the configured cost of a move, and then the instance must be emptied.
 #[test]
 fn a_leaving_instance_is_emptied_once_its_models_are_elsewhere() {
     let mut fleet = fleet(3, 1);
@@ -22,27 +22,36 @@
     }
     agents[0].leaving = true;
     let demands = vec![demand("b00", 2.0, 0), demand("b01", 0.5, 0)];
-    let mut world = World::new(fleet, agents, demands);
+    let mut cell = SimulatedCell::new(fleet, agents, demands);
     let mut emptied = false;
     for _ in 0..20 {
-        let plan = world.step();
-        let left = &plan.targets[0].models;
-        let elsewhere =
-            |name: &str| world.holders(name).iter().any(|index| *index != 0);
+        let plan = cell.step();
+        let still_wanted = &plan.targets[0].models;
+        let elsewhere = |name: &str| cell.holders(name).iter().any(|index| *index != 0);
         for name in ["b00", "b01"] {
-            let kept = left.iter().any(|model| model.model.as_str() == name);
-            assert!(kept || elsewhere(name), "{name} went before it was placed");
+            let kept = still_wanted
+                .iter()
+                .any(|model| model.model.as_str() == name);
+            assert!(
+                kept || elsewhere(name),
+                "{name} was removed before it was placed elsewhere"
+            );
         }
-        assert!(left.iter().all(|m| m.reason == PlacementReason::Leaving));
-        emptied |= left.is_empty();
+        assert!(
+            still_wanted
+                .iter()
+                .all(|m| m.reason == PlacementReason::Leaving)
+        );
+        emptied |= still_wanted.is_empty();
     }
     assert!(emptied, "models stayed on the leaving instance");
-    assert_eq!(world.loads.len(), 2);
+    assert_eq!(cell.load_times_ms.len(), 2);
 }
 
-// A failure domain is lost with a third of the accelerators. Models that only it
-// held are asked for at once, and come back elsewhere in place of models that are
-// asked for less; a model with two replicas had them in different domains.
+// Guards against models that stay unavailable after a failure domain with a third
+// of the accelerators is lost. Models held only there must come back elsewhere, in
+// place of models without demand. A model with two replicas must have them in
+// different domains beforehand.
 #[test]
 fn a_lost_failure_domain_is_replaced() {
     let mut agents: Vec<_> = (0..9).map(|index| agent(index, &[80 * GIB])).collect();
@@ -53,23 +62,26 @@
         .map(|base| demand(&format!("b{base:02}"), 3.0, 0))
         .collect();
     demands[0].rate_per_s = 25.0;
-    let mut world = World::new(fleet(8, 0), agents, demands);
-    world.run(20_000);
-    let domains = |world: &World, name: &str| -> BTreeSet<DomainId> {
-        let holders = world.holders(name);
-        let domains = holders.iter().map(|index| &world.agents[*index].domain);
+    let mut cell = SimulatedCell::new(fleet(8, 0), agents, demands);
+    cell.run(20_000);
+    let domains = |cell: &SimulatedCell, name: &str| -> BTreeSet<DomainId> {
+        let holders = cell.holders(name);
+        let domains = holders.iter().map(|index| &cell.agents[*index].domain);
         domains.cloned().collect()
     };
-    assert_eq!(world.holders("b00").len(), 2);
-    assert_eq!(domains(&world, "b00").len(), 2);
-    let gone = DomainId::new("d0");
-    world.agents.retain(|agent| agent.domain != gone);
-    for demand in &mut world.demands[5..] {
+    assert_eq!(cell.holders("b00").len(), 2);
+    assert_eq!(domains(&cell, "b00").len(), 2);
+    let lost_domain = DomainId::new("d0");
+    cell.agents.retain(|agent| agent.domain != lost_domain);
+    for demand in &mut cell.demands[5..] {
         demand.rate_per_s = 0.0;
     }
-    world.run(20_000);
+    cell.run(20_000);
     for base in 0..5 {
         let name = format!("b{base:02}");
-        assert!(!world.holders(&name).is_empty(), "{name} did not come back");
+        assert!(
+            !cell.holders(&name).is_empty(),
+            "{name} was not loaded again"
+        );
     }
 }
--- a/crates/place/tests/all/main.rs
+++ b/crates/place/tests/all/main.rs
@@ -3,7 +3,7 @@
 mod feasible;
 mod leaving;
 mod moves;
+mod simulation;
 mod store;
-mod turns;
 mod versions;
-mod world;
+mod wait_bound;
--- a/crates/place/tests/all/world.rs
+++ b/crates/place/tests/all/simulation.rs
@@ -1,4 +1,5 @@
-//! A small world whose agents follow the plans, and what holds for every plan.
+//! A simulated cell whose agents follow the plans, and checks that apply to every
+//! plan.
 
 use arbtest::arbitrary::{Result, Unstructured};
 use base::Revision;
@@ -14,10 +15,11 @@
 pub const PLAN_MS: u64 = 500;
 pub const LOAD_MS: u64 = 2_000;
 
-/// Random cells; a fixed number, so that each run checks the same.
+/// Number of random cells; fixed so that each run checks the same cells.
 pub const CASES: u64 = 400;
 
-/// Forty bases `b00`.. of 70 GiB and adapters `x00`.. of 1 GiB on every base.
+/// Base models `b00`, `b01`, ... of 70 GiB, and adapters `x00`, `x01`, ... of 1 GiB
+/// that are spread over the base models.
 pub fn fleet(bases: u32, adapters: u32) -> Fleet {
     let mut fleet = Fleet {
         weights: Some(Weights {
@@ -96,19 +98,19 @@
     }
 }
 
-/// Agents that follow the plans.
-pub struct World {
+/// A planner and agents that follow its plans.
+pub struct SimulatedCell {
     pub config: Config,
     pub planner: Planner,
     pub agents: Vec<AgentView>,
     pub demands: Vec<ModelDemand>,
     pub now_ms: u64,
-    pub share: f64,
-    pub loads: Vec<u64>,
+    pub store_share: f64,
+    pub load_times_ms: Vec<u64>,
     pub unloads: usize,
 }
 
-impl World {
+impl SimulatedCell {
     pub fn new(
         fleet: Fleet,
         agents: Vec<AgentView>,
@@ -120,8 +122,8 @@
             agents,
             demands,
             now_ms: 100_000,
-            share: 1.0,
-            loads: Vec::new(),
+            store_share: 1.0,
+            load_times_ms: Vec::new(),
             unloads: 0,
         }
     }
@@ -132,14 +134,14 @@
             config: &self.config,
             agents: &self.agents,
             demands: &self.demands,
-            store_share: self.share,
+            store_share: self.store_share,
         };
         let plan = self.planner.plan(&input);
         check_feasible(&input, &plan);
         plan
     }
 
-    /// One plan, and what the agents do until the next.
+    /// Makes one plan and lets the agents act on it until the next plan.
     pub fn step(&mut self) -> Plan {
         let plan = self.plan();
         let now = Instant::from_ms(self.now_ms);
@@ -170,7 +172,7 @@
                 if held || used + size_mib > agent.accelerators_mib[0] {
                     continue;
                 }
-                self.loads.push(self.now_ms);
+                self.load_times_ms.push(self.now_ms);
                 agent.residents.push(ResidentView {
                     model: model.model.clone(),
                     version: model.version,
@@ -191,7 +193,7 @@
         }
     }
 
-    /// Indices of the agents on which a model can serve.
+    /// Indices of the agents that can serve a model.
     pub fn holders(&self, model: &str) -> Vec<usize> {
         let agents = self.agents.iter().enumerate();
         let holds = agents.filter(|(_, agent)| {
@@ -203,7 +205,7 @@
     }
 }
 
-/// Loads of a target that the agent's heartbeat does not show.
+/// Models of a target that the agent neither holds nor loads.
 pub fn new_loads<'p>(
     agent: &'p AgentView,
     plan: &'p Plan,
@@ -221,7 +223,7 @@
         .collect()
 }
 
-/// What holds for every plan, whatever it was made from.
+/// Checks that a plan is feasible whatever its input.
 pub fn check_feasible(input: &PlanInput<'_>, plan: &Plan) {
     assert_eq!(plan.targets.len(), input.agents.len());
     for (agent, target) in input.agents.iter().zip(&plan.targets) {
@@ -241,15 +243,15 @@
             for model in &wanted {
                 let spec = input.config.model(model.model.as_str());
                 let spec = spec.expect("a plan names configured models only");
-                assert_eq!(spec.pool, agent.pool, "in a foreign pool");
+                assert_eq!(spec.pool, agent.pool, "in another pool");
                 let held = agent.residents.iter().find(|held| {
                     (&held.model, held.version, held.accelerator)
                         == (&model.model, model.version, accelerator)
                 });
                 size_mib += held.map_or(spec.size_mib, |held| held.size_mib);
                 if let Some(base) = &spec.base {
-                    let beside = wanted.iter().any(|other| other.model == *base);
-                    assert!(beside, "{} without its base", model.model);
+                    let base_wanted = wanted.iter().any(|other| other.model == *base);
+                    assert!(base_wanted, "{} without its base", model.model);
                 }
             }
             assert!(size_mib <= *capacity, "{size_mib} of {capacity} MiB wanted");
@@ -257,7 +259,7 @@
     }
 }
 
-/// A random cell whose residents fit their accelerators.
+/// Random agents whose resident models fit their accelerators.
 pub fn random_agents(
     u: &mut Unstructured<'_>,
     fleet: &Fleet,
@@ -293,11 +295,12 @@
     let mut demands = Vec::new();
     for name in fleet.models.keys().chain(fleet.adapters.keys()) {
         if u.ratio(1, 2)? {
-            let odd = [0.0, f64::NAN, -1.0, 0.3, 2.0, 3.0, 5.0, 8.0, 13.0, 40.0];
-            let mut demand = demand(name, *u.choose(&odd)?, u.int_in_range(0..=50)?);
+            let figures = [0.0, f64::NAN, -1.0, 0.3, 2.0, 3.0, 5.0, 8.0, 13.0, 40.0];
+            let mut demand =
+                demand(name, *u.choose(&figures)?, u.int_in_range(0..=50)?);
             demand.oldest_wait_ms = u.int_in_range(0..=60_000)?;
             demand.service_time_ms = u.int_in_range(0..=3_000)?;
-            demand.value = *u.choose(&odd)?;
+            demand.value = *u.choose(&figures)?;
             demands.push(demand);
         }
     }
--- a/crates/place/tests/all/versions.rs
+++ b/crates/place/tests/all/versions.rs
@@ -1,16 +1,16 @@
-//! Adapters and their bases, and new versions of models.
+//! Adapters with their base models, and new versions of models.
 
-use crate::world::*;
+use crate::simulation::*;
 use place::{PlacementReason, ResidentState};
 
-// Two adapters share a base that nobody asks for by its own name. All three have to
-// come to one accelerator, the base first, and they leave it together.
+// Two adapters share a base model without demand of its own. All three must be
+// placed on one accelerator, the base model first.
 #[test]
 fn adapters_come_with_their_base() {
     let agents = (0..2).map(|index| agent(index, &[80 * GIB])).collect();
     let demands = vec![demand("x00", 3.0, 2), demand("x01", 3.0, 2)];
-    let mut world = World::new(fleet(1, 2), agents, demands);
-    let plan = world.plan();
+    let mut cell = SimulatedCell::new(fleet(1, 2), agents, demands);
+    let plan = cell.plan();
     let first: Vec<_> = plan
         .targets
         .iter()
@@ -18,15 +18,15 @@
         .collect();
     assert_eq!(first.len(), 1);
     assert_eq!(first[0].reason, PlacementReason::BaseOfAdapter);
-    world.run(10_000);
-    assert_eq!(world.holders("x00"), world.holders("b00"));
-    assert_eq!(world.holders("x01"), world.holders("b00"));
-    assert_eq!(world.holders("b00").len(), 1);
+    cell.run(10_000);
+    assert_eq!(cell.holders("x00"), cell.holders("b00"));
+    assert_eq!(cell.holders("x01"), cell.holders("b00"));
+    assert_eq!(cell.holders("b00").len(), 1);
 }
 
-// A new version is published. Requests are sent to it at once, so what holds the
-// old one serves nobody: the new one replaces it in place, though the old one is
-// within its minimum residence and the move's price is above its worth.
+// Guards against an accelerator that keeps an old version, which no longer receives
+// requests. The new version must replace it in place, even within the minimum
+// residence and whatever the configured cost of a move.
 #[test]
 fn a_new_version_replaces_the_old_one() {
     for rate_per_s in [0.0, 2.0] {
@@ -41,8 +41,8 @@
         let old = resident("b00", ResidentState::Loaded, 100_000);
         holder.residents.push(old);
         let demands = vec![demand("b00", rate_per_s, 0)];
-        let mut world = World::new(fleet, vec![holder], demands);
-        let plan = world.plan();
+        let mut cell = SimulatedCell::new(fleet, vec![holder], demands);
+        let plan = cell.plan();
         let wanted = &plan.targets[0].models;
         assert_eq!(wanted.len(), 1);
         assert_eq!(
@@ -52,9 +52,9 @@
     }
 }
 
-// Both versions of a base are on one accelerator while the new one loads, with an
-// adapter beside them. It must be wanted once: were it counted to the old version
-// only, the plan would want it again for the new one.
+// Guards against planning an adapter twice while an accelerator holds the old
+// version of its base model and loads the new one. The adapter counts as part of
+// the new one.
 #[test]
 fn an_adapter_belongs_to_the_newest_base_beside_it() {
     let mut fleet = fleet(1, 1);
@@ -68,8 +68,8 @@
     let adapter = resident("x00", ResidentState::Loaded, 0);
     holder.residents.extend([old, new, adapter]);
     let demands = vec![demand("x00", 5.0, 5)];
-    let mut world = World::new(fleet, vec![holder], demands);
-    let plan = world.plan();
+    let mut cell = SimulatedCell::new(fleet, vec![holder], demands);
+    let plan = cell.plan();
     let models = plan.targets[0].models.iter();
     let adapters = models.filter(|model| model.model.as_str() == "x00");
     assert_eq!(adapters.count(), 1);
