--- a/crates/agent/src/node.rs
+++ b/crates/agent/src/node.rs
@@ -219,7 +219,7 @@
             kind: "agent".to_owned(),
             id: self.options.id.to_string(),
             incarnation: self.options.incarnation.0,
-            failure_domain: self.options.domain.to_string(),
+            failure_domain: self.options.failure_domain.to_string(),
         });
         self.frame(revision, body)
     }
@@ -241,8 +241,10 @@
         let revision = role.revision();
         for action in actions.drain(..) {
             match action {
-                AgentAction::Send { entry, body } => self.send(revision, &entry, body),
-                AgentAction::Forward {
+                AgentAction::SendFrame { entry, body } => {
+                    self.send(revision, &entry, body)
+                }
+                AgentAction::ForwardPart {
                     entry,
                     attempt,
                     offset,
@@ -255,21 +257,21 @@
                         self.forward(revision, &entry, part.room, body);
                     }
                 }
-                AgentAction::Start { attempt, run } => {
+                AgentAction::StartAttempt { attempt, run } => {
                     let running = self.attempts.enter(attempt);
                     let node = Arc::clone(self);
                     self.runtime.spawn(upstream::run(node, running, run));
                 }
-                AgentAction::Stop { attempt } => self.attempts.stop(attempt),
-                AgentAction::Order(order) => {
+                AgentAction::StopAttempt { attempt } => self.attempts.stop(attempt),
+                AgentAction::SendOrder(order) => {
                     let decided = self.clock.now();
                     let node = Arc::clone(self);
                     self.runtime.spawn(upstream::order(node, order, decided));
                 }
-                AgentAction::Platform(call) => self.call_platform(call),
+                AgentAction::CallPlatform(call) => self.call_platform(call),
                 AgentAction::ProbePredecessor { address } => self.probe(address),
-                AgentAction::Ready(ready) => self.set_ready(ready),
-                AgentAction::Trace(event) => self.recorder.record(event),
+                AgentAction::SetReady(ready) => self.set_ready(ready),
+                AgentAction::RecordEvent(event) => self.recorder.record(event),
                 AgentAction::Exit => self.exit.cancel(),
             }
         }
@@ -322,7 +324,7 @@
                 result = node.platform.call(&call.op) => result,
             };
             let id = call.id;
-            node.tell(AgentEvent::Platform(PlatformAnswer { id, result }));
+            node.tell(AgentEvent::PlatformAnswered(PlatformAnswer { id, result }));
         });
     }
 
--- a/crates/agent/src/start.rs
+++ b/crates/agent/src/start.rs
@@ -163,7 +163,7 @@
     AgentOptions {
         id: AgentId::new(&settings.id),
         incarnation: Incarnation(incarnation),
-        domain: DomainId::new(&settings.failure_domain),
+        failure_domain: DomainId::new(&settings.failure_domain),
         pool: PoolId::new(&settings.pool),
         link_address: link_address.to_string(),
         operator_address: operator_address.to_string(),
--- a/crates/agent/src/upstream/answer.rs
+++ b/crates/agent/src/upstream/answer.rs
@@ -88,13 +88,13 @@
         };
         let attempt = self.attempt;
         let event = if self.keyed {
-            UpstreamEvent::KeyedPart {
+            UpstreamEvent::KeyedAnswerPart {
                 attempt,
                 units,
                 payload: payload.clone(),
             }
         } else {
-            UpstreamEvent::Part { attempt, units }
+            UpstreamEvent::AnswerPart { attempt, units }
         };
         self.node.tell_part(event, Part { payload, room });
     }
--- a/crates/cap/src/measure/agent_rig.rs
+++ b/crates/cap/src/measure/agent_rig.rs
@@ -70,12 +70,15 @@
     fn serve(&mut self, actions: Vec<AgentAction>) {
         for action in actions {
             match action {
-                AgentAction::Platform(call) => {
+                AgentAction::CallPlatform(call) => {
                     let result = self.platform(&call.op);
                     let id = call.id;
-                    self.handle(AgentEvent::Platform(PlatformAnswer { id, result }));
+                    self.handle(AgentEvent::PlatformAnswered(PlatformAnswer {
+                        id,
+                        result,
+                    }));
                 }
-                AgentAction::Order(order) => {
+                AgentAction::SendOrder(order) => {
                     self.carry_out(&order);
                     let (order, answer) = (order.id, OrderAnswer::Accepted);
                     let answered = UpstreamEvent::OrderAnswered { order, answer };
@@ -89,7 +92,7 @@
     fn carry_out(&mut self, order: &role::agent::Order) {
         self.report.orders.push(UpstreamOrder {
             order: order.id,
-            fence: order.fence.0,
+            fencing_token: order.fencing_token.0,
             state: UpstreamOrderState::Done,
         });
         if order.load {
@@ -177,7 +180,7 @@
     AgentOptions {
         id: AgentId::new(&messages::agent(0)),
         incarnation: Incarnation(INCARNATION),
-        domain: DomainId::new(&messages::domain(0)),
+        failure_domain: DomainId::new(&messages::domain(0)),
         pool: PoolId::new(messages::POOL),
         link_address: "10.120.130.140:20001".to_owned(),
         operator_address: "10.120.130.140:20002".to_owned(),
--- a/crates/role/benches/gate_limit.rs
+++ b/crates/role/benches/gate_limit.rs
@@ -6,7 +6,7 @@
 
 use rand_core::Rng;
 use rand_pcg::Pcg64Mcg;
-use role::agent::PlaceLimit;
+use role::agent::ConcurrencyLimit;
 use route::StepLimit;
 use std::collections::VecDeque;
 
@@ -120,7 +120,7 @@
     let per_s = growth.capacity_milli() as f64 * load_percent as f64 / 100_000.0;
     let gap_us = 1_000_000.0 / per_s;
     let mut limit = StepLimit::new(CONCURRENT_MAX, STEP_US as u32);
-    let mut expected = PlaceLimit::default();
+    let mut expected = ConcurrencyLimit::default();
     expected.configure(CONCURRENT_MAX);
     let mut sums = Sums::default();
     let mut queue: VecDeque<(u64, u64)> = VecDeque::new();
@@ -136,7 +136,7 @@
         let places = match by {
             Places::Fixed => CONCURRENT_MAX,
             Places::Floor => limit.limit(),
-            Places::Expected => expected.places(),
+            Places::Expected => expected.limit(),
         } as usize;
         while queue
             .front()
--- a/crates/role/src/agent/answers.rs
+++ b/crates/role/src/agent/answers.rs
@@ -26,10 +26,10 @@
             UpstreamEvent::Report(report) => self.reported(now, &report, out),
             UpstreamEvent::Down => self.went_down(now, out),
             UpstreamEvent::Started { attempt } => self.started(now, attempt, out),
-            UpstreamEvent::Part { attempt, units } => {
+            UpstreamEvent::AnswerPart { attempt, units } => {
                 self.part(attempt, units, None, out);
             }
-            UpstreamEvent::KeyedPart {
+            UpstreamEvent::KeyedAnswerPart {
                 attempt,
                 units,
                 payload,
@@ -87,7 +87,7 @@
         }
         let entry = attempt.entry.clone();
         if let Some(entry) = entry.filter(|entry| self.links.contains(entry)) {
-            out.push(AgentAction::Forward {
+            out.push(AgentAction::ForwardPart {
                 entry,
                 attempt: id,
                 offset,
@@ -305,7 +305,7 @@
         };
         self.counters.deadlines += 1;
         if attempt.idempotent || attempt.overdue {
-            out.push(AgentAction::Stop { attempt: id });
+            out.push(AgentAction::StopAttempt { attempt: id });
             self.end_attempt(now, id, end, out);
             return;
         }
--- a/crates/role/src/agent/crash.rs
+++ b/crates/role/src/agent/crash.rs
@@ -18,8 +18,11 @@
         let fence_before = self.upstream.fence();
         let restarted = self.upstream.reported(now, report);
         // A higher fencing number than ours shows that a successor gives orders.
-        let raised = report.fence > fence_before;
-        if raised && report.fence > self.record.epoch().0 && self.record.is_sure() {
+        let raised = report.highest_fencing_token > fence_before;
+        if raised
+            && report.highest_fencing_token > self.record.epoch().0
+            && self.record.is_sure()
+        {
             self.record.doubt();
         }
         if !was_up {
@@ -64,7 +67,7 @@
         fingerprints.sort_unstable();
         fingerprints.dedup();
         for id in ids {
-            out.push(AgentAction::Stop { attempt: id });
+            out.push(AgentAction::StopAttempt { attempt: id });
             let end = End {
                 upstream_crashed: true,
                 crash_fingerprints: fingerprints.clone(),
--- a/crates/role/src/agent/event.rs
+++ b/crates/role/src/agent/event.rs
@@ -36,7 +36,7 @@
     /// Something happened at the upstream.
     Upstream(UpstreamEvent),
     /// The platform answered a call.
-    Platform(PlatformAnswer),
+    PlatformAnswered(PlatformAnswer),
     /// Whether a predecessor's listen address could be bound: if so, the
     /// predecessor is dead, since a frozen process still holds its socket. The
     /// driver answers each `ProbePredecessor` once; the next comes after that.
@@ -62,7 +62,7 @@
     },
     /// A part of an answer came; the driver holds its payload until the call
     /// returns.
-    Part {
+    AnswerPart {
         /// Attempt.
         attempt: AttemptId,
         /// Units in the part.
@@ -71,7 +71,7 @@
     /// A part of the answer to a non-idempotent call with a key, in place of
     /// `Part`: the answer is kept for a resend. Such a call is known by its
     /// `Start`, whose run is not idempotent and has a key.
-    KeyedPart {
+    KeyedAnswerPart {
         /// Attempt.
         attempt: AttemptId,
         /// Units in the part.
@@ -132,7 +132,7 @@
     /// Orders that are carried out, or were, with their state.
     pub orders: Vec<UpstreamOrder>,
     /// Highest fencing number seen.
-    pub fence: u64,
+    pub highest_fencing_token: u64,
     /// Requests in the batch.
     pub running: u32,
     /// Requests waiting for the batch.
@@ -164,7 +164,7 @@
     /// Number of the order.
     pub order: u64,
     /// Fencing number it came with.
-    pub fence: u64,
+    pub fencing_token: u64,
     /// How it stands.
     pub state: UpstreamOrderState,
 }
@@ -186,7 +186,7 @@
     /// Number, unique over all epochs of the agent.
     pub id: u64,
     /// Fencing number.
-    pub fence: Epoch,
+    pub fencing_token: Epoch,
     /// True for a load, false for an unload.
     pub load: bool,
     /// Model or adapter.
@@ -205,14 +205,14 @@
 #[derive(Debug)]
 pub enum AgentAction {
     /// Send a frame to an entry.
-    Send {
+    SendFrame {
         /// Entry.
         entry: EntryId,
         /// Content.
         body: frame::Body,
     },
     /// Send the part of an answer that the driver holds.
-    Forward {
+    ForwardPart {
         /// Entry.
         entry: EntryId,
         /// Attempt.
@@ -223,21 +223,21 @@
         units: u32,
     },
     /// Hand an attempt to the upstream.
-    Start {
+    StartAttempt {
         /// Attempt.
         attempt: AttemptId,
         /// The request, with its body.
         run: Box<Run>,
     },
     /// Stop an attempt at the upstream.
-    Stop {
+    StopAttempt {
         /// Attempt.
         attempt: AttemptId,
     },
     /// Give the upstream an order.
-    Order(Order),
+    SendOrder(Order),
     /// Call the platform.
-    Platform(PlatformCall),
+    CallPlatform(PlatformCall),
     /// Try to bind a predecessor's listen address and report whether it could
     /// be.
     ProbePredecessor {
@@ -245,9 +245,9 @@
         address: String,
     },
     /// Whether the process takes work.
-    Ready(bool),
+    SetReady(bool),
     /// Record an event of the time line; clock and process are the driver's.
-    Trace(timeline::Event),
+    RecordEvent(timeline::Event),
     /// The process has drained and may end.
     Exit,
 }
--- a/crates/role/src/agent/gate.rs
+++ b/crates/role/src/agent/gate.rs
@@ -89,7 +89,7 @@
     /// Most attempts in progress at once.
     pub(super) fn running_max(&self) -> u32 {
         match self.pool() {
-            Some(pool) if pool.engine => self.limit.places(),
+            Some(pool) if pool.engine => self.limit.limit(),
             Some(pool) => pool.concurrent_max.max(1),
             None => 0,
         }
--- a/crates/role/src/agent/heartbeat.rs
+++ b/crates/role/src/agent/heartbeat.rs
@@ -98,7 +98,7 @@
             incarnation: self.options.incarnation.0,
             epoch: self.record.epoch().0,
             pool: self.options.pool.as_str().to_owned(),
-            failure_domain: self.options.domain.as_str().to_owned(),
+            failure_domain: self.options.failure_domain.as_str().to_owned(),
             load: Some(self.load(now)),
             leaving: self.drain.is_some(),
             upstream_up: self.upstream.is_up(),
--- a/crates/role/src/agent/keyed.rs
+++ b/crates/role/src/agent/keyed.rs
@@ -20,7 +20,9 @@
         act(&mut self.claims, &mut actions);
         for action in actions {
             match action {
-                ClaimAction::Platform(call) => out.push(AgentAction::Platform(call)),
+                ClaimAction::Platform(call) => {
+                    out.push(AgentAction::CallPlatform(call))
+                }
                 ClaimAction::Settled { attempt, outcome } => {
                     self.claim_settled(now, attempt, outcome, out);
                 }
--- a/crates/role/src/agent/limit.rs
+++ b/crates/role/src/agent/limit.rs
@@ -33,7 +33,7 @@
 
 /// The places of one engine.
 #[derive(Debug, Default)]
-pub struct PlaceLimit {
+pub struct ConcurrencyLimit {
     places_max: u32,
     places: u32,
     smoothed_us: u64,
@@ -42,7 +42,7 @@
     resting: u32,
 }
 
-impl PlaceLimit {
+impl ConcurrencyLimit {
     /// Sets the places by the settings; a change starts from them anew.
     pub const fn configure(&mut self, places_max: u32) {
         if self.places_max != places_max {
@@ -76,7 +76,7 @@
     }
 
     /// Requests that may be in progress at once.
-    pub const fn places(&self) -> u32 {
+    pub const fn limit(&self) -> u32 {
         self.places
     }
 
--- a/crates/role/src/agent/member.rs
+++ b/crates/role/src/agent/member.rs
@@ -162,7 +162,7 @@
         kind: "agent".to_owned(),
         id: options.id.as_str().to_owned(),
         incarnation: options.incarnation.0,
-        failure_domain: options.domain.as_str().to_owned(),
+        failure_domain: options.failure_domain.as_str().to_owned(),
         pool: options.pool.as_str().to_owned(),
         link_address: options.link_address.clone(),
         operator_address: options.operator_address.clone(),
--- a/crates/role/src/agent/mod.rs
+++ b/crates/role/src/agent/mod.rs
@@ -47,7 +47,7 @@
     AgentAction, AgentEvent, Order, OrderAnswer, UpstreamEvent, UpstreamOrder,
     UpstreamOrderState, UpstreamReport, UpstreamResident,
 };
-pub use limit::PlaceLimit;
+pub use limit::ConcurrencyLimit;
 pub use options::AgentOptions;
 pub use role::AgentRole;
 pub use status::{AcceleratorStatus, AgentStatus, OrderStatus};
--- a/crates/role/src/agent/options.rs
+++ b/crates/role/src/agent/options.rs
@@ -10,7 +10,7 @@
     /// This run of the process; a later run has a greater one.
     pub incarnation: Incarnation,
     /// Failure domain of the instance.
-    pub domain: DomainId,
+    pub failure_domain: DomainId,
     /// Pool that the upstream belongs to.
     pub pool: PoolId,
     /// `ip:port` on which entries connect; bound before the machine is made.
--- a/crates/role/src/agent/orders.rs
+++ b/crates/role/src/agent/orders.rs
@@ -250,7 +250,7 @@
         let model = order.placement.model.as_str();
         let detail = format!("order {id:x}, copy {}", order.sends + 1);
         trace::model(kind, model, detail, out);
-        out.push(AgentAction::Order(self.order_message(order)));
+        out.push(AgentAction::SendOrder(self.order_message(order)));
         self.ledger.given(now, id);
         self.counters.orders += 1;
         let patience_ms = self.order_patience_ms();
@@ -260,7 +260,7 @@
     fn order_message(&self, order: &TrackedOrder) -> Order {
         Order {
             id: order.id,
-            fence: self.record.epoch(),
+            fencing_token: self.record.epoch(),
             load: order.load,
             model: order.placement.model.clone(),
             version: order.placement.version,
--- a/crates/role/src/agent/retry.rs
+++ b/crates/role/src/agent/retry.rs
@@ -29,7 +29,7 @@
     pub(super) fn call(&mut self, op: PlatformOp, out: &mut Vec<AgentAction>) -> u64 {
         let id = self.next;
         self.next += 1;
-        out.push(AgentAction::Platform(PlatformCall { id, op }));
+        out.push(AgentAction::CallPlatform(PlatformCall { id, op }));
         id
     }
 }
--- a/crates/role/src/agent/role.rs
+++ b/crates/role/src/agent/role.rs
@@ -3,7 +3,7 @@
 use super::attempts::Attempts;
 use super::drain::Drain;
 use super::heartbeat::Beat;
-use super::limit::PlaceLimit;
+use super::limit::ConcurrencyLimit;
 use super::member::{self, Registration};
 use super::orders::Orders;
 use super::past::Past;
@@ -57,7 +57,7 @@
     /// Attempts that are over.
     pub(super) ended: Past,
     pub(super) upstream: Upstream,
-    pub(super) limit: PlaceLimit,
+    pub(super) limit: ConcurrencyLimit,
     pub(super) targets: Targets,
     pub(super) orders: Orders,
     pub(super) beat: Beat,
@@ -101,7 +101,7 @@
             revoked: Past::default(),
             ended: Past::default(),
             upstream: Upstream::default(),
-            limit: PlaceLimit::default(),
+            limit: ConcurrencyLimit::default(),
             targets: Targets::default(),
             orders: Orders::default(),
             beat: Beat::new(now.plus_ms(DEFAULT_HEARTBEAT_MS)),
@@ -114,7 +114,7 @@
             options,
         };
         trace::note(EventKind::ProcessStarted, String::new(), out);
-        out.push(AgentAction::Ready(false));
+        out.push(AgentAction::SetReady(false));
         role.follow_up(now, out);
         role
     }
@@ -138,7 +138,7 @@
                 body,
             } => self.frame(now, &entry, revision, body, out),
             AgentEvent::Upstream(event) => self.upstream_event(now, event, out),
-            AgentEvent::Platform(answer) => self.platform(now, answer, out),
+            AgentEvent::PlatformAnswered(answer) => self.platform(now, answer, out),
             AgentEvent::PredecessorProbed { dead } => self.probed(now, dead),
             AgentEvent::Drain => self.begin_drain(now, out),
         }
@@ -219,7 +219,7 @@
     ) {
         if let Some(entry) = entry.filter(|entry| self.links.contains(*entry)) {
             let entry = entry.clone();
-            out.push(AgentAction::Send { entry, body });
+            out.push(AgentAction::SendFrame { entry, body });
         }
     }
 
@@ -263,7 +263,7 @@
             return;
         }
         self.ready = ready;
-        out.push(AgentAction::Ready(ready));
+        out.push(AgentAction::SetReady(ready));
         if ready {
             trace::note(EventKind::ProcessReady, String::new(), out);
         }
@@ -383,7 +383,7 @@
     matches!(
         event,
         AgentEvent::Upstream(
-            UpstreamEvent::Part { .. } | UpstreamEvent::KeyedPart { .. }
+            UpstreamEvent::AnswerPart { .. } | UpstreamEvent::KeyedAnswerPart { .. }
         )
     )
 }
--- a/crates/role/src/agent/runs.rs
+++ b/crates/role/src/agent/runs.rs
@@ -110,7 +110,7 @@
         attempt.upstream = upstream;
         attempt.began = now;
         self.counters.started += 1;
-        out.push(AgentAction::Start { attempt: id, run });
+        out.push(AgentAction::StartAttempt { attempt: id, run });
     }
 
     /// Tells an entry that its attempt was not run and never will be.
@@ -185,7 +185,7 @@
     ) -> Option<Attempt> {
         let attempt = self.attempts.remove(id)?;
         let ran = ran_so_far(&attempt);
-        out.push(AgentAction::Stop { attempt: id });
+        out.push(AgentAction::StopAttempt { attempt: id });
         self.remember(now, id, ran);
         Some(attempt)
     }
--- a/crates/role/src/agent/trace.rs
+++ b/crates/role/src/agent/trace.rs
@@ -19,7 +19,7 @@
     code: u32,
     out: &mut Vec<AgentAction>,
 ) {
-    out.push(AgentAction::Trace(Event {
+    out.push(AgentAction::RecordEvent(Event {
         code,
         detail: format!("attempt {id}"),
         ..event(kind)
@@ -28,7 +28,7 @@
 
 /// Records an event with one sentence.
 pub(super) fn note(kind: EventKind, detail: String, out: &mut Vec<AgentAction>) {
-    out.push(AgentAction::Trace(Event {
+    out.push(AgentAction::RecordEvent(Event {
         detail,
         ..event(kind)
     }));
@@ -41,7 +41,7 @@
     detail: String,
     out: &mut Vec<AgentAction>,
 ) {
-    out.push(AgentAction::Trace(Event {
+    out.push(AgentAction::RecordEvent(Event {
         model: model.to_owned(),
         detail,
         ..event(kind)
--- a/crates/role/src/agent/upstream.rs
+++ b/crates/role/src/agent/upstream.rs
@@ -73,7 +73,7 @@
         self.incarnation = Some(report.incarnation);
         self.made_at = made_at(now, report);
         self.waiting = report.waiting;
-        self.fence = report.fence;
+        self.fence = report.highest_fencing_token;
         let step_us = u64::from(report.step_time_us);
         if step_us > 0 {
             self.step_time_us = smooth(self.step_time_us, step_us);
--- a/crates/role/tests/agent/gate.rs
+++ b/crates/role/tests/agent/gate.rs
@@ -268,7 +268,7 @@
     let attempt = id(1);
     node.upstream(UpstreamEvent::Started { attempt });
     for units in [3, 2] {
-        node.upstream(UpstreamEvent::Part { attempt, units });
+        node.upstream(UpstreamEvent::AnswerPart { attempt, units });
     }
     node.upstream(UpstreamEvent::Done {
         attempt,
@@ -279,7 +279,7 @@
     let end = node.end(1).expect("an end");
     assert_eq!((end.code, end.total_units), (0, 45));
     assert_eq!(end.upstream_incarnation, 7);
-    node.upstream(UpstreamEvent::Part { attempt, units: 1 });
+    node.upstream(UpstreamEvent::AnswerPart { attempt, units: 1 });
     assert_eq!(node.forwards.len(), 2, "a part behind the end is dropped");
 }
 
--- a/crates/role/tests/agent/limit.rs
+++ b/crates/role/tests/agent/limit.rs
@@ -3,7 +3,7 @@
 use crate::gate::{go, node, run};
 use crate::stand::*;
 use base::prelude::*;
-use role::agent::{PlaceLimit, UpstreamEvent, UpstreamReport};
+use role::agent::{ConcurrencyLimit, UpstreamEvent, UpstreamReport};
 use schema::link::frame;
 
 /// Reports of an engine that holds a model and takes this long for a step.
@@ -58,13 +58,13 @@
 /// nothing and cost throughput, so after one try all are open again for minutes.
 #[test]
 fn an_expectation_out_of_reach_takes_no_places_for_long() {
-    let mut limit = PlaceLimit::default();
+    let mut limit = ConcurrencyLimit::default();
     limit.configure(32);
     let mut open = 0;
     for _ in 0..2_000 {
         limit.observe(20_000, 10_000, true);
-        assert!(limit.places() >= 4);
-        open += u32::from(limit.places() == 32);
+        assert!(limit.limit() >= 4);
+        open += u32::from(limit.limit() == 32);
     }
     assert!(open > 1_700, "open for {open} of 2,000 reports");
 }
--- a/crates/role/tests/agent/orders.rs
+++ b/crates/role/tests/agent/orders.rs
@@ -37,7 +37,7 @@
     let record = platform.record();
     assert_eq!(record.intents.len(), 1);
     assert_eq!(record.intents[0].order, order.id);
-    assert_eq!(order.fence.0, record.epoch);
+    assert_eq!(order.fencing_token.0, record.epoch);
 }
 
 /// What becomes of an order's way to the engine.
@@ -212,7 +212,7 @@
     node.target("p", 1, &[("a", 1)]);
     engine.take(&Order {
         id: 1,
-        fence: Epoch(1),
+        fencing_token: Epoch(1),
         load: true,
         model: ModelId::new("b"),
         version: 1,
--- a/crates/role/tests/agent/stand/engine.rs
+++ b/crates/role/tests/agent/stand/engine.rs
@@ -33,10 +33,10 @@
 
     /// Takes an order and begins to carry it out.
     pub fn take(&mut self, order: &Order) -> OrderAnswer {
-        if self.checks_fencing && order.fence.0 < self.fence {
+        if self.checks_fencing && order.fencing_token.0 < self.fence {
             return OrderAnswer::Fenced;
         }
-        self.fence = self.fence.max(order.fence.0);
+        self.fence = self.fence.max(order.fencing_token.0);
         if self.orders.contains_key(&order.id) {
             return OrderAnswer::Accepted;
         }
@@ -95,14 +95,14 @@
                 });
         let orders = self.orders.values().map(|(order, state)| UpstreamOrder {
             order: order.id,
-            fence: order.fence.0,
+            fencing_token: order.fencing_token.0,
             state: *state,
         });
         UpstreamReport {
             incarnation: self.incarnation,
             residents: residents.collect(),
             orders: orders.collect(),
-            fence: self.fence,
+            highest_fencing_token: self.fence,
             ..UpstreamReport::default()
         }
     }
--- a/crates/role/tests/agent/stand/node.rs
+++ b/crates/role/tests/agent/stand/node.rs
@@ -29,7 +29,7 @@
     AgentOptions {
         id: AgentId::new("one"),
         incarnation: Incarnation(incarnation),
-        domain: DomainId::new("zone"),
+        failure_domain: DomainId::new("zone"),
         pool: PoolId::new(pool),
         link_address: link_address.to_owned(),
         operator_address: "127.0.0.1:2".to_owned(),
@@ -94,20 +94,24 @@
     fn take(&mut self, actions: Vec<AgentAction>) {
         for action in actions {
             match action {
-                AgentAction::Send { entry, body } => self.frames.push((entry, body)),
-                AgentAction::Forward {
+                AgentAction::SendFrame { entry, body } => {
+                    self.frames.push((entry, body))
+                }
+                AgentAction::ForwardPart {
                     attempt,
                     offset,
                     units,
                     ..
                 } => self.forwards.push((attempt, offset, units)),
-                AgentAction::Start { attempt, run } => self.starts.push((attempt, run)),
-                AgentAction::Stop { attempt } => self.stops.push(attempt),
-                AgentAction::Order(order) => self.orders.push_back(order),
-                AgentAction::Platform(call) => self.calls.push_back(call),
+                AgentAction::StartAttempt { attempt, run } => {
+                    self.starts.push((attempt, run))
+                }
+                AgentAction::StopAttempt { attempt } => self.stops.push(attempt),
+                AgentAction::SendOrder(order) => self.orders.push_back(order),
+                AgentAction::CallPlatform(call) => self.calls.push_back(call),
                 AgentAction::ProbePredecessor { address } => self.probes.push(address),
-                AgentAction::Ready(ready) => self.ready = ready,
-                AgentAction::Trace(_) => {}
+                AgentAction::SetReady(ready) => self.ready = ready,
+                AgentAction::RecordEvent(_) => {}
                 AgentAction::Exit => self.exited = true,
             }
         }
@@ -140,7 +144,7 @@
     }
 
     pub fn answer(&mut self, id: u64, result: PlatformResult) {
-        self.handle(AgentEvent::Platform(PlatformAnswer { id, result }));
+        self.handle(AgentEvent::PlatformAnswered(PlatformAnswer { id, result }));
     }
 
     /// Answers one call.
@@ -263,7 +267,7 @@
     pub fn serve(&mut self, attempt: u64) {
         let attempt = id(attempt);
         self.upstream(UpstreamEvent::Started { attempt });
-        self.upstream(UpstreamEvent::KeyedPart {
+        self.upstream(UpstreamEvent::KeyedAnswerPart {
             attempt,
             units: 2,
             payload: b"ok".to_vec(),
--- a/crates/scenario/src/world/action.rs
+++ b/crates/scenario/src/world/action.rs
@@ -76,10 +76,10 @@
 
     fn agent_action(&mut self, name: &str, action: AgentAction, payload: &str) {
         match action {
-            AgentAction::Send { entry, body } => {
+            AgentAction::SendFrame { entry, body } => {
                 self.send_from_agent(name, entry.as_str(), body);
             }
-            AgentAction::Forward {
+            AgentAction::ForwardPart {
                 entry,
                 attempt,
                 offset,
@@ -93,18 +93,18 @@
                 };
                 self.send_from_agent(name, entry.as_str(), frame::Body::Answer(answer));
             }
-            AgentAction::Start { attempt, run } => self.give(name, attempt, run),
-            AgentAction::Stop { attempt } => self.stop_attempt(name, attempt),
-            AgentAction::Order(order) => self.send_order(name, order),
-            AgentAction::Platform(call) => self.call_platform(name, call),
+            AgentAction::StartAttempt { attempt, run } => self.give(name, attempt, run),
+            AgentAction::StopAttempt { attempt } => self.stop_attempt(name, attempt),
+            AgentAction::SendOrder(order) => self.send_order(name, order),
+            AgentAction::CallPlatform(call) => self.call_platform(name, call),
             AgentAction::ProbePredecessor { address } => self.probe(name, &address),
-            AgentAction::Ready(ready) => {
+            AgentAction::SetReady(ready) => {
                 self.log(name, if ready { "is ready" } else { "is not ready" });
                 if let Some(node) = self.agents.get_mut(name) {
                     node.ready = ready;
                 }
             }
-            AgentAction::Trace(event) => self.trace(name, &event),
+            AgentAction::RecordEvent(event) => self.trace(name, &event),
             AgentAction::Exit => self.exit(name),
         }
     }
--- a/crates/scenario/src/world/process/deliver.rs
+++ b/crates/scenario/src/world/process/deliver.rs
@@ -168,7 +168,7 @@
                 self.entry_handle(process, EntryEvent::Platform(answer), None);
             }
             Running::Yes => {
-                self.agent_handle(process, AgentEvent::Platform(answer), "");
+                self.agent_handle(process, AgentEvent::PlatformAnswered(answer), "");
             }
         }
     }
--- a/crates/scenario/src/world/process/mod.rs
+++ b/crates/scenario/src/world/process/mod.rs
@@ -104,7 +104,7 @@
         let options = AgentOptions {
             id: AgentId::new(instance),
             incarnation: Incarnation(start.0),
-            domain: DomainId::new(&decl.domain),
+            failure_domain: DomainId::new(&decl.domain),
             pool: PoolId::new(&decl.pool),
             link_address: address.clone(),
             operator_address: format!("{address}/op"),
--- a/crates/scenario/src/world/upstream/serve.rs
+++ b/crates/scenario/src/world/upstream/serve.rs
@@ -159,7 +159,7 @@
         let event = if run.idempotent || run.idempotency_key.is_empty() {
             part(attempt, units)
         } else {
-            UpstreamEvent::KeyedPart {
+            UpstreamEvent::KeyedAnswerPart {
                 attempt,
                 units,
                 payload: answer.clone().into_bytes(),
@@ -191,7 +191,7 @@
 }
 
 fn part(attempt: AttemptId, units: u32) -> UpstreamEvent {
-    UpstreamEvent::Part { attempt, units }
+    UpstreamEvent::AnswerPart { attempt, units }
 }
 
 fn done(attempt: AttemptId) -> UpstreamEvent {
