--- a/crates/agent/src/node.rs
+++ b/crates/agent/src/node.rs
@@ -242,7 +242,7 @@
         for action in actions.drain(..) {
             match action {
                 AgentAction::SendFrame { entry, body } => {
-                    self.send(revision, &entry, body)
+                    self.send(revision, &entry, body);
                 }
                 AgentAction::ForwardPart {
                     entry,
--- a/crates/role/src/agent/keyed.rs
+++ b/crates/role/src/agent/keyed.rs
@@ -21,7 +21,7 @@
         for action in actions {
             match action {
                 ClaimAction::Platform(call) => {
-                    out.push(AgentAction::CallPlatform(call))
+                    out.push(AgentAction::CallPlatform(call));
                 }
                 ClaimAction::Settled { attempt, outcome } => {
                     self.claim_settled(now, attempt, outcome, out);
--- a/crates/role/tests/agent/stand/node.rs
+++ b/crates/role/tests/agent/stand/node.rs
@@ -95,7 +95,7 @@
         for action in actions {
             match action {
                 AgentAction::SendFrame { entry, body } => {
-                    self.frames.push((entry, body))
+                    self.frames.push((entry, body));
                 }
                 AgentAction::ForwardPart {
                     attempt,
@@ -104,7 +104,7 @@
                     ..
                 } => self.forwards.push((attempt, offset, units)),
                 AgentAction::StartAttempt { attempt, run } => {
-                    self.starts.push((attempt, run))
+                    self.starts.push((attempt, run));
                 }
                 AgentAction::StopAttempt { attempt } => self.stops.push(attempt),
                 AgentAction::SendOrder(order) => self.orders.push_back(order),
