--- a/crates/cap/src/measure/entry.rs
+++ b/crates/cap/src/measure/entry.rs
@@ -163,7 +163,7 @@
         }
         times_ns.push(median_ns(1, |_| {
             for action in rig.handle(EntryEvent::Tick) {
-                if let EntryAction::Send { body, .. } = action {
+                if let EntryAction::SendFrame { body, .. } = action {
                     black_box(encoded(body));
                 }
             }
--- a/crates/cap/src/measure/entry_rig.rs
+++ b/crates/cap/src/measure/entry_rig.rs
@@ -6,7 +6,10 @@
 use base::{PlatformAnswer, PlatformCall, PlatformOp, PlatformResult, Version};
 use prost::Message;
 use role::Peer;
-use role::entry::{Arrival, EntryAction, EntryEvent, EntryOptions, EntryRole, Work};
+use role::entry::{
+    EntryAction, EntryEvent, EntryOptions, EntryRole, IncomingRequest,
+    RequestedResource,
+};
 use schema::link::{End, Frame, Gossip, Heartbeat, Run, Started, frame};
 
 /// Time between ticks while time passes.
@@ -41,13 +44,13 @@
 
     fn answer(&mut self, actions: Vec<EntryAction>, document: &[u8]) {
         for action in actions {
-            let EntryAction::Platform(call) = action else {
+            let EntryAction::CallPlatform(call) = action else {
                 continue;
             };
             if let Some(result) = answer_to(&call, document) {
                 let id = call.id;
                 let answer = PlatformAnswer { id, result };
-                let more = self.handle(EntryEvent::Platform(answer));
+                let more = self.handle(EntryEvent::PlatformAnswered(answer));
                 self.answer(more, document);
             }
         }
@@ -128,13 +131,13 @@
         model: &str,
     ) -> (usize, Option<Box<Run>>, Option<AgentId>) {
         self.sequence += 1;
-        let request = self.role.next_request();
-        let arrival = Box::new(Arrival {
+        let request = self.role.next_request_id();
+        let arrival = Box::new(IncomingRequest {
             request,
             credential: Credential::of(messages::KEY),
             profile: Some(ProfileId::new("desk")),
             deadline_ms: None,
-            work: Work::Model(Some(ModelId::new(model))),
+            resource: RequestedResource::Model(Some(ModelId::new(model))),
             idempotency_key: None,
             method: "POST".to_owned(),
             path: "/v1/chat/completions".to_owned(),
@@ -144,7 +147,7 @@
             prompt_tokens: 500,
             tokens_max: 400,
         });
-        let actions = self.handle(EntryEvent::Arrive(arrival));
+        let actions = self.handle(EntryEvent::RequestReceived(arrival));
         let notes = traces(&actions);
         for action in actions {
             if let EntryAction::SendRun { agent, run, .. } = action {
@@ -185,7 +188,7 @@
         offset: u64,
     ) -> Vec<EntryAction> {
         let attempt = run.attempt.expect("each run has its attempt");
-        self.handle(EntryEvent::Part {
+        self.handle(EntryEvent::AnswerPart {
             agent: agent.clone(),
             attempt: AttemptId {
                 origin: attempt.origin,
@@ -198,7 +201,7 @@
 }
 
 fn traces(actions: &[EntryAction]) -> usize {
-    let note = |action: &&EntryAction| matches!(action, EntryAction::Trace(_));
+    let note = |action: &&EntryAction| matches!(action, EntryAction::RecordEvent(_));
     actions.iter().filter(note).count()
 }
 
@@ -206,7 +209,7 @@
     EntryOptions {
         id: EntryId::new("entry-0000"),
         incarnation: Incarnation(1_764_700_000_000_000),
-        domain: DomainId::new(&messages::domain(0)),
+        failure_domain: DomainId::new(&messages::domain(0)),
         link_address: "10.120.130.139:20001".to_owned(),
         operator_address: "10.120.130.139:20002".to_owned(),
         peers: Vec::new(),
--- a/crates/entry/src/http/guard.rs
+++ b/crates/entry/src/http/guard.rs
@@ -49,7 +49,7 @@
         // another thread is about to send is then held back, and does not reach
         // the agent behind the `Cancel`.
         if self.node.calls().remove(self.request).is_some() {
-            self.node.tell(EntryEvent::CallerGone {
+            self.node.tell(EntryEvent::CallerDisconnected {
                 request: self.request,
             });
         }
--- a/crates/entry/src/http/serve.rs
+++ b/crates/entry/src/http/serve.rs
@@ -6,7 +6,7 @@
 use hyper::body::{Body, Incoming};
 use hyper::header::{CACHE_CONTROL, CONTENT_TYPE, HeaderValue};
 use hyper::{Request, Response};
-use role::entry::{Arrival, EntryEvent, Work};
+use role::entry::{EntryEvent, IncomingRequest, RequestedResource};
 use serde::Serialize;
 use std::collections::BTreeSet;
 use std::future::poll_fn;
@@ -33,7 +33,7 @@
     node: Arc<Node>,
     request: Request<Incoming>,
 ) -> Response<ReplyBody> {
-    let id = node.role().next_request();
+    let id = node.role().next_request_id();
     match answer(&node, id, request).await {
         Ok(response) => response,
         Err(fault) => {
@@ -73,8 +73,8 @@
         }
         Target::Service { name, path } => {
             let hash = body_hash(method, &path, &body);
-            let work = Work::Service(ServiceId::new(name));
-            let arrival = service_arrival(id, head, work, method, path, hash);
+            let resource = RequestedResource::Service(ServiceId::new(name));
+            let arrival = service_arrival(id, head, resource, method, path, hash);
             let reply = Reply::new(Unit::Byte, window);
             let call = begin(node, Call::new(body, room, reply), arrival);
             Ok(service_answer(call).await)
@@ -115,9 +115,9 @@
 }
 
 /// Takes the request into the table and tells the machine of it.
-fn begin(node: &Arc<Node>, call: Call, arrival: Arrival) -> InProgress {
+fn begin(node: &Arc<Node>, call: Call, arrival: IncomingRequest) -> InProgress {
     let call = InProgress::begin(Arc::clone(node), arrival.request, call);
-    node.tell(EntryEvent::Arrive(Box::new(arrival)));
+    node.tell(EntryEvent::RequestReceived(Box::new(arrival)));
     call
 }
 
@@ -128,16 +128,16 @@
     method: &str,
     path: &str,
     body_hash: u64,
-) -> Arrival {
+) -> IncomingRequest {
     let model = ask.model.as_deref().map(ModelId::new);
-    Arrival {
+    IncomingRequest {
         prefix_hash: ask.prefix_hash,
         prompt_tokens: ask.prompt_tokens,
         tokens_max: ask.tokens_max,
         ..service_arrival(
             request,
             head,
-            Work::Model(model),
+            RequestedResource::Model(model),
             method,
             path.to_owned(),
             body_hash,
@@ -148,17 +148,17 @@
 fn service_arrival(
     request: RequestId,
     head: Head,
-    work: Work,
+    resource: RequestedResource,
     method: &str,
     path: String,
     body_hash: u64,
-) -> Arrival {
-    Arrival {
+) -> IncomingRequest {
+    IncomingRequest {
         request,
         credential: head.credential,
         profile: head.profile.as_deref().map(ProfileId::new),
         deadline_ms: head.deadline_ms,
-        work,
+        resource,
         idempotency_key: head.idempotency_key,
         method: method.to_owned(),
         path,
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -5,7 +5,7 @@
 use prometheus::core::{AtomicU64, Collector, GenericCounter};
 use prometheus::proto::MetricFamily;
 use prometheus::{IntCounter, IntCounterVec, IntGauge, Opts, Registry, TextEncoder};
-use role::entry::{CodeCount, EntryCounters, ProfileCount, ReasonCount};
+use role::entry::{DecisionCount, EntryCounters, ProfileOutcomes, RefusalCount};
 
 use crate::reply::Broken;
 
@@ -107,7 +107,7 @@
     families.extend(GAUGES.iter().flat_map(|line| gauge_family(line, seen)));
     families.extend(refused_family(&counters.refused));
     families.extend(profile_families(&counters.profiles));
-    families.extend(decision_family(&counters.reasons));
+    families.extend(decision_family(&counters.decisions));
     // The encoder refuses all of them for one family without a value.
     families.retain(|family| !family.get_metric().is_empty());
     TextEncoder::new()
@@ -282,7 +282,7 @@
     gauge.collect()
 }
 
-fn refused_family(refused: &[CodeCount]) -> Vec<MetricFamily> {
+fn refused_family(refused: &[RefusalCount]) -> Vec<MetricFamily> {
     let opts = Opts::new(
         "sesame_entry_refused_total",
         "Requests refused or failed, by code.",
@@ -297,7 +297,7 @@
 }
 
 /// One count of the work of a profile.
-type OfProfile = fn(&ProfileCount) -> u64;
+type OfProfile = fn(&ProfileOutcomes) -> u64;
 
 /// Counts of the work of each profile.
 const PROFILE_TOTALS: &[(&str, &str, OfProfile)] = &[
@@ -328,7 +328,7 @@
     ),
 ];
 
-fn profile_families(profiles: &[ProfileCount]) -> Vec<MetricFamily> {
+fn profile_families(profiles: &[ProfileOutcomes]) -> Vec<MetricFamily> {
     let mut families = Vec::new();
     for (name, help, value) in PROFILE_TOTALS {
         let opts = Opts::new(*name, *help);
@@ -343,14 +343,14 @@
     families
 }
 
-fn decision_family(reasons: &[ReasonCount]) -> Vec<MetricFamily> {
+fn decision_family(decisions: &[DecisionCount]) -> Vec<MetricFamily> {
     let opts = Opts::new(
         "sesame_entry_decisions_total",
         "Choices of an upstream and changes of plans, by reason.",
     );
     let family =
         IntCounterVec::new(opts, &["decision", "reason"]).expect("the name is valid");
-    for held in reasons {
+    for held in decisions {
         family
             .with_label_values(&[held.decision, held.reason])
             .inc_by(held.count);
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -162,7 +162,7 @@
             self.meters.bad_frames.inc();
             return;
         };
-        let event = EntryEvent::Part {
+        let event = EntryEvent::AnswerPart {
             agent: agent.clone(),
             attempt: AttemptId {
                 origin: attempt.origin,
@@ -196,7 +196,7 @@
             kind: "entry".to_owned(),
             id: self.options.id.to_string(),
             incarnation: self.options.incarnation.0,
-            failure_domain: self.options.domain.to_string(),
+            failure_domain: self.options.failure_domain.to_string(),
         }))
     }
 
@@ -212,7 +212,7 @@
 
     fn carry_out(self: &Arc<Self>, action: EntryAction, held: &mut Option<Incoming>) {
         match action {
-            EntryAction::Deliver {
+            EntryAction::DeliverPart {
                 request,
                 skip_units,
             } => {
@@ -236,7 +236,7 @@
             EntryAction::Refuse { request, refusal } => {
                 self.end(request, Ending::Refused(refusal));
             }
-            EntryAction::Send { peer, body } => self.send(&peer, body),
+            EntryAction::SendFrame { peer, body } => self.send(&peer, body),
             EntryAction::SendRun {
                 request,
                 agent,
@@ -247,9 +247,9 @@
                 self.links.connect(host, peer, address);
             }
             EntryAction::Disconnect { peer } => self.links.disconnect(&peer),
-            EntryAction::Platform(call) => self.call_platform(call),
-            EntryAction::Ready(ready) => self.set_ready(ready),
-            EntryAction::Trace(event) => self.recorder.record(event),
+            EntryAction::CallPlatform(call) => self.call_platform(call),
+            EntryAction::SetReady(ready) => self.set_ready(ready),
+            EntryAction::RecordEvent(event) => self.recorder.record(event),
             EntryAction::Exit => self.exit.cancel(),
         }
     }
@@ -272,7 +272,7 @@
     /// is as if the caller had gone.
     fn give_up(self: &Arc<Self>, request: RequestId) {
         if self.calls.remove(request).is_some() {
-            self.tell(EntryEvent::CallerGone { request });
+            self.tell(EntryEvent::CallerDisconnected { request });
         }
     }
 
@@ -340,7 +340,7 @@
                 id: call.id,
                 result,
             };
-            node.tell(EntryEvent::Platform(answer));
+            node.tell(EntryEvent::PlatformAnswered(answer));
         });
     }
 
--- a/crates/entry/src/start.rs
+++ b/crates/entry/src/start.rs
@@ -188,7 +188,7 @@
     EntryOptions {
         id: EntryId::new(&settings.id),
         incarnation,
-        domain: DomainId::new(&settings.failure_domain),
+        failure_domain: DomainId::new(&settings.failure_domain),
         link_address: link_address.to_string(),
         operator_address: operator_address.to_string(),
         peers: peers.collect(),
--- a/crates/role/src/entry/accept.rs
+++ b/crates/role/src/entry/accept.rs
@@ -4,7 +4,7 @@
 use route::Verdict;
 use schema::timeline::EventKind;
 
-use super::Arrival;
+use super::IncomingRequest;
 use super::requests::{Request, State, Trail};
 use super::shared::Ctx;
 use super::trace::Note;
@@ -24,12 +24,14 @@
 /// A refusal; the request was not run.
 pub(super) fn accept(
     ctx: &mut Ctx<'_>,
-    arrival: Box<Arrival>,
+    arrival: Box<IncomingRequest>,
 ) -> Result<Request, Refusal> {
     let refuse = Refusal::not_run;
-    let named = match &arrival.work {
-        super::Work::Model(model) => model.as_ref().map_or("", ModelId::as_str),
-        super::Work::Service(service) => service.as_str(),
+    let named = match &arrival.resource {
+        super::RequestedResource::Model(model) => {
+            model.as_ref().map_or("", ModelId::as_str)
+        }
+        super::RequestedResource::Service(service) => service.as_str(),
     };
     Note::new(EventKind::RequestArrived, "")
         .request(arrival.request)
--- a/crates/role/src/entry/control/config.rs
+++ b/crates/role/src/entry/control/config.rs
@@ -121,7 +121,7 @@
 
     /// Asks a peer for the changes after the revision in force.
     pub(super) fn ask(&self, peer: &Peer, out: &mut Vec<EntryAction>) {
-        out.push(EntryAction::Send {
+        out.push(EntryAction::SendFrame {
             peer: peer.clone(),
             body: frame::Body::ConfigAsk(ConfigAsk {
                 after_revision: self.log.revision().0,
@@ -135,7 +135,7 @@
             return;
         }
         let missing = self.log.changes_after(Revision(ask.after_revision));
-        out.push(EntryAction::Send {
+        out.push(EntryAction::SendFrame {
             peer: peer.clone(),
             body: frame::Body::ConfigChanges(missing),
         });
--- a/crates/role/src/entry/control/gossip.rs
+++ b/crates/role/src/entry/control/gossip.rs
@@ -86,7 +86,7 @@
         let gossip = self.compose(now, shared);
         for peer in peers {
             let body = frame::Body::Gossip(gossip.clone());
-            out.push(EntryAction::Send { peer, body });
+            out.push(EntryAction::SendFrame { peer, body });
         }
     }
 
@@ -105,7 +105,7 @@
             leaving: self.leaving,
             link_address: options.link_address.clone(),
             operator_address: options.operator_address.clone(),
-            failure_domain: options.domain.to_string(),
+            failure_domain: options.failure_domain.to_string(),
         }
     }
 
--- a/crates/role/src/entry/control/links.rs
+++ b/crates/role/src/entry/control/links.rs
@@ -173,7 +173,7 @@
 
     pub(super) fn say_goodbye(&self, shared: &Shared, out: &mut Vec<EntryAction>) {
         for peer in self.links.keys() {
-            out.push(EntryAction::Send {
+            out.push(EntryAction::SendFrame {
                 peer: peer.clone(),
                 body: frame::Body::Goodbye(Goodbye {
                     id: self.me.to_string(),
--- a/crates/role/src/entry/control/mod.rs
+++ b/crates/role/src/entry/control/mod.rs
@@ -143,7 +143,7 @@
             planning: Planning::new(),
             gossip: Gossiping::new(),
             me: options.id.clone(),
-            domain: options.domain.clone(),
+            domain: options.failure_domain.clone(),
             instances_version: Version(0),
             put_off: BTreeSet::new(),
             unix_ms_at_zero: options.unix_ms_at_zero,
@@ -322,7 +322,7 @@
             return;
         }
         self.ready = ready;
-        out.push(EntryAction::Ready(ready));
+        out.push(EntryAction::SetReady(ready));
         if ready {
             let detail = format!("revision {}", self.log.revision());
             Note::new(EventKind::ProcessReady, detail).put(out);
--- a/crates/role/src/entry/control/plan.rs
+++ b/crates/role/src/entry/control/plan.rs
@@ -269,7 +269,7 @@
             accelerator: wish.accelerator,
             reason: wish.reason as u32,
         });
-        out.push(EntryAction::Send {
+        out.push(EntryAction::SendFrame {
             peer: Peer::Agent(target.agent.clone()),
             body: frame::Body::Target(Target {
                 planner: self.me.to_string(),
--- a/crates/role/src/entry/control/platform.rs
+++ b/crates/role/src/entry/control/platform.rs
@@ -142,7 +142,7 @@
             self.platform.look_for = Revision(self.log.revision().0 + 1);
         }
         let op = self.operation(call, options);
-        out.push(EntryAction::Platform(PlatformCall { id, op }));
+        out.push(EntryAction::CallPlatform(PlatformCall { id, op }));
     }
 
     fn operation(&self, call: Call, options: &EntryOptions) -> PlatformOp {
@@ -183,7 +183,7 @@
             kind: "entry".to_owned(),
             id: options.id.to_string(),
             incarnation: options.incarnation.0,
-            failure_domain: options.domain.to_string(),
+            failure_domain: options.failure_domain.to_string(),
             pool: String::new(),
             link_address: options.link_address.clone(),
             operator_address: options.operator_address.clone(),
--- a/crates/role/src/entry/counters.rs
+++ b/crates/role/src/entry/counters.rs
@@ -1,6 +1,6 @@
 //! What an entry counts.
 
-use super::tally::{ProfileCount, ReasonCount};
+use super::tally::{DecisionCount, ProfileOutcomes};
 use base::Code;
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -12,11 +12,11 @@
     /// Requests whose whole answer was given.
     pub finished: u64,
     /// Requests refused or failed, by code.
-    pub refused: Vec<CodeCount>,
-    /// Work by profile, in order of name.
-    pub profiles: Vec<ProfileCount>,
+    pub refused: Vec<RefusalCount>,
+    /// RequestedResource by profile, in order of name.
+    pub profiles: Vec<ProfileOutcomes>,
     /// Decisions by reason.
-    pub reasons: Vec<ReasonCount>,
+    pub decisions: Vec<DecisionCount>,
     /// Requests whose caller went away.
     pub cancelled: u64,
     /// Runs sent to agents.
@@ -53,7 +53,7 @@
 
 /// Refusals with one code.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct CodeCount {
+pub struct RefusalCount {
     /// Code.
     pub code: Code,
     /// How many.
@@ -120,7 +120,7 @@
             arrived: get(&self.arrived),
             finished: get(&self.finished),
             refused: by_code
-                .map(|(code, counter)| CodeCount {
+                .map(|(code, counter)| RefusalCount {
                     code: *code,
                     count: get(counter),
                 })
--- a/crates/role/src/entry/event.rs
+++ b/crates/role/src/entry/event.rs
@@ -16,9 +16,9 @@
     /// The time given by `due` has come.
     Tick,
     /// A caller sent a request.
-    Arrive(Box<Arrival>),
+    RequestReceived(Box<IncomingRequest>),
     /// The caller of a request is gone.
-    CallerGone {
+    CallerDisconnected {
         /// Request.
         request: RequestId,
     },
@@ -45,7 +45,7 @@
     },
     /// A part of an answer came; the driver holds its payload until the call
     /// returns.
-    Part {
+    AnswerPart {
         /// Agent that sent it.
         agent: AgentId,
         /// Attempt.
@@ -56,15 +56,15 @@
         units: u32,
     },
     /// The platform answered a call.
-    Platform(PlatformAnswer),
+    PlatformAnswered(PlatformAnswer),
     /// The operator or the platform asks the process to stop.
     Drain,
 }
 
 /// A request as it comes from a caller.
 #[derive(Debug, Clone)]
-pub struct Arrival {
-    /// Name the driver gave the request, by `EntryRole::next_request`.
+pub struct IncomingRequest {
+    /// Name the driver gave the request, by `EntryRole::next_request_id`.
     pub request: RequestId,
     /// Who the caller says it is.
     pub credential: Credential,
@@ -73,7 +73,7 @@
     /// Deadline named, from now, if any.
     pub deadline_ms: Option<u64>,
     /// What is asked for.
-    pub work: Work,
+    pub resource: RequestedResource,
     /// Idempotency key, if any.
     pub idempotency_key: Option<String>,
     /// HTTP method.
@@ -94,7 +94,7 @@
 
 /// What a request asks for.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Work {
+pub enum RequestedResource {
     /// Tokens of a model or adapter; `None` takes the profile's default.
     Model(Option<ModelId>),
     /// A call of a plain service.
@@ -105,7 +105,7 @@
 #[derive(Debug)]
 pub enum EntryAction {
     /// Send a frame.
-    Send {
+    SendFrame {
         /// Far end.
         peer: Peer,
         /// Content.
@@ -122,7 +122,7 @@
     },
     /// Give the part of an answer that the driver holds to the caller, less
     /// its first units.
-    Deliver {
+    DeliverPart {
         /// Request.
         request: RequestId,
         /// Units at the start of the part that the caller already has.
@@ -160,11 +160,11 @@
         peer: Peer,
     },
     /// Call the platform.
-    Platform(PlatformCall),
+    CallPlatform(PlatformCall),
     /// Whether the process takes work.
-    Ready(bool),
+    SetReady(bool),
     /// Record an event of the time line; clock and process are the driver's.
-    Trace(timeline::Event),
+    RecordEvent(timeline::Event),
     /// The process has drained and may end.
     Exit,
 }
--- a/crates/role/src/entry/mod.rs
+++ b/crates/role/src/entry/mod.rs
@@ -19,9 +19,9 @@
 mod waiting;
 mod wanted;
 
-pub use counters::{CodeCount, EntryCounters};
-pub use event::{Arrival, EntryAction, EntryEvent, Work};
+pub use counters::{EntryCounters, RefusalCount};
+pub use event::{EntryAction, EntryEvent, IncomingRequest, RequestedResource};
 pub use options::EntryOptions;
 pub use role::EntryRole;
-pub use status::{AgentStatusLine, EntryStatus, EntryStatusLine, ModelStatusLine};
-pub use tally::{ProfileCount, ReasonCount};
+pub use status::{AgentSummary, EntryStatus, ModelSummary, PeerEntrySummary};
+pub use tally::{DecisionCount, ProfileOutcomes};
--- a/crates/role/src/entry/options.rs
+++ b/crates/role/src/entry/options.rs
@@ -10,7 +10,7 @@
     /// This run of the process.
     pub incarnation: Incarnation,
     /// Failure domain the process runs in.
-    pub domain: DomainId,
+    pub failure_domain: DomainId,
     /// `ip:port` on which other entries connect.
     pub link_address: String,
     /// `ip:port` for operators.
--- a/crates/role/src/entry/report.rs
+++ b/crates/role/src/entry/report.rs
@@ -6,9 +6,7 @@
 use super::control::{Control, sentence};
 use super::role::EntryRole;
 use super::wanted::Wanted;
-use super::{
-    AgentStatusLine, EntryCounters, EntryStatus, EntryStatusLine, ModelStatusLine,
-};
+use super::{AgentSummary, EntryCounters, EntryStatus, ModelSummary, PeerEntrySummary};
 
 impl EntryRole {
     /// Counts and gauges for `/metrics`.
@@ -20,11 +18,11 @@
             (control.directory.agents().count(), up)
         };
         let tally = self.shared.tally.lock();
-        let (profiles, reasons) = (tally.profiles(), tally.reasons());
+        let (profiles, decisions) = (tally.profiles(), tally.reasons());
         drop(tally);
         EntryCounters {
             profiles,
-            reasons,
+            decisions,
             waiting: self.waiting(),
             running: self.running(),
             agents_up: up as u64,
@@ -40,7 +38,7 @@
         let now = control.seen_at();
         let options = &self.shared.options;
         let agents = control.directory.agents();
-        let entries = control.entries.all().map(|held| EntryStatusLine {
+        let entries = control.entries.all().map(|held| PeerEntrySummary {
             id: held.id.to_string(),
             alive: control.entries.alive(now, &held.id),
             leaving: held.leaving,
@@ -48,7 +46,7 @@
         EntryStatus {
             id: options.id.to_string(),
             incarnation: options.incarnation.0,
-            failure_domain: options.domain.to_string(),
+            failure_domain: options.failure_domain.to_string(),
             ready: control.ready,
             leaving: control.leaving,
             platform_up: control.platform_up(),
@@ -114,7 +112,7 @@
         }
     }
 
-    fn model_lines(&self, control: &Control, now: Instant) -> Vec<ModelStatusLine> {
+    fn model_lines(&self, control: &Control, now: Instant) -> Vec<ModelSummary> {
         let Some(config) = control.config() else {
             return Vec::new();
         };
@@ -124,7 +122,7 @@
             let demand = demands.iter().find(|held| held.model == spec.id);
             let wanted = Wanted::Model(spec.id.clone());
             let holders = control.directory.holders(id);
-            ModelStatusLine {
+            ModelSummary {
                 model: id.to_owned(),
                 holders: holders.map(|agent| agent.id.to_string()).collect(),
                 waiting: self.shared.waiting.lock().queue(&wanted).0,
@@ -147,11 +145,11 @@
     }
 }
 
-fn agent_line(now: Instant, agent: &Agent) -> AgentStatusLine {
+fn agent_line(now: Instant, agent: &Agent) -> AgentSummary {
     let hint = agent.hint.read(now);
     let loaded = agent.residents.iter();
     let loaded = loaded.filter(|held| held.state == ResidencyState::Loaded);
-    AgentStatusLine {
+    AgentSummary {
         id: agent.id.to_string(),
         pool: agent.pool.to_string(),
         failure_domain: agent.domain.to_string(),
--- a/crates/role/src/entry/requests/answers.rs
+++ b/crates/role/src/entry/requests/answers.rs
@@ -91,7 +91,7 @@
         // The part starts at or before the end of what the caller has, and its
         // units fit 32 bits, so the units to skip do as well.
         let skip_units = u32::try_from(delivered - part.offset).unwrap_or(u32::MAX);
-        out.push(EntryAction::Deliver {
+        out.push(EntryAction::DeliverPart {
             request: id,
             skip_units,
         });
--- a/crates/role/src/entry/requests/failures.rs
+++ b/crates/role/src/entry/requests/failures.rs
@@ -365,7 +365,7 @@
 fn send(ctx: &mut Ctx<'_>, attempt: &Attempt, body: frame::Body) {
     let peer = Peer::Agent(attempt.agent.clone());
     if ctx.control.links.contains_key(&peer) {
-        ctx.out.push(EntryAction::Send { peer, body });
+        ctx.out.push(EntryAction::SendFrame { peer, body });
     }
 }
 
--- a/crates/role/src/entry/requests/place.rs
+++ b/crates/role/src/entry/requests/place.rs
@@ -144,7 +144,7 @@
         }
         let input = ChooseInput {
             prefix_hash: request.arrival.prefix_hash,
-            domain: &ctx.shared.options.domain,
+            domain: &ctx.shared.options.failure_domain,
             excluded: &request.excluded,
         };
         let chosen = choose(&candidates.holders, &input, &mut self.rng)?;
--- a/crates/role/src/entry/requests/state.rs
+++ b/crates/role/src/entry/requests/state.rs
@@ -2,7 +2,7 @@
 
 use base::prelude::*;
 
-use super::super::Arrival;
+use super::super::IncomingRequest;
 use super::super::waiting::Place;
 use super::super::wanted::Resolved;
 
@@ -36,7 +36,7 @@
 /// One request in progress.
 #[derive(Debug)]
 pub(crate) struct Request {
-    pub(crate) arrival: Box<Arrival>,
+    pub(crate) arrival: Box<IncomingRequest>,
     pub(crate) resolved: Resolved,
     pub(crate) caller: CallerId,
     pub(crate) arrived_at: Instant,
--- a/crates/role/src/entry/role.rs
+++ b/crates/role/src/entry/role.rs
@@ -13,7 +13,7 @@
 use super::requests::{Part, PartOutcome, Requests, attempt_of};
 use super::shared::{Ctx, Later, Shared};
 use super::trace::Note;
-use super::{Arrival, EntryAction, EntryEvent, EntryOptions};
+use super::{EntryAction, EntryEvent, EntryOptions, IncomingRequest};
 use crate::Peer;
 
 /// Shards at most, so that sequences keep room for counting.
@@ -83,8 +83,8 @@
         }
         match event {
             EntryEvent::Tick => self.tick(now, out),
-            EntryEvent::Arrive(arrival) => self.arrive(now, arrival, out),
-            EntryEvent::CallerGone { request } => {
+            EntryEvent::RequestReceived(arrival) => self.arrive(now, arrival, out),
+            EntryEvent::CallerDisconnected { request } => {
                 self.in_shard(now, request.sequence, out, |shard, ctx| {
                     shard.caller_gone(ctx, request);
                 });
@@ -104,7 +104,7 @@
                 revision,
                 body,
             } => self.frame(now, &peer, revision, body, out),
-            EntryEvent::Part {
+            EntryEvent::AnswerPart {
                 agent,
                 attempt,
                 offset,
@@ -118,7 +118,7 @@
                 };
                 self.part(now, &part, out);
             }
-            EntryEvent::Platform(answer) => {
+            EntryEvent::PlatformAnswered(answer) => {
                 self.in_control(now, out, |control, out, effects| {
                     control.answered(now, &self.shared, answer, out, effects);
                 });
@@ -138,7 +138,7 @@
     }
 
     /// A name for the next request.
-    pub fn next_request(&self) -> RequestId {
+    pub fn next_request_id(&self) -> RequestId {
         RequestId {
             origin: self.shared.options.incarnation.0,
             sequence: self.next.fetch_add(1, Ordering::Relaxed),
@@ -243,7 +243,12 @@
         self.follow(now, later, out);
     }
 
-    fn arrive(&self, now: Instant, arrival: Box<Arrival>, out: &mut Vec<EntryAction>) {
+    fn arrive(
+        &self,
+        now: Instant,
+        arrival: Box<IncomingRequest>,
+        out: &mut Vec<EntryAction>,
+    ) {
         Counts::add(&self.shared.counts.arrived);
         let id = arrival.request;
         let mut later = Later::default();
--- a/crates/role/src/entry/shared.rs
+++ b/crates/role/src/entry/shared.rs
@@ -49,7 +49,7 @@
     }
 }
 
-/// Work that can only be done once the shard's lock is given back.
+/// RequestedResource that can only be done once the shard's lock is given back.
 #[derive(Debug, Default)]
 pub(crate) struct Later {
     /// Queues whose head may now be sent.
@@ -60,7 +60,7 @@
     pub(crate) room: BTreeSet<AgentId>,
     /// Requests that lost their place in the queue to a more urgent one.
     pub(crate) evicted: Vec<RequestId>,
-    /// Work waits for a model that nobody holds.
+    /// RequestedResource waits for a model that nobody holds.
     pub(crate) plan: bool,
     /// Other entries should hear of a suspect at once.
     pub(crate) gossip: bool,
--- a/crates/role/src/entry/status.rs
+++ b/crates/role/src/entry/status.rs
@@ -20,11 +20,11 @@
     /// Configuration in force; 0 for none.
     pub revision: u64,
     /// Agents in order of name.
-    pub agents: Vec<AgentStatusLine>,
+    pub agents: Vec<AgentSummary>,
     /// Other entries in order of name.
-    pub entries: Vec<EntryStatusLine>,
+    pub entries: Vec<PeerEntrySummary>,
     /// Models held or asked for, in order of name.
-    pub models: Vec<ModelStatusLine>,
+    pub models: Vec<ModelSummary>,
     /// Requests that wait.
     pub waiting: u64,
     /// Requests with an attempt in flight.
@@ -35,7 +35,7 @@
 
 /// One agent as this entry sees it.
 #[derive(Debug, Clone, Serialize)]
-pub struct AgentStatusLine {
+pub struct AgentSummary {
     /// Name.
     pub id: String,
     /// Pool of its upstream.
@@ -64,7 +64,7 @@
 
 /// One other entry as this entry sees it.
 #[derive(Debug, Clone, Serialize)]
-pub struct EntryStatusLine {
+pub struct PeerEntrySummary {
     /// Name.
     pub id: String,
     /// It was heard lately.
@@ -75,7 +75,7 @@
 
 /// One model or adapter as this entry sees it.
 #[derive(Debug, Clone, Serialize)]
-pub struct ModelStatusLine {
+pub struct ModelSummary {
     /// Name.
     pub model: String,
     /// Agents that can serve it.
--- a/crates/role/src/entry/tally.rs
+++ b/crates/role/src/entry/tally.rs
@@ -11,7 +11,7 @@
 
 /// What came of the work of one profile since the start of the process.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct ProfileCount {
+pub struct ProfileOutcomes {
     /// Profile; empty for services that no profile names.
     pub profile: String,
     /// Whole answers.
@@ -28,7 +28,7 @@
 
 /// Decisions that fell for one reason.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ReasonCount {
+pub struct DecisionCount {
     /// `route` for the choice of an upstream, `place` for a change of a plan.
     pub decision: &'static str,
     /// Word for the reason.
@@ -40,7 +40,7 @@
 /// Counts by profile and by reason.
 #[derive(Debug, Default)]
 pub(crate) struct Tally {
-    profiles: BTreeMap<String, ProfileCount>,
+    profiles: BTreeMap<String, ProfileOutcomes>,
     reasons: BTreeMap<(&'static str, &'static str), u64>,
 }
 
@@ -72,14 +72,14 @@
     }
 
     /// Counts by profile, in order of name.
-    pub(crate) fn profiles(&self) -> Vec<ProfileCount> {
+    pub(crate) fn profiles(&self) -> Vec<ProfileOutcomes> {
         self.profiles.values().cloned().collect()
     }
 
     /// Counts by reason, in order of decision and reason.
-    pub(crate) fn reasons(&self) -> Vec<ReasonCount> {
+    pub(crate) fn reasons(&self) -> Vec<DecisionCount> {
         let reasons = self.reasons.iter();
-        let counts = reasons.map(|((decision, reason), count)| ReasonCount {
+        let counts = reasons.map(|((decision, reason), count)| DecisionCount {
             decision,
             reason,
             count: *count,
@@ -87,11 +87,11 @@
         counts.collect()
     }
 
-    fn profile(&mut self, name: &str) -> &mut ProfileCount {
+    fn profile(&mut self, name: &str) -> &mut ProfileOutcomes {
         if !self.profiles.contains_key(name) {
-            let count = ProfileCount {
+            let count = ProfileOutcomes {
                 profile: name.to_owned(),
-                ..ProfileCount::default()
+                ..ProfileOutcomes::default()
             };
             self.profiles.insert(name.to_owned(), count);
         }
--- a/crates/role/src/entry/trace.rs
+++ b/crates/role/src/entry/trace.rs
@@ -52,6 +52,6 @@
 
     /// Records it.
     pub(crate) fn put(self, out: &mut Vec<EntryAction>) {
-        out.push(EntryAction::Trace(self.0));
+        out.push(EntryAction::RecordEvent(self.0));
     }
 }
--- a/crates/role/src/entry/wanted.rs
+++ b/crates/role/src/entry/wanted.rs
@@ -4,7 +4,7 @@
 use conf::{Config, ProfileKind, ProfileSpec};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::{Arrival, Work};
+use super::{IncomingRequest, RequestedResource};
 
 /// Deadline of work whose profile states none.
 const DEADLINE_DEFAULT_MS: u64 = 60_000;
@@ -67,12 +67,15 @@
 /// # Errors
 ///
 /// The code to refuse the request with.
-pub(crate) fn resolve(config: &Config, arrival: &Arrival) -> Result<Resolved, Code> {
+pub(crate) fn resolve(
+    config: &Config,
+    arrival: &IncomingRequest,
+) -> Result<Resolved, Code> {
     let named = named_profile(config, arrival)?;
-    let (wanted, profile) = match &arrival.work {
-        Work::Model(Some(model)) => by_model(config, named, model)?,
-        Work::Model(None) => by_default(config, named)?,
-        Work::Service(service) => by_service(config, named, service)?,
+    let (wanted, profile) = match &arrival.resource {
+        RequestedResource::Model(Some(model)) => by_model(config, named, model)?,
+        RequestedResource::Model(None) => by_default(config, named)?,
+        RequestedResource::Service(service) => by_service(config, named, service)?,
     };
     let deadline_ms = deadline(arrival, profile)?;
     let service = match &wanted {
@@ -99,7 +102,7 @@
 
 fn named_profile<'a>(
     config: &'a Config,
-    arrival: &Arrival,
+    arrival: &IncomingRequest,
 ) -> Result<Option<&'a ProfileSpec>, Code> {
     let Some(name) = &arrival.profile else {
         return Ok(None);
@@ -159,7 +162,10 @@
     Ok((Wanted::Service(service.clone()), profile))
 }
 
-fn deadline(arrival: &Arrival, profile: Option<&ProfileSpec>) -> Result<u64, Code> {
+fn deadline(
+    arrival: &IncomingRequest,
+    profile: Option<&ProfileSpec>,
+) -> Result<u64, Code> {
     let stated = profile.map_or(0, |held| u64::from(held.deadline_ms));
     match arrival.deadline_ms {
         Some(0) => Err(Code::BadDeadline),
--- a/crates/role/tests/entry/answers.rs
+++ b/crates/role/tests/entry/answers.rs
@@ -221,7 +221,9 @@
     let mut rig = Rig::new();
     rig.agent_in("s1", "desk", "d1", &[]);
     rig.agent_in("s2", "desk", "d1", &[]);
-    let arrival = rig.arrival(role::entry::Work::Service(ServiceId::new("parts")));
+    let arrival = rig.arrival(role::entry::RequestedResource::Service(ServiceId::new(
+        "parts",
+    )));
     let request = rig.arrive(arrival);
     let run = rig.run(request);
     rig.part(&run, 0, 10);
@@ -239,7 +241,7 @@
     let request = rig.ask("m1");
     let run = rig.run(request);
     rig.started(&run);
-    rig.handle(role::entry::EntryEvent::CallerGone { request });
+    rig.handle(role::entry::EntryEvent::CallerDisconnected { request });
     assert_eq!(rig.cancels(&run), 1);
     rig.part(&run, 0, 1);
     rig.end(&run, 1);
--- a/crates/role/tests/entry/control.rs
+++ b/crates/role/tests/entry/control.rs
@@ -75,14 +75,14 @@
     let mut rig = Rig::new();
     offer(&mut rig, vec![change(2, &patch(2.0))]);
     let id = rig.log.iter().rev().find_map(|action| match action {
-        EntryAction::Platform(call) => match &call.op {
+        EntryAction::CallPlatform(call) => match &call.op {
             PlatformOp::Watch { prefix, .. } if prefix == "config/" => Some(call.id),
             _ => None,
         },
         _ => None,
     });
     let old = ("config/000000000001".to_owned(), Version(1), b"{}".to_vec());
-    rig.handle(EntryEvent::Platform(PlatformAnswer {
+    rig.handle(EntryEvent::PlatformAnswered(PlatformAnswer {
         id: id.expect("the configuration is watched"),
         result: PlatformResult::Objects(vec![old], Version(0)),
     }));
@@ -117,7 +117,7 @@
     assert_eq!(asked, [0]);
     let ready = |rig: &Rig| {
         let log = rig.log.iter();
-        log.filter(|action| matches!(action, EntryAction::Ready(true)))
+        log.filter(|action| matches!(action, EntryAction::SetReady(true)))
             .count()
     };
     assert_eq!(ready(&rig), 0);
--- a/crates/role/tests/entry/crashes.rs
+++ b/crates/role/tests/entry/crashes.rs
@@ -3,7 +3,7 @@
 use crate::rig::{Rig, document, entry_peer, options};
 use base::prelude::*;
 use role::Peer;
-use role::entry::{EntryAction, EntryEvent, Work};
+use role::entry::{EntryAction, EntryEvent, RequestedResource};
 use schema::link::frame;
 
 /// Body of the request that crashes each engine that runs it.
@@ -48,7 +48,7 @@
             let frames: Vec<frame::Body> = self.rigs[from].log[self.passed[from]..]
                 .iter()
                 .filter_map(|action| match action {
-                    EntryAction::Send {
+                    EntryAction::SendFrame {
                         peer: Peer::Entry(_),
                         body,
                     } => Some(body.clone()),
@@ -119,7 +119,7 @@
         let rig = &mut self.rigs[0];
         let run = rig.run(request);
         rig.started(&run);
-        rig.handle(EntryEvent::CallerGone { request });
+        rig.handle(EntryEvent::CallerDisconnected { request });
         rig.crash(&run, &[run.run.fingerprint]);
         self.ran[0] = rig.log.len();
         self.crashes += 1;
@@ -128,7 +128,8 @@
 
     fn deadly(&mut self, index: usize) -> RequestId {
         let rig = &mut self.rigs[index];
-        let mut arrival = rig.arrival(Work::Model(Some(ModelId::new("m1"))));
+        let mut arrival =
+            rig.arrival(RequestedResource::Model(Some(ModelId::new("m1"))));
         arrival.body_hash = DEADLY;
         rig.arrive(arrival)
     }
@@ -212,7 +213,8 @@
     rig.agent("a1", &["m1"]);
     rig.agent("a2", &["m1"]);
     let ask = |rig: &mut Rig| {
-        let mut arrival = rig.arrival(Work::Model(Some(ModelId::new("m1"))));
+        let mut arrival =
+            rig.arrival(RequestedResource::Model(Some(ModelId::new("m1"))));
         arrival.body_hash = DEADLY;
         rig.arrive(arrival)
     };
@@ -224,7 +226,7 @@
     rig.beat(other);
     rig.started(&first);
     rig.crash(&first, &[first.run.fingerprint]);
-    rig.handle(EntryEvent::CallerGone { request });
+    rig.handle(EntryEvent::CallerDisconnected { request });
     rig.advance(200);
     let again = ask(&mut rig);
     let second = rig.run(again);
--- a/crates/role/tests/entry/failing.rs
+++ b/crates/role/tests/entry/failing.rs
@@ -2,12 +2,12 @@
 
 use crate::rig::{Rig, Sent, entry_peer};
 use base::prelude::*;
-use role::entry::{EntryEvent, Work};
+use role::entry::{EntryEvent, RequestedResource};
 use schema::link::{Gossip, UpstreamVerdict, frame};
 use schema::timeline::EventKind;
 
 fn ask(rig: &mut Rig, service: &str) -> RequestId {
-    let arrival = rig.arrival(Work::Service(ServiceId::new(service)));
+    let arrival = rig.arrival(RequestedResource::Service(ServiceId::new(service)));
     rig.arrive(arrival)
 }
 
--- a/crates/role/tests/entry/forecast.rs
+++ b/crates/role/tests/entry/forecast.rs
@@ -2,7 +2,7 @@
 
 use crate::rig::{Rig, document, heartbeat, options};
 use base::prelude::*;
-use role::entry::Work;
+use role::entry::RequestedResource;
 use schema::link::{Resident, ResidentState, frame};
 use serde_json::json;
 
@@ -28,7 +28,7 @@
 
 /// Asks with a deadline; whether it was refused at once.
 fn refused(rig: &mut Rig, model: &str, deadline_ms: u64) -> bool {
-    let mut arrival = rig.arrival(Work::Model(Some(ModelId::new(model))));
+    let mut arrival = rig.arrival(RequestedResource::Model(Some(ModelId::new(model))));
     arrival.deadline_ms = Some(deadline_ms);
     let request = rig.arrive(arrival);
     let refusals = rig.refusals(request);
@@ -159,7 +159,8 @@
         let mut rig = rig();
         rig.agent("a1", &[]);
         rig.agents.get_mut("a1").expect("known").silent = true;
-        let mut arrival = rig.arrival(Work::Model(Some(ModelId::new("m1"))));
+        let mut arrival =
+            rig.arrival(RequestedResource::Model(Some(ModelId::new("m1"))));
         arrival.deadline_ms = Some(DEADLINE_MS);
         let request = rig.arrive(arrival);
         let (mut told_at, mut later) = (None, None);
--- a/crates/role/tests/entry/freeze.rs
+++ b/crates/role/tests/entry/freeze.rs
@@ -3,7 +3,7 @@
 use crate::rig::{Rig, entry_peer};
 use base::prelude::*;
 use base::{PlatformAnswer, PlatformResult};
-use role::entry::{EntryEvent, Work};
+use role::entry::{EntryEvent, RequestedResource};
 use schema::link::{Gossip, frame};
 use schema::timeline::EventKind;
 
@@ -35,7 +35,7 @@
     ("gossip", hear),
     ("answer of the platform", |rig| {
         let (id, result) = (u64::MAX, PlatformResult::Away);
-        rig.handle(EntryEvent::Platform(PlatformAnswer { id, result }));
+        rig.handle(EntryEvent::PlatformAnswered(PlatformAnswer { id, result }));
         rig.handle(EntryEvent::Tick);
     }),
     ("tick, and a second freeze", |rig| {
@@ -60,7 +60,8 @@
             let run = rig.run(request);
             rig.started(&run);
         }
-        let mut arrival = rig.arrival(Work::Model(Some(ModelId::new("m1"))));
+        let mut arrival =
+            rig.arrival(RequestedResource::Model(Some(ModelId::new("m1"))));
         arrival.deadline_ms = Some(4_000);
         let runs = [rig.run(running), rig.run(order)];
         freeze(&mut rig);
--- a/crates/role/tests/entry/looks.rs
+++ b/crates/role/tests/entry/looks.rs
@@ -28,7 +28,7 @@
     rig.held_reads = true;
     rig.advance(10_500);
     let look = rig.log[from..].iter().find_map(|action| match action {
-        EntryAction::Platform(call) => match &call.op {
+        EntryAction::CallPlatform(call) => match &call.op {
             PlatformOp::Read { key } => Some((call.id, key.clone())),
             _ => None,
         },
@@ -51,7 +51,7 @@
             ..ConfigChanges::default()
         }),
     });
-    rig.handle(EntryEvent::Platform(PlatformAnswer {
+    rig.handle(EntryEvent::PlatformAnswered(PlatformAnswer {
         id,
         result: PlatformResult::Object(Some((Version(1), value))),
     }));
@@ -67,7 +67,7 @@
     rig.advance(120_000);
     let calls = |wanted: &dyn Fn(&PlatformOp) -> bool| {
         let platform = rig.log[from..].iter().filter(|action| match action {
-            EntryAction::Platform(call) => wanted(&call.op),
+            EntryAction::CallPlatform(call) => wanted(&call.op),
             _ => false,
         });
         platform.count()
--- a/crates/role/tests/entry/random.rs
+++ b/crates/role/tests/entry/random.rs
@@ -44,7 +44,7 @@
                     assert!(self.of_attempt.insert(sent.id(), *request).is_none());
                     self.attempts.insert(sent.id(), sent);
                 }
-                EntryAction::Deliver {
+                EntryAction::DeliverPart {
                     request,
                     skip_units,
                 } => {
@@ -145,7 +145,7 @@
             if !seen.ended.contains(&request) {
                 seen.gone.insert(request);
             }
-            rig.handle(EntryEvent::CallerGone { request });
+            rig.handle(EntryEvent::CallerDisconnected { request });
         }
         _ => return attempt_step(u, rig, seen, gate),
     }
--- a/crates/role/tests/entry/retries.rs
+++ b/crates/role/tests/entry/retries.rs
@@ -177,7 +177,8 @@
         (
             "unknown caller",
             |r| {
-                let mut arrival = r.arrival(role::entry::Work::Model(None));
+                let mut arrival =
+                    r.arrival(role::entry::RequestedResource::Model(None));
                 arrival.credential = access::Credential::of("other");
                 r.arrive(arrival)
             },
@@ -187,7 +188,7 @@
         (
             "no default profile",
             |r| {
-                let arrival = r.arrival(role::entry::Work::Model(None));
+                let arrival = r.arrival(role::entry::RequestedResource::Model(None));
                 r.arrive(arrival)
             },
             Code::UnknownProfile,
@@ -225,8 +226,9 @@
         (
             "deadline before the agent's word",
             |r| {
-                let mut arrival =
-                    r.arrival(role::entry::Work::Model(Some(ModelId::new("m1"))));
+                let mut arrival = r.arrival(role::entry::RequestedResource::Model(
+                    Some(ModelId::new("m1")),
+                ));
                 arrival.deadline_ms = Some(1_500);
                 let request = r.arrive(arrival);
                 r.advance(1_600);
@@ -240,8 +242,9 @@
         (
             "deadline while it runs",
             |r| {
-                let mut arrival =
-                    r.arrival(role::entry::Work::Model(Some(ModelId::new("m1"))));
+                let mut arrival = r.arrival(role::entry::RequestedResource::Model(
+                    Some(ModelId::new("m1")),
+                ));
                 arrival.deadline_ms = Some(1_500);
                 let request = r.arrive(arrival);
                 let run = r.run(request);
--- a/crates/role/tests/entry/rig/agents.rs
+++ b/crates/role/tests/entry/rig/agents.rs
@@ -109,7 +109,7 @@
     }
 
     pub fn part(&mut self, run: &Sent, offset: u64, units: u32) {
-        self.handle(EntryEvent::Part {
+        self.handle(EntryEvent::AnswerPart {
             agent: AgentId::new(&run.agent),
             attempt: run.id(),
             offset,
--- a/crates/role/tests/entry/rig/mod.rs
+++ b/crates/role/tests/entry/rig/mod.rs
@@ -70,7 +70,7 @@
     pub fn put(&mut self, key: &str, value: &[u8]) {
         self.objects.insert(key.to_owned(), value.to_vec());
         let calls = self.log.iter().filter_map(|action| match action {
-            EntryAction::Platform(call) => Some(call),
+            EntryAction::CallPlatform(call) => Some(call),
             _ => None,
         });
         let told = calls.filter(|call| match &call.op {
@@ -80,7 +80,7 @@
         for id in told.map(|call| call.id).collect::<Vec<_>>() {
             let news = vec![(key.to_owned(), Version(2), value.to_vec())];
             let result = PlatformResult::Objects(news, Version(2));
-            self.handle(EntryEvent::Platform(PlatformAnswer { id, result }));
+            self.handle(EntryEvent::PlatformAnswered(PlatformAnswer { id, result }));
         }
     }
 
@@ -93,7 +93,7 @@
 
     fn answer(&mut self, actions: &[EntryAction]) {
         for action in actions {
-            if let EntryAction::Platform(call) = action {
+            if let EntryAction::CallPlatform(call) = action {
                 let id = call.id;
                 let result = match (&call.op, self.platform_away) {
                     (_, true) => PlatformResult::Away,
@@ -111,7 +111,10 @@
                     }
                     (PlatformOp::Watch { .. }, _) => continue,
                 };
-                self.handle(EntryEvent::Platform(PlatformAnswer { id, result }));
+                self.handle(EntryEvent::PlatformAnswered(PlatformAnswer {
+                    id,
+                    result,
+                }));
             }
         }
     }
--- a/crates/role/tests/entry/rig/requests.rs
+++ b/crates/role/tests/entry/rig/requests.rs
@@ -3,17 +3,17 @@
 use super::{KEY, Rig};
 use access::Credential;
 use base::prelude::*;
-use role::entry::{Arrival, EntryEvent, Work};
+use role::entry::{EntryEvent, IncomingRequest, RequestedResource};
 
 impl Rig {
-    pub fn arrival(&self, work: Work) -> Arrival {
-        let request = self.role.next_request();
-        Arrival {
+    pub fn arrival(&self, resource: RequestedResource) -> IncomingRequest {
+        let request = self.role.next_request_id();
+        IncomingRequest {
             request,
             credential: Credential::of(KEY),
             profile: None,
             deadline_ms: None,
-            work,
+            resource,
             idempotency_key: None,
             method: "POST".to_owned(),
             path: "/v1/completions".to_owned(),
@@ -25,20 +25,21 @@
         }
     }
 
-    pub fn arrive(&mut self, arrival: Arrival) -> RequestId {
+    pub fn arrive(&mut self, arrival: IncomingRequest) -> RequestId {
         let request = arrival.request;
-        self.handle(EntryEvent::Arrive(Box::new(arrival)));
+        self.handle(EntryEvent::RequestReceived(Box::new(arrival)));
         request
     }
 
     pub fn ask(&mut self, model: &str) -> RequestId {
-        let arrival = self.arrival(Work::Model(Some(ModelId::new(model))));
+        let arrival = self.arrival(RequestedResource::Model(Some(ModelId::new(model))));
         self.arrive(arrival)
     }
 
     /// A call that must not run twice.
     pub fn order(&mut self) -> RequestId {
-        let mut arrival = self.arrival(Work::Service(ServiceId::new("orders")));
+        let mut arrival =
+            self.arrival(RequestedResource::Service(ServiceId::new("orders")));
         arrival.idempotency_key = Some("k1".to_owned());
         self.arrive(arrival)
     }
--- a/crates/role/tests/entry/rig/seen.rs
+++ b/crates/role/tests/entry/rig/seen.rs
@@ -59,7 +59,7 @@
 
     pub fn skips(&self, request: RequestId) -> Vec<u32> {
         let delivered = self.log.iter().filter_map(|action| match action {
-            EntryAction::Deliver {
+            EntryAction::DeliverPart {
                 request: of,
                 skip_units,
             } if *of == request => Some(*skip_units),
@@ -71,7 +71,7 @@
     /// Frames sent to a process that `pick` wants.
     pub fn sent<T>(&self, pick: impl Fn(&Peer, &frame::Body) -> Option<T>) -> Vec<T> {
         let sent = self.log.iter().filter_map(|action| match action {
-            EntryAction::Send { peer, body } => pick(peer, body),
+            EntryAction::SendFrame { peer, body } => pick(peer, body),
             _ => None,
         });
         sent.collect()
@@ -99,7 +99,7 @@
 
     pub fn traced(&self, kind: EventKind) -> usize {
         let traced = self.log.iter().filter(|action| {
-            matches!(action, EntryAction::Trace(event) if event.kind == kind as i32)
+            matches!(action, EntryAction::RecordEvent(event) if event.kind == kind as i32)
         });
         traced.count()
     }
--- a/crates/role/tests/entry/suspects.rs
+++ b/crates/role/tests/entry/suspects.rs
@@ -3,7 +3,7 @@
 use crate::rig::{Rig, document, entry_peer, options};
 use base::prelude::*;
 use role::Peer;
-use role::entry::{EntryAction, EntryEvent, Work};
+use role::entry::{EntryAction, EntryEvent, RequestedResource};
 use schema::link::{End, Gossip, Suspect, frame};
 use schema::timeline::{Event, EventKind};
 use serde_json::json;
@@ -11,7 +11,7 @@
 const DEADLY: u64 = 666;
 
 fn ask(rig: &mut Rig) -> RequestId {
-    let mut arrival = rig.arrival(Work::Model(Some(ModelId::new("m1"))));
+    let mut arrival = rig.arrival(RequestedResource::Model(Some(ModelId::new("m1"))));
     arrival.body_hash = DEADLY;
     rig.arrive(arrival)
 }
@@ -35,7 +35,9 @@
 
 fn events(rig: &Rig, kind: EventKind) -> Vec<Event> {
     let traced = rig.log.iter().filter_map(|action| match action {
-        EntryAction::Trace(event) if event.kind == kind as i32 => Some(event.clone()),
+        EntryAction::RecordEvent(event) if event.kind == kind as i32 => {
+            Some(event.clone())
+        }
         _ => None,
     });
     traced.collect()
--- a/crates/role/tests/entry/tally.rs
+++ b/crates/role/tests/entry/tally.rs
@@ -1,7 +1,7 @@
 //! What operators read as attainment, and why decisions fell.
 
 use crate::rig::{Rig, document, options};
-use role::entry::ProfileCount;
+use role::entry::ProfileOutcomes;
 use serde_json::json;
 
 /// Expectation of the profile under test: first unit and between units.
@@ -38,7 +38,7 @@
         rig.end(&run, 11);
         let counters = rig.role.counters();
         let found = counters.profiles.first().expect("one profile was used");
-        let ProfileCount {
+        let ProfileOutcomes {
             finished,
             attained,
             first_unit_late,
@@ -48,7 +48,7 @@
         let found = [finished, attained, first_unit_late, between_units_late];
         assert_eq!(found, expected, "{name}");
         let routed = counters
-            .reasons
+            .decisions
             .iter()
             .find(|held| held.decision == "route");
         assert_eq!(routed.map(|held| held.count), Some(1), "{name}");
--- a/crates/role/tests/entry/unmet.rs
+++ b/crates/role/tests/entry/unmet.rs
@@ -2,7 +2,7 @@
 
 use crate::rig::{Rig, document, entry_peer, options};
 use base::prelude::*;
-use role::entry::{EntryEvent, Work};
+use role::entry::{EntryEvent, RequestedResource};
 use schema::link::{Demand, Gossip, frame};
 use serde_json::json;
 
@@ -14,7 +14,7 @@
 }
 
 fn ask_with(rig: &mut Rig, model: &str, deadline_ms: u64, body: u64) -> RequestId {
-    let mut arrival = rig.arrival(Work::Model(Some(ModelId::new(model))));
+    let mut arrival = rig.arrival(RequestedResource::Model(Some(ModelId::new(model))));
     arrival.deadline_ms = Some(deadline_ms);
     arrival.body_hash = body;
     rig.arrive(arrival)
@@ -116,7 +116,8 @@
                 rig.agent_in("s1", "desk", "d1", &[]);
                 rig.agents.get_mut("s1").expect("known").upstream_up = false;
                 rig.advance(6_000);
-                let mut arrival = rig.arrival(Work::Service(ServiceId::new("parts")));
+                let mut arrival =
+                    rig.arrival(RequestedResource::Service(ServiceId::new("parts")));
                 arrival.deadline_ms = Some(5_000);
                 rig.arrive(arrival)
             },
@@ -157,7 +158,8 @@
             bring: |rig| {
                 rig.agent("a1", &["m1"]);
                 full(rig, "a1");
-                let mut arrival = rig.arrival(Work::Model(Some(ModelId::new("m1"))));
+                let mut arrival =
+                    rig.arrival(RequestedResource::Model(Some(ModelId::new("m1"))));
                 arrival.profile = Some(ProfileId::new("night"));
                 arrival.deadline_ms = Some(8_000);
                 let request = rig.arrive(arrival);
@@ -250,7 +252,7 @@
         (Code::CallerLimit, Ran::NotRun)
     );
     assert!(refusal.retry_after_ms.is_some());
-    let mut arrival = rig.arrival(Work::Model(Some(ModelId::new("m1"))));
+    let mut arrival = rig.arrival(RequestedResource::Model(Some(ModelId::new("m1"))));
     arrival.credential = access::Credential::of("other");
     let request = rig.arrive(arrival);
     assert!(rig.refusals(request).is_empty());
@@ -271,7 +273,8 @@
         let mut rig = Rig::new();
         rig.agent_in("s1", "desk", "d1", &[]);
         let service = if idempotent { "parts" } else { "orders" };
-        let mut arrival = rig.arrival(Work::Service(ServiceId::new(service)));
+        let mut arrival =
+            rig.arrival(RequestedResource::Service(ServiceId::new(service)));
         arrival.deadline_ms = Some(1_000);
         arrival.idempotency_key = key.then(|| "k1".to_owned());
         let request = rig.arrive(arrival);
--- a/crates/role/tests/entry/waiting.rs
+++ b/crates/role/tests/entry/waiting.rs
@@ -2,7 +2,7 @@
 
 use crate::rig::{Rig, document};
 use base::prelude::*;
-use role::entry::Work;
+use role::entry::RequestedResource;
 use schema::link::frame;
 use serde_json::json;
 use std::collections::BTreeSet;
@@ -13,7 +13,7 @@
 }
 
 fn night(rig: &mut Rig) -> RequestId {
-    let mut arrival = rig.arrival(Work::Model(Some(ModelId::new("m1"))));
+    let mut arrival = rig.arrival(RequestedResource::Model(Some(ModelId::new("m1"))));
     arrival.profile = Some(ProfileId::new("night"));
     rig.arrive(arrival)
 }
@@ -140,7 +140,7 @@
 fn what_cannot_be_in_time_is_refused_at_once() {
     let mut rig = Rig::new();
     rig.agent("a1", &["m2"]);
-    let mut arrival = rig.arrival(Work::Model(Some(ModelId::new("m1"))));
+    let mut arrival = rig.arrival(RequestedResource::Model(Some(ModelId::new("m1"))));
     arrival.deadline_ms = Some(300);
     let request = rig.arrive(arrival);
     let refusal = rig.refusal(request);
--- a/crates/role/tests/entry/watchers.rs
+++ b/crates/role/tests/entry/watchers.rs
@@ -20,7 +20,7 @@
 /// Watches that wait, by the call's number.
 fn waiting(rig: &Rig) -> Vec<u64> {
     let calls = rig.log.iter().filter_map(|action| match action {
-        EntryAction::Platform(call) => Some(call),
+        EntryAction::CallPlatform(call) => Some(call),
         _ => None,
     });
     calls
@@ -34,7 +34,7 @@
     rig.clear();
     for id in ids {
         let result = PlatformResult::Objects(Vec::new(), Version(1));
-        rig.handle(EntryEvent::Platform(PlatformAnswer { id, result }));
+        rig.handle(EntryEvent::PlatformAnswered(PlatformAnswer { id, result }));
     }
 }
 
--- a/crates/scenario/src/world/action.rs
+++ b/crates/scenario/src/world/action.rs
@@ -28,13 +28,15 @@
 
     fn entry_action(&mut self, name: &str, action: EntryAction, payload: &str) {
         match action {
-            EntryAction::Send { peer, body } => self.send_from_entry(name, &peer, body),
+            EntryAction::SendFrame { peer, body } => {
+                self.send_from_entry(name, &peer, body)
+            }
             EntryAction::SendRun {
                 request,
                 agent,
                 run,
             } => self.send_run(name, request, agent, run),
-            EntryAction::Deliver {
+            EntryAction::DeliverPart {
                 request,
                 skip_units,
             } => self.delivered(request, payload, skip_units),
@@ -51,14 +53,14 @@
                 }
                 self.disconnect(name, &peer);
             }
-            EntryAction::Platform(call) => self.call_platform(name, call),
-            EntryAction::Ready(ready) => {
+            EntryAction::CallPlatform(call) => self.call_platform(name, call),
+            EntryAction::SetReady(ready) => {
                 self.log(name, if ready { "is ready" } else { "is not ready" });
                 if let Some(node) = self.entries.get_mut(name) {
                     node.ready = ready;
                 }
             }
-            EntryAction::Trace(event) => self.trace(name, &event),
+            EntryAction::RecordEvent(event) => self.trace(name, &event),
             EntryAction::Exit => self.exit(name),
         }
     }
--- a/crates/scenario/src/world/caller.rs
+++ b/crates/scenario/src/world/caller.rs
@@ -2,7 +2,7 @@
 
 use access::Credential;
 use base::prelude::*;
-use role::entry::{Arrival, EntryEvent, Work};
+use role::entry::{EntryEvent, IncomingRequest, RequestedResource};
 use std::collections::BTreeMap;
 
 use super::World;
@@ -129,7 +129,7 @@
             self.log(&decl.name, "finds no entry");
             return;
         };
-        let id = role.next_request();
+        let id = role.next_request_id();
         let arrival = arrival(decl, id);
         let sent = Sent {
             decl: decl.clone(),
@@ -143,7 +143,7 @@
         self.log(&decl.name, &format!("is sent to {} as {id}", decl.entry));
         self.callers.names.insert(id, decl.name.clone());
         self.callers.requests.insert(decl.name.clone(), sent);
-        let event = EntryEvent::Arrive(Box::new(arrival));
+        let event = EntryEvent::RequestReceived(Box::new(arrival));
         self.entry_handle(&decl.entry, event, None);
     }
 
@@ -158,7 +158,7 @@
         let request = sent.id;
         let entry = sent.decl.entry.clone();
         self.log(name, "caller goes away");
-        self.entry_handle(&entry, EntryEvent::CallerGone { request }, None);
+        self.entry_handle(&entry, EntryEvent::CallerDisconnected { request }, None);
     }
 
     pub(crate) fn delivered(&mut self, id: RequestId, payload: &str, skip_units: u32) {
@@ -196,19 +196,19 @@
     }
 }
 
-fn arrival(decl: &RequestDecl, request: RequestId) -> Arrival {
-    let work = match &decl.service {
-        Some(service) => Work::Service(ServiceId::new(service)),
-        None => Work::Model(decl.model.as_deref().map(ModelId::new)),
+fn arrival(decl: &RequestDecl, request: RequestId) -> IncomingRequest {
+    let resource = match &decl.service {
+        Some(service) => RequestedResource::Service(ServiceId::new(service)),
+        None => RequestedResource::Model(decl.model.as_deref().map(ModelId::new)),
     };
     let hash = conf::key_hash(&decl.body);
     let hash = u64::from_str_radix(&hash[..16], 16).unwrap_or_default();
-    Arrival {
+    IncomingRequest {
         request,
         credential: Credential::of(&format!("key-{}", decl.caller)),
         profile: decl.profile.as_deref().map(ProfileId::new),
         deadline_ms: decl.deadline_ms,
-        work,
+        resource,
         idempotency_key: decl.key.clone(),
         method: "POST".into(),
         path: "/v1/completions".into(),
--- a/crates/scenario/src/world/link.rs
+++ b/crates/scenario/src/world/link.rs
@@ -249,7 +249,7 @@
             return;
         };
         let attempt = answer.attempt.unwrap_or_default();
-        let event = EntryEvent::Part {
+        let event = EntryEvent::AnswerPart {
             agent: agent.clone(),
             attempt: AttemptId {
                 origin: attempt.origin,
--- a/crates/scenario/src/world/process/deliver.rs
+++ b/crates/scenario/src/world/process/deliver.rs
@@ -165,7 +165,7 @@
                 self.hold(process, happening);
             }
             Running::Yes if self.entries.contains_key(process) => {
-                self.entry_handle(process, EntryEvent::Platform(answer), None);
+                self.entry_handle(process, EntryEvent::PlatformAnswered(answer), None);
             }
             Running::Yes => {
                 self.agent_handle(process, AgentEvent::Platform(answer), "");
--- a/crates/scenario/src/world/process/mod.rs
+++ b/crates/scenario/src/world/process/mod.rs
@@ -64,7 +64,7 @@
         let options = EntryOptions {
             id: EntryId::new(name),
             incarnation: Incarnation(start.0),
-            domain: DomainId::new(&decl.domain),
+            failure_domain: DomainId::new(&decl.domain),
             link_address: address.clone(),
             operator_address: format!("{address}/op"),
             peers: peers.collect(),
