--- a/crates/front/src/answer.rs
+++ b/crates/front/src/answer.rs
@@ -9,7 +9,7 @@
 use serde::Serialize;
 use snafu::Snafu;
 
-use crate::Dialect;
+use crate::PlatformProtocol;
 
 /// An answer that can't be completed. The connection ends without the answer's
 /// end, so that it does not look complete.
@@ -53,7 +53,7 @@
 
 /// An answer of this system's own.
 pub(crate) fn refusal(
-    dialect: &dyn Dialect,
+    dialect: &dyn PlatformProtocol,
     id: &str,
     refusal: &Refusal,
 ) -> Response<AnswerBody> {
@@ -75,6 +75,6 @@
             headers.insert(RETRY_AFTER, value);
         }
     }
-    dialect.name_answer(headers, id);
+    dialect.set_response_id(headers, id);
     response
 }
--- a/crates/front/src/answer_news.rs
+++ b/crates/front/src/answer_news.rs
@@ -5,17 +5,17 @@
 use serde_json::json;
 
 use crate::state::Node;
-use crate::{AnswerHead, upstream_rate};
+use crate::{ResponseHead, upstream_rate};
 
 /// Takes over what an answer says of the upstream that gave it. An answer of another
 /// upstream at its address says nothing of it.
 pub(crate) fn learn(
     node: &Node,
     start: Start<'_>,
-    head: &AnswerHead,
+    head: &ResponseHead,
     asked_at: Instant,
 ) {
-    if head.other_upstream {
+    if head.wrong_upstream {
         return;
     }
     upstream_rate::learn(node, start, head, asked_at);
--- a/crates/front/src/ending.rs
+++ b/crates/front/src/ending.rs
@@ -43,7 +43,7 @@
 /// answer is cut while there is time for it.
 pub(crate) async fn end_in_order(node: &Arc<Node>, listening: JoinHandle<()>) {
     let begun_at = node.now();
-    let longest = Duration::from_millis(node.options.bounds.stop_ms);
+    let longest = Duration::from_millis(node.options.deployment.shutdown_ms);
     let end_at = begun_at + longest.saturating_sub(SPARE);
     node.stop.begin(begun_at, end_at);
     tell(node, "stopping");
--- a/crates/front/src/events.rs
+++ b/crates/front/src/events.rs
@@ -18,7 +18,7 @@
 /// Cuts bytes into events. What is not yet a whole event is held back, so that
 /// a stream that breaks in the middle of one can go on at exactly that one.
 #[derive(Debug, Default)]
-pub struct Splitter {
+pub struct EventSplitter {
     held: BytesMut,
     /// Bytes of `held` in which no end of an event was found.
     searched: usize,
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EventTooLarge;
 
-impl Splitter {
+impl EventSplitter {
     /// Takes more bytes.
     ///
     /// # Errors
--- a/crates/front/src/follow.rs
+++ b/crates/front/src/follow.rs
@@ -136,7 +136,7 @@
 impl Followed {
     fn prefix(self, node: &Node) -> String {
         match self {
-            Self::Setup => node.options.keys.setup_prefix.clone(),
+            Self::Setup => node.options.keys.config_prefix.clone(),
             Self::Upstreams => node.options.keys.upstream_prefix.clone(),
         }
     }
@@ -235,10 +235,10 @@
 
 fn setups(node: &Node, objects: &[Object]) {
     for (key, _, value) in objects {
-        if *key != node.options.keys.setup || value.is_empty() {
+        if *key != node.options.keys.config || value.is_empty() {
             continue;
         }
-        match node.dialect.setup(value) {
+        match node.dialect.parse_config(value) {
             Ok(setup) => {
                 node.unread.forget(Kind::Setup, key);
                 take_setup(node, setup);
@@ -340,7 +340,7 @@
 /// Reads an upstream's entry; what can't be read is told of.
 fn read(node: &Node, object: &Object) -> Option<(u64, direct::UpstreamNews)> {
     let (key, version, value) = object;
-    let news = match node.dialect.upstream(key, value) {
+    let news = match node.dialect.parse_upstream(key, value) {
         Ok(news) => news,
         Err(fault) => {
             node.tell_unread(Kind::Upstream, key, value, &fault);
--- a/crates/front/src/in_flight.rs
+++ b/crates/front/src/in_flight.rs
@@ -6,7 +6,7 @@
 
 use crate::state::Node;
 use crate::state::call::Call;
-use crate::{AnswerHead, answer_news};
+use crate::{ResponseHead, answer_news};
 
 /// A request's use of an upstream. Dropped, it ends.
 #[derive(Debug)]
@@ -53,7 +53,7 @@
     }
 
     /// The upstream's answer began.
-    pub(crate) fn answered(&self, head: &AnswerHead) {
+    pub(crate) fn answered(&self, head: &ResponseHead) {
         answer_news::learn(&self.node, self.start(), head, self.begun_at);
     }
 
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -3,7 +3,7 @@
 //! Callers' HTTP on one side, upstreams' HTTP on the other, and between entries
 //! small datagrams that state what holds now. What a request's headers are
 //! called, how the platform keeps its objects and what an order looks like is
-//! behind two borders: [`Dialect`] and [`plat::ObjectApi`]. The decisions are
+//! behind two borders: [`PlatformProtocol`] and [`plat::ObjectApi`]. The decisions are
 //! those of the `direct` crate.
 //!
 //! Invariants:
@@ -25,7 +25,6 @@
 mod clock;
 mod connection;
 mod crash;
-mod dialect;
 mod ending;
 mod events;
 mod follow;
@@ -38,6 +37,7 @@
 mod options;
 mod orders;
 mod peers;
+mod protocol;
 mod quota;
 mod reach;
 mod relay;
@@ -54,10 +54,11 @@
 
 pub use clock::BootClock;
 pub use connection::connect;
-pub use dialect::{
-    AnswerHead, AskHead, AskedRate, Dialect, DialectError, OrderCall, SendHead,
-};
-pub use events::{Event, EventTooLarge, Splitter};
+pub use events::{Event, EventSplitter, EventTooLarge};
 pub use log::Log;
-pub use options::{Bounds, Options, StoreKeys};
-pub use start::{Front, StartError, start};
+pub use options::{DeploymentSettings, Options, StoreKeys};
+pub use protocol::{
+    AdvertisedRate, ControlRequest, DecodeError, PlatformProtocol, RequestHead,
+    ResponseHead, UpstreamRequestHead,
+};
+pub use start::{EntryServer, StartError, start};
--- a/crates/front/src/operated.rs
+++ b/crates/front/src/operated.rs
@@ -27,7 +27,7 @@
 /// that listener: metrics are for those who look on, and have the address of
 /// readiness left.
 pub(crate) async fn answer_elsewhere(node: Arc<Node>) {
-    let Some(address) = node.options.metrics else {
+    let Some(address) = node.options.metrics_address else {
         return;
     };
     match TcpListener::bind(address).await {
@@ -77,7 +77,7 @@
         let dropped = i64::try_from(node.log.dropped()).unwrap_or(i64::MAX);
         node.meters.log_dropped.set(dropped);
         (StatusCode::OK, node.meters.text())
-    } else if path != node.dialect.ready_path() {
+    } else if path != node.dialect.readiness_path() {
         (StatusCode::NOT_FOUND, String::new())
     } else if node.is_ready() {
         (StatusCode::OK, String::new())
--- a/crates/front/src/options.rs
+++ b/crates/front/src/options.rs
@@ -8,38 +8,38 @@
     /// Name of this entry; a restart keeps it.
     pub entry: String,
     /// Failure domain.
-    pub domain: String,
+    pub failure_domain: String,
     /// Listener of callers.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// Listener of the balancer's question whether this entry takes callers,
     /// and of metrics.
-    pub readiness: SocketAddr,
+    pub readiness_address: SocketAddr,
     /// Further listener of metrics, where they are fetched at a port that stays:
     /// that of `readiness` may be another one at each start.
-    pub metrics: Option<SocketAddr>,
+    pub metrics_address: Option<SocketAddr>,
     /// Listener of other entries' datagrams.
-    pub peers: SocketAddr,
+    pub peer_address: SocketAddr,
     /// Other entries that may be there, in case the platform can't say.
     pub peer_seeds: Vec<SocketAddr>,
     /// Bounds of the deployment.
-    pub bounds: Bounds,
+    pub deployment: DeploymentSettings,
     /// Where the platform keeps what this process reads and writes.
     pub keys: StoreKeys,
 }
 
 /// Bounds of the deployment.
 #[derive(Debug, Clone)]
-pub struct Bounds {
+pub struct DeploymentSettings {
     /// Time from the signal to stop to the end of the process.
-    pub stop_ms: u64,
+    pub shutdown_ms: u64,
     /// Repeats for each request, over all entries.
-    pub repeat_ratio: f64,
+    pub retry_ratio: f64,
     /// Repeats beyond those, over all entries.
-    pub repeat_burst: f64,
+    pub retry_burst: f64,
     /// Window in which repeats are counted.
-    pub repeat_window_ms: u64,
+    pub retry_window_ms: u64,
     /// Time for which a giver of orders has to be silent before the next one.
-    pub order_quiet_ms: u64,
+    pub coordinator_takeover_ms: u64,
     /// Window in which loads from the weight store are counted.
     pub store_load_window_ms: u64,
     /// Most that one request may take of its workspace's quota beyond what there is,
@@ -47,16 +47,16 @@
     pub quota_overdraft: f64,
     /// Time without the platform after which what it said is not trusted to be
     /// the newest.
-    pub contact_ms: u64,
+    pub platform_freshness_ms: u64,
 }
 
 /// Where the platform keeps what this process reads and writes.
 #[derive(Debug, Clone)]
 pub struct StoreKeys {
     /// Key of the configuration.
-    pub setup: String,
+    pub config: String,
     /// Start of the keys to watch for the configuration.
-    pub setup_prefix: String,
+    pub config_prefix: String,
     /// Start of the upstreams' keys.
     pub upstream_prefix: String,
     /// Key of the lease on orders.
--- a/crates/front/src/orders.rs
+++ b/crates/front/src/orders.rs
@@ -17,7 +17,7 @@
 use crate::state::Node;
 use crate::state::pool::SendFault;
 use crate::state::unread::Kind;
-use crate::{OrderCall, answer_news};
+use crate::{ControlRequest, answer_news};
 
 /// Longest wait for the answer to an order. Upstreams answer in milliseconds or
 /// not at all.
@@ -45,14 +45,16 @@
     token: u64,
     from_store: bool,
 ) {
-    let call = node.dialect.order(&id, &order, &node.options.entry, token);
+    let call = node
+        .dialect
+        .order_request(&id, &order, &node.options.entry, token);
     let permit = || {
         let leased = node.lease.lock().token(node.now()) == Some(token);
         leased && node.giver.is_current(&id, &order)
     };
     let answer = send(&node, &id, call, ORDER_TIMEOUT, permit).await;
     let sent = match &answer {
-        Ok((status, _)) => Sent::Answered(node.dialect.order_answer(*status)),
+        Ok((status, _)) => Sent::Answered(node.dialect.parse_order_status(*status)),
         Err(SendFault::NotSent) => Sent::NotSent,
         Err(SendFault::Broken) => Sent::Unanswered,
     };
@@ -83,7 +85,7 @@
 /// its count equal, orders that follow from it go to the later start and fit there.
 pub(crate) async fn ask_report(node: Arc<Node>, id: Arc<str>) {
     let asked = place(&node, &id).and_then(|place| place.born_ms);
-    let call = node.dialect.report_call(&id);
+    let call = node.dialect.report_request(&id);
     let answer = send(&node, &id, call, REPORT_TIMEOUT, || true).await;
     let body = match answer {
         Ok((StatusCode::OK, body)) => body,
@@ -97,7 +99,7 @@
             return;
         }
     };
-    match node.dialect.report(&body) {
+    match node.dialect.parse_report(&body) {
         Ok(mut report) => {
             node.unread.forget(Kind::Report, &id);
             report.born_ms = report.born_ms.or(asked);
@@ -117,7 +119,7 @@
 async fn send(
     node: &Node,
     id: &Arc<str>,
-    call: OrderCall,
+    call: ControlRequest,
     longest: Duration,
     permit: impl Fn() -> bool,
 ) -> Result<(StatusCode, Bytes), SendFault> {
@@ -132,7 +134,7 @@
     let exchange = async {
         let response: Response<_> = line.send(request).await?;
         let status = response.status();
-        let head = node.dialect.answer(status, response.headers());
+        let head = node.dialect.parse_response_head(status, response.headers());
         let start = Start {
             id,
             born_ms: place.born_ms,
@@ -151,7 +153,7 @@
     Ok(answer)
 }
 
-fn request(address: SocketAddr, call: OrderCall) -> Request<Full<Bytes>> {
+fn request(address: SocketAddr, call: ControlRequest) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(call.body));
     *request.method_mut() = call.method;
     *request.uri_mut() = call.path.parse().unwrap_or_default();
--- a/crates/front/src/peers/register.rs
+++ b/crates/front/src/peers/register.rs
@@ -48,7 +48,7 @@
             }
         }
         let record = EntryRecord {
-            peers: node.options.peers,
+            peers: node.options.peer_address,
             settled: node.quota.is_settled.load(Ordering::Relaxed),
         };
         let known = own.as_ref() == Some(&record);
@@ -91,7 +91,7 @@
     fn own(&self, node: &Node) -> Option<EntryRecord> {
         let mut records = self.records.iter();
         records
-            .find(|record| record.peers == node.options.peers)
+            .find(|record| record.peers == node.options.peer_address)
             .cloned()
     }
 
--- a/crates/front/src/peers/tell.rs
+++ b/crates/front/src/peers/tell.rs
@@ -70,7 +70,9 @@
     if role(node, Followed::Setup) == WatchRole::Leader
         || role(node, Followed::Upstreams) == WatchRole::Leader
     {
-        let to = node.peers.neighbours(node.now(), &node.options.domain);
+        let to = node
+            .peers
+            .neighbours(node.now(), &node.options.failure_domain);
         tell_each(node, socket, to, Occasion::Watched).await;
     }
 }
@@ -201,7 +203,7 @@
             .export_part(now, round, suspects_told(peers)),
         lease_ask: node.relay.asking(now),
         lease_told: node.relay.telling(now),
-        domain: node.options.domain.clone(),
+        domain: node.options.failure_domain.clone(),
         watches: node.shared.works() && !node.stop.is_stopping(),
         setup: watched(Followed::Setup),
         upstreams: watched(Followed::Upstreams),
--- a/crates/front/src/dialect.rs
+++ b/crates/front/src/protocol.rs
@@ -11,7 +11,7 @@
 
 /// What a caller's headers say.
 #[derive(Debug, Clone, Default)]
-pub struct AskHead {
+pub struct RequestHead {
     /// Id of the caller's attempt.
     pub id: String,
     /// Who the caller says it is.
@@ -25,18 +25,18 @@
     /// Prompt tokens.
     pub prompt_tokens: u64,
     /// Most tokens of the answer.
-    pub answer_tokens_max: u64,
+    pub output_tokens_max: u64,
     /// Tokens of the answer that the caller expects.
-    pub answer_tokens_hint: Option<u64>,
+    pub output_tokens_hint: Option<u64>,
     /// Prompt parts in order: name and tokens.
-    pub parts: Vec<(u64, u64)>,
+    pub prompt_parts: Vec<(u64, u64)>,
     /// Last event that the caller has of the stream.
-    pub last_event: Option<String>,
+    pub last_event_id: Option<String>,
 }
 
 /// What the system sets on a request to an upstream.
 #[derive(Debug, Clone)]
-pub struct SendHead<'a> {
+pub struct UpstreamRequestHead<'a> {
     /// Upstream that is meant; another one at the address refuses.
     pub upstream: &'a str,
     /// Time that is left.
@@ -44,38 +44,38 @@
     /// Urgency, from 0 to 9; 0 is the most urgent.
     pub urgency: u32,
     /// Last event that was given on, where a stream is continued.
-    pub last_event: Option<&'a str>,
+    pub last_event_id: Option<&'a str>,
     /// Workspace of the caller, where callers have one.
     pub workspace: Option<&'a str>,
 }
 
 /// What an answer says of the rate of requests that its upstream takes.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub enum AskedRate {
+pub enum AdvertisedRate {
     /// It asks for no bound.
     #[default]
-    Unbounded,
+    Unlimited,
     /// Requests a second from all entries together.
-    PerS(f64),
+    PerSecond(f64),
     /// It asks for what can't be read.
-    Unreadable,
+    Invalid,
 }
 
 /// What an upstream's answer says by its status and headers.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// Id of the request that it answers.
     pub id: Option<String>,
     /// Whether the upstream did not run the request and never will.
     pub not_run: bool,
     /// Whether another upstream has the address.
-    pub other_upstream: bool,
+    pub wrong_upstream: bool,
     /// Whether it bears the upstream's signature.
     pub signed: bool,
     /// Time for which the upstream keeps the connection open.
     pub keep_alive_s: Option<u64>,
     /// Rate of requests that it takes.
-    pub rate: AskedRate,
+    pub rate: AdvertisedRate,
     /// Whether it leaves.
     pub leaving: bool,
     /// Time for which it asks for no request of this entry, after it turned one away.
@@ -84,7 +84,7 @@
 
 /// A call to an upstream that is not a caller's.
 #[derive(Debug, Clone)]
-pub struct OrderCall {
+pub struct ControlRequest {
     /// Method.
     pub method: Method,
     /// Path.
@@ -98,7 +98,7 @@
 /// Something of the platform that can't be read.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub), display("{what}: {reason}"))]
-pub struct DialectError {
+pub struct DecodeError {
     /// What was read.
     pub what: String,
     /// Why it can't be.
@@ -106,60 +106,72 @@
 }
 
 /// The names that a platform uses on the wire.
-pub trait Dialect: Debug + Send + Sync {
+pub trait PlatformProtocol: Debug + Send + Sync {
     /// Reads the configuration.
     ///
     /// # Errors
     ///
     /// It is not one.
-    fn setup(&self, value: &[u8]) -> Result<Setup, DialectError>;
+    fn parse_config(&self, value: &[u8]) -> Result<Setup, DecodeError>;
 
     /// Reads the platform's entry of an upstream.
     ///
     /// # Errors
     ///
     /// It is not one.
-    fn upstream(&self, key: &str, value: &[u8]) -> Result<UpstreamNews, DialectError>;
+    fn parse_upstream(
+        &self,
+        key: &str,
+        value: &[u8],
+    ) -> Result<UpstreamNews, DecodeError>;
 
     /// Reads a caller's headers.
-    fn ask(&self, headers: &HeaderMap) -> AskHead;
+    fn parse_request_head(&self, headers: &HeaderMap) -> RequestHead;
 
     /// Takes a caller's key out of its headers, and what it says of its workspace;
     /// no upstream may see the one or be told the other by a caller.
-    fn conceal(&self, headers: &mut HeaderMap);
+    fn strip_credentials(&self, headers: &mut HeaderMap);
 
     /// Takes out of a caller's headers what only the system may set, and sets
     /// it.
-    fn dress(&self, headers: &mut HeaderMap, send: &SendHead<'_>);
+    fn set_upstream_headers(
+        &self,
+        headers: &mut HeaderMap,
+        head: &UpstreamRequestHead<'_>,
+    );
 
     /// Reads the head of an upstream's answer.
-    fn answer(&self, status: StatusCode, headers: &HeaderMap) -> AnswerHead;
+    fn parse_response_head(
+        &self,
+        status: StatusCode,
+        headers: &HeaderMap,
+    ) -> ResponseHead;
 
     /// Writes the id of a request into an answer of the system's own.
-    fn name_answer(&self, headers: &mut HeaderMap, id: &str);
+    fn set_response_id(&self, headers: &mut HeaderMap, id: &str);
 
     /// The call that gives an order.
-    fn order(
+    fn order_request(
         &self,
         upstream: &str,
         order: &Order,
-        giver: &str,
+        coordinator: &str,
         token: u64,
-    ) -> OrderCall;
+    ) -> ControlRequest;
 
     /// Reads the answer to an order.
-    fn order_answer(&self, status: StatusCode) -> OrderAnswer;
+    fn parse_order_status(&self, status: StatusCode) -> OrderAnswer;
 
     /// The call that asks for a report.
-    fn report_call(&self, upstream: &str) -> OrderCall;
+    fn report_request(&self, upstream: &str) -> ControlRequest;
 
     /// Reads a report.
     ///
     /// # Errors
     ///
     /// It is not one.
-    fn report(&self, value: &[u8]) -> Result<Report, DialectError>;
+    fn parse_report(&self, value: &[u8]) -> Result<Report, DecodeError>;
 
     /// Path of the balancer's question whether the entry takes callers.
-    fn ready_path(&self) -> &'static str;
+    fn readiness_path(&self) -> &'static str;
 }
--- a/crates/front/src/request.rs
+++ b/crates/front/src/request.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use xxhash_rust::xxh3::Xxh3;
 
-use crate::AskHead;
+use crate::RequestHead;
 use crate::answer::{AnswerBody, refusal};
 use crate::headers::{ask_close, is_ambiguous, strip_connection};
 use crate::quota::charge;
@@ -46,7 +46,7 @@
     let arrived = node.now();
     let phase = node.stop.phase();
     let (parts, body) = request.into_parts();
-    let ask = node.dialect.ask(&parts.headers);
+    let ask = node.dialect.parse_request_head(&parts.headers);
     let id = ask.id.clone();
     if phase == Phase::Ended {
         node.log
@@ -103,7 +103,7 @@
     arrived: Instant,
     parts: hyper::http::request::Parts,
     body: Incoming,
-    ask: AskHead,
+    ask: RequestHead,
 ) -> Result<Call, Refusal> {
     // A refusal that leaves a part of the body unread resets the connection under its
     // caller, who may then never read why. So the body comes first, and what depends
@@ -140,7 +140,7 @@
     let mut headers = parts.headers;
     strip_connection(&mut headers);
     if setup.directory.is_some() {
-        node.dialect.conceal(&mut headers);
+        node.dialect.strip_credentials(&mut headers);
     }
     let deadline_ms = ask.deadline_ms.unwrap_or(DEADLINE_DEFAULT_MS);
     let give_up_at = arrived.plus_ms(deadline_ms.min(route.timeout_ms));
@@ -176,7 +176,7 @@
 fn workspace(
     setup: &Setup,
     route: &Route,
-    ask: &AskHead,
+    ask: &RequestHead,
 ) -> Result<Option<Arc<Workspace>>, Refusal> {
     let Some(directory) = &setup.directory else {
         return Ok(None);
@@ -224,14 +224,14 @@
 
 /// Names each prompt part by all parts up to it, for the model and adapter: a
 /// part is kept only behind the parts before it.
-fn chain(ask: &AskHead) -> Vec<(u64, u64)> {
+fn chain(ask: &RequestHead) -> Vec<(u64, u64)> {
     let mut hash = Xxh3::new();
     if let Some((model, adapter)) = &ask.model {
         hash.update(model.as_bytes());
         hash.update(&[0]);
         hash.update(adapter.as_deref().unwrap_or_default().as_bytes());
     }
-    let parts = ask.parts.iter().map(|(name, tokens)| {
+    let parts = ask.prompt_parts.iter().map(|(name, tokens)| {
         hash.update(&name.to_le_bytes());
         (hash.digest(), *tokens)
     });
--- a/crates/front/src/run.rs
+++ b/crates/front/src/run.rs
@@ -66,8 +66,8 @@
         node.meters.in_progress.inc();
         node.repeats.lock().request(now, &call.service);
         if let Some((model, _)) = &call.ask.model {
-            let answer = call.ask.answer_tokens_hint;
-            let answer = answer.unwrap_or(call.ask.answer_tokens_max / 2);
+            let answer = call.ask.output_tokens_hint;
+            let answer = answer.unwrap_or(call.ask.output_tokens_max / 2);
             let arrival = Arrival {
                 prompt_tokens: call.ask.prompt_tokens,
                 answer_tokens: answer,
--- a/crates/front/src/seek.rs
+++ b/crates/front/src/seek.rs
@@ -221,7 +221,7 @@
 
     fn pick_but(&self, excluded: &[Arc<str>]) -> Result<Picked, Unpicked> {
         let call = &self.call;
-        let answer_tokens = call.ask.answer_tokens_max;
+        let answer_tokens = call.ask.output_tokens_max;
         let model = call.ask.model.as_ref();
         let input = Pick {
             now: self.node.now(),
@@ -234,7 +234,7 @@
             pace: self.node.pace_of(call),
             kept_tokens: call.ask.prompt_tokens + answer_tokens,
             excluded,
-            domain: &self.node.options.domain,
+            domain: &self.node.options.failure_domain,
             random: self.node.random(),
         };
         pick(&self.node.fleet.lock(), &input)
--- a/crates/front/src/shared_watch.rs
+++ b/crates/front/src/shared_watch.rs
@@ -73,7 +73,9 @@
     if node.stop.is_stopping() {
         return WatchRole::Independent;
     }
-    let others = node.peers.watchers(node.now(), &node.options.domain);
+    let others = node
+        .peers
+        .watchers(node.now(), &node.options.failure_domain);
     let shared = node.shared.of(followed).lock();
     let role = shared.role(&node.options.entry, &others);
     drop(shared);
@@ -133,7 +135,7 @@
 
 /// Another entry passes on what its watches saw.
 pub(crate) fn hear(node: &Node, news: &PeerNews) {
-    if news.domain != node.options.domain {
+    if news.domain != node.options.failure_domain {
         return;
     }
     let kinds = [
--- a/crates/front/src/start.rs
+++ b/crates/front/src/start.rs
@@ -19,7 +19,7 @@
 use crate::peers;
 use crate::quota::{Scope, feed_keepers};
 use crate::state::Node;
-use crate::{Dialect, Log, Options, operated, server, upstream_rate};
+use crate::{Log, Options, PlatformProtocol, operated, server, upstream_rate};
 
 /// Time between two rounds of forgetting what is not needed any more.
 const SWEEP_EVERY: Duration = Duration::from_secs(1);
@@ -48,7 +48,7 @@
 
 /// A running entry.
 #[derive(Debug)]
-pub struct Front {
+pub struct EntryServer {
     node: Arc<Node>,
     /// Takes callers' connections.
     listening: JoinHandle<()>,
@@ -61,19 +61,19 @@
 /// An address can't be bound.
 pub async fn start(
     options: Options,
-    dialect: Box<dyn Dialect>,
+    dialect: Box<dyn PlatformProtocol>,
     store: Box<dyn ObjectApi>,
-) -> Result<Front, StartError> {
+) -> Result<EntryServer, StartError> {
     let mut options = options;
-    let callers = listen("callers", &mut options.callers).await?;
-    let readiness = listen("readiness", &mut options.readiness).await?;
-    let socket = hear_peers(&mut options.peers).await?;
+    let callers = listen("callers", &mut options.caller_address).await?;
+    let readiness = listen("readiness", &mut options.readiness_address).await?;
+    let socket = hear_peers(&mut options.peer_address).await?;
     let log = Log::start();
     let node = Arc::new(Node::new(options, dialect, store, log));
     node.log.line(
         "started",
-        json!({ "entry": node.options.entry, "domain": node.options.domain,
-            "callers": node.options.callers, "readiness": node.options.readiness, "peers": node.options.peers,
+        json!({ "entry": node.options.entry, "domain": node.options.failure_domain,
+            "callers": node.options.caller_address, "readiness": node.options.readiness_address, "peers": node.options.peer_address,
             "start": node.start }),
     );
     // It is set here alone.
@@ -96,7 +96,7 @@
     tokio::spawn(tell_beliefs(shared()));
     let handing_over = node.log.clone();
     tokio::spawn(async move { handing_over.hand_over().await });
-    Ok(Front { node, listening })
+    Ok(EntryServer { node, listening })
 }
 
 /// Binds a listener; the address then has the port that it got.
@@ -140,15 +140,15 @@
     }
 }
 
-impl Front {
+impl EntryServer {
     /// Address at which callers are served.
-    pub fn callers(&self) -> SocketAddr {
-        self.node.options.callers
+    pub fn caller_address(&self) -> SocketAddr {
+        self.node.options.caller_address
     }
 
     /// Address of the balancer's question and of metrics.
-    pub fn readiness(&self) -> SocketAddr {
-        self.node.options.readiness
+    pub fn readiness_address(&self) -> SocketAddr {
+        self.node.options.readiness_address
     }
 
     /// Serves until a signal to stop, and then ends in order.
--- a/crates/front/src/state/call.rs
+++ b/crates/front/src/state/call.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 use super::quota::Charge;
-use crate::{AskHead, BootClock};
+use crate::{BootClock, RequestHead};
 
 /// A caller's request with all that decides what becomes of it.
 #[derive(Debug)]
@@ -19,7 +19,7 @@
     pub(crate) give_up_at: Instant,
     /// When the first part of the answer is of use at the latest.
     pub(crate) first_by: Instant,
-    pub(crate) ask: AskHead,
+    pub(crate) ask: RequestHead,
     pub(crate) route: Arc<Route>,
     pub(crate) service: Arc<str>,
     pub(crate) spec: Arc<ServiceSpec>,
--- a/crates/front/src/state/node.rs
+++ b/crates/front/src/state/node.rs
@@ -29,7 +29,7 @@
 use super::wants::Wants;
 use crate::quota::Scope;
 use crate::shared_watch::SharedWatches;
-use crate::{BootClock, Dialect, Log, Options};
+use crate::{BootClock, Log, Options, PlatformProtocol};
 
 /// Time for which a verdict on a request that crashes upstreams stands.
 const VERDICT_MS: u64 = 60_000;
@@ -45,7 +45,7 @@
 #[derive(Debug)]
 pub(crate) struct Node {
     pub(crate) options: Options,
-    pub(crate) dialect: Box<dyn Dialect>,
+    pub(crate) dialect: Box<dyn PlatformProtocol>,
     pub(crate) store: Box<dyn ObjectApi>,
     pub(crate) clock: BootClock,
     pub(crate) log: Log,
@@ -94,21 +94,25 @@
 impl Node {
     pub(crate) fn new(
         options: Options,
-        dialect: Box<dyn Dialect>,
+        dialect: Box<dyn PlatformProtocol>,
         store: Box<dyn ObjectApi>,
         log: Log,
     ) -> Self {
         let now = SystemTime::now().duration_since(UNIX_EPOCH);
         let start = now.map_or(0, |now| now.as_millis() as u64);
-        let bounds = &options.bounds;
+        let bounds = &options.deployment;
         let repeats = Repeats::new(
             BootClock.now(),
-            bounds.repeat_ratio,
-            bounds.repeat_burst,
-            bounds.repeat_window_ms,
+            bounds.retry_ratio,
+            bounds.retry_burst,
+            bounds.retry_window_ms,
+        );
+        let lease = Lease::new(
+            &options.entry,
+            start,
+            LEASE_VALID_MS,
+            bounds.coordinator_takeover_ms,
         );
-        let lease =
-            Lease::new(&options.entry, start, LEASE_VALID_MS, bounds.order_quiet_ms);
         let seed =
             xxhash_rust::xxh3::xxh3_64_with_seed(options.entry.as_bytes(), start);
         Self {
@@ -161,7 +165,7 @@
     /// name is not there.
     pub(crate) fn setup_is_fresh(&self) -> bool {
         let mark = self.setup.lock().1;
-        mark.is_fresh(self.now(), self.options.bounds.contact_ms)
+        mark.is_fresh(self.now(), self.options.deployment.platform_freshness_ms)
     }
 
     /// A number drawn at random.
--- a/crates/front/src/state/peers.rs
+++ b/crates/front/src/state/peers.rs
@@ -89,7 +89,7 @@
         };
         Self {
             me: options.entry.clone(),
-            own: options.peers,
+            own: options.peer_address,
             table: Mutex::new(table),
             wake: Notify::new(),
             socket: OnceLock::new(),
--- a/crates/front/src/stream.rs
+++ b/crates/front/src/stream.rs
@@ -12,7 +12,7 @@
 
 use crate::answer::{AnswerBody, BrokenOff};
 use crate::beliefs::tell_doubt;
-use crate::events::{Event, Splitter};
+use crate::events::{Event, EventSplitter};
 use crate::run::{End, Run};
 use crate::tries::Live;
 
@@ -23,7 +23,7 @@
 pub(crate) struct Pump {
     run: Run,
     live: Option<Box<Live>>,
-    splitter: Splitter,
+    splitter: EventSplitter,
     /// An event came that belongs to nothing: what was before it is given on, and
     /// the stream has broken there.
     misfit: bool,
@@ -59,7 +59,7 @@
         headers: live.headers.clone(),
         run,
         live: Some(Box::new(live)),
-        splitter: Splitter::default(),
+        splitter: EventSplitter::default(),
         misfit: false,
         over: false,
     };
@@ -222,7 +222,7 @@
 
     /// Continues the stream at another upstream, behind the last whole event.
     async fn go_on(&mut self) -> Result<(), End> {
-        self.splitter = Splitter::default();
+        self.splitter = EventSplitter::default();
         self.misfit = false;
         let broken = self.live.take();
         let upstream = broken.map(|live| {
--- a/crates/front/src/tries.rs
+++ b/crates/front/src/tries.rs
@@ -20,7 +20,7 @@
 use crate::state::Node;
 use crate::state::call::Call;
 use crate::state::pool::{Line, SendFault};
-use crate::{AnswerHead, SendHead};
+use crate::{ResponseHead, UpstreamRequestHead};
 
 /// Largest whole answer that is held; larger ones break off.
 const ANSWER_MAX_BYTES: usize = 8 << 20;
@@ -168,7 +168,9 @@
     response: Response<Incoming>,
 ) -> TryEnd {
     let (mut parts, body) = response.into_parts();
-    let head = node.dialect.answer(parts.status, &parts.headers);
+    let head = node
+        .dialect
+        .parse_response_head(parts.status, &parts.headers);
     strip_connection(&mut parts.headers);
     if head.id.as_ref().is_some_and(|id| *id != call.ask.id) {
         // An answer to another request, late on this connection. Dropping the
@@ -181,7 +183,7 @@
         in_flight.observe(false);
         return TryEnd::Fault(Outcome::Unknown, None);
     }
-    if head.other_upstream {
+    if head.wrong_upstream {
         in_flight.deny(call);
     } else if head.not_run {
         in_flight.refused(call);
@@ -219,7 +221,7 @@
     sort(whole, &head)
 }
 
-fn sort(whole: Whole, head: &AnswerHead) -> TryEnd {
+fn sort(whole: Whole, head: &ResponseHead) -> TryEnd {
     if head.not_run {
         TryEnd::Fault(Outcome::Refused, None)
     } else if whole.status.is_server_error() {
@@ -258,14 +260,14 @@
     last_event: Option<&str>,
 ) -> Request<Full<Bytes>> {
     let mut headers = call.headers.clone();
-    let last_event = last_event.or(call.ask.last_event.as_deref());
-    node.dialect.dress(
+    let last_event = last_event.or(call.ask.last_event_id.as_deref());
+    node.dialect.set_upstream_headers(
         &mut headers,
-        &SendHead {
+        &UpstreamRequestHead {
             upstream,
             deadline_ms: left_ms,
             urgency: urgency(call),
-            last_event,
+            last_event_id: last_event,
             workspace: call.workspace.as_ref().map(|workspace| &*workspace.name),
         },
     );
--- a/crates/front/src/upstream_rate.rs
+++ b/crates/front/src/upstream_rate.rs
@@ -15,7 +15,7 @@
 use crate::quota::{Scope, take};
 use crate::state::Node;
 use crate::state::quota::Charge;
-use crate::{AnswerHead, AskedRate};
+use crate::{AdvertisedRate, ResponseHead};
 
 /// When an upstream is asked for again of whose bound its keeper does not know yet.
 const UNKNOWN_RETRY_MS: u64 = 100;
@@ -30,14 +30,14 @@
 pub(crate) fn learn(
     node: &Node,
     start: Start<'_>,
-    head: &AnswerHead,
+    head: &ResponseHead,
     asked_at: Instant,
 ) {
     let per_s = match head.rate {
-        AskedRate::Unbounded if !head.signed => return,
-        AskedRate::Unreadable => return,
-        AskedRate::PerS(per_s) => Some(per_s),
-        AskedRate::Unbounded => None,
+        AdvertisedRate::Unlimited if !head.signed => return,
+        AdvertisedRate::Invalid => return,
+        AdvertisedRate::PerSecond(per_s) => Some(per_s),
+        AdvertisedRate::Unlimited => None,
     };
     if per_s.is_none() && is_unbounded(node) {
         return;
--- a/crates/front/tests/all/events.rs
+++ b/crates/front/tests/all/events.rs
@@ -1,14 +1,14 @@
 //! Events, cut out of the bytes of a stream.
 
 use arbtest::arbtest;
-use front::{EventTooLarge, Splitter};
+use front::{EventSplitter, EventTooLarge};
 
 /// An event's bytes and its id.
 type Cut = (Vec<u8>, Option<u64>);
 
 /// The events of pieces, and whether a part of one is left.
 fn cut(pieces: &[&[u8]]) -> (Vec<Cut>, bool) {
-    let mut splitter = Splitter::default();
+    let mut splitter = EventSplitter::default();
     let mut events = Vec::new();
     for piece in pieces {
         splitter.push(piece).expect("small events");
@@ -69,7 +69,7 @@
 
 #[test]
 fn bytes_without_an_end_of_an_event_take_no_unbounded_memory() {
-    let mut splitter = Splitter::default();
+    let mut splitter = EventSplitter::default();
     let piece = vec![b'x'; 64 << 10];
     let pushed = (0..100).map(|_| splitter.push(&piece));
     let taken = pushed.take_while(Result::is_ok).count();
