--- a/crates/scenario/src/world/action.rs
+++ b/crates/scenario/src/world/action.rs
@@ -29,7 +29,7 @@
     fn entry_action(&mut self, name: &str, action: EntryAction, payload: &str) {
         match action {
             EntryAction::SendFrame { peer, body } => {
-                self.send_from_entry(name, &peer, body)
+                self.send_from_entry(name, &peer, body);
             }
             EntryAction::SendRun {
                 request,
