--- a/crates/role/src/entry/requests/place.rs
+++ b/crates/role/src/entry/requests/place.rs
@@ -144,7 +144,7 @@
         }
         let input = RoutingInput {
             prefix_hash: request.arrival.prefix_hash,
-            domain: &ctx.shared.options.domain,
+            domain: &ctx.shared.options.failure_domain,
             excluded: &request.excluded,
         };
         let chosen = choose_holder(&candidates.holders, &input, &mut self.rng)?;
