--- a/crates/role/src/agent/gate.rs
+++ b/crates/role/src/agent/admission.rs
@@ -14,14 +14,18 @@
 impl AgentRole {
     /// Refuses what must not be run here and now. A refusal is a promise that
     /// the attempt was not run.
-    pub(super) fn check(&self, now: Instant, run: &Run) -> Result<(), Refusal> {
-        self.check_self(now, run)?;
-        self.check_held(run)?;
-        self.check_place(now, run)?;
-        self.check_time(run)
+    pub(super) fn check_admission(
+        &self,
+        now: Instant,
+        run: &Run,
+    ) -> Result<(), Refusal> {
+        self.check_agent(now, run)?;
+        self.check_resource_available(run)?;
+        self.check_slot_available(now, run)?;
+        self.check_deadline(run)
     }
 
-    fn check_self(&self, now: Instant, run: &Run) -> Result<(), Refusal> {
+    fn check_agent(&self, now: Instant, run: &Run) -> Result<(), Refusal> {
         if run.agent_incarnation != self.options.incarnation.0 {
             return Err(Refusal::not_run(Code::WrongIncarnation));
         }
@@ -29,10 +33,10 @@
         if self.drain.is_some() && !self.record.is_fenced() {
             return Err(Refusal::not_run(Code::Leaving));
         }
-        self.check_able()?;
+        self.check_can_run()?;
         // A frame heard just after a freeze may have waited for all of it; its
         // time left is not known, and its caller may have been answered.
-        if now < self.stale_until {
+        if now < self.frames_stale_until {
             let retry_ms = self.heartbeat_ms();
             return Err(Refusal::not_run(Code::NotReady).retry_after_ms(retry_ms));
         }
@@ -40,21 +44,21 @@
     }
 
     /// Whether the agent can run anything.
-    pub(super) fn check_able(&self) -> Result<(), Refusal> {
-        let able =
+    pub(super) fn check_can_run(&self) -> Result<(), Refusal> {
+        let can_run =
             self.pool().is_some() && self.upstream.is_up() && !self.record.is_fenced();
-        if able {
+        if can_run {
             return Ok(());
         }
         Err(Refusal::not_run(Code::NotReady).retry_after_ms(READY_RETRY_MS))
     }
 
-    pub(super) fn check_held(&self, run: &Run) -> Result<(), Refusal> {
+    pub(super) fn check_resource_available(&self, run: &Run) -> Result<(), Refusal> {
         if !run.service.is_empty() {
             return self.check_service(&run.service);
         }
-        let held = self.is_engine() && self.serves(&run.model, run.version);
-        if held {
+        let available = self.is_engine() && self.serves_model(&run.model, run.version);
+        if available {
             return Ok(());
         }
         Err(Refusal::not_run(Code::NotHeld))
@@ -73,8 +77,8 @@
     /// The upstream chooses among its accelerators, so while one of several
     /// copies is to be unloaded no new work is taken for any: else the unload
     /// would wait for as long as work comes.
-    fn serves(&self, model: &str, version: u32) -> bool {
-        if self.orders.is_retiring(model, version) {
+    fn serves_model(&self, model: &str, version: u32) -> bool {
+        if self.orders.is_unload_pending(model, version) {
             return false;
         }
         self.ledger.residents().any(|resident| {
@@ -87,19 +91,19 @@
     }
 
     /// Most attempts in progress at once.
-    pub(super) fn running_max(&self) -> u32 {
+    pub(super) fn max_in_flight(&self) -> u32 {
         match self.pool() {
-            Some(pool) if pool.engine => self.limit.limit(),
+            Some(pool) if pool.engine => self.concurrency_limit.limit(),
             Some(pool) => pool.concurrent_max.max(1),
             None => 0,
         }
     }
 
     /// Learns from the engine's step time how many places it has.
-    pub(super) fn learn_places(&mut self, step_us: u32) {
-        let full = self.attempts.in_flight() >= self.running_max();
+    pub(super) fn adjust_concurrency_limit(&mut self, step_us: u32) {
+        let full = self.attempts.in_flight() >= self.max_in_flight();
         let expected_us = self.expected_between_tokens_us();
-        self.limit.observe(step_us, expected_us, full);
+        self.concurrency_limit.observe(step_us, expected_us, full);
     }
 
     /// Shortest expected time between tokens of the interactive work on what the
@@ -110,7 +114,8 @@
         };
         let holds = |model: &ModelId| {
             let mut residents = self.ledger.residents();
-            residents.any(|held| held.loaded && held.placement.model == *model)
+            residents
+                .any(|resident| resident.loaded && resident.placement.model == *model)
         };
         let expected = config
             .profiles()
@@ -121,30 +126,30 @@
         expected.min().unwrap_or(0)
     }
 
-    fn check_place(&self, now: Instant, run: &Run) -> Result<(), Refusal> {
-        if self.attempts.any_alone() {
-            return Err(self.gate_full());
+    fn check_slot_available(&self, now: Instant, run: &Run) -> Result<(), Refusal> {
+        if self.attempts.any_exclusive() {
+            return Err(self.gate_full_refusal());
         }
         if run.alone {
-            return self.check_alone(now, run);
+            return self.check_exclusive(now, run);
         }
-        if self.attempts.in_flight() < self.running_max() {
+        if self.attempts.in_flight() < self.max_in_flight() {
             return Ok(());
         }
-        Err(self.gate_full())
+        Err(self.gate_full_refusal())
     }
 
     /// The refusal of what finds no place, with the time until one is free.
-    pub(super) fn gate_full(&self) -> Refusal {
-        let places = u64::from(self.running_max().max(1));
+    pub(super) fn gate_full_refusal(&self) -> Refusal {
+        let slots = u64::from(self.max_in_flight().max(1));
         let retry_ms = match self.upstream.service_ms() {
             0 => FULL_RETRY_MS,
-            service_ms => (service_ms / places).max(1),
+            service_ms => (service_ms / slots).max(1),
         };
         Refusal::not_run(Code::GateFull).retry_after_ms(retry_ms)
     }
 
-    fn check_time(&self, run: &Run) -> Result<(), Refusal> {
+    fn check_deadline(&self, run: &Run) -> Result<(), Refusal> {
         if run.remaining_ms > self.predicted_wait_ms() {
             return Ok(());
         }
@@ -153,18 +158,18 @@
 
     /// Time until the upstream has worked off what already waits there.
     pub(super) fn predicted_wait_ms(&self) -> u64 {
-        let places = u64::from(self.running_max().max(1));
-        u64::from(self.upstream.waiting()) * self.upstream.service_ms() / places
+        let slots = u64::from(self.max_in_flight().max(1));
+        u64::from(self.upstream.waiting()) * self.upstream.service_ms() / slots
     }
 
     /// The load hint that goes out with answers and heartbeats.
     ///
     /// Beside a run alone there is no place; entries that knew only the usual
     /// number would go on sending work to be refused.
-    pub(super) fn load(&self, now: Instant) -> Load {
-        let running_max = match self.attempts.any_alone() {
+    pub(super) fn load_hint(&self, now: Instant) -> Load {
+        let running_max = match self.attempts.any_exclusive() {
             true => 0,
-            false => self.running_max(),
+            false => self.max_in_flight(),
         };
         Load {
             running: self.attempts.in_flight(),
--- a/crates/role/src/agent/runs.rs
+++ b/crates/role/src/agent/attempt_lifecycle.rs
@@ -1,7 +1,7 @@
 //! Attempts from an entry's word to the upstream, and their recall.
 
 use super::attempts::{Attempt, Phase};
-use super::{AgentAction, AgentRole, trace};
+use super::{AgentAction, AgentRole, timeline};
 use base::prelude::*;
 use once::ClaimRequest;
 use schema::link::{self, Refused, Revoke, Revoked, Run, frame};
@@ -25,7 +25,7 @@
 
 impl AgentRole {
     /// An entry asks to run a request.
-    pub(super) fn run(
+    pub(super) fn on_run(
         &mut self,
         now: Instant,
         entry: &EntryId,
@@ -44,23 +44,23 @@
         let checked = if self.revoked.get(id).is_some() {
             Err(Refusal::not_run(Code::Revoked))
         } else {
-            self.check(now, &run)
+            self.check_admission(now, &run)
         };
         if let Err(refusal) = checked {
-            self.refuse(now, Some(entry), id, refusal, out);
+            self.send_refusal(now, Some(entry), id, refusal, out);
             return;
         }
-        let waits = run.alone && self.attempts.in_flight() > 0;
+        let must_wait = run.alone && self.attempts.in_flight() > 0;
         self.attempts.insert(id, new_attempt(now, entry, run));
-        if waits {
-            self.hold(now, id, out);
+        if must_wait {
+            self.wait_for_idle(now, id, out);
         } else {
-            self.begin(now, id, out);
+            self.claim_and_start(now, id, out);
         }
     }
 
     /// Hands an attempt to the driver, once its key is claimed if it has one.
-    pub(super) fn begin(
+    pub(super) fn claim_and_start(
         &mut self,
         now: Instant,
         id: AttemptId,
@@ -69,12 +69,15 @@
         let Some(attempt) = self.attempts.get_mut(id) else {
             return;
         };
-        if !attempt.keyed {
-            self.start(now, id, out);
+        if !attempt.needs_claim {
+            self.hand_over(now, id, out);
             return;
         }
         attempt.phase = Phase::Claiming;
-        let run = self.attempts.get(id).and_then(|held| held.run.as_ref());
+        let run = self
+            .attempts
+            .get(id)
+            .and_then(|attempt| attempt.run.as_ref());
         if let Some(request) = run.map(|run| self.claim_request(id, run)) {
             self.begin_claim(now, request, out);
         }
@@ -93,13 +96,13 @@
     }
 
     /// Hands an attempt to the driver.
-    pub(super) fn start(
+    pub(super) fn hand_over(
         &mut self,
         now: Instant,
         id: AttemptId,
         out: &mut Vec<AgentAction>,
     ) {
-        let upstream = self.upstream.incarnation();
+        let upstream_incarnation = self.upstream.incarnation();
         let Some(attempt) = self.attempts.get_mut(id) else {
             return;
         };
@@ -107,14 +110,14 @@
             return;
         };
         attempt.phase = Phase::Starting;
-        attempt.upstream = upstream;
-        attempt.began = now;
+        attempt.upstream_incarnation = upstream_incarnation;
+        attempt.began_at = now;
         self.counters.started += 1;
         out.push(AgentAction::StartAttempt { attempt: id, run });
     }
 
     /// Tells an entry that its attempt was not run and never will be.
-    pub(super) fn refuse(
+    pub(super) fn send_refusal(
         &mut self,
         now: Instant,
         entry: Option<&EntryId>,
@@ -124,18 +127,18 @@
     ) {
         self.counters.refused += 1;
         let code = refusal.code.number();
-        trace::attempt(EventKind::RequestRefusedByGate, id, code, out);
+        timeline::attempt_event(EventKind::RequestRefusedByGate, id, code, out);
         let body = frame::Body::Refused(Refused {
             attempt: attempt_frame(id),
             code,
             retry_after_ms: retry_after(&refusal),
-            load: Some(self.load(now)),
+            load: Some(self.load_hint(now)),
         });
         self.send(entry, body, out);
     }
 
     /// The caller is gone.
-    pub(super) fn cancel(
+    pub(super) fn on_cancel(
         &mut self,
         now: Instant,
         attempt: Option<link::Attempt>,
@@ -146,7 +149,7 @@
             return;
         };
         if self.attempts.get(id).is_some() {
-            trace::attempt(EventKind::RequestCancelled, id, 0, out);
+            timeline::attempt_event(EventKind::RequestCancelled, id, 0, out);
             self.detach(now, id, out);
         }
     }
@@ -163,21 +166,21 @@
         };
         attempt.entry = None;
         match attempt.phase {
-            Phase::Held { .. } | Phase::Claiming => {
+            Phase::WaitingForIdle { .. } | Phase::Claiming => {
                 self.attempts.remove(id);
                 self.counters.cancelled += 1;
-                self.remember(now, id, Ran::NotRun);
+                self.record_ended(now, id, Ran::NotRun);
             }
             Phase::Starting | Phase::Running if attempt.idempotent => {
                 self.counters.cancelled += 1;
-                self.stop(now, id, out);
+                self.stop_attempt(now, id, out);
             }
             _ => {}
         }
     }
 
     /// Stops an attempt at the upstream and forgets it.
-    pub(super) fn stop(
+    pub(super) fn stop_attempt(
         &mut self,
         now: Instant,
         id: AttemptId,
@@ -186,31 +189,31 @@
         let attempt = self.attempts.remove(id)?;
         let ran = ran_so_far(&attempt);
         out.push(AgentAction::StopAttempt { attempt: id });
-        self.remember(now, id, ran);
+        self.record_ended(now, id, ran);
         Some(attempt)
     }
 
-    pub(super) fn remember(&mut self, now: Instant, id: AttemptId, ran: Ran) {
-        let life_ms = self.past_life_ms();
-        self.ended.remember(now, life_ms, id, ran);
+    pub(super) fn record_ended(&mut self, now: Instant, id: AttemptId, ran: Ran) {
+        let retention_ms = self.history_retention_ms();
+        self.ended.insert(now, retention_ms, id, ran);
     }
 
     /// The connection to an entry ended: none of its attempts has a reader.
-    pub(super) fn link_down(
+    pub(super) fn on_link_down(
         &mut self,
         now: Instant,
         entry: &EntryId,
         out: &mut Vec<AgentAction>,
     ) {
-        self.links.remove(entry);
+        self.connected_entries.remove(entry);
         let theirs = |attempt: &Attempt| attempt.entry.as_ref() == Some(entry);
-        for id in self.attempts.ids_where(theirs) {
+        for id in self.attempts.ids_matching(theirs) {
             self.detach(now, id, out);
         }
     }
 
     /// An entry misses an answer and asks whether the attempt ran.
-    pub(super) fn revoke(
+    pub(super) fn on_revoke(
         &mut self,
         now: Instant,
         entry: &EntryId,
@@ -221,10 +224,10 @@
             self.counters.frames_dropped += 1;
             return;
         };
-        let ran = self.revoked_ran(now, id, revoke.agent_incarnation);
+        let ran = self.revoke_attempt(now, id, revoke.agent_incarnation);
         if ran == Ran::NotRun {
             self.counters.revoked += 1;
-            trace::attempt(EventKind::RequestRevoked, id, 0, out);
+            timeline::attempt_event(EventKind::RequestRevoked, id, 0, out);
         }
         let body = frame::Body::Revoked(Revoked {
             attempt: attempt_frame(id),
@@ -233,14 +236,16 @@
         self.send(Some(entry), body, out);
     }
 
-    fn revoked_ran(&mut self, now: Instant, id: AttemptId, incarnation: u64) -> Ran {
+    fn revoke_attempt(&mut self, now: Instant, id: AttemptId, incarnation: u64) -> Ran {
         // What an earlier run of this process did is not known here.
         if incarnation != self.options.incarnation.0 {
             return Ran::Unknown;
         }
         if let Some(attempt) = self.attempts.get(id) {
             match attempt.phase {
-                Phase::Held { .. } | Phase::Claiming => self.attempts.remove(id),
+                Phase::WaitingForIdle { .. } | Phase::Claiming => {
+                    self.attempts.remove(id)
+                }
                 Phase::Releasing { .. } => None,
                 Phase::Starting => return Ran::Unknown,
                 Phase::Running | Phase::Broken { .. } => return Ran::Ran,
@@ -254,8 +259,8 @@
         if self.revoked.get(id).is_none() && !self.revoked.has_room(now) {
             return Ran::Unknown;
         }
-        let life_ms = self.past_life_ms();
-        self.revoked.remember(now, life_ms, id, Ran::NotRun);
+        let retention_ms = self.history_retention_ms();
+        self.revoked.insert(now, retention_ms, id, Ran::NotRun);
         Ran::NotRun
     }
 }
@@ -270,27 +275,29 @@
     match attempt.phase {
         Phase::Running | Phase::Broken { .. } => Ran::Ran,
         Phase::Starting => Ran::Unknown,
-        Phase::Held { .. } | Phase::Claiming | Phase::Releasing { .. } => Ran::NotRun,
+        Phase::WaitingForIdle { .. } | Phase::Claiming | Phase::Releasing { .. } => {
+            Ran::NotRun
+        }
     }
 }
 
 fn new_attempt(now: Instant, entry: &EntryId, run: Run) -> Attempt {
-    let keyed = !run.idempotent && !run.idempotency_key.is_empty();
+    let needs_claim = !run.idempotent && !run.idempotency_key.is_empty();
     Attempt {
         entry: Some(entry.clone()),
         phase: Phase::Claiming,
         model: ModelId::new(&run.model),
         version: run.version,
         idempotent: run.idempotent,
-        keyed,
-        alone: run.alone,
+        needs_claim,
+        exclusive: run.alone,
         fingerprint: run.fingerprint,
-        upstream: 0,
+        upstream_incarnation: 0,
         offset: run.resume_offset,
-        began: now,
+        began_at: now,
         deadline: now.plus_ms(run.remaining_ms),
-        overdue: false,
-        kept: (keyed && run.resume_offset == 0).then(Vec::new),
+        deadline_reported: false,
+        stored_answer: (needs_claim && run.resume_offset == 0).then(Vec::new),
         run: Some(Box::new(run)),
     }
 }
--- a/crates/role/src/agent/attempts.rs
+++ b/crates/role/src/agent/attempts.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Phase {
     /// It waits until nothing else is in progress.
-    Held {
+    WaitingForIdle {
         /// When it is refused instead.
         until: Instant,
     },
@@ -29,7 +29,7 @@
         /// What to tell the entry.
         refusal: Refusal,
         /// It had been handed over, so it ends instead of being refused.
-        started: bool,
+        handed_over: bool,
     },
 }
 
@@ -44,19 +44,19 @@
     pub(super) model: ModelId,
     pub(super) version: u32,
     pub(super) idempotent: bool,
-    pub(super) keyed: bool,
-    pub(super) alone: bool,
+    pub(super) needs_claim: bool,
+    pub(super) exclusive: bool,
     pub(super) fingerprint: u64,
     /// Run of the upstream that it was handed to; 0 before that.
-    pub(super) upstream: u64,
+    pub(super) upstream_incarnation: u64,
     /// Units of the answer before the next part.
     pub(super) offset: u64,
-    pub(super) began: Instant,
+    pub(super) began_at: Instant,
     pub(super) deadline: Instant,
     /// The entry was told that the deadline has passed.
-    pub(super) overdue: bool,
+    pub(super) deadline_reported: bool,
     /// Answer of a call with a key; `None` once it is too large to be kept.
-    pub(super) kept: Option<Vec<u8>>,
+    pub(super) stored_answer: Option<Vec<u8>>,
 }
 
 impl Attempt {
@@ -66,18 +66,23 @@
     }
 
     /// It takes a place at the upstream, or may soon.
-    const fn takes_place(&self) -> bool {
-        !matches!(self.phase, Phase::Held { .. } | Phase::Releasing { .. })
+    const fn occupies_slot(&self) -> bool {
+        !matches!(
+            self.phase,
+            Phase::WaitingForIdle { .. } | Phase::Releasing { .. }
+        )
     }
 
     /// Keeps a part for a resend, up to `max` bytes in all.
-    pub(super) fn keep(&mut self, payload: &[u8], max: usize) {
-        let Some(kept) = &mut self.kept else { return };
-        if kept.len() + payload.len() > max {
-            self.kept = None;
+    pub(super) fn store_part(&mut self, payload: &[u8], max: usize) {
+        let Some(stored_answer) = &mut self.stored_answer else {
+            return;
+        };
+        if stored_answer.len() + payload.len() > max {
+            self.stored_answer = None;
             return;
         }
-        kept.extend_from_slice(payload);
+        stored_answer.extend_from_slice(payload);
     }
 }
 
@@ -114,39 +119,52 @@
 
     /// Places taken.
     pub(super) fn in_flight(&self) -> u32 {
-        let taken = self.table.values().filter(|attempt| attempt.takes_place());
-        u32::try_from(taken.count()).unwrap_or(u32::MAX)
+        let occupying = self
+            .table
+            .values()
+            .filter(|attempt| attempt.occupies_slot());
+        u32::try_from(occupying.count()).unwrap_or(u32::MAX)
     }
 
     /// An attempt that must run alone is in progress, or held until it can be.
-    pub(super) fn any_alone(&self) -> bool {
+    pub(super) fn any_exclusive(&self) -> bool {
         self.table.values().any(|attempt| {
-            attempt.alone && !matches!(attempt.phase, Phase::Releasing { .. })
+            attempt.exclusive && !matches!(attempt.phase, Phase::Releasing { .. })
         })
     }
 
     /// The attempt that is held; the gate lets in one at a time.
-    pub(super) fn held(&self) -> Option<AttemptId> {
+    pub(super) fn waiting_exclusive(&self) -> Option<AttemptId> {
         let mut table = self.table.iter();
-        let is_held = |attempt: &Attempt| matches!(attempt.phase, Phase::Held { .. });
-        table.find(|(_, a)| is_held(a)).map(|(id, _)| *id)
+        let is_waiting =
+            |attempt: &Attempt| matches!(attempt.phase, Phase::WaitingForIdle { .. });
+        table.find(|(_, a)| is_waiting(a)).map(|(id, _)| *id)
     }
 
     /// When the youngest of those in progress began.
-    pub(super) fn youngest(&self) -> Option<Instant> {
-        let taken = self.table.values().filter(|attempt| attempt.takes_place());
-        taken.map(|attempt| attempt.began).max()
+    pub(super) fn latest_began_at(&self) -> Option<Instant> {
+        let occupying = self
+            .table
+            .values()
+            .filter(|attempt| attempt.occupies_slot());
+        occupying.map(|attempt| attempt.began_at).max()
     }
 
     /// An attempt on a version of a model is in progress.
-    pub(super) fn any_on(&self, model: &ModelId, version: u32) -> bool {
-        let mut taken = self.table.values().filter(|attempt| attempt.takes_place());
-        taken.any(|attempt| attempt.model == *model && attempt.version == version)
+    pub(super) fn any_for_model(&self, model: &ModelId, version: u32) -> bool {
+        let mut occupying = self
+            .table
+            .values()
+            .filter(|attempt| attempt.occupies_slot());
+        occupying.any(|attempt| attempt.model == *model && attempt.version == version)
     }
 
     /// Attempts for which a condition holds, in order.
-    pub(super) fn ids_where(&self, holds: impl Fn(&Attempt) -> bool) -> Vec<AttemptId> {
-        let found = self.table.iter().filter(|(_, attempt)| holds(attempt));
+    pub(super) fn ids_matching(
+        &self,
+        matches: impl Fn(&Attempt) -> bool,
+    ) -> Vec<AttemptId> {
+        let found = self.table.iter().filter(|(_, attempt)| matches(attempt));
         found.map(|(id, _)| *id).collect()
     }
 
@@ -156,7 +174,9 @@
             .table
             .values()
             .filter_map(|attempt| match attempt.phase {
-                Phase::Held { until } | Phase::Broken { until } => Some(until),
+                Phase::WaitingForIdle { until } | Phase::Broken { until } => {
+                    Some(until)
+                }
                 Phase::Starting | Phase::Running => Some(attempt.deadline),
                 Phase::Claiming | Phase::Releasing { .. } => None,
             });
--- a/crates/role/src/agent/keyed.rs
+++ b/crates/role/src/agent/claims.rs
@@ -1,8 +1,8 @@
 //! Claims of non-idempotent calls with a key.
 
+use super::attempt_lifecycle::{attempt_frame, retry_after};
 use super::attempts::Phase;
-use super::runs::{attempt_frame, retry_after};
-use super::{AgentAction, AgentRole, trace};
+use super::{AgentAction, AgentRole, timeline};
 use base::PlatformResult;
 use base::prelude::*;
 use once::{Answer, ClaimAction, ClaimRequest, Claims, Outcome};
@@ -24,11 +24,11 @@
                     out.push(AgentAction::CallPlatform(call));
                 }
                 ClaimAction::Settled { attempt, outcome } => {
-                    self.claim_settled(now, attempt, outcome, out);
+                    self.on_claim_settled(now, attempt, outcome, out);
                 }
                 ClaimAction::Released { attempt } => {
-                    trace::attempt(EventKind::ClaimReleased, attempt, 0, out);
-                    self.taken_back(now, attempt, out);
+                    timeline::attempt_event(EventKind::ClaimReleased, attempt, 0, out);
+                    self.finish_withdrawal(now, attempt, out);
                 }
             }
         }
@@ -68,7 +68,7 @@
         });
     }
 
-    pub(super) fn claims_answered(
+    pub(super) fn on_claims_answer(
         &mut self,
         now: Instant,
         call: u64,
@@ -86,7 +86,7 @@
         }
     }
 
-    fn claim_settled(
+    fn on_claim_settled(
         &mut self,
         now: Instant,
         id: AttemptId,
@@ -94,22 +94,22 @@
         out: &mut Vec<AgentAction>,
     ) {
         match outcome {
-            Outcome::Granted => self.claim_granted(now, id, out),
-            Outcome::Replay(answer) => self.replay(now, id, answer, out),
-            Outcome::Refused(refusal) => self.claim_refused(now, id, refusal, out),
+            Outcome::Granted => self.on_claim_granted(now, id, out),
+            Outcome::Replay(answer) => self.send_stored_answer(now, id, answer, out),
+            Outcome::Refused(refusal) => self.on_claim_refused(now, id, refusal, out),
         }
     }
 
     /// The claim stands. Time has passed since the gate let the attempt in, so
     /// what may have changed is looked at again before the run.
-    fn claim_granted(
+    fn on_claim_granted(
         &mut self,
         now: Instant,
         id: AttemptId,
         out: &mut Vec<AgentAction>,
     ) {
         self.counters.claims_granted += 1;
-        trace::attempt(EventKind::ClaimTaken, id, 0, out);
+        timeline::attempt_event(EventKind::ClaimTaken, id, 0, out);
         let Some(attempt) = self.attempts.get(id) else {
             // The caller is gone or has revoked it.
             self.release_claim(now, id, out);
@@ -119,47 +119,47 @@
         let checked = if late {
             Err(Refusal::not_run(Code::DeadlineBeforeRun))
         } else {
-            self.check_able()
+            self.check_can_run()
         };
         match checked {
-            Ok(()) => self.start(now, id, out),
-            Err(refusal) => self.take_back(now, id, refusal, false, out),
+            Ok(()) => self.hand_over(now, id, out),
+            Err(refusal) => self.withdraw_attempt(now, id, refusal, false, out),
         }
     }
 
-    fn claim_refused(
+    fn on_claim_refused(
         &mut self,
         now: Instant,
         id: AttemptId,
         refusal: Refusal,
         out: &mut Vec<AgentAction>,
     ) {
-        let waits = |phase| phase == Phase::Claiming;
-        if !self.attempts.get(id).is_some_and(|a| waits(a.phase)) {
+        let is_claiming = |phase| phase == Phase::Claiming;
+        if !self.attempts.get(id).is_some_and(|a| is_claiming(a.phase)) {
             return;
         }
         let Some(attempt) = self.attempts.remove(id) else {
             return;
         };
         self.counters.claims_refused += 1;
-        self.remember(now, id, Ran::NotRun);
+        self.record_ended(now, id, Ran::NotRun);
         let code = refusal.code.number();
-        trace::attempt(EventKind::ClaimRefused, id, code, out);
+        timeline::attempt_event(EventKind::ClaimRefused, id, code, out);
         if refusal.ran == Ran::NotRun {
-            self.refuse(now, attempt.entry.as_ref(), id, refusal, out);
+            self.send_refusal(now, attempt.entry.as_ref(), id, refusal, out);
             return;
         }
         // This attempt was not run, but an earlier one of the key was, or may
         // have been; the caller asks about the call.
         let end = End {
             retry_after_ms: retry_after(&refusal),
-            ..self.end(now, id, code, refusal.ran)
+            ..self.end_frame(now, id, code, refusal.ran)
         };
         self.send(attempt.entry.as_ref(), frame::Body::End(end), out);
     }
 
     /// The call ran before: its stored answer is the answer.
-    fn replay(
+    fn send_stored_answer(
         &mut self,
         now: Instant,
         id: AttemptId,
@@ -170,7 +170,7 @@
             return;
         };
         self.counters.replays += 1;
-        self.remember(now, id, Ran::Ran);
+        self.record_ended(now, id, Ran::Ran);
         let entry = attempt.entry.as_ref();
         let units = u32::try_from(answer.body.len()).unwrap_or(u32::MAX);
         if units > 0 {
@@ -187,7 +187,7 @@
             status: u32::from(answer.status),
             content_type: answer.content_type,
             replayed: true,
-            ..self.end(now, id, 0, Ran::Ran)
+            ..self.end_frame(now, id, 0, Ran::Ran)
         };
         self.send(entry, frame::Body::End(end), out);
     }
--- a/crates/role/src/agent/settings.rs
+++ b/crates/role/src/agent/config_sync.rs
@@ -2,7 +2,7 @@
 //! from then on.
 
 use super::AgentAction;
-use super::retry::{Backoff, Caller};
+use super::platform_client::{Backoff, PlatformClient};
 use base::{Instant, PlatformOp, PlatformResult, Revision};
 use conf::{Config, ConfigLog, REVISION_PREFIX, SNAPSHOT_KEY};
 use prost::Message as _;
@@ -13,14 +13,14 @@
 const ASK_MIN_MS: u64 = 500;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Step {
+enum ReadStep {
     Snapshot,
     Changes,
 }
 
 /// Something came of an offer of changes.
 #[derive(Debug, Default)]
-pub(super) struct Offered {
+pub(super) struct ConfigUpdate {
     /// The configuration now in force, if it is a new one.
     pub(super) applied: Option<Arc<Config>>,
     /// A change could not be read.
@@ -29,14 +29,14 @@
 
 /// The configuration and where it comes from.
 #[derive(Debug, Default)]
-pub(super) struct Settings {
+pub(super) struct ConfigSync {
     log: ConfigLog,
-    call: Option<(u64, Step)>,
+    call: Option<(u64, ReadStep)>,
     backoff: Backoff,
-    asked_at: Option<Instant>,
+    last_ask_at: Option<Instant>,
 }
 
-impl Settings {
+impl ConfigSync {
     pub(super) const fn current(&self) -> Option<&Arc<Config>> {
         self.log.current()
     }
@@ -50,29 +50,33 @@
     }
 
     /// Whether to ask a peer that has a higher revision in force.
-    pub(super) fn should_ask(&mut self, now: Instant, heard: Revision) -> bool {
-        heard > self.revision() && self.may_ask(now)
+    pub(super) fn try_begin_ask_if_behind(
+        &mut self,
+        now: Instant,
+        peer_revision: Revision,
+    ) -> bool {
+        peer_revision > self.revision() && self.try_begin_ask(now)
     }
 
     /// Whether the last question is old enough for another.
-    pub(super) fn may_ask(&mut self, now: Instant) -> bool {
+    pub(super) fn try_begin_ask(&mut self, now: Instant) -> bool {
         if self
-            .asked_at
+            .last_ask_at
             .is_some_and(|at| now.ms_since(at) < ASK_MIN_MS)
         {
             return false;
         }
-        self.asked_at = Some(now);
+        self.last_ask_at = Some(now);
         true
     }
 
     /// Takes changes from wherever they come.
-    pub(super) fn offer(&mut self, changes: &ConfigChanges) -> Offered {
+    pub(super) fn apply(&mut self, changes: &ConfigChanges) -> ConfigUpdate {
         let before = self.revision();
         let undecodable = self.log.offer(changes).is_err();
-        let risen = self.revision() > before;
-        Offered {
-            applied: risen.then(|| self.log.current().cloned()).flatten(),
+        let advanced = self.revision() > before;
+        ConfigUpdate {
+            applied: advanced.then(|| self.log.current().cloned()).flatten(),
             undecodable,
         }
     }
@@ -81,60 +85,60 @@
     pub(super) fn advance(
         &mut self,
         now: Instant,
-        caller: &mut Caller,
+        client: &mut PlatformClient,
         out: &mut Vec<AgentAction>,
     ) {
-        let waits = self.call.is_some() || !self.backoff.is_over(now);
-        if waits || self.log.current().is_some() {
+        let not_due = self.call.is_some() || !self.backoff.has_elapsed(now);
+        if not_due || self.log.current().is_some() {
             return;
         }
         let key = SNAPSHOT_KEY.to_owned();
-        let id = caller.call(PlatformOp::Read { key }, out);
-        self.call = Some((id, Step::Snapshot));
+        let id = client.call(PlatformOp::Read { key }, out);
+        self.call = Some((id, ReadStep::Snapshot));
     }
 
     pub(super) fn owns(&self, call: u64) -> bool {
         self.call.is_some_and(|(id, _)| id == call)
     }
 
-    pub(super) fn answered(
+    pub(super) fn on_answer(
         &mut self,
         now: Instant,
         result: &PlatformResult,
-        caller: &mut Caller,
+        client: &mut PlatformClient,
         out: &mut Vec<AgentAction>,
-    ) -> Offered {
-        let step = self.call.take().map(|(_, step)| step);
-        let mut offered = Offered::default();
-        match (step, result) {
-            (Some(Step::Snapshot), PlatformResult::Object(object)) => {
+    ) -> ConfigUpdate {
+        let read_step = self.call.take().map(|(_, read_step)| read_step);
+        let mut update = ConfigUpdate::default();
+        match (read_step, result) {
+            (Some(ReadStep::Snapshot), PlatformResult::Object(object)) => {
                 if let Some((_, value)) = object {
-                    offered = self.offer_snapshot(value);
+                    update = self.apply_snapshot(value);
                 }
                 let prefix = REVISION_PREFIX.to_owned();
-                let id = caller.call(PlatformOp::List { prefix }, out);
-                self.call = Some((id, Step::Changes));
+                let id = client.call(PlatformOp::List { prefix }, out);
+                self.call = Some((id, ReadStep::Changes));
             }
-            (Some(Step::Changes), PlatformResult::Objects(objects, _)) => {
-                offered = self.offer(&changes_of(objects));
+            (Some(ReadStep::Changes), PlatformResult::Objects(objects, _)) => {
+                update = self.apply(&changes_from_objects(objects));
                 if self.log.current().is_none() {
-                    self.backoff.failed(now, caller);
+                    self.backoff.record_failure(now, client);
                 }
             }
-            _ => self.backoff.failed(now, caller),
+            _ => self.backoff.record_failure(now, client),
         }
-        offered
+        update
     }
 
     pub(super) fn due(&self) -> Option<Instant> {
-        let waits = self.log.current().is_none() && self.call.is_none();
-        self.backoff.until().filter(|_| waits)
+        let needs_call = self.log.current().is_none() && self.call.is_none();
+        self.backoff.until().filter(|_| needs_call)
     }
 
-    fn offer_snapshot(&mut self, value: &[u8]) -> Offered {
+    fn apply_snapshot(&mut self, value: &[u8]) -> ConfigUpdate {
         match ConfigChanges::decode(value) {
-            Ok(snapshot) => self.offer(&snapshot),
-            Err(_) => Offered {
+            Ok(snapshot) => self.apply(&snapshot),
+            Err(_) => ConfigUpdate {
                 applied: None,
                 undecodable: true,
             },
@@ -142,7 +146,7 @@
     }
 }
 
-fn changes_of(objects: &[(String, base::Version, Vec<u8>)]) -> ConfigChanges {
+fn changes_from_objects(objects: &[(String, base::Version, Vec<u8>)]) -> ConfigChanges {
     let changes = objects.iter().filter_map(|(key, _, value)| {
         let revision = key.strip_prefix(REVISION_PREFIX)?.parse().ok()?;
         Some(ConfigChange {
--- a/crates/role/src/agent/drain.rs
+++ b/crates/role/src/agent/drain.rs
@@ -1,6 +1,6 @@
 //! Stopping: no new work, finish what runs, leave nothing behind.
 
-use super::{AgentAction, AgentRole, trace};
+use super::{AgentAction, AgentRole, timeline};
 use base::Instant;
 use schema::timeline::EventKind;
 
@@ -8,19 +8,19 @@
 const FLUSH_MAX_MS: u64 = 10_000;
 
 /// Longest wait for the removal of the registration.
-const FAREWELL_MAX_MS: u64 = 2_000;
+const DEREGISTRATION_MAX_MS: u64 = 2_000;
 
 /// How far the stop has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Drain {
     /// Attempts in progress are finished.
-    Finishing,
+    FinishingAttempts,
     /// The claims' last writes are waited for.
-    Flushing { until: Instant },
+    FlushingClaims { until: Instant },
     /// The registration is being removed.
-    Leaving { until: Instant },
+    Deregistering { until: Instant },
     /// All is done.
-    Gone,
+    Complete,
 }
 
 impl AgentRole {
@@ -28,16 +28,18 @@
         if self.drain.is_some() {
             return;
         }
-        self.drain = Some(Drain::Finishing);
-        self.registration.leave();
-        self.registration.advance(now, &mut self.caller, out);
-        trace::note(EventKind::ProcessDraining, String::new(), out);
+        self.drain = Some(Drain::FinishingAttempts);
+        self.registration.mark_leaving();
+        self.registration.advance(now, &mut self.client, out);
+        timeline::process_event(EventKind::ProcessDraining, String::new(), out);
     }
 
     pub(super) fn drain_due(&self) -> Option<Instant> {
         match self.drain? {
-            Drain::Flushing { until } | Drain::Leaving { until } => Some(until),
-            Drain::Finishing | Drain::Gone => None,
+            Drain::FlushingClaims { until } | Drain::Deregistering { until } => {
+                Some(until)
+            }
+            Drain::FinishingAttempts | Drain::Complete => None,
         }
     }
 
@@ -47,24 +49,24 @@
     /// is left undone then is only untidy. The first is bounded by the
     /// attempts' deadlines.
     pub(super) fn advance_drain(&mut self, now: Instant, out: &mut Vec<AgentAction>) {
-        if self.drain == Some(Drain::Finishing) && self.attempts.is_empty() {
+        if self.drain == Some(Drain::FinishingAttempts) && self.attempts.is_empty() {
             let until = now.plus_ms(FLUSH_MAX_MS);
-            self.drain = Some(Drain::Flushing { until });
+            self.drain = Some(Drain::FlushingClaims { until });
         }
-        if let Some(Drain::Flushing { until }) = self.drain
+        if let Some(Drain::FlushingClaims { until }) = self.drain
             && (self.claims.is_flushed() || until <= now)
         {
-            let until = now.plus_ms(FAREWELL_MAX_MS);
-            self.drain = Some(Drain::Leaving { until });
-            self.say_goodbye(out);
+            let until = now.plus_ms(DEREGISTRATION_MAX_MS);
+            self.drain = Some(Drain::Deregistering { until });
+            self.send_goodbyes(out);
             self.registration.remove();
-            self.registration.advance(now, &mut self.caller, out);
+            self.registration.advance(now, &mut self.client, out);
         }
-        if let Some(Drain::Leaving { until }) = self.drain
+        if let Some(Drain::Deregistering { until }) = self.drain
             && (self.registration.is_settled() || until <= now)
         {
-            self.drain = Some(Drain::Gone);
-            trace::note(EventKind::ProcessStopped, String::new(), out);
+            self.drain = Some(Drain::Complete);
+            timeline::process_event(EventKind::ProcessStopped, String::new(), out);
             out.push(AgentAction::Exit);
         }
     }
--- a/crates/role/src/agent/epoch.rs
+++ b/crates/role/src/agent/epoch.rs
@@ -1,29 +1,29 @@
 //! What the agent's record means for its orders.
 
 use super::drain::Drain;
-use super::record::RecordNews;
-use super::{AgentAction, AgentRole, trace};
+use super::epoch_record::RecordOutcome;
+use super::{AgentAction, AgentRole, timeline};
 use base::prelude::*;
 use schema::timeline::EventKind;
 
 impl AgentRole {
-    pub(super) fn record_news(
+    pub(super) fn on_record_outcome(
         &mut self,
         now: Instant,
-        news: RecordNews,
+        outcome: RecordOutcome,
         out: &mut Vec<AgentAction>,
     ) {
-        match news {
-            RecordNews::Nothing | RecordNews::Recorded => {}
-            RecordNews::Taken => {
+        match outcome {
+            RecordOutcome::Nothing | RecordOutcome::Recorded => {}
+            RecordOutcome::EpochTaken => {
                 self.ledger.adopt(now, self.record.intents());
-                self.begin_probe(now);
+                self.start_probing(now);
                 let detail = format!("epoch {}", self.record.epoch().0);
-                trace::note(EventKind::EpochTaken, detail, out);
+                timeline::process_event(EventKind::EpochTaken, detail, out);
             }
-            RecordNews::NotWritten => self.withdraw_unrecorded(),
-            RecordNews::Fenced => self.fenced(out),
-            RecordNews::Undecodable => self.counters.undecodable += 1,
+            RecordOutcome::NotWritten => self.withdraw_unrecorded(),
+            RecordOutcome::Fenced => self.become_fenced(out),
+            RecordOutcome::Undecodable => self.counters.undecodable += 1,
         }
     }
 
@@ -32,20 +32,20 @@
     ///
     /// As long as the process lives the successor counts what it may have
     /// ordered; its end frees that memory.
-    fn fenced(&mut self, out: &mut Vec<AgentAction>) {
+    fn become_fenced(&mut self, out: &mut Vec<AgentAction>) {
         self.withdraw_unrecorded();
         self.orders.clear();
         self.registration.abandon();
-        trace::note(EventKind::Fenced, String::new(), out);
-        self.say_goodbye(out);
-        self.drain.get_or_insert(Drain::Finishing);
+        timeline::process_event(EventKind::Fenced, String::new(), out);
+        self.send_goodbyes(out);
+        self.drain.get_or_insert(Drain::FinishingAttempts);
     }
 
     /// Orders whose intent was provably not written are given up; the plan is
     /// made anew when the record can be written.
     pub(super) fn withdraw_unrecorded(&mut self) {
-        let unsent = self.ledger.orders().filter(|order| order.sends == 0);
-        let ids: Vec<u64> = unsent.map(|order| order.id).collect();
+        let unrecorded = self.ledger.orders().filter(|order| order.sends == 0);
+        let ids: Vec<u64> = unrecorded.map(|order| order.id).collect();
         for id in ids {
             self.ledger.withdraw(id);
         }
--- a/crates/role/src/agent/record.rs
+++ b/crates/role/src/agent/epoch_record.rs
@@ -6,7 +6,7 @@
 //! therefore gives no order that its successor does not count.
 
 use super::AgentAction;
-use super::retry::{Backoff, Caller};
+use super::platform_client::{Backoff, PlatformClient};
 use base::{Epoch, Expect, Incarnation, Instant, PlatformOp, PlatformResult, Version};
 use prost::Message as _;
 use schema::store::{AgentRecord, Intent};
@@ -22,18 +22,18 @@
     /// The epoch is not taken yet.
     Taking,
     /// The epoch is ours.
-    Held,
+    WaitingForIdle,
     /// A successor has taken a higher epoch.
     Fenced,
 }
 
 /// What an answer of the platform meant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum RecordNews {
+pub(super) enum RecordOutcome {
     /// Nothing that concerns others.
     Nothing,
     /// The epoch is ours, with the intents that predecessors left.
-    Taken,
+    EpochTaken,
     /// The record's content is known again.
     Recorded,
     /// A write provably had no effect.
@@ -46,7 +46,7 @@
 
 /// The record of this agent.
 #[derive(Debug)]
-pub(super) struct Record {
+pub(super) struct EpochRecord {
     key: String,
     incarnation: Incarnation,
     link_address: String,
@@ -56,11 +56,11 @@
     intents: Vec<Intent>,
     call: Option<(u64, Call)>,
     /// The record has to be read before anything is done by it.
-    unsure: bool,
+    needs_read: bool,
     backoff: Backoff,
 }
 
-impl Record {
+impl EpochRecord {
     pub(super) fn new(id: &str, incarnation: Incarnation, link_address: &str) -> Self {
         Self {
             key: format!("agents/{id}"),
@@ -71,7 +71,7 @@
             version: None,
             intents: Vec::new(),
             call: None,
-            unsure: true,
+            needs_read: true,
             backoff: Backoff::default(),
         }
     }
@@ -86,21 +86,21 @@
     }
 
     /// The epoch is ours as far as can be known: orders may go out.
-    pub(super) fn is_sure(&self) -> bool {
-        self.phase == Phase::Held && !self.unsure
+    pub(super) fn is_confirmed(&self) -> bool {
+        self.phase == Phase::WaitingForIdle && !self.needs_read
     }
 
     /// The record can be written, so that a plan can be carried out.
     pub(super) fn is_writable(&self, now: Instant) -> bool {
-        self.is_sure() && self.backoff.is_over(now)
+        self.is_confirmed() && self.backoff.has_elapsed(now)
     }
 
-    pub(super) const fn is_busy(&self) -> bool {
+    pub(super) const fn has_call_in_flight(&self) -> bool {
         self.call.is_some()
     }
 
     /// Whether the record holds the intent of an order.
-    pub(super) fn holds(&self, order: u64) -> bool {
+    pub(super) fn contains_intent(&self, order: u64) -> bool {
         self.intents.iter().any(|intent| intent.order == order)
     }
 
@@ -110,23 +110,23 @@
     }
 
     /// The process may have been frozen: read before any further order.
-    pub(super) fn doubt(&mut self) {
-        self.unsure = true;
+    pub(super) fn require_read(&mut self) {
+        self.needs_read = true;
     }
 
     /// Reads the record if that is needed.
     pub(super) fn advance(
         &mut self,
         now: Instant,
-        caller: &mut Caller,
+        client: &mut PlatformClient,
         out: &mut Vec<AgentAction>,
     ) {
-        let waits = self.call.is_some() || !self.backoff.is_over(now);
-        if waits || !self.unsure || self.is_fenced() {
+        let blocked = self.call.is_some() || !self.backoff.has_elapsed(now);
+        if blocked || !self.needs_read || self.is_fenced() {
             return;
         }
         let key = self.key.clone();
-        self.call = Some((caller.call(PlatformOp::Read { key }, out), Call::Read));
+        self.call = Some((client.call(PlatformOp::Read { key }, out), Call::Read));
     }
 
     /// Writes the intents, if no write is in flight.
@@ -134,11 +134,11 @@
         &mut self,
         now: Instant,
         intents: Vec<Intent>,
-        caller: &mut Caller,
+        client: &mut PlatformClient,
         out: &mut Vec<AgentAction>,
     ) {
         if self.is_writable(now) && self.call.is_none() {
-            self.send_write(self.epoch, intents, caller, out);
+            self.send_write(self.epoch, intents, client, out);
         }
     }
 
@@ -146,7 +146,7 @@
         &mut self,
         epoch: Epoch,
         intents: Vec<Intent>,
-        caller: &mut Caller,
+        client: &mut PlatformClient,
         out: &mut Vec<AgentAction>,
     ) {
         let record = AgentRecord {
@@ -160,128 +160,128 @@
             expect: self.version.map_or(Expect::Absent, Expect::Version),
             value: record.encode_to_vec(),
         };
-        self.call = Some((caller.call(op, out), Call::Write(Box::new(record))));
+        self.call = Some((client.call(op, out), Call::Write(Box::new(record))));
     }
 
     pub(super) fn owns(&self, call: u64) -> bool {
         self.call.as_ref().is_some_and(|(id, _)| *id == call)
     }
 
-    pub(super) fn answered(
+    pub(super) fn on_answer(
         &mut self,
         now: Instant,
         result: &PlatformResult,
-        caller: &mut Caller,
+        client: &mut PlatformClient,
         out: &mut Vec<AgentAction>,
-    ) -> RecordNews {
+    ) -> RecordOutcome {
         let Some((_, call)) = self.call.take() else {
-            return RecordNews::Nothing;
+            return RecordOutcome::Nothing;
         };
         match (call, result) {
             (Call::Read, PlatformResult::Object(object)) => {
-                self.backoff.succeeded();
-                self.was_read(now, object.as_ref(), caller, out)
+                self.backoff.reset();
+                self.on_read(now, object.as_ref(), client, out)
             }
             (Call::Write(record), PlatformResult::Written(version)) => {
-                self.backoff.succeeded();
-                self.was_written(*version, *record)
+                self.backoff.reset();
+                self.on_written(*version, *record)
             }
             (Call::Write(_), PlatformResult::Away) => {
-                self.backoff.failed(now, caller);
-                RecordNews::NotWritten
+                self.backoff.record_failure(now, client);
+                RecordOutcome::NotWritten
             }
             (Call::Write(_), PlatformResult::Conflict) => {
-                self.unsure = true;
-                RecordNews::Nothing
+                self.needs_read = true;
+                RecordOutcome::Nothing
             }
             // A write without an answer may have taken effect: read it back.
             (Call::Write(_), _) => {
-                self.unsure = true;
-                RecordNews::Nothing
+                self.needs_read = true;
+                RecordOutcome::Nothing
             }
             (Call::Read, _) => {
-                self.backoff.failed(now, caller);
-                RecordNews::Nothing
+                self.backoff.record_failure(now, client);
+                RecordOutcome::Nothing
             }
         }
     }
 
-    fn was_written(&mut self, version: Version, record: AgentRecord) -> RecordNews {
+    fn on_written(&mut self, version: Version, record: AgentRecord) -> RecordOutcome {
         self.version = Some(version);
         self.intents = record.intents;
         if self.phase == Phase::Taking {
-            return self.taken(Epoch(record.epoch));
+            return self.on_epoch_taken(Epoch(record.epoch));
         }
-        RecordNews::Recorded
+        RecordOutcome::Recorded
     }
 
-    fn taken(&mut self, epoch: Epoch) -> RecordNews {
-        self.phase = Phase::Held;
+    fn on_epoch_taken(&mut self, epoch: Epoch) -> RecordOutcome {
+        self.phase = Phase::WaitingForIdle;
         self.epoch = epoch;
-        self.unsure = false;
-        RecordNews::Taken
+        self.needs_read = false;
+        RecordOutcome::EpochTaken
     }
 
-    fn was_read(
+    fn on_read(
         &mut self,
         now: Instant,
         object: Option<&(Version, Vec<u8>)>,
-        caller: &mut Caller,
+        client: &mut PlatformClient,
         out: &mut Vec<AgentAction>,
-    ) -> RecordNews {
+    ) -> RecordOutcome {
         let Some((version, value)) = object else {
-            return self.was_absent(caller, out);
+            return self.on_record_absent(client, out);
         };
         let Ok(record) = AgentRecord::decode(value.as_slice()) else {
-            self.backoff.failed(now, caller);
-            return RecordNews::Undecodable;
+            self.backoff.record_failure(now, client);
+            return RecordOutcome::Undecodable;
         };
         // Epochs only grow, so a lower one is a value from before ours. Taken for
         // a successor's it would end the only agent of the instance.
-        if self.phase == Phase::Held && record.epoch < self.epoch.0 {
-            self.backoff.failed(now, caller);
-            return RecordNews::Nothing;
+        if self.phase == Phase::WaitingForIdle && record.epoch < self.epoch.0 {
+            self.backoff.record_failure(now, client);
+            return RecordOutcome::Nothing;
         }
         self.version = Some(*version);
         if record.incarnation == self.incarnation.0 {
-            return self.was_ours(record);
+            return self.on_own_record(record);
         }
         let newer = record.incarnation > self.incarnation.0;
-        if self.phase == Phase::Held || newer {
+        if self.phase == Phase::WaitingForIdle || newer {
             self.phase = Phase::Fenced;
-            return RecordNews::Fenced;
+            return RecordOutcome::Fenced;
         }
         let epoch = Epoch(record.epoch + 1);
-        self.send_write(epoch, with_addresses(record), caller, out);
-        RecordNews::Nothing
+        self.send_write(epoch, intents_with_addresses(record), client, out);
+        RecordOutcome::Nothing
     }
 
-    fn was_ours(&mut self, record: AgentRecord) -> RecordNews {
-        self.unsure = false;
+    fn on_own_record(&mut self, record: AgentRecord) -> RecordOutcome {
+        self.needs_read = false;
         self.intents = record.intents;
         if self.phase == Phase::Taking {
-            return self.taken(Epoch(record.epoch));
+            return self.on_epoch_taken(Epoch(record.epoch));
         }
-        RecordNews::Recorded
+        RecordOutcome::Recorded
     }
 
     /// There is no record: this is the first agent, or the platform lost it.
-    fn was_absent(
+    fn on_record_absent(
         &mut self,
-        caller: &mut Caller,
+        client: &mut PlatformClient,
         out: &mut Vec<AgentAction>,
-    ) -> RecordNews {
+    ) -> RecordOutcome {
         self.version = None;
-        self.unsure = self.phase != Phase::Held;
+        self.needs_read = self.phase != Phase::WaitingForIdle;
         let epoch = Epoch(self.epoch.0.max(1));
         let intents = std::mem::take(&mut self.intents);
-        self.send_write(epoch, intents, caller, out);
-        RecordNews::Nothing
+        self.send_write(epoch, intents, client, out);
+        RecordOutcome::Nothing
     }
 
     pub(super) fn due(&self) -> Option<Instant> {
-        let waits = self.call.is_none() && !self.is_fenced();
-        self.backoff.until().filter(|_| waits)
+        let is_idle = self.call.is_none() && !self.is_fenced();
+        self.backoff.until().filter(|_| is_idle)
     }
 }
 
@@ -289,7 +289,7 @@
 ///
 /// An agent that does not write the addresses yet is still known by that of its
 /// record.
-fn with_addresses(record: AgentRecord) -> Vec<Intent> {
+fn intents_with_addresses(record: AgentRecord) -> Vec<Intent> {
     let mut intents = record.intents;
     for intent in &mut intents {
         if intent.link_address.is_empty() && intent.epoch == record.epoch {
--- a/crates/role/src/agent/alone.rs
+++ b/crates/role/src/agent/exclusive.rs
@@ -11,7 +11,7 @@
 //! start within that and its own time.
 
 use super::attempts::Phase;
-use super::{AgentAction, AgentRole, trace};
+use super::{AgentAction, AgentRole, timeline};
 use base::prelude::*;
 use schema::link::Run;
 use schema::timeline::EventKind;
@@ -20,31 +20,35 @@
 ///
 /// An entry gives up a run alone that was silent for 20 s; the refusal has to
 /// come well before.
-pub(super) const HOLD_MAX_MS: u64 = 10_000;
+pub(super) const EXCLUSIVE_WAIT_MAX_MS: u64 = 10_000;
 
 impl AgentRole {
     /// Whether a run that needs the upstream to itself is likely to get it.
-    pub(super) fn check_alone(&self, now: Instant, run: &Run) -> Result<(), Refusal> {
+    pub(super) fn check_exclusive(
+        &self,
+        now: Instant,
+        run: &Run,
+    ) -> Result<(), Refusal> {
         if self.attempts.in_flight() == 0 {
             return Ok(());
         }
-        let wait_ms = self.predicted_empty_ms(now);
-        if wait_ms < HOLD_MAX_MS.min(run.remaining_ms) {
+        let wait_ms = self.predicted_idle_ms(now);
+        if wait_ms < EXCLUSIVE_WAIT_MAX_MS.min(run.remaining_ms) {
             return Ok(());
         }
-        Err(self.gate_full())
+        Err(self.gate_full_refusal())
     }
 
     /// Time until the youngest of what is in progress has ended.
-    fn predicted_empty_ms(&self, now: Instant) -> u64 {
+    fn predicted_idle_ms(&self, now: Instant) -> u64 {
         let service_ms = self.upstream.service_ms();
-        let began = self.attempts.youngest();
-        let ran_ms = began.map_or(0, |began| now.ms_since(began));
+        let began_at = self.attempts.latest_began_at();
+        let ran_ms = began_at.map_or(0, |began_at| now.ms_since(began_at));
         self.predicted_wait_ms() + service_ms.saturating_sub(ran_ms)
     }
 
     /// Holds an attempt until nothing else is in progress.
-    pub(super) fn hold(
+    pub(super) fn wait_for_idle(
         &mut self,
         now: Instant,
         id: AttemptId,
@@ -53,42 +57,50 @@
         let Some(attempt) = self.attempts.get_mut(id) else {
             return;
         };
-        let until = attempt.deadline.min(now.plus_ms(HOLD_MAX_MS));
-        attempt.phase = Phase::Held { until };
-        trace::attempt(EventKind::RequestWaiting, id, 0, out);
+        let until = attempt.deadline.min(now.plus_ms(EXCLUSIVE_WAIT_MAX_MS));
+        attempt.phase = Phase::WaitingForIdle { until };
+        timeline::attempt_event(EventKind::RequestWaiting, id, 0, out);
     }
 
     /// Starts what is held once nothing else is in progress, and refuses it
     /// when it can't be run here any more.
-    pub(super) fn advance_held(&mut self, now: Instant, out: &mut Vec<AgentAction>) {
-        let Some(id) = self.attempts.held() else {
+    pub(super) fn advance_waiting_exclusive(
+        &mut self,
+        now: Instant,
+        out: &mut Vec<AgentAction>,
+    ) {
+        let Some(id) = self.attempts.waiting_exclusive() else {
             return;
         };
-        match self.check_held_attempt(now, id) {
+        match self.check_waiting_exclusive(now, id) {
             Ok(false) => {}
-            Ok(true) => self.begin(now, id, out),
+            Ok(true) => self.claim_and_start(now, id, out),
             Err(refusal) => {
                 let Some(attempt) = self.attempts.remove(id) else {
                     return;
                 };
-                self.remember(now, id, Ran::NotRun);
-                self.refuse(now, attempt.entry.as_ref(), id, refusal, out);
+                self.record_ended(now, id, Ran::NotRun);
+                self.send_refusal(now, attempt.entry.as_ref(), id, refusal, out);
             }
         }
     }
 
     /// Whether a held attempt may start now. What the gate saw when it came may
     /// have changed since.
-    fn check_held_attempt(&self, now: Instant, id: AttemptId) -> Result<bool, Refusal> {
+    fn check_waiting_exclusive(
+        &self,
+        now: Instant,
+        id: AttemptId,
+    ) -> Result<bool, Refusal> {
         let Some(attempt) = self.attempts.get(id) else {
             return Ok(false);
         };
         if self.drain.is_some() && !self.record.is_fenced() {
             return Err(Refusal::not_run(Code::Leaving));
         }
-        self.check_able()?;
+        self.check_can_run()?;
         if let Some(run) = &attempt.run {
-            self.check_held(run)?;
+            self.check_resource_available(run)?;
         }
         if attempt.deadline <= now {
             return Err(Refusal::not_run(Code::DeadlineBeforeRun));
@@ -97,7 +109,9 @@
             return Ok(true);
         }
         match attempt.phase {
-            Phase::Held { until } if until <= now => Err(self.gate_full()),
+            Phase::WaitingForIdle { until } if until <= now => {
+                Err(self.gate_full_refusal())
+            }
             _ => Ok(false),
         }
     }
--- a/crates/role/src/agent/heartbeat.rs
+++ b/crates/role/src/agent/heartbeat.rs
@@ -8,90 +8,97 @@
 
 /// Heartbeats after which an entry is asked for configuration changes, so that
 /// an agent that gets no work hears of them as well.
-const ASK_EVERY: u64 = 4;
+const HEARTBEATS_PER_CONFIG_ASK: u64 = 4;
 
 /// What entries must hear of at once when it changes.
 #[derive(Debug, Default, PartialEq, Eq)]
-struct Shown {
+struct AdvertisedState {
     residents: BTreeMap<Placement, (ResidentState, u32)>,
-    up: bool,
+    upstream_up: bool,
     leaving: bool,
     epoch: u64,
     /// A run has the upstream to itself, or waits for it.
-    alone: bool,
+    exclusive: bool,
 }
 
 /// When the next heartbeat goes out, and what the last one showed.
 #[derive(Debug)]
-pub(super) struct Beat {
-    next: Instant,
+pub(super) struct HeartbeatState {
+    next_at: Instant,
     sequence: u64,
-    shown: Shown,
-    since: BTreeMap<Placement, (ResidentState, Instant)>,
+    advertised: AdvertisedState,
+    state_since: BTreeMap<Placement, (ResidentState, Instant)>,
 }
 
-impl Beat {
-    pub(super) fn new(next: Instant) -> Self {
+impl HeartbeatState {
+    pub(super) fn new(next_at: Instant) -> Self {
         Self {
-            next,
+            next_at,
             sequence: 0,
-            shown: Shown::default(),
-            since: BTreeMap::new(),
+            advertised: AdvertisedState::default(),
+            state_since: BTreeMap::new(),
         }
     }
 
-    pub(super) const fn next(&self) -> Instant {
-        self.next
+    pub(super) const fn next_at(&self) -> Instant {
+        self.next_at
     }
 
-    pub(super) fn set_next(&mut self, next: Instant) {
-        self.next = next;
+    pub(super) fn set_next_at(&mut self, next_at: Instant) {
+        self.next_at = next_at;
     }
 }
 
 impl AgentRole {
     /// Sends a heartbeat if it is time, or if something has changed that
     /// entries route by.
-    pub(super) fn advance_beat(&mut self, now: Instant, out: &mut Vec<AgentAction>) {
-        let shown = self.shown();
-        let changed = shown != self.beat.shown;
-        if !changed && now < self.beat.next {
+    pub(super) fn advance_heartbeat(
+        &mut self,
+        now: Instant,
+        out: &mut Vec<AgentAction>,
+    ) {
+        let advertised = self.advertised();
+        let changed = advertised != self.heartbeat_state.advertised;
+        if !changed && now < self.heartbeat_state.next_at {
             return;
         }
-        self.beat.next = now.plus_ms(self.heartbeat_ms());
-        self.beat.shown = shown;
+        self.heartbeat_state.next_at = now.plus_ms(self.heartbeat_ms());
+        self.heartbeat_state.advertised = advertised;
         if self.record.is_fenced() {
             return;
         }
-        let heartbeat = self.make_heartbeat(now);
-        let entries: Vec<EntryId> = self.links.iter().cloned().collect();
+        let heartbeat = self.build_heartbeat(now);
+        let entries: Vec<EntryId> = self.connected_entries.iter().cloned().collect();
         for entry in &entries {
             self.counters.heartbeats += 1;
             let body = frame::Body::Heartbeat(heartbeat.clone());
             self.send(Some(entry), body, out);
         }
-        self.ask_in_turn(now, &entries, out);
+        self.ask_next_entry_for_config(now, &entries, out);
     }
 
-    fn ask_in_turn(
+    fn ask_next_entry_for_config(
         &mut self,
         now: Instant,
         entries: &[EntryId],
         out: &mut Vec<AgentAction>,
     ) {
-        let turn = self.beat.sequence / ASK_EVERY;
-        let is_turn = self.beat.sequence.is_multiple_of(ASK_EVERY);
-        if entries.is_empty() || !is_turn || !self.settings.may_ask(now) {
+        let turn = self.heartbeat_state.sequence / HEARTBEATS_PER_CONFIG_ASK;
+        let is_turn = self
+            .heartbeat_state
+            .sequence
+            .is_multiple_of(HEARTBEATS_PER_CONFIG_ASK);
+        if entries.is_empty() || !is_turn || !self.config_sync.try_begin_ask(now) {
             return;
         }
         let count = u64::try_from(entries.len()).unwrap_or(1);
-        let place = usize::try_from(turn % count).unwrap_or(0);
-        self.ask(&entries[place], out);
+        let index = usize::try_from(turn % count).unwrap_or(0);
+        self.send_config_ask(&entries[index], out);
     }
 
-    pub(super) fn make_heartbeat(&mut self, now: Instant) -> Heartbeat {
-        self.beat.sequence += 1;
-        let residents = self.heartbeat_residents(now);
+    pub(super) fn build_heartbeat(&mut self, now: Instant) -> Heartbeat {
+        self.heartbeat_state.sequence += 1;
+        let residents = self.build_residents(now);
         let pool = self.pool().filter(|pool| pool.engine);
         Heartbeat {
             agent: self.options.id.as_str().to_owned(),
@@ -99,12 +106,12 @@
             epoch: self.record.epoch().0,
             pool: self.options.pool.as_str().to_owned(),
             failure_domain: self.options.failure_domain.as_str().to_owned(),
-            load: Some(self.load(now)),
+            load: Some(self.load_hint(now)),
             leaving: self.drain.is_some(),
             upstream_up: self.upstream.is_up(),
             accelerators_mib: pool
                 .map_or_else(Vec::new, |p| p.accelerators_mib.clone()),
-            sequence: self.beat.sequence,
+            sequence: self.heartbeat_state.sequence,
             target_planner: self.targets.planner().to_owned(),
             target_sequence: self.targets.sequence(),
             link_address: self.options.link_address.clone(),
@@ -113,60 +120,63 @@
         }
     }
 
-    fn heartbeat_residents(&mut self, now: Instant) -> Vec<Resident> {
-        let shown = self.shown().residents;
-        let since = &mut self.beat.since;
-        since.retain(|placement, _| shown.contains_key(placement));
-        let residents = shown.into_iter().map(|(placement, (state, size_mib))| {
-            let entered = since.entry(placement.clone()).or_insert((state, now));
-            if entered.0 != state {
-                *entered = (state, now);
-            }
-            Resident {
-                model: placement.model.as_str().to_owned(),
-                version: placement.version,
-                accelerator: placement.accelerator,
-                state: state.into(),
-                size_mib,
-                age_ms: now.ms_since(entered.1),
-            }
-        });
+    fn build_residents(&mut self, now: Instant) -> Vec<Resident> {
+        let advertised = self.advertised().residents;
+        let state_since = &mut self.heartbeat_state.state_since;
+        state_since.retain(|placement, _| advertised.contains_key(placement));
+        let residents = advertised
+            .into_iter()
+            .map(|(placement, (state, size_mib))| {
+                let since =
+                    state_since.entry(placement.clone()).or_insert((state, now));
+                if since.0 != state {
+                    *since = (state, now);
+                }
+                Resident {
+                    model: placement.model.as_str().to_owned(),
+                    version: placement.version,
+                    accelerator: placement.accelerator,
+                    state: state.into(),
+                    size_mib,
+                    age_ms: now.ms_since(since.1),
+                }
+            });
         residents.collect()
     }
 
-    fn shown(&self) -> Shown {
-        Shown {
-            residents: self.shown_residents(),
-            up: self.upstream.is_up(),
+    fn advertised(&self) -> AdvertisedState {
+        AdvertisedState {
+            residents: self.advertised_residents(),
+            upstream_up: self.upstream.is_up(),
             leaving: self.drain.is_some(),
             epoch: self.record.epoch().0,
-            alone: self.attempts.any_alone(),
+            exclusive: self.attempts.any_exclusive(),
         }
     }
 
     /// What takes memory, or may: residents, and loads that may still come.
-    fn shown_residents(&self) -> BTreeMap<Placement, (ResidentState, u32)> {
-        let mut shown = BTreeMap::new();
+    fn advertised_residents(&self) -> BTreeMap<Placement, (ResidentState, u32)> {
+        let mut advertised = BTreeMap::new();
         for order in self.ledger.orders().filter(|order| order.load) {
             let value = (ResidentState::Loading, order.size_mib);
-            shown.insert(order.placement.clone(), value);
+            advertised.insert(order.placement.clone(), value);
         }
         for resident in self.ledger.residents() {
             let placement = &resident.placement;
-            let going = self.orders.is_retiring_at(placement)
+            let unloading = self.orders.is_unload_pending_at(placement)
                 || self.is_being_unloaded(placement);
-            let state = match (going, resident.loaded) {
+            let state = match (unloading, resident.loaded) {
                 (true, _) => ResidentState::Unloading,
                 (false, true) => ResidentState::Loaded,
                 (false, false) => ResidentState::Loading,
             };
-            shown.insert(placement.clone(), (state, resident.size_mib));
+            advertised.insert(placement.clone(), (state, resident.size_mib));
         }
-        shown
+        advertised
     }
 
-    pub(super) fn say_goodbye(&self, out: &mut Vec<AgentAction>) {
-        for entry in &self.links {
+    pub(super) fn send_goodbyes(&self, out: &mut Vec<AgentAction>) {
+        for entry in &self.connected_entries {
             let goodbye = Goodbye {
                 id: self.options.id.as_str().to_owned(),
                 incarnation: self.options.incarnation.0,
--- a/crates/role/src/agent/mod.rs
+++ b/crates/role/src/agent/mod.rs
@@ -15,39 +15,39 @@
 //!
 //! Each module has one of these jobs; `role` passes events through them.
 
-mod alone;
-mod answers;
+mod admission;
+mod attempt_history;
+mod attempt_lifecycle;
 mod attempts;
+mod claims;
+mod concurrency_limit;
+mod config_sync;
 mod counters;
-mod crash;
 mod drain;
 mod epoch;
+mod epoch_record;
 mod event;
-mod gate;
+mod exclusive;
 mod heartbeat;
-mod keyed;
-mod limit;
-mod member;
 mod options;
 mod orders;
-mod past;
+mod platform_client;
 mod probe;
-mod record;
-mod retry;
+mod registration;
 mod role;
-mod runs;
-mod settings;
 mod status;
 mod targets;
-mod trace;
+mod timeline;
 mod upstream;
+mod upstream_events;
+mod upstream_health;
 
+pub use concurrency_limit::ConcurrencyLimit;
 pub use counters::AgentCounters;
 pub use event::{
     AgentAction, AgentEvent, Order, OrderAnswer, UpstreamEvent, UpstreamOrder,
     UpstreamOrderState, UpstreamReport, UpstreamResident,
 };
-pub use limit::ConcurrencyLimit;
 pub use options::AgentOptions;
 pub use role::AgentRole;
 pub use status::{AcceleratorStatus, AgentStatus, OrderStatus};
--- a/crates/role/src/agent/orders.rs
+++ b/crates/role/src/agent/orders.rs
@@ -9,7 +9,7 @@
 //! 4. Until the upstream shows its end it stays counted, and is given again
 //!    under the same number while it is unanswered.
 
-use super::{AgentAction, AgentRole, Order, OrderAnswer, trace};
+use super::{AgentAction, AgentRole, Order, OrderAnswer, timeline};
 use base::prelude::*;
 use mem::{Blocked, OrderEnd, Placement, TrackedOrder};
 use schema::link::Target;
@@ -17,42 +17,42 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Time after which an order without an answer is given again.
-const RESEND_MS: u64 = 1_000;
+const RESEND_INTERVAL_MS: u64 = 1_000;
 
 /// Time for which an order that was refused is not tried anew.
-const REFUSED_MS: u64 = 2_000;
+const REFUSED_RETRY_DELAY_MS: u64 = 2_000;
 
 /// Time after which intents that have ended are taken out of the record, if no
 /// order has done so before.
-const TIDY_MS: u64 = 5_000;
+const RECORD_CLEANUP_DELAY_MS: u64 = 5_000;
 
 /// Orders of one epoch are numbered within this many bits.
-const EPOCH_SHIFT: u32 = 32;
+const ORDER_SEQUENCE_BITS: u32 = 32;
 
 /// What the agent remembers of its orders besides the ledger.
 #[derive(Debug, Default)]
 pub(super) struct Orders {
     sequence: u64,
     /// When an order is given again.
-    resend: BTreeMap<u64, Instant>,
+    resend_at: BTreeMap<u64, Instant>,
     /// Placements of refused orders, until when they are left alone.
-    refused: BTreeMap<(Placement, bool), Instant>,
+    refused_until: BTreeMap<(Placement, bool), Instant>,
     /// Residents that are to go as soon as no attempt runs on them.
-    retiring: BTreeSet<Placement>,
+    pending_unloads: BTreeSet<Placement>,
     /// When ended intents are taken out of the record.
-    tidy_at: Option<Instant>,
+    cleanup_at: Option<Instant>,
 }
 
 impl Orders {
     /// Whether a copy of a version waits to be unloaded.
-    pub(super) fn is_retiring(&self, model: &str, version: u32) -> bool {
-        self.retiring.iter().any(|placement| {
+    pub(super) fn is_unload_pending(&self, model: &str, version: u32) -> bool {
+        self.pending_unloads.iter().any(|placement| {
             placement.model.as_str() == model && placement.version == version
         })
     }
 
-    pub(super) fn is_retiring_at(&self, placement: &Placement) -> bool {
-        self.retiring.contains(placement)
+    pub(super) fn is_unload_pending_at(&self, placement: &Placement) -> bool {
+        self.pending_unloads.contains(placement)
     }
 
     /// Gives up what was to be done.
@@ -64,24 +64,24 @@
     }
 
     pub(super) fn due(&self) -> Option<Instant> {
-        let resend = self.resend.values().copied();
-        let refused = self.refused.values().copied();
-        resend.chain(refused).chain(self.tidy_at).min()
+        let resend_at = self.resend_at.values().copied();
+        let refused = self.refused_until.values().copied();
+        resend_at.chain(refused).chain(self.cleanup_at).min()
     }
 
     const fn next_id(&self, epoch: Epoch) -> u64 {
-        (epoch.0 << EPOCH_SHIFT) | (self.sequence + 1)
+        (epoch.0 << ORDER_SEQUENCE_BITS) | (self.sequence + 1)
     }
 }
 
 impl AgentRole {
-    pub(super) fn target(&mut self, now: Instant, target: &Target) {
+    pub(super) fn on_target(&mut self, now: Instant, target: &Target) {
         let heartbeat_ms = self.heartbeat_ms();
         if target.agent_incarnation != self.options.incarnation.0 {
             self.counters.frames_dropped += 1;
             return;
         }
-        self.targets.hear(now, target, heartbeat_ms);
+        self.targets.accept(now, target, heartbeat_ms);
     }
 
     /// An unload of our own is under way there.
@@ -94,27 +94,27 @@
 
     /// Takes all orders one step further.
     pub(super) fn advance_orders(&mut self, now: Instant, out: &mut Vec<AgentAction>) {
-        self.orders.refused.retain(|_, until| *until > now);
+        self.orders.refused_until.retain(|_, until| *until > now);
         if !self.is_engine() || self.record.is_fenced() {
             return;
         }
         if self.drain.is_some() || !self.upstream.is_up() {
             self.withdraw_unrecorded();
-            self.orders.retiring.clear();
+            self.orders.pending_unloads.clear();
         } else {
             self.plan_orders(now);
-            self.give_recorded(now, out);
+            self.send_recorded_orders(now, out);
         }
-        self.resend(now, out);
+        self.resend_orders(now, out);
         self.write_record(now, out);
     }
 
     fn plan_orders(&mut self, now: Instant) {
-        self.orders.retiring.clear();
+        self.orders.pending_unloads.clear();
         // Nothing is begun that could not be carried out: while the platform is
         // away all models stay, and stay served.
         if !self.record.is_writable(now)
-            || self.upstream.fence() > self.record.epoch().0
+            || self.upstream.highest_fencing_token() > self.record.epoch().0
         {
             return;
         }
@@ -132,7 +132,7 @@
             .iter()
             .partition(|placement| self.base_of(&placement.model).is_some());
         for placement in bases.into_iter().chain(adapters) {
-            if let Some(size_mib) = self.loadable_mib(placement) {
+            if let Some(size_mib) = self.loadable_size_mib(placement) {
                 // What does not fit now is tried again after the next event.
                 let _ = self.reserve(true, placement, size_mib);
             }
@@ -140,7 +140,7 @@
     }
 
     /// Size of a wanted model that the pool may hold.
-    fn loadable_mib(&self, placement: &Placement) -> Option<u32> {
+    fn loadable_size_mib(&self, placement: &Placement) -> Option<u32> {
         let spec = self.config()?.model(placement.model.as_str())?;
         (spec.pool == self.options.pool).then_some(spec.size_mib)
     }
@@ -151,19 +151,23 @@
     }
 
     fn plan_unloads(&mut self, wanted: &[Placement]) {
-        let held: Vec<(Placement, u32)> = self
+        let loaded: Vec<(Placement, u32)> = self
             .ledger
             .residents()
             .filter(|resident| resident.loaded)
             .map(|resident| (resident.placement.clone(), resident.size_mib))
             .collect();
-        for (placement, size_mib) in held {
-            if self.stays(&placement, wanted) || self.is_being_unloaded(&placement) {
+        for (placement, size_mib) in loaded {
+            if self.must_stay(&placement, wanted) || self.is_being_unloaded(&placement)
+            {
                 continue;
             }
             // A load that was under way when the target changed may still come.
-            if self.attempts.any_on(&placement.model, placement.version) {
-                self.orders.retiring.insert(placement);
+            if self
+                .attempts
+                .any_for_model(&placement.model, placement.version)
+            {
+                self.orders.pending_unloads.insert(placement);
                 continue;
             }
             let _ = self.reserve(false, &placement, size_mib);
@@ -172,7 +176,7 @@
 
     /// Whether a resident stays: it is wanted, it is the base of a wanted
     /// adapter, or its newer version is on its way beside it.
-    fn stays(&self, placement: &Placement, wanted: &[Placement]) -> bool {
+    fn must_stay(&self, placement: &Placement, wanted: &[Placement]) -> bool {
         if wanted.contains(placement) {
             return true;
         }
@@ -182,7 +186,7 @@
         let is_base = |other: &Placement| {
             self.base_of(&other.model).as_ref() == Some(&placement.model)
         };
-        let is_renewed = |other: &Placement| {
+        let is_being_replaced = |other: &Placement| {
             other.model == placement.model
                 && self
                     .ledger
@@ -190,7 +194,7 @@
                     .any(|order| order.load && order.placement == *other)
         };
         here.into_iter()
-            .any(|other| is_base(other) || is_renewed(other))
+            .any(|other| is_base(other) || is_being_replaced(other))
     }
 
     fn reserve(
@@ -199,7 +203,11 @@
         placement: &Placement,
         size_mib: u32,
     ) -> Result<(), Blocked> {
-        if self.orders.refused.contains_key(&(placement.clone(), load)) {
+        if self
+            .orders
+            .refused_until
+            .contains_key(&(placement.clone(), load))
+        {
             return Err(Blocked::Pending);
         }
         let epoch = self.record.epoch();
@@ -210,27 +218,27 @@
     }
 
     /// Gives the orders whose intents are in the record.
-    fn give_recorded(&mut self, now: Instant, out: &mut Vec<AgentAction>) {
-        if !self.record.is_sure() {
+    fn send_recorded_orders(&mut self, now: Instant, out: &mut Vec<AgentAction>) {
+        if !self.record.is_confirmed() {
             return;
         }
         let ready = self
             .ledger
             .orders()
-            .filter(|order| order.sends == 0 && self.record.holds(order.id));
+            .filter(|order| order.sends == 0 && self.record.contains_intent(order.id));
         let ids: Vec<u64> = ready.map(|order| order.id).collect();
         for id in ids {
-            if self.has_outgrown(id) {
+            if self.no_longer_fits(id) {
                 self.ledger.withdraw(id);
             } else {
-                self.give(now, id, out);
+                self.send_order(now, id, out);
             }
         }
     }
 
     /// The upstream has shown something since the load was reserved that was
     /// nobody's order here, and there is no room for both.
-    fn has_outgrown(&self, id: u64) -> bool {
+    fn no_longer_fits(&self, id: u64) -> bool {
         self.ledger.order(id).is_some_and(|order| {
             let accelerator = order.placement.accelerator;
             let capacity_mib = self.ledger.capacity_mib(accelerator);
@@ -238,7 +246,7 @@
         })
     }
 
-    fn give(&mut self, now: Instant, id: u64, out: &mut Vec<AgentAction>) {
+    fn send_order(&mut self, now: Instant, id: u64, out: &mut Vec<AgentAction>) {
         let Some(order) = self.ledger.order(id) else {
             return;
         };
@@ -249,12 +257,12 @@
         };
         let model = order.placement.model.as_str();
         let detail = format!("order {id:x}, copy {}", order.sends + 1);
-        trace::model(kind, model, detail, out);
+        timeline::model_event(kind, model, detail, out);
         out.push(AgentAction::SendOrder(self.order_message(order)));
         self.ledger.given(now, id);
         self.counters.orders += 1;
-        let patience_ms = self.order_patience_ms();
-        self.orders.resend.insert(id, now.plus_ms(patience_ms));
+        let timeout_ms = self.order_timeout_ms();
+        self.orders.resend_at.insert(id, now.plus_ms(timeout_ms));
     }
 
     fn order_message(&self, order: &TrackedOrder) -> Order {
@@ -271,57 +279,63 @@
     }
 
     /// How long the upstream may show nothing of an order that it accepted.
-    fn order_patience_ms(&self) -> u64 {
+    fn order_timeout_ms(&self) -> u64 {
         let delay_ms = self.pool().map_or(0, |pool| pool.order_delay_max_ms);
-        RESEND_MS.max(u64::from(delay_ms)) + 2 * self.heartbeat_ms()
+        RESEND_INTERVAL_MS.max(u64::from(delay_ms)) + 2 * self.heartbeat_ms()
     }
 
     /// Gives orders again whose end does not show.
     ///
     /// The number is the same, so the upstream carries out at most one copy.
-    fn resend(&mut self, now: Instant, out: &mut Vec<AgentAction>) {
+    fn resend_orders(&mut self, now: Instant, out: &mut Vec<AgentAction>) {
         let ledger = &self.ledger;
-        self.orders.resend.retain(|id, _| {
+        self.orders.resend_at.retain(|id, _| {
             ledger
                 .order(*id)
                 .is_some_and(|order| order.ends_from.is_none())
         });
-        let due = self.orders.resend.iter().filter(|(_, at)| **at <= now);
+        let due = self.orders.resend_at.iter().filter(|(_, at)| **at <= now);
         let ids: Vec<u64> = due.map(|(id, _)| *id).collect();
         for id in ids {
-            let silent = self.ledger.order(id).is_some_and(|o| !o.in_progress);
-            let able = self.record.is_sure() && self.upstream.is_up();
-            if silent && able && self.record.holds(id) {
-                self.give(now, id, out);
+            let not_in_progress = self.ledger.order(id).is_some_and(|o| !o.in_progress);
+            let can_send = self.record.is_confirmed() && self.upstream.is_up();
+            if not_in_progress && can_send && self.record.contains_intent(id) {
+                self.send_order(now, id, out);
             } else {
-                self.orders.resend.insert(id, now.plus_ms(RESEND_MS));
+                self.orders
+                    .resend_at
+                    .insert(id, now.plus_ms(RESEND_INTERVAL_MS));
             }
         }
     }
 
     fn write_record(&mut self, now: Instant, out: &mut Vec<AgentAction>) {
         let intents = self.ledger.intents(&self.options.link_address);
-        let untidy = self.record.intents().iter().any(|o| !intents.contains(o));
-        let tidy_at = self.orders.tidy_at.unwrap_or(now.plus_ms(TIDY_MS));
-        self.orders.tidy_at = untidy.then_some(tidy_at);
-        let tidy = untidy && tidy_at <= now;
-        if !self.record.is_writable(now) || self.record.is_busy() {
+        let has_ended_intents =
+            self.record.intents().iter().any(|o| !intents.contains(o));
+        let cleanup_at = self
+            .orders
+            .cleanup_at
+            .unwrap_or(now.plus_ms(RECORD_CLEANUP_DELAY_MS));
+        self.orders.cleanup_at = has_ended_intents.then_some(cleanup_at);
+        let cleanup_due = has_ended_intents && cleanup_at <= now;
+        if !self.record.is_writable(now) || self.record.has_call_in_flight() {
             // Not now; the next look is not to be in the past.
-            if tidy {
-                self.orders.tidy_at = Some(now.plus_ms(RESEND_MS));
+            if cleanup_due {
+                self.orders.cleanup_at = Some(now.plus_ms(RESEND_INTERVAL_MS));
             }
             return;
         }
         // One that passed to this agent is written at once, too.
         let recorded = self.record.intents();
         let unrecorded = intents.iter().any(|o| !recorded.contains(o));
-        if unrecorded || tidy {
-            self.orders.tidy_at = None;
-            self.record.write(now, intents, &mut self.caller, out);
+        if unrecorded || cleanup_due {
+            self.orders.cleanup_at = None;
+            self.record.write(now, intents, &mut self.client, out);
         }
     }
 
-    pub(super) fn order_answered(
+    pub(super) fn on_order_answer(
         &mut self,
         now: Instant,
         id: u64,
@@ -336,35 +350,37 @@
         match answer {
             OrderAnswer::Accepted => {
                 self.ledger.accepted(id);
-                let patience_ms = self.order_patience_ms();
-                self.orders.resend.insert(id, now.plus_ms(patience_ms));
+                let timeout_ms = self.order_timeout_ms();
+                self.orders.resend_at.insert(id, now.plus_ms(timeout_ms));
             }
             OrderAnswer::Unanswered => {
                 self.counters.orders_unanswered += 1;
                 let model = placement.model.as_str();
                 let detail = format!("order {id:x}");
-                trace::model(EventKind::OrderUnanswered, model, detail, out);
-                self.orders.resend.insert(id, now.plus_ms(RESEND_MS));
+                timeline::model_event(EventKind::OrderUnanswered, model, detail, out);
+                self.orders
+                    .resend_at
+                    .insert(id, now.plus_ms(RESEND_INTERVAL_MS));
             }
             OrderAnswer::Refused | OrderAnswer::Fenced => {
                 self.counters.orders_refused += 1;
-                let until = now.plus_ms(REFUSED_MS);
-                self.orders.refused.insert((placement, load), until);
+                let until = now.plus_ms(REFUSED_RETRY_DELAY_MS);
+                self.orders.refused_until.insert((placement, load), until);
                 self.ledger.refused(now, id);
                 if answer == OrderAnswer::Fenced {
-                    self.record.doubt();
+                    self.record.require_read();
                 }
             }
         }
     }
 
-    pub(super) fn orders_ended(
+    pub(super) fn on_orders_ended(
         &mut self,
         ends: Vec<OrderEnd>,
         out: &mut Vec<AgentAction>,
     ) {
         for end in ends {
-            self.orders.resend.remove(&end.id);
+            self.orders.resend_at.remove(&end.id);
             let kind = match (end.done, end.load) {
                 (false, _) => continue,
                 (true, true) => EventKind::ModelLoaded,
@@ -375,7 +391,7 @@
                 false => self.counters.unloads += 1,
             }
             let detail = format!("order {:x}", end.id);
-            trace::model(kind, end.placement.model.as_str(), detail, out);
+            timeline::model_event(kind, end.placement.model.as_str(), detail, out);
         }
     }
 }
--- a/crates/role/src/agent/retry.rs
+++ b/crates/role/src/agent/platform_client.rs
@@ -12,23 +12,23 @@
 
 /// Numbers calls and spreads retries.
 #[derive(Debug)]
-pub(super) struct Caller {
-    next: u64,
-    generator: Pcg32,
+pub(super) struct PlatformClient {
+    next_call_id: u64,
+    rng: Pcg32,
 }
 
-impl Caller {
+impl PlatformClient {
     pub(super) fn new(seed: u64) -> Self {
         Self {
-            next: 1,
-            generator: Pcg32::seed_from_u64(seed),
+            next_call_id: 1,
+            rng: Pcg32::seed_from_u64(seed),
         }
     }
 
     /// Asks the driver for a call and returns its number.
     pub(super) fn call(&mut self, op: PlatformOp, out: &mut Vec<AgentAction>) -> u64 {
-        let id = self.next;
-        self.next += 1;
+        let id = self.next_call_id;
+        self.next_call_id += 1;
         out.push(AgentAction::CallPlatform(PlatformCall { id, op }));
         id
     }
@@ -43,18 +43,18 @@
 }
 
 impl Backoff {
-    pub(super) fn failed(&mut self, now: Instant, caller: &mut Caller) {
+    pub(super) fn record_failure(&mut self, now: Instant, client: &mut PlatformClient) {
         let wait_ms = (RETRY_MIN_MS << self.failures.min(8)).min(RETRY_MAX_MS);
-        let spread_ms = u64::from(caller.generator.next_u32()) % (wait_ms / 4);
+        let spread_ms = u64::from(client.rng.next_u32()) % (wait_ms / 4);
         self.failures = self.failures.saturating_add(1);
         self.until = Some(now.plus_ms(wait_ms + spread_ms));
     }
 
-    pub(super) fn succeeded(&mut self) {
+    pub(super) fn reset(&mut self) {
         *self = Self::default();
     }
 
-    pub(super) fn is_over(&self, now: Instant) -> bool {
+    pub(super) fn has_elapsed(&self, now: Instant) -> bool {
         self.until.is_none_or(|until| until <= now)
     }
 
--- a/crates/role/src/agent/probe.rs
+++ b/crates/role/src/agent/probe.rs
@@ -6,7 +6,7 @@
 use std::ops::Bound;
 
 /// Time between two tries to bind a predecessor's address.
-const PROBE_MS: u64 = 2_000;
+const PROBE_INTERVAL_MS: u64 = 2_000;
 
 /// The question which predecessors are dead.
 ///
@@ -17,41 +17,42 @@
 /// One question is open at a time, and the answer belongs to it: taken for that
 /// to another, it would free the memory of an order that may still come.
 #[derive(Debug, Default)]
-pub(super) struct Probe {
+pub(super) struct PredecessorProbe {
     /// Predecessor of the open question.
-    asked: Option<Epoch>,
+    in_flight: Option<Epoch>,
     /// Predecessor that was asked about last; the next one has its turn.
-    last: Epoch,
-    next: Option<Instant>,
+    last_probed: Epoch,
+    next_at: Option<Instant>,
 }
 
-impl Probe {
+impl PredecessorProbe {
     pub(super) fn advance(
         &mut self,
         now: Instant,
         ledger: &Ledger,
         out: &mut Vec<AgentAction>,
     ) {
-        if self.asked.is_some() || self.next.is_none_or(|next| next > now) {
+        if self.in_flight.is_some() || self.next_at.is_none_or(|next_at| next_at > now)
+        {
             return;
         }
         let mut givers = ledger.givers();
         givers.retain(|_, address| !address.is_empty());
-        let behind = (Bound::Excluded(self.last), Bound::Unbounded);
-        let turn = givers.range(behind).next().or(givers.iter().next());
-        let Some((epoch, address)) = turn else {
-            self.next = None;
+        let after_last = (Bound::Excluded(self.last_probed), Bound::Unbounded);
+        let target = givers.range(after_last).next().or(givers.iter().next());
+        let Some((epoch, address)) = target else {
+            self.next_at = None;
             return;
         };
-        self.asked = Some(*epoch);
-        self.last = *epoch;
-        self.next = Some(now.plus_ms(PROBE_MS));
+        self.in_flight = Some(*epoch);
+        self.last_probed = *epoch;
+        self.next_at = Some(now.plus_ms(PROBE_INTERVAL_MS));
         let address = (*address).to_owned();
         out.push(AgentAction::ProbePredecessor { address });
     }
 
     pub(super) fn due(&self) -> Option<Instant> {
-        self.next.filter(|_| self.asked.is_none())
+        self.next_at.filter(|_| self.in_flight.is_none())
     }
 }
 
@@ -59,19 +60,19 @@
     /// Starts to ask about the predecessors that left anything that matters.
     ///
     /// One that had the address which this process has bound by now is dead.
-    pub(super) fn begin_probe(&mut self, now: Instant) {
+    pub(super) fn start_probing(&mut self, now: Instant) {
         let own = self.options.link_address.as_str();
         let givers = self.ledger.givers();
-        let here = givers.iter().filter(|(_, address)| **address == own);
-        let dead: Vec<Epoch> = here.map(|(epoch, _)| *epoch).collect();
+        let at_own_address = givers.iter().filter(|(_, address)| **address == own);
+        let dead: Vec<Epoch> = at_own_address.map(|(epoch, _)| *epoch).collect();
         for epoch in dead {
             self.ledger.giver_died(now, epoch, self.record.epoch());
         }
-        self.probe.next = Some(now);
+        self.predecessor_probe.next_at = Some(now);
     }
 
-    pub(super) fn probed(&mut self, now: Instant, dead: bool) {
-        let Some(epoch) = self.probe.asked.take() else {
+    pub(super) fn on_predecessor_probed(&mut self, now: Instant, dead: bool) {
+        let Some(epoch) = self.predecessor_probe.in_flight.take() else {
             return;
         };
         if dead {
--- a/crates/role/src/agent/member.rs
+++ b/crates/role/src/agent/registration.rs
@@ -1,6 +1,6 @@
 //! The agent's place in the platform's list of live processes.
 
-use super::retry::{Backoff, Caller};
+use super::platform_client::{Backoff, PlatformClient};
 use super::{AgentAction, AgentOptions};
 use base::{Expect, Instant, PlatformOp, PlatformResult, Version};
 use prost::Message as _;
@@ -14,9 +14,9 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Wanted {
+enum DesiredState {
     Present { leaving: bool },
-    Gone,
+    Absent,
 }
 
 /// The registration under `live/agent/<id>`.
@@ -27,10 +27,10 @@
 pub(super) struct Registration {
     key: String,
     member: Member,
-    wanted: Wanted,
+    desired: DesiredState,
     /// What the platform holds; `None` if it has to be read.
-    seen: Option<Option<Version>>,
-    written: Option<Wanted>,
+    known_version: Option<Option<Version>>,
+    written: Option<DesiredState>,
     call: Option<(u64, Call)>,
     backoff: Backoff,
     superseded: bool,
@@ -41,8 +41,8 @@
         Self {
             key: format!("live/agent/{}", member.id),
             member,
-            wanted: Wanted::Present { leaving: false },
-            seen: None,
+            desired: DesiredState::Present { leaving: false },
+            known_version: None,
             written: None,
             call: None,
             backoff: Backoff::default(),
@@ -51,13 +51,13 @@
     }
 
     /// Says that the process is leaving.
-    pub(super) fn leave(&mut self) {
-        self.wanted = Wanted::Present { leaving: true };
+    pub(super) fn mark_leaving(&mut self) {
+        self.desired = DesiredState::Present { leaving: true };
     }
 
     /// Removes the registration.
     pub(super) fn remove(&mut self) {
-        self.wanted = Wanted::Gone;
+        self.desired = DesiredState::Absent;
     }
 
     /// Stops writing: the place belongs to a successor.
@@ -67,31 +67,31 @@
 
     /// What is wanted is written, or no longer ours to write.
     pub(super) fn is_settled(&self) -> bool {
-        self.superseded || (self.call.is_none() && self.written == Some(self.wanted))
+        self.superseded || (self.call.is_none() && self.written == Some(self.desired))
     }
 
     pub(super) fn advance(
         &mut self,
         now: Instant,
-        caller: &mut Caller,
+        client: &mut PlatformClient,
         out: &mut Vec<AgentAction>,
     ) {
-        if self.is_settled() || self.call.is_some() || !self.backoff.is_over(now) {
+        if self.is_settled() || self.call.is_some() || !self.backoff.has_elapsed(now) {
             return;
         }
         let (op, call) = self.next_op();
-        self.call = Some((caller.call(op, out), call));
+        self.call = Some((client.call(op, out), call));
     }
 
     fn next_op(&self) -> (PlatformOp, Call) {
         let key = self.key.clone();
-        let Some(seen) = self.seen else {
+        let Some(known_version) = self.known_version else {
             return (PlatformOp::Read { key }, Call::Read);
         };
-        let expect = seen.map_or(Expect::Absent, Expect::Version);
-        match self.wanted {
-            Wanted::Gone => (PlatformOp::Delete { key, expect }, Call::Delete),
-            Wanted::Present { leaving } => {
+        let expect = known_version.map_or(Expect::Absent, Expect::Version);
+        match self.desired {
+            DesiredState::Absent => (PlatformOp::Delete { key, expect }, Call::Delete),
+            DesiredState::Present { leaving } => {
                 let member = Member {
                     leaving,
                     ..self.member.clone()
@@ -107,57 +107,57 @@
         self.call.is_some_and(|(id, _)| id == call)
     }
 
-    pub(super) fn answered(
+    pub(super) fn on_answer(
         &mut self,
         now: Instant,
         result: &PlatformResult,
-        caller: &mut Caller,
+        client: &mut PlatformClient,
     ) {
         let call = self.call.take().map(|(_, call)| call);
         match (call, result) {
             (Some(Call::Read), PlatformResult::Object(object)) => {
-                self.was_read(object.as_ref());
+                self.on_read(object.as_ref());
             }
             (Some(Call::Write { leaving }), PlatformResult::Written(version)) => {
-                self.seen = Some(Some(*version));
-                self.written = Some(Wanted::Present { leaving });
-                self.backoff.succeeded();
+                self.known_version = Some(Some(*version));
+                self.written = Some(DesiredState::Present { leaving });
+                self.backoff.reset();
             }
-            (Some(Call::Delete), PlatformResult::Written(_)) => self.was_removed(),
-            (_, PlatformResult::Away) => self.backoff.failed(now, caller),
+            (Some(Call::Delete), PlatformResult::Written(_)) => self.on_removed(),
+            (_, PlatformResult::Away) => self.backoff.record_failure(now, client),
             _ => {
-                self.seen = None;
-                self.backoff.failed(now, caller);
+                self.known_version = None;
+                self.backoff.record_failure(now, client);
             }
         }
     }
 
-    fn was_read(&mut self, object: Option<&(Version, Vec<u8>)>) {
+    fn on_read(&mut self, object: Option<&(Version, Vec<u8>)>) {
         let holder =
             object.and_then(|(_, value)| Member::decode(value.as_slice()).ok());
         if holder.is_some_and(|held| held.incarnation > self.member.incarnation) {
             self.superseded = true;
             return;
         }
-        self.seen = Some(object.map(|(version, _)| *version));
-        if object.is_none() && self.wanted == Wanted::Gone {
-            self.was_removed();
+        self.known_version = Some(object.map(|(version, _)| *version));
+        if object.is_none() && self.desired == DesiredState::Absent {
+            self.on_removed();
         }
     }
 
-    fn was_removed(&mut self) {
-        self.seen = Some(None);
-        self.written = Some(Wanted::Gone);
+    fn on_removed(&mut self) {
+        self.known_version = Some(None);
+        self.written = Some(DesiredState::Absent);
     }
 
     pub(super) fn due(&self) -> Option<Instant> {
-        let waits = !self.is_settled() && self.call.is_none();
-        self.backoff.until().filter(|_| waits)
+        let pending = !self.is_settled() && self.call.is_none();
+        self.backoff.until().filter(|_| pending)
     }
 }
 
 /// How the process is registered.
-pub(super) fn member(options: &AgentOptions) -> Member {
+pub(super) fn member_from_options(options: &AgentOptions) -> Member {
     Member {
         kind: "agent".to_owned(),
         id: options.id.as_str().to_owned(),
--- a/crates/role/src/agent/role.rs
+++ b/crates/role/src/agent/role.rs
@@ -1,18 +1,18 @@
 //! The machine: what it is made of and how an event passes through it.
 
+use super::attempt_history::AttemptHistory;
 use super::attempts::Attempts;
+use super::concurrency_limit::ConcurrencyLimit;
+use super::config_sync::{ConfigSync, ConfigUpdate};
 use super::drain::Drain;
-use super::heartbeat::Beat;
-use super::limit::ConcurrencyLimit;
-use super::member::{self, Registration};
+use super::epoch_record::EpochRecord;
+use super::heartbeat::HeartbeatState;
 use super::orders::Orders;
-use super::past::Past;
-use super::probe::Probe;
-use super::record::Record;
-use super::retry::Caller;
-use super::settings::{Offered, Settings};
+use super::platform_client::PlatformClient;
+use super::probe::PredecessorProbe;
+use super::registration::{self, Registration};
 use super::targets::Targets;
-use super::trace;
+use super::timeline;
 use super::upstream::Upstream;
 use super::{AgentAction, AgentCounters, AgentEvent, AgentOptions, UpstreamEvent};
 use base::prelude::*;
@@ -27,15 +27,15 @@
 
 /// Numbers of the claims' calls to the platform start here, far above those of
 /// the rest of the machine.
-const CLAIM_CALLS: u64 = 1 << 62;
+const FIRST_CLAIM_CALL_ID: u64 = 1 << 62;
 
 /// Heartbeats by which a wake-up is late before the process counts as frozen.
-const FREEZE_HEARTBEATS: u64 = 10;
+const FREEZE_THRESHOLD_HEARTBEATS: u64 = 10;
 
 /// Shortest time for which an attempt that is over is remembered; with the
 /// longest deadline and this margin none can still be asked about.
-const PAST_MIN_MS: u64 = 600_000;
-const PAST_MARGIN_MS: u64 = 60_000;
+const HISTORY_RETENTION_MIN_MS: u64 = 600_000;
+const HISTORY_RETENTION_MARGIN_MS: u64 = 60_000;
 
 /// Interval of heartbeats while no configuration says another.
 const DEFAULT_HEARTBEAT_MS: u64 = 500;
@@ -44,32 +44,32 @@
 #[derive(Debug)]
 pub struct AgentRole {
     pub(super) options: AgentOptions,
-    pub(super) caller: Caller,
-    pub(super) settings: Settings,
-    pub(super) record: Record,
+    pub(super) client: PlatformClient,
+    pub(super) config_sync: ConfigSync,
+    pub(super) record: EpochRecord,
     pub(super) registration: Registration,
-    pub(super) probe: Probe,
+    pub(super) predecessor_probe: PredecessorProbe,
     pub(super) ledger: Ledger,
     pub(super) claims: Claims,
     pub(super) attempts: Attempts,
     /// Attempts that must never begin.
-    pub(super) revoked: Past,
+    pub(super) revoked: AttemptHistory,
     /// Attempts that are over.
-    pub(super) ended: Past,
+    pub(super) ended: AttemptHistory,
     pub(super) upstream: Upstream,
-    pub(super) limit: ConcurrencyLimit,
+    pub(super) concurrency_limit: ConcurrencyLimit,
     pub(super) targets: Targets,
     pub(super) orders: Orders,
-    pub(super) beat: Beat,
-    pub(super) links: BTreeSet<EntryId>,
+    pub(super) heartbeat_state: HeartbeatState,
+    pub(super) connected_entries: BTreeSet<EntryId>,
     pub(super) drain: Option<Drain>,
     pub(super) counters: AgentCounters,
     pub(super) ready: bool,
     /// Until then a `Run` may have waited in a socket while the process was
     /// frozen.
-    pub(super) stale_until: Instant,
+    pub(super) frames_stale_until: Instant,
     /// When everything that is due was last looked at.
-    looked_at: Instant,
+    last_advanced_at: Instant,
 }
 
 impl AgentRole {
@@ -81,41 +81,43 @@
         out: &mut Vec<AgentAction>,
     ) -> Self {
         let mut role = Self {
-            caller: Caller::new(options.seed),
-            settings: Settings::default(),
-            record: Record::new(
+            client: PlatformClient::new(options.seed),
+            config_sync: ConfigSync::default(),
+            record: EpochRecord::new(
                 options.id.as_str(),
                 options.incarnation,
                 &options.link_address,
             ),
-            registration: Registration::new(member::member(&options)),
-            probe: Probe::default(),
+            registration: Registration::new(registration::member_from_options(
+                &options,
+            )),
+            predecessor_probe: PredecessorProbe::default(),
             ledger: Ledger::new(),
             claims: Claims::new(ClaimsOptions {
                 agent: options.id.clone(),
                 incarnation: options.incarnation,
-                first_call: CLAIM_CALLS,
+                first_call: FIRST_CLAIM_CALL_ID,
                 unix_ms_at_zero: options.unix_ms_at_zero,
             }),
             attempts: Attempts::default(),
-            revoked: Past::default(),
-            ended: Past::default(),
+            revoked: AttemptHistory::default(),
+            ended: AttemptHistory::default(),
             upstream: Upstream::default(),
-            limit: ConcurrencyLimit::default(),
+            concurrency_limit: ConcurrencyLimit::default(),
             targets: Targets::default(),
             orders: Orders::default(),
-            beat: Beat::new(now.plus_ms(DEFAULT_HEARTBEAT_MS)),
-            links: BTreeSet::new(),
+            heartbeat_state: HeartbeatState::new(now.plus_ms(DEFAULT_HEARTBEAT_MS)),
+            connected_entries: BTreeSet::new(),
             drain: None,
             counters: AgentCounters::default(),
             ready: false,
-            stale_until: Instant::ZERO,
-            looked_at: now,
+            frames_stale_until: Instant::ZERO,
+            last_advanced_at: now,
             options,
         };
-        trace::note(EventKind::ProcessStarted, String::new(), out);
+        timeline::process_event(EventKind::ProcessStarted, String::new(), out);
         out.push(AgentAction::SetReady(false));
-        role.follow_up(now, out);
+        role.advance_all(now, out);
         role
     }
 
@@ -126,52 +128,56 @@
         event: AgentEvent,
         out: &mut Vec<AgentAction>,
     ) {
-        self.notice_freeze(now);
-        let is_part = is_part(&event);
+        self.detect_freeze(now);
+        let is_answer_part = is_answer_part(&event);
         match event {
             AgentEvent::Tick => {}
-            AgentEvent::LinkUp { entry } => self.link_up(now, &entry, out),
-            AgentEvent::LinkDown { entry } => self.link_down(now, &entry, out),
+            AgentEvent::LinkUp { entry } => self.on_link_up(now, &entry, out),
+            AgentEvent::LinkDown { entry } => self.on_link_down(now, &entry, out),
             AgentEvent::Frame {
                 entry,
                 revision,
                 body,
-            } => self.frame(now, &entry, revision, body, out),
-            AgentEvent::Upstream(event) => self.upstream_event(now, event, out),
-            AgentEvent::PlatformAnswered(answer) => self.platform(now, answer, out),
-            AgentEvent::PredecessorProbed { dead } => self.probed(now, dead),
+            } => self.on_frame(now, &entry, revision, body, out),
+            AgentEvent::Upstream(event) => self.on_upstream_event(now, event, out),
+            AgentEvent::PlatformAnswered(answer) => {
+                self.on_platform_answer(now, answer, out)
+            }
+            AgentEvent::PredecessorProbed { dead } => {
+                self.on_predecessor_probed(now, dead)
+            }
             AgentEvent::Drain => self.begin_drain(now, out),
         }
-        if !is_part {
-            self.follow_up(now, out);
+        if !is_answer_part {
+            self.advance_all(now, out);
         }
     }
 
     /// When the machine wants its next `Tick`.
     pub fn due(&self) -> Option<Instant> {
         let times = [
-            Some(self.beat.next()),
-            self.settings.due(),
+            Some(self.heartbeat_state.next_at()),
+            self.config_sync.due(),
             self.record.due(),
             self.registration.due(),
-            self.probe.due(),
+            self.predecessor_probe.due(),
             self.claims.due(),
             self.attempts.due(),
             self.orders.due(),
             self.drain_due(),
         ];
-        let later = |at: &Instant| *at > self.looked_at;
-        times.into_iter().flatten().filter(later).min()
+        let is_later = |at: &Instant| *at > self.last_advanced_at;
+        times.into_iter().flatten().filter(is_later).min()
     }
 
     /// Revision in force; 0 before the first.
     pub fn revision(&self) -> Revision {
-        self.settings.revision()
+        self.config_sync.revision()
     }
 
     /// Configuration in force.
     pub const fn config(&self) -> Option<&Arc<Config>> {
-        self.settings.current()
+        self.config_sync.current()
     }
 
     /// Counts since the start.
@@ -201,13 +207,13 @@
 
     /// Time for which an attempt that is over is remembered: longer than the
     /// longest deadline, so that no late `Run` or `Revoke` outlives it.
-    pub(super) fn past_life_ms(&self) -> u64 {
+    pub(super) fn history_retention_ms(&self) -> u64 {
         let Some(config) = self.config() else {
-            return PAST_MIN_MS;
+            return HISTORY_RETENTION_MIN_MS;
         };
         let deadlines = config.profiles().map(|profile| profile.deadline_ms);
         let longest = u64::from(deadlines.max().unwrap_or(0));
-        PAST_MIN_MS.max(longest + PAST_MARGIN_MS)
+        HISTORY_RETENTION_MIN_MS.max(longest + HISTORY_RETENTION_MARGIN_MS)
     }
 
     /// Sends a frame, if there is an entry to send it to.
@@ -217,7 +223,9 @@
         body: frame::Body,
         out: &mut Vec<AgentAction>,
     ) {
-        if let Some(entry) = entry.filter(|entry| self.links.contains(*entry)) {
+        if let Some(entry) =
+            entry.filter(|entry| self.connected_entries.contains(*entry))
+        {
             let entry = entry.clone();
             out.push(AgentAction::SendFrame { entry, body });
         }
@@ -227,31 +235,31 @@
     /// still. A successor may have taken over meanwhile, so the record is read
     /// before any further order; and frames may have waited in the sockets, so
     /// the time they say is left can't be relied on.
-    fn notice_freeze(&mut self, now: Instant) {
+    fn detect_freeze(&mut self, now: Instant) {
         let heartbeat_ms = self.heartbeat_ms();
-        let late_ms = now.ms_since(self.beat.next());
-        if late_ms <= heartbeat_ms * FREEZE_HEARTBEATS {
+        let late_ms = now.ms_since(self.heartbeat_state.next_at());
+        if late_ms <= heartbeat_ms * FREEZE_THRESHOLD_HEARTBEATS {
             return;
         }
         self.counters.freezes += 1;
-        self.record.doubt();
-        self.stale_until = now.plus_ms(heartbeat_ms);
-        self.beat.set_next(now);
+        self.record.require_read();
+        self.frames_stale_until = now.plus_ms(heartbeat_ms);
+        self.heartbeat_state.set_next_at(now);
     }
 
-    fn follow_up(&mut self, now: Instant, out: &mut Vec<AgentAction>) {
-        self.looked_at = now;
-        self.settings.advance(now, &mut self.caller, out);
-        self.record.advance(now, &mut self.caller, out);
-        self.registration.advance(now, &mut self.caller, out);
-        self.probe.advance(now, &self.ledger, out);
+    fn advance_all(&mut self, now: Instant, out: &mut Vec<AgentAction>) {
+        self.last_advanced_at = now;
+        self.config_sync.advance(now, &mut self.client, out);
+        self.record.advance(now, &mut self.client, out);
+        self.registration.advance(now, &mut self.client, out);
+        self.predecessor_probe.advance(now, &self.ledger, out);
         self.tick_claims(now, out);
-        self.check_attempts(now, out);
-        self.advance_held(now, out);
+        self.end_overdue_attempts(now, out);
+        self.advance_waiting_exclusive(now, out);
         self.advance_orders(now, out);
         self.advance_drain(now, out);
         self.update_ready(out);
-        self.advance_beat(now, out);
+        self.advance_heartbeat(now, out);
     }
 
     fn update_ready(&mut self, out: &mut Vec<AgentAction>) {
@@ -265,29 +273,34 @@
         self.ready = ready;
         out.push(AgentAction::SetReady(ready));
         if ready {
-            trace::note(EventKind::ProcessReady, String::new(), out);
+            timeline::process_event(EventKind::ProcessReady, String::new(), out);
         }
     }
 
-    fn link_up(&mut self, now: Instant, entry: &EntryId, out: &mut Vec<AgentAction>) {
-        self.links.insert(entry.clone());
+    fn on_link_up(
+        &mut self,
+        now: Instant,
+        entry: &EntryId,
+        out: &mut Vec<AgentAction>,
+    ) {
+        self.connected_entries.insert(entry.clone());
         if !self.record.is_fenced() {
-            let heartbeat = self.make_heartbeat(now);
+            let heartbeat = self.build_heartbeat(now);
             let body = frame::Body::Heartbeat(heartbeat);
             self.send(Some(entry), body, out);
         }
-        if self.config().is_none() && self.settings.may_ask(now) {
-            self.ask(entry, out);
+        if self.config().is_none() && self.config_sync.try_begin_ask(now) {
+            self.send_config_ask(entry, out);
         }
     }
 
-    pub(super) fn ask(&self, entry: &EntryId, out: &mut Vec<AgentAction>) {
+    pub(super) fn send_config_ask(&self, entry: &EntryId, out: &mut Vec<AgentAction>) {
         let after_revision = self.revision().0;
         let body = frame::Body::ConfigAsk(ConfigAsk { after_revision });
         self.send(Some(entry), body, out);
     }
 
-    fn frame(
+    fn on_frame(
         &mut self,
         now: Instant,
         entry: &EntryId,
@@ -296,58 +309,67 @@
         out: &mut Vec<AgentAction>,
     ) {
         match body {
-            frame::Body::Run(run) => self.run(now, entry, run, out),
-            frame::Body::Cancel(cancel) => self.cancel(now, cancel.attempt, out),
-            frame::Body::Revoke(revoke) => self.revoke(now, entry, &revoke, out),
-            frame::Body::Target(target) => self.target(now, &target),
+            frame::Body::Run(run) => self.on_run(now, entry, run, out),
+            frame::Body::Cancel(cancel) => self.on_cancel(now, cancel.attempt, out),
+            frame::Body::Revoke(revoke) => self.on_revoke(now, entry, &revoke, out),
+            frame::Body::Target(target) => self.on_target(now, &target),
             frame::Body::ConfigAsk(ask) => {
                 let after = Revision(ask.after_revision);
-                let changes = self.settings.changes_after(after);
+                let changes = self.config_sync.changes_after(after);
                 self.send(Some(entry), frame::Body::ConfigChanges(changes), out);
             }
-            frame::Body::ConfigChanges(changes) => self.changes(&changes, out),
+            frame::Body::ConfigChanges(changes) => {
+                self.on_config_changes(&changes, out)
+            }
             frame::Body::Hello(_) | frame::Body::Goodbye(_) => {}
             _ => self.counters.frames_dropped += 1,
         }
-        if self.settings.should_ask(now, revision) {
-            self.ask(entry, out);
+        if self.config_sync.try_begin_ask_if_behind(now, revision) {
+            self.send_config_ask(entry, out);
         }
     }
 
-    fn changes(&mut self, changes: &ConfigChanges, out: &mut Vec<AgentAction>) {
-        let offered = self.settings.offer(changes);
-        self.offered(offered, out);
+    fn on_config_changes(
+        &mut self,
+        changes: &ConfigChanges,
+        out: &mut Vec<AgentAction>,
+    ) {
+        let update = self.config_sync.apply(changes);
+        self.on_config_update(update, out);
     }
 
-    fn offered(&mut self, offered: Offered, out: &mut Vec<AgentAction>) {
-        if offered.undecodable {
+    fn on_config_update(&mut self, update: ConfigUpdate, out: &mut Vec<AgentAction>) {
+        if update.undecodable {
             self.counters.undecodable += 1;
         }
-        let Some(config) = offered.applied else {
+        let Some(config) = update.applied else {
             return;
         };
         let limits = config.limits();
         self.claims
             .configure(limits.claim_retention_ms, limits.stored_answer_max_bytes);
-        let bases = config.models().filter_map(|model| {
+        let base_of_adapter = config.models().filter_map(|model| {
             let base = model.base.clone()?;
             Some((model.id.clone(), base))
         });
-        let bases = bases.collect();
+        let base_of_adapter = base_of_adapter.collect();
         if let Some(pool) = config.pool(self.options.pool.as_str()) {
             let accelerators = u32::try_from(pool.accelerators_mib.len());
-            let places = pool.concurrent_max.max(1);
-            self.limit
-                .configure(places.saturating_mul(accelerators.unwrap_or(u32::MAX)));
-            let delay_ms = pool.order_delay_max_ms;
-            self.ledger
-                .configure(&pool.accelerators_mib, bases, delay_ms);
+            let slots = pool.concurrent_max.max(1);
+            self.concurrency_limit
+                .configure(slots.saturating_mul(accelerators.unwrap_or(u32::MAX)));
+            let order_delay_max_ms = pool.order_delay_max_ms;
+            self.ledger.configure(
+                &pool.accelerators_mib,
+                base_of_adapter,
+                order_delay_max_ms,
+            );
         }
         let detail = format!("revision {}", config.revision());
-        trace::note(EventKind::ConfigApplied, detail, out);
+        timeline::process_event(EventKind::ConfigApplied, detail, out);
     }
 
-    fn platform(
+    fn on_platform_answer(
         &mut self,
         now: Instant,
         answer: PlatformAnswer,
@@ -355,31 +377,31 @@
     ) {
         let PlatformAnswer { id, result } = answer;
         if self.claims.owns(id) {
-            self.claims_answered(now, id, result, out);
-        } else if self.settings.owns(id) {
-            let caller = &mut self.caller;
-            let offered = self.settings.answered(now, &result, caller, out);
-            self.offered(offered, out);
+            self.on_claims_answer(now, id, result, out);
+        } else if self.config_sync.owns(id) {
+            let client = &mut self.client;
+            let update = self.config_sync.on_answer(now, &result, client, out);
+            self.on_config_update(update, out);
         } else if self.registration.owns(id) {
-            self.registration.answered(now, &result, &mut self.caller);
+            self.registration.on_answer(now, &result, &mut self.client);
         } else if self.record.owns(id) {
-            self.record_answered(now, &result, out);
+            self.on_record_answer(now, &result, out);
         }
     }
 
-    fn record_answered(
+    fn on_record_answer(
         &mut self,
         now: Instant,
         result: &PlatformResult,
         out: &mut Vec<AgentAction>,
     ) {
-        let news = self.record.answered(now, result, &mut self.caller, out);
-        self.record_news(now, news, out);
+        let outcome = self.record.on_answer(now, result, &mut self.client, out);
+        self.on_record_outcome(now, outcome, out);
     }
 }
 
 /// Parts come at the rate of tokens and change nothing that others wait for.
-const fn is_part(event: &AgentEvent) -> bool {
+const fn is_answer_part(event: &AgentEvent) -> bool {
     matches!(
         event,
         AgentEvent::Upstream(
--- a/crates/role/src/agent/targets.rs
+++ b/crates/role/src/agent/targets.rs
@@ -6,16 +6,16 @@
 use std::collections::BTreeMap;
 
 /// Planners whose targets are kept; a cell has a few entries.
-const PLANNERS_MAX: usize = 64;
+const MAX_PLANNERS: usize = 64;
 
 /// Heartbeats for which a target is followed after it was heard.
-const FOLLOWED_HEARTBEATS: u64 = 10;
+const TARGET_LIFETIME_HEARTBEATS: u64 = 10;
 
 #[derive(Debug)]
-struct Heard {
+struct PlannerTarget {
     rank: u64,
     sequence: u64,
-    at: Instant,
+    received_at: Instant,
     wanted: Vec<Placement>,
 }
 
@@ -26,23 +26,23 @@
 /// between their plans; one that falls silent is forgotten.
 #[derive(Debug, Default)]
 pub(super) struct Targets {
-    heard: BTreeMap<String, Heard>,
+    by_planner: BTreeMap<String, PlannerTarget>,
     followed: String,
 }
 
 impl Targets {
     /// Takes in a target; an older one of the same planner is dropped.
-    pub(super) fn hear(&mut self, now: Instant, target: &Target, heartbeat_ms: u64) {
-        self.forget(now, heartbeat_ms);
+    pub(super) fn accept(&mut self, now: Instant, target: &Target, heartbeat_ms: u64) {
+        self.drop_expired(now, heartbeat_ms);
         if self
-            .heard
+            .by_planner
             .get(&target.planner)
             .is_some_and(|held| held.sequence > target.sequence)
         {
             return;
         }
-        let full = self.heard.len() >= PLANNERS_MAX;
-        if full && !self.heard.contains_key(&target.planner) {
+        let full = self.by_planner.len() >= MAX_PLANNERS;
+        if full && !self.by_planner.contains_key(&target.planner) {
             return;
         }
         let wanted = target.models.iter().map(|model| Placement {
@@ -50,24 +50,24 @@
             model: ModelId::new(&model.model),
             version: model.version,
         });
-        let heard = Heard {
+        let by_planner = PlannerTarget {
             rank: target.rank,
             sequence: target.sequence,
-            at: now,
+            received_at: now,
             wanted: wanted.collect(),
         };
-        self.heard.insert(target.planner.clone(), heard);
-        self.choose();
+        self.by_planner.insert(target.planner.clone(), by_planner);
+        self.select_planner();
     }
 
     /// What the followed planner wants; `None` if none has been heard lately.
     pub(super) fn wanted(
         &mut self,
         now: Instant,
-        beat_ms: u64,
+        heartbeat_ms: u64,
     ) -> Option<&[Placement]> {
-        self.forget(now, beat_ms);
-        let followed = self.heard.get(&self.followed)?;
+        self.drop_expired(now, heartbeat_ms);
+        let followed = self.by_planner.get(&self.followed)?;
         Some(&followed.wanted)
     }
 
@@ -78,19 +78,19 @@
 
     /// Sequence of the target that is followed.
     pub(super) fn sequence(&self) -> u64 {
-        let followed = self.heard.get(&self.followed);
-        followed.map_or(0, |heard| heard.sequence)
+        let followed = self.by_planner.get(&self.followed);
+        followed.map_or(0, |by_planner| by_planner.sequence)
     }
 
-    fn forget(&mut self, now: Instant, heartbeat_ms: u64) {
-        let life_ms = heartbeat_ms * FOLLOWED_HEARTBEATS;
-        self.heard
-            .retain(|_, held| now.ms_since(held.at) <= life_ms);
-        self.choose();
+    fn drop_expired(&mut self, now: Instant, heartbeat_ms: u64) {
+        let life_ms = heartbeat_ms * TARGET_LIFETIME_HEARTBEATS;
+        self.by_planner
+            .retain(|_, held| now.ms_since(held.received_at) <= life_ms);
+        self.select_planner();
     }
 
-    fn choose(&mut self) {
-        let best = self.heard.iter().max_by_key(|(_, held)| held.rank);
+    fn select_planner(&mut self) {
+        let best = self.by_planner.iter().max_by_key(|(_, held)| held.rank);
         self.followed = best.map_or_else(String::new, |(name, _)| name.clone());
     }
 }
--- a/crates/role/src/agent/trace.rs
+++ b/crates/role/src/agent/timeline.rs
@@ -5,7 +5,7 @@
 use schema::timeline::{Event, EventKind};
 
 /// An event of a kind, with no more said.
-pub(super) fn event(kind: EventKind) -> Event {
+pub(super) fn new_event(kind: EventKind) -> Event {
     Event {
         kind: kind.into(),
         ..Event::default()
@@ -13,7 +13,7 @@
 }
 
 /// Records an event about an attempt.
-pub(super) fn attempt(
+pub(super) fn attempt_event(
     kind: EventKind,
     id: AttemptId,
     code: u32,
@@ -22,20 +22,24 @@
     out.push(AgentAction::RecordEvent(Event {
         code,
         detail: format!("attempt {id}"),
-        ..event(kind)
+        ..new_event(kind)
     }));
 }
 
 /// Records an event with one sentence.
-pub(super) fn note(kind: EventKind, detail: String, out: &mut Vec<AgentAction>) {
+pub(super) fn process_event(
+    kind: EventKind,
+    detail: String,
+    out: &mut Vec<AgentAction>,
+) {
     out.push(AgentAction::RecordEvent(Event {
         detail,
-        ..event(kind)
+        ..new_event(kind)
     }));
 }
 
 /// Records an event about a model.
-pub(super) fn model(
+pub(super) fn model_event(
     kind: EventKind,
     model: &str,
     detail: String,
@@ -44,6 +48,6 @@
     out.push(AgentAction::RecordEvent(Event {
         model: model.to_owned(),
         detail,
-        ..event(kind)
+        ..new_event(kind)
     }));
 }
--- a/crates/role/src/agent/upstream.rs
+++ b/crates/role/src/agent/upstream.rs
@@ -20,7 +20,7 @@
     waiting: u32,
     step_time_us: u64,
     service_ms: u64,
-    fence: u64,
+    highest_fencing_token: u64,
 }
 
 impl Upstream {
@@ -33,7 +33,7 @@
         self.incarnation.unwrap_or(0)
     }
 
-    pub(super) fn went_down(&mut self) {
+    pub(super) fn mark_down(&mut self) {
         self.up = false;
     }
 
@@ -42,8 +42,8 @@
     }
 
     /// Highest fencing number that the upstream has seen.
-    pub(super) const fn fence(&self) -> u64 {
-        self.fence
+    pub(super) const fn highest_fencing_token(&self) -> u64 {
+        self.highest_fencing_token
     }
 
     /// Smoothed duration of a step.
@@ -61,19 +61,23 @@
     }
 
     /// An attempt has ended in good order after this time.
-    pub(super) fn served(&mut self, took_ms: u64) {
-        self.service_ms = smooth(self.service_ms, took_ms);
+    pub(super) fn record_service_time(&mut self, service_ms: u64) {
+        self.service_ms = smooth(self.service_ms, service_ms);
     }
 
     /// Takes in a report; says whether the upstream has restarted since the
     /// last one.
-    pub(super) fn reported(&mut self, now: Instant, report: &UpstreamReport) -> bool {
+    pub(super) fn apply_report(
+        &mut self,
+        now: Instant,
+        report: &UpstreamReport,
+    ) -> bool {
         let restarted = self.incarnation.is_some_and(|i| i != report.incarnation);
         self.up = true;
         self.incarnation = Some(report.incarnation);
         self.made_at = made_at(now, report);
         self.waiting = report.waiting;
-        self.fence = report.highest_fencing_token;
+        self.highest_fencing_token = report.highest_fencing_token;
         let step_us = u64::from(report.step_time_us);
         if step_us > 0 {
             self.step_time_us = smooth(self.step_time_us, step_us);
@@ -82,11 +86,11 @@
     }
 }
 
-fn smooth(held: u64, sample: u64) -> u64 {
-    if held == 0 {
+fn smooth(current: u64, sample: u64) -> u64 {
+    if current == 0 {
         return sample;
     }
-    (held * (SMOOTHING - 1) + sample) / SMOOTHING
+    (current * (SMOOTHING - 1) + sample) / SMOOTHING
 }
 
 /// When the upstream made a report.
--- a/crates/role/src/agent/answers.rs
+++ b/crates/role/src/agent/upstream_events.rs
@@ -1,79 +1,79 @@
 //! What the upstream says about attempts, on its way to the entry.
 
+use super::attempt_lifecycle::{attempt_frame, retry_after};
 use super::attempts::{Attempt, Phase};
-use super::runs::{attempt_frame, retry_after};
-use super::{AgentAction, AgentRole, UpstreamEvent, trace};
+use super::{AgentAction, AgentRole, UpstreamEvent, timeline};
 use base::prelude::*;
 use once::Answer;
 use schema::link::{End, Started, frame};
 use schema::timeline::EventKind;
 
 /// When to come back after the upstream itself refused an attempt.
-const UPSTREAM_RETRY_MS: u64 = 1_000;
+const UPSTREAM_REFUSAL_RETRY_MS: u64 = 1_000;
 
 /// How long a call that may not be repeated runs on behind its deadline before
 /// it is stopped.
-const OVERDUE_MS: u64 = 60_000;
+const NON_IDEMPOTENT_GRACE_MS: u64 = 60_000;
 
 impl AgentRole {
-    pub(super) fn upstream_event(
+    pub(super) fn on_upstream_event(
         &mut self,
         now: Instant,
         event: UpstreamEvent,
         out: &mut Vec<AgentAction>,
     ) {
         match event {
-            UpstreamEvent::Report(report) => self.reported(now, &report, out),
-            UpstreamEvent::Down => self.went_down(now, out),
-            UpstreamEvent::Started { attempt } => self.started(now, attempt, out),
+            UpstreamEvent::Report(report) => self.on_report(now, &report, out),
+            UpstreamEvent::Down => self.on_upstream_down(now, out),
+            UpstreamEvent::Started { attempt } => self.on_started(now, attempt, out),
             UpstreamEvent::AnswerPart { attempt, units } => {
-                self.part(attempt, units, None, out);
+                self.on_answer_part(attempt, units, None, out);
             }
             UpstreamEvent::KeyedAnswerPart {
                 attempt,
                 units,
                 payload,
-            } => self.part(attempt, units, Some(&payload), out),
+            } => self.on_answer_part(attempt, units, Some(&payload), out),
             UpstreamEvent::Done {
                 attempt,
                 status,
                 content_type,
-            } => self.done(now, attempt, status, content_type, out),
+            } => self.on_done(now, attempt, status, content_type, out),
             UpstreamEvent::Failed {
                 attempt,
                 ran,
                 status,
                 broken,
-            } => self.failed(now, attempt, ran, status, broken, out),
+            } => self.on_failed(now, attempt, ran, status, broken, out),
             UpstreamEvent::OrderAnswered { order, answer } => {
-                self.order_answered(now, order, answer, out);
+                self.on_order_answer(now, order, answer, out);
             }
         }
     }
 
-    fn started(&mut self, now: Instant, id: AttemptId, out: &mut Vec<AgentAction>) {
+    fn on_started(&mut self, now: Instant, id: AttemptId, out: &mut Vec<AgentAction>) {
         let Some(attempt) = self.attempts.get_mut(id) else {
             self.counters.upstream_events_dropped += 1;
             return;
         };
         attempt.phase = Phase::Running;
         let entry = attempt.entry.clone();
-        trace::attempt(EventKind::RequestStarted, id, 0, out);
+        timeline::attempt_event(EventKind::RequestStarted, id, 0, out);
         let body = frame::Body::Started(Started {
             attempt: attempt_frame(id),
-            load: Some(self.load(now)),
+            load: Some(self.load_hint(now)),
         });
         self.send(entry.as_ref(), body, out);
     }
 
-    fn part(
+    fn on_answer_part(
         &mut self,
         id: AttemptId,
         units: u32,
         payload: Option<&[u8]>,
         out: &mut Vec<AgentAction>,
     ) {
-        let max = self.claims.answer_max_bytes();
+        let max_bytes = self.claims.answer_max_bytes();
         let Some(attempt) = self.attempts.get_mut(id) else {
             self.counters.upstream_events_dropped += 1;
             return;
@@ -82,11 +82,13 @@
         attempt.offset += u64::from(units);
         attempt.phase = Phase::Running;
         match payload {
-            Some(payload) => attempt.keep(payload, max),
-            None => attempt.kept = None,
+            Some(payload) => attempt.store_part(payload, max_bytes),
+            None => attempt.stored_answer = None,
         }
         let entry = attempt.entry.clone();
-        if let Some(entry) = entry.filter(|entry| self.links.contains(entry)) {
+        if let Some(entry) =
+            entry.filter(|entry| self.connected_entries.contains(entry))
+        {
             out.push(AgentAction::ForwardPart {
                 entry,
                 attempt: id,
@@ -96,7 +98,7 @@
         }
     }
 
-    fn done(
+    fn on_done(
         &mut self,
         now: Instant,
         id: AttemptId,
@@ -109,11 +111,12 @@
             return;
         };
         self.counters.finished += 1;
-        self.upstream.served(now.ms_since(attempt.began));
-        self.remember(now, id, Ran::Ran);
-        trace::attempt(EventKind::RequestFinished, id, 0, out);
-        if attempt.keyed {
-            let answer = attempt.kept.take().map(|body| Answer {
+        self.upstream
+            .record_service_time(now.ms_since(attempt.began_at));
+        self.record_ended(now, id, Ran::Ran);
+        timeline::attempt_event(EventKind::RequestFinished, id, 0, out);
+        if attempt.needs_claim {
+            let answer = attempt.stored_answer.take().map(|body| Answer {
                 status,
                 content_type: content_type.clone(),
                 body,
@@ -124,13 +127,13 @@
             status: u32::from(status),
             content_type,
             total_units: attempt.offset,
-            upstream_incarnation: attempt.upstream,
-            ..self.end(now, id, 0, Ran::Ran)
+            upstream_incarnation: attempt.upstream_incarnation,
+            ..self.end_frame(now, id, 0, Ran::Ran)
         };
         self.send(attempt.entry.as_ref(), frame::Body::End(end), out);
     }
 
-    fn failed(
+    fn on_failed(
         &mut self,
         now: Instant,
         id: AttemptId,
@@ -144,11 +147,11 @@
             self.counters.upstream_events_dropped += 1;
             return;
         };
-        let started = attempt.is_handed_over();
+        let handed_over = attempt.is_handed_over();
         if ran == Ran::NotRun {
-            let refusal =
-                Refusal::not_run(Code::UpstreamFault).retry_after_ms(UPSTREAM_RETRY_MS);
-            self.take_back(now, id, refusal, started, out);
+            let refusal = Refusal::not_run(Code::UpstreamFault)
+                .retry_after_ms(UPSTREAM_REFUSAL_RETRY_MS);
+            self.withdraw_attempt(now, id, refusal, handed_over, out);
             return;
         }
         // If the upstream has died, its report will say so in a moment, and
@@ -164,68 +167,81 @@
         };
         let end = End {
             status: u32::from(status),
-            ..self.end(now, id, code.number(), ran)
+            ..self.end_frame(now, id, code.number(), ran)
         };
         self.end_attempt(now, id, end, out);
     }
 
     /// Ends an attempt that was not run after all; a claim is released first,
     /// so that its key is free when the refusal arrives.
-    pub(super) fn take_back(
+    pub(super) fn withdraw_attempt(
         &mut self,
         now: Instant,
         id: AttemptId,
         refusal: Refusal,
-        started: bool,
+        handed_over: bool,
         out: &mut Vec<AgentAction>,
     ) {
         let Some(attempt) = self.attempts.get_mut(id) else {
             return;
         };
-        attempt.phase = Phase::Releasing { refusal, started };
-        if attempt.keyed {
+        attempt.phase = Phase::Releasing {
+            refusal,
+            handed_over,
+        };
+        if attempt.needs_claim {
             self.release_claim(now, id, out);
         } else {
-            self.taken_back(now, id, out);
+            self.finish_withdrawal(now, id, out);
         }
     }
 
     /// The claim, if there was one, is released: tell the entry.
-    pub(super) fn taken_back(
+    pub(super) fn finish_withdrawal(
         &mut self,
         now: Instant,
         id: AttemptId,
         out: &mut Vec<AgentAction>,
     ) {
         let phase = self.attempts.get(id).map(|attempt| attempt.phase);
-        let Some(Phase::Releasing { refusal, started }) = phase else {
+        let Some(Phase::Releasing {
+            refusal,
+            handed_over,
+        }) = phase
+        else {
             return;
         };
         let Some(attempt) = self.attempts.remove(id) else {
             return;
         };
-        self.remember(now, id, Ran::NotRun);
-        if !started {
-            self.refuse(now, attempt.entry.as_ref(), id, refusal, out);
+        self.record_ended(now, id, Ran::NotRun);
+        if !handed_over {
+            self.send_refusal(now, attempt.entry.as_ref(), id, refusal, out);
             return;
         }
         self.counters.failed += 1;
         let end = End {
             retry_after_ms: retry_after(&refusal),
             total_units: attempt.offset,
-            upstream_incarnation: attempt.upstream,
-            ..self.end(now, id, refusal.code.number(), Ran::NotRun)
+            upstream_incarnation: attempt.upstream_incarnation,
+            ..self.end_frame(now, id, refusal.code.number(), Ran::NotRun)
         };
         self.send(attempt.entry.as_ref(), frame::Body::End(end), out);
     }
 
     /// An end frame with what every one carries.
-    pub(super) fn end(&self, now: Instant, id: AttemptId, code: u32, ran: Ran) -> End {
+    pub(super) fn end_frame(
+        &self,
+        now: Instant,
+        id: AttemptId,
+        code: u32,
+        ran: Ran,
+    ) -> End {
         End {
             attempt: attempt_frame(id),
             code,
             ran: ran.number(),
-            load: Some(self.load(now)),
+            load: Some(self.load_hint(now)),
             ..End::default()
         }
     }
@@ -243,12 +259,12 @@
         };
         let ran = Ran::from_number(end.ran);
         self.counters.failed += 1;
-        self.remember(now, id, ran);
-        trace::attempt(EventKind::RequestFailed, id, end.code, out);
+        self.record_ended(now, id, ran);
+        timeline::attempt_event(EventKind::RequestFailed, id, end.code, out);
         self.close_claim(now, id, &attempt, ran, out);
         let end = End {
             total_units: attempt.offset,
-            upstream_incarnation: attempt.upstream,
+            upstream_incarnation: attempt.upstream_incarnation,
             ..end
         };
         self.send(attempt.entry.as_ref(), frame::Body::End(end), out);
@@ -264,7 +280,7 @@
         ran: Ran,
         out: &mut Vec<AgentAction>,
     ) {
-        if !attempt.keyed {
+        if !attempt.needs_claim {
             return;
         }
         match ran {
@@ -275,42 +291,42 @@
     }
 
     /// Ends what is past its deadline, and what broke without a crash.
-    pub(super) fn check_attempts(&mut self, now: Instant, out: &mut Vec<AgentAction>) {
+    pub(super) fn end_overdue_attempts(
+        &mut self,
+        now: Instant,
+        out: &mut Vec<AgentAction>,
+    ) {
         if self.attempts.due().is_none_or(|due| due > now) {
             return;
         }
-        let broken = |attempt: &Attempt| matches!(attempt.phase, Phase::Broken { until } if until <= now);
-        for id in self.attempts.ids_where(broken) {
-            let end = self.end(now, id, Code::UpstreamLost.number(), Ran::Ran);
+        let is_broken = |attempt: &Attempt| matches!(attempt.phase, Phase::Broken { until } if until <= now);
+        for id in self.attempts.ids_matching(is_broken) {
+            let end = self.end_frame(now, id, Code::UpstreamLost.number(), Ran::Ran);
             self.end_attempt(now, id, end, out);
         }
-        let late = |attempt: &Attempt| {
+        let is_late = |attempt: &Attempt| {
             let runs = matches!(attempt.phase, Phase::Starting | Phase::Running);
             runs && attempt.deadline <= now
         };
-        for id in self.attempts.ids_where(late) {
-            self.deadline_passed(now, id, out);
+        for id in self.attempts.ids_matching(is_late) {
+            self.on_deadline(now, id, out);
         }
     }
 
-    fn deadline_passed(
-        &mut self,
-        now: Instant,
-        id: AttemptId,
-        out: &mut Vec<AgentAction>,
-    ) {
-        let end = self.end(now, id, Code::DeadlineWhileRunning.number(), Ran::Ran);
+    fn on_deadline(&mut self, now: Instant, id: AttemptId, out: &mut Vec<AgentAction>) {
+        let end =
+            self.end_frame(now, id, Code::DeadlineWhileRunning.number(), Ran::Ran);
         let Some(attempt) = self.attempts.get_mut(id) else {
             return;
         };
         self.counters.deadlines += 1;
-        if attempt.idempotent || attempt.overdue {
+        if attempt.idempotent || attempt.deadline_reported {
             out.push(AgentAction::StopAttempt { attempt: id });
             self.end_attempt(now, id, end, out);
             return;
         }
-        attempt.overdue = true;
-        attempt.deadline = now.plus_ms(OVERDUE_MS);
+        attempt.deadline_reported = true;
+        attempt.deadline = now.plus_ms(NON_IDEMPOTENT_GRACE_MS);
         let entry = attempt.entry.take();
         self.send(entry.as_ref(), frame::Body::End(end), out);
     }
