--- a/crates/role/src/agent/role.rs
+++ b/crates/role/src/agent/role.rs
@@ -141,10 +141,10 @@
             } => self.on_frame(now, &entry, revision, body, out),
             AgentEvent::Upstream(event) => self.on_upstream_event(now, event, out),
             AgentEvent::PlatformAnswered(answer) => {
-                self.on_platform_answer(now, answer, out)
+                self.on_platform_answer(now, answer, out);
             }
             AgentEvent::PredecessorProbed { dead } => {
-                self.on_predecessor_probed(now, dead)
+                self.on_predecessor_probed(now, dead);
             }
             AgentEvent::Drain => self.begin_drain(now, out),
         }
@@ -319,7 +319,7 @@
                 self.send(Some(entry), frame::Body::ConfigChanges(changes), out);
             }
             frame::Body::ConfigChanges(changes) => {
-                self.on_config_changes(&changes, out)
+                self.on_config_changes(&changes, out);
             }
             frame::Body::Hello(_) | frame::Body::Goodbye(_) => {}
             _ => self.counters.frames_dropped += 1,
