--- a/crates/role/benches/gate_limit.rs
+++ b/crates/role/benches/gate_limit.rs
@@ -1,8 +1,9 @@
-//! Measures the gate's fixed number of places against one that follows the step's
-//! floor, and one that follows the expected time between tokens, on a seeded engine whose step takes longer the fuller its batch is.
+//! Compares three concurrency limits on a seeded simulation of an engine whose
+//! step takes longer the fuller its batch is: a fixed limit, one that follows
+//! the shortest step, and one that follows the target time between tokens.
 //!
-//! Time is a number that the steps move on, so the run gives the same table
-//! every time. `docs/design/gate.md` holds the figures and the decision.
+//! Time is simulated, so every run prints the same table. `docs/design/gate.md`
+//! has the figures and the decision.
 
 use rand_core::Rng;
 use rand_pcg::Pcg64Mcg;
@@ -10,93 +11,94 @@
 use route::StepLimit;
 use std::collections::VecDeque;
 
-/// Length of a run.
-const RUN_US: u64 = 600_000_000;
+/// Simulated duration of a run.
+const RUN_DURATION_US: u64 = 600_000_000;
 
 /// Time between two reports of the engine.
-const REPORT_US: u64 = 150_000;
+const REPORT_INTERVAL_US: u64 = 150_000;
 
-/// Step of a batch of one.
-const STEP_US: u64 = 20_000;
+/// Step time of a batch of one.
+const BASE_STEP_US: u64 = 20_000;
 
-/// Expected time to the first token; who waits longer for a place is refused.
-const FIRST_TOKEN_US: u64 = 1_000_000;
+/// Target time to the first token; a request that waits longer for a slot is
+/// refused.
+const FIRST_TOKEN_TARGET_US: u64 = 1_000_000;
 
-/// Mean length of an answer.
-const TOKENS: u64 = 100;
+/// Mean length of an answer, in tokens.
+const MEAN_ANSWER_TOKENS: u64 = 100;
 
-/// The engine's places by the settings.
+/// The configured maximum of concurrent requests.
 const CONCURRENT_MAX: u32 = 32;
 
-/// How the step grows: percent of the first step for each further request, up
-/// to the knee and beyond it.
+/// Growth of the step time with the batch size: percent of the first step for
+/// each further request, below and above the knee.
 struct Growth {
     name: &'static str,
-    below: u64,
+    percent_below: u64,
     knee: u64,
-    above: u64,
+    percent_above: u64,
 }
 
 const GROWTHS: [Growth; 4] = [
     Growth {
         name: "1 % each",
-        below: 1,
+        percent_below: 1,
         knee: 1_000,
-        above: 1,
+        percent_above: 1,
     },
     Growth {
         name: "4 % each",
-        below: 4,
+        percent_below: 4,
         knee: 1_000,
-        above: 4,
+        percent_above: 4,
     },
     Growth {
         name: "10 % each",
-        below: 10,
+        percent_below: 10,
         knee: 1_000,
-        above: 10,
+        percent_above: 10,
     },
     Growth {
         name: "1 %, above 16 20 %",
-        below: 1,
+        percent_below: 1,
         knee: 16,
-        above: 20,
+        percent_above: 20,
     },
 ];
 
 impl Growth {
     fn step_us(&self, batch: u64) -> u64 {
         let more = batch.saturating_sub(1);
-        let below = more.min(self.knee) * self.below;
-        let above = more.saturating_sub(self.knee) * self.above;
-        STEP_US * (100 + below + above) / 100
+        let below = more.min(self.knee) * self.percent_below;
+        let above = more.saturating_sub(self.knee) * self.percent_above;
+        BASE_STEP_US * (100 + below + above) / 100
     }
 
-    /// Answers per second of the full batch, times 1,000.
+    /// Capacity of the full batch, in thousandths of an answer per second.
     fn capacity_milli(&self) -> u64 {
         let batch = u64::from(CONCURRENT_MAX);
-        batch * 1_000_000_000 / (self.step_us(batch) * TOKENS)
+        batch * 1_000_000_000 / (self.step_us(batch) * MEAN_ANSWER_TOKENS)
     }
 }
 
 /// One request in the batch.
 struct Running {
     arrived_us: u64,
-    first_us: Option<u64>,
+    first_token_us: Option<u64>,
     tokens: u64,
-    left: u64,
+    tokens_left: u64,
 }
 
-/// What came of a run.
+/// Totals of a run.
 #[derive(Default)]
-struct Sums {
+struct Totals {
     arrived: u64,
     ended: u64,
-    /// Ended, and within the expectation between tokens.
-    between: u64,
-    /// Within both expectations.
-    both: u64,
-    limit: u64,
+    /// Answers that met the target time between tokens.
+    met_between_tokens: u64,
+    /// Answers that met both targets.
+    met_both: u64,
+    limit_sum: u64,
     steps: u64,
 }
 
@@ -108,100 +110,122 @@
     (-uniform(rng).ln() * mean) as u64
 }
 
+/// How the concurrency limit is chosen.
 #[derive(Debug, Clone, Copy)]
-enum Places {
+enum LimitPolicy {
+    /// Always the configured maximum.
     Fixed,
+    /// [`StepLimit`], which follows the shortest step time.
     Floor,
+    /// [`ConcurrencyLimit`], which follows the target time between tokens.
     Expected,
 }
 
-fn run(growth: &Growth, load_percent: u64, between_us: u64, by: Places) -> Sums {
+fn run(
+    growth: &Growth,
+    load_percent: u64,
+    target_between_tokens_us: u64,
+    policy: LimitPolicy,
+) -> Totals {
     let mut rng = Pcg64Mcg::new(0x5eed_1234_5678_9abc_def1);
-    let per_s = growth.capacity_milli() as f64 * load_percent as f64 / 100_000.0;
-    let gap_us = 1_000_000.0 / per_s;
-    let mut limit = StepLimit::new(CONCURRENT_MAX, STEP_US as u32);
-    let mut expected = ConcurrencyLimit::default();
-    expected.configure(CONCURRENT_MAX);
-    let mut sums = Sums::default();
+    let arrivals_per_s =
+        growth.capacity_milli() as f64 * load_percent as f64 / 100_000.0;
+    let mean_gap_us = 1_000_000.0 / arrivals_per_s;
+    let mut step_limit = StepLimit::new(CONCURRENT_MAX, BASE_STEP_US as u32);
+    let mut token_limit = ConcurrencyLimit::default();
+    token_limit.configure(CONCURRENT_MAX);
+    let mut totals = Totals::default();
     let mut queue: VecDeque<(u64, u64)> = VecDeque::new();
     let mut batch: Vec<Running> = Vec::new();
-    let (mut now, mut next, mut report) = (0, exponential(&mut rng, gap_us), 0);
-    while now < RUN_US {
-        while next <= now {
-            let tokens = exponential(&mut rng, TOKENS as f64) + 2;
-            queue.push_back((next, tokens));
-            sums.arrived += 1;
-            next += exponential(&mut rng, gap_us) + 1;
+    let (mut now, mut next_arrival, mut next_report) =
+        (0, exponential(&mut rng, mean_gap_us), 0);
+    while now < RUN_DURATION_US {
+        while next_arrival <= now {
+            let tokens = exponential(&mut rng, MEAN_ANSWER_TOKENS as f64) + 2;
+            queue.push_back((next_arrival, tokens));
+            totals.arrived += 1;
+            next_arrival += exponential(&mut rng, mean_gap_us) + 1;
         }
-        let places = match by {
-            Places::Fixed => CONCURRENT_MAX,
-            Places::Floor => limit.limit(),
-            Places::Expected => expected.limit(),
+        let limit = match policy {
+            LimitPolicy::Fixed => CONCURRENT_MAX,
+            LimitPolicy::Floor => step_limit.limit(),
+            LimitPolicy::Expected => token_limit.limit(),
         } as usize;
         while queue
             .front()
-            .is_some_and(|(at, _)| now - at > FIRST_TOKEN_US)
+            .is_some_and(|(at, _)| now - at > FIRST_TOKEN_TARGET_US)
         {
             queue.pop_front();
         }
-        while batch.len() < places {
+        while batch.len() < limit {
             let Some((arrived_us, tokens)) = queue.pop_front() else {
                 break;
             };
             batch.push(Running {
                 arrived_us,
-                first_us: None,
+                first_token_us: None,
                 tokens,
-                left: tokens,
+                tokens_left: tokens,
             });
         }
         if batch.is_empty() {
-            now = next;
+            now = next_arrival;
             continue;
         }
         let step_us = growth.step_us(batch.len() as u64);
         now += step_us;
-        sums.steps += 1;
-        sums.limit += places as u64;
-        if now >= report {
-            limit.observe(step_us as u32);
-            expected.observe(step_us as u32, between_us, batch.len() >= places);
-            report = now + REPORT_US;
+        totals.steps += 1;
+        totals.limit_sum += limit as u64;
+        if now >= next_report {
+            step_limit.observe(step_us as u32);
+            token_limit.observe(
+                step_us as u32,
+                target_between_tokens_us,
+                batch.len() >= limit,
+            );
+            next_report = now + REPORT_INTERVAL_US;
         }
-        for held in &mut batch {
-            held.first_us.get_or_insert(now);
-            held.left -= 1;
+        for request in &mut batch {
+            request.first_token_us.get_or_insert(now);
+            request.tokens_left -= 1;
         }
-        for held in batch.extract_if(.., |held| held.left == 0) {
-            let first_us = held.first_us.unwrap_or(now);
-            let mean_us = (now - first_us) / (held.tokens - 1);
-            let between = mean_us <= between_us;
-            let in_time = first_us - held.arrived_us <= FIRST_TOKEN_US;
-            sums.ended += 1;
-            sums.between += u64::from(between);
-            sums.both += u64::from(between && in_time);
+        for request in batch.extract_if(.., |request| request.tokens_left == 0) {
+            let first_token_us = request.first_token_us.unwrap_or(now);
+            let mean_between_us = (now - first_token_us) / (request.tokens - 1);
+            let between_in_time = mean_between_us <= target_between_tokens_us;
+            let first_in_time =
+                first_token_us - request.arrived_us <= FIRST_TOKEN_TARGET_US;
+            totals.ended += 1;
+            totals.met_between_tokens += u64::from(between_in_time);
+            totals.met_both += u64::from(between_in_time && first_in_time);
         }
     }
-    sums
+    totals
 }
 
 fn main() {
     println!(
-        "step growth | load % | between ms | places | limit | ended/s | between attained % of ended | both attained % of arrived"
+        "step growth | load % | target between tokens ms | policy | mean limit | ended/s | between tokens attained % of ended | both targets attained % of arrived"
     );
     for growth in &GROWTHS {
         for load_percent in [70, 100, 150] {
-            for between_us in [10_000, 30_000, 45_000, 80_000] {
-                for by in [Places::Fixed, Places::Floor, Places::Expected] {
-                    let sums = run(growth, load_percent, between_us, by);
+            for target_between_tokens_us in [10_000, 30_000, 45_000, 80_000] {
+                for policy in [
+                    LimitPolicy::Fixed,
+                    LimitPolicy::Floor,
+                    LimitPolicy::Expected,
+                ] {
+                    let totals =
+                        run(growth, load_percent, target_between_tokens_us, policy);
                     println!(
-                        "{} | {load_percent} | {} | {by:?} | {:.1} | {:.2} | {:.1} | {:.1}",
+                        "{} | {load_percent} | {} | {policy:?} | {:.1} | {:.2} | {:.1} | {:.1}",
                         growth.name,
-                        between_us / 1_000,
-                        sums.limit as f64 / sums.steps.max(1) as f64,
-                        sums.ended as f64 * 1e6 / RUN_US as f64,
-                        sums.between as f64 * 100.0 / sums.ended.max(1) as f64,
-                        sums.both as f64 * 100.0 / sums.arrived.max(1) as f64,
+                        target_between_tokens_us / 1_000,
+                        totals.limit_sum as f64 / totals.steps.max(1) as f64,
+                        totals.ended as f64 * 1e6 / RUN_DURATION_US as f64,
+                        totals.met_between_tokens as f64 * 100.0
+                            / totals.ended.max(1) as f64,
+                        totals.met_both as f64 * 100.0 / totals.arrived.max(1) as f64,
                     );
                 }
             }
--- a/crates/role/src/agent/admission.rs
+++ b/crates/role/src/agent/admission.rs
@@ -1,19 +1,20 @@
-//! The gate: whether an attempt may be handed to the upstream.
+//! Admission control: whether an attempt may be handed to the upstream.
 
 use super::AgentRole;
 use base::prelude::*;
 use conf::ProfileKind;
 use schema::link::{Load, Run};
 
-/// When to come back to a full gate before any service time is known.
+/// Suggested retry delay when all slots are taken and no service time is known
+/// yet.
 const FULL_RETRY_MS: u64 = 100;
 
-/// When to come back to an agent that is not ready.
+/// Suggested retry delay while the agent is not ready.
 const READY_RETRY_MS: u64 = 1_000;
 
 impl AgentRole {
-    /// Refuses what must not be run here and now. A refusal is a promise that
-    /// the attempt was not run.
+    /// Refuses an attempt that must not run here and now. A refusal guarantees
+    /// that the attempt was not run.
     pub(super) fn check_admission(
         &self,
         now: Instant,
@@ -29,13 +30,15 @@
         if run.agent_incarnation != self.options.incarnation.0 {
             return Err(Refusal::not_run(Code::WrongIncarnation));
         }
-        // A fenced agent ends, too, but its instance takes work by another.
+        // A fenced agent drains as well, but its instance still accepts work
+        // through the successor, so it does not refuse with `Leaving`.
         if self.drain.is_some() && !self.record.is_fenced() {
             return Err(Refusal::not_run(Code::Leaving));
         }
         self.check_can_run()?;
-        // A frame heard just after a freeze may have waited for all of it; its
-        // time left is not known, and its caller may have been answered.
+        // A frame received just after a freeze may have waited for the whole
+        // freeze: its remaining time is unknown, and its caller may already
+        // have been answered.
         if now < self.frames_stale_until {
             let retry_ms = self.heartbeat_ms();
             return Err(Refusal::not_run(Code::NotReady).retry_after_ms(retry_ms));
@@ -43,7 +46,7 @@
         Ok(())
     }
 
-    /// Whether the agent can run anything.
+    /// Whether the agent can run any attempt at all.
     pub(super) fn check_can_run(&self) -> Result<(), Refusal> {
         let can_run =
             self.pool().is_some() && self.upstream.is_up() && !self.record.is_fenced();
@@ -72,11 +75,11 @@
         Err(Refusal::not_run(Code::UnknownService))
     }
 
-    /// A version of a model is loaded and not about to go.
+    /// Whether a version of a model is loaded and not about to be unloaded.
     ///
-    /// The upstream chooses among its accelerators, so while one of several
-    /// copies is to be unloaded no new work is taken for any: else the unload
-    /// would wait for as long as work comes.
+    /// The upstream chooses among its accelerators. While one of several copies
+    /// is to be unloaded, no new work is accepted for any of them; otherwise
+    /// the unload would wait for as long as work arrives.
     fn serves_model(&self, model: &str, version: u32) -> bool {
         if self.orders.is_unload_pending(model, version) {
             return false;
@@ -90,7 +93,7 @@
         })
     }
 
-    /// Most attempts in progress at once.
+    /// Maximum number of attempts in progress at once.
     pub(super) fn max_in_flight(&self) -> u32 {
         match self.pool() {
             Some(pool) if pool.engine => self.concurrency_limit.limit(),
@@ -99,15 +102,15 @@
         }
     }
 
-    /// Learns from the engine's step time how many places it has.
+    /// Adjusts the concurrency limit to the engine's step time.
     pub(super) fn adjust_concurrency_limit(&mut self, step_us: u32) {
         let full = self.attempts.in_flight() >= self.max_in_flight();
         let expected_us = self.expected_between_tokens_us();
         self.concurrency_limit.observe(step_us, expected_us, full);
     }
 
-    /// Shortest expected time between tokens of the interactive work on what the
-    /// engine holds; 0 for none.
+    /// Shortest target time between tokens, in microseconds, of the interactive
+    /// profiles whose models the engine has loaded; 0 if there is none.
     fn expected_between_tokens_us(&self) -> u64 {
         let Some(config) = self.config() else {
             return 0;
@@ -139,7 +142,8 @@
         Err(self.gate_full_refusal())
     }
 
-    /// The refusal of what finds no place, with the time until one is free.
+    /// Refusal for an attempt that finds no free slot, with the predicted time
+    /// until one is free.
     pub(super) fn gate_full_refusal(&self) -> Refusal {
         let slots = u64::from(self.max_in_flight().max(1));
         let retry_ms = match self.upstream.service_ms() {
@@ -156,16 +160,16 @@
         Err(Refusal::not_run(Code::DeadlineBeforeRun))
     }
 
-    /// Time until the upstream has worked off what already waits there.
+    /// Predicted time until the upstream has processed its current queue.
     pub(super) fn predicted_wait_ms(&self) -> u64 {
         let slots = u64::from(self.max_in_flight().max(1));
         u64::from(self.upstream.waiting()) * self.upstream.service_ms() / slots
     }
 
-    /// The load hint that goes out with answers and heartbeats.
+    /// Load hint for frames to the entries.
     ///
-    /// Beside a run alone there is no place; entries that knew only the usual
-    /// number would go on sending work to be refused.
+    /// During an exclusive run no slot is available. Entries that saw the usual
+    /// maximum would keep sending work that is then refused.
     pub(super) fn load_hint(&self, now: Instant) -> Load {
         let running_max = match self.attempts.any_exclusive() {
             true => 0,
--- a/crates/role/src/agent/attempt_history.rs
+++ b/crates/role/src/agent/attempt_history.rs
@@ -1,27 +1,29 @@
-//! Attempts that are over, or must never begin.
+//! History of attempts that have ended or must never start.
 //!
-//! `Revoke` asks whether an attempt ran. The answer `not_run` is a promise about
-//! the future too, so it is kept as a tombstone that a late `Run` meets. And it
-//! is only given about an attempt of which this agent would know if it had run.
+//! A `Revoke` asks whether an attempt ran. The answer `not_run` also promises
+//! that it never will, so it is stored as a tombstone that refuses a late
+//! `Run`. It is given only for an attempt about which this agent would know if
+//! it had run.
 
 use base::{AttemptId, Instant, Ran};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Attempts remembered; at some tens of bytes each a few megabytes.
+/// Maximum number of remembered attempts; at some tens of bytes each, a few
+/// megabytes.
 const HISTORY_MAX_ATTEMPTS: usize = 65_536;
 
-/// Attempts that are over, or must never begin.
+/// Attempts that have ended or must never start, each kept for a limited time.
 #[derive(Debug, Default)]
 pub(super) struct AttemptHistory {
     outcomes: BTreeMap<AttemptId, Ran>,
     by_expiry: VecDeque<(Instant, AttemptId)>,
-    /// Until then an attempt that is not known may be one that was forgotten
-    /// early, for want of room.
+    /// Until this time an unknown attempt may be one that was evicted early to
+    /// make room.
     incomplete_until: Instant,
 }
 
 impl AttemptHistory {
-    /// Remembers how an attempt ended, or that it must not begin.
+    /// Stores how an attempt ended, or that it must not start.
     pub(super) fn insert(
         &mut self,
         now: Instant,
@@ -47,12 +49,12 @@
         self.outcomes.get(&attempt).copied()
     }
 
-    /// Every attempt that might still be asked about is known.
+    /// Whether every attempt that an entry might still ask about is known.
     pub(super) fn is_complete(&self, now: Instant) -> bool {
         now >= self.incomplete_until
     }
 
-    /// Whether another tombstone fits without forgetting an earlier one.
+    /// Whether another tombstone fits without evicting an earlier one.
     pub(super) fn has_room(&mut self, now: Instant) -> bool {
         self.drop_expired(now);
         self.by_expiry.len() < HISTORY_MAX_ATTEMPTS
--- a/crates/role/src/agent/attempt_lifecycle.rs
+++ b/crates/role/src/agent/attempt_lifecycle.rs
@@ -1,4 +1,5 @@
-//! Attempts from an entry's word to the upstream, and their recall.
+//! Attempts from the `Run` frame to the hand-over, and their cancellation and
+//! revocation.
 
 use super::attempts::{Attempt, Phase};
 use super::{AgentAction, AgentRole, timeline};
@@ -7,7 +8,7 @@
 use schema::link::{self, Refused, Revoke, Revoked, Run, frame};
 use schema::timeline::EventKind;
 
-/// The number of an attempt as a frame carries it.
+/// Reads an attempt id from a frame.
 pub(super) fn attempt_id(attempt: Option<link::Attempt>) -> Option<AttemptId> {
     attempt.map(|attempt| AttemptId {
         origin: attempt.origin,
@@ -15,7 +16,7 @@
     })
 }
 
-/// The number of an attempt for a frame.
+/// Converts an attempt id for a frame.
 pub(super) fn attempt_frame(id: AttemptId) -> Option<link::Attempt> {
     Some(link::Attempt {
         origin: id.origin,
@@ -24,7 +25,7 @@
 }
 
 impl AgentRole {
-    /// An entry asks to run a request.
+    /// Admits or refuses an attempt that an entry asks to run.
     pub(super) fn on_run(
         &mut self,
         now: Instant,
@@ -36,7 +37,7 @@
             self.counters.frames_dropped += 1;
             return;
         };
-        // An attempt is run once: a second frame of it is dropped.
+        // An attempt runs at most once: a second frame for it is dropped.
         if self.attempts.get(id).is_some() || self.ended.get(id).is_some() {
             self.counters.frames_dropped += 1;
             return;
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Hands an attempt to the driver, once its key is claimed if it has one.
+    /// Starts an attempt, after claiming its idempotency key if it has one.
     pub(super) fn claim_and_start(
         &mut self,
         now: Instant,
@@ -137,7 +138,7 @@
         self.send(entry, body, out);
     }
 
-    /// The caller is gone.
+    /// Cancels an attempt whose caller disconnected.
     pub(super) fn on_cancel(
         &mut self,
         now: Instant,
@@ -154,12 +155,12 @@
         }
     }
 
-    /// Nobody waits for an attempt any more.
+    /// Handles an attempt whose answer nobody waits for any more.
     ///
-    /// What may be repeated is stopped and its place is free at once. A call
-    /// that may not be repeated is left to finish, so that a resend of its key
-    /// finds the answer. One that waits for its claim, or to run alone, is
-    /// forgotten; the claim, should it be granted, is released.
+    /// An idempotent attempt is stopped, which frees its slot at once. A
+    /// non-idempotent one continues, so that a resend of its key finds the
+    /// answer. One that waits for its claim or for an idle upstream is dropped;
+    /// its claim is released if it is granted later.
     fn detach(&mut self, now: Instant, id: AttemptId, out: &mut Vec<AgentAction>) {
         let Some(attempt) = self.attempts.get_mut(id) else {
             return;
@@ -179,7 +180,7 @@
         }
     }
 
-    /// Stops an attempt at the upstream and forgets it.
+    /// Stops an attempt at the upstream and removes it.
     pub(super) fn stop_attempt(
         &mut self,
         now: Instant,
@@ -198,7 +199,7 @@
         self.ended.insert(now, retention_ms, id, ran);
     }
 
-    /// The connection to an entry ended: none of its attempts has a reader.
+    /// Detaches the attempts of an entry whose connection ended.
     pub(super) fn on_link_down(
         &mut self,
         now: Instant,
@@ -212,7 +213,8 @@
         }
     }
 
-    /// An entry misses an answer and asks whether the attempt ran.
+    /// Answers an entry that received no answer and asks whether the attempt
+    /// ran.
     pub(super) fn on_revoke(
         &mut self,
         now: Instant,
@@ -237,7 +239,7 @@
     }
 
     fn revoke_attempt(&mut self, now: Instant, id: AttemptId, incarnation: u64) -> Ran {
-        // What an earlier run of this process did is not known here.
+        // What an earlier incarnation of this process did is unknown.
         if incarnation != self.options.incarnation.0 {
             return Ran::Unknown;
         }
@@ -270,7 +272,7 @@
     u32::try_from(retry_ms).unwrap_or(u32::MAX)
 }
 
-/// What can be said of an attempt that is in the table.
+/// What is known about whether an attempt in progress ran.
 fn ran_so_far(attempt: &Attempt) -> Ran {
     match attempt.phase {
         Phase::Running | Phase::Broken { .. } => Ran::Ran,
--- a/crates/role/src/agent/attempts.rs
+++ b/crates/role/src/agent/attempts.rs
@@ -1,34 +1,35 @@
-//! The table of attempts.
+//! Table of the attempts in progress.
 
 use base::{AttemptId, EntryId, Instant, ModelId, Refusal};
 use schema::link::Run;
 use std::collections::BTreeMap;
 
-/// Where an attempt is in its life.
+/// Stage of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// It waits until nothing else is in progress.
+    /// An exclusive run waits until nothing else is in progress.
     WaitingForIdle {
         /// When it is refused instead.
         until: Instant,
     },
-    /// It waits for the claim of its key.
+    /// It waits for the claim of its idempotency key.
     Claiming,
-    /// It was given to the driver.
+    /// It was given to the driver, which has not sent any of it yet.
     Starting,
     /// Its first bytes were sent to the upstream.
     Running,
-    /// Its connection broke. Whether the upstream died with it is not known
-    /// yet; it then counts among those in flight at the crash.
+    /// Its connection broke. It is not known yet whether the upstream died; if
+    /// it did, the attempt counts among those in flight at the crash.
     Broken {
         /// When it ends as if the upstream had not died.
         until: Instant,
     },
-    /// It was refused, and waits for its claim's release.
+    /// It was not run, and waits for its claim to be released.
     Releasing {
         /// What to tell the entry.
         refusal: Refusal,
-        /// It had been handed over, so it ends instead of being refused.
+        /// It was handed over before, so it ends with `End` instead of
+        /// `Refused`.
         handed_over: bool,
     },
 }
@@ -36,10 +37,10 @@
 /// One attempt.
 #[derive(Debug)]
 pub(super) struct Attempt {
-    /// Entry to answer; `None` once it is gone.
+    /// Entry to answer; `None` once nobody waits for the answer.
     pub(super) entry: Option<EntryId>,
     pub(super) phase: Phase,
-    /// The request; taken when it is given to the driver.
+    /// The request; taken when the attempt is given to the driver.
     pub(super) run: Option<Box<Run>>,
     pub(super) model: ModelId,
     pub(super) version: u32,
@@ -47,7 +48,7 @@
     pub(super) needs_claim: bool,
     pub(super) exclusive: bool,
     pub(super) fingerprint: u64,
-    /// Run of the upstream that it was handed to; 0 before that.
+    /// Incarnation of the upstream that it was handed to; 0 before that.
     pub(super) upstream_incarnation: u64,
     /// Units of the answer before the next part.
     pub(super) offset: u64,
@@ -55,17 +56,18 @@
     pub(super) deadline: Instant,
     /// The entry was told that the deadline has passed.
     pub(super) deadline_reported: bool,
-    /// Answer of a call with a key; `None` once it is too large to be kept.
+    /// Answer of a call with a claim, stored for a resend; `None` if it is
+    /// incomplete or exceeds the size limit.
     pub(super) stored_answer: Option<Vec<u8>>,
 }
 
 impl Attempt {
-    /// It was handed to the upstream.
+    /// Whether it was handed to the upstream.
     pub(super) const fn is_handed_over(&self) -> bool {
         matches!(self.phase, Phase::Running | Phase::Broken { .. })
     }
 
-    /// It takes a place at the upstream, or may soon.
+    /// Whether it occupies a slot of the upstream or may soon.
     const fn occupies_slot(&self) -> bool {
         !matches!(
             self.phase,
@@ -73,7 +75,8 @@
         )
     }
 
-    /// Keeps a part for a resend, up to `max` bytes in all.
+    /// Appends a part to the stored answer, which is discarded if it exceeds
+    /// `max` bytes.
     pub(super) fn store_part(&mut self, payload: &[u8], max: usize) {
         let Some(stored_answer) = &mut self.stored_answer else {
             return;
@@ -117,7 +120,7 @@
         self.table.is_empty()
     }
 
-    /// Places taken.
+    /// Number of occupied slots.
     pub(super) fn in_flight(&self) -> u32 {
         let occupying = self
             .table
@@ -126,14 +129,15 @@
         u32::try_from(occupying.count()).unwrap_or(u32::MAX)
     }
 
-    /// An attempt that must run alone is in progress, or held until it can be.
+    /// Whether an exclusive run is in progress or waits for the upstream to be
+    /// idle.
     pub(super) fn any_exclusive(&self) -> bool {
         self.table.values().any(|attempt| {
             attempt.exclusive && !matches!(attempt.phase, Phase::Releasing { .. })
         })
     }
 
-    /// The attempt that is held; the gate lets in one at a time.
+    /// The waiting exclusive run; admission control allows one at a time.
     pub(super) fn waiting_exclusive(&self) -> Option<AttemptId> {
         let mut table = self.table.iter();
         let is_waiting =
@@ -141,7 +145,7 @@
         table.find(|(_, a)| is_waiting(a)).map(|(id, _)| *id)
     }
 
-    /// When the youngest of those in progress began.
+    /// When the attempt that started last among those in progress started.
     pub(super) fn latest_began_at(&self) -> Option<Instant> {
         let occupying = self
             .table
@@ -150,7 +154,7 @@
         occupying.map(|attempt| attempt.began_at).max()
     }
 
-    /// An attempt on a version of a model is in progress.
+    /// Whether an attempt for a version of a model is in progress.
     pub(super) fn any_for_model(&self, model: &ModelId, version: u32) -> bool {
         let mut occupying = self
             .table
@@ -159,7 +163,7 @@
         occupying.any(|attempt| attempt.model == *model && attempt.version == version)
     }
 
-    /// Attempts for which a condition holds, in order.
+    /// Ids of the attempts for which a condition holds, in ascending order.
     pub(super) fn ids_matching(
         &self,
         matches: impl Fn(&Attempt) -> bool,
@@ -168,7 +172,7 @@
         found.map(|(id, _)| *id).collect()
     }
 
-    /// When an attempt next needs to be looked at.
+    /// When an attempt next needs to be processed.
     pub(super) fn due(&self) -> Option<Instant> {
         let times = self
             .table
--- a/crates/role/src/agent/claims.rs
+++ b/crates/role/src/agent/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of non-idempotent calls with a key.
+//! Claims of non-idempotent calls with an idempotency key.
 
 use super::attempt_lifecycle::{attempt_frame, retry_after};
 use super::attempts::Phase;
@@ -100,8 +100,8 @@
         }
     }
 
-    /// The claim stands. Time has passed since the gate let the attempt in, so
-    /// what may have changed is looked at again before the run.
+    /// Starts a call whose claim was granted. Time has passed since admission,
+    /// so the conditions that may have changed are checked again first.
     fn on_claim_granted(
         &mut self,
         now: Instant,
@@ -111,7 +111,7 @@
         self.counters.claims_granted += 1;
         timeline::attempt_event(EventKind::ClaimTaken, id, 0, out);
         let Some(attempt) = self.attempts.get(id) else {
-            // The caller is gone or has revoked it.
+            // The caller disconnected or the entry revoked the attempt.
             self.release_claim(now, id, out);
             return;
         };
@@ -149,8 +149,8 @@
             self.send_refusal(now, attempt.entry.as_ref(), id, refusal, out);
             return;
         }
-        // This attempt was not run, but an earlier one of the key was, or may
-        // have been; the caller asks about the call.
+        // This attempt was not run, but an earlier one with the same key was or
+        // may have been; `End` tells the caller to query the call's outcome.
         let end = End {
             retry_after_ms: retry_after(&refusal),
             ..self.end_frame(now, id, code, refusal.ran)
@@ -158,7 +158,7 @@
         self.send(attempt.entry.as_ref(), frame::Body::End(end), out);
     }
 
-    /// The call ran before: its stored answer is the answer.
+    /// Answers a call that ran before with its stored answer.
     fn send_stored_answer(
         &mut self,
         now: Instant,
--- a/crates/role/src/agent/concurrency_limit.rs
+++ b/crates/role/src/agent/concurrency_limit.rs
@@ -1,49 +1,51 @@
-//! How many places an engine has while its tokens come in time.
+//! Adaptive concurrency limit of an engine, which keeps the time between tokens
+//! within its target.
 //!
-//! The settings name the most requests that an engine takes in one batch. A
-//! fuller batch takes longer for a step, and each step is a token of every
-//! answer in it; how much longer depends on model, prompts and accelerator. Past
-//! some point more places mean that no answer has its expected time between
+//! The settings state the most requests that an engine takes in one batch. A
+//! fuller batch makes each step longer, and each step yields one token of every
+//! answer in the batch; how much longer depends on model, prompts and
+//! accelerator. Beyond some batch size no answer meets its target time between
 //! tokens. `docs/design/gate.md` has the measurements.
 
-/// Part of the expected time between tokens, in percent, up to which places are
-/// added.
+/// The limit is raised only while the step time is below this percentage of the
+/// target time between tokens.
 const INCREASE_BELOW_PERCENT: u64 = 90;
 
-/// Reports between two changes, so that the effect of one is seen before the
-/// next.
+/// Reports between two adjustments, so that the effect of one is seen before
+/// the next.
 const REPORTS_PER_ADJUSTMENT: u32 = 8;
 
-/// A fall takes this many percent off the places.
+/// Percentage by which an adjustment lowers the limit.
 const DECREASE_PERCENT: u32 = 10;
 
-/// Below this part of the places of the settings the expectation counts as out
-/// of reach.
+/// The lowest limit is the configured maximum divided by this. If steps are
+/// still too long at that limit, the target counts as unattainable.
 const MIN_LIMIT_DIVISOR: u32 = 8;
 
-/// Changes for which all places are open once the expectation was found to be
-/// out of reach: with a report every 150 ms, five minutes.
+/// Number of adjustments that are skipped, with the limit at its maximum, once
+/// the target was found unattainable: five minutes at one report every 150 ms.
 ///
-/// Few places cost throughput, and when even they don't bring the tokens in
-/// time they gain nothing.
+/// A low limit costs throughput, and it gains nothing if even the lowest limit
+/// does not meet the target.
 const PAUSED_ADJUSTMENTS: u32 = 250;
 
-/// Share of a new sample in the smoothed step time, as one part in so many.
+/// Smoothing of the step time: a new sample weighs one part in this many.
 const SMOOTHING: u64 = 4;
 
-/// The places of one engine.
+/// Adaptive concurrency limit of one engine.
 #[derive(Debug, Default)]
 pub struct ConcurrencyLimit {
     configured_max: u32,
     limit: u32,
     smoothed_step_us: u64,
     reports: u32,
-    /// Changes for which all places stay open.
+    /// Adjustments left to skip, during which the limit stays at its maximum.
     paused_adjustments: u32,
 }
 
 impl ConcurrencyLimit {
-    /// Sets the places by the settings; a change starts from them anew.
+    /// Sets the maximum from the settings; if it changed, the limit starts from
+    /// it again.
     pub const fn configure(&mut self, configured_max: u32) {
         if self.configured_max != configured_max {
             self.configured_max = configured_max;
@@ -51,11 +53,12 @@
         }
     }
 
-    /// Takes the duration of a step into account.
+    /// Adjusts the limit to the duration of a step.
     ///
-    /// `expected_us` is the time between tokens that the work expects; 0 for
-    /// none, and all places are open. `full` says that all places are taken:
-    /// only then does a short step show that more would do.
+    /// `expected_us` is the target time between tokens in microseconds; 0 means
+    /// no target, and the limit is then the configured maximum. `saturated`
+    /// says that all slots are occupied: only then does a short step show that
+    /// more slots would fit.
     pub fn observe(&mut self, step_us: u32, expected_us: u64, saturated: bool) {
         if expected_us == 0 {
             self.limit = self.configured_max;
@@ -75,7 +78,7 @@
         }
     }
 
-    /// Requests that may be in progress at once.
+    /// Number of requests that may be in progress at once.
     pub const fn limit(&self) -> u32 {
         self.limit
     }
--- a/crates/role/src/agent/config_sync.rs
+++ b/crates/role/src/agent/config_sync.rs
@@ -1,5 +1,5 @@
-//! Where the configuration comes from: the platform at the start, the entries
-//! from then on.
+//! Configuration updates: read from the platform at the start, then received
+//! from the entries.
 
 use super::AgentAction;
 use super::platform_client::{Backoff, PlatformClient};
@@ -9,7 +9,7 @@
 use schema::link::{ConfigChange, ConfigChanges};
 use std::sync::Arc;
 
-/// Shortest time between two questions for changes.
+/// Minimum time between two `ConfigAsk` frames.
 const ASK_MIN_MS: u64 = 500;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -18,16 +18,16 @@
     Changes,
 }
 
-/// Something came of an offer of changes.
+/// Result of applying configuration changes.
 #[derive(Debug, Default)]
 pub(super) struct ConfigUpdate {
-    /// The configuration now in force, if it is a new one.
+    /// The new configuration, if the revision in force has risen.
     pub(super) applied: Option<Arc<Config>>,
-    /// A change could not be read.
+    /// A change could not be decoded.
     pub(super) undecodable: bool,
 }
 
-/// The configuration and where it comes from.
+/// The configuration log and the platform read that fills it at the start.
 #[derive(Debug, Default)]
 pub(super) struct ConfigSync {
     log: ConfigLog,
@@ -49,7 +49,8 @@
         self.log.changes_after(after)
     }
 
-    /// Whether to ask a peer that has a higher revision in force.
+    /// Returns whether to send a `ConfigAsk` to a peer that has a higher
+    /// revision in force, and if so records the time.
     pub(super) fn try_begin_ask_if_behind(
         &mut self,
         now: Instant,
@@ -58,7 +59,8 @@
         peer_revision > self.revision() && self.try_begin_ask(now)
     }
 
-    /// Whether the last question is old enough for another.
+    /// Returns whether the last `ConfigAsk` is old enough for another, and if
+    /// so records the time.
     pub(super) fn try_begin_ask(&mut self, now: Instant) -> bool {
         if self
             .last_ask_at
@@ -70,7 +72,7 @@
         true
     }
 
-    /// Takes changes from wherever they come.
+    /// Applies changes from the platform or from an entry.
     pub(super) fn apply(&mut self, changes: &ConfigChanges) -> ConfigUpdate {
         let before = self.revision();
         let undecodable = self.log.offer(changes).is_err();
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Reads the configuration from the platform until there is one.
+    /// Reads the configuration from the platform until one is in force.
     pub(super) fn advance(
         &mut self,
         now: Instant,
--- a/crates/role/src/agent/counters.rs
+++ b/crates/role/src/agent/counters.rs
@@ -1,21 +1,22 @@
-//! Counts since the start of the process.
+//! Counters since the start of the process.
 
 use serde::Serialize;
 
-/// Counts since the start of the process.
+/// Counters since the start of the process.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
 pub struct AgentCounters {
-    /// Attempts handed to the upstream.
+    /// Attempts given to the driver to hand to the upstream.
     pub started: u64,
-    /// Answers that ended whole.
+    /// Answers completed by the upstream.
     pub finished: u64,
     /// Attempts that failed at the upstream.
     pub failed: u64,
-    /// Attempts that the gate refused.
+    /// Attempts refused by admission control.
     pub refused: u64,
-    /// Attempts stopped because their caller or entry is gone.
+    /// Attempts cancelled because their caller disconnected or their entry's
+    /// connection ended.
     pub cancelled: u64,
-    /// Attempts stopped at their deadline.
+    /// Deadlines that passed while their attempt ran.
     pub deadlines: u64,
     /// Revocations answered with `not_run`.
     pub revoked: u64,
@@ -27,7 +28,7 @@
     pub replays: u64,
     /// Crashes of the upstream with attempts in flight.
     pub crashes: u64,
-    /// Orders given, with repetitions.
+    /// Orders sent, including resends.
     pub orders: u64,
     /// Orders that got no answer.
     pub orders_unanswered: u64,
@@ -41,10 +42,11 @@
     pub freezes: u64,
     /// Heartbeats sent.
     pub heartbeats: u64,
-    /// Frames dropped because they make no sense here.
+    /// Frames dropped because they are invalid, duplicate or not meant for an
+    /// agent.
     pub frames_dropped: u64,
-    /// Events of the upstream about attempts that are over.
+    /// Upstream events dropped because their attempt has ended.
     pub upstream_events_dropped: u64,
-    /// Configuration changes or records that could not be read.
+    /// Configuration changes and records that could not be decoded.
     pub undecodable: u64,
 }
--- a/crates/role/src/agent/drain.rs
+++ b/crates/role/src/agent/drain.rs
@@ -1,25 +1,26 @@
-//! Stopping: no new work, finish what runs, leave nothing behind.
+//! Graceful shutdown: accept no new work, finish running attempts, then flush
+//! claims and deregister.
 
 use super::{AgentAction, AgentRole, timeline};
 use base::Instant;
 use schema::timeline::EventKind;
 
-/// Longest wait for the claims' last writes once no attempt runs.
+/// Longest wait for the last writes of the claims, once no attempt runs.
 const FLUSH_MAX_MS: u64 = 10_000;
 
 /// Longest wait for the removal of the registration.
 const DEREGISTRATION_MAX_MS: u64 = 2_000;
 
-/// How far the stop has come.
+/// Stage of the shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Drain {
-    /// Attempts in progress are finished.
+    /// Waiting for attempts in progress to finish.
     FinishingAttempts,
-    /// The claims' last writes are waited for.
+    /// Waiting for the last writes of the claims.
     FlushingClaims { until: Instant },
-    /// The registration is being removed.
+    /// Waiting for the removal of the registration.
     Deregistering { until: Instant },
-    /// All is done.
+    /// The driver was told to exit.
     Complete,
 }
 
@@ -43,11 +44,11 @@
         }
     }
 
-    /// Takes the stop as far as it can go.
+    /// Moves the shutdown through every stage that is complete.
     ///
-    /// Each wait but the first is bounded: the platform may be away, and what
-    /// is left undone then is only untidy. The first is bounded by the
-    /// attempts' deadlines.
+    /// Attempts are waited for until their deadlines. The other waits have a
+    /// fixed limit because the platform may be away; leaving those steps undone
+    /// is safe.
     pub(super) fn advance_drain(&mut self, now: Instant, out: &mut Vec<AgentAction>) {
         if self.drain == Some(Drain::FinishingAttempts) && self.attempts.is_empty() {
             let until = now.plus_ms(FLUSH_MAX_MS);
--- a/crates/role/src/agent/epoch.rs
+++ b/crates/role/src/agent/epoch.rs
@@ -1,4 +1,4 @@
-//! What the agent's record means for its orders.
+//! Effects of a change of the agent's record on its orders.
 
 use super::drain::Drain;
 use super::epoch_record::RecordOutcome;
@@ -27,11 +27,11 @@
         }
     }
 
-    /// A successor has the epoch: this agent gives no orders, takes no work, and
-    /// ends once what runs has ended.
+    /// Stops this agent because a successor has taken the epoch: it sends no
+    /// orders, accepts no work, and exits once its running attempts have ended.
     ///
-    /// As long as the process lives the successor counts what it may have
-    /// ordered; its end frees that memory.
+    /// As long as this process lives, the successor counts the memory of the
+    /// orders it may have sent; its exit frees that memory.
     fn become_fenced(&mut self, out: &mut Vec<AgentAction>) {
         self.withdraw_unrecorded();
         self.orders.clear();
@@ -41,8 +41,8 @@
         self.drain.get_or_insert(Drain::FinishingAttempts);
     }
 
-    /// Orders whose intent was provably not written are given up; the plan is
-    /// made anew when the record can be written.
+    /// Withdraws orders whose intent was certainly not written; they are
+    /// planned again when the record can be written.
     pub(super) fn withdraw_unrecorded(&mut self) {
         let unrecorded = self.ledger.orders().filter(|order| order.sends == 0);
         let ids: Vec<u64> = unrecorded.map(|order| order.id).collect();
--- a/crates/role/src/agent/epoch_record.rs
+++ b/crates/role/src/agent/epoch_record.rs
@@ -1,9 +1,10 @@
-//! The agent's epoch and the intents of its orders, in `agents/<id>`.
+//! The agent's epoch and the intents of its orders, stored in the platform
+//! under `agents/<id>`.
 //!
-//! Every write is conditional on the version last seen, so of two agents beside
-//! one upstream only the one that took the later epoch can still record an
-//! intent. No order goes out without its intent in the record; the other agent
-//! therefore gives no order that its successor does not count.
+//! Every write is conditional on the version last seen. Of two agents beside
+//! one upstream, only the one that took the later epoch can therefore still
+//! record an intent. No order is sent before its intent is recorded, so the
+//! older agent sends no order that its successor does not count.
 
 use super::AgentAction;
 use super::platform_client::{Backoff, PlatformClient};
@@ -19,32 +20,34 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    /// The epoch is not taken yet.
-    Taking,
-    /// The epoch is ours.
-    WaitingForIdle,
+    /// The epoch has not been taken yet.
+    AcquiringEpoch,
+    /// This process holds the epoch.
+    EpochHeld,
     /// A successor has taken a higher epoch.
     Fenced,
 }
 
-/// What an answer of the platform meant.
+/// Meaning of a platform answer for the rest of the state machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RecordOutcome {
-    /// Nothing that concerns others.
+    /// No other module needs to react.
     Nothing,
-    /// The epoch is ours, with the intents that predecessors left.
+    /// This process now holds the epoch, and knows the intents that its
+    /// predecessors left.
     EpochTaken,
-    /// The record's content is known again.
+    /// The content of the record is known.
     Recorded,
-    /// A write provably had no effect.
+    /// A write certainly had no effect.
     NotWritten,
     /// A successor has taken over.
     Fenced,
-    /// The record can't be read; nothing is done on a guess.
+    /// The record can't be decoded; nothing is changed, as its content is
+    /// unknown.
     Undecodable,
 }
 
-/// The record of this agent.
+/// Client of this agent's record in the platform.
 #[derive(Debug)]
 pub(super) struct EpochRecord {
     key: String,
@@ -55,7 +58,7 @@
     version: Option<Version>,
     intents: Vec<Intent>,
     call: Option<(u64, Call)>,
-    /// The record has to be read before anything is done by it.
+    /// The record must be read before anything is done that depends on it.
     needs_read: bool,
     backoff: Backoff,
 }
@@ -66,7 +69,7 @@
             key: format!("agents/{id}"),
             incarnation,
             link_address: link_address.to_owned(),
-            phase: Phase::Taking,
+            phase: Phase::AcquiringEpoch,
             epoch: Epoch(0),
             version: None,
             intents: Vec::new(),
@@ -76,7 +79,7 @@
         }
     }
 
-    /// Epoch held; 0 before it is taken.
+    /// Epoch held by this process; 0 before it is taken.
     pub(super) const fn epoch(&self) -> Epoch {
         self.epoch
     }
@@ -85,12 +88,14 @@
         self.phase == Phase::Fenced
     }
 
-    /// The epoch is ours as far as can be known: orders may go out.
+    /// Whether the epoch is held as far as this process can know, so that
+    /// orders may be sent.
     pub(super) fn is_confirmed(&self) -> bool {
-        self.phase == Phase::WaitingForIdle && !self.needs_read
+        self.phase == Phase::EpochHeld && !self.needs_read
     }
 
-    /// The record can be written, so that a plan can be carried out.
+    /// Whether the record can be written now, so that new orders can be
+    /// planned.
     pub(super) fn is_writable(&self, now: Instant) -> bool {
         self.is_confirmed() && self.backoff.has_elapsed(now)
     }
@@ -99,22 +104,23 @@
         self.call.is_some()
     }
 
-    /// Whether the record holds the intent of an order.
+    /// Whether the record contains the intent of an order.
     pub(super) fn contains_intent(&self, order: u64) -> bool {
         self.intents.iter().any(|intent| intent.order == order)
     }
 
-    /// Intents in the record.
+    /// Intents in the record, as last read or written.
     pub(super) fn intents(&self) -> &[Intent] {
         &self.intents
     }
 
-    /// The process may have been frozen: read before any further order.
+    /// Requires a read before any further order, because the process may have
+    /// been replaced.
     pub(super) fn require_read(&mut self) {
         self.needs_read = true;
     }
 
-    /// Reads the record if that is needed.
+    /// Reads the record if a read is required.
     pub(super) fn advance(
         &mut self,
         now: Instant,
@@ -129,7 +135,7 @@
         self.call = Some((client.call(PlatformOp::Read { key }, out), Call::Read));
     }
 
-    /// Writes the intents, if no write is in flight.
+    /// Writes the intents, if no call is in flight.
     pub(super) fn write(
         &mut self,
         now: Instant,
@@ -194,7 +200,8 @@
                 self.needs_read = true;
                 RecordOutcome::Nothing
             }
-            // A write without an answer may have taken effect: read it back.
+            // A write without an answer may have taken effect: read the record
+            // back.
             (Call::Write(_), _) => {
                 self.needs_read = true;
                 RecordOutcome::Nothing
@@ -209,14 +216,14 @@
     fn on_written(&mut self, version: Version, record: AgentRecord) -> RecordOutcome {
         self.version = Some(version);
         self.intents = record.intents;
-        if self.phase == Phase::Taking {
+        if self.phase == Phase::AcquiringEpoch {
             return self.on_epoch_taken(Epoch(record.epoch));
         }
         RecordOutcome::Recorded
     }
 
     fn on_epoch_taken(&mut self, epoch: Epoch) -> RecordOutcome {
-        self.phase = Phase::WaitingForIdle;
+        self.phase = Phase::EpochHeld;
         self.epoch = epoch;
         self.needs_read = false;
         RecordOutcome::EpochTaken
@@ -236,9 +243,10 @@
             self.backoff.record_failure(now, client);
             return RecordOutcome::Undecodable;
         };
-        // Epochs only grow, so a lower one is a value from before ours. Taken for
-        // a successor's it would end the only agent of the instance.
-        if self.phase == Phase::WaitingForIdle && record.epoch < self.epoch.0 {
+        // Epochs only grow, so a lower one is a stale value from before this
+        // process took its own. Mistaking it for a successor's would end the
+        // only agent of the instance.
+        if self.phase == Phase::EpochHeld && record.epoch < self.epoch.0 {
             self.backoff.record_failure(now, client);
             return RecordOutcome::Nothing;
         }
@@ -247,7 +255,7 @@
             return self.on_own_record(record);
         }
         let newer = record.incarnation > self.incarnation.0;
-        if self.phase == Phase::WaitingForIdle || newer {
+        if self.phase == Phase::EpochHeld || newer {
             self.phase = Phase::Fenced;
             return RecordOutcome::Fenced;
         }
@@ -259,20 +267,21 @@
     fn on_own_record(&mut self, record: AgentRecord) -> RecordOutcome {
         self.needs_read = false;
         self.intents = record.intents;
-        if self.phase == Phase::Taking {
+        if self.phase == Phase::AcquiringEpoch {
             return self.on_epoch_taken(Epoch(record.epoch));
         }
         RecordOutcome::Recorded
     }
 
-    /// There is no record: this is the first agent, or the platform lost it.
+    /// Creates the record: either this is the first agent, or the platform lost
+    /// it.
     fn on_record_absent(
         &mut self,
         client: &mut PlatformClient,
         out: &mut Vec<AgentAction>,
     ) -> RecordOutcome {
         self.version = None;
-        self.needs_read = self.phase != Phase::WaitingForIdle;
+        self.needs_read = self.phase != Phase::EpochHeld;
         let epoch = Epoch(self.epoch.0.max(1));
         let intents = std::mem::take(&mut self.intents);
         self.send_write(epoch, intents, client, out);
@@ -285,10 +294,11 @@
     }
 }
 
-/// The intents of a predecessor's record, each with its giver's address.
+/// Returns the intents of a predecessor's record, each with the link address of
+/// the agent that recorded it.
 ///
-/// An agent that does not write the addresses yet is still known by that of its
-/// record.
+/// Agents of earlier versions write no address into their intents; those of the
+/// record's own epoch get the address of the record.
 fn intents_with_addresses(record: AgentRecord) -> Vec<Intent> {
     let mut intents = record.intents;
     for intent in &mut intents {
--- a/crates/role/src/agent/event.rs
+++ b/crates/role/src/agent/event.rs
@@ -1,45 +1,47 @@
-//! What an agent's machine is told and what it asks of its driver.
+//! Events that the driver feeds into the agent's state machine, and actions
+//! that it carries out.
 
 use base::prelude::*;
 use base::{PlatformAnswer, PlatformCall};
 use schema::link::{Run, frame};
 use schema::timeline;
 
-/// Something that happened to an agent.
+/// An input of the agent's state machine.
 #[derive(Debug)]
 #[expect(
     clippy::large_enum_variant,
     reason = "one event exists at a time, on the stack of its driver"
 )]
 pub enum AgentEvent {
-    /// The time given by `due` has come.
+    /// The time returned by `due` has come.
     Tick,
-    /// An entry connected and said hello.
+    /// An entry connected and sent its `Hello`.
     LinkUp {
-        /// Entry.
+        /// The entry.
         entry: EntryId,
     },
     /// The connection to an entry ended.
     LinkDown {
-        /// Entry.
+        /// The entry.
         entry: EntryId,
     },
-    /// A frame came from an entry.
+    /// A frame arrived from an entry.
     Frame {
-        /// Entry.
+        /// The sender.
         entry: EntryId,
-        /// Revision that the sender has in force.
+        /// Configuration revision that the sender has in force.
         revision: Revision,
-        /// Content.
+        /// Content of the frame.
         body: frame::Body,
     },
     /// Something happened at the upstream.
     Upstream(UpstreamEvent),
-    /// The platform answered a call.
+    /// The platform answered a call, or the call failed.
     PlatformAnswered(PlatformAnswer),
-    /// Whether a predecessor's listen address could be bound: if so, the
-    /// predecessor is dead, since a frozen process still holds its socket. The
-    /// driver answers each `ProbePredecessor` once; the next comes after that.
+    /// Result of a `ProbePredecessor` action. If the predecessor's listen
+    /// address can be bound, the predecessor is dead: a frozen process still
+    /// holds its socket. The driver answers each probe once, and the next probe
+    /// is issued only after that.
     PredecessorProbed {
         /// The address could be bound.
         dead: bool,
@@ -48,40 +50,42 @@
     Drain,
 }
 
-/// Something that happened at the upstream.
+/// An event at the upstream.
 #[derive(Debug)]
 pub enum UpstreamEvent {
-    /// The upstream's own report, some time old.
+    /// The upstream's own report; its age is in `age_ms`.
     Report(UpstreamReport),
-    /// The upstream can't be reached or has died.
+    /// The upstream is unreachable or has died.
     Down,
-    /// An attempt was handed over: its first bytes were sent.
+    /// The first bytes of an attempt were sent to the upstream.
     Started {
-        /// Attempt.
+        /// The attempt.
         attempt: AttemptId,
     },
-    /// A part of an answer came; the driver holds its payload until the call
+    /// A part of an answer arrived; the driver holds its payload until the call
     /// returns.
     AnswerPart {
-        /// Attempt.
+        /// The attempt.
         attempt: AttemptId,
-        /// Units in the part.
+        /// Units in the part: tokens for an engine, bytes for a plain service.
         units: u32,
     },
-    /// A part of the answer to a non-idempotent call with a key, in place of
-    /// `Part`: the answer is kept for a resend. Such a call is known by its
-    /// `Start`, whose run is not idempotent and has a key.
+    /// A part of the answer to a non-idempotent call with an idempotency key,
+    /// instead of `AnswerPart`; the answer is stored for a resend. The driver
+    /// recognises such a call by its `StartAttempt`, whose run is not
+    /// idempotent and has a key.
     KeyedAnswerPart {
-        /// Attempt.
+        /// The attempt.
         attempt: AttemptId,
-        /// Units in the part.
+        /// Units in the part: tokens for an engine, bytes for a plain service.
         units: u32,
-        /// Content, which the driver holds as well until the call returns.
+        /// Payload, of which the driver keeps its own copy until the call
+        /// returns.
         payload: Vec<u8>,
     },
-    /// The upstream ended an answer in good order.
+    /// The upstream completed an answer.
     Done {
-        /// Attempt.
+        /// The attempt.
         attempt: AttemptId,
         /// HTTP status.
         status: u16,
@@ -90,33 +94,33 @@
     },
     /// The attempt failed at the upstream.
     Failed {
-        /// Attempt.
+        /// The attempt.
         attempt: AttemptId,
-        /// Whether it was run: `NotRun` only if not one byte of it was sent, or
-        /// the upstream itself said that it refused it.
+        /// Whether the attempt ran: `NotRun` only if none of its bytes were
+        /// sent or the upstream itself stated that it refused it.
         ran: Ran,
-        /// HTTP status, if one came.
+        /// HTTP status; 0 if none was received.
         status: u16,
         /// The connection broke, as it does when the upstream dies.
         broken: bool,
     },
-    /// The upstream answered an order.
+    /// The upstream answered an order, or no answer came.
     OrderAnswered {
         /// Number of the order.
         order: u64,
-        /// What it said.
+        /// The answer.
         answer: OrderAnswer,
     },
 }
 
-/// What the upstream said to an order.
+/// The upstream's answer to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// It will carry the order out; its report shows the end.
+    /// The order will be carried out; the upstream's report shows its end.
     Accepted,
-    /// It refused the order, which has had no effect and will have none.
+    /// The order was refused; it has had no effect and will have none.
     Refused,
-    /// It refused the order because its fencing number is old.
+    /// The order was refused because its fencing token is too old.
     Fenced,
     /// No answer came; the order may still take effect.
     Unanswered,
@@ -125,129 +129,132 @@
 /// The upstream's own report of its state.
 #[derive(Debug, Clone, Default)]
 pub struct UpstreamReport {
-    /// Identifies one run of the upstream; another value means it restarted.
+    /// Identifies one run of the upstream; a different value means that it
+    /// restarted.
     pub incarnation: u64,
-    /// What is on its accelerators, including what is being loaded or unloaded.
+    /// Models and adapters on its accelerators, including those being loaded or
+    /// unloaded.
     pub residents: Vec<UpstreamResident>,
-    /// Orders that are carried out, or were, with their state.
+    /// Orders in progress and finished, with their state.
     pub orders: Vec<UpstreamOrder>,
-    /// Highest fencing number seen.
+    /// Highest fencing token that the upstream has seen.
     pub highest_fencing_token: u64,
-    /// Requests in the batch.
+    /// Requests in the current batch.
     pub running: u32,
-    /// Requests waiting for the batch.
+    /// Requests waiting to join the batch.
     pub waiting: u32,
-    /// Duration of a step.
+    /// Duration of one decoding step, in microseconds.
     pub step_time_us: u32,
-    /// Age of the report.
+    /// Age of the report when it was received, in milliseconds.
     pub age_ms: u32,
 }
 
-/// One model or adapter as the upstream reports it.
+/// One model or adapter in the upstream's report.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UpstreamResident {
     /// Model or adapter.
     pub model: ModelId,
-    /// Version.
+    /// Version of the model.
     pub version: u32,
     /// Index of the accelerator.
     pub accelerator: u32,
-    /// Memory it takes.
+    /// Accelerator memory that it occupies, in MiB.
     pub size_mib: u32,
-    /// It can serve.
+    /// Loading has finished and requests can be served.
     pub loaded: bool,
 }
 
-/// One order as the upstream reports it.
+/// One order in the upstream's report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UpstreamOrder {
     /// Number of the order.
     pub order: u64,
-    /// Fencing number it came with.
+    /// Fencing token that the order carried.
     pub fencing_token: u64,
-    /// How it stands.
+    /// Progress of the order.
     pub state: UpstreamOrderState,
 }
 
-/// How an order stands at the upstream.
+/// Progress of an order at the upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UpstreamOrderState {
-    /// It is being carried out.
+    /// The order is being carried out.
     InProgress,
-    /// It took effect.
+    /// The order took effect.
     Done,
-    /// It failed and left nothing behind.
+    /// The order failed and left nothing behind.
     Failed,
 }
 
-/// An order to the upstream.
+/// An order to the upstream to load or unload a model.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Order {
     /// Number, unique over all epochs of the agent.
     pub id: u64,
-    /// Fencing number.
+    /// Fencing token: the epoch of the agent that sends the order. An upstream
+    /// that checks fencing refuses tokens lower than the highest it has seen.
     pub fencing_token: Epoch,
     /// True for a load, false for an unload.
     pub load: bool,
     /// Model or adapter.
     pub model: ModelId,
-    /// Version.
+    /// Version of the model.
     pub version: u32,
-    /// Base model, if it is an adapter.
+    /// Base model, if the order is for an adapter.
     pub base: Option<ModelId>,
     /// Index of the accelerator.
     pub accelerator: u32,
-    /// Memory it takes.
+    /// Accelerator memory that it occupies, in MiB.
     pub size_mib: u32,
 }
 
-/// Something an agent's machine asks of its driver.
+/// An action that the state machine asks of its driver.
 #[derive(Debug)]
 pub enum AgentAction {
     /// Send a frame to an entry.
     SendFrame {
-        /// Entry.
+        /// The recipient.
         entry: EntryId,
-        /// Content.
+        /// Content of the frame.
         body: frame::Body,
     },
-    /// Send the part of an answer that the driver holds.
+    /// Send an entry the answer part whose payload the driver holds.
     ForwardPart {
-        /// Entry.
+        /// The recipient.
         entry: EntryId,
-        /// Attempt.
+        /// The attempt.
         attempt: AttemptId,
-        /// Units before the part.
+        /// Units of the answer before the part.
         offset: u64,
-        /// Units in the part.
+        /// Units in the part: tokens for an engine, bytes for a plain service.
         units: u32,
     },
     /// Hand an attempt to the upstream.
     StartAttempt {
-        /// Attempt.
+        /// The attempt.
         attempt: AttemptId,
         /// The request, with its body.
         run: Box<Run>,
     },
     /// Stop an attempt at the upstream.
     StopAttempt {
-        /// Attempt.
+        /// The attempt.
         attempt: AttemptId,
     },
-    /// Give the upstream an order.
+    /// Send an order to the upstream.
     SendOrder(Order),
     /// Call the platform.
     CallPlatform(PlatformCall),
-    /// Try to bind a predecessor's listen address and report whether it could
-    /// be.
+    /// Try to bind a predecessor's listen address and report the result as
+    /// `PredecessorProbed`.
     ProbePredecessor {
-        /// `ip:port`.
+        /// `ip:port` to bind.
         address: String,
     },
-    /// Whether the process takes work.
+    /// Set whether the process accepts work.
     SetReady(bool),
-    /// Record an event of the time line; clock and process are the driver's.
+    /// Record a timeline event; the driver adds the time and the process.
     RecordEvent(timeline::Event),
-    /// The process has drained and may end.
+    /// The process has drained and may exit.
     Exit,
 }
--- a/crates/role/src/agent/exclusive.rs
+++ b/crates/role/src/agent/exclusive.rs
@@ -1,14 +1,15 @@
 //! Runs that must have the upstream to themselves.
 //!
-//! A request that was in flight at a crash runs alone, so that the next crash
-//! shows whether it was the cause. On a busy upstream the batch is never empty
-//! by chance: were such a run only refused, it would go from agent to agent
-//! until its deadline. So the gate holds it, takes nothing else, and starts it
-//! when what runs has ended.
+//! A request that was in flight at a crash is retried as an exclusive run, so
+//! that another crash shows whether it was the cause. The batch of a busy
+//! upstream is rarely empty by chance: if such a run were only refused, it
+//! would move from agent to agent until its deadline. Admission control
+//! therefore accepts it, refuses all other work, and starts it once the running
+//! attempts have ended.
 //!
-//! The price is the places that stand empty meanwhile. Therefore one run is
-//! held at a time, for [`HOLD_MAX_MS`] at most, and only if it is likely to
-//! start within that and its own time.
+//! Slots stay empty while it waits. For that reason only one run waits at a
+//! time, for at most [`EXCLUSIVE_WAIT_MAX_MS`], and only if it is likely to
+//! start within that limit and its own remaining time.
 
 use super::attempts::Phase;
 use super::{AgentAction, AgentRole, timeline};
@@ -16,14 +17,15 @@
 use schema::link::Run;
 use schema::timeline::EventKind;
 
-/// Longest time for which a run is held.
+/// Longest time for which an exclusive run waits.
 ///
-/// An entry gives up a run alone that was silent for 20 s; the refusal has to
-/// come well before.
+/// An entry gives up an exclusive run after 20 s of silence, so the refusal
+/// must arrive well before that.
 pub(super) const EXCLUSIVE_WAIT_MAX_MS: u64 = 10_000;
 
 impl AgentRole {
-    /// Whether a run that needs the upstream to itself is likely to get it.
+    /// Refuses an exclusive run that is unlikely to get the upstream to itself
+    /// in time.
     pub(super) fn check_exclusive(
         &self,
         now: Instant,
@@ -39,7 +41,8 @@
         Err(self.gate_full_refusal())
     }
 
-    /// Time until the youngest of what is in progress has ended.
+    /// Predicted time until the upstream is idle: until the attempt that
+    /// started last has ended.
     fn predicted_idle_ms(&self, now: Instant) -> u64 {
         let service_ms = self.upstream.service_ms();
         let began_at = self.attempts.latest_began_at();
@@ -47,7 +50,7 @@
         self.predicted_wait_ms() + service_ms.saturating_sub(ran_ms)
     }
 
-    /// Holds an attempt until nothing else is in progress.
+    /// Makes an attempt wait until nothing else is in progress.
     pub(super) fn wait_for_idle(
         &mut self,
         now: Instant,
@@ -62,8 +65,8 @@
         timeline::attempt_event(EventKind::RequestWaiting, id, 0, out);
     }
 
-    /// Starts what is held once nothing else is in progress, and refuses it
-    /// when it can't be run here any more.
+    /// Starts the waiting exclusive run once nothing else is in progress, or
+    /// refuses it if it can no longer run here.
     pub(super) fn advance_waiting_exclusive(
         &mut self,
         now: Instant,
@@ -85,8 +88,8 @@
         }
     }
 
-    /// Whether a held attempt may start now. What the gate saw when it came may
-    /// have changed since.
+    /// Whether the waiting exclusive run may start now. Conditions that held
+    /// when it was admitted are checked again, as they may have changed.
     fn check_waiting_exclusive(
         &self,
         now: Instant,
--- a/crates/role/src/agent/heartbeat.rs
+++ b/crates/role/src/agent/heartbeat.rs
@@ -6,22 +6,23 @@
 use schema::link::{Goodbye, Heartbeat, Resident, ResidentState, frame};
 use std::collections::BTreeMap;
 
-/// Heartbeats after which an entry is asked for configuration changes, so that
-/// an agent that gets no work hears of them as well.
+/// Number of heartbeats between two `ConfigAsk` frames, so that an agent that
+/// receives no work learns of new revisions as well.
 const HEARTBEATS_PER_CONFIG_ASK: u64 = 4;
 
-/// What entries must hear of at once when it changes.
+/// State that entries route by; a change is sent at once, not at the next
+/// interval.
 #[derive(Debug, Default, PartialEq, Eq)]
 struct AdvertisedState {
     residents: BTreeMap<Placement, (ResidentState, u32)>,
     upstream_up: bool,
     leaving: bool,
     epoch: u64,
-    /// A run has the upstream to itself, or waits for it.
+    /// An exclusive run occupies the upstream or waits for it.
     exclusive: bool,
 }
 
-/// When the next heartbeat goes out, and what the last one showed.
+/// Schedule of the heartbeats and the state that the last one carried.
 #[derive(Debug)]
 pub(super) struct HeartbeatState {
     next_at: Instant,
@@ -50,8 +51,8 @@
 }
 
 impl AgentRole {
-    /// Sends a heartbeat if it is time, or if something has changed that
-    /// entries route by.
+    /// Sends a heartbeat if one is due or if state that entries route by has
+    /// changed.
     pub(super) fn advance_heartbeat(
         &mut self,
         now: Instant,
@@ -154,7 +155,8 @@
         }
     }
 
-    /// What takes memory, or may: residents, and loads that may still come.
+    /// Returns everything that occupies memory or may come to: residents, and
+    /// loads that may still take effect.
     fn advertised_residents(&self) -> BTreeMap<Placement, (ResidentState, u32)> {
         let mut advertised = BTreeMap::new();
         for order in self.ledger.orders().filter(|order| order.load) {
--- a/crates/role/src/agent/mod.rs
+++ b/crates/role/src/agent/mod.rs
@@ -1,19 +1,23 @@
-//! The agent's machine: gate, ledger, claims and orders of one upstream.
+//! The agent's state machine: admission control, memory ledger, idempotency
+//! claims and load orders of one upstream.
 //!
-//! Only this machine gives its upstream work and orders, so what must always
-//! hold is decided here, from what one process knows for certain:
+//! An agent process runs beside one upstream and is the only process that hands
+//! it requests and load orders. The guarantees below are therefore enforced
+//! here, from state that this one process knows for certain:
 //!
-//! - *Gate.* Every refusal comes before the attempt is handed over, so that
-//!   `not_run` is true. A revoked attempt leaves a tombstone.
-//! - *At most once.* A non-idempotent call with a key is claimed before it is
-//!   handed over (crate `once`).
-//! - *Memory.* The ledger (crate `mem`) reserves before an order is begun; the
-//!   order's intent is recorded under the agent's epoch before it goes out.
-//! - *One agent.* An agent that was replaced, or may have been while it was
-//!   frozen, gives no order: its conditional write fails, and after a freeze it
-//!   reads its record first.
+//! - *Admission.* Every refusal is decided before the attempt is handed to the
+//!   upstream, so `not_run` is always true. A revoked attempt leaves a
+//!   tombstone that refuses a late `Run`.
+//! - *At most once.* A non-idempotent call with an idempotency key is claimed
+//!   before it is handed over (crate `once`).
+//! - *Memory.* The ledger (crate `mem`) reserves memory before an order is
+//!   started, and the order's intent is recorded under the agent's epoch before
+//!   the order is sent.
+//! - *Single agent.* An agent that was replaced, or may have been replaced
+//!   while it was frozen, sends no order: its conditional write fails, and
+//!   after a freeze it reads its record before anything else.
 //!
-//! Each module has one of these jobs; `role` passes events through them.
+//! Each module implements one of these parts; `role` dispatches events to them.
 
 mod admission;
 mod attempt_history;
--- a/crates/role/src/agent/orders.rs
+++ b/crates/role/src/agent/orders.rs
@@ -1,13 +1,14 @@
-//! From the planner's target to orders, and what becomes of them.
+//! Load and unload orders: planned from the planner's target and tracked until
+//! their end.
 //!
-//! An order passes through these steps, and each has a safeguard of its own:
+//! An order passes through these steps, each with its own safeguard:
 //!
-//! 1. The ledger reserves: what could overcommit is not begun.
-//! 2. Its intent is written into the agent's record on condition that nobody
-//!    else has written: a replaced agent gets no further.
-//! 3. It is given to the upstream under the agent's epoch.
-//! 4. Until the upstream shows its end it stays counted, and is given again
-//!    under the same number while it is unanswered.
+//! 1. The ledger reserves memory; a load that could overcommit is not started.
+//! 2. Its intent is written into the agent's record, conditional on the version
+//!    last seen; an agent that was replaced gets no further.
+//! 3. It is sent to the upstream with the agent's epoch as fencing token.
+//! 4. It stays counted until the upstream shows its end, and is resent under
+//!    the same number while no answer comes.
 
 use super::{AgentAction, AgentRole, Order, OrderAnswer, timeline};
 use base::prelude::*;
@@ -16,35 +17,37 @@
 use schema::timeline::EventKind;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Time after which an order without an answer is given again.
+/// Time after which an unanswered order is resent.
 const RESEND_INTERVAL_MS: u64 = 1_000;
 
-/// Time for which an order that was refused is not tried anew.
+/// Time for which a refused order is not planned again.
 const REFUSED_RETRY_DELAY_MS: u64 = 2_000;
 
-/// Time after which intents that have ended are taken out of the record, if no
-/// order has done so before.
+/// Time after which ended intents are removed from the record, if no new intent
+/// was written before.
 const RECORD_CLEANUP_DELAY_MS: u64 = 5_000;
 
-/// Orders of one epoch are numbered within this many bits.
+/// Low bits of an order number that count within one epoch; the epoch is in the
+/// bits above.
 const ORDER_SEQUENCE_BITS: u32 = 32;
 
-/// What the agent remembers of its orders besides the ledger.
+/// State of this agent's orders besides the ledger.
 #[derive(Debug, Default)]
 pub(super) struct Orders {
     sequence: u64,
-    /// When an order is given again.
+    /// When each order is resent, by order number.
     resend_at: BTreeMap<u64, Instant>,
-    /// Placements of refused orders, until when they are left alone.
+    /// Refused orders (placement, and whether it was a load), and until when
+    /// they are not planned again.
     refused_until: BTreeMap<(Placement, bool), Instant>,
-    /// Residents that are to go as soon as no attempt runs on them.
+    /// Residents to unload as soon as no attempt runs on them.
     pending_unloads: BTreeSet<Placement>,
-    /// When ended intents are taken out of the record.
+    /// When ended intents are removed from the record.
     cleanup_at: Option<Instant>,
 }
 
 impl Orders {
-    /// Whether a copy of a version waits to be unloaded.
+    /// Whether a copy of a model version waits to be unloaded.
     pub(super) fn is_unload_pending(&self, model: &str, version: u32) -> bool {
         self.pending_unloads.iter().any(|placement| {
             placement.model.as_str() == model && placement.version == version
@@ -55,7 +58,7 @@
         self.pending_unloads.contains(placement)
     }
 
-    /// Gives up what was to be done.
+    /// Drops all pending work; order numbers continue.
     pub(super) fn clear(&mut self) {
         *self = Self {
             sequence: self.sequence,
@@ -84,7 +87,7 @@
         self.targets.accept(now, target, heartbeat_ms);
     }
 
-    /// An unload of our own is under way there.
+    /// Whether this agent has an unload of the placement in progress.
     pub(super) fn is_being_unloaded(&self, placement: &Placement) -> bool {
         let epoch = self.record.epoch();
         self.ledger.orders().any(|order| {
@@ -92,7 +95,7 @@
         })
     }
 
-    /// Takes all orders one step further.
+    /// Advances all orders by one step.
     pub(super) fn advance_orders(&mut self, now: Instant, out: &mut Vec<AgentAction>) {
         self.orders.refused_until.retain(|_, until| *until > now);
         if !self.is_engine() || self.record.is_fenced() {
@@ -111,8 +114,8 @@
 
     fn plan_orders(&mut self, now: Instant) {
         self.orders.pending_unloads.clear();
-        // Nothing is begun that could not be carried out: while the platform is
-        // away all models stay, and stay served.
+        // Plan nothing that could not be carried out: while the platform is
+        // away, all models stay loaded and keep serving.
         if !self.record.is_writable(now)
             || self.upstream.highest_fencing_token() > self.record.epoch().0
         {
@@ -133,13 +136,13 @@
             .partition(|placement| self.base_of(&placement.model).is_some());
         for placement in bases.into_iter().chain(adapters) {
             if let Some(size_mib) = self.loadable_size_mib(placement) {
-                // What does not fit now is tried again after the next event.
+                // What does not fit now is planned again after the next event.
                 let _ = self.reserve(true, placement, size_mib);
             }
         }
     }
 
-    /// Size of a wanted model that the pool may hold.
+    /// Size of a wanted model, if it belongs to this agent's pool.
     fn loadable_size_mib(&self, placement: &Placement) -> Option<u32> {
         let spec = self.config()?.model(placement.model.as_str())?;
         (spec.pool == self.options.pool).then_some(spec.size_mib)
@@ -162,7 +165,9 @@
             {
                 continue;
             }
-            // A load that was under way when the target changed may still come.
+            // Attempts still run on it, so it is unloaded after the last one. The
+            // unwanted resident may be new: a load that was in progress when the
+            // target changed still completes.
             if self
                 .attempts
                 .any_for_model(&placement.model, placement.version)
@@ -174,8 +179,8 @@
         }
     }
 
-    /// Whether a resident stays: it is wanted, it is the base of a wanted
-    /// adapter, or its newer version is on its way beside it.
+    /// Whether a resident must stay: it is wanted, it is the base of a wanted
+    /// adapter, or its newer version is being loaded beside it.
     fn must_stay(&self, placement: &Placement, wanted: &[Placement]) -> bool {
         if wanted.contains(placement) {
             return true;
@@ -217,7 +222,7 @@
         Ok(())
     }
 
-    /// Gives the orders whose intents are in the record.
+    /// Sends the orders whose intents are in the record.
     fn send_recorded_orders(&mut self, now: Instant, out: &mut Vec<AgentAction>) {
         if !self.record.is_confirmed() {
             return;
@@ -236,8 +241,8 @@
         }
     }
 
-    /// The upstream has shown something since the load was reserved that was
-    /// nobody's order here, and there is no room for both.
+    /// Whether a reserved load no longer fits, because the upstream has since
+    /// reported memory that this agent did not order.
     fn no_longer_fits(&self, id: u64) -> bool {
         self.ledger.order(id).is_some_and(|order| {
             let accelerator = order.placement.accelerator;
@@ -278,15 +283,17 @@
         }
     }
 
-    /// How long the upstream may show nothing of an order that it accepted.
+    /// How long an accepted order may be missing from the upstream's reports
+    /// before it is resent.
     fn order_timeout_ms(&self) -> u64 {
         let delay_ms = self.pool().map_or(0, |pool| pool.order_delay_max_ms);
         RESEND_INTERVAL_MS.max(u64::from(delay_ms)) + 2 * self.heartbeat_ms()
     }
 
-    /// Gives orders again whose end does not show.
+    /// Resends orders whose end is not reported.
     ///
-    /// The number is the same, so the upstream carries out at most one copy.
+    /// The order number is the same, so the upstream carries out at most one
+    /// copy.
     fn resend_orders(&mut self, now: Instant, out: &mut Vec<AgentAction>) {
         let ledger = &self.ledger;
         self.orders.resend_at.retain(|id, _| {
@@ -320,13 +327,14 @@
         self.orders.cleanup_at = has_ended_intents.then_some(cleanup_at);
         let cleanup_due = has_ended_intents && cleanup_at <= now;
         if !self.record.is_writable(now) || self.record.has_call_in_flight() {
-            // Not now; the next look is not to be in the past.
+            // The write must wait; the next attempt must not be due in the
+            // past.
             if cleanup_due {
                 self.orders.cleanup_at = Some(now.plus_ms(RESEND_INTERVAL_MS));
             }
             return;
         }
-        // One that passed to this agent is written at once, too.
+        // An intent inherited from a predecessor is written at once, too.
         let recorded = self.record.intents();
         let unrecorded = intents.iter().any(|o| !recorded.contains(o));
         if unrecorded || cleanup_due {
--- a/crates/role/src/agent/platform_client.rs
+++ b/crates/role/src/agent/platform_client.rs
@@ -1,4 +1,4 @@
-//! When to call the platform again.
+//! Call numbers and retry delays for calls of the platform.
 
 use base::{Instant, PlatformCall, PlatformOp};
 use rand_core::{Rng as _, SeedableRng as _};
@@ -6,11 +6,11 @@
 
 use super::AgentAction;
 
-/// Waits between tries: the first, and the longest.
+/// First and longest delay between retries.
 const RETRY_MIN_MS: u64 = 200;
 const RETRY_MAX_MS: u64 = 3_000;
 
-/// Numbers calls and spreads retries.
+/// Numbers the calls and holds the random generator that spreads retries.
 #[derive(Debug)]
 pub(super) struct PlatformClient {
     next_call_id: u64,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Asks the driver for a call and returns its number.
+    /// Asks the driver for a call and returns the call's number.
     pub(super) fn call(&mut self, op: PlatformOp, out: &mut Vec<AgentAction>) -> u64 {
         let id = self.next_call_id;
         self.next_call_id += 1;
@@ -34,8 +34,8 @@
     }
 }
 
-/// Doubling waits after failures, spread by a quarter so that the agents of a
-/// fleet don't come back to the platform in one moment.
+/// Exponential backoff with up to a quarter of random delay added, so that the
+/// agents of a fleet don't retry at the same moment.
 #[derive(Debug, Default)]
 pub(super) struct Backoff {
     failures: u32,
--- a/crates/role/src/agent/probe.rs
+++ b/crates/role/src/agent/probe.rs
@@ -1,26 +1,27 @@
-//! Whether predecessors are dead.
+//! Probes that find out whether predecessors are dead.
 
 use super::{AgentAction, AgentRole};
 use base::{Epoch, Instant};
 use mem::Ledger;
 use std::ops::Bound;
 
-/// Time between two tries to bind a predecessor's address.
+/// Time between two probes.
 const PROBE_INTERVAL_MS: u64 = 2_000;
 
-/// The question which predecessors are dead.
+/// Probes of the predecessors whose orders still count.
 ///
-/// A predecessor may be frozen with an order half sent. As long as it may live,
-/// its intents count; a process that is dead can give no order any more, and
-/// its address can be bound again.
+/// A predecessor may be frozen with an order partly sent, so its intents count
+/// for as long as it may live. A dead process can send no further order, and
+/// its listen address can be bound again.
 ///
-/// One question is open at a time, and the answer belongs to it: taken for that
-/// to another, it would free the memory of an order that may still come.
+/// One probe is in flight at a time, and its result applies to that predecessor
+/// only: applied to another, it would free the memory of an order that may
+/// still arrive.
 #[derive(Debug, Default)]
 pub(super) struct PredecessorProbe {
-    /// Predecessor of the open question.
+    /// Epoch of the predecessor that is being probed.
     in_flight: Option<Epoch>,
-    /// Predecessor that was asked about last; the next one has its turn.
+    /// Epoch of the predecessor probed last; the next higher one follows.
     last_probed: Epoch,
     next_at: Option<Instant>,
 }
@@ -57,9 +58,10 @@
 }
 
 impl AgentRole {
-    /// Starts to ask about the predecessors that left anything that matters.
+    /// Starts probing the predecessors whose orders still count.
     ///
-    /// One that had the address which this process has bound by now is dead.
+    /// A predecessor that used the link address which this process has now
+    /// bound is dead.
     pub(super) fn start_probing(&mut self, now: Instant) {
         let own = self.options.link_address.as_str();
         let givers = self.ledger.givers();
--- a/crates/role/src/agent/registration.rs
+++ b/crates/role/src/agent/registration.rs
@@ -1,4 +1,4 @@
-//! The agent's place in the platform's list of live processes.
+//! The agent's registration in the platform's list of live processes.
 
 use super::platform_client::{Backoff, PlatformClient};
 use super::{AgentAction, AgentOptions};
@@ -22,13 +22,14 @@
 /// The registration under `live/agent/<id>`.
 ///
 /// Every write is conditional on a version read before: an agent that was
-/// frozen during its registration must not write over its successor's.
+/// frozen while it registered must not overwrite its successor's registration.
 #[derive(Debug)]
 pub(super) struct Registration {
     key: String,
     member: Member,
     desired: DesiredState,
-    /// What the platform holds; `None` if it has to be read.
+    /// Version in the platform (`Some(None)` if absent); `None` if it must be
+    /// read.
     known_version: Option<Option<Version>>,
     written: Option<DesiredState>,
     call: Option<(u64, Call)>,
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Says that the process is leaving.
+    /// Marks the process as leaving.
     pub(super) fn mark_leaving(&mut self) {
         self.desired = DesiredState::Present { leaving: true };
     }
@@ -60,12 +61,12 @@
         self.desired = DesiredState::Absent;
     }
 
-    /// Stops writing: the place belongs to a successor.
+    /// Stops all writes, because the registration belongs to a successor.
     pub(super) fn abandon(&mut self) {
         self.superseded = true;
     }
 
-    /// What is wanted is written, or no longer ours to write.
+    /// Whether the desired state is written, or is a successor's to write.
     pub(super) fn is_settled(&self) -> bool {
         self.superseded || (self.call.is_none() && self.written == Some(self.desired))
     }
@@ -156,7 +157,7 @@
     }
 }
 
-/// How the process is registered.
+/// Builds the registration's content.
 pub(super) fn member_from_options(options: &AgentOptions) -> Member {
     Member {
         kind: "agent".to_owned(),
--- a/crates/role/src/agent/role.rs
+++ b/crates/role/src/agent/role.rs
@@ -1,4 +1,4 @@
-//! The machine: what it is made of and how an event passes through it.
+//! The state machine's fields, event dispatch and order of processing.
 
 use super::attempt_history::AttemptHistory;
 use super::attempts::Attempts;
@@ -25,22 +25,24 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Numbers of the claims' calls to the platform start here, far above those of
-/// the rest of the machine.
+/// First call number of the claims' platform calls, far above the numbers that
+/// [`PlatformClient`] assigns, so that the two ranges never meet.
 const FIRST_CLAIM_CALL_ID: u64 = 1 << 62;
 
-/// Heartbeats by which a wake-up is late before the process counts as frozen.
+/// Heartbeat intervals by which a tick must be late for the process to count as
+/// frozen.
 const FREEZE_THRESHOLD_HEARTBEATS: u64 = 10;
 
-/// Shortest time for which an attempt that is over is remembered; with the
-/// longest deadline and this margin none can still be asked about.
+/// Shortest time for which an ended attempt is remembered. Retention is at
+/// least the longest deadline plus the margin, after which no entry can still
+/// ask about the attempt.
 const HISTORY_RETENTION_MIN_MS: u64 = 600_000;
 const HISTORY_RETENTION_MARGIN_MS: u64 = 60_000;
 
-/// Interval of heartbeats while no configuration says another.
+/// Heartbeat interval until a configuration is known.
 const DEFAULT_HEARTBEAT_MS: u64 = 500;
 
-/// The agent beside one upstream.
+/// State machine of the agent process beside one upstream.
 #[derive(Debug)]
 pub struct AgentRole {
     pub(super) options: AgentOptions,
@@ -52,9 +54,9 @@
     pub(super) ledger: Ledger,
     pub(super) claims: Claims,
     pub(super) attempts: Attempts,
-    /// Attempts that must never begin.
+    /// Attempts that must never start, because an entry was told `not_run`.
     pub(super) revoked: AttemptHistory,
-    /// Attempts that are over.
+    /// Attempts that have ended.
     pub(super) ended: AttemptHistory,
     pub(super) upstream: Upstream,
     pub(super) concurrency_limit: ConcurrencyLimit,
@@ -65,16 +67,16 @@
     pub(super) drain: Option<Drain>,
     pub(super) counters: AgentCounters,
     pub(super) ready: bool,
-    /// Until then a `Run` may have waited in a socket while the process was
-    /// frozen.
+    /// Until this time a received `Run` may have waited in a socket buffer
+    /// while the process was frozen.
     pub(super) frames_stale_until: Instant,
-    /// When everything that is due was last looked at.
+    /// Time of the last call of `advance_all`.
     last_advanced_at: Instant,
 }
 
 impl AgentRole {
-    /// Starts the machine; the first actions read the configuration, register
-    /// the process and take the epoch.
+    /// Creates the state machine. Its first actions read the configuration,
+    /// register the process and take the epoch.
     pub fn new(
         options: AgentOptions,
         now: Instant,
@@ -121,7 +123,7 @@
         role
     }
 
-    /// Takes one event and appends what is to be done.
+    /// Processes one event and appends the resulting actions to `out`.
     pub fn handle(
         &mut self,
         now: Instant,
@@ -153,7 +155,7 @@
         }
     }
 
-    /// When the machine wants its next `Tick`.
+    /// When the driver must deliver the next `Tick`.
     pub fn due(&self) -> Option<Instant> {
         let times = [
             Some(self.heartbeat_state.next_at()),
@@ -170,17 +172,17 @@
         times.into_iter().flatten().filter(is_later).min()
     }
 
-    /// Revision in force; 0 before the first.
+    /// Revision of the configuration in force; 0 before the first.
     pub fn revision(&self) -> Revision {
         self.config_sync.revision()
     }
 
-    /// Configuration in force.
+    /// Configuration in force; `None` before the first.
     pub const fn config(&self) -> Option<&Arc<Config>> {
         self.config_sync.current()
     }
 
-    /// Counts since the start.
+    /// Counters since the start of the process.
     pub const fn counters(&self) -> AgentCounters {
         self.counters
     }
@@ -205,8 +207,9 @@
         })
     }
 
-    /// Time for which an attempt that is over is remembered: longer than the
-    /// longest deadline, so that no late `Run` or `Revoke` outlives it.
+    /// How long an ended attempt is remembered: longer than the longest
+    /// deadline, so that no late `Run` or `Revoke` arrives after it was
+    /// forgotten.
     pub(super) fn history_retention_ms(&self) -> u64 {
         let Some(config) = self.config() else {
             return HISTORY_RETENTION_MIN_MS;
@@ -216,7 +219,7 @@
         HISTORY_RETENTION_MIN_MS.max(longest + HISTORY_RETENTION_MARGIN_MS)
     }
 
-    /// Sends a frame, if there is an entry to send it to.
+    /// Sends a frame if the entry is known and connected.
     pub(super) fn send(
         &self,
         entry: Option<&EntryId>,
@@ -231,10 +234,11 @@
         }
     }
 
-    /// A wake-up that is late by many heartbeats means that the process stood
-    /// still. A successor may have taken over meanwhile, so the record is read
-    /// before any further order; and frames may have waited in the sockets, so
-    /// the time they say is left can't be relied on.
+    /// Detects that the process was frozen: its tick is many heartbeats late.
+    ///
+    /// A successor may have taken over during the freeze, so the record is read
+    /// before any further order. Frames may have waited in socket buffers, so
+    /// the remaining time they state can't be trusted.
     fn detect_freeze(&mut self, now: Instant) {
         let heartbeat_ms = self.heartbeat_ms();
         let late_ms = now.ms_since(self.heartbeat_state.next_at());
@@ -400,7 +404,8 @@
     }
 }
 
-/// Parts come at the rate of tokens and change nothing that others wait for.
+/// Answer parts arrive at the token rate and affect nothing that `advance_all`
+/// processes, so they skip it.
 const fn is_answer_part(event: &AgentEvent) -> bool {
     matches!(
         event,
--- a/crates/role/src/agent/status.rs
+++ b/crates/role/src/agent/status.rs
@@ -1,28 +1,29 @@
-//! What operators see of an agent.
+//! Status of an agent, as shown to operators.
 
 use super::AgentRole;
 use serde::Serialize;
 
-/// What operators see of an agent.
+/// Status of an agent, as shown to operators.
 #[derive(Debug, Clone, Serialize)]
 pub struct AgentStatus {
     /// Name of the instance.
     pub id: String,
-    /// This run of the process.
+    /// Incarnation of this process.
     pub incarnation: u64,
-    /// Fencing number; 0 before it is taken.
+    /// Epoch, which is also the fencing token of its orders; 0 before it is
+    /// taken.
     pub epoch: u64,
     /// A successor has taken over.
     pub fenced: bool,
-    /// Configuration in force.
+    /// Configuration revision in force.
     pub revision: u64,
-    /// The process takes work.
+    /// The process accepts work.
     pub ready: bool,
-    /// The process is stopping.
+    /// The process is draining.
     pub leaving: bool,
-    /// The upstream answers.
+    /// The upstream can be reached.
     pub upstream_up: bool,
-    /// Incarnation of the upstream.
+    /// Incarnation of the upstream; 0 before its first report.
     pub upstream_incarnation: u64,
     /// Memory of each accelerator.
     pub accelerators: Vec<AcceleratorStatus>,
@@ -30,7 +31,7 @@
     pub orders: Vec<OrderStatus>,
     /// Planner whose target is followed; empty for none.
     pub target_planner: String,
-    /// Attempts in the table.
+    /// Number of attempts in progress.
     pub attempts: usize,
     /// Claims held by running calls.
     pub claims_held: usize,
@@ -39,35 +40,35 @@
 /// Memory of one accelerator.
 #[derive(Debug, Clone, Serialize)]
 pub struct AcceleratorStatus {
-    /// Memory there is.
+    /// Total memory, in MiB.
     pub capacity_mib: u64,
-    /// Memory that is or may come to be in use.
+    /// Memory that is in use or may come into use, in MiB.
     pub in_use_mib: u64,
-    /// Models and adapters that the upstream shows.
+    /// Models and adapters that the upstream reports, as `name@version`.
     pub residents: Vec<String>,
 }
 
 /// One order that may still take effect.
 #[derive(Debug, Clone, Serialize)]
 pub struct OrderStatus {
-    /// Number.
+    /// Number of the order.
     pub order: u64,
-    /// Epoch of the agent that gave it.
+    /// Epoch of the agent that sent it.
     pub epoch: u64,
     /// `load` or `unload`.
     pub kind: &'static str,
     /// Model or adapter.
     pub model: String,
-    /// Version.
+    /// Version of the model.
     pub version: u32,
     /// Index of the accelerator.
     pub accelerator: u32,
-    /// Times this process gave it; 0 while its intent is being recorded.
+    /// Times this process sent it; 0 while its intent is being recorded.
     pub sends: u32,
 }
 
 impl AgentRole {
-    /// What operators see of the agent.
+    /// Returns the agent's status.
     pub fn status(&self) -> AgentStatus {
         AgentStatus {
             id: self.options.id.as_str().to_owned(),
--- a/crates/role/src/agent/targets.rs
+++ b/crates/role/src/agent/targets.rs
@@ -1,14 +1,15 @@
-//! The targets of planners, and which of them is followed.
+//! Targets received from planners, and the choice of the one to follow.
 
 use base::{Instant, ModelId};
 use mem::Placement;
 use schema::link::Target;
 use std::collections::BTreeMap;
 
-/// Planners whose targets are kept; a cell has a few entries.
+/// Maximum number of planners whose targets are kept; a planning cell has only
+/// a few entries.
 const MAX_PLANNERS: usize = 64;
 
-/// Heartbeats for which a target is followed after it was heard.
+/// Heartbeat intervals for which a target is followed after it was received.
 const TARGET_LIFETIME_HEARTBEATS: u64 = 10;
 
 #[derive(Debug)]
@@ -19,11 +20,11 @@
     wanted: Vec<Placement>,
 }
 
-/// The targets heard.
+/// Last target of each planner.
 ///
-/// Two planners may both believe to be the one of the cell. Following the
-/// highest rank, for as long as it is heard, keeps the agent from swinging
-/// between their plans; one that falls silent is forgotten.
+/// Two entries may both believe that they plan the cell. Following the one with
+/// the highest rank for as long as its targets arrive keeps the agent from
+/// alternating between their plans; a planner that falls silent is dropped.
 #[derive(Debug, Default)]
 pub(super) struct Targets {
     by_planner: BTreeMap<String, PlannerTarget>,
@@ -31,7 +32,7 @@
 }
 
 impl Targets {
-    /// Takes in a target; an older one of the same planner is dropped.
+    /// Stores a target, unless a newer one of the same planner is known.
     pub(super) fn accept(&mut self, now: Instant, target: &Target, heartbeat_ms: u64) {
         self.drop_expired(now, heartbeat_ms);
         if self
@@ -60,7 +61,8 @@
         self.select_planner();
     }
 
-    /// What the followed planner wants; `None` if none has been heard lately.
+    /// Placements that the followed planner wants; `None` if no recent target
+    /// is known.
     pub(super) fn wanted(
         &mut self,
         now: Instant,
@@ -71,12 +73,12 @@
         Some(&followed.wanted)
     }
 
-    /// Planner that is followed; empty for none.
+    /// The followed planner; empty for none.
     pub(super) fn planner(&self) -> &str {
         &self.followed
     }
 
-    /// Sequence of the target that is followed.
+    /// Sequence number of the followed target; 0 for none.
     pub(super) fn sequence(&self) -> u64 {
         let followed = self.by_planner.get(&self.followed);
         followed.map_or(0, |by_planner| by_planner.sequence)
--- a/crates/role/src/agent/timeline.rs
+++ b/crates/role/src/agent/timeline.rs
@@ -1,10 +1,10 @@
-//! Events of the time line.
+//! Helpers that build events of the timeline.
 
 use super::AgentAction;
 use base::AttemptId;
 use schema::timeline::{Event, EventKind};
 
-/// An event of a kind, with no more said.
+/// Builds an event that has only a kind.
 pub(super) fn new_event(kind: EventKind) -> Event {
     Event {
         kind: kind.into(),
@@ -26,7 +26,7 @@
     }));
 }
 
-/// Records an event with one sentence.
+/// Records an event of the process, with a detail text that may be empty.
 pub(super) fn process_event(
     kind: EventKind,
     detail: String,
--- a/crates/role/src/agent/upstream.rs
+++ b/crates/role/src/agent/upstream.rs
@@ -1,4 +1,4 @@
-//! The upstream as its reports show it.
+//! State of the upstream according to its reports.
 
 use super::UpstreamReport;
 use base::Instant;
@@ -8,10 +8,10 @@
 
 use super::UpstreamOrderState;
 
-/// Share of a new sample in the smoothed figures, as one part in so many.
+/// Smoothing of the averages: a new sample weighs one part in this many.
 const SMOOTHING: u64 = 8;
 
-/// The upstream as its reports show it.
+/// State of the upstream according to its reports.
 #[derive(Debug, Default)]
 pub(super) struct Upstream {
     up: bool,
@@ -28,7 +28,7 @@
         self.up
     }
 
-    /// Run of the upstream that reported last; 0 before the first report.
+    /// Incarnation in the last report; 0 before the first report.
     pub(super) fn incarnation(&self) -> u64 {
         self.incarnation.unwrap_or(0)
     }
@@ -41,17 +41,18 @@
         self.waiting
     }
 
-    /// Highest fencing number that the upstream has seen.
+    /// Highest fencing token that the upstream has seen.
     pub(super) const fn highest_fencing_token(&self) -> u64 {
         self.highest_fencing_token
     }
 
-    /// Smoothed duration of a step.
+    /// Smoothed duration of a decoding step, in microseconds.
     pub(super) fn step_time_us(&self) -> u32 {
         u32::try_from(self.step_time_us).unwrap_or(u32::MAX)
     }
 
-    /// Smoothed time that one attempt takes; 0 before the first has ended.
+    /// Smoothed duration of an attempt, in milliseconds; 0 before the first has
+    /// ended.
     pub(super) const fn service_ms(&self) -> u64 {
         self.service_ms
     }
@@ -60,13 +61,13 @@
         u32::try_from(now.ms_since(self.made_at)).unwrap_or(u32::MAX)
     }
 
-    /// An attempt has ended in good order after this time.
+    /// Records the duration of a completed attempt.
     pub(super) fn record_service_time(&mut self, service_ms: u64) {
         self.service_ms = smooth(self.service_ms, service_ms);
     }
 
-    /// Takes in a report; says whether the upstream has restarted since the
-    /// last one.
+    /// Applies a report and returns whether the upstream has restarted since
+    /// the last one.
     pub(super) fn apply_report(
         &mut self,
         now: Instant,
@@ -93,12 +94,12 @@
     (current * (SMOOTHING - 1) + sample) / SMOOTHING
 }
 
-/// When the upstream made a report.
+/// When the upstream made a report, in this process's time.
 pub(super) fn made_at(now: Instant, report: &UpstreamReport) -> Instant {
     now - std::time::Duration::from_millis(u64::from(report.age_ms))
 }
 
-/// The part of a report that the ledger needs.
+/// Extracts the part of a report that the memory ledger needs.
 pub(super) fn memory_state(now: Instant, report: &UpstreamReport) -> UpstreamState {
     let residents = report.residents.iter().map(|resident| ReportedResident {
         placement: Placement {
--- a/crates/role/src/agent/upstream_events.rs
+++ b/crates/role/src/agent/upstream_events.rs
@@ -1,4 +1,5 @@
-//! What the upstream says about attempts, on its way to the entry.
+//! Processes what the upstream reports about attempts and forwards it to the
+//! entry.
 
 use super::attempt_lifecycle::{attempt_frame, retry_after};
 use super::attempts::{Attempt, Phase};
@@ -8,11 +9,11 @@
 use schema::link::{End, Started, frame};
 use schema::timeline::EventKind;
 
-/// When to come back after the upstream itself refused an attempt.
+/// Suggested retry delay after the upstream itself refused an attempt.
 const UPSTREAM_REFUSAL_RETRY_MS: u64 = 1_000;
 
-/// How long a call that may not be repeated runs on behind its deadline before
-/// it is stopped.
+/// How long a non-idempotent call may run past its deadline before it is
+/// stopped.
 const NON_IDEMPOTENT_GRACE_MS: u64 = 60_000;
 
 impl AgentRole {
@@ -154,8 +155,8 @@
             self.withdraw_attempt(now, id, refusal, handed_over, out);
             return;
         }
-        // If the upstream has died, its report will say so in a moment, and
-        // this attempt was one of those in flight.
+        // If the upstream has died, its next report will say so, and this
+        // attempt then counts among those in flight at the crash.
         if broken && self.upstream.is_up() {
             attempt.phase = Phase::Broken { until };
             return;
@@ -172,8 +173,9 @@
         self.end_attempt(now, id, end, out);
     }
 
-    /// Ends an attempt that was not run after all; a claim is released first,
-    /// so that its key is free when the refusal arrives.
+    /// Ends an attempt that turned out not to have been run. Its claim, if any,
+    /// is released first, so that the key is free when the entry receives the
+    /// refusal.
     pub(super) fn withdraw_attempt(
         &mut self,
         now: Instant,
@@ -196,7 +198,7 @@
         }
     }
 
-    /// The claim, if there was one, is released: tell the entry.
+    /// Tells the entry about a withdrawn attempt, once its claim is released.
     pub(super) fn finish_withdrawal(
         &mut self,
         now: Instant,
@@ -229,7 +231,7 @@
         self.send(attempt.entry.as_ref(), frame::Body::End(end), out);
     }
 
-    /// An end frame with what every one carries.
+    /// Builds an `End` frame with the fields that every one carries.
     pub(super) fn end_frame(
         &self,
         now: Instant,
@@ -246,7 +248,7 @@
         }
     }
 
-    /// Ends an attempt without a whole answer.
+    /// Ends an attempt without a complete answer.
     pub(super) fn end_attempt(
         &mut self,
         now: Instant,
@@ -270,8 +272,11 @@
         self.send(attempt.entry.as_ref(), frame::Body::End(end), out);
     }
 
-    /// A call that ran without a known answer is stored as that: a resend is
-    /// told at once. Where not even that is known the claim stays open.
+    /// Settles the claim of an attempt that has no complete answer.
+    ///
+    /// For a call that ran, the claim records that its outcome is unknown, so
+    /// that a resend is answered at once. If it is not even known whether the
+    /// call ran, the claim stays open.
     fn close_claim(
         &mut self,
         now: Instant,
@@ -290,7 +295,8 @@
         }
     }
 
-    /// Ends what is past its deadline, and what broke without a crash.
+    /// Ends attempts that are past their deadline, and attempts whose
+    /// connection broke without a crash being reported.
     pub(super) fn end_overdue_attempts(
         &mut self,
         now: Instant,
--- a/crates/role/src/agent/upstream_health.rs
+++ b/crates/role/src/agent/upstream_health.rs
@@ -1,4 +1,5 @@
-//! The upstream's reports, its death, and who was in flight at it.
+//! Reports and crashes of the upstream, and which attempts were in flight at a
+//! crash.
 
 use super::attempts::Attempt;
 use super::upstream::memory_state;
@@ -17,7 +18,8 @@
         let was_up = self.upstream.is_up();
         let token_before = self.upstream.highest_fencing_token();
         let restarted = self.upstream.apply_report(now, report);
-        // A higher fencing number than ours shows that a successor gives orders.
+        // A fencing token higher than this agent's epoch shows that a successor
+        // sends orders.
         let raised = report.highest_fencing_token > token_before;
         if raised
             && report.highest_fencing_token > self.record.epoch().0
@@ -52,11 +54,11 @@
         self.end_crashed_attempts(now, out);
     }
 
-    /// Ends what was handed to an upstream that has died.
+    /// Ends the attempts that were handed to an upstream that has died.
     ///
-    /// Each end carries the fingerprints of all that were in flight: any of
-    /// them may be the request that killed it, and only the entries, which see
-    /// more than one upstream, can find out which.
+    /// Each `End` carries the fingerprints of all attempts in flight: any of
+    /// them may have caused the crash, and only the entries, which see several
+    /// upstreams, can find out which.
     fn end_crashed_attempts(&mut self, now: Instant, out: &mut Vec<AgentAction>) {
         let ids = self.attempts.ids_matching(Attempt::is_handed_over);
         if ids.is_empty() {
--- a/crates/role/src/peer.rs
+++ b/crates/role/src/peer.rs
@@ -1,14 +1,14 @@
-//! The far end of a link.
+//! The remote process of a link.
 
 use base::{AgentId, EntryId};
 use std::fmt;
 
-/// The far end of a link.
+/// The process at the remote end of a link.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Peer {
-    /// An entry.
+    /// An entry process.
     Entry(EntryId),
-    /// The agent beside one upstream.
+    /// The agent process of one upstream.
     Agent(AgentId),
 }
 
