--- a/crates/role/benches/gate_limit.rs
+++ b/crates/role/benches/gate_limit.rs
@@ -8,7 +8,7 @@
 use rand_core::Rng;
 use rand_pcg::Pcg64Mcg;
 use role::agent::ConcurrencyLimit;
-use route::StepLimit;
+use route::AdaptiveConcurrencyLimit;
 use std::collections::VecDeque;
 
 /// Simulated duration of a run.
--- a/crates/role/src/entry/accept.rs
+++ b/crates/role/src/entry/accept.rs
@@ -1,10 +1,10 @@
 //! What is checked of a request before it is in progress.
 
 use base::prelude::*;
-use route::Verdict;
+use route::CrashVerdict;
 use schema::timeline::EventKind;
 
-use super::Arrival;
+use super::IncomingRequest;
 use super::requests::{Request, State, Trail};
 use super::shared::Ctx;
 use super::trace::Note;
@@ -24,12 +24,14 @@
 /// A refusal; the request was not run.
 pub(super) fn accept(
     ctx: &mut Ctx<'_>,
-    arrival: Box<Arrival>,
+    arrival: Box<IncomingRequest>,
 ) -> Result<Request, Refusal> {
     let refuse = Refusal::not_run;
-    let named = match &arrival.work {
-        super::Work::Model(model) => model.as_ref().map_or("", ModelId::as_str),
-        super::Work::Service(service) => service.as_str(),
+    let named = match &arrival.resource {
+        super::RequestedResource::Model(model) => {
+            model.as_ref().map_or("", ModelId::as_str)
+        }
+        super::RequestedResource::Service(service) => service.as_str(),
     };
     Note::new(EventKind::RequestArrived, "")
         .request(arrival.request)
@@ -48,14 +50,14 @@
         let mut suspects = ctx.shared.suspects.lock();
         suspects.verdict(ctx.now, resolved.fingerprint)
     };
-    if let Verdict::Convicted { remaining_ms } = verdict {
+    if let CrashVerdict::Convicted { remaining_ms } = verdict {
         return Err(refuse(Code::Convicted).retry_after_ms(remaining_ms));
     }
     let max = match caller.concurrent_max {
         0 => u32::MAX,
         max => max,
     };
-    if !ctx.shared.callers.lock().try_enter(&caller.id, max) {
+    if !ctx.shared.callers.lock().try_start_request(&caller.id, max) {
         return Err(refuse(Code::CallerLimit).retry_after_ms(CALLER_LIMIT_MS));
     }
     let percent = config.limits().retry_percent;
--- a/crates/role/src/entry/control/mod.rs
+++ b/crates/role/src/entry/control/mod.rs
@@ -143,7 +143,7 @@
             planning: Planning::new(),
             gossip: Gossiping::new(),
             me: options.id.clone(),
-            domain: options.domain.clone(),
+            domain: options.failure_domain.clone(),
             instances_version: Version(0),
             put_off: BTreeSet::new(),
             unix_ms_at_zero: options.unix_ms_at_zero,
@@ -205,7 +205,7 @@
         let others = self.entries.all().filter(|held| !held.leaving);
         let alive = others.filter(|held| self.entries.alive(now, &held.id));
         let names = alive.map(|held| &held.id).chain([&self.me]);
-        route::prober(agent, names) == Some(&self.me)
+        route::probing_entry(agent, names) == Some(&self.me)
     }
 
     /// Time until this entry may start a suspect alone; 0 if it may now.
@@ -322,7 +322,7 @@
             return;
         }
         self.ready = ready;
-        out.push(EntryAction::Ready(ready));
+        out.push(EntryAction::SetReady(ready));
         if ready {
             let detail = format!("revision {}", self.log.revision());
             Note::new(EventKind::ProcessReady, detail).put(out);
--- a/crates/role/src/entry/shared.rs
+++ b/crates/role/src/entry/shared.rs
@@ -6,7 +6,7 @@
 
 use base::prelude::*;
 use parking_lot::Mutex;
-use route::{CallerLimits, Suspects};
+use route::{CallerLimits, SuspectRequests};
 use std::collections::BTreeSet;
 
 use super::book::Book;
@@ -29,7 +29,7 @@
     pub(crate) waiting: Mutex<Waiting>,
     pub(crate) book: Mutex<Book>,
     pub(crate) callers: Mutex<CallerLimits>,
-    pub(crate) suspects: Mutex<Suspects>,
+    pub(crate) suspects: Mutex<SuspectRequests>,
     pub(crate) health: Mutex<Health>,
     pub(crate) tally: Mutex<Tally>,
 }
@@ -42,14 +42,14 @@
             waiting: Mutex::new(Waiting::default()),
             book: Mutex::new(Book::new()),
             callers: Mutex::new(CallerLimits::new()),
-            suspects: Mutex::new(Suspects::new(VERDICT_DEFAULT_MS)),
+            suspects: Mutex::new(SuspectRequests::new(VERDICT_DEFAULT_MS)),
             health: Mutex::new(Health::default()),
             tally: Mutex::new(Tally::default()),
         }
     }
 }
 
-/// Work that can only be done once the shard's lock is given back.
+/// RequestedResource that can only be done once the shard's lock is given back.
 #[derive(Debug, Default)]
 pub(crate) struct Later {
     /// Queues whose head may now be sent.
@@ -60,7 +60,7 @@
     pub(crate) room: BTreeSet<AgentId>,
     /// Requests that lost their place in the queue to a more urgent one.
     pub(crate) evicted: Vec<RequestId>,
-    /// Work waits for a model that nobody holds.
+    /// RequestedResource waits for a model that nobody holds.
     pub(crate) plan: bool,
     /// Other entries should hear of a suspect at once.
     pub(crate) gossip: bool,
