--- a/crates/role/benches/gate_limit.rs
+++ b/crates/role/benches/gate_limit.rs
@@ -115,7 +115,7 @@
 enum LimitPolicy {
     /// Always the configured maximum.
     Fixed,
-    /// [`StepLimit`], which follows the shortest step time.
+    /// [`AdaptiveConcurrencyLimit`], which follows the shortest step time.
     Floor,
     /// [`ConcurrencyLimit`], which follows the target time between tokens.
     Expected,
@@ -131,7 +131,8 @@
     let arrivals_per_s =
         growth.capacity_milli() as f64 * load_percent as f64 / 100_000.0;
     let mean_gap_us = 1_000_000.0 / arrivals_per_s;
-    let mut step_limit = StepLimit::new(CONCURRENT_MAX, BASE_STEP_US as u32);
+    let mut step_limit =
+        AdaptiveConcurrencyLimit::new(CONCURRENT_MAX, BASE_STEP_US as u32);
     let mut token_limit = ConcurrencyLimit::default();
     token_limit.configure(CONCURRENT_MAX);
     let mut totals = Totals::default();
