--- a/crates/role/tests/agent.rs
+++ b/crates/role/tests/agent.rs
@@ -1,7 +1,10 @@
-//! The agent's machine against small stand-ins of its upstream and platform.
+//! Tests of the agent's state machine against simulated upstreams and a
+//! simulated platform.
 
 #[path = "agent/alone.rs"]
 mod alone;
+#[path = "agent/fixtures/mod.rs"]
+mod fixtures;
 #[path = "agent/gate.rs"]
 mod gate;
 #[path = "agent/keyed.rs"]
@@ -18,5 +21,3 @@
 mod random;
 #[path = "agent/replaced.rs"]
 mod replaced;
-#[path = "agent/stand/mod.rs"]
-mod stand;
--- a/crates/role/tests/agent/alone.rs
+++ b/crates/role/tests/agent/alone.rs
@@ -1,78 +1,84 @@
-//! Runs that must have the upstream to themselves.
+//! Exclusive runs, which must have the upstream to themselves.
 
-use crate::gate::{go, node, revoke, run};
-use crate::stand::*;
+use crate::fixtures::*;
+use crate::gate::{agent_with_model_a, send_revoke, send_run, start_attempt};
 use base::prelude::*;
 use role::agent::{AgentEvent, UpstreamEvent};
 use schema::link::{Cancel, Load, frame};
 
-fn run_alone(node: &mut Node, sequence: u64, remaining_ms: u64) {
+fn send_exclusive_run(agent: &mut TestAgent, sequence: u64, remaining_ms: u64) {
     let mut message = model_run(sequence, 10, "a");
     message.alone = true;
     message.remaining_ms = remaining_ms;
-    run(node, message);
+    send_run(agent, message);
 }
 
-/// Load of the last frame that carried one.
-fn last_load(node: &Node) -> Load {
-    let loads = node.frames.iter().rev().filter_map(|(_, body)| match body {
-        frame::Body::Heartbeat(beat) => beat.load,
-        frame::Body::Refused(refused) => refused.load,
-        frame::Body::End(end) => end.load,
-        _ => None,
-    });
+/// Load hint of the last frame that carried one.
+fn last_load(agent: &TestAgent) -> Load {
+    let loads = agent
+        .frames
+        .iter()
+        .rev()
+        .filter_map(|(_, body)| match body {
+            frame::Body::Heartbeat(beat) => beat.load,
+            frame::Body::Refused(refused) => refused.load,
+            frame::Body::End(end) => end.load,
+            _ => None,
+        });
     loads.into_iter().next().expect("a frame with a load")
 }
 
-/// A suspect comes to an upstream that is never idle. Refused, it would go from
-/// agent to agent until its deadline. It is held instead: the agent takes
-/// nothing else, says so to all entries, and starts it when the batch is empty.
+/// A suspect request reaches an upstream that is never idle. If it were
+/// refused, it would move from agent to agent until its deadline. Instead it
+/// waits: the agent accepts nothing else, tells all entries so, and starts it
+/// when the batch is empty.
 #[test]
-fn a_run_alone_starts_when_the_batch_is_empty() {
-    let (_, _, mut node) = node();
-    go(&mut node, 1);
-    go(&mut node, 2);
-    run_alone(&mut node, 99, 10_000);
-    assert_eq!(node.refusal(99), None);
-    assert!(!node.started(99), "not alone");
+fn an_exclusive_run_starts_when_the_batch_is_empty() {
+    let (_, _, mut agent) = agent_with_model_a();
+    start_attempt(&mut agent, 1);
+    start_attempt(&mut agent, 2);
+    send_exclusive_run(&mut agent, 99, 10_000);
+    assert_eq!(agent.refusal(99), None);
+    assert!(!agent.started(99), "other attempts still run");
     assert_eq!(
-        last_load(&node).running_max,
+        last_load(&agent).running_max,
         0,
-        "entries go on sending work"
+        "entries would keep sending work"
     );
-    run(&mut node, model_run(3, 10, "a"));
-    assert_eq!(node.refusal(3), Some(Code::GateFull));
-    node.serve(1);
-    assert!(!node.started(99), "one still runs");
-    node.serve(2);
-    assert!(node.started(99), "the batch is empty");
-    run(&mut node, model_run(4, 10, "a"));
-    assert_eq!(node.refusal(4), Some(Code::GateFull));
-    node.serve(99);
-    assert_eq!(node.end(99).map(|end| end.code), Some(0));
-    assert_eq!(last_load(&node).running_max, 4);
-    go(&mut node, 5);
+    send_run(&mut agent, model_run(3, 10, "a"));
+    assert_eq!(agent.refusal(3), Some(Code::GateFull));
+    agent.complete_attempt(1);
+    assert!(!agent.started(99), "one attempt still runs");
+    agent.complete_attempt(2);
+    assert!(agent.started(99), "the batch is empty");
+    send_run(&mut agent, model_run(4, 10, "a"));
+    assert_eq!(agent.refusal(4), Some(Code::GateFull));
+    agent.complete_attempt(99);
+    assert_eq!(agent.end_frame(99).map(|end| end.code), Some(0));
+    assert_eq!(last_load(&agent).running_max, 4);
+    start_attempt(&mut agent, 5);
 }
 
-/// What happens while a run is held, and its refusal, if it gets one.
-type Case = (&'static str, u64, fn(&mut Node), Option<Code>);
+/// Case name, remaining time in milliseconds, what happens while the run waits,
+/// and the expected refusal.
+type WaitingCase = (&'static str, u64, fn(&mut TestAgent), Option<Code>);
 
-/// A held run ends in exactly one way: it starts, or its entry is told at once
-/// that it was not run. Whatever ends the wait, it must not start later, for by
-/// then the request runs elsewhere; and it must not keep its place.
+/// A waiting run either starts, or its entry is told at once that it was not
+/// run. Whatever ends the wait, the run must not start later, because by then
+/// the request runs elsewhere, and it must not keep its slot.
 #[test]
-fn a_held_run_that_can_t_start_is_given_back() {
-    let cases: &[Case] = &[
+fn a_waiting_exclusive_run_that_cannot_start_never_runs_later() {
+    let cases: &[WaitingCase] = &[
         (
-            "held too long",
+            "waited too long",
             60_000,
-            |n| n.pass(10_000),
+            |n| n.advance_time(10_000),
             Some(Code::GateFull),
         ),
         (
             "deadline",
             900,
-            |n| n.pass(900),
+            |n| n.advance_time(900),
             Some(Code::DeadlineBeforeRun),
         ),
         (
@@ -84,68 +90,74 @@
         (
             "down",
             9_000,
-            |n| n.upstream(UpstreamEvent::Down),
+            |n| n.upstream_event(UpstreamEvent::Down),
             Some(Code::NotReady),
         ),
-        ("unloaded", 9_000, unload, Some(Code::NotHeld)),
+        ("unloaded", 9_000, restart_empty, Some(Code::NotHeld)),
         ("link lost", 9_000, |n| n.link_down(ENTRY), None),
         ("cancelled", 9_000, cancel, None),
-        ("revoked", 9_000, |n| revoke(n, 99, 10), None),
+        ("revoked", 9_000, |n| send_revoke(n, 99, 10), None),
     ];
-    for (name, remaining_ms, happen, code) in cases {
-        let (mut platform, mut engine, mut node) = node();
+    for (name, remaining_ms, disturb, code) in cases {
+        let (mut platform, mut engine, mut agent) = agent_with_model_a();
         let mut other = model_run(1, 10, "a");
         other.remaining_ms = 60_000;
         other.idempotent = false;
-        run(&mut node, other);
-        node.upstream(UpstreamEvent::Started { attempt: id(1) });
-        run_alone(&mut node, 99, *remaining_ms);
-        happen(&mut node);
-        assert_eq!(node.refusal(99), *code, "{name}");
-        let (held, alone) = (node.role.status().attempts, last_load(&node).running_max);
-        assert!(held <= 1, "{name}: the place is kept");
+        send_run(&mut agent, other);
+        agent.upstream_event(UpstreamEvent::Started {
+            attempt: attempt_id(1),
+        });
+        send_exclusive_run(&mut agent, 99, *remaining_ms);
+        disturb(&mut agent);
+        assert_eq!(agent.refusal(99), *code, "{name}");
+        let (attempts, running_max) =
+            (agent.role.status().attempts, last_load(&agent).running_max);
+        assert!(attempts <= 1, "{name}: the slot is kept");
         assert!(
-            alone > 0 || code.is_none(),
-            "{name}: still closed to others"
+            running_max > 0 || code.is_none(),
+            "{name}: other work is still refused"
         );
-        node.link_up(ENTRY);
-        node.serve(1);
-        node.work(3_000, &mut platform, &mut engine);
-        assert!(!node.started(99), "{name}: run though given back");
-        revoke(&mut node, 99, 10);
-        assert_eq!(node.revoked(99), Some(Ran::NotRun), "{name}");
+        agent.link_up(ENTRY);
+        agent.complete_attempt(1);
+        agent.run_for(3_000, &mut platform, &mut engine);
+        assert!(!agent.started(99), "{name}: run after its refusal");
+        send_revoke(&mut agent, 99, 10);
+        assert_eq!(agent.revoked(99), Some(Ran::NotRun), "{name}");
     }
 }
 
-fn cancel(node: &mut Node) {
-    let attempt = attempt(99);
-    node.frame(frame::Body::Cancel(Cancel { attempt }));
+fn cancel(agent: &mut TestAgent) {
+    let attempt = attempt_frame(99);
+    agent.receive_frame(frame::Body::Cancel(Cancel { attempt }));
 }
 
-/// The upstream restarts empty while the run is held.
-fn unload(node: &mut Node) {
+/// The upstream restarts without models while the run waits.
+fn restart_empty(agent: &mut TestAgent) {
     let mut engine = Engine::new();
     engine.restart();
-    node.report(&engine);
+    agent.report_from(&engine);
 }
 
-/// A suspect call with a key is held, too. Its key is claimed only when it may
-/// start: a claim made before would have to be released for each refusal.
+/// A suspect call with an idempotency key waits as well. Its key is claimed
+/// only when it may start: an earlier claim would have to be released for every
+/// refusal.
 #[test]
-fn a_held_call_claims_its_key_when_it_may_start() {
+fn a_waiting_call_claims_its_key_only_when_it_may_start() {
     let mut platform = Platform::new();
     let now = Instant::from_ms(1_000);
-    let mut node = Node::service(10, now, &mut platform);
-    run(&mut node, service_run(1, 10, "first"));
-    node.pump(&mut platform);
-    node.upstream(UpstreamEvent::Started { attempt: id(1) });
-    let mut held = service_run(99, 10, "second");
-    held.alone = true;
-    run(&mut node, held);
-    assert!(node.calls.is_empty(), "claimed while it is held");
-    node.serve(1);
-    node.pump(&mut platform);
-    assert!(node.started(99));
-    node.serve(99);
-    assert_eq!(node.end(99).map(|end| end.code), Some(0));
+    let mut agent = TestAgent::beside_service(10, now, &mut platform);
+    send_run(&mut agent, service_run(1, 10, "first"));
+    agent.answer_all_calls(&mut platform);
+    agent.upstream_event(UpstreamEvent::Started {
+        attempt: attempt_id(1),
+    });
+    let mut waiting = service_run(99, 10, "second");
+    waiting.alone = true;
+    send_run(&mut agent, waiting);
+    assert!(agent.calls.is_empty(), "claimed while it waits");
+    agent.complete_attempt(1);
+    agent.answer_all_calls(&mut platform);
+    assert!(agent.started(99));
+    agent.complete_attempt(99);
+    assert_eq!(agent.end_frame(99).map(|end| end.code), Some(0));
 }
--- a/crates/role/tests/agent/gate.rs
+++ b/crates/role/tests/agent/gate.rs
@@ -1,43 +1,45 @@
-//! The gate: what it refuses was not run.
+//! Admission control: whatever it refuses was not run.
 
-use crate::stand::*;
+use crate::fixtures::*;
 use base::prelude::*;
 use role::agent::{AgentEvent, UpstreamEvent, UpstreamReport};
 use schema::link::{Cancel, Revoke, Run, frame};
 
-pub fn node() -> (Platform, Engine, Node) {
+pub fn agent_with_model_a() -> (Platform, Engine, TestAgent) {
     let mut platform = Platform::new();
     let mut engine = Engine::new();
     let now = Instant::from_ms(1_000);
-    let mut node = Node::engine(10, "127.0.0.1:1", now, &mut platform, &engine);
-    node.target("p", 1, &[("a", 1)]);
-    node.work(300, &mut platform, &mut engine);
-    (platform, engine, node)
+    let mut agent =
+        TestAgent::beside_engine(10, "127.0.0.1:1", now, &mut platform, &engine);
+    agent.receive_target("p", 1, &[("a", 1)]);
+    agent.run_for(300, &mut platform, &mut engine);
+    (platform, engine, agent)
 }
 
-pub fn run(node: &mut Node, run: Run) {
-    node.frame(frame::Body::Run(run));
+pub fn send_run(agent: &mut TestAgent, run: Run) {
+    agent.receive_frame(frame::Body::Run(run));
 }
 
-pub fn revoke(node: &mut Node, sequence: u64, agent_incarnation: u64) {
-    node.frame(frame::Body::Revoke(Revoke {
-        attempt: attempt(sequence),
+pub fn send_revoke(agent: &mut TestAgent, sequence: u64, agent_incarnation: u64) {
+    agent.receive_frame(frame::Body::Revoke(Revoke {
+        attempt: attempt_frame(sequence),
         agent_incarnation,
     }));
 }
 
-pub fn go(node: &mut Node, sequence: u64) {
-    run(node, model_run(sequence, 10, "a"));
-    assert!(node.started(sequence), "attempt {sequence} is refused");
-    let attempt = id(sequence);
-    node.upstream(UpstreamEvent::Started { attempt });
+pub fn start_attempt(agent: &mut TestAgent, sequence: u64) {
+    send_run(agent, model_run(sequence, 10, "a"));
+    assert!(agent.started(sequence), "attempt {sequence} is refused");
+    let attempt = attempt_id(sequence);
+    agent.upstream_event(UpstreamEvent::Started { attempt });
 }
 
-/// One way of being refused: how it comes about, the frame, and the code.
-type Case = (&'static str, fn(&mut Node), fn(&mut Run), Code);
+/// Case name, preparation of the agent, change of the `Run` frame, and the
+/// expected refusal.
+type Case = (&'static str, fn(&mut TestAgent), fn(&mut Run), Code);
 
-/// Each refusal says `not_run`. The caller relies on it and sends the request
-/// again, so no path to a refusal may hand the attempt to the upstream, not
+/// Every refusal says `not_run`, and the caller then sends the request again.
+/// No path to a refusal may therefore hand the attempt to the upstream, not
 /// even later.
 #[test]
 fn a_refused_attempt_is_not_handed_over() {
@@ -69,7 +71,7 @@
         ),
         (
             "upstream down",
-            |n| n.upstream(UpstreamEvent::Down),
+            |n| n.upstream_event(UpstreamEvent::Down),
             |_| {},
             Code::NotReady,
         ),
@@ -80,56 +82,61 @@
             Code::DeadlineBeforeRun,
         ),
         (
-            "too long a wait",
-            crowd,
+            "queue longer than the remaining time",
+            queue_requests,
             |r| r.remaining_ms = 900,
             Code::DeadlineBeforeRun,
         ),
-        ("full", fill, |_| {}, Code::GateFull),
+        ("full", fill_slots, |_| {}, Code::GateFull),
         (
-            "alone, beside one that takes long",
+            "exclusive, beside a long attempt",
             |n| run_long(n, 12_000),
             |r| (r.alone, r.remaining_ms) = (true, 60_000),
             Code::GateFull,
         ),
         (
-            "alone, with less time than what runs takes",
+            "exclusive, with less time than the running attempt",
             |n| run_long(n, 1_000),
             |r| (r.alone, r.remaining_ms) = (true, 900),
             Code::GateFull,
         ),
         (
-            "alone, with another held",
+            "exclusive, with another waiting",
             |n| {
-                go(n, 1);
-                let mut held = model_run(2, 10, "a");
-                held.alone = true;
-                run(n, held);
+                start_attempt(n, 1);
+                let mut waiting = model_run(2, 10, "a");
+                waiting.alone = true;
+                send_run(n, waiting);
             },
             |r| r.alone = true,
             Code::GateFull,
         ),
-        ("beside one alone", run_alone, |_| {}, Code::GateFull),
-        ("revoked", |n| revoke(n, 99, 10), |_| {}, Code::Revoked),
+        (
+            "beside an exclusive run",
+            send_exclusive_run,
+            |_| {},
+            Code::GateFull,
+        ),
+        ("revoked", |n| send_revoke(n, 99, 10), |_| {}, Code::Revoked),
         ("woken from a freeze", freeze, |_| {}, Code::NotReady),
     ];
     for (name, arrange, alter, code) in cases {
-        let (mut platform, mut engine, mut node) = node();
-        arrange(&mut node);
+        let (mut platform, mut engine, mut agent) = agent_with_model_a();
+        arrange(&mut agent);
         let mut message = model_run(99, 10, "a");
         alter(&mut message);
-        run(&mut node, message);
-        assert_eq!(node.refusal(99), Some(*code), "{name}");
-        node.work(3_000, &mut platform, &mut engine);
-        assert!(!node.started(99), "{name}: run though refused");
+        send_run(&mut agent, message);
+        assert_eq!(agent.refusal(99), Some(*code), "{name}");
+        agent.run_for(3_000, &mut platform, &mut engine);
+        assert!(!agent.started(99), "{name}: run although refused");
     }
 }
 
-/// The upstream has a queue that takes a second to work off.
-fn crowd(node: &mut Node) {
-    go(node, 1);
-    node.pass(1_000);
-    node.serve(1);
+/// The upstream reports a queue that takes a second to process.
+fn queue_requests(agent: &mut TestAgent) {
+    start_attempt(agent, 1);
+    agent.advance_time(1_000);
+    agent.complete_attempt(1);
     let mut report = UpstreamReport {
         waiting: 4,
         ..Engine::new().report()
@@ -141,65 +148,66 @@
         size_mib: 60,
         loaded: true,
     });
-    node.upstream(UpstreamEvent::Report(report));
+    agent.upstream_event(UpstreamEvent::Report(report));
 }
 
-fn fill(node: &mut Node) {
+fn fill_slots(agent: &mut TestAgent) {
     for attempt in 1..=4 {
-        go(node, attempt);
+        start_attempt(agent, attempt);
     }
 }
 
-/// Requests take this long, and one has just begun.
-fn run_long(node: &mut Node, service_ms: u64) {
+/// Requests take `service_ms` each, and one has just started.
+fn run_long(agent: &mut TestAgent, service_ms: u64) {
     let mut first = model_run(1, 10, "a");
     first.remaining_ms = 60_000;
-    run(node, first);
-    node.pass(service_ms);
-    node.serve(1);
-    go(node, 2);
+    send_run(agent, first);
+    agent.advance_time(service_ms);
+    agent.complete_attempt(1);
+    start_attempt(agent, 2);
 }
 
-fn run_alone(node: &mut Node) {
+fn send_exclusive_run(agent: &mut TestAgent) {
     let mut message = model_run(1, 10, "a");
     message.alone = true;
-    run(node, message);
-    assert!(node.started(1));
+    send_run(agent, message);
+    assert!(agent.started(1));
 }
 
-fn freeze(node: &mut Node) {
-    node.now = node.now.plus_ms(60_000);
+fn freeze(agent: &mut TestAgent) {
+    agent.now = agent.now.plus_ms(60_000);
 }
 
-/// An agent without a configuration takes no work.
+/// An agent without a configuration accepts no work.
 #[test]
 fn without_a_configuration_nothing_is_taken() {
     let mut platform = Platform::new();
     platform.away = true;
-    let mut node = Node::start(10, "engines", "127.0.0.1:1", Instant::from_ms(1));
-    node.link_up(ENTRY);
-    node.pump(&mut platform);
-    node.report(&Engine::new());
-    run(&mut node, model_run(1, 10, "a"));
-    assert_eq!(node.refusal(1), Some(Code::NotReady));
-    assert!(!node.ready && node.starts.is_empty());
+    let mut agent = TestAgent::start(10, "engines", "127.0.0.1:1", Instant::from_ms(1));
+    agent.link_up(ENTRY);
+    agent.answer_all_calls(&mut platform);
+    agent.report_from(&Engine::new());
+    send_run(&mut agent, model_run(1, 10, "a"));
+    assert_eq!(agent.refusal(1), Some(Code::NotReady));
+    assert!(!agent.ready && agent.starts.is_empty());
 }
 
-/// What was before, the incarnation asked for, and what is known.
-type RevokedCase = (&'static str, fn(&mut Node), u64, Ran);
+/// Case name, preparation of the agent, the incarnation in the `Revoke`, and
+/// the expected answer.
+type RevocationCase = (&'static str, fn(&mut TestAgent), u64, Ran);
 
-/// An entry misses an answer and asks. `not_run` is only said of an attempt
-/// that never was and never will be handed over; all that the agent can't know
-/// is `unknown`.
+/// An entry received no answer and revokes the attempt. The agent says
+/// `not_run` only of an attempt that was not handed over and never will be;
+/// whatever it can't know is `unknown`.
 #[test]
-fn revoked_attempts() {
-    let cases: &[RevokedCase] = &[
+fn a_revocation_answers_not_run_only_if_certain() {
+    let cases: &[RevocationCase] = &[
         ("never seen", |_| {}, 10, Ran::NotRun),
         ("of another incarnation", |_| {}, 9, Ran::Unknown),
-        ("running", |n| go(n, 99), 10, Ran::Ran),
+        ("running", |n| start_attempt(n, 99), 10, Ran::Ran),
         (
             "given to the driver",
-            |n| run(n, model_run(99, 10, "a")),
+            |n| send_run(n, model_run(99, 10, "a")),
             10,
             Ran::Unknown,
         ),
@@ -209,151 +217,159 @@
         ("failed without being run", not_run, 10, Ran::NotRun),
     ];
     for (name, arrange, incarnation, ran) in cases {
-        let (_, _, mut node) = node();
-        arrange(&mut node);
-        revoke(&mut node, 99, *incarnation);
-        assert_eq!(node.revoked(99), Some(*ran), "{name}");
+        let (_, _, mut agent) = agent_with_model_a();
+        arrange(&mut agent);
+        send_revoke(&mut agent, 99, *incarnation);
+        assert_eq!(agent.revoked(99), Some(*ran), "{name}");
     }
 }
 
-fn done(node: &mut Node) {
-    go(node, 99);
-    node.serve(99);
+fn done(agent: &mut TestAgent) {
+    start_attempt(agent, 99);
+    agent.complete_attempt(99);
 }
 
-fn cancelled(node: &mut Node) {
-    go(node, 99);
-    let attempt = attempt(99);
-    node.frame(frame::Body::Cancel(Cancel { attempt }));
-    assert_eq!(node.stops, [id(99)]);
+fn cancelled(agent: &mut TestAgent) {
+    start_attempt(agent, 99);
+    let attempt = attempt_frame(99);
+    agent.receive_frame(frame::Body::Cancel(Cancel { attempt }));
+    assert_eq!(agent.stops, [attempt_id(99)]);
 }
 
-fn refused(node: &mut Node) {
-    run(node, model_run(99, 10, "b"));
+fn refused(agent: &mut TestAgent) {
+    send_run(agent, model_run(99, 10, "b"));
 }
 
-fn not_run(node: &mut Node) {
-    run(node, model_run(99, 10, "a"));
-    node.upstream(UpstreamEvent::Failed {
-        attempt: id(99),
+fn not_run(agent: &mut TestAgent) {
+    send_run(agent, model_run(99, 10, "a"));
+    agent.upstream_event(UpstreamEvent::Failed {
+        attempt: attempt_id(99),
         ran: Ran::NotRun,
         status: 503,
         broken: false,
     });
-    assert_eq!(node.refusal(99), Some(Code::UpstreamFault));
+    assert_eq!(agent.refusal(99), Some(Code::UpstreamFault));
 }
 
-/// The link breaks. What may be repeated is stopped and frees its place; what
-/// may not is left to finish.
+/// The connection to an entry breaks. An idempotent attempt is stopped, which
+/// frees its slot; a non-idempotent one is left to finish.
 #[test]
-fn a_lost_link_stops_what_may_be_repeated() {
-    let (_, _, mut node) = node();
-    go(&mut node, 1);
+fn a_lost_link_stops_idempotent_attempts() {
+    let (_, _, mut agent) = agent_with_model_a();
+    start_attempt(&mut agent, 1);
     let mut once = model_run(2, 10, "a");
     once.idempotent = false;
-    run(&mut node, once);
-    node.link_down(ENTRY);
-    assert_eq!(node.stops, [id(1)]);
-    assert_eq!(node.role.status().attempts, 1);
+    send_run(&mut agent, once);
+    agent.link_down(ENTRY);
+    assert_eq!(agent.stops, [attempt_id(1)]);
+    assert_eq!(agent.role.status().attempts, 1);
 }
 
-/// Parts carry offsets that begin where the caller's answer broke off, and the
-/// end carries the length of the whole answer, so that an entry sees every gap.
+/// Offsets of the parts continue where the caller's answer broke off, and the
+/// end carries the length of the whole answer, so that an entry detects every
+/// gap.
 #[test]
-fn offsets_go_on_from_the_resumed_answer() {
-    let (_, _, mut node) = node();
+fn offsets_continue_from_the_resumed_answer() {
+    let (_, _, mut agent) = agent_with_model_a();
     let mut message = model_run(1, 10, "a");
     message.resume_offset = 40;
-    run(&mut node, message);
-    let attempt = id(1);
-    node.upstream(UpstreamEvent::Started { attempt });
+    send_run(&mut agent, message);
+    let attempt = attempt_id(1);
+    agent.upstream_event(UpstreamEvent::Started { attempt });
     for units in [3, 2] {
-        node.upstream(UpstreamEvent::AnswerPart { attempt, units });
+        agent.upstream_event(UpstreamEvent::AnswerPart { attempt, units });
     }
-    node.upstream(UpstreamEvent::Done {
+    agent.upstream_event(UpstreamEvent::Done {
         attempt,
         status: 200,
         content_type: String::new(),
     });
-    assert_eq!(node.forwards, [(attempt, 40, 3), (attempt, 43, 2)]);
-    let end = node.end(1).expect("an end");
+    assert_eq!(agent.forwards, [(attempt, 40, 3), (attempt, 43, 2)]);
+    let end = agent.end_frame(1).expect("an end");
     assert_eq!((end.code, end.total_units), (0, 45));
     assert_eq!(end.upstream_incarnation, 7);
-    node.upstream(UpstreamEvent::AnswerPart { attempt, units: 1 });
-    assert_eq!(node.forwards.len(), 2, "a part behind the end is dropped");
+    agent.upstream_event(UpstreamEvent::AnswerPart { attempt, units: 1 });
+    assert_eq!(agent.forwards.len(), 2, "a part after the end is dropped");
 }
 
 /// How the agent learns that its upstream has died.
-type Death = (&'static str, fn(&mut Node, &mut Engine));
+type CrashSignal = (&'static str, fn(&mut TestAgent, &mut Engine));
 
-const DEATHS: [Death; 3] = [
-    ("down", |node, _| node.upstream(UpstreamEvent::Down)),
-    ("restarted", |node, engine| {
+const CRASH_SIGNALS: [CrashSignal; 3] = [
+    ("down", |agent, _| agent.upstream_event(UpstreamEvent::Down)),
+    ("restarted", |agent, engine| {
         engine.restart();
-        node.report(engine);
+        agent.report_from(engine);
     }),
-    ("broken, then restarted", |node, engine| {
+    ("broken, then restarted", |agent, engine| {
         for sequence in [1, 2] {
-            node.upstream(UpstreamEvent::Failed {
-                attempt: id(sequence),
+            agent.upstream_event(UpstreamEvent::Failed {
+                attempt: attempt_id(sequence),
                 ran: Ran::Ran,
                 status: 0,
                 broken: true,
             });
         }
-        assert!(node.end(1).is_none(), "ended before the crash is known");
+        assert!(
+            agent.end_frame(1).is_none(),
+            "ended before the crash is known"
+        );
         engine.restart();
-        node.report(engine);
+        agent.report_from(engine);
     }),
 ];
 
-/// A request kills the upstream. Every attempt in flight ends at once with all
-/// fingerprints in flight, so that entries can find out which it was; the one
-/// that was only with the driver is not among them.
+/// A request crashes the upstream. Every attempt in flight ends at once with
+/// the fingerprints of all attempts in flight, so that entries can find out
+/// which one caused the crash. An attempt that only the driver had is not among
+/// them.
 #[test]
 fn a_crash_reports_all_in_flight() {
-    for (name, die) in DEATHS {
-        let (_, mut engine, mut node) = node();
-        go(&mut node, 1);
-        go(&mut node, 2);
-        run(&mut node, model_run(3, 10, "a"));
-        die(&mut node, &mut engine);
+    for (name, crash) in CRASH_SIGNALS {
+        let (_, mut engine, mut agent) = agent_with_model_a();
+        start_attempt(&mut agent, 1);
+        start_attempt(&mut agent, 2);
+        send_run(&mut agent, model_run(3, 10, "a"));
+        crash(&mut agent, &mut engine);
         for sequence in [1, 2] {
-            let end = node.end(sequence).expect(name);
+            let end = agent.end_frame(sequence).expect(name);
             assert!(end.upstream_crashed, "{name}");
             assert_eq!(end.crash_fingerprints, [1_001, 1_002], "{name}");
             assert_eq!(end.code, Code::UpstreamLost.number(), "{name}");
-            assert_eq!(end.upstream_incarnation, 7, "{name}: not the run that died");
+            assert_eq!(
+                end.upstream_incarnation, 7,
+                "{name}: not the incarnation that died"
+            );
         }
-        assert!(node.end(3).is_none(), "{name}");
+        assert!(agent.end_frame(3).is_none(), "{name}");
     }
 }
 
-/// A connection breaks and the upstream lives on: no crash is reported.
+/// A connection breaks while the upstream keeps running: no crash is reported.
 #[test]
 fn a_broken_connection_is_no_crash() {
-    let (mut platform, mut engine, mut node) = node();
-    go(&mut node, 1);
-    node.upstream(UpstreamEvent::Failed {
-        attempt: id(1),
+    let (mut platform, mut engine, mut agent) = agent_with_model_a();
+    start_attempt(&mut agent, 1);
+    agent.upstream_event(UpstreamEvent::Failed {
+        attempt: attempt_id(1),
         ran: Ran::Ran,
         status: 0,
         broken: true,
     });
-    node.work(1_000, &mut platform, &mut engine);
-    let end = node.end(1).expect("an end");
+    agent.run_for(1_000, &mut platform, &mut engine);
+    let end = agent.end_frame(1).expect("an end");
     assert!(!end.upstream_crashed);
 }
 
-/// The deadline passes during the run: the attempt is stopped and its caller
-/// told, and the place is free.
+/// The deadline passes during the run: the attempt is stopped, its caller is
+/// told, and its slot is free.
 #[test]
 fn a_deadline_ends_a_run() {
-    let (mut platform, mut engine, mut node) = node();
-    go(&mut node, 1);
-    node.work(10_100, &mut platform, &mut engine);
-    assert_eq!(node.stops, [id(1)]);
-    let end = node.end(1).expect("an end");
+    let (mut platform, mut engine, mut agent) = agent_with_model_a();
+    start_attempt(&mut agent, 1);
+    agent.run_for(10_100, &mut platform, &mut engine);
+    assert_eq!(agent.stops, [attempt_id(1)]);
+    let end = agent.end_frame(1).expect("an end");
     assert_eq!(end.code, Code::DeadlineWhileRunning.number());
-    assert_eq!(node.role.status().attempts, 0);
+    assert_eq!(agent.role.status().attempts, 0);
 }
--- a/crates/role/tests/agent/keyed.rs
+++ b/crates/role/tests/agent/keyed.rs
@@ -1,36 +1,36 @@
-//! Calls that may not be repeated, through whole agents.
+//! Non-idempotent calls with an idempotency key, through whole agents.
 
-use crate::stand::*;
+use crate::fixtures::*;
 use base::prelude::*;
 use role::agent::{AgentEvent, UpstreamEvent};
 use schema::link::{Cancel, Revoke, frame};
 
 const NOW: Instant = Instant::from_ms(1_000);
 
-fn call(node: &mut Node, sequence: u64, key: &str) {
-    let incarnation = node.incarnation();
-    node.frame(frame::Body::Run(service_run(sequence, incarnation, key)));
+fn send_call(agent: &mut TestAgent, sequence: u64, key: &str) {
+    let incarnation = agent.incarnation();
+    agent.receive_frame(frame::Body::Run(service_run(sequence, incarnation, key)));
 }
 
-/// The call is not run before its claim stands, and a resend gets the stored
-/// answer without a run.
+/// The call is not run before its claim is granted, and a resend gets the
+/// stored answer without another run.
 #[test]
 fn a_resend_gets_the_stored_answer() {
     let mut platform = Platform::new();
-    let mut node = Node::service(10, NOW, &mut platform);
-    call(&mut node, 1, "key");
-    assert!(node.starts.is_empty(), "run before it was claimed");
-    node.pump(&mut platform);
-    assert!(node.started(1));
-    node.serve(1);
-    node.pump(&mut platform);
-    assert_eq!(node.end(1).map(|end| end.code), Some(0));
+    let mut agent = TestAgent::beside_service(10, NOW, &mut platform);
+    send_call(&mut agent, 1, "key");
+    assert!(agent.starts.is_empty(), "run before it was claimed");
+    agent.answer_all_calls(&mut platform);
+    assert!(agent.started(1));
+    agent.complete_attempt(1);
+    agent.answer_all_calls(&mut platform);
+    assert_eq!(agent.end_frame(1).map(|end| end.code), Some(0));
 
-    let mut other = Node::service(20, NOW, &mut platform);
-    call(&mut other, 2, "key");
-    other.pump(&mut platform);
+    let mut other = TestAgent::beside_service(20, NOW, &mut platform);
+    send_call(&mut other, 2, "key");
+    other.answer_all_calls(&mut platform);
     assert!(other.starts.is_empty(), "run twice");
-    let end = other.end(2).expect("an end");
+    let end = other.end_frame(2).expect("an end");
     assert!(end.replayed);
     assert_eq!((end.code, end.status, end.total_units), (0, 200, 2));
     let body = other.frames.iter().find_map(|(_, body)| match body {
@@ -41,195 +41,201 @@
 }
 
 /// While the platform is away no claim can be written. The call is refused at
-/// once as `not_run`, with a time to come back, and really is not run.
+/// once as `not_run` with a retry delay, and is not run later either.
 #[test]
 fn while_the_platform_is_away_a_call_is_not_run() {
     let mut platform = Platform::new();
-    let mut node = Node::service(10, NOW, &mut platform);
+    let mut agent = TestAgent::beside_service(10, NOW, &mut platform);
     platform.away = true;
-    call(&mut node, 1, "key");
-    node.pump(&mut platform);
-    assert_eq!(node.refusal(1), Some(Code::PlatformAway));
+    send_call(&mut agent, 1, "key");
+    agent.answer_all_calls(&mut platform);
+    assert_eq!(agent.refusal(1), Some(Code::PlatformAway));
     platform.away = false;
     for _ in 0..100 {
-        node.pass(100);
-        node.pump(&mut platform);
+        agent.advance_time(100);
+        agent.answer_all_calls(&mut platform);
     }
-    assert!(node.starts.is_empty());
-    call(&mut node, 2, "key");
-    node.pump(&mut platform);
-    assert!(node.started(2), "the key is free");
+    assert!(agent.starts.is_empty());
+    send_call(&mut agent, 2, "key");
+    agent.answer_all_calls(&mut platform);
+    assert!(agent.started(2), "the key is free");
 }
 
-/// How an attempt is recalled while its claim is being written.
-type Recall = (&'static str, fn(&mut Node));
+/// How an attempt is withdrawn while its claim is being written.
+type Withdrawal = (&'static str, fn(&mut TestAgent));
 
-const RECALLS: [Recall; 3] = [
-    ("cancelled", |node| {
-        let attempt = attempt(1);
-        node.frame(frame::Body::Cancel(Cancel { attempt }));
+const WITHDRAWALS: [Withdrawal; 3] = [
+    ("cancelled", |agent| {
+        let attempt = attempt_frame(1);
+        agent.receive_frame(frame::Body::Cancel(Cancel { attempt }));
     }),
-    ("revoked", |node| {
-        let agent_incarnation = node.incarnation();
-        let attempt = attempt(1);
-        node.frame(frame::Body::Revoke(Revoke {
+    ("revoked", |agent| {
+        let agent_incarnation = agent.incarnation();
+        let attempt = attempt_frame(1);
+        agent.receive_frame(frame::Body::Revoke(Revoke {
             attempt,
             agent_incarnation,
         }));
-        assert_eq!(node.revoked(1), Some(Ran::NotRun));
+        assert_eq!(agent.revoked(1), Some(Ran::NotRun));
     }),
-    ("its link lost", |node| node.link_down(ENTRY)),
+    ("its link lost", |agent| agent.link_down(ENTRY)),
 ];
 
-/// The caller goes away while the claim is being written. The grant comes too
-/// late: the call is not run and its key is free again.
+/// The attempt is withdrawn while its claim is being written. The claim is
+/// granted too late: the call is not run and its key is free again.
 #[test]
-fn a_grant_that_comes_too_late_is_given_back() {
-    for (name, recall) in RECALLS {
+fn a_claim_granted_too_late_is_released() {
+    for (name, withdraw) in WITHDRAWALS {
         let mut platform = Platform::new();
-        let mut node = Node::service(10, NOW, &mut platform);
-        call(&mut node, 1, "key");
-        node.step(&mut platform);
-        assert_eq!(node.calls.len(), 1, "{name}: the write is under way");
-        recall(&mut node);
-        node.pump(&mut platform);
-        assert!(node.starts.is_empty(), "{name}");
-        node.link_up(ENTRY);
-        call(&mut node, 2, "key");
-        node.pump(&mut platform);
-        assert!(node.started(2), "{name}: the key is not free");
+        let mut agent = TestAgent::beside_service(10, NOW, &mut platform);
+        send_call(&mut agent, 1, "key");
+        agent.answer_next_call(&mut platform);
+        assert_eq!(agent.calls.len(), 1, "{name}: the write is in flight");
+        withdraw(&mut agent);
+        agent.answer_all_calls(&mut platform);
+        assert!(agent.starts.is_empty(), "{name}");
+        agent.link_up(ENTRY);
+        send_call(&mut agent, 2, "key");
+        agent.answer_all_calls(&mut platform);
+        assert!(agent.started(2), "{name}: the key is not free");
     }
 }
 
-/// The platform answers slowly and the deadline passes before the claim stands.
-/// The call is refused as `not_run`, is not run, and its key is free again when
-/// the caller hears of it.
+/// The platform answers slowly and the deadline passes before the claim is
+/// granted. The call is refused as `not_run`, is not run, and its key is free
+/// again when the caller receives the refusal.
 #[test]
-fn a_grant_behind_the_deadline_is_given_back() {
+fn a_claim_granted_after_the_deadline_is_released() {
     let mut platform = Platform::new();
-    let mut node = Node::service(10, NOW, &mut platform);
+    let mut agent = TestAgent::beside_service(10, NOW, &mut platform);
     let mut run = service_run(1, 10, "key");
     run.remaining_ms = 1_000;
-    node.frame(frame::Body::Run(run));
-    node.step(&mut platform);
-    node.pass(1_100);
-    node.pump(&mut platform);
-    assert!(node.starts.is_empty());
-    assert_eq!(node.refusal(1), Some(Code::DeadlineBeforeRun));
-    call(&mut node, 2, "key");
-    node.pump(&mut platform);
-    assert!(node.started(2), "the key is not free");
+    agent.receive_frame(frame::Body::Run(run));
+    agent.answer_next_call(&mut platform);
+    agent.advance_time(1_100);
+    agent.answer_all_calls(&mut platform);
+    assert!(agent.starts.is_empty());
+    assert_eq!(agent.refusal(1), Some(Code::DeadlineBeforeRun));
+    send_call(&mut agent, 2, "key");
+    agent.answer_all_calls(&mut platform);
+    assert!(agent.started(2), "the key is not free");
 }
 
 /// The upstream itself refuses the call. The claim is released before the
-/// caller hears of it, so that the resend does not meet it.
+/// caller is told, so that a resend does not find the key claimed.
 #[test]
 fn a_call_the_upstream_refused_frees_its_key_first() {
     let mut platform = Platform::new();
-    let mut node = Node::service(10, NOW, &mut platform);
-    call(&mut node, 1, "key");
-    node.pump(&mut platform);
-    node.upstream(UpstreamEvent::Failed {
-        attempt: id(1),
+    let mut agent = TestAgent::beside_service(10, NOW, &mut platform);
+    send_call(&mut agent, 1, "key");
+    agent.answer_all_calls(&mut platform);
+    agent.upstream_event(UpstreamEvent::Failed {
+        attempt: attempt_id(1),
         ran: Ran::NotRun,
         status: 503,
         broken: false,
     });
-    assert_eq!(node.refusal(1), None, "told before the key was free");
-    node.pump(&mut platform);
-    assert_eq!(node.refusal(1), Some(Code::UpstreamFault));
-    call(&mut node, 2, "key");
-    node.pump(&mut platform);
-    assert!(node.started(2));
+    assert_eq!(agent.refusal(1), None, "refused before the key was free");
+    agent.answer_all_calls(&mut platform);
+    assert_eq!(agent.refusal(1), Some(Code::UpstreamFault));
+    send_call(&mut agent, 2, "key");
+    agent.answer_all_calls(&mut platform);
+    assert!(agent.started(2));
 }
 
 /// The agent dies between claim and run, or between run and answer. A resend
-/// through its successor is never run: the successor can't tell whether the
-/// first was.
+/// through its successor is never run, because the successor can't tell whether
+/// the first call was.
 #[test]
 fn a_call_of_a_dead_agent_is_not_run_again() {
     for ran in [false, true] {
         let mut platform = Platform::new();
-        let mut node = Node::service(10, NOW, &mut platform);
-        call(&mut node, 1, "key");
-        node.pump(&mut platform);
+        let mut agent = TestAgent::beside_service(10, NOW, &mut platform);
+        send_call(&mut agent, 1, "key");
+        agent.answer_all_calls(&mut platform);
         if ran {
-            node.upstream(UpstreamEvent::Started { attempt: id(1) });
+            agent.upstream_event(UpstreamEvent::Started {
+                attempt: attempt_id(1),
+            });
         }
-        drop(node);
-        let mut next = Node::service(11, NOW.plus_ms(500), &mut platform);
-        call(&mut next, 2, "key");
-        next.pump(&mut platform);
-        let end = next.end(2).expect("an end");
+        drop(agent);
+        let mut next = TestAgent::beside_service(11, NOW.plus_ms(500), &mut platform);
+        send_call(&mut next, 2, "key");
+        next.answer_all_calls(&mut platform);
+        let end = next.end_frame(2).expect("an end");
         assert_eq!(end.code, Code::KeyInProgress.number());
         assert_eq!(Ran::from_number(end.ran), Ran::Unknown);
-        next.pass(20_000);
-        call(&mut next, 3, "key");
-        next.pump(&mut platform);
-        let end = next.end(3).expect("an end");
+        next.advance_time(20_000);
+        send_call(&mut next, 3, "key");
+        next.answer_all_calls(&mut platform);
+        let end = next.end_frame(3).expect("an end");
         assert_eq!(end.code, Code::OutcomeUnknown.number());
-        assert!(next.starts.is_empty(), "run again");
+        assert!(next.starts.is_empty(), "run a second time");
     }
 }
 
-/// The entry is gone in mid run. The call can't be undone, so it finishes and
-/// its answer is kept for the resend.
+/// The entry disconnects during the run. The call can't be undone, so it
+/// finishes and its answer is stored for a resend.
 #[test]
 fn a_call_without_its_entry_still_stores_its_answer() {
     let mut platform = Platform::new();
-    let mut node = Node::service(10, NOW, &mut platform);
-    call(&mut node, 1, "key");
-    node.pump(&mut platform);
-    node.upstream(UpstreamEvent::Started { attempt: id(1) });
-    node.link_down(ENTRY);
-    assert!(node.stops.is_empty());
-    node.serve(1);
-    node.pump(&mut platform);
-    node.link_up(ENTRY);
-    call(&mut node, 2, "key");
-    node.pump(&mut platform);
-    assert!(node.end(2).is_some_and(|end| end.replayed));
+    let mut agent = TestAgent::beside_service(10, NOW, &mut platform);
+    send_call(&mut agent, 1, "key");
+    agent.answer_all_calls(&mut platform);
+    agent.upstream_event(UpstreamEvent::Started {
+        attempt: attempt_id(1),
+    });
+    agent.link_down(ENTRY);
+    assert!(agent.stops.is_empty());
+    agent.complete_attempt(1);
+    agent.answer_all_calls(&mut platform);
+    agent.link_up(ENTRY);
+    send_call(&mut agent, 2, "key");
+    agent.answer_all_calls(&mut platform);
+    assert!(agent.end_frame(2).is_some_and(|end| end.replayed));
 }
 
 /// The upstream dies with the call in flight. It may have taken effect, so a
-/// resend is told that it ran and that nobody knows how it ended.
+/// resend is told that it ran with an unknown outcome.
 #[test]
 fn a_call_lost_in_a_crash_is_not_run_again() {
     let mut platform = Platform::new();
-    let mut node = Node::service(10, NOW, &mut platform);
-    call(&mut node, 1, "key");
-    node.pump(&mut platform);
-    node.upstream(UpstreamEvent::Started { attempt: id(1) });
-    node.upstream(UpstreamEvent::Down);
-    node.pump(&mut platform);
-    node.report(&Engine::new());
-    call(&mut node, 2, "key");
-    node.pump(&mut platform);
-    let end = node.end(2).expect("an end");
+    let mut agent = TestAgent::beside_service(10, NOW, &mut platform);
+    send_call(&mut agent, 1, "key");
+    agent.answer_all_calls(&mut platform);
+    agent.upstream_event(UpstreamEvent::Started {
+        attempt: attempt_id(1),
+    });
+    agent.upstream_event(UpstreamEvent::Down);
+    agent.answer_all_calls(&mut platform);
+    agent.report_from(&Engine::new());
+    send_call(&mut agent, 2, "key");
+    agent.answer_all_calls(&mut platform);
+    let end = agent.end_frame(2).expect("an end");
     assert_eq!(end.code, Code::OutcomeUnknown.number());
     assert_eq!(Ran::from_number(end.ran), Ran::Ran);
-    assert_eq!(node.starts.len(), 1);
+    assert_eq!(agent.starts.len(), 1);
 }
 
-/// A planned stop: the call in progress finishes, its answer is stored, and
-/// only then does the process end.
+/// On a graceful shutdown the call in progress finishes, its answer is stored,
+/// and only then does the process exit.
 #[test]
 fn a_stop_waits_for_the_answer_to_be_stored() {
     let mut platform = Platform::new();
-    let mut node = Node::service(10, NOW, &mut platform);
-    call(&mut node, 1, "key");
-    node.pump(&mut platform);
-    node.handle(AgentEvent::Drain);
-    node.pump(&mut platform);
-    assert!(!node.exited);
-    node.serve(1);
+    let mut agent = TestAgent::beside_service(10, NOW, &mut platform);
+    send_call(&mut agent, 1, "key");
+    agent.answer_all_calls(&mut platform);
+    agent.handle(AgentEvent::Drain);
+    agent.answer_all_calls(&mut platform);
+    assert!(!agent.exited);
+    agent.complete_attempt(1);
     let goodbye = |body: &frame::Body| matches!(body, frame::Body::Goodbye(_));
-    let left = node.frames.iter().any(|(_, body)| goodbye(body));
-    assert!(!left && !node.exited, "the answer is not stored yet");
-    node.pump(&mut platform);
-    assert!(node.exited);
-    let mut next = Node::service(11, NOW, &mut platform);
-    call(&mut next, 2, "key");
-    next.pump(&mut platform);
-    assert!(next.end(2).is_some_and(|end| end.replayed));
+    let left = agent.frames.iter().any(|(_, body)| goodbye(body));
+    assert!(!left && !agent.exited, "the answer is not stored yet");
+    agent.answer_all_calls(&mut platform);
+    assert!(agent.exited);
+    let mut next = TestAgent::beside_service(11, NOW, &mut platform);
+    send_call(&mut next, 2, "key");
+    next.answer_all_calls(&mut platform);
+    assert!(next.end_frame(2).is_some_and(|end| end.replayed));
 }
--- a/crates/role/tests/agent/orders.rs
+++ b/crates/role/tests/agent/orders.rs
@@ -1,216 +1,234 @@
 //! Orders and intents under faults, with one agent.
 
-use crate::stand::*;
+use crate::fixtures::*;
 use base::{Epoch, Instant, ModelId, PlatformResult};
 use role::agent::{Order, UpstreamEvent};
 use schema::link::frame;
 
-pub fn begin() -> (Platform, Engine, Node) {
+pub fn agent_with_empty_engine() -> (Platform, Engine, TestAgent) {
     let mut platform = Platform::new();
     let engine = Engine::new();
     let now = Instant::from_ms(1_000);
-    let node = Node::engine(10, "127.0.0.1:1", now, &mut platform, &engine);
-    assert!(node.ready);
-    (platform, engine, node)
+    let agent =
+        TestAgent::beside_engine(10, "127.0.0.1:1", now, &mut platform, &engine);
+    assert!(agent.ready);
+    (platform, engine, agent)
 }
 
-/// A node whose engine holds model `a`.
-pub fn with_a() -> (Platform, Engine, Node) {
-    let (mut platform, mut engine, mut node) = begin();
-    node.target("p", 1, &[("a", 1)]);
-    node.work(300, &mut platform, &mut engine);
-    assert!(engine.holds("a"));
-    (platform, engine, node)
+/// An agent whose engine has loaded model `a`.
+pub fn agent_with_model_a() -> (Platform, Engine, TestAgent) {
+    let (mut platform, mut engine, mut agent) = agent_with_empty_engine();
+    agent.receive_target("p", 1, &[("a", 1)]);
+    agent.run_for(300, &mut platform, &mut engine);
+    assert!(engine.has_loaded("a"));
+    (platform, engine, agent)
 }
 
-/// The order goes out only after its intent is in the record; a successor that
-/// reads the record then counts it.
+/// The order is sent only after its intent is recorded, so that a successor
+/// that reads the record counts it.
 #[test]
 fn an_intent_is_recorded_before_its_order() {
-    let (mut platform, _, mut node) = begin();
-    node.target("p", 1, &[("a", 1)]);
-    assert!(node.orders.is_empty(), "ordered before the intent stood");
-    assert_eq!(node.in_use_mib(), 60);
-    node.pump(&mut platform);
-    assert_eq!(node.orders.len(), 1);
-    let order = &node.orders[0];
-    let record = platform.record();
+    let (mut platform, _, mut agent) = agent_with_empty_engine();
+    agent.receive_target("p", 1, &[("a", 1)]);
+    assert!(
+        agent.orders.is_empty(),
+        "ordered before the intent was recorded"
+    );
+    assert_eq!(agent.in_use_mib(), 60);
+    agent.answer_all_calls(&mut platform);
+    assert_eq!(agent.orders.len(), 1);
+    let order = &agent.orders[0];
+    let record = platform.agent_record();
     assert_eq!(record.intents.len(), 1);
     assert_eq!(record.intents[0].order, order.id);
     assert_eq!(order.fencing_token.0, record.epoch);
 }
 
-/// What becomes of an order's way to the engine.
+/// Which message is lost between agent and engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Way {
-    Lost,
-    AnswerLost,
+enum Loss {
+    Order,
+    Answer,
 }
 
-/// An order or its answer is lost on the way. The order stays counted, so
-/// nothing that would not fit is begun, and it is given again under the same
-/// number until the engine's report shows its end.
+/// An order or its answer is lost. The order stays counted, so that nothing is
+/// started that would not fit, and it is resent under the same number until the
+/// engine's report shows its end.
 #[test]
 fn an_unanswered_order_counts_and_is_given_again() {
-    for way in [Way::Lost, Way::AnswerLost] {
-        let (mut platform, mut engine, mut node) = begin();
-        node.target("p", 1, &[("a", 1)]);
-        node.pump(&mut platform);
-        let first = node.orders.pop_front().expect("an order for `a`");
-        if way == Way::AnswerLost {
-            engine.take(&first);
+    for loss in [Loss::Order, Loss::Answer] {
+        let (mut platform, mut engine, mut agent) = agent_with_empty_engine();
+        agent.receive_target("p", 1, &[("a", 1)]);
+        agent.answer_all_calls(&mut platform);
+        let first = agent.orders.pop_front().expect("an order for `a`");
+        if loss == Loss::Answer {
+            engine.accept_order(&first);
         }
-        node.unanswered(first.id);
-        node.target("p", 1, &[("b", 1)]);
-        node.pump(&mut platform);
+        agent.leave_unanswered(first.id);
+        agent.receive_target("p", 1, &[("b", 1)]);
+        agent.answer_all_calls(&mut platform);
         assert!(
-            node.orders.is_empty(),
-            "{way:?}: `b` does not fit beside `a`"
+            agent.orders.is_empty(),
+            "{loss:?}: `b` does not fit beside `a`"
         );
-        assert_eq!(node.in_use_mib(), 60);
-        node.pass(1_100);
-        let second = node.orders.pop_front().expect("given again");
-        assert_eq!(second.id, first.id, "{way:?}");
-        let answer = engine.take(&second);
+        assert_eq!(agent.in_use_mib(), 60);
+        agent.advance_time(1_100);
+        let second = agent.orders.pop_front().expect("the order is resent");
+        assert_eq!(second.id, first.id, "{loss:?}");
+        let answer = engine.accept_order(&second);
         let order = second.id;
-        node.upstream(UpstreamEvent::OrderAnswered { order, answer });
-        node.target("p", 1, &[("b", 1)]);
-        node.work(ORDER_DELAY_MS + 1_000, &mut platform, &mut engine);
-        assert!(engine.holds("b") && !engine.holds("a"), "{way:?}");
-        assert_eq!(engine.peak_mib, 60, "{way:?}");
+        agent.upstream_event(UpstreamEvent::OrderAnswered { order, answer });
+        agent.receive_target("p", 1, &[("b", 1)]);
+        agent.run_for(ORDER_DELAY_MS + 1_000, &mut platform, &mut engine);
+        assert!(
+            engine.has_loaded("b") && !engine.has_loaded("a"),
+            "{loss:?}"
+        );
+        assert_eq!(engine.peak_mib, 60, "{loss:?}");
     }
 }
 
-/// An unload gets no answer. Its memory may be free or not; nothing is loaded
-/// into it until the engine's report shows the model gone.
+/// An unload gets no answer, so its memory may be free or not. Nothing is
+/// loaded into it until the engine's report shows that the model is gone.
 #[test]
 fn an_unanswered_unload_frees_nothing() {
-    let (mut platform, mut engine, mut node) = with_a();
-    node.target("p", 1, &[("b", 1)]);
-    node.pump(&mut platform);
-    let unload = node.orders.pop_front().expect("an unload of `a`");
+    let (mut platform, mut engine, mut agent) = agent_with_model_a();
+    agent.receive_target("p", 1, &[("b", 1)]);
+    agent.answer_all_calls(&mut platform);
+    let unload = agent.orders.pop_front().expect("an unload of `a`");
     assert!(!unload.load);
-    node.unanswered(unload.id);
-    engine.take(&unload);
-    engine.finish();
-    node.pump(&mut platform);
-    assert!(node.orders.is_empty());
-    assert_eq!(node.in_use_mib(), 60);
-    node.report(&engine);
-    node.pump(&mut platform);
-    let load = node.orders.pop_front().expect("now `b` fits");
+    agent.leave_unanswered(unload.id);
+    engine.accept_order(&unload);
+    engine.finish_orders();
+    agent.answer_all_calls(&mut platform);
+    assert!(agent.orders.is_empty());
+    assert_eq!(agent.in_use_mib(), 60);
+    agent.report_from(&engine);
+    agent.answer_all_calls(&mut platform);
+    let load = agent.orders.pop_front().expect("now `b` fits");
     assert!(load.load);
     assert_eq!(load.model.as_str(), "b");
 }
 
-/// Old and new do not fit together. The old one goes first, and goes only when
-/// no attempt runs on it; new work for it is refused meanwhile, else it would
-/// never go.
+/// The old and the new model do not fit together. The old one is unloaded
+/// first, but only once no attempt runs on it. New work for it is refused
+/// meanwhile; otherwise it would never be idle.
 #[test]
 fn a_model_is_replaced_when_its_last_attempt_ends() {
-    let (mut platform, mut engine, mut node) = with_a();
-    node.frame(frame::Body::Run(model_run(1, 10, "a")));
-    node.upstream(UpstreamEvent::Started { attempt: id(1) });
-    node.target("p", 1, &[("b", 1)]);
-    node.work(1_000, &mut platform, &mut engine);
-    assert!(engine.holds("a"), "unloaded under an attempt");
-    node.frame(frame::Body::Run(model_run(2, 10, "a")));
-    assert_eq!(node.refusal(2), Some(base::Code::NotHeld));
-    node.serve(1);
-    node.work(1_000, &mut platform, &mut engine);
-    assert!(engine.holds("b") && !engine.holds("a"));
+    let (mut platform, mut engine, mut agent) = agent_with_model_a();
+    agent.receive_frame(frame::Body::Run(model_run(1, 10, "a")));
+    agent.upstream_event(UpstreamEvent::Started {
+        attempt: attempt_id(1),
+    });
+    agent.receive_target("p", 1, &[("b", 1)]);
+    agent.run_for(1_000, &mut platform, &mut engine);
+    assert!(engine.has_loaded("a"), "unloaded during an attempt");
+    agent.receive_frame(frame::Body::Run(model_run(2, 10, "a")));
+    assert_eq!(agent.refusal(2), Some(base::Code::NotHeld));
+    agent.complete_attempt(1);
+    agent.run_for(1_000, &mut platform, &mut engine);
+    assert!(engine.has_loaded("b") && !engine.has_loaded("a"));
     assert_eq!(engine.peak_mib, 60);
 }
 
-/// A new version that fits beside the old one is loaded before the old one
-/// goes, so that the model is served throughout.
+/// A new version that fits beside the old one is loaded before the old one is
+/// unloaded, so that the model is served throughout.
 #[test]
 fn a_version_that_fits_is_loaded_first() {
-    let (mut platform, mut engine, mut node) = begin();
-    node.target("p", 1, &[("c", 1)]);
-    node.work(300, &mut platform, &mut engine);
-    node.target("p", 1, &[("c", 2)]);
-    node.pump(&mut platform);
-    assert_eq!(node.orders.len(), 1);
-    assert!(node.orders[0].load);
-    node.work(500, &mut platform, &mut engine);
-    assert_eq!(engine.memory_mib(), 30, "the old version has gone");
+    let (mut platform, mut engine, mut agent) = agent_with_empty_engine();
+    agent.receive_target("p", 1, &[("c", 1)]);
+    agent.run_for(300, &mut platform, &mut engine);
+    agent.receive_target("p", 1, &[("c", 2)]);
+    agent.answer_all_calls(&mut platform);
+    assert_eq!(agent.orders.len(), 1);
+    assert!(agent.orders[0].load);
+    agent.run_for(500, &mut platform, &mut engine);
+    assert_eq!(engine.memory_mib(), 30, "the old version is unloaded");
 }
 
-/// Two entries both believe to plan the cell. The agent follows the higher
-/// rank, does not swing between them, and turns to the other when the first
-/// has fallen silent.
+/// Two entries both believe that they plan the cell. The agent follows the one
+/// with the higher rank without alternating, and follows the other once the
+/// first has fallen silent.
 #[test]
 fn of_two_planners_the_higher_rank_is_followed() {
-    let (mut platform, mut engine, mut node) = begin();
+    let (mut platform, mut engine, mut agent) = agent_with_empty_engine();
     for _ in 0..10 {
-        node.target("high", 2, &[("a", 1)]);
-        node.target("low", 1, &[("b", 1)]);
-        node.work(200, &mut platform, &mut engine);
+        agent.receive_target("high", 2, &[("a", 1)]);
+        agent.receive_target("low", 1, &[("b", 1)]);
+        agent.run_for(200, &mut platform, &mut engine);
     }
-    assert!(engine.holds("a"));
-    assert_eq!(node.role.counters().loads, 1, "it swung");
-    assert_eq!(node.role.counters().unloads, 0);
+    assert!(engine.has_loaded("a"));
+    assert_eq!(
+        agent.role.counters().loads,
+        1,
+        "it alternated between the plans"
+    );
+    assert_eq!(agent.role.counters().unloads, 0);
     for _ in 0..40 {
-        node.target("low", 1, &[("b", 1)]);
-        node.work(200, &mut platform, &mut engine);
+        agent.receive_target("low", 1, &[("b", 1)]);
+        agent.run_for(200, &mut platform, &mut engine);
     }
-    assert!(engine.holds("b"), "the silent planner is still followed");
+    assert!(
+        engine.has_loaded("b"),
+        "the silent planner is still followed"
+    );
     assert!(engine.peak_mib <= 100);
 }
 
-/// The platform is away. No intent can be recorded, so no order goes out and no
-/// model stops being served; when the platform is back the plan is carried out.
+/// While the platform is away no intent can be recorded, so no order is sent
+/// and no model stops being served. The plan is carried out once the platform
+/// is back.
 #[test]
 fn while_the_platform_is_away_models_stay_and_are_served() {
-    let (mut platform, mut engine, mut node) = with_a();
+    let (mut platform, mut engine, mut agent) = agent_with_model_a();
     platform.away = true;
-    node.target("p", 1, &[("b", 1)]);
-    node.pump(&mut platform);
+    agent.receive_target("p", 1, &[("b", 1)]);
+    agent.answer_all_calls(&mut platform);
     for attempt in 1..=5 {
-        node.target("p", 1, &[("b", 1)]);
-        node.frame(frame::Body::Run(model_run(attempt, 10, "a")));
+        agent.receive_target("p", 1, &[("b", 1)]);
+        agent.receive_frame(frame::Body::Run(model_run(attempt, 10, "a")));
         assert!(
-            node.started(attempt),
+            agent.started(attempt),
             "attempt {attempt}: `a` is not served"
         );
-        node.serve(attempt);
-        node.work(1_000, &mut platform, &mut engine);
-        assert!(node.orders.is_empty());
+        agent.complete_attempt(attempt);
+        agent.run_for(1_000, &mut platform, &mut engine);
+        assert!(agent.orders.is_empty());
     }
-    assert!(engine.holds("a"));
+    assert!(engine.has_loaded("a"));
     platform.away = false;
-    node.target("p", 1, &[("b", 1)]);
-    node.work(5_000, &mut platform, &mut engine);
-    assert!(engine.holds("b"));
+    agent.receive_target("p", 1, &[("b", 1)]);
+    agent.run_for(5_000, &mut platform, &mut engine);
+    assert!(engine.has_loaded("b"));
 }
 
-/// The answer to the write of an intent is lost, with or without its effect.
-/// The agent reads the record back and goes on from what it finds.
+/// The write of an intent gets no answer, whether or not it took effect. The
+/// agent reads the record back and continues from what it finds.
 #[test]
-fn a_lost_answer_of_the_record_is_read_back() {
-    for effect in [true, false] {
-        let (mut platform, mut engine, mut node) = begin();
-        node.target("p", 1, &[("a", 1)]);
-        let write = node.calls.pop_front().expect("the intent is written");
-        if effect {
+fn a_record_write_without_an_answer_is_read_back() {
+    for applied in [true, false] {
+        let (mut platform, mut engine, mut agent) = agent_with_empty_engine();
+        agent.receive_target("p", 1, &[("a", 1)]);
+        let write = agent.calls.pop_front().expect("the intent is written");
+        if applied {
             platform.apply(&write.op);
         }
-        node.answer(write.id, PlatformResult::Unanswered);
-        assert!(node.orders.is_empty());
-        node.work(1_000, &mut platform, &mut engine);
-        assert!(engine.holds("a"), "effect {effect}");
-        assert_eq!(node.role.counters().orders, 1);
+        agent.answer_call(write.id, PlatformResult::Unanswered);
+        assert!(agent.orders.is_empty());
+        agent.run_for(1_000, &mut platform, &mut engine);
+        assert!(engine.has_loaded("a"), "applied {applied}");
+        assert_eq!(agent.role.counters().orders, 1);
     }
 }
 
-/// While the intent of a load is being written, somebody else puts a model on
-/// the accelerator. There is no room for both, so the load is not given.
+/// While the intent of a load is being written, a model that this agent did not
+/// order appears on the accelerator. There is no room for both, so the load is
+/// not sent.
 #[test]
 fn a_load_that_no_longer_fits_is_not_given() {
-    let (mut platform, mut engine, mut node) = begin();
-    node.target("p", 1, &[("a", 1)]);
-    engine.take(&Order {
+    let (mut platform, mut engine, mut agent) = agent_with_empty_engine();
+    agent.receive_target("p", 1, &[("a", 1)]);
+    engine.accept_order(&Order {
         id: 1,
         fencing_token: Epoch(1),
         load: true,
@@ -220,38 +238,38 @@
         accelerator: 0,
         size_mib: 60,
     });
-    node.report(&engine);
-    node.pump(&mut platform);
-    assert!(node.orders.iter().all(|order| !order.load));
+    agent.report_from(&engine);
+    agent.answer_all_calls(&mut platform);
+    assert!(agent.orders.iter().all(|order| !order.load));
 }
 
-/// Intents that have ended are taken out of the record after a while, so that a
-/// successor does not count them.
+/// Ended intents are removed from the record after a while, so that a successor
+/// does not count them.
 #[test]
 fn ended_intents_leave_the_record() {
-    let (mut platform, mut engine, mut node) = with_a();
-    assert_eq!(platform.record().intents.len(), 1);
-    node.work(6_000, &mut platform, &mut engine);
-    assert!(platform.record().intents.is_empty());
+    let (mut platform, mut engine, mut agent) = agent_with_model_a();
+    assert_eq!(platform.agent_record().intents.len(), 1);
+    agent.run_for(6_000, &mut platform, &mut engine);
+    assert!(platform.agent_record().intents.is_empty());
 }
 
-/// The engine restarts with an order on its way. The order may still reach the
-/// new run, so its memory counts for the longest order delay.
+/// The engine restarts with an order in flight. The order may still reach the
+/// restarted engine, so its memory counts for the longest order delay.
 #[test]
-fn an_order_on_its_way_counts_past_a_restart() {
-    let (mut platform, mut engine, mut node) = begin();
-    node.target("p", 1, &[("a", 1)]);
-    node.pump(&mut platform);
-    let late = node.orders.pop_front().expect("an order for `a`");
-    node.unanswered(late.id);
+fn an_order_in_flight_counts_across_an_engine_restart() {
+    let (mut platform, mut engine, mut agent) = agent_with_empty_engine();
+    agent.receive_target("p", 1, &[("a", 1)]);
+    agent.answer_all_calls(&mut platform);
+    let late = agent.orders.pop_front().expect("an order for `a`");
+    agent.leave_unanswered(late.id);
     engine.restart();
-    node.report(&engine);
-    node.target("p", 1, &[("b", 1)]);
-    node.work(ORDER_DELAY_MS - 500, &mut platform, &mut engine);
+    agent.report_from(&engine);
+    agent.receive_target("p", 1, &[("b", 1)]);
+    agent.run_for(ORDER_DELAY_MS - 500, &mut platform, &mut engine);
     assert_eq!(engine.memory_mib(), 0, "`b` could overcommit with `a`");
-    engine.take(&late);
-    node.target("p", 1, &[("b", 1)]);
-    node.work(5_000, &mut platform, &mut engine);
-    assert!(engine.holds("b"));
+    engine.accept_order(&late);
+    agent.receive_target("p", 1, &[("b", 1)]);
+    agent.run_for(5_000, &mut platform, &mut engine);
+    assert!(engine.has_loaded("b"));
     assert!(engine.peak_mib <= 100);
 }
--- a/crates/role/tests/agent/random/keys.rs
+++ b/crates/role/tests/agent/random/keys.rs
@@ -1,7 +1,8 @@
-//! Two agents of one service, which run a key once at most.
+//! Randomised test: two agents of one service run each idempotency key at most
+//! once.
 
 use super::{SEED, cases};
-use crate::stand::*;
+use crate::fixtures::*;
 use arbtest::arbitrary::{Result, Unstructured};
 use base::prelude::*;
 use base::{PlatformOp, PlatformResult};
@@ -9,89 +10,91 @@
 use schema::link::frame;
 use std::collections::BTreeMap;
 
-/// Two agents of one service, a platform that loses answers, and few keys: each
-/// key is run once at most, and one that was refused as `not_run` was not run
-/// by that attempt.
+/// Two agents of one service, a platform that loses answers, and few keys. Each
+/// key must run at most once, and an attempt that was refused as `not_run` must
+/// not have run.
 #[test]
 fn no_sequence_of_faults_runs_a_key_twice() {
-    let mut runs_in_all = 0;
+    let mut total_runs = 0;
     for case in 0..cases() {
         let seed = SEED + 1 + (case << 32);
         arbtest::arbtest(|u| {
-            let mut keys = Keys::new();
+            let mut world = TwoAgents::new();
             while !u.is_empty() {
-                keys.step(u)?;
-                keys.check();
+                world.step(u)?;
+                world.check();
             }
-            runs_in_all += keys.runs.len();
+            total_runs += world.runs.len();
             Ok(())
         })
         .seed(seed);
     }
-    assert!(runs_in_all > 0, "no call was run: the cases test nothing");
+    assert!(total_runs > 0, "no call was run: the cases test nothing");
 }
 
-/// Two agents of one service.
-struct Keys {
+/// Two agents of one service, and the platform they share.
+struct TwoAgents {
     platform: Platform,
-    nodes: Vec<Node>,
+    agents: Vec<TestAgent>,
     sequence: u64,
-    /// Calls handed over, by key.
+    /// Attempts handed to the service, by key.
     runs: BTreeMap<String, Vec<u64>>,
-    /// Calls in progress at each agent.
-    open: Vec<Vec<u64>>,
-    /// Writes whose effect comes late.
-    late: Vec<PlatformOp>,
+    /// Attempts in progress at each agent.
+    running: Vec<Vec<u64>>,
+    /// Writes that take effect later.
+    delayed_writes: Vec<PlatformOp>,
 }
 
-impl Keys {
+impl TwoAgents {
     fn new() -> Self {
         let mut platform = Platform::new();
         let now = Instant::from_ms(1_000);
-        let nodes = (0..2).map(|n| Node::service(10 + n, now, &mut platform));
-        let nodes = nodes.collect();
+        let agents =
+            (0..2).map(|n| TestAgent::beside_service(10 + n, now, &mut platform));
+        let agents = agents.collect();
         Self {
             platform,
-            nodes,
+            agents,
             sequence: 0,
             runs: BTreeMap::new(),
-            open: vec![Vec::new(); 2],
-            late: Vec::new(),
+            running: vec![Vec::new(); 2],
+            delayed_writes: Vec::new(),
         }
     }
 
     fn step(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
-        let place = u.choose_index(2)?;
+        let index = u.choose_index(2)?;
         match u.int_in_range(0..=11)? {
-            0..=4 => self.answer(place, u)?,
-            5 | 6 => self.call(place, u)?,
-            7 => self.nodes[place].pass(u.int_in_range(1..=3_000)?),
-            8 => self.end(place, u)?,
+            0..=4 => self.answer(index, u)?,
+            5 | 6 => self.send_call(index, u)?,
+            7 => self.agents[index].advance_time(u.int_in_range(1..=3_000)?),
+            8 => self.end(index, u)?,
             9 => {
-                for op in std::mem::take(&mut self.late) {
+                for op in std::mem::take(&mut self.delayed_writes) {
                     self.platform.apply(&op);
                 }
             }
             10 => {
-                self.nodes[place].link_down(ENTRY);
-                self.nodes[place].link_up(ENTRY);
+                self.agents[index].link_down(ENTRY);
+                self.agents[index].link_up(ENTRY);
             }
             _ => {
                 let incarnation = 20 + self.sequence;
                 self.sequence += 1;
-                let now = self.nodes[place].now;
-                self.open[place].clear();
-                let mut node = Node::service(incarnation, now, &mut self.platform);
-                node.now = now;
-                self.nodes[place] = node;
+                let now = self.agents[index].now;
+                self.running[index].clear();
+                let mut agent =
+                    TestAgent::beside_service(incarnation, now, &mut self.platform);
+                agent.now = now;
+                self.agents[index] = agent;
             }
         }
-        self.collect(place);
+        self.collect(index);
         Ok(())
     }
 
-    fn answer(&mut self, place: usize, u: &mut Unstructured<'_>) -> Result<()> {
-        let Some(call) = self.nodes[place].calls.pop_front() else {
+    fn answer(&mut self, index: usize, u: &mut Unstructured<'_>) -> Result<()> {
+        let Some(call) = self.agents[index].calls.pop_front() else {
             return Ok(());
         };
         let result = match u.int_in_range(0..=7)? {
@@ -102,48 +105,48 @@
                 PlatformResult::Unanswered
             }
             3 => {
-                self.late.push(call.op.clone());
+                self.delayed_writes.push(call.op.clone());
                 PlatformResult::Unanswered
             }
             _ => self.platform.apply(&call.op),
         };
-        self.nodes[place].answer(call.id, result);
+        self.agents[index].answer_call(call.id, result);
         Ok(())
     }
 
-    fn call(&mut self, place: usize, u: &mut Unstructured<'_>) -> Result<()> {
+    fn send_call(&mut self, index: usize, u: &mut Unstructured<'_>) -> Result<()> {
         self.sequence += 1;
         let key = ["x", "y", "z"][u.choose_index(3)?];
-        let incarnation = self.nodes[place].incarnation();
+        let incarnation = self.agents[index].incarnation();
         let run = service_run(self.sequence, incarnation, key);
-        self.nodes[place].frame(frame::Body::Run(run));
+        self.agents[index].receive_frame(frame::Body::Run(run));
         Ok(())
     }
 
-    fn end(&mut self, place: usize, u: &mut Unstructured<'_>) -> Result<()> {
-        let Some(attempt) = self.open[place].pop() else {
+    fn end(&mut self, index: usize, u: &mut Unstructured<'_>) -> Result<()> {
+        let Some(attempt) = self.running[index].pop() else {
             return Ok(());
         };
-        let node = &mut self.nodes[place];
+        let agent = &mut self.agents[index];
         match u.int_in_range(0..=2)? {
-            0 => node.upstream(UpstreamEvent::Failed {
-                attempt: id(attempt),
+            0 => agent.upstream_event(UpstreamEvent::Failed {
+                attempt: attempt_id(attempt),
                 ran: Ran::Ran,
                 status: 500,
                 broken: false,
             }),
-            1 => node.handle(AgentEvent::Upstream(UpstreamEvent::Down)),
-            _ => node.serve(attempt),
+            1 => agent.handle(AgentEvent::Upstream(UpstreamEvent::Down)),
+            _ => agent.complete_attempt(attempt),
         }
-        if !node.ready {
-            node.report(&Engine::new());
+        if !agent.ready {
+            agent.report_from(&Engine::new());
         }
         Ok(())
     }
 
-    fn collect(&mut self, place: usize) {
-        for (attempt, run) in self.nodes[place].starts.drain(..) {
-            self.open[place].push(attempt.sequence);
+    fn collect(&mut self, index: usize) {
+        for (attempt, run) in self.agents[index].starts.drain(..) {
+            self.running[index].push(attempt.sequence);
             let runs = self.runs.entry(run.idempotency_key).or_default();
             runs.push(attempt.sequence);
         }
@@ -152,8 +155,8 @@
     fn check(&self) {
         for (key, runs) in &self.runs {
             assert_eq!(runs.len(), 1, "key {key} was run by {runs:?}");
-            for node in &self.nodes {
-                assert_eq!(node.refusal(runs[0]), None, "refused, yet run");
+            for agent in &self.agents {
+                assert_eq!(agent.refusal(runs[0]), None, "refused although it was run");
             }
         }
     }
--- a/crates/role/tests/agent/random/memory.rs
+++ b/crates/role/tests/agent/random/memory.rs
@@ -1,7 +1,8 @@
-//! Agents in turn beside one engine, whose memory is never overcommitted.
+//! Randomised test: successive agents beside one engine never overcommit its
+//! memory.
 
 use super::{SEED, cases};
-use crate::stand::*;
+use crate::fixtures::*;
 use arbtest::arbitrary::{Result, Unstructured};
 use base::prelude::*;
 use base::{PlatformOp, PlatformResult};
@@ -12,27 +13,27 @@
 const CAPACITY_MIB: u64 = 100;
 const MODELS: [&str; 4] = ["a", "b", "c", "a-adapter"];
 
-/// An order on its way from an agent to the engine.
-struct OnTheWay {
-    place: usize,
+/// An order in flight from an agent to the engine.
+struct InFlightOrder {
+    index: usize,
     order: Order,
     age_ms: u64,
 }
 
-/// Agents in turn beside one engine, each of which may be frozen or killed.
+/// Successive agents beside one engine, each of which may be frozen or killed.
 struct World {
     platform: Platform,
     engine: Engine,
-    nodes: Vec<Node>,
+    agents: Vec<TestAgent>,
     frozen: Vec<bool>,
     dead: Vec<bool>,
-    on_the_way: Vec<OnTheWay>,
-    /// The engine's reports of late, any of which may come.
+    in_flight_orders: Vec<InFlightOrder>,
+    /// The engine's most recent reports, any of which may be delivered.
     reports: VecDeque<(Instant, UpstreamReport)>,
-    /// Writes whose effect comes late.
-    late: Vec<PlatformOp>,
+    /// Writes that take effect later.
+    delayed_writes: Vec<PlatformOp>,
     now: Instant,
-    /// Models wanted last.
+    /// Models in the last target.
     wanted: Vec<(&'static str, u32)>,
 }
 
@@ -41,63 +42,65 @@
         let mut world = Self {
             platform: Platform::new(),
             engine: Engine::new(),
-            nodes: Vec::new(),
+            agents: Vec::new(),
             frozen: Vec::new(),
             dead: Vec::new(),
-            on_the_way: Vec::new(),
+            in_flight_orders: Vec::new(),
             reports: VecDeque::new(),
-            late: Vec::new(),
+            delayed_writes: Vec::new(),
             now: Instant::from_ms(1_000),
             wanted: Vec::new(),
         };
-        world.add();
+        world.start_agent();
         world
     }
 
-    fn add(&mut self) {
-        let place = self.nodes.len() as u64;
-        let address = format!("127.0.0.1:{}", place + 1);
-        let mut node = Node::start(10 + place, "engines", &address, self.now);
-        node.link_up(ENTRY);
-        self.nodes.push(node);
+    fn start_agent(&mut self) {
+        let index = self.agents.len() as u64;
+        let address = format!("127.0.0.1:{}", index + 1);
+        let mut agent = TestAgent::start(10 + index, "engines", &address, self.now);
+        agent.link_up(ENTRY);
+        self.agents.push(agent);
         self.frozen.push(false);
         self.dead.push(false);
     }
 
-    fn is_awake(&self, place: usize) -> bool {
-        !self.frozen[place] && !self.dead[place]
+    fn is_awake(&self, index: usize) -> bool {
+        !self.frozen[index] && !self.dead[index]
     }
 
-    /// Lets time pass for all; the frozen ones do not notice. An order that was
-    /// sent arrives within the stated delay or never; one whose sender is
-    /// frozen may not have been sent yet.
+    /// Advances time for all processes that are not frozen. A sent order
+    /// arrives within the configured delay or never; an order of a frozen
+    /// sender may not have been sent yet, so it does not age.
     fn pass(&mut self, ms: u64) {
         self.now = self.now.plus_ms(ms);
-        for place in 0..self.nodes.len() {
-            if self.is_awake(place) {
-                let behind = self.now.ms_since(self.nodes[place].now);
-                self.nodes[place].pass(behind);
+        for index in 0..self.agents.len() {
+            if self.is_awake(index) {
+                let behind = self.now.ms_since(self.agents[index].now);
+                self.agents[index].advance_time(behind);
             }
         }
-        for sent in &mut self.on_the_way {
-            if !self.frozen[sent.place] {
-                sent.age_ms += ms;
+        for in_flight in &mut self.in_flight_orders {
+            if !self.frozen[in_flight.index] {
+                in_flight.age_ms += ms;
             }
         }
-        self.on_the_way.retain(|sent| sent.age_ms < ORDER_DELAY_MS);
+        self.in_flight_orders
+            .retain(|in_flight| in_flight.age_ms < ORDER_DELAY_MS);
     }
 
-    /// Time has passed for a process that wakes, all at once.
-    fn wake(&mut self, place: usize) {
-        if self.is_awake(place) {
-            self.nodes[place].now = self.now;
+    /// Catches up the clock of an agent that has just woken.
+    fn catch_up(&mut self, index: usize) {
+        if self.is_awake(index) {
+            self.agents[index].now = self.now;
         }
     }
 
-    /// The platform answers a call in one of the ways there are.
-    fn answer(&mut self, place: usize, u: &mut Unstructured<'_>) -> Result<()> {
-        let node = &mut self.nodes[place];
-        let Some(call) = node.calls.pop_front() else {
+    /// The platform answers a call, is away, or loses the answer, with the
+    /// write taking effect at once, later or never.
+    fn answer(&mut self, index: usize, u: &mut Unstructured<'_>) -> Result<()> {
+        let agent = &mut self.agents[index];
+        let Some(call) = agent.calls.pop_front() else {
             return Ok(());
         };
         let result = match u.int_in_range(0..=12)? {
@@ -108,107 +111,110 @@
                 PlatformResult::Unanswered
             }
             3 => {
-                self.late.push(call.op.clone());
+                self.delayed_writes.push(call.op.clone());
                 PlatformResult::Unanswered
             }
             _ => self.platform.apply(&call.op),
         };
-        node.answer(call.id, result);
+        agent.answer_call(call.id, result);
         Ok(())
     }
 
     fn collect_orders(&mut self) {
-        for (place, node) in self.nodes.iter_mut().enumerate() {
-            let loads = node.orders.iter().any(|order| order.load);
+        for (index, agent) in self.agents.iter_mut().enumerate() {
+            let loads = agent.orders.iter().any(|order| order.load);
             assert!(
-                !loads || node.in_use_mib() <= CAPACITY_MIB,
-                "ordered too much"
+                !loads || agent.in_use_mib() <= CAPACITY_MIB,
+                "a load was sent that does not fit"
             );
-            let orders = node.orders.drain(..);
-            self.on_the_way.extend(orders.map(|order| OnTheWay {
-                place,
-                order,
-                age_ms: 0,
-            }));
+            let orders = agent.orders.drain(..);
+            self.in_flight_orders
+                .extend(orders.map(|order| InFlightOrder {
+                    index,
+                    order,
+                    age_ms: 0,
+                }));
         }
     }
 
-    /// One of the orders on their way arrives, is lost, or loses its answer.
+    /// An order in flight arrives, is lost, or its answer is lost.
     fn deliver(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
-        if self.on_the_way.is_empty() {
+        if self.in_flight_orders.is_empty() {
             return Ok(());
         }
-        let which = u.choose_index(self.on_the_way.len())?;
-        let sent = self.on_the_way.remove(which);
-        let place = sent.place;
-        let order = sent.order.id;
+        let chosen = u.choose_index(self.in_flight_orders.len())?;
+        let in_flight = self.in_flight_orders.remove(chosen);
+        let index = in_flight.index;
+        let order = in_flight.order.id;
         let answer = match u.int_in_range(0..=4)? {
             0 => OrderAnswer::Unanswered,
             1 => {
-                self.engine.take(&sent.order);
+                self.engine.accept_order(&in_flight.order);
                 OrderAnswer::Unanswered
             }
-            // Without an answer now, and with its effect some time later.
+            // No answer now, but the order takes effect later.
             2 => {
-                self.on_the_way.push(sent);
+                self.in_flight_orders.push(in_flight);
                 OrderAnswer::Unanswered
             }
-            _ => self.engine.take(&sent.order),
+            _ => self.engine.accept_order(&in_flight.order),
         };
-        if self.is_awake(place) {
+        if self.is_awake(index) {
             let event = UpstreamEvent::OrderAnswered { order, answer };
-            self.nodes[place].upstream(event);
+            self.agents[index].upstream_event(event);
         }
         Ok(())
     }
 
-    /// The engine makes a report; one of the last few comes, so that an agent
-    /// may see them late and out of order.
-    fn report(&mut self, place: usize, u: &mut Unstructured<'_>) -> Result<()> {
+    /// The engine makes a report and one of the last few is delivered, so that
+    /// an agent may see reports late and out of order.
+    fn report(&mut self, index: usize, u: &mut Unstructured<'_>) -> Result<()> {
         // No two reports are made in the same millisecond.
         self.pass(1);
         self.reports.push_back((self.now, self.engine.report()));
         if self.reports.len() > 4 {
             self.reports.pop_front();
         }
-        let which = u.choose_index(self.reports.len())?;
-        let (made_at, report) = &self.reports[which];
+        let chosen = u.choose_index(self.reports.len())?;
+        let (made_at, report) = &self.reports[chosen];
         let age_ms = u32::try_from(self.now.ms_since(*made_at)).unwrap_or(u32::MAX);
         let report = UpstreamReport {
             age_ms,
             ..report.clone()
         };
-        self.nodes[place].upstream(UpstreamEvent::Report(report));
+        self.agents[index].upstream_event(UpstreamEvent::Report(report));
         Ok(())
     }
 
     fn step(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
-        let place = u.choose_index(self.nodes.len())?;
-        let awake = self.is_awake(place);
+        let index = u.choose_index(self.agents.len())?;
+        let awake = self.is_awake(index);
         match u.int_in_range(0..=20)? {
-            0..=4 if awake => self.answer(place, u)?,
+            0..=4 if awake => self.answer(index, u)?,
             5..=7 => self.deliver(u)?,
-            8 => self.engine.finish(),
-            9..=11 if awake => self.report(place, u)?,
+            8 => self.engine.finish_orders(),
+            9..=11 if awake => self.report(index, u)?,
             12 => {
                 let count = u.int_in_range(0..=2)?;
                 self.wanted.clear();
                 for _ in 0..count {
                     self.wanted.push((*u.choose(&MODELS)?, 1));
                 }
-                self.tell(place);
+                self.send_target(index);
             }
-            13 if awake => self.tell(place),
+            13 if awake => self.send_target(index),
             14 | 15 => self.pass(u.int_in_range(1..=1_500)?),
             16 => {
-                self.frozen[place] = u.int_in_range(0..=2)? == 0;
-                self.wake(place);
+                self.frozen[index] = u.int_in_range(0..=2)? == 0;
+                self.catch_up(index);
             }
-            17 if self.nodes.len() < 4 && u.int_in_range(0..=3)? == 0 => self.add(),
-            18 if awake => self.request(place, u)?,
-            19 => self.rare(place, u)?,
+            17 if self.agents.len() < 4 && u.int_in_range(0..=3)? == 0 => {
+                self.start_agent();
+            }
+            18 if awake => self.request(index, u)?,
+            19 => self.rare_fault(index, u)?,
             _ => {
-                for op in std::mem::take(&mut self.late) {
+                for op in std::mem::take(&mut self.delayed_writes) {
                     self.platform.apply(&op);
                 }
             }
@@ -218,54 +224,56 @@
         Ok(())
     }
 
-    /// The engine restarts, or an agent dies that has a successor.
-    fn rare(&mut self, place: usize, u: &mut Unstructured<'_>) -> Result<()> {
+    /// The engine restarts, or an agent that has a successor dies.
+    fn rare_fault(&mut self, index: usize, u: &mut Unstructured<'_>) -> Result<()> {
         match u.int_in_range(0..=7)? {
             0 => {
                 self.engine.restart();
-                // What was being sent to the run that ended is lost with it.
+                // Orders that were being sent to the previous run of the engine
+                // are lost.
                 let frozen = &self.frozen;
-                self.on_the_way.retain(|sent| !frozen[sent.place]);
+                self.in_flight_orders
+                    .retain(|in_flight| !frozen[in_flight.index]);
             }
-            1 | 2 if place + 1 < self.nodes.len() => self.dead[place] = true,
+            1 | 2 if index + 1 < self.agents.len() => self.dead[index] = true,
             _ => {}
         }
         Ok(())
     }
 
-    /// A process that lives, frozen or not, holds its address.
+    /// Answers the probes: a live process, frozen or not, holds its address.
     fn answer_probes(&mut self) {
-        for place in 0..self.nodes.len() {
-            if !self.is_awake(place) {
+        for index in 0..self.agents.len() {
+            if !self.is_awake(index) {
                 continue;
             }
-            for address in std::mem::take(&mut self.nodes[place].probes) {
-                let dead = (0..self.nodes.len()).any(|other| {
+            for address in std::mem::take(&mut self.agents[index].probes) {
+                let dead = (0..self.agents.len()).any(|other| {
                     self.dead[other] && address == format!("127.0.0.1:{}", other + 1)
                 });
-                self.nodes[place].handle(AgentEvent::PredecessorProbed { dead });
+                self.agents[index].handle(AgentEvent::PredecessorProbed { dead });
             }
         }
     }
 
-    fn tell(&mut self, place: usize) {
-        if self.is_awake(place) {
+    fn send_target(&mut self, index: usize) {
+        if self.is_awake(index) {
             let wanted = self.wanted.clone();
-            self.nodes[place].target("p", 1, &wanted);
+            self.agents[index].receive_target("p", 1, &wanted);
         }
     }
 
-    fn request(&mut self, place: usize, u: &mut Unstructured<'_>) -> Result<()> {
-        let node = &mut self.nodes[place];
-        if let Some((attempt, _)) = node.starts.pop() {
-            node.serve(attempt.sequence);
+    fn request(&mut self, index: usize, u: &mut Unstructured<'_>) -> Result<()> {
+        let agent = &mut self.agents[index];
+        if let Some((attempt, _)) = agent.starts.pop() {
+            agent.complete_attempt(attempt.sequence);
             return Ok(());
         }
         let sequence = u.arbitrary::<u16>()?;
-        let incarnation = node.incarnation();
+        let incarnation = agent.incarnation();
         let model = *u.choose(&MODELS)?;
         let run = model_run(u64::from(sequence), incarnation, model);
-        node.frame(frame::Body::Run(run));
+        agent.receive_frame(frame::Body::Run(run));
         Ok(())
     }
 
@@ -274,32 +282,32 @@
             u64::from(self.engine.memory_mib()) <= CAPACITY_MIB,
             "the engine is overcommitted"
         );
-        // An agent that was replaced and has not heard of it may see what its
-        // successor loads besides what it meant to load itself, and one whose
-        // reports are behind may see what its predecessor unloaded. Neither
-        // orders anything, as `collect_orders` shows.
-        let held = self.platform.objects.contains_key("agents/one");
-        let epoch = if held {
-            self.platform.record().epoch
+        // An agent that does not know yet that it was replaced may see its
+        // successor's loads besides its own, and one with old reports may see
+        // what its predecessor has unloaded. Neither sends orders, as
+        // `collect_orders` checks.
+        let record_exists = self.platform.objects.contains_key("agents/one");
+        let epoch = if record_exists {
+            self.platform.agent_record().epoch
         } else {
             0
         };
-        for (place, node) in self.nodes.iter().enumerate() {
-            let in_use = node.in_use_mib();
-            let current = self.is_awake(place)
-                && node.role.status().epoch == epoch
-                && node.role.ledger().is_current();
+        for (index, agent) in self.agents.iter().enumerate() {
+            let in_use = agent.in_use_mib();
+            let current = self.is_awake(index)
+                && agent.role.status().epoch == epoch
+                && agent.role.ledger().is_current();
             assert!(!current || in_use <= CAPACITY_MIB, "{in_use} MiB in use");
         }
     }
 }
 
-/// Orders are lost, doubled and late; the platform is away or loses answers;
-/// agents freeze, wake and are replaced while they live. Whatever the order of
-/// it, no load goes out that the accelerator has no room for.
+/// Orders are lost, duplicated and late; the platform is away or loses answers;
+/// agents freeze, wake and are replaced while they live. In every sequence, no
+/// load is sent for which the accelerator has no room.
 #[test]
 fn no_sequence_of_faults_overcommits() {
-    let mut moves = 0;
+    let mut loads = 0;
     for case in 0..cases() {
         let seed = SEED + (case << 32);
         arbtest::arbtest(|u| {
@@ -308,8 +316,8 @@
                 world.step(u)?;
                 world.check();
             }
-            moves += world
-                .nodes
+            loads += world
+                .agents
                 .iter()
                 .map(|n| n.role.counters().loads)
                 .sum::<u64>();
@@ -318,7 +326,7 @@
         .seed(seed);
     }
     assert!(
-        moves > cases() / 10,
-        "only {moves} loads: the cases test nothing"
+        loads > cases() / 10,
+        "only {loads} loads: the cases test nothing"
     );
 }
--- a/crates/role/tests/agent/replaced.rs
+++ b/crates/role/tests/agent/replaced.rs
@@ -1,135 +1,143 @@
-//! Agents that were replaced, or might believe that they were.
+//! Agents that were replaced, or that might mistake a stale read for a
+//! replacement.
 
-use crate::gate::go;
-use crate::orders::{begin, with_a};
-use crate::stand::*;
+use crate::fixtures::*;
+use crate::gate::start_attempt;
+use crate::orders::{agent_with_empty_engine, agent_with_model_a};
 use base::{PlatformOp, PlatformResult};
 use prost::Message as _;
 use schema::link::frame;
 use schema::store::Member;
 
-/// How a frozen agent wakes.
+/// First event after a frozen agent wakes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Wake {
-    /// With the answer to the write of an intent.
+    /// The answer to the write of an intent.
     Answer,
-    /// With a tick.
+    /// A tick.
     Tick,
-    /// With a target that would need another order.
+    /// A target that needs another order.
     Target,
 }
 
-/// An agent is frozen past its lease with an intent written, and a successor
-/// takes the epoch. When it wakes it still believes to be the one; it must read
-/// its record before it gives any order, find itself replaced, and say so.
+/// An agent records an intent and is frozen until a successor has taken the
+/// epoch. When it wakes it must read its record before it sends any order, find
+/// that it was replaced, and tell the entries.
 #[test]
 fn an_agent_that_was_frozen_and_replaced_gives_no_order() {
     for wake in [Wake::Answer, Wake::Tick, Wake::Target] {
-        let (mut platform, mut engine, mut frozen) = begin();
-        frozen.target("p", 1, &[("a", 1)]);
+        let (mut platform, mut engine, mut frozen) = agent_with_empty_engine();
+        frozen.receive_target("p", 1, &[("a", 1)]);
         let write = frozen.calls.pop_front().expect("the intent is written");
         assert!(matches!(write.op, PlatformOp::Write { .. }));
         let written = platform.apply(&write.op);
         let later = frozen.now.plus_ms(60_000);
-        let mut next = Node::engine(11, "127.0.0.1:9", later, &mut platform, &engine);
-        next.target("p", 1, &[("c", 1)]);
-        next.work(1_000, &mut platform, &mut engine);
-        assert!(engine.holds("c"));
+        let mut next =
+            TestAgent::beside_engine(11, "127.0.0.1:9", later, &mut platform, &engine);
+        next.receive_target("p", 1, &[("c", 1)]);
+        next.run_for(1_000, &mut platform, &mut engine);
+        assert!(engine.has_loaded("c"));
 
         frozen.now = later.plus_ms(1_000);
         match wake {
-            Wake::Answer => frozen.answer(write.id, written),
+            Wake::Answer => frozen.answer_call(write.id, written),
             Wake::Tick => frozen.handle(role::agent::AgentEvent::Tick),
-            Wake::Target => frozen.target("p", 1, &[("a", 1), ("c", 1)]),
+            Wake::Target => frozen.receive_target("p", 1, &[("a", 1), ("c", 1)]),
         }
-        assert!(frozen.orders.is_empty(), "{wake:?}: before it has read");
+        assert!(
+            frozen.orders.is_empty(),
+            "{wake:?}: before it has read its record"
+        );
         if wake != Wake::Answer {
-            frozen.answer(write.id, PlatformResult::Unanswered);
+            frozen.answer_call(write.id, PlatformResult::Unanswered);
         }
         frozen.frames.clear();
-        frozen.pump(&mut platform);
+        frozen.answer_all_calls(&mut platform);
         assert!(frozen.orders.is_empty(), "{wake:?}");
         assert!(frozen.role.status().fenced, "{wake:?}");
         assert!(!frozen.ready, "{wake:?}");
         let goodbye = |body: &frame::Body| matches!(body, frame::Body::Goodbye(_));
         assert!(frozen.frames.iter().any(|(_, body)| goodbye(body)));
-        frozen.target("p", 1, &[("a", 1)]);
-        frozen.pass(5_000);
-        frozen.frame(frame::Body::Run(model_run(1, 10, "c")));
+        frozen.receive_target("p", 1, &[("a", 1)]);
+        frozen.advance_time(5_000);
+        frozen.receive_frame(frame::Body::Run(model_run(1, 10, "c")));
         assert_eq!(frozen.refusal(1), Some(base::Code::NotReady), "{wake:?}");
         assert!(frozen.orders.is_empty() && frozen.starts.is_empty());
         assert_eq!(frozen.role.counters().freezes, 1);
         assert!(
             frozen.exited,
-            "{wake:?}: its memory counts as long as it lives"
+            "{wake:?}: its orders count as long as it lives"
         );
     }
 }
 
-/// An agent is replaced without having been frozen. Its next intent meets the
-/// successor's epoch in the record, and no order goes out.
+/// An agent is replaced without having been frozen. Its next intent conflicts
+/// with the successor's epoch in the record, so no order is sent.
 #[test]
 fn a_replaced_agents_next_intent_is_refused() {
-    let (mut platform, mut engine, mut node) = begin();
-    let now = node.now;
-    let mut next = Node::engine(11, "127.0.0.1:9", now, &mut platform, &engine);
-    node.target("p", 1, &[("a", 1)]);
-    node.pump(&mut platform);
-    assert!(node.orders.is_empty());
-    assert!(node.role.status().fenced);
-    next.target("p", 1, &[("a", 1)]);
-    next.work(500, &mut platform, &mut engine);
-    assert!(engine.holds("a"));
+    let (mut platform, mut engine, mut agent) = agent_with_empty_engine();
+    let now = agent.now;
+    let mut next =
+        TestAgent::beside_engine(11, "127.0.0.1:9", now, &mut platform, &engine);
+    agent.receive_target("p", 1, &[("a", 1)]);
+    agent.answer_all_calls(&mut platform);
+    assert!(agent.orders.is_empty());
+    assert!(agent.role.status().fenced);
+    next.receive_target("p", 1, &[("a", 1)]);
+    next.run_for(500, &mut platform, &mut engine);
+    assert!(engine.has_loaded("a"));
 }
 
-/// An agent is replaced while a request runs. It finishes that and then ends:
-/// its successor counts what it may have ordered until its process is gone. The
-/// registration is the successor's by then and must stay.
+/// An agent is replaced while a request runs. It finishes the request and then
+/// exits, because its successor counts the orders it may have sent until its
+/// process is gone. By then the registration is the successor's and must stay.
 #[test]
 fn a_replaced_agent_ends_when_its_work_has_ended() {
-    let (mut platform, engine, mut node) = with_a();
-    go(&mut node, 1);
-    let now = node.now;
-    let _next = Node::engine(11, "127.0.0.1:9", now, &mut platform, &engine);
-    node.target("p", 1, &[("a", 1), ("c", 1)]);
-    node.pump(&mut platform);
-    assert!(node.role.status().fenced);
-    assert!(!node.exited, "one still runs");
-    node.serve(1);
-    assert_eq!(node.end(1).map(|end| end.code), Some(0));
-    node.pass(100);
-    assert!(node.exited);
+    let (mut platform, engine, mut agent) = agent_with_model_a();
+    start_attempt(&mut agent, 1);
+    let now = agent.now;
+    let _next =
+        TestAgent::beside_engine(11, "127.0.0.1:9", now, &mut platform, &engine);
+    agent.receive_target("p", 1, &[("a", 1), ("c", 1)]);
+    agent.answer_all_calls(&mut platform);
+    assert!(agent.role.status().fenced);
+    assert!(!agent.exited, "one attempt still runs");
+    agent.complete_attempt(1);
+    assert_eq!(agent.end_frame(1).map(|end| end.code), Some(0));
+    agent.advance_time(100);
+    assert!(agent.exited);
     assert!(
-        node.calls.is_empty(),
-        "nothing of the registration is its own"
+        agent.calls.is_empty(),
+        "the registration belongs to the successor"
     );
     let (_, value) = &platform.objects["live/agent/one"];
     let member = Member::decode(value.as_slice()).expect("a registration");
     assert_eq!((member.incarnation, member.leaving), (11, false));
 }
 
-/// The write of an intent gets no answer, and reading it back gives the value
-/// before the agent's own: its predecessor's. That is no successor; the agent
-/// reads again, and gives its order once it has seen its own record.
+/// The write of an intent gets no answer, and reading the record back returns
+/// the predecessor's old value. This must not be taken for a successor: the
+/// agent reads again, and sends its order once it has seen its own record.
 #[test]
-fn an_old_value_of_the_record_is_no_successor() {
-    let (mut platform, engine, first) = begin();
+fn a_stale_read_of_the_record_does_not_fence() {
+    let (mut platform, engine, first) = agent_with_empty_engine();
     let old = platform.objects["agents/one"].clone();
     let now = first.now;
     drop(first);
-    let mut node = Node::engine(11, "127.0.0.1:1", now, &mut platform, &engine);
-    node.target("p", 1, &[("a", 1)]);
-    let write = node.calls.pop_front().expect("the intent is written");
+    let mut agent =
+        TestAgent::beside_engine(11, "127.0.0.1:1", now, &mut platform, &engine);
+    agent.receive_target("p", 1, &[("a", 1)]);
+    let write = agent.calls.pop_front().expect("the intent is written");
     platform.apply(&write.op);
-    node.answer(write.id, PlatformResult::Unanswered);
-    let read = node.calls.pop_front().expect("read back");
+    agent.answer_call(write.id, PlatformResult::Unanswered);
+    let read = agent.calls.pop_front().expect("read back");
     let old = (base::Version(old.0), old.1);
-    node.answer(read.id, PlatformResult::Object(Some(old)));
-    assert!(!node.role.status().fenced && node.ready);
-    assert!(node.orders.is_empty(), "its own record was not seen");
+    agent.answer_call(read.id, PlatformResult::Object(Some(old)));
+    assert!(!agent.role.status().fenced && agent.ready);
+    assert!(agent.orders.is_empty(), "it has not seen its own record");
     for _ in 0..20 {
-        node.pass(500);
-        node.pump(&mut platform);
+        agent.advance_time(500);
+        agent.answer_all_calls(&mut platform);
     }
-    assert!(!node.orders.is_empty());
+    assert!(!agent.orders.is_empty());
 }
