--- a/crates/role/src/entry/accept.rs
+++ b/crates/role/src/entry/accept.rs
@@ -5,17 +5,17 @@
 use schema::timeline::EventKind;
 
 use super::IncomingRequest;
-use super::requests::{Request, State, Trail};
+use super::requests::{AttemptHistory, Request, State};
+use super::resolve::resolve;
 use super::shared::Ctx;
-use super::trace::Note;
-use super::wanted::resolve;
+use super::timeline::TimelineEvent;
 
 /// When to come back to a process that is stopping or not ready: another one
 /// takes the request in the meantime.
-const ELSEWHERE_MS: u64 = 500;
+const RETRY_ELSEWHERE_MS: u64 = 500;
 
 /// When to come back with one request more than the caller may have.
-const CALLER_LIMIT_MS: u64 = 1_000;
+const CALLER_LIMIT_RETRY_MS: u64 = 1_000;
 
 /// Identifies the caller and resolves what is asked for.
 ///
@@ -33,15 +33,15 @@
         }
         super::RequestedResource::Service(service) => service.as_str(),
     };
-    Note::new(EventKind::RequestArrived, "")
+    TimelineEvent::new(EventKind::RequestArrived, "")
         .request(arrival.request)
         .model(named)
-        .put(ctx.out);
+        .record(ctx.out);
     if ctx.control.leaving {
-        return Err(refuse(Code::Leaving).retry_after_ms(ELSEWHERE_MS));
+        return Err(refuse(Code::Leaving).retry_after_ms(RETRY_ELSEWHERE_MS));
     }
     let Some(config) = ctx.control.config().cloned() else {
-        return Err(refuse(Code::NotReady).retry_after_ms(ELSEWHERE_MS));
+        return Err(refuse(Code::NotReady).retry_after_ms(RETRY_ELSEWHERE_MS));
     };
     let caller = config.caller(&arrival.credential);
     let caller = caller.ok_or_else(|| refuse(Code::UnknownCaller))?;
@@ -58,29 +58,31 @@
         max => max,
     };
     if !ctx.shared.callers.lock().try_enter(&caller.id, max) {
-        return Err(refuse(Code::CallerLimit).retry_after_ms(CALLER_LIMIT_MS));
+        return Err(refuse(Code::CallerLimit).retry_after_ms(CALLER_LIMIT_RETRY_MS));
     }
     let percent = config.limits().retry_percent;
-    ctx.shared
-        .book
-        .lock()
-        .arrived(ctx.now, &resolved.wanted, resolved.value, percent);
+    ctx.shared.workload.lock().record_arrival(
+        ctx.now,
+        &resolved.resource,
+        resolved.value,
+        percent,
+    );
     Ok(Request {
         caller: caller.id.clone(),
         arrived_at: ctx.now,
         deadline: ctx.now.plus_ms(resolved.deadline_ms),
         delivered: 0,
         version: None,
-        trail: Trail::default(),
-        excluded: Vec::new(),
-        sent: 0,
-        refused: 0,
-        failed: 0,
-        last_code: None,
+        history: AttemptHistory::default(),
+        excluded_agents: Vec::new(),
+        attempts_sent: 0,
+        admission_refusals: 0,
+        failures: 0,
+        last_failure_code: None,
         first_unit_at: None,
         not_before: ctx.now,
         state: State::New,
         resolved,
-        arrival,
+        incoming: arrival,
     })
 }
--- a/crates/role/src/entry/health.rs
+++ b/crates/role/src/entry/circuit_breakers.rs
@@ -12,42 +12,42 @@
 use std::collections::BTreeMap;
 
 use super::EntryAction;
-use super::trace::Note;
+use super::timeline::TimelineEvent;
 
 /// Time without a probe or a word of one after which any request of any entry
 /// may be the probe: the entry that should probe may get no work to do it with.
-const ORPHANED_MS: u64 = 10_000;
+const PROBER_TIMEOUT_MS: u64 = 10_000;
 
 /// Time for which a verdict that was lifted is still told.
-const TOLD_MS: u64 = 60_000;
+const RECOVERY_GOSSIP_MS: u64 = 60_000;
 
 #[derive(Debug)]
-struct Upstream {
+struct BreakerEntry {
     health: UpstreamHealth,
     /// When the verdict changed, or a probe was sent here.
-    touched_at: Instant,
+    changed_at: Instant,
 }
 
 /// Verdicts by agent; one that was never failing has none.
 #[derive(Debug, Default)]
-pub(crate) struct Health {
-    upstreams: BTreeMap<AgentId, Upstream>,
-    open: usize,
+pub(crate) struct CircuitBreakers {
+    upstreams: BTreeMap<AgentId, BreakerEntry>,
+    open_count: usize,
 }
 
 /// A verdict that changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Change {
+pub(crate) enum BreakerChange {
     /// The upstream gets no work but probes.
     Failing,
     /// It gets work again.
     Recovered,
 }
 
-impl Health {
+impl CircuitBreakers {
     /// Whether any upstream is failing.
     pub(crate) const fn any_failing(&self) -> bool {
-        self.open > 0
+        self.open_count > 0
     }
 
     /// Whether an upstream gets no work but probes.
@@ -64,33 +64,33 @@
         &mut self,
         now: Instant,
         agent: &AgentId,
-        prober: bool,
+        is_prober: bool,
         idempotent: bool,
     ) -> bool {
         let Some(held) = self.upstreams.get_mut(agent) else {
             return false;
         };
-        let orphaned = now.ms_since(held.touched_at) >= ORPHANED_MS;
-        let probes = orphaned || prober && idempotent;
+        let orphaned = now.ms_since(held.changed_at) >= PROBER_TIMEOUT_MS;
+        let probes = orphaned || is_prober && idempotent;
         let probe = held.health.allow(now, probes) == Allow::Probe;
         if probe {
-            held.touched_at = now;
+            held.changed_at = now;
         }
         probe
     }
 
     /// Takes the outcome of an attempt into account.
-    pub(crate) fn observe(
+    pub(crate) fn record_outcome(
         &mut self,
         now: Instant,
         agent: &AgentId,
         ok: bool,
         probe: bool,
-    ) -> Option<Change> {
+    ) -> Option<BreakerChange> {
         if ok && !self.upstreams.contains_key(agent) {
             return None;
         }
-        self.change(now, agent, |health| health.observe(now, ok, probe))
+        self.update(now, agent, |health| health.observe(now, ok, probe))
     }
 
     /// Takes over another entry's verdict if it is newer.
@@ -98,20 +98,20 @@
         &mut self,
         now: Instant,
         from: &UpstreamVerdict,
-    ) -> Option<Change> {
+    ) -> Option<BreakerChange> {
         let view = HealthView {
             version: from.version,
             open: from.open,
         };
         let agent = AgentId::new(&from.agent);
-        self.change(now, &agent, |health| health.merge(now, view))
+        self.update(now, &agent, |health| health.merge(now, view))
     }
 
     /// What to tell other entries: all that stands and what was lifted lately,
     /// so that one lost message costs a heartbeat only.
     pub(crate) fn export(&self, now: Instant) -> Vec<UpstreamVerdict> {
         let told = self.upstreams.iter().filter(|(_, held)| {
-            let lately = now.ms_since(held.touched_at) < TOLD_MS;
+            let lately = now.ms_since(held.changed_at) < RECOVERY_GOSSIP_MS;
             held.health.is_open() || held.health.view().version > 0 && lately
         });
         told.map(|(agent, held)| {
@@ -128,19 +128,19 @@
     /// Forgets upstreams whose agents are not known any more.
     pub(crate) fn forget_unknown(&mut self, directory: &Directory) {
         self.upstreams.retain(|id, _| directory.get(id).is_some());
-        self.count();
+        self.recount_open();
     }
 
-    fn change(
+    fn update(
         &mut self,
         now: Instant,
         agent: &AgentId,
         work: impl FnOnce(&mut UpstreamHealth),
-    ) -> Option<Change> {
+    ) -> Option<BreakerChange> {
         let held = self.upstreams.entry(agent.clone());
-        let held = held.or_insert_with(|| Upstream {
+        let held = held.or_insert_with(|| BreakerEntry {
             health: UpstreamHealth::new(),
-            touched_at: now,
+            changed_at: now,
         });
         let before = held.health.is_open();
         work(&mut held.health);
@@ -148,23 +148,23 @@
         if before == after {
             return None;
         }
-        held.touched_at = now;
-        self.count();
+        held.changed_at = now;
+        self.recount_open();
         Some(match after {
-            true => Change::Failing,
-            false => Change::Recovered,
+            true => BreakerChange::Failing,
+            false => BreakerChange::Recovered,
         })
     }
 
-    fn count(&mut self) {
+    fn recount_open(&mut self) {
         let held = self.upstreams.values();
-        self.open = held.filter(|held| held.health.is_open()).count();
+        self.open_count = held.filter(|held| held.health.is_open()).count();
     }
 }
 
-impl Change {
+impl BreakerChange {
     /// Records it.
-    pub(crate) fn trace(self, agent: &AgentId, by: &str, out: &mut Vec<EntryAction>) {
+    pub(crate) fn record(self, agent: &AgentId, by: &str, out: &mut Vec<EntryAction>) {
         let (kind, what) = match self {
             Self::Failing => (
                 EventKind::UpstreamFailing,
@@ -172,8 +172,8 @@
             ),
             Self::Recovered => (EventKind::UpstreamRecovered, "a probe ended well"),
         };
-        Note::new(kind, format!("{what}, {by}"))
+        TimelineEvent::new(kind, format!("{what}, {by}"))
             .peer(agent)
-            .put(out);
+            .record(out);
     }
 }
--- a/crates/role/src/entry/control/cells.rs
+++ b/crates/role/src/entry/control/cells.rs
@@ -14,7 +14,7 @@
 /// A cell spans the region's failure domains: one plan then sees all the room
 /// there is for a model, and places its replicas apart.
 #[derive(Debug)]
-pub(super) struct Cell {
+pub(super) struct PlanningCell {
     /// Name, the key of its planner's rank.
     pub(super) key: String,
     /// Pool.
@@ -24,7 +24,10 @@
 }
 
 /// All cells of engines, in order of name.
-pub(super) fn cells(directory: &Directory, config: &Config) -> Vec<Cell> {
+pub(super) fn planning_cells(
+    directory: &Directory,
+    config: &Config,
+) -> Vec<PlanningCell> {
     let mut groups: BTreeMap<(&str, &str), Vec<AgentView>> = BTreeMap::new();
     for agent in directory.agents().filter(|agent| agent.life != Life::Lost) {
         let Some(pool) = config.pool(agent.pool.as_str()) else {
@@ -34,12 +37,12 @@
             continue;
         }
         let key = (agent.pool.as_str(), region(config, &agent.domain));
-        groups.entry(key).or_default().push(view(agent));
+        groups.entry(key).or_default().push(agent_view(agent));
     }
     let mut cells = Vec::new();
     for ((pool, region), agents) in groups {
         for (index, agents) in agents.chunks(CELL_AGENTS_MAX).enumerate() {
-            cells.push(Cell {
+            cells.push(PlanningCell {
                 key: format!("{pool}/{region}/{index}"),
                 pool: PoolId::new(pool),
                 agents: agents.to_vec(),
@@ -56,7 +59,7 @@
     named.map_or(domain.as_str(), |known| known.region.as_str())
 }
 
-fn view(agent: &Agent) -> AgentView {
+fn agent_view(agent: &Agent) -> AgentView {
     let residents = agent.residents.iter().map(|held| ResidentView {
         model: held.model.clone(),
         version: held.version,
--- a/crates/role/src/entry/control/config.rs
+++ b/crates/role/src/entry/control/config.rs
@@ -12,16 +12,16 @@
 use super::super::EntryAction;
 use super::super::counters::Counts;
 use super::super::shared::Shared;
-use super::super::trace::Note;
+use super::super::timeline::TimelineEvent;
 use super::{Control, Effects};
 use crate::Peer;
 
 /// Least time between two questions for missing changes.
-const ASK_EVERY_MS: u64 = 200;
+const CONFIG_REQUEST_MIN_INTERVAL_MS: u64 = 200;
 
 impl Control {
     /// Takes the platform's snapshot.
-    pub(super) fn take_snapshot(
+    pub(super) fn apply_snapshot(
         &mut self,
         value: &[u8],
         shared: &Shared,
@@ -29,14 +29,14 @@
         effects: &mut Effects,
     ) {
         match ConfigChanges::decode(value) {
-            Ok(offered) => self.offer(&offered, shared, out, effects),
-            Err(error) => reject(shared, &error, out),
+            Ok(offered) => self.merge_config(&offered, shared, out, effects),
+            Err(error) => record_rejected(shared, &error, out),
         }
     }
 
     /// Takes changes from the platform. Returns whether some are missing
     /// between what is in force and the newest.
-    pub(super) fn take_changes(
+    pub(super) fn apply_config_changes(
         &mut self,
         objects: &[(String, Version, Vec<u8>)],
         shared: &Shared,
@@ -45,7 +45,7 @@
     ) -> bool {
         let mut changes: Vec<ConfigChange> = objects
             .iter()
-            .filter_map(|(key, _, value)| change(key, value))
+            .filter_map(|(key, _, value)| decode_change(key, value))
             .collect();
         changes.sort_by_key(|change| change.revision);
         let next = self.log.revision().0 + 1;
@@ -58,13 +58,13 @@
             changes,
             ..ConfigChanges::default()
         };
-        self.offer(&offered, shared, out, effects);
+        self.merge_config(&offered, shared, out, effects);
         gap
     }
 
     /// Puts newer changes in force; whatever is older or broken leaves all as
     /// it was.
-    pub(super) fn offer(
+    pub(super) fn merge_config(
         &mut self,
         offered: &ConfigChanges,
         shared: &Shared,
@@ -73,16 +73,16 @@
     ) {
         let before = self.log.revision();
         if let Err(error) = self.log.offer(offered) {
-            reject(shared, &error, out);
+            record_rejected(shared, &error, out);
         }
         if self.log.revision() == before {
             return;
         }
-        self.in_force(before, shared, out);
+        self.config_applied(before, shared, out);
         effects.wake_all = true;
     }
 
-    fn in_force(
+    fn config_applied(
         &mut self,
         before: Revision,
         shared: &Shared,
@@ -97,12 +97,12 @@
         let verdict_ms = u64::from(config.limits().verdict_ms);
         shared.suspects.lock().set_verdict_ms(verdict_ms);
         let detail = format!("revision {} in place of {before}", self.log.revision());
-        Note::new(EventKind::ConfigApplied, detail).put(out);
+        TimelineEvent::new(EventKind::ConfigApplied, detail).record(out);
         self.set_ready(out);
     }
 
     /// A peer shows a revision: asks for what is missing if it is higher.
-    pub(super) fn hear_revision(
+    pub(super) fn request_newer_config(
         &mut self,
         now: Instant,
         peer: &Peer,
@@ -110,17 +110,17 @@
         out: &mut Vec<EntryAction>,
     ) {
         let lately = self
-            .asked_at
-            .is_some_and(|at| now.ms_since(at) < ASK_EVERY_MS);
+            .config_requested_at
+            .is_some_and(|at| now.ms_since(at) < CONFIG_REQUEST_MIN_INTERVAL_MS);
         if revision <= self.log.revision() || lately {
             return;
         }
-        self.asked_at = Some(now);
-        self.ask(peer, out);
+        self.config_requested_at = Some(now);
+        self.request_config(peer, out);
     }
 
     /// Asks a peer for the changes after the revision in force.
-    pub(super) fn ask(&self, peer: &Peer, out: &mut Vec<EntryAction>) {
+    pub(super) fn request_config(&self, peer: &Peer, out: &mut Vec<EntryAction>) {
         out.push(EntryAction::SendFrame {
             peer: peer.clone(),
             body: frame::Body::ConfigAsk(ConfigAsk {
@@ -130,7 +130,12 @@
     }
 
     /// Answers a peer's question.
-    pub(super) fn tell(&self, peer: &Peer, ask: ConfigAsk, out: &mut Vec<EntryAction>) {
+    pub(super) fn send_config(
+        &self,
+        peer: &Peer,
+        ask: ConfigAsk,
+        out: &mut Vec<EntryAction>,
+    ) {
         if self.log.current().is_none() {
             return;
         }
@@ -142,15 +147,15 @@
     }
 }
 
-fn reject(shared: &Shared, error: &impl Display, out: &mut Vec<EntryAction>) {
+fn record_rejected(shared: &Shared, error: &impl Display, out: &mut Vec<EntryAction>) {
     Counts::add(&shared.counts.config_rejected);
     let detail = format!("change not taken: {error}");
-    Note::new(EventKind::ConfigRejected, detail)
+    TimelineEvent::new(EventKind::ConfigRejected, detail)
         .code(Code::BadSyntax)
-        .put(out);
+        .record(out);
 }
 
-fn change(key: &str, value: &[u8]) -> Option<ConfigChange> {
+fn decode_change(key: &str, value: &[u8]) -> Option<ConfigChange> {
     let revision = key.strip_prefix(REVISION_PREFIX)?.parse().ok()?;
     Some(ConfigChange {
         revision,
--- a/crates/role/src/entry/control/spread.rs
+++ b/crates/role/src/entry/control/demand_shares.rs
@@ -13,24 +13,24 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashSet};
 
-use super::cells::Cell;
+use super::cells::PlanningCell;
 
-/// Part of an accelerator's places that demand is planned to fill.
-const FILL: f64 = 0.7;
+/// Part of an accelerator's slots that demand is planned to fill.
+const TARGET_UTILIZATION: f64 = 0.7;
 
 /// What a waiting request counts beside an arriving one's busy time: the queue
 /// shrinks by itself once the model is there.
-const WAITING_SHARE: f64 = 0.25;
+const WAITING_WEIGHT: f64 = 0.25;
 
 /// Service time assumed before one was seen.
 const SERVICE_TIME_DEFAULT_MS: u32 = 1_000;
 
 /// Store weight of a cell that has nothing to load.
-const IDLE_WEIGHT: f64 = 0.25;
+const IDLE_CELL_STORE_WEIGHT: f64 = 0.25;
 
 /// What one cell is to plan for.
 #[derive(Debug, Default)]
-pub(super) struct CellWork {
+pub(super) struct CellDemand {
     /// Its part of the demand, in order of name.
     pub(super) demands: Vec<ModelDemand>,
     /// Its part of the weight store's budget, 0 to 1.
@@ -38,93 +38,98 @@
 }
 
 /// Models held by one cell; its order never shows.
-type Held<'a> = HashSet<&'a ModelId>;
+type HeldModels<'a> = HashSet<&'a ModelId>;
 
 /// A base model with its adapters.
 #[derive(Debug)]
-struct Group<'a> {
+struct ModelGroup<'a> {
     base: &'a ModelId,
     pool: &'a PoolId,
     size_mib: u64,
     /// Places kept busy.
-    need: f64,
+    busy_slots: f64,
     members: Vec<&'a ModelDemand>,
 }
 
 /// Shares demand out over cells; the answer has one item for each cell.
-pub(super) fn spread(
+pub(super) fn share_demand(
     config: &Config,
-    cells: &[Cell],
+    cells: &[PlanningCell],
     demands: &[ModelDemand],
-) -> Vec<CellWork> {
-    let mut work: Vec<CellWork> = cells.iter().map(|_| CellWork::default()).collect();
-    let mut room_mib: Vec<u64> = cells.iter().map(size_mib).collect();
-    let mut weights = vec![IDLE_WEIGHT; cells.len()];
-    let held: Vec<Held<'_>> = cells.iter().map(held_models).collect();
+) -> Vec<CellDemand> {
+    let mut shares: Vec<CellDemand> =
+        cells.iter().map(|_| CellDemand::default()).collect();
+    let mut room_mib: Vec<u64> = cells.iter().map(capacity_mib).collect();
+    let mut weights = vec![IDLE_CELL_STORE_WEIGHT; cells.len()];
+    let held: Vec<HeldModels<'_>> = cells.iter().map(held_models).collect();
     for group in groups(config, demands) {
-        let replicas = replicas(config, &group);
-        let counts = home_cells(cells, &held, &group, replicas, &mut room_mib);
+        let replicas = replica_count(config, &group);
+        let counts = assign_cells(cells, &held, &group, replicas, &mut room_mib);
         for (index, count) in counts {
             let share = f64::from(count) / f64::from(replicas);
             let members = group.members.iter();
-            work[index]
+            shares[index]
                 .demands
-                .extend(members.map(|demand| part(demand, share)));
+                .extend(members.map(|demand| scaled(demand, share)));
             if !held[index].contains(group.base) {
                 weights[index] += f64::from(count);
             }
         }
     }
     let sum: f64 = weights.iter().sum();
-    for (work, weight) in work.iter_mut().zip(weights) {
-        work.demands.sort_by(|a, b| a.model.cmp(&b.model));
-        work.store_share = weight / sum;
+    for (shares, weight) in shares.iter_mut().zip(weights) {
+        shares.demands.sort_by(|a, b| a.model.cmp(&b.model));
+        shares.store_share = weight / sum;
     }
-    work
+    shares
 }
 
 /// Groups with demand, the neediest first.
-fn groups<'a>(config: &'a Config, demands: &'a [ModelDemand]) -> Vec<Group<'a>> {
-    let mut groups: BTreeMap<&ModelId, Group<'a>> = BTreeMap::new();
+fn groups<'a>(config: &'a Config, demands: &'a [ModelDemand]) -> Vec<ModelGroup<'a>> {
+    let mut groups: BTreeMap<&ModelId, ModelGroup<'a>> = BTreeMap::new();
     for demand in demands {
         let Some(spec) = config.model(demand.model.as_str()) else {
             continue;
         };
         let base = spec.base.as_ref().unwrap_or(&spec.id);
         let base_size = config.model(base.as_str()).map_or(0, |held| held.size_mib);
-        let group = groups.entry(base).or_insert_with(|| Group {
+        let group = groups.entry(base).or_insert_with(|| ModelGroup {
             base,
             pool: &spec.pool,
             size_mib: u64::from(base_size),
-            need: 0.0,
+            busy_slots: 0.0,
             members: Vec::new(),
         });
-        group.need += busy_places(demand);
+        group.busy_slots += busy_slots(demand);
         group.members.push(demand);
     }
-    let mut groups: Vec<Group<'a>> = groups.into_values().collect();
-    groups.sort_by(|a, b| b.need.total_cmp(&a.need).then(a.base.cmp(b.base)));
+    let mut groups: Vec<ModelGroup<'a>> = groups.into_values().collect();
+    groups.sort_by(|a, b| {
+        b.busy_slots
+            .total_cmp(&a.busy_slots)
+            .then(a.base.cmp(b.base))
+    });
     groups
 }
 
-fn busy_places(demand: &ModelDemand) -> f64 {
+fn busy_slots(demand: &ModelDemand) -> f64 {
     let service_time_ms = match demand.service_time_ms {
         0 => SERVICE_TIME_DEFAULT_MS,
         ms => ms,
     };
     let arriving = demand.rate_per_s * f64::from(service_time_ms) / 1_000.0;
-    arriving + f64::from(demand.waiting) * WAITING_SHARE
+    arriving + f64::from(demand.waiting) * WAITING_WEIGHT
 }
 
 /// Accelerators that the group's demand fills; one at least.
-fn replicas(config: &Config, group: &Group<'_>) -> u32 {
+fn replica_count(config: &Config, group: &ModelGroup<'_>) -> u32 {
     let pool = config.pool(group.pool.as_str());
-    let places = pool.map_or(1, |pool| pool.concurrent_max).max(1);
+    let slots = pool.map_or(1, |pool| pool.concurrent_max).max(1);
     let accelerators = pool.map_or(1, |pool| {
         let each = u32::try_from(pool.accelerators_mib.len()).unwrap_or(1);
         pool.instances.saturating_mul(each)
     });
-    let wanted = (group.need / (f64::from(places) * FILL)).ceil();
+    let wanted = (group.busy_slots / (f64::from(slots) * TARGET_UTILIZATION)).ceil();
     (wanted as u32).clamp(1, accelerators.max(1))
 }
 
@@ -133,10 +138,10 @@
 /// Replicas go to different cells first, so that one failure domain's end
 /// leaves some. Then come cells with room, those that hold the model already
 /// (no move), and last the rendezvous rank, which keeps the choice stable.
-fn home_cells(
-    cells: &[Cell],
-    held: &[Held<'_>],
-    group: &Group<'_>,
+fn assign_cells(
+    cells: &[PlanningCell],
+    held: &[HeldModels<'_>],
+    group: &ModelGroup<'_>,
     replicas: u32,
     room_mib: &mut [u64],
 ) -> BTreeMap<usize, u32> {
@@ -159,7 +164,7 @@
     counts
 }
 
-fn size_mib(cell: &Cell) -> u64 {
+fn capacity_mib(cell: &PlanningCell) -> u64 {
     let staying = cell.agents.iter().filter(|agent| !agent.leaving);
     let accelerators = staying.flat_map(|agent| &agent.accelerators_mib);
     accelerators.map(|mib| u64::from(*mib)).sum()
@@ -169,13 +174,13 @@
 ///
 /// Looking through all residents for each model and replica would cost an entry
 /// the product of models and accelerators.
-fn held_models(cell: &Cell) -> Held<'_> {
+fn held_models(cell: &PlanningCell) -> HeldModels<'_> {
     let residents = cell.agents.iter().flat_map(|agent| &agent.residents);
     let staying = residents.filter(|held| held.state != ResidentState::Unloading);
     staying.map(|held| &held.model).collect()
 }
 
-fn part(demand: &ModelDemand, share: f64) -> ModelDemand {
+fn scaled(demand: &ModelDemand, share: f64) -> ModelDemand {
     ModelDemand {
         rate_per_s: demand.rate_per_s * share,
         waiting: (f64::from(demand.waiting) * share).ceil() as u32,
--- a/crates/role/src/entry/control/forecast.rs
+++ b/crates/role/src/entry/control/forecast.rs
@@ -1,6 +1,6 @@
 //! When a model that nobody holds will be held.
 //!
-//! Admission has to foresee it. The time of one load is not enough: loads start
+//! Admission has to update_forecast it. The time of one load is not enough: loads start
 //! one after another at the weight store's rate, models wait for one another's
 //! accelerators and minimum residence, and an adapter waits for its base. So
 //! each heartbeat the loads that are waited for, here and at other entries, are
@@ -13,21 +13,21 @@
 use schema::link::Demand;
 use std::collections::BTreeMap;
 
+use super::super::resolve::Resource;
 use super::super::shared::Shared;
-use super::super::wanted::Wanted;
 use super::Control;
 
 /// Time from a wish to the order for a load.
 const PLAN_DELAY_MS: u64 = 500;
 
 /// Least time that a load which is under way still takes.
-const LOADING_MIN_MS: u64 = 50;
+const LOAD_REMAINING_MIN_MS: u64 = 50;
 
 /// Time within which an agent that is there, but can't serve, may be able to.
-const AGENT_BACK_MS: u64 = 1_000;
+const AGENT_RETURN_MIN_MS: u64 = 1_000;
 
 /// Models laid out at most; those after them count as the last.
-const MODELS_MAX: usize = 256;
+const FORECAST_MODELS_MAX: usize = 256;
 
 /// An accelerator as the layout fills it.
 #[derive(Debug)]
@@ -36,33 +36,34 @@
     capacity_mib: u64,
     free_mib: u64,
     /// When its agent may serve.
-    from: Instant,
-    /// Until when each model stays, with its size, the first to go first.
-    stays: Vec<(Instant, u64)>,
+    available_from: Instant,
+    /// Until when each model residents_until, with its size, the first to go first.
+    residents_until: Vec<(Instant, u64)>,
 }
 
 /// What is foreseen.
 #[derive(Debug, Default)]
-pub(crate) struct Forecast {
+pub(crate) struct LoadForecast {
     ready_at: BTreeMap<ModelId, Instant>,
     accelerators: Vec<Accelerator>,
-    store_at: Instant,
+    next_load_start: Instant,
     load_ms: u64,
 }
 
 impl Control {
     /// Lays the loads out that are waited for.
-    pub(super) fn foresee(&mut self, now: Instant, shared: &Shared) {
+    pub(super) fn update_forecast(&mut self, now: Instant, shared: &Shared) {
         let Some(config) = self.config().cloned() else {
             return;
         };
-        let mut waited = self.unheld(now, shared, &config);
-        waited.truncate(MODELS_MAX);
-        let mut forecast = Forecast::new(now, &self.directory, &config, waited.len());
+        let mut waited = self.awaited_unheld_models(now, shared, &config);
+        waited.truncate(FORECAST_MODELS_MAX);
+        let mut forecast =
+            LoadForecast::new(now, &self.directory, &config, waited.len());
         for (since, model) in waited {
-            let ready = forecast.lay(now, &config, &self.directory, &model);
+            let ready = forecast.schedule_load(now, &config, &self.directory, &model);
             if let Some(ready) = ready {
-                let ready = grown(now, since, ready, &forecast, &config);
+                let ready = extend_overdue(now, since, ready, &forecast, &config);
                 forecast.ready_at.insert(model, ready);
             }
         }
@@ -71,18 +72,22 @@
 
     /// Predicted time until a model that nobody holds can be served, if any
     /// accelerator may hold it.
-    pub(crate) fn load_wait_ms(&self, now: Instant, model: &ModelId) -> Option<u64> {
+    pub(crate) fn predicted_load_wait_ms(
+        &self,
+        now: Instant,
+        model: &ModelId,
+    ) -> Option<u64> {
         let config = self.config()?;
         if let Some(ready) = self.forecast.ready_at.get(model) {
-            return Some(ready.ms_since(now).max(LOADING_MIN_MS));
+            return Some(ready.ms_since(now).max(LOAD_REMAINING_MIN_MS));
         }
         let spec = config.model(model.as_str())?;
-        if let Some(ready) = loading(now, &self.directory, config, model) {
+        if let Some(ready) = load_end(now, &self.directory, config, model) {
             return Some(ready.ms_since(now));
         }
         let base = match &spec.base {
             Some(base) if !is_held(&self.directory, base) => {
-                Some(self.load_wait_ms(now, base)?)
+                Some(self.predicted_load_wait_ms(now, base)?)
             }
             _ => None,
         };
@@ -93,15 +98,15 @@
         if spec.base.is_some() {
             return Some(load_ms + PLAN_DELAY_MS);
         }
-        let room = self.forecast.room(spec);
-        let room = room.or_else(|| self.fits(spec).then_some(now))?;
-        let start = room.max(self.forecast.store_at).max(now);
+        let room = self.forecast.room_from(spec);
+        let room = room.or_else(|| self.can_fit(spec).then_some(now))?;
+        let start = room.max(self.forecast.next_load_start).max(now);
         Some(start.ms_since(now) + load_ms + PLAN_DELAY_MS)
     }
 
     /// Whether an accelerator can hold a model at all; its agent may have been
     /// heard first after the last forecast.
-    fn fits(&self, spec: &ModelSpec) -> bool {
+    fn can_fit(&self, spec: &ModelSpec) -> bool {
         let agents = self.directory.agents().filter(|agent| can_load(agent));
         let mut of_pool = agents.filter(|agent| agent.pool == spec.pool);
         of_pool.any(|agent| {
@@ -111,13 +116,13 @@
     }
 
     /// Whether a model's load is foreseen, and not only how long one would take.
-    pub(crate) fn is_foreseen(&self, model: &ModelId) -> bool {
+    pub(crate) fn has_forecast(&self, model: &ModelId) -> bool {
         self.forecast.ready_at.contains_key(model)
     }
 
     /// Models waited for that nobody holds, here or at other entries, the one
     /// that has waited longest first.
-    fn unheld(
+    fn awaited_unheld_models(
         &self,
         now: Instant,
         shared: &Shared,
@@ -129,9 +134,11 @@
             *held = (*held).min(at);
         };
         {
-            let waiting = shared.waiting.lock();
-            for model in waiting.models() {
-                let oldest = waiting.queue(&Wanted::Model(model.clone())).1;
+            let wait_queue = shared.wait_queue.lock();
+            for model in wait_queue.models() {
+                let oldest = wait_queue
+                    .depth_and_oldest(&Resource::Model(model.clone()))
+                    .1;
                 note(model, oldest.unwrap_or(now));
             }
         }
@@ -142,18 +149,18 @@
             let wait = Duration::from_millis(demand.oldest_wait_ms);
             note(&ModelId::new(&demand.model), now - wait);
         }
-        let mut unheld: Vec<(Instant, ModelId)> = since
+        let mut awaited_unheld_models: Vec<(Instant, ModelId)> = since
             .into_iter()
             .filter(|(model, _)| config.model(model.as_str()).is_some())
             .filter(|(model, _)| !is_held(&self.directory, model))
             .map(|(model, at)| (at, model))
             .collect();
-        unheld.sort();
-        unheld
+        awaited_unheld_models.sort();
+        awaited_unheld_models
     }
 }
 
-impl Forecast {
+impl LoadForecast {
     fn new(
         now: Instant,
         directory: &Directory,
@@ -168,14 +175,14 @@
             ready_at: BTreeMap::new(),
             load_ms: shared_load_ms(config, loading.count() + waited),
             accelerators: there()
-                .flat_map(|agent| accelerators(now, agent, residence_ms))
+                .flat_map(|agent| agent_accelerators(now, agent, residence_ms))
                 .collect(),
-            store_at: now,
+            next_load_start: now,
         }
     }
 
     /// Lays out one load, that of its base before it if need be.
-    fn lay(
+    fn schedule_load(
         &mut self,
         now: Instant,
         config: &Config,
@@ -185,27 +192,27 @@
         if let Some(ready) = self.ready_at.get(model) {
             return Some(*ready);
         }
-        if let Some(ready) = loading(now, directory, config, model) {
+        if let Some(ready) = load_end(now, directory, config, model) {
             return Some(ready);
         }
         let spec = config.model(model.as_str())?;
         let from = match &spec.base {
             Some(base) if is_held(directory, base) => now,
             Some(base) => {
-                let ready = self.lay(now, config, directory, base)?;
+                let ready = self.schedule_load(now, config, directory, base)?;
                 self.ready_at.insert(base.clone(), ready);
                 ready
             }
-            None => self.take_room(config, spec)?,
+            None => self.reserve_room(config, spec)?,
         };
-        let start = from.max(self.store_at).max(now);
+        let start = from.max(self.next_load_start).max(now);
         let between_ms = 1_000.0 / config.store().loads_per_s.max(0.001);
-        self.store_at = self.store_at.max(now).plus_ms(between_ms as u64);
+        self.next_load_start = self.next_load_start.max(now).plus_ms(between_ms as u64);
         Some(start.plus_ms(PLAN_DELAY_MS + self.load_ms))
     }
 
     /// When room for a model is free first.
-    fn room(&self, spec: &ModelSpec) -> Option<Instant> {
+    fn room_from(&self, spec: &ModelSpec) -> Option<Instant> {
         let candidates = self.accelerators.iter();
         let fitting = candidates.filter(|held| held.pool == spec.pool);
         let times = fitting.filter_map(|held| held.room_at(spec.size_mib.into()));
@@ -213,18 +220,23 @@
     }
 
     /// Takes the room that is free first.
-    fn take_room(&mut self, config: &Config, spec: &ModelSpec) -> Option<Instant> {
+    fn reserve_room(&mut self, config: &Config, spec: &ModelSpec) -> Option<Instant> {
         let size_mib = u64::from(spec.size_mib);
         let candidates = self.accelerators.iter_mut();
         let fitting = candidates.filter(|held| held.pool == spec.pool);
         let times = fitting.filter_map(|held| Some((held.room_at(size_mib)?, held)));
         let ((at, leaving), held) = times.min_by_key(|((at, _), _)| *at)?;
-        let left = held.stays.drain(..leaving).map(|(_, mib)| mib).sum::<u64>();
+        let left = held
+            .residents_until
+            .drain(..leaving)
+            .map(|(_, mib)| mib)
+            .sum::<u64>();
         held.free_mib = (held.free_mib + left).saturating_sub(size_mib);
         let residence_ms = u64::from(config.weights().min_residence_ms);
-        let ready = at.max(self.store_at).plus_ms(self.load_ms);
-        held.stays.push((ready.plus_ms(residence_ms), size_mib));
-        held.stays.sort_unstable();
+        let ready = at.max(self.next_load_start).plus_ms(self.load_ms);
+        held.residents_until
+            .push((ready.plus_ms(residence_ms), size_mib));
+        held.residents_until.sort_unstable();
         Some(at)
     }
 }
@@ -235,10 +247,10 @@
         if size_mib > self.capacity_mib {
             return None;
         }
-        let (mut free_mib, mut at) = (self.free_mib, self.from);
+        let (mut free_mib, mut at) = (self.free_mib, self.available_from);
         let mut leaving = 0;
         while free_mib < size_mib {
-            let (until, mib) = self.stays.get(leaving)?;
+            let (until, mib) = self.residents_until.get(leaving)?;
             at = at.max(*until);
             free_mib += mib;
             leaving += 1;
@@ -251,7 +263,7 @@
 ///
 /// What has been away for long is not back in a moment, so it is expected to
 /// stay away as long again.
-pub(crate) fn back_ms(now: Instant, agent: &Agent) -> u64 {
+pub(crate) fn predicted_return_ms(now: Instant, agent: &Agent) -> u64 {
     let silent_ms = match agent.life {
         Life::Up => None,
         _ => Some(now.ms_since(agent.heard_at)),
@@ -261,17 +273,17 @@
         false => Some(now.ms_since(agent.upstream_since)),
     };
     let away_ms = silent_ms.max(down_ms);
-    away_ms.map_or(0, |ms| ms.max(AGENT_BACK_MS))
+    away_ms.map_or(0, |ms| ms.max(AGENT_RETURN_MIN_MS))
 }
 
 /// The prediction for a load that has been waited for longer than was foreseen:
 /// the same time again, but not beyond the turn that the planner gives to work
 /// which has waited for the longest time allowed.
-fn grown(
+fn extend_overdue(
     now: Instant,
     since: Instant,
     ready: Instant,
-    forecast: &Forecast,
+    forecast: &LoadForecast,
     config: &Config,
 ) -> Instant {
     let waited_ms = now.ms_since(since);
@@ -292,7 +304,7 @@
 
 /// When a load that is under way should be done. One that takes longer than a
 /// load should takes as long again.
-fn loading(
+fn load_end(
     now: Instant,
     directory: &Directory,
     config: &Config,
@@ -302,7 +314,7 @@
     let since = agents.filter_map(|agent| agent.loading_since(model.as_str()));
     let passed_ms = now.ms_since(since.min()?);
     let left_ms = passed_ms.abs_diff(load_time_ms(config));
-    Some(now.plus_ms(left_ms.max(LOADING_MIN_MS)))
+    Some(now.plus_ms(left_ms.max(LOAD_REMAINING_MIN_MS)))
 }
 
 fn load_time_ms(config: &Config) -> u64 {
@@ -319,7 +331,7 @@
     (load_ms * slower.max(1.0)) as u64
 }
 
-fn accelerators(
+fn agent_accelerators(
     now: Instant,
     agent: &Agent,
     residence_ms: u64,
@@ -330,20 +342,20 @@
             .residents
             .iter()
             .filter(|held| held.accelerator == index);
-        let stays = on.map(|held| {
+        let residents_until = on.map(|held| {
             let until = held.since.plus_ms(residence_ms).max(now);
             (until, u64::from(held.size_mib))
         });
-        let mut stays: Vec<(Instant, u64)> = stays.collect();
-        stays.sort_unstable();
-        let taken_mib: u64 = stays.iter().map(|(_, mib)| mib).sum();
+        let mut residents_until: Vec<(Instant, u64)> = residents_until.collect();
+        residents_until.sort_unstable();
+        let taken_mib: u64 = residents_until.iter().map(|(_, mib)| mib).sum();
         let capacity_mib = u64::from(*capacity_mib);
         Accelerator {
             pool: agent.pool.clone(),
             capacity_mib,
             free_mib: capacity_mib.saturating_sub(taken_mib),
-            from: now.plus_ms(back_ms(now, agent)),
-            stays,
+            available_from: now.plus_ms(predicted_return_ms(now, agent)),
+            residents_until,
         }
     })
 }
--- a/crates/role/src/entry/control/frames.rs
+++ b/crates/role/src/entry/control/frames.rs
@@ -30,12 +30,12 @@
             (frame::Body::Gossip(gossip), Peer::Entry(id))
                 if gossip.entry == id.as_str() =>
             {
-                self.hear_gossip(now, gossip, shared, out, effects);
+                self.receive_gossip(now, gossip, shared, out, effects);
             }
-            (frame::Body::ConfigAsk(ask), _) => self.tell(peer, ask, out),
+            (frame::Body::ConfigAsk(ask), _) => self.send_config(peer, ask, out),
             (frame::Body::ConfigChanges(offered), _) => {
-                self.asked_at = None;
-                self.offer(&offered, shared, out, effects);
+                self.config_requested_at = None;
+                self.merge_config(&offered, shared, out, effects);
             }
             (frame::Body::Goodbye(goodbye), _) => {
                 self.goodbye(peer, &goodbye, out, effects);
@@ -60,14 +60,14 @@
         if !self.directory.hear(now, beat, heard, &mut changes) {
             return;
         }
-        self.reach(MemberKind::Agent, id.as_str(), incarnation, &address, out);
+        self.connect_if_new(MemberKind::Agent, id.as_str(), incarnation, &address, out);
         let alone = !self.entries.any_alive(now);
         self.directory.judge(now, &id, alone, &mut changes);
-        self.apply(&changes, out, effects);
-        effects.room.insert(id);
+        self.apply_changes(&changes, out, effects);
+        effects.agents_with_capacity.insert(id);
     }
 
-    /// Note that a revision was heard with a frame.
+    /// TimelineEvent that a revision was heard with a frame.
     pub(crate) fn heard_revision(
         &mut self,
         now: Instant,
@@ -75,7 +75,7 @@
         revision: Revision,
         out: &mut Vec<EntryAction>,
     ) {
-        self.hear_revision(now, peer, revision, out);
+        self.request_newer_config(now, peer, revision, out);
     }
 
     fn goodbye(
@@ -90,7 +90,7 @@
             Peer::Agent(id) => {
                 let mut changes = Vec::new();
                 self.directory.goodbye(id, incarnation, &mut changes);
-                self.apply(&changes, out, effects);
+                self.apply_changes(&changes, out, effects);
             }
             Peer::Entry(id) => self.entries.goodbye(id, incarnation),
         }
--- a/crates/role/src/entry/control/freeze.rs
+++ b/crates/role/src/entry/control/freeze.rs
@@ -19,18 +19,18 @@
 pub(super) struct Freeze {
     gap_ms: u64,
     /// Until when silence is counted without the gap. Whoever is not heard by
-    /// then has been silent for the whole bound since the wake.
-    until: Instant,
+    /// then has been silent for the whole bound since the detect_freeze.
+    discount_until: Instant,
     /// When what waited in the sockets has been read.
-    read_by: Instant,
+    backlog_read_by: Instant,
 }
 
 impl Freeze {
     pub(super) const fn none(now: Instant) -> Self {
         Self {
             gap_ms: 0,
-            until: now,
-            read_by: now,
+            discount_until: now,
+            backlog_read_by: now,
         }
     }
 }
@@ -38,28 +38,28 @@
 impl Control {
     /// When an event means that the process stood still: some timer is due a
     /// few times in each heartbeat interval, so this one would be late.
-    pub(crate) fn freeze_at(&self) -> Option<Instant> {
+    pub(crate) fn freeze_threshold(&self) -> Option<Instant> {
         let late_ms = self.directory.timing().heartbeat_ms() * FREEZE_HEARTBEATS;
         self.due().map(|due| due.plus_ms(late_ms))
     }
 
     /// Notes that the process has woken, if it has.
-    pub(crate) fn wake(&mut self, now: Instant) {
-        let (Some(due), Some(bound)) = (self.due(), self.freeze_at()) else {
+    pub(crate) fn detect_freeze(&mut self, now: Instant) {
+        let (Some(due), Some(bound)) = (self.due(), self.freeze_threshold()) else {
             return;
         };
         if now < bound {
             return;
         }
         let timing = self.directory.timing();
-        let before_ms = match due < self.freeze.until {
+        let before_ms = match due < self.freeze.discount_until {
             true => self.freeze.gap_ms,
             false => 0,
         };
         self.freeze = Freeze {
             gap_ms: before_ms + now.ms_since(due),
-            until: now.plus_ms(timing.lost_ms()),
-            read_by: now.plus_ms(timing.heartbeat_ms()),
+            discount_until: now.plus_ms(timing.lost_ms()),
+            backlog_read_by: now.plus_ms(timing.heartbeat_ms()),
         };
         // The next event must not find the same timers late again.
         let mut late = Vec::new();
@@ -72,8 +72,8 @@
     }
 
     /// The time by which silence is judged.
-    pub(super) fn judged_at(&self, now: Instant) -> Instant {
-        match now < self.freeze.until {
+    pub(super) fn silence_clock(&self, now: Instant) -> Instant {
+        match now < self.freeze.discount_until {
             true => now - Duration::from_millis(self.freeze.gap_ms),
             false => now,
         }
@@ -81,7 +81,7 @@
 
     /// When what peers sent during a freeze has been read. Before that nothing
     /// is planned, and no attempt counts as silent.
-    pub(crate) const fn read_by(&self) -> Instant {
-        self.freeze.read_by
+    pub(crate) const fn backlog_read_by(&self) -> Instant {
+        self.freeze.backlog_read_by
     }
 }
--- a/crates/role/src/entry/control/gossip.rs
+++ b/crates/role/src/entry/control/gossip.rs
@@ -6,9 +6,9 @@
 use std::collections::BTreeMap;
 
 use super::super::EntryAction;
+use super::super::resolve::Resource;
 use super::super::shared::Shared;
-use super::super::suspicion::charged_by;
-use super::super::wanted::Wanted;
+use super::super::suspect_events::apply_and_diff;
 use super::{Control, Effects, Timer};
 use crate::Peer;
 
@@ -19,28 +19,28 @@
 const ITEMS_MAX: usize = 4_096;
 
 /// Least time between two gossips that can't wait for the next heartbeat.
-const GOSSIP_MIN_MS: u64 = 20;
+const GOSSIP_MIN_INTERVAL_MS: u64 = 20;
 
 /// State of gossip.
 #[derive(Debug)]
-pub(crate) struct Gossiping {
+pub(crate) struct GossipState {
     sequence: u64,
     sent_at: Option<Instant>,
     /// A timer is set for what came too soon after the last.
-    pub(super) soon: bool,
+    pub(super) send_scheduled: bool,
     /// Newest heartbeat told of each agent.
-    told: BTreeMap<AgentId, (Incarnation, u64)>,
+    relayed: BTreeMap<AgentId, (Incarnation, u64)>,
     /// Demand as the other entries see it.
     pub(crate) demands: BTreeMap<EntryId, Vec<Demand>>,
 }
 
-impl Gossiping {
+impl GossipState {
     pub(super) const fn new() -> Self {
         Self {
             sequence: 0,
             sent_at: None,
-            soon: false,
-            told: BTreeMap::new(),
+            send_scheduled: false,
+            relayed: BTreeMap::new(),
             demands: BTreeMap::new(),
         }
     }
@@ -49,18 +49,21 @@
 impl Control {
     /// Tells the other entries now; if they were told a moment ago, a moment
     /// later. What must not wait for the next heartbeat is not lost by that.
-    pub(crate) fn gossip_now(
+    pub(crate) fn request_gossip(
         &mut self,
         now: Instant,
         shared: &Shared,
         out: &mut Vec<EntryAction>,
     ) {
-        let next = self.gossip.sent_at.map(|at| at.plus_ms(GOSSIP_MIN_MS));
+        let next = self
+            .gossip
+            .sent_at
+            .map(|at| at.plus_ms(GOSSIP_MIN_INTERVAL_MS));
         match next.filter(|next| *next > now) {
             None => self.send_gossip(now, shared, out),
-            Some(_) if self.gossip.soon => {}
+            Some(_) if self.gossip.send_scheduled => {}
             Some(next) => {
-                self.gossip.soon = true;
+                self.gossip.send_scheduled = true;
                 self.timers.set(next, Timer::GossipSoon);
             }
         }
@@ -82,23 +85,23 @@
             return;
         }
         self.gossip.sent_at = Some(now);
-        self.gossip.soon = false;
-        let gossip = self.compose(now, shared);
+        self.gossip.send_scheduled = false;
+        let gossip = self.build_gossip(now, shared);
         for peer in peers {
             let body = frame::Body::Gossip(gossip.clone());
             out.push(EntryAction::SendFrame { peer, body });
         }
     }
 
-    fn compose(&mut self, now: Instant, shared: &Shared) -> Gossip {
+    fn build_gossip(&mut self, now: Instant, shared: &Shared) -> Gossip {
         self.gossip.sequence += 1;
         let options = &shared.options;
         Gossip {
-            verdicts: shared.health.lock().export(now),
+            verdicts: shared.breakers.lock().export(now),
             entry: options.id.to_string(),
             incarnation: options.incarnation.0,
             sequence: self.gossip.sequence,
-            agents: self.news_of_agents(now),
+            agents: self.heartbeats_to_relay(now),
             demands: own_demands(now, shared),
             suspects: shared.suspects.lock().export(now),
             silences: self.silences(now),
@@ -112,20 +115,22 @@
     /// Heartbeats heard over this entry's own links since the last gossip. Only
     /// these: two entries that relay what they were told would keep a dead
     /// agent alive between them.
-    fn news_of_agents(&mut self, now: Instant) -> Vec<schema::link::Heartbeat> {
+    fn heartbeats_to_relay(&mut self, now: Instant) -> Vec<schema::link::Heartbeat> {
         let suspect_ms = self.directory.timing().suspect_ms();
         let mut news = Vec::new();
         for agent in self.directory.agents() {
             let direct = agent.direct_at;
             let heard = direct.is_some_and(|at| now.ms_since(at) < suspect_ms);
             let newest = (agent.incarnation, agent.sequence);
-            if heard && self.gossip.told.get(&agent.id) != Some(&newest) {
-                self.gossip.told.insert(agent.id.clone(), newest);
+            if heard && self.gossip.relayed.get(&agent.id) != Some(&newest) {
+                self.gossip.relayed.insert(agent.id.clone(), newest);
                 news.push(agent.last.clone());
             }
         }
         let directory = &self.directory;
-        self.gossip.told.retain(|id, _| directory.get(id).is_some());
+        self.gossip
+            .relayed
+            .retain(|id, _| directory.get(id).is_some());
         news
     }
 
@@ -144,7 +149,7 @@
             .collect()
     }
 
-    pub(super) fn hear_gossip(
+    pub(super) fn receive_gossip(
         &mut self,
         now: Instant,
         gossip: Gossip,
@@ -158,7 +163,13 @@
         let from = EntryId::new(&gossip.entry);
         let incarnation = Incarnation(gossip.incarnation);
         let address = &gossip.link_address;
-        self.reach(MemberKind::Entry, &gossip.entry, incarnation, address, out);
+        self.connect_if_new(
+            MemberKind::Entry,
+            &gossip.entry,
+            incarnation,
+            address,
+            out,
+        );
         for beat in gossip.agents.into_iter().take(ITEMS_MAX) {
             self.heartbeat(now, beat, Heard::Relayed, out, effects);
         }
@@ -170,10 +181,10 @@
             .collect();
         self.directory.silences(now, &from, &said);
         for suspect in gossip.suspects.iter().take(ITEMS_MAX) {
-            take_suspect(now, suspect, shared, out, effects);
+            merge_suspect(now, suspect, shared, out, effects);
         }
         for verdict in gossip.verdicts.iter().take(ITEMS_MAX) {
-            self.take_verdict(now, &from, verdict, shared, out, effects);
+            self.merge_verdict(now, &from, verdict, shared, out, effects);
         }
         let mut demands = gossip.demands;
         demands.truncate(DEMANDS_MAX);
@@ -182,14 +193,14 @@
         });
         self.gossip.demands.insert(from, demands);
         if unheld {
-            effects.plan_with(self.plan_soon(now, shared));
+            effects.set_plan_job(self.plan_soon(now, shared));
         }
     }
 }
 
 impl Control {
     /// Takes another entry's verdict on an upstream.
-    fn take_verdict(
+    fn merge_verdict(
         &self,
         now: Instant,
         from: &EntryId,
@@ -202,17 +213,17 @@
         if self.directory.get(&agent).is_none() {
             return;
         }
-        let change = shared.health.lock().merge(now, verdict);
+        let change = shared.breakers.lock().merge(now, verdict);
         if let Some(change) = change {
-            change.trace(&agent, &format!("says {from}"), out);
-            effects.room.insert(agent);
+            change.record(&agent, &format!("says {from}"), out);
+            effects.agents_with_capacity.insert(agent);
         }
     }
 }
 
 /// Takes another entry's word on a request. What waits here may be free by it,
 /// or may not run any more.
-fn take_suspect(
+fn merge_suspect(
     now: Instant,
     suspect: &Suspect,
     shared: &Shared,
@@ -220,14 +231,14 @@
     effects: &mut Effects,
 ) {
     let mut news = false;
-    let charged = {
+    let worsened = {
         let mut suspects = shared.suspects.lock();
-        charged_by(&mut suspects, now, &[suspect.fingerprint], |suspects| {
+        apply_and_diff(&mut suspects, now, &[suspect.fingerprint], |suspects| {
             news = suspects.merge(now, suspect);
         })
     };
-    for held in charged {
-        held.trace(None, out);
+    for held in worsened {
+        held.record(None, out);
     }
     effects.wake_all |= news;
 }
@@ -235,12 +246,12 @@
 /// Demand by model as this entry sees it.
 pub(super) fn own_demands(now: Instant, shared: &Shared) -> Vec<Demand> {
     let stats = stats_by_model(now, shared);
-    let waiting = shared.waiting.lock();
+    let wait_queue = shared.wait_queue.lock();
     let demands = stats.into_iter().map(|(model, stats)| {
-        let wanted = Wanted::Model(model);
-        let (count, since) = waiting.queue(&wanted);
+        let resource = Resource::Model(model);
+        let (count, since) = wait_queue.depth_and_oldest(&resource);
         Demand {
-            model: wanted.as_str().to_owned(),
+            model: resource.as_str().to_owned(),
             rate_milli: milli(stats.rate_per_s),
             waiting: count,
             oldest_wait_ms: since.map_or(0, |at| now.ms_since(at)),
@@ -255,12 +266,12 @@
 fn stats_by_model(
     now: Instant,
     shared: &Shared,
-) -> Vec<(ModelId, super::super::book::WorkStats)> {
-    let book = shared.book.lock();
-    let models = book.models();
+) -> Vec<(ModelId, super::super::workload::WorkloadSnapshot)> {
+    let workload = shared.workload.lock();
+    let models = workload.models();
     models
         .map(|model| {
-            let stats = book.stats(now, &Wanted::Model(model.clone()));
+            let stats = workload.snapshot(now, &Resource::Model(model.clone()));
             (model.clone(), stats)
         })
         .collect()
--- a/crates/role/src/entry/control/instances.rs
+++ b/crates/role/src/entry/control/instances.rs
@@ -6,14 +6,14 @@
 use std::collections::BTreeSet;
 
 use super::super::EntryAction;
-use super::platform::{Call, list};
+use super::platform::{CallKind, list};
 use super::{Control, Effects, Timer};
 
 /// Start of the keys of the platform's own words on instances.
 const INSTANCES_PREFIX: &str = "instances/";
 
 /// Interval at which they are read as a whole, whatever a watch tells.
-const INSTANCES_EVERY_MS: u64 = 30_000;
+const INSTANCES_LIST_INTERVAL_MS: u64 = 30_000;
 
 /// Entries of one failure domain that wait for the platform's news.
 ///
@@ -25,7 +25,7 @@
 const WATCHERS_PER_DOMAIN: usize = 2;
 
 /// Time after which an entry that does not wait for news asks itself again.
-const WATCHER_CHECK_MS: u64 = 5_000;
+const DEFERRED_WATCH_CHECK_MS: u64 = 5_000;
 
 /// Key by which the watchers of a failure domain are ranked.
 const WATCHER_KEY: &str = "platform-watch";
@@ -36,9 +36,9 @@
     /// Entries that see different peers for a while disagree; too many wait, or
     /// too few, and then the slow looks bring the news.
     pub(super) fn is_watcher(&self, now: Instant) -> bool {
-        let mine = rendezvous(WATCHER_KEY, self.me.as_str());
+        let mine = rendezvous(WATCHER_KEY, self.own_id.as_str());
         let others = self.entries.all().filter(|held| {
-            held.domain == self.domain
+            held.domain == self.failure_domain
                 && !held.leaving
                 && self.entries.alive(now, &held.id)
         });
@@ -48,26 +48,26 @@
     }
 
     /// Puts a watch off if it is for others to wait; returns whether it did.
-    pub(super) fn leaves_watch(&mut self, call: Call) -> bool {
+    pub(super) fn defer_watch(&mut self, call: CallKind) -> bool {
         let watch = matches!(
             call,
-            Call::ConfigWatch | Call::LiveWatch | Call::InstancesWatch
+            CallKind::ConfigWatch | CallKind::MembersWatch | CallKind::InstancesWatch
         );
-        if !watch || self.is_watcher(self.seen_at) {
+        if !watch || self.is_watcher(self.ticked_at) {
             return false;
         }
         // One timer for each: without this, every list would begin a chain of
         // its own that never ends.
-        if self.put_off.insert(call) {
-            let at = self.seen_at.plus_ms(WATCHER_CHECK_MS);
+        if self.deferred_watches.insert(call) {
+            let at = self.ticked_at.plus_ms(DEFERRED_WATCH_CHECK_MS);
             self.timers.set(at, Timer::Call(call));
         }
         true
     }
 
-    pub(super) fn instances_operation(&self, call: Call) -> PlatformOp {
+    pub(super) fn instances_operation(&self, call: CallKind) -> PlatformOp {
         match call {
-            Call::InstancesWatch => PlatformOp::Watch {
+            CallKind::InstancesWatch => PlatformOp::Watch {
                 prefix: INSTANCES_PREFIX.to_owned(),
                 after: self.instances_version,
             },
@@ -76,7 +76,7 @@
     }
 
     /// Takes the whole list, and waits for news of it.
-    pub(super) fn listed_instances(
+    pub(super) fn instances_listed(
         &mut self,
         now: Instant,
         objects: &[(String, Version, Vec<u8>)],
@@ -87,24 +87,24 @@
         self.instances_version = self.instances_version.max(version);
         let leaving: BTreeSet<AgentId> = objects
             .iter()
-            .filter(|(_, _, value)| says_leaving(value))
+            .filter(|(_, _, value)| is_leaving(value))
             .filter_map(|(key, _, _)| key.strip_prefix(INSTANCES_PREFIX))
             .map(AgentId::new)
             .collect();
         let mut changes = Vec::new();
         self.directory.platform_leaving(&leaving, &mut changes);
-        self.apply(&changes, out, effects);
-        self.again(now, Call::InstancesWatch);
+        self.apply_changes(&changes, out, effects);
+        self.schedule_watch(now, CallKind::InstancesWatch);
     }
 
-    pub(super) fn list_instances_later(&mut self, now: Instant) {
-        let at = now.plus_ms(INSTANCES_EVERY_MS);
-        self.timers.set(at, Timer::Call(Call::Instances));
+    pub(super) fn schedule_instances_list(&mut self, now: Instant) {
+        let at = now.plus_ms(INSTANCES_LIST_INTERVAL_MS);
+        self.timers.set(at, Timer::Call(CallKind::InstancesList));
     }
 
     /// A wait for news of instances ended: if there is some, all are read, since
     /// an instance that is no longer leaving shows only in the whole list.
-    pub(super) fn watched_instances(
+    pub(super) fn instances_watch_ended(
         &mut self,
         now: Instant,
         objects: &[(String, Version, Vec<u8>)],
@@ -112,14 +112,14 @@
     ) {
         self.instances_version = self.instances_version.max(version);
         let next = match objects {
-            [] => Call::InstancesWatch,
-            _ => Call::InstancesNews,
+            [] => CallKind::InstancesWatch,
+            _ => CallKind::InstancesChangedList,
         };
-        self.again(now, next);
+        self.schedule_watch(now, next);
     }
 }
 
-fn says_leaving(value: &[u8]) -> bool {
+fn is_leaving(value: &[u8]) -> bool {
     let word: Result<serde_json::Value, _> = serde_json::from_slice(value);
     word.is_ok_and(|word| word["state"] == "leaving")
 }
--- a/crates/role/src/entry/control/links.rs
+++ b/crates/role/src/entry/control/links.rs
@@ -7,9 +7,9 @@
 use schema::timeline::EventKind;
 
 use super::super::shared::Shared;
-use super::super::trace::Note;
+use super::super::timeline::TimelineEvent;
 use super::super::{EntryAction, EntryOptions};
-use super::{Control, Effects, Gone};
+use super::{Control, Effects, GoneReason};
 use crate::Peer;
 
 impl Control {
@@ -22,22 +22,28 @@
     ) {
         for (id, address) in &options.peers {
             let incarnation = Incarnation(0);
-            self.reach(MemberKind::Entry, id.as_str(), incarnation, address, out);
+            self.connect_if_new(
+                MemberKind::Entry,
+                id.as_str(),
+                incarnation,
+                address,
+                out,
+            );
         }
     }
 
-    pub(super) fn take_member(&mut self, member: &Member, out: &mut Vec<EntryAction>) {
+    pub(super) fn apply_member(&mut self, member: &Member, out: &mut Vec<EntryAction>) {
         let kind = match member.kind.as_str() {
             "entry" => MemberKind::Entry,
             "agent" => MemberKind::Agent,
             _ => return,
         };
         let incarnation = Incarnation(member.incarnation);
-        self.reach(kind, &member.id, incarnation, &member.link_address, out);
+        self.connect_if_new(kind, &member.id, incarnation, &member.link_address, out);
     }
 
     /// Connects to a process whose address is new.
-    pub(super) fn reach(
+    pub(super) fn connect_if_new(
         &mut self,
         kind: MemberKind,
         id: &str,
@@ -45,7 +51,7 @@
         address: &str,
         out: &mut Vec<EntryAction>,
     ) {
-        if kind == MemberKind::Entry && id == self.me.as_str() {
+        if kind == MemberKind::Entry && id == self.own_id.as_str() {
             return;
         }
         if !self.members.note(kind, id, incarnation, address) {
@@ -69,15 +75,19 @@
         out: &mut Vec<EntryAction>,
         effects: &mut Effects,
     ) {
-        Note::new(EventKind::LinkUp, "").peer(&peer).put(out);
+        TimelineEvent::new(EventKind::LinkUp, "")
+            .peer(&peer)
+            .record(out);
         match &peer {
             Peer::Agent(id) => {
                 let mut changes = Vec::new();
                 self.directory.link_up(now, id, incarnation, &mut changes);
-                self.apply(&changes, out, effects);
-                self.judge(now, out, effects);
+                self.apply_changes(&changes, out, effects);
+                self.check_liveness(now, out, effects);
+            }
+            Peer::Entry(_) if self.config().is_none() => {
+                self.request_config(&peer, out)
             }
-            Peer::Entry(_) if self.config().is_none() => self.ask(&peer, out),
             Peer::Entry(_) => {}
         }
         self.links.insert(peer, incarnation);
@@ -93,41 +103,43 @@
         if self.links.remove(peer).is_none() {
             return;
         }
-        Note::new(EventKind::LinkDown, "").peer(peer).put(out);
+        TimelineEvent::new(EventKind::LinkDown, "")
+            .peer(peer)
+            .record(out);
         if let Peer::Agent(id) = peer {
             self.directory.link_down(id);
-            effects.gone.insert(id.clone(), Gone::LinkDown);
-            self.judge(now, out, effects);
+            effects.gone_agents.insert(id.clone(), GoneReason::LinkDown);
+            self.check_liveness(now, out, effects);
         }
     }
 
     /// Judges every agent anew.
-    pub(super) fn judge(
+    pub(super) fn check_liveness(
         &mut self,
         now: Instant,
         out: &mut Vec<EntryAction>,
         effects: &mut Effects,
     ) {
-        let judged_at = self.judged_at(now);
+        let silence_clock = self.silence_clock(now);
         let alone = !self.entries.any_alive(now);
         let mut changes = Vec::new();
-        self.directory.tick(judged_at, alone, &mut changes);
-        self.apply(&changes, out, effects);
+        self.directory.tick(silence_clock, alone, &mut changes);
+        self.apply_changes(&changes, out, effects);
     }
 
     /// Carries out what changes in the directory mean.
-    pub(super) fn apply(
+    pub(super) fn apply_changes(
         &mut self,
         changes: &[Change],
         out: &mut Vec<EntryAction>,
         effects: &mut Effects,
     ) {
         for change in changes {
-            self.apply_one(change, out, effects);
+            self.apply_change(change, out, effects);
         }
     }
 
-    fn apply_one(
+    fn apply_change(
         &mut self,
         change: &Change,
         out: &mut Vec<EntryAction>,
@@ -140,25 +152,30 @@
                 "silent or its link is down: no new work",
             ),
             Change::Lost(id) => {
-                effects.gone.entry(id.clone()).or_insert(Gone::Lost);
+                effects
+                    .gone_agents
+                    .entry(id.clone())
+                    .or_insert(GoneReason::Lost);
                 (EventKind::AgentLost, id, "given up")
             }
             Change::Back(id) => {
-                effects.room.insert(id.clone());
+                effects.agents_with_capacity.insert(id.clone());
                 (EventKind::AgentBack, id, "heard")
             }
             Change::Leaving(id) => (EventKind::AgentLeaving, id, "no new work"),
             Change::Restarted(id) => {
-                effects.gone.insert(id.clone(), Gone::Restarted);
+                effects
+                    .gone_agents
+                    .insert(id.clone(), GoneReason::Restarted);
                 (EventKind::AgentBack, id, "a new run of it")
             }
             Change::UpstreamUp(id) => {
-                effects.room.insert(id.clone());
+                effects.agents_with_capacity.insert(id.clone());
                 (EventKind::UpstreamUp, id, "")
             }
             Change::UpstreamDown(id) => (EventKind::UpstreamDown, id, ""),
             Change::Residency(id) => {
-                effects.room.insert(id.clone());
+                effects.agents_with_capacity.insert(id.clone());
                 return;
             }
             Change::Forgotten(id) => {
@@ -168,15 +185,15 @@
                 return;
             }
         };
-        Note::new(kind, detail).peer(id).put(out);
+        TimelineEvent::new(kind, detail).peer(id).record(out);
     }
 
-    pub(super) fn say_goodbye(&self, shared: &Shared, out: &mut Vec<EntryAction>) {
+    pub(super) fn send_goodbye(&self, shared: &Shared, out: &mut Vec<EntryAction>) {
         for peer in self.links.keys() {
             out.push(EntryAction::SendFrame {
                 peer: peer.clone(),
                 body: frame::Body::Goodbye(Goodbye {
-                    id: self.me.to_string(),
+                    id: self.own_id.to_string(),
                     incarnation: shared.options.incarnation.0,
                 }),
             });
--- a/crates/role/src/entry/control/mod.rs
+++ b/crates/role/src/entry/control/mod.rs
@@ -7,16 +7,16 @@
 
 mod cells;
 mod config;
+mod demand_shares;
 mod forecast;
 mod frames;
 mod freeze;
 mod gossip;
 mod instances;
 mod links;
+mod placements;
 mod plan;
 mod platform;
-mod spread;
-mod wishes;
 
 use base::prelude::*;
 use base::{Timers, Version};
@@ -28,31 +28,31 @@
 use std::sync::Arc;
 
 use super::shared::Shared;
-use super::trace::Note;
+use super::timeline::TimelineEvent;
 use super::{EntryAction, EntryOptions};
 use crate::Peer;
-use forecast::Forecast;
-pub(crate) use forecast::back_ms;
+use forecast::LoadForecast;
+pub(crate) use forecast::predicted_return_ms;
 use freeze::Freeze;
-use gossip::Gossiping;
+use gossip::GossipState;
+pub(crate) use placements::reason_text;
 pub(crate) use plan::PlanJob;
 use plan::Planning;
-use platform::Platform;
-pub(crate) use wishes::sentence;
+use platform::PlatformCalls;
 
 /// Interval of heartbeats until a configuration says so.
 const HEARTBEAT_DEFAULT_MS: u32 = 500;
 
 /// Length of one entry's turn to run suspects alone.
-const TURN_MS: u64 = 3_000;
+const EXCLUSIVE_TURN_MS: u64 = 3_000;
 
 /// Start of a turn in which nobody starts a suspect. It covers the difference
 /// between two entries' wall clocks and the way of the last turn's word.
-const TURN_GUARD_MS: u64 = 1_000;
+const EXCLUSIVE_TURN_GUARD_MS: u64 = 1_000;
 
 /// Why attempts at an agent can't be waited for any longer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Gone {
+pub(crate) enum GoneReason {
     /// The link broke: frames may be lost, and nothing can be asked.
     LinkDown,
     /// A new run of the agent knows nothing of them.
@@ -62,15 +62,15 @@
 }
 
 /// Times in a heartbeat interval that all agents are judged.
-const JUDGED_PER_HEARTBEAT: u64 = 5;
+const LIVENESS_CHECKS_PER_HEARTBEAT: u64 = 5;
 
 /// What a change means for requests.
 #[derive(Debug, Default)]
 pub(crate) struct Effects {
     /// Agents whose attempts have to be settled.
-    pub(crate) gone: BTreeMap<AgentId, Gone>,
-    /// Agents that may have room or hold something new.
-    pub(crate) room: BTreeSet<AgentId>,
+    pub(crate) gone_agents: BTreeMap<AgentId, GoneReason>,
+    /// Agents that may have agents_with_capacity or hold something new.
+    pub(crate) agents_with_capacity: BTreeSet<AgentId>,
     /// All queues have to be looked at.
     pub(crate) wake_all: bool,
     /// A round of planning to run.
@@ -78,7 +78,7 @@
 }
 
 impl Effects {
-    fn plan_with(&mut self, job: Option<PlanJob>) {
+    fn set_plan_job(&mut self, job: Option<PlanJob>) {
         // A second job is not made while one is out.
         self.plan = self.plan.take().or(job);
     }
@@ -88,11 +88,11 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Timer {
     Heartbeat,
-    Judge,
+    Liveness,
     Plan,
     PlanSoon,
     GossipSoon,
-    Call(platform::Call),
+    Call(platform::CallKind),
     Exit,
 }
 
@@ -106,24 +106,24 @@
     pub(crate) ready: bool,
     pub(crate) links: BTreeMap<Peer, Incarnation>,
     pub(crate) planning: Planning,
-    pub(crate) gossip: Gossiping,
-    me: EntryId,
-    domain: DomainId,
+    pub(crate) gossip: GossipState,
+    own_id: EntryId,
+    failure_domain: DomainId,
     instances_version: Version,
     /// Watches that are left to other entries, until they are asked for again.
-    put_off: BTreeSet<platform::Call>,
+    deferred_watches: BTreeSet<platform::CallKind>,
     unix_ms_at_zero: u64,
     started_at: Instant,
     members: Members,
-    platform: Platform,
-    forecast: Forecast,
+    platform: PlatformCalls,
+    forecast: LoadForecast,
     freeze: Freeze,
     timers: Timers<Timer>,
     rng: Pcg64Mcg,
-    asked_at: Option<Instant>,
-    live_version: Version,
+    config_requested_at: Option<Instant>,
+    members_version: Version,
     exited: bool,
-    seen_at: Instant,
+    ticked_at: Instant,
 }
 
 impl Control {
@@ -141,32 +141,32 @@
             ready: false,
             links: BTreeMap::new(),
             planning: Planning::new(),
-            gossip: Gossiping::new(),
-            me: options.id.clone(),
-            domain: options.failure_domain.clone(),
+            gossip: GossipState::new(),
+            own_id: options.id.clone(),
+            failure_domain: options.failure_domain.clone(),
             instances_version: Version(0),
-            put_off: BTreeSet::new(),
+            deferred_watches: BTreeSet::new(),
             unix_ms_at_zero: options.unix_ms_at_zero,
             started_at: now,
             members: Members::new(),
-            platform: Platform::new(),
-            forecast: Forecast::default(),
+            platform: PlatformCalls::new(),
+            forecast: LoadForecast::default(),
             freeze: Freeze::none(now),
             timers: Timers::new(),
             rng: Pcg64Mcg::new(u128::from(options.seed) << 1 | 1),
-            asked_at: None,
-            live_version: Version(0),
+            config_requested_at: None,
+            members_version: Version(0),
             exited: false,
-            seen_at: now,
+            ticked_at: now,
         };
         let detail = format!("incarnation {:x}", options.incarnation.0);
-        Note::new(EventKind::ProcessStarted, detail).put(out);
-        control.start_platform(options, out);
+        TimelineEvent::new(EventKind::ProcessStarted, detail).record(out);
+        control.start_platform_calls(options, out);
         control.dial_peers(options, out);
-        control.timers.set(now, Timer::Judge);
+        control.timers.set(now, Timer::Liveness);
         control.timers.set(now, Timer::Heartbeat);
         control.timers.set(now, Timer::Plan);
-        control.look_later(now);
+        control.schedule_config_poll(now);
         control
     }
 
@@ -181,8 +181,8 @@
     }
 
     /// Time of the last tick: the present, as far as reports need it.
-    pub(crate) const fn seen_at(&self) -> Instant {
-        self.seen_at
+    pub(crate) const fn ticked_at(&self) -> Instant {
+        self.ticked_at
     }
 
     /// Whether the platform answers.
@@ -201,11 +201,11 @@
     }
 
     /// Whether this entry probes an upstream for the fleet.
-    pub(crate) fn probes(&self, now: Instant, agent: &AgentId) -> bool {
+    pub(crate) fn is_prober(&self, now: Instant, agent: &AgentId) -> bool {
         let others = self.entries.all().filter(|held| !held.leaving);
         let alive = others.filter(|held| self.entries.alive(now, &held.id));
-        let names = alive.map(|held| &held.id).chain([&self.me]);
-        route::prober(agent, names) == Some(&self.me)
+        let names = alive.map(|held| &held.id).chain([&self.own_id]);
+        route::prober(agent, names) == Some(&self.own_id)
     }
 
     /// Time until this entry may start a suspect alone; 0 if it may now.
@@ -216,23 +216,23 @@
     /// tells the others at once what it started. Nobody starts anything in the
     /// first part of a turn: within it the last word of the turn before has
     /// arrived, even if the two clocks differ a little.
-    pub(crate) fn alone_turn_in_ms(&self, now: Instant) -> u64 {
+    pub(crate) fn exclusive_turn_wait_ms(&self, now: Instant) -> u64 {
         let others = self.entries.all();
-        let judged_at = self.judged_at(now);
-        let alive = others.filter(|held| self.entries.alive(judged_at, &held.id));
+        let silence_clock = self.silence_clock(now);
+        let alive = others.filter(|held| self.entries.alive(silence_clock, &held.id));
         let (mut count, mut before) = (1, 0);
         for held in alive {
             count += 1;
-            before += u64::from(held.id < self.me);
+            before += u64::from(held.id < self.own_id);
         }
         if count == 1 {
             return 0;
         }
-        let round_ms = count * TURN_MS;
+        let round_ms = count * EXCLUSIVE_TURN_MS;
         let unix_ms = self.unix_ms_at_zero.saturating_add(now.as_ms());
         let passed_ms = unix_ms % round_ms;
-        let start_ms = before * TURN_MS + TURN_GUARD_MS;
-        let end_ms = (before + 1) * TURN_MS;
+        let start_ms = before * EXCLUSIVE_TURN_MS + EXCLUSIVE_TURN_GUARD_MS;
+        let end_ms = (before + 1) * EXCLUSIVE_TURN_MS;
         match passed_ms {
             passed if passed < start_ms => start_ms - passed,
             passed if passed < end_ms => 0,
@@ -248,14 +248,14 @@
         out: &mut Vec<EntryAction>,
         effects: &mut Effects,
     ) {
-        self.seen_at = now;
+        self.ticked_at = now;
         while let Some(timer) = self.timers.take(now) {
             match timer {
-                Timer::Heartbeat => self.beat(now, shared, out, effects),
-                Timer::Judge => self.judge_due(now, out, effects),
-                Timer::Plan => effects.plan_with(self.plan_due(now, shared)),
-                Timer::PlanSoon => effects.plan_with(self.plan_now(now, shared)),
-                Timer::GossipSoon if self.gossip.soon => {
+                Timer::Heartbeat => self.heartbeat_due(now, shared, out, effects),
+                Timer::Liveness => self.liveness_due(now, out, effects),
+                Timer::Plan => effects.set_plan_job(self.plan_due(now, shared)),
+                Timer::PlanSoon => effects.set_plan_job(self.plan_now(now, shared)),
+                Timer::GossipSoon if self.gossip.send_scheduled => {
                     self.send_gossip(now, shared, out);
                 }
                 Timer::GossipSoon => {}
@@ -265,7 +265,7 @@
         }
     }
 
-    fn beat(
+    fn heartbeat_due(
         &mut self,
         now: Instant,
         shared: &Shared,
@@ -273,8 +273,8 @@
         effects: &mut Effects,
     ) {
         self.entries.tick(now);
-        self.foresee(now, shared);
-        shared.health.lock().forget_unknown(&self.directory);
+        self.update_forecast(now, shared);
+        shared.breakers.lock().forget_unknown(&self.directory);
         self.send_gossip(now, shared, out);
         let interval = self.directory.timing().heartbeat_ms();
         self.timers.set(now.plus_ms(interval), Timer::Heartbeat);
@@ -286,15 +286,17 @@
     /// Silence has to end work in flight soon after its bound, but nothing says
     /// so by itself. A fixed interval costs the same whatever is heard; judging
     /// all of them with each heartbeat costs the square of their number.
-    fn judge_due(
+    fn liveness_due(
         &mut self,
         now: Instant,
         out: &mut Vec<EntryAction>,
         effects: &mut Effects,
     ) {
-        self.judge(now, out, effects);
-        let interval = self.directory.timing().heartbeat_ms() / JUDGED_PER_HEARTBEAT;
-        self.timers.set(now.plus_ms(interval.max(1)), Timer::Judge);
+        self.check_liveness(now, out, effects);
+        let interval =
+            self.directory.timing().heartbeat_ms() / LIVENESS_CHECKS_PER_HEARTBEAT;
+        self.timers
+            .set(now.plus_ms(interval.max(1)), Timer::Liveness);
     }
 
     /// Starts to stop.
@@ -309,7 +311,7 @@
         }
         self.leaving = true;
         let detail = "takes no new work, finishes what it has";
-        Note::new(EventKind::ProcessDraining, detail).put(out);
+        TimelineEvent::new(EventKind::ProcessDraining, detail).record(out);
         self.set_ready(out);
         self.register(shared, out);
         self.send_gossip(now, shared, out);
@@ -325,12 +327,12 @@
         out.push(EntryAction::SetReady(ready));
         if ready {
             let detail = format!("revision {}", self.log.revision());
-            Note::new(EventKind::ProcessReady, detail).put(out);
+            TimelineEvent::new(EventKind::ProcessReady, detail).record(out);
         }
     }
 
     /// Says goodbye, once the last request has ended.
-    pub(crate) fn leave(
+    pub(crate) fn shut_down(
         &mut self,
         now: Instant,
         shared: &Shared,
@@ -339,7 +341,7 @@
         if self.platform.unregistering() || self.exited {
             return;
         }
-        self.say_goodbye(shared, out);
+        self.send_goodbye(shared, out);
         self.unregister(shared, out);
         // The record is a help to others, not a promise: an outage of the
         // platform must not keep a drained process from ending.
@@ -352,7 +354,7 @@
             return;
         }
         self.exited = true;
-        Note::new(EventKind::ProcessStopped, "drained").put(out);
+        TimelineEvent::new(EventKind::ProcessStopped, "drained").record(out);
         out.push(EntryAction::Exit);
     }
 }
--- a/crates/role/src/entry/control/wishes.rs
+++ b/crates/role/src/entry/control/placements.rs
@@ -6,29 +6,29 @@
 use std::collections::BTreeMap;
 
 use super::super::EntryAction;
-use super::super::tally::Tally;
-use super::super::trace::Note;
+use super::super::outcome_counts::OutcomeCounts;
+use super::super::timeline::TimelineEvent;
 
 /// What is wanted where, by agent, accelerator and model.
-pub(super) type Wishes = BTreeMap<(AgentId, u32, ModelId), PlaceReason>;
+pub(super) type PlannedPlacements = BTreeMap<(AgentId, u32, ModelId), PlaceReason>;
 
 /// What a plan wants.
-pub(super) fn wishes(plan: &Plan) -> Wishes {
-    let mut wishes = Wishes::new();
+pub(super) fn planned_placements(plan: &Plan) -> PlannedPlacements {
+    let mut placements = PlannedPlacements::new();
     for target in &plan.targets {
         for wish in &target.models {
             let key = (target.agent.clone(), wish.accelerator, wish.model.clone());
-            wishes.insert(key, wish.reason);
+            placements.insert(key, wish.reason);
         }
     }
-    wishes
+    placements
 }
 
 /// Records what is wanted and was not, and the reverse.
-pub(super) fn trace_changes(
-    before: &Wishes,
-    after: &Wishes,
-    tally: &mut Tally,
+pub(super) fn record_changes(
+    before: &PlannedPlacements,
+    after: &PlannedPlacements,
+    outcomes: &mut OutcomeCounts,
     out: &mut Vec<EntryAction>,
 ) {
     for (key, reason) in after {
@@ -37,34 +37,34 @@
             continue;
         }
         let (agent, accelerator, model) = key;
-        let why = sentence(*reason);
-        tally.decided("place", reason.as_str());
-        Note::new(
+        let why = reason_text(*reason);
+        outcomes.record_decision("place", reason.as_str());
+        TimelineEvent::new(
             EventKind::ModelPlanned,
             format!("wanted on {agent}, accelerator {accelerator}: {why}"),
         )
         .model(model.as_str())
         .peer(agent)
         .reason(*reason as u32)
-        .put(out);
+        .record(out);
     }
     for (agent, accelerator, model) in before.keys() {
         let key = (agent.clone(), *accelerator, model.clone());
         if after.contains_key(&key) {
             continue;
         }
-        tally.decided("place", PlaceReason::Displaced.as_str());
+        outcomes.record_decision("place", PlaceReason::Displaced.as_str());
         let detail = format!("no longer wanted on {agent}, accelerator {accelerator}");
-        Note::new(EventKind::ModelPlanned, detail)
+        TimelineEvent::new(EventKind::ModelPlanned, detail)
             .model(model.as_str())
             .peer(agent)
             .reason(PlaceReason::Displaced as u32)
-            .put(out);
+            .record(out);
     }
 }
 
 /// A reason in words.
-pub(crate) const fn sentence(reason: PlaceReason) -> &'static str {
+pub(crate) const fn reason_text(reason: PlaceReason) -> &'static str {
     match reason {
         PlaceReason::Kept => "it was there and nothing is worth moving it",
         PlaceReason::Demand => "its demand is worth the move",
--- a/crates/role/src/entry/control/plan.rs
+++ b/crates/role/src/entry/control/plan.rs
@@ -13,28 +13,28 @@
 use super::super::EntryAction;
 use super::super::counters::Counts;
 use super::super::shared::Shared;
-use super::cells::{Cell, cells};
+use super::cells::{PlanningCell, planning_cells};
+use super::demand_shares::share_demand;
 use super::gossip::own_demands;
-use super::spread::spread;
-use super::wishes::{Wishes, trace_changes, wishes};
+use super::placements::{PlannedPlacements, planned_placements, record_changes};
 use super::{Control, Timer};
 use crate::Peer;
 
 /// Interval between plans.
-const PLAN_EVERY_MS: u64 = 500;
+const PLAN_INTERVAL_MS: u64 = 500;
 
 /// Least time between plans that work waiting without a holder brings about.
-const PLAN_MIN_MS: u64 = 50;
+const PLAN_MIN_INTERVAL_MS: u64 = 50;
 
 /// Time after which a round counts as lost. One whose thread panicked would
 /// otherwise keep this entry from planning for good, while it ranks first.
-const ROUND_MAX_MS: u64 = 10_000;
+const PLAN_ROUND_TIMEOUT_MS: u64 = 10_000;
 
 /// One cell that this entry plans.
 #[derive(Debug, Default)]
 struct CellPlan {
     planner: Planner,
-    wishes: Wishes,
+    placements: PlannedPlacements,
     notes: Vec<PlanNote>,
 }
 
@@ -43,7 +43,7 @@
 pub(crate) struct Planning {
     cells: BTreeMap<String, CellPlan>,
     planned_at: Option<Instant>,
-    soon: bool,
+    scheduled: bool,
     /// Since when a round is planned outside of the control part's lock.
     running_since: Option<Instant>,
     sequence: u64,
@@ -57,7 +57,7 @@
 pub(crate) struct PlanJob {
     now: Instant,
     config: Arc<Config>,
-    cells: Vec<Cell>,
+    cells: Vec<PlanningCell>,
     demands: Vec<ModelDemand>,
     /// Planners of the cells for which this entry ranks first.
     planners: BTreeMap<String, Planner>,
@@ -65,8 +65,8 @@
 
 /// One cell, planned.
 #[derive(Debug)]
-struct Planned {
-    cell: Cell,
+struct PlannedCell {
+    cell: PlanningCell,
     planner: Planner,
     plan: Plan,
 }
@@ -74,15 +74,15 @@
 /// A round of planning that is done.
 #[derive(Debug)]
 pub(crate) struct PlanDone {
-    cells: Vec<Planned>,
+    cells: Vec<PlannedCell>,
 }
 
 impl PlanJob {
     /// Plans.
     pub(crate) fn run(mut self) -> PlanDone {
-        let work = spread(&self.config, &self.cells, &self.demands);
+        let shares = share_demand(&self.config, &self.cells, &self.demands);
         let mut cells = Vec::new();
-        for (cell, work) in self.cells.into_iter().zip(work) {
+        for (cell, share) in self.cells.into_iter().zip(shares) {
             let Some(mut planner) = self.planners.remove(&cell.key) else {
                 continue;
             };
@@ -90,10 +90,10 @@
                 now: self.now,
                 config: &self.config,
                 agents: &cell.agents,
-                demands: &work.demands,
-                store_share: work.store_share,
+                demands: &share.demands,
+                store_share: share.store_share,
             });
-            cells.push(Planned {
+            cells.push(PlannedCell {
                 cell,
                 planner,
                 plan,
@@ -108,7 +108,7 @@
         Self {
             cells: BTreeMap::new(),
             planned_at: None,
-            soon: false,
+            scheduled: false,
             running_since: None,
             sequence: 0,
         }
@@ -124,12 +124,12 @@
     }
 
     /// Where this entry wants a model, and why.
-    pub(crate) fn wishes<'a>(
+    pub(crate) fn placements<'a>(
         &'a self,
         model: &'a str,
     ) -> impl Iterator<Item = (&'a AgentId, PlaceReason)> {
-        let wishes = self.cells.values().flat_map(|cell| &cell.wishes);
-        wishes
+        let placements = self.cells.values().flat_map(|cell| &cell.placements);
+        placements
             .filter(move |((_, _, held), _)| held.as_str() == model)
             .map(|((agent, _, _), reason)| (agent, *reason))
     }
@@ -152,7 +152,7 @@
         now: Instant,
         shared: &Shared,
     ) -> Option<PlanJob> {
-        self.timers.set(now.plus_ms(PLAN_EVERY_MS), Timer::Plan);
+        self.timers.set(now.plus_ms(PLAN_INTERVAL_MS), Timer::Plan);
         self.plan_now(now, shared)
     }
 
@@ -162,17 +162,20 @@
         now: Instant,
         shared: &Shared,
     ) -> Option<PlanJob> {
-        let next = self.planning.planned_at.map(|at| at.plus_ms(PLAN_MIN_MS));
+        let next = self
+            .planning
+            .planned_at
+            .map(|at| at.plus_ms(PLAN_MIN_INTERVAL_MS));
         match next.filter(|next| *next > now) {
             None => return self.plan_now(now, shared),
-            Some(next) => self.plan_at(next),
+            Some(next) => self.schedule_plan(next),
         }
         None
     }
 
-    fn plan_at(&mut self, at: Instant) {
-        if !self.planning.soon {
-            self.planning.soon = true;
+    fn schedule_plan(&mut self, at: Instant) {
+        if !self.planning.scheduled {
+            self.planning.scheduled = true;
             self.timers.set(at, Timer::PlanSoon);
         }
     }
@@ -183,27 +186,27 @@
         now: Instant,
         shared: &Shared,
     ) -> Option<PlanJob> {
-        self.planning.soon = false;
+        self.planning.scheduled = false;
         let config = self.config().cloned()?;
         if self.leaving {
             return None;
         }
-        if now < self.read_by() {
-            self.plan_at(self.read_by());
+        if now < self.backlog_read_by() {
+            self.schedule_plan(self.backlog_read_by());
             return None;
         }
         let running = self.planning.running_since;
-        if running.is_some_and(|since| now.ms_since(since) < ROUND_MAX_MS) {
-            self.plan_at(now.plus_ms(PLAN_MIN_MS));
+        if running.is_some_and(|since| now.ms_since(since) < PLAN_ROUND_TIMEOUT_MS) {
+            self.schedule_plan(now.plus_ms(PLAN_MIN_INTERVAL_MS));
             return None;
         }
         self.planning.running_since = Some(now);
         self.planning.planned_at = Some(now);
-        let cells = cells(&self.directory, &config);
+        let cells = planning_cells(&self.directory, &config);
         let mut before = std::mem::take(&mut self.planning.cells);
         let mut planners = BTreeMap::new();
         for cell in &cells {
-            if self.entries.ranks_first(now, &self.me, &cell.key) {
+            if self.entries.ranks_first(now, &self.own_id, &cell.key) {
                 let mut held = before.remove(&cell.key).unwrap_or_default();
                 let planner = std::mem::take(&mut held.planner);
                 planners.insert(cell.key.clone(), planner);
@@ -233,13 +236,13 @@
         }
         for planned in done.cells {
             Counts::add(&shared.counts.plans);
-            let wishes = wishes(&planned.plan);
+            let placements = planned_placements(&planned.plan);
             let key = &planned.cell.key;
             let held = self.planning.cells.entry(key.clone()).or_default();
-            let mut tally = shared.tally.lock();
-            trace_changes(&held.wishes, &wishes, &mut tally, out);
-            drop(tally);
-            held.wishes = wishes;
+            let mut outcomes = shared.outcomes.lock();
+            record_changes(&held.placements, &placements, &mut outcomes, out);
+            drop(outcomes);
+            held.placements = placements;
             held.planner = planned.planner;
             held.notes = planned.plan.notes;
             self.planning.sequence += 1;
@@ -251,7 +254,7 @@
 
     fn send_target(
         &self,
-        cell: &Cell,
+        cell: &PlanningCell,
         target: &AgentTarget,
         shared: &Shared,
         out: &mut Vec<EntryAction>,
@@ -272,8 +275,8 @@
         out.push(EntryAction::SendFrame {
             peer: Peer::Agent(target.agent.clone()),
             body: frame::Body::Target(Target {
-                planner: self.me.to_string(),
-                rank: rendezvous(&cell.key, self.me.as_str()),
+                planner: self.own_id.to_string(),
+                rank: rendezvous(&cell.key, self.own_id.as_str()),
                 sequence: self.planning.sequence,
                 agent_incarnation: agent.incarnation.0,
                 models: models.collect(),
@@ -289,7 +292,7 @@
         shared: &Shared,
         config: &Config,
     ) -> Vec<ModelDemand> {
-        let mut sums: BTreeMap<ModelId, Sum> = BTreeMap::new();
+        let mut sums: BTreeMap<ModelId, DemandSum> = BTreeMap::new();
         let own = own_demands(now, shared);
         let told = self.gossip.demands.iter();
         let others = told.filter(|(id, _)| self.entries.alive(now, id));
@@ -307,7 +310,7 @@
 
 /// Demand for one model, being added up.
 #[derive(Debug, Default)]
-struct Sum {
+struct DemandSum {
     rate_per_s: f64,
     waiting: u32,
     oldest_wait_ms: u64,
@@ -316,7 +319,7 @@
     weight: f64,
 }
 
-impl Sum {
+impl DemandSum {
     fn add(&mut self, demand: &Demand) {
         let rate_per_s = f64::from(demand.rate_milli) / 1_000.0;
         // Means count by the work behind them.
--- a/crates/role/src/entry/control/platform.rs
+++ b/crates/role/src/entry/control/platform.rs
@@ -11,12 +11,12 @@
 
 use super::super::counters::Counts;
 use super::super::shared::Shared;
-use super::super::trace::Note;
+use super::super::timeline::TimelineEvent;
 use super::super::{EntryAction, EntryOptions};
 use super::{Control, Effects, Timer};
 
 /// Start of the keys of all member records.
-const LIVE_PREFIX: &str = "live/";
+const MEMBERS_PREFIX: &str = "live/";
 
 /// First and longest wait before a failed call is made again.
 const BACKOFF_MIN_MS: u64 = 100;
@@ -27,31 +27,31 @@
 /// A watch that misses a change is never made up for: the platform believes it
 /// told, and nothing else would ever look. So each entry reads the next
 /// revision's key, a call of one small object, at 0.1 to 0.2 calls a second.
-const LOOK_EVERY_MS: u64 = 10_000;
+const CONFIG_POLL_MAX_MS: u64 = 10_000;
 
 /// Looks between two reads of the snapshot, from which a process catches up
 /// whose next revision was dropped from the log in the meantime, and of the list
 /// of members, whose watch may miss an address as well.
-const LOOKS_PER_LIST: u32 = 6;
+const POLLS_PER_LIST: u32 = 6;
 
 /// Least time between two waits on a prefix, in case the platform ends them at
 /// once: it has a bound on calls a second.
-const WATCH_PAUSE_MS: u64 = 50;
+const WATCH_MIN_INTERVAL_MS: u64 = 50;
 
 /// Longest wait for the member record's deletion at the end.
 pub(super) const UNREGISTER_WAIT_MS: u64 = 2_000;
 
 /// What a call is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Call {
+pub(super) enum CallKind {
     Snapshot,
     ConfigList,
     ConfigWatch,
-    ConfigLook,
-    LiveList,
-    LiveWatch,
-    Instances,
-    InstancesNews,
+    ConfigPoll,
+    MembersList,
+    MembersWatch,
+    InstancesList,
+    InstancesChangedList,
     InstancesWatch,
     Register,
     Unregister,
@@ -59,19 +59,19 @@
 
 /// Calls that wait for an answer.
 #[derive(Debug)]
-pub(crate) struct Platform {
+pub(crate) struct PlatformCalls {
     next: u64,
-    pending: BTreeMap<u64, Call>,
-    failures: BTreeMap<Call, u32>,
+    pending: BTreeMap<u64, CallKind>,
+    failures: BTreeMap<CallKind, u32>,
     away: bool,
     config_version: Version,
-    looks: u32,
+    polls: u32,
     /// Revision that the look in flight is for. The answer does not name it, and
     /// by then another one may be the next.
-    look_for: Revision,
+    polled_revision: Revision,
 }
 
-impl Platform {
+impl PlatformCalls {
     pub(super) const fn new() -> Self {
         Self {
             next: 1,
@@ -79,8 +79,8 @@
             failures: BTreeMap::new(),
             away: false,
             config_version: Version(0),
-            looks: 0,
-            look_for: Revision(0),
+            polls: 0,
+            polled_revision: Revision(0),
         }
     }
 
@@ -89,89 +89,101 @@
     }
 
     pub(super) fn unregistering(&self) -> bool {
-        self.pending.values().any(|call| *call == Call::Unregister)
+        self.pending
+            .values()
+            .any(|call| *call == CallKind::Unregister)
     }
 }
 
 impl Control {
     /// The first calls of a process.
-    pub(super) fn start_platform(
+    pub(super) fn start_platform_calls(
         &mut self,
         options: &EntryOptions,
         out: &mut Vec<EntryAction>,
     ) {
-        for call in [Call::Snapshot, Call::LiveList, Call::Instances] {
+        for call in [
+            CallKind::Snapshot,
+            CallKind::MembersList,
+            CallKind::InstancesList,
+        ] {
             self.call(call, options, out);
         }
-        self.call(Call::Register, options, out);
+        self.call(CallKind::Register, options, out);
     }
 
     /// Writes the process's member record.
     pub(super) fn register(&mut self, shared: &Shared, out: &mut Vec<EntryAction>) {
-        self.call(Call::Register, &shared.options, out);
+        self.call(CallKind::Register, &shared.options, out);
     }
 
     /// Deletes the process's member record.
     pub(super) fn unregister(&mut self, shared: &Shared, out: &mut Vec<EntryAction>) {
-        self.call(Call::Unregister, &shared.options, out);
+        self.call(CallKind::Unregister, &shared.options, out);
     }
 
     pub(super) fn call_due(
         &mut self,
-        call: Call,
+        call: CallKind,
         shared: &Shared,
         out: &mut Vec<EntryAction>,
     ) {
-        self.put_off.remove(&call);
+        self.deferred_watches.remove(&call);
         self.call(call, &shared.options, out);
     }
 
-    fn call(&mut self, call: Call, options: &EntryOptions, out: &mut Vec<EntryAction>) {
+    fn call(
+        &mut self,
+        call: CallKind,
+        options: &EntryOptions,
+        out: &mut Vec<EntryAction>,
+    ) {
         // One call of each kind at a time; only the newest record counts.
-        if call != Call::Register && self.platform.pending.values().any(|c| *c == call)
+        if call != CallKind::Register
+            && self.platform.pending.values().any(|c| *c == call)
         {
             return;
         }
-        if self.leaves_watch(call) {
+        if self.defer_watch(call) {
             return;
         }
         let id = self.platform.next;
         self.platform.next += 1;
         self.platform.pending.insert(id, call);
-        if call == Call::ConfigLook {
-            self.platform.look_for = Revision(self.log.revision().0 + 1);
+        if call == CallKind::ConfigPoll {
+            self.platform.polled_revision = Revision(self.log.revision().0 + 1);
         }
         let op = self.operation(call, options);
         out.push(EntryAction::CallPlatform(PlatformCall { id, op }));
     }
 
-    fn operation(&self, call: Call, options: &EntryOptions) -> PlatformOp {
+    fn operation(&self, call: CallKind, options: &EntryOptions) -> PlatformOp {
         match call {
-            Call::Snapshot => PlatformOp::Read {
+            CallKind::Snapshot => PlatformOp::Read {
                 key: SNAPSHOT_KEY.to_owned(),
             },
-            Call::ConfigList => list(REVISION_PREFIX),
-            Call::LiveList => list(LIVE_PREFIX),
-            Call::Instances | Call::InstancesNews | Call::InstancesWatch => {
-                self.instances_operation(call)
-            }
-            Call::ConfigWatch => PlatformOp::Watch {
+            CallKind::ConfigList => list(REVISION_PREFIX),
+            CallKind::MembersList => list(MEMBERS_PREFIX),
+            CallKind::InstancesList
+            | CallKind::InstancesChangedList
+            | CallKind::InstancesWatch => self.instances_operation(call),
+            CallKind::ConfigWatch => PlatformOp::Watch {
                 prefix: REVISION_PREFIX.to_owned(),
                 after: self.platform.config_version,
             },
-            Call::ConfigLook => PlatformOp::Read {
-                key: revision_key(self.platform.look_for),
+            CallKind::ConfigPoll => PlatformOp::Read {
+                key: revision_key(self.platform.polled_revision),
             },
-            Call::LiveWatch => PlatformOp::Watch {
-                prefix: LIVE_PREFIX.to_owned(),
-                after: self.live_version,
+            CallKind::MembersWatch => PlatformOp::Watch {
+                prefix: MEMBERS_PREFIX.to_owned(),
+                after: self.members_version,
             },
-            Call::Register => PlatformOp::Write {
+            CallKind::Register => PlatformOp::Write {
                 key: member_key(options),
                 expect: Expect::Any,
                 value: self.member(options).encode_to_vec(),
             },
-            Call::Unregister => PlatformOp::Delete {
+            CallKind::Unregister => PlatformOp::Delete {
                 key: member_key(options),
                 expect: Expect::Any,
             },
@@ -205,20 +217,20 @@
         };
         match answer.result {
             PlatformResult::Away | PlatformResult::Unanswered => {
-                self.failed(now, call, shared, out);
+                self.call_failed(now, call, shared, out);
             }
             result => {
-                self.back(out);
+                self.platform_answered(out);
                 self.platform.failures.remove(&call);
-                self.take(now, call, result, shared, out, effects);
+                self.apply_result(now, call, result, shared, out, effects);
             }
         }
     }
 
-    fn failed(
+    fn call_failed(
         &mut self,
         now: Instant,
-        call: Call,
+        call: CallKind,
         shared: &Shared,
         out: &mut Vec<EntryAction>,
     ) {
@@ -226,9 +238,9 @@
         if !self.platform.away {
             self.platform.away = true;
             let detail = "goes on with what it knows";
-            Note::new(EventKind::PlatformAway, detail).put(out);
+            TimelineEvent::new(EventKind::PlatformAway, detail).record(out);
         }
-        if call == Call::Unregister {
+        if call == CallKind::Unregister {
             self.exit(out);
             return;
         }
@@ -242,74 +254,74 @@
         self.timers.set(at, Timer::Call(call));
     }
 
-    fn back(&mut self, out: &mut Vec<EntryAction>) {
+    fn platform_answered(&mut self, out: &mut Vec<EntryAction>) {
         if self.platform.away {
             self.platform.away = false;
-            Note::new(EventKind::PlatformBack, "answers again").put(out);
+            TimelineEvent::new(EventKind::PlatformBack, "answers again").record(out);
         }
     }
 
-    fn take(
+    fn apply_result(
         &mut self,
         now: Instant,
-        call: Call,
+        call: CallKind,
         result: PlatformResult,
         shared: &Shared,
         out: &mut Vec<EntryAction>,
         effects: &mut Effects,
     ) {
         match (call, result) {
-            (Call::Snapshot, PlatformResult::Object(object)) => {
+            (CallKind::Snapshot, PlatformResult::Object(object)) => {
                 if let Some((_, value)) = object {
-                    self.take_snapshot(&value, shared, out, effects);
+                    self.apply_snapshot(&value, shared, out, effects);
                 }
-                self.call(Call::ConfigList, &shared.options, out);
+                self.call(CallKind::ConfigList, &shared.options, out);
             }
-            (Call::ConfigLook, PlatformResult::Object(object)) => {
-                self.looked(now, object, shared, out, effects);
+            (CallKind::ConfigPoll, PlatformResult::Object(object)) => {
+                self.config_polled(now, object, shared, out, effects);
             }
             (
-                Call::ConfigList | Call::ConfigWatch,
+                CallKind::ConfigList | CallKind::ConfigWatch,
                 PlatformResult::Objects(objects, version),
             ) => {
                 self.note_config_version(version);
-                let gap = self.take_changes(&objects, shared, out, effects);
+                let gap = self.apply_config_changes(&objects, shared, out, effects);
                 if gap {
                     // Old changes were dropped from the log after a snapshot.
                     let at = now.plus_ms(BACKOFF_MIN_MS);
-                    self.timers.set(at, Timer::Call(Call::Snapshot));
+                    self.timers.set(at, Timer::Call(CallKind::Snapshot));
                 } else {
-                    self.again(now, Call::ConfigWatch);
+                    self.schedule_watch(now, CallKind::ConfigWatch);
                 }
             }
             (
-                Call::LiveList | Call::LiveWatch,
+                CallKind::MembersList | CallKind::MembersWatch,
                 PlatformResult::Objects(objects, version),
             ) => {
-                self.live_version = self.live_version.max(version);
-                self.take_members(&objects, out);
-                self.again(now, Call::LiveWatch);
+                self.members_version = self.members_version.max(version);
+                self.apply_members(&objects, out);
+                self.schedule_watch(now, CallKind::MembersWatch);
             }
             (
-                Call::Instances | Call::InstancesNews,
+                CallKind::InstancesList | CallKind::InstancesChangedList,
                 PlatformResult::Objects(objects, version),
             ) => {
-                self.listed_instances(now, &objects, version, out, effects);
-                if call == Call::Instances {
-                    self.list_instances_later(now);
+                self.instances_listed(now, &objects, version, out, effects);
+                if call == CallKind::InstancesList {
+                    self.schedule_instances_list(now);
                 }
             }
-            (Call::InstancesWatch, PlatformResult::Objects(objects, version)) => {
-                self.watched_instances(now, &objects, version);
+            (CallKind::InstancesWatch, PlatformResult::Objects(objects, version)) => {
+                self.instances_watch_ended(now, &objects, version);
             }
-            (Call::Unregister, _) => self.exit(out),
+            (CallKind::Unregister, _) => self.exit(out),
             _ => {}
         }
     }
 
     /// The next revision was there, or not yet. One that was there is put in
-    /// force, and the one after it is looked for at once.
-    fn looked(
+    /// force, and the one after it is config_polled for at once.
+    fn config_polled(
         &mut self,
         now: Instant,
         object: Option<(Version, Vec<u8>)>,
@@ -319,28 +331,28 @@
     ) {
         let before = self.log.revision();
         if let Some((version, value)) = object {
-            let key = revision_key(self.platform.look_for);
-            self.take_changes(&[(key, version, value)], shared, out, effects);
+            let key = revision_key(self.platform.polled_revision);
+            self.apply_config_changes(&[(key, version, value)], shared, out, effects);
         }
         if self.log.revision() > before {
-            self.call(Call::ConfigLook, &shared.options, out);
+            self.call(CallKind::ConfigPoll, &shared.options, out);
             return;
         }
-        self.platform.looks += 1;
-        if self.platform.looks.is_multiple_of(LOOKS_PER_LIST) {
-            self.call(Call::Snapshot, &shared.options, out);
-            self.call(Call::LiveList, &shared.options, out);
+        self.platform.polls += 1;
+        if self.platform.polls.is_multiple_of(POLLS_PER_LIST) {
+            self.call(CallKind::Snapshot, &shared.options, out);
+            self.call(CallKind::MembersList, &shared.options, out);
         }
-        self.look_later(now);
+        self.schedule_config_poll(now);
     }
 
     /// Sets the next look, at a time drawn anew so that processes which started
     /// together don't look together.
-    pub(super) fn look_later(&mut self, now: Instant) {
-        let half_ms = LOOK_EVERY_MS / 2;
+    pub(super) fn schedule_config_poll(&mut self, now: Instant) {
+        let half_ms = CONFIG_POLL_MAX_MS / 2;
         let jitter_ms = u64::from(self.rng.next_u32()) % half_ms;
         let at = now.plus_ms(half_ms + jitter_ms);
-        self.timers.set(at, Timer::Call(Call::ConfigLook));
+        self.timers.set(at, Timer::Call(CallKind::ConfigPoll));
     }
 
     /// Versions never step back either: a watch behind an old one would give
@@ -350,12 +362,12 @@
         *held = (*held).max(version);
     }
 
-    pub(super) fn again(&mut self, now: Instant, call: Call) {
-        let at = now.plus_ms(WATCH_PAUSE_MS);
+    pub(super) fn schedule_watch(&mut self, now: Instant, call: CallKind) {
+        let at = now.plus_ms(WATCH_MIN_INTERVAL_MS);
         self.timers.set(at, Timer::Call(call));
     }
 
-    fn take_members(
+    fn apply_members(
         &mut self,
         objects: &[(String, Version, Vec<u8>)],
         out: &mut Vec<EntryAction>,
@@ -363,7 +375,7 @@
         for (_, _, value) in objects {
             // A record that can't be read only hides one process's address.
             if let Ok(member) = Member::decode(value.as_slice()) {
-                self.take_member(&member, out);
+                self.apply_member(&member, out);
             }
         }
     }
@@ -376,5 +388,5 @@
 }
 
 fn member_key(options: &EntryOptions) -> String {
-    format!("{LIVE_PREFIX}entry/{}", options.id)
+    format!("{MEMBERS_PREFIX}entry/{}", options.id)
 }
--- a/crates/role/src/entry/counters.rs
+++ b/crates/role/src/entry/counters.rs
@@ -1,6 +1,6 @@
 //! What an entry counts.
 
-use super::tally::{DecisionCount, ProfileOutcomes};
+use super::outcome_counts::{DecisionCount, ProfileOutcomes};
 use base::Code;
 use std::sync::atomic::{AtomicU64, Ordering};
 
--- a/crates/role/src/entry/mod.rs
+++ b/crates/role/src/entry/mod.rs
@@ -1,27 +1,27 @@
 //! The entry's machine: admission, routing, answers, directory and planning.
 
 mod accept;
-mod book;
+mod circuit_breakers;
 mod control;
 mod counters;
 mod event;
-mod follow;
-mod health;
+mod follow_up;
 mod options;
+mod outcome_counts;
 mod report;
 mod requests;
+mod resolve;
 mod role;
 mod shared;
 mod status;
-mod suspicion;
-mod tally;
-mod trace;
-mod waiting;
-mod wanted;
+mod suspect_events;
+mod timeline;
+mod wait_queue;
+mod workload;
 
 pub use counters::{EntryCounters, RefusalCount};
 pub use event::{EntryAction, EntryEvent, IncomingRequest, RequestedResource};
 pub use options::EntryOptions;
+pub use outcome_counts::{DecisionCount, ProfileOutcomes};
 pub use role::EntryRole;
 pub use status::{AgentSummary, EntryStatus, ModelSummary, PeerEntrySummary};
-pub use tally::{DecisionCount, ProfileOutcomes};
--- a/crates/role/src/entry/tally.rs
+++ b/crates/role/src/entry/outcome_counts.rs
@@ -39,14 +39,14 @@
 
 /// Counts by profile and by reason.
 #[derive(Debug, Default)]
-pub(crate) struct Tally {
+pub(crate) struct OutcomeCounts {
     profiles: BTreeMap<String, ProfileOutcomes>,
-    reasons: BTreeMap<(&'static str, &'static str), u64>,
+    decisions: BTreeMap<(&'static str, &'static str), u64>,
 }
 
-impl Tally {
+impl OutcomeCounts {
     /// A request got its whole answer.
-    pub(crate) fn finished(&mut self, now: Instant, request: &Request) {
+    pub(crate) fn record_finished(&mut self, now: Instant, request: &Request) {
         let resolved = &request.resolved;
         let first = request.first_unit_at.unwrap_or(now);
         let first_ms = first.ms_since(request.arrived_at);
@@ -62,13 +62,17 @@
     }
 
     /// A request got no whole answer.
-    pub(crate) fn refused(&mut self, request: &Request) {
+    pub(crate) fn record_refused(&mut self, request: &Request) {
         self.profile(&request.resolved.profile).refused += 1;
     }
 
     /// A decision fell.
-    pub(crate) fn decided(&mut self, decision: &'static str, reason: &'static str) {
-        *self.reasons.entry((decision, reason)).or_default() += 1;
+    pub(crate) fn record_decision(
+        &mut self,
+        decision: &'static str,
+        reason: &'static str,
+    ) {
+        *self.decisions.entry((decision, reason)).or_default() += 1;
     }
 
     /// Counts by profile, in order of name.
@@ -77,9 +81,9 @@
     }
 
     /// Counts by reason, in order of decision and reason.
-    pub(crate) fn reasons(&self) -> Vec<DecisionCount> {
-        let reasons = self.reasons.iter();
-        let counts = reasons.map(|((decision, reason), count)| DecisionCount {
+    pub(crate) fn decisions(&self) -> Vec<DecisionCount> {
+        let decisions = self.decisions.iter();
+        let counts = decisions.map(|((decision, reason), count)| DecisionCount {
             decision,
             reason,
             count: *count,
--- a/crates/role/src/entry/report.rs
+++ b/crates/role/src/entry/report.rs
@@ -3,9 +3,9 @@
 use base::prelude::*;
 use live::{Agent, Life, ResidencyState};
 
-use super::control::{Control, sentence};
+use super::control::{Control, reason_text};
+use super::resolve::Resource;
 use super::role::EntryRole;
-use super::wanted::Wanted;
 use super::{AgentSummary, EntryCounters, EntryStatus, ModelSummary, PeerEntrySummary};
 
 impl EntryRole {
@@ -17,9 +17,9 @@
             let up = up.filter(|agent| agent.life == Life::Up).count();
             (control.directory.agents().count(), up)
         };
-        let tally = self.shared.tally.lock();
-        let (profiles, decisions) = (tally.profiles(), tally.reasons());
-        drop(tally);
+        let outcomes = self.shared.outcomes.lock();
+        let (profiles, decisions) = (outcomes.profiles(), outcomes.decisions());
+        drop(outcomes);
         EntryCounters {
             profiles,
             decisions,
@@ -35,7 +35,7 @@
     pub fn status(&self) -> EntryStatus {
         let (waiting, running) = (self.waiting(), self.running());
         let control = self.control.read();
-        let now = control.seen_at();
+        let now = control.ticked_at();
         let options = &self.shared.options;
         let agents = control.directory.agents();
         let entries = control.entries.all().map(|held| PeerEntrySummary {
@@ -51,9 +51,9 @@
             leaving: control.leaving,
             platform_up: control.platform_up(),
             revision: control.log.revision().0,
-            agents: agents.map(|agent| agent_line(now, agent)).collect(),
+            agents: agents.map(|agent| agent_summary(now, agent)).collect(),
             entries: entries.collect(),
-            models: self.model_lines(&control, now),
+            models: self.model_summaries(&control, now),
             waiting,
             running,
             planned_cells: control.planning.cells().map(str::to_owned).collect(),
@@ -63,7 +63,7 @@
     /// What an operator wants to know about a model, in plain sentences.
     pub fn explain_model(&self, model: &str) -> Vec<String> {
         let control = self.control.read();
-        let now = control.seen_at();
+        let now = control.ticked_at();
         let Some(config) = control.config() else {
             return vec!["there is no configuration yet".to_owned()];
         };
@@ -81,11 +81,11 @@
             lines.push("no agent holds it".to_owned());
         }
         lines.push(self.demand_line(&control, now, model));
-        for (agent, reason) in control.planning.wishes(model) {
-            lines.push(format!("planned on {agent}: {}", sentence(reason)));
+        for (agent, reason) in control.planning.placements(model) {
+            lines.push(format!("planned on {agent}: {}", reason_text(reason)));
         }
         for reason in control.planning.notes(model) {
-            lines.push(format!("the planner says: {}", sentence(reason)));
+            lines.push(format!("the planner says: {}", reason_text(reason)));
         }
         if control.planning.cells().next().is_none() {
             lines.push("other entries plan; ask them for reasons".to_owned());
@@ -112,7 +112,7 @@
         }
     }
 
-    fn model_lines(&self, control: &Control, now: Instant) -> Vec<ModelSummary> {
+    fn model_summaries(&self, control: &Control, now: Instant) -> Vec<ModelSummary> {
         let Some(config) = control.config() else {
             return Vec::new();
         };
@@ -120,12 +120,12 @@
         let lines = config.models().map(|spec| {
             let id = spec.id.as_str();
             let demand = demands.iter().find(|held| held.model == spec.id);
-            let wanted = Wanted::Model(spec.id.clone());
+            let resource = Resource::Model(spec.id.clone());
             let holders = control.directory.holders(id);
             ModelSummary {
                 model: id.to_owned(),
                 holders: holders.map(|agent| agent.id.to_string()).collect(),
-                waiting: self.shared.waiting.lock().queue(&wanted).0,
+                waiting: self.shared.wait_queue.lock().depth_and_oldest(&resource).0,
                 rate_per_s: demand.map_or(0.0, |held| held.rate_per_s),
             }
         });
@@ -136,7 +136,7 @@
     }
 
     fn waiting(&self) -> u64 {
-        self.shared.waiting.lock().len() as u64
+        self.shared.wait_queue.lock().len() as u64
     }
 
     fn running(&self) -> u64 {
@@ -145,7 +145,7 @@
     }
 }
 
-fn agent_line(now: Instant, agent: &Agent) -> AgentSummary {
+fn agent_summary(now: Instant, agent: &Agent) -> AgentSummary {
     let hint = agent.hint.read(now);
     let loaded = agent.residents.iter();
     let loaded = loaded.filter(|held| held.state == ResidencyState::Loaded);
@@ -153,7 +153,7 @@
         id: agent.id.to_string(),
         pool: agent.pool.to_string(),
         failure_domain: agent.domain.to_string(),
-        state: life(agent.life),
+        state: life_name(agent.life),
         leaving: agent.leaving(),
         upstream_up: agent.upstream_up,
         connected: agent.connected,
@@ -165,7 +165,7 @@
     }
 }
 
-const fn life(life: Life) -> &'static str {
+const fn life_name(life: Life) -> &'static str {
     match life {
         Life::Up => "up",
         Life::Suspected => "suspected",
@@ -187,7 +187,7 @@
             agent.id,
             held.version,
             held.accelerator,
-            life(agent.life),
+            life_name(agent.life),
             if agent.leaving() { " and leaving" } else { "" },
         )
     })
--- a/crates/role/src/entry/requests/holders.rs
+++ b/crates/role/src/entry/requests/candidates.rs
@@ -4,9 +4,9 @@
 use live::{Agent, Life, ResidencyState};
 use route::{AdmitInput, Holder};
 
-use super::super::control::{Control, back_ms};
+use super::super::control::{Control, predicted_return_ms};
+use super::super::resolve::Resource;
 use super::super::shared::Ctx;
-use super::super::wanted::Wanted;
 use super::state::{Request, State};
 
 /// Service time assumed before one was seen.
@@ -30,16 +30,16 @@
     /// make a model unreachable until it is loaded. An answer that was begun
     /// stays with its version.
     pub(super) fn of(control: &'a Control, now: Instant, request: &Request) -> Self {
-        let agents = match &request.resolved.wanted {
-            Wanted::Model(model) => model_agents(control, now, request, model),
-            Wanted::Service(service) => service_agents(control, now, service),
+        let agents = match &request.resolved.resource {
+            Resource::Model(model) => model_agents(control, now, request, model),
+            Resource::Service(service) => service_agents(control, now, service),
         };
         let holders = agents.iter().map(|(agent, _)| holder(now, agent)).collect();
         Self { holders, agents }
     }
 
     /// Leaves out agents.
-    pub(super) fn without(&mut self, excluded: &[AgentId]) {
+    pub(super) fn exclude(&mut self, excluded: &[AgentId]) {
         let keep = |id: &AgentId| !excluded.contains(id);
         self.holders.retain(|holder| keep(holder.agent));
         self.agents.retain(|(agent, _)| keep(&agent.id));
@@ -53,11 +53,11 @@
             holders: Vec::new(),
             agents: Vec::new(),
         };
-        let health = ctx.shared.health.lock();
-        if !health.any_failing() {
+        let breakers = ctx.shared.breakers.lock();
+        if !breakers.any_failing() {
             return failing;
         }
-        let fails = |id: &AgentId| health.is_failing(id);
+        let fails = |id: &AgentId| breakers.is_failing(id);
         if self.holders.iter().all(|held| fails(held.agent)) {
             return failing;
         }
@@ -81,11 +81,11 @@
         }
     }
 
-    fn places(&self) -> u32 {
+    fn slots(&self) -> u32 {
         self.holders.iter().map(|held| held.running_max).sum()
     }
 
-    fn free_places(&self) -> u32 {
+    fn free_slots(&self) -> u32 {
         let free = self.holders.iter().map(|held| {
             let load = held
                 .running
@@ -169,13 +169,13 @@
     ctx: &Ctx<'_>,
     request: &Request,
     candidates: &Candidates<'_>,
-    avoided: &[AgentId],
+    crashed_agents: &[AgentId],
     ahead: u32,
 ) -> AdmitInput {
-    let wanted = &request.resolved.wanted;
-    let stats = ctx.shared.book.lock().stats(ctx.now, wanted);
+    let resource = &request.resolved.resource;
+    let stats = ctx.shared.workload.lock().snapshot(ctx.now, resource);
     let load_wait_ms = match candidates.holders.is_empty() {
-        true => load_wait_ms(ctx, request, avoided),
+        true => predicted_serve_wait_ms(ctx, request, crashed_agents),
         false => None,
     };
     AdmitInput {
@@ -188,18 +188,18 @@
         },
         interactive: request.resolved.interactive,
         holders: u32::try_from(candidates.holders.len()).unwrap_or(u32::MAX),
-        free_places: candidates.free_places(),
-        places: candidates.places(),
+        free_places: candidates.free_slots(),
+        places: candidates.slots(),
         ahead,
         service_time_ms: stats.service_time_ms.unwrap_or(SERVICE_TIME_DEFAULT_MS),
         load_wait_ms,
-        whole_ms: whole_ms(request, candidates, stats.service_time_ms),
+        whole_ms: predicted_answer_ms(request, candidates, stats.service_time_ms),
     }
 }
 
 /// Predicted time of the whole answer: the mean of others, but not more than
 /// the answer's greatest length takes.
-fn whole_ms(
+fn predicted_answer_ms(
     request: &Request,
     candidates: &Candidates<'_>,
     mean_ms: Option<u32>,
@@ -207,29 +207,33 @@
     let mean_ms = u64::from(mean_ms.unwrap_or(0));
     let steps = candidates.holders.iter().map(|held| held.step_time_us);
     let step_us = steps.filter(|us| *us > 0).min();
-    let Some(step_us) = step_us.filter(|_| request.arrival.tokens_max > 0) else {
+    let Some(step_us) = step_us.filter(|_| request.incoming.tokens_max > 0) else {
         return mean_ms;
     };
-    let tokens = u64::from(request.arrival.tokens_max);
+    let tokens = u64::from(request.incoming.tokens_max);
     let left = tokens.saturating_sub(request.delivered);
     mean_ms.min(left.saturating_mul(u64::from(step_us)) / 1_000)
 }
 
 /// Predicted time until somebody can serve what nobody can serve now.
-fn load_wait_ms(ctx: &Ctx<'_>, request: &Request, avoided: &[AgentId]) -> Option<u64> {
+fn predicted_serve_wait_ms(
+    ctx: &Ctx<'_>,
+    request: &Request,
+    crashed_agents: &[AgentId],
+) -> Option<u64> {
     let pool = pool_of(ctx.control, request)?;
     let agents = ctx.control.directory.agents();
     let there: Vec<&Agent> = agents
         .filter(|agent| agent.pool == *pool && !agent.leaving())
-        .filter(|agent| agent.life != Life::Lost && !avoided.contains(&agent.id))
+        .filter(|agent| agent.life != Life::Lost && !crashed_agents.contains(&agent.id))
         .collect();
     if there.is_empty() {
         // A process that has just started has not heard of the agents yet.
         let starting = ctx.control.just_started(ctx.now);
         return starting.then_some(AGENT_BACK_MS);
     }
-    let back = |agent: &&Agent| back_ms(ctx.now, agent);
-    let Some(model) = request.resolved.wanted.model() else {
+    let back = |agent: &&Agent| predicted_return_ms(ctx.now, agent);
+    let Some(model) = request.resolved.resource.model() else {
         let soonest = there.iter().map(back).min()?;
         return Some(soonest.max(AGENT_BACK_MS));
     };
@@ -239,11 +243,13 @@
     };
     let held = there.iter().filter(holds).map(back).min();
     let held = held.map(|ms| ms.max(AGENT_BACK_MS));
-    if !avoided.is_empty() && kept_from(ctx, request, model, &there, avoided) {
+    if !crashed_agents.is_empty()
+        && held_only_where_crashed(ctx, request, model, &there, crashed_agents)
+    {
         return held;
     }
-    let load = ctx.control.load_wait_ms(ctx.now, model);
-    let load = load.map(|ms| ms + burst_ms(ctx, model));
+    let load = ctx.control.predicted_load_wait_ms(ctx.now, model);
+    let load = load.map(|ms| ms + new_loads_wait_ms(ctx, model));
     held.into_iter().chain(load).min()
 }
 
@@ -256,13 +262,13 @@
 /// moment, so it is waited for as long as the deadline leaves time for the answer
 /// and for one more look at the queue, which tells the caller when to come back.
 /// Who comes while the load is late already is told at once.
-pub(super) fn waits_for_load(
+pub(super) fn keeps_waiting_for_load(
     ctx: &Ctx<'_>,
     request: &Request,
     input: &AdmitInput,
-    avoided: &[AgentId],
+    crashed_agents: &[AgentId],
 ) -> bool {
-    let Some(model) = request.resolved.wanted.model() else {
+    let Some(model) = request.resolved.resource.model() else {
         return false;
     };
     let waits = matches!(request.state, State::Waiting(_));
@@ -276,7 +282,7 @@
             agent.life == Life::Up
                 && agent.upstream_up
                 && !agent.leaving()
-                && !avoided.contains(&agent.id)
+                && !crashed_agents.contains(&agent.id)
                 && agent.loading_since(model.as_str()).is_some()
         })
 }
@@ -286,12 +292,12 @@
 ///
 /// What was held before the crash does not count. It went with the upstream, and
 /// the next heartbeat will say so.
-fn kept_from(
+fn held_only_where_crashed(
     ctx: &Ctx<'_>,
     request: &Request,
     model: &ModelId,
     there: &[&Agent],
-    avoided: &[AgentId],
+    crashed_agents: &[AgentId],
 ) -> bool {
     let mut elsewhere = there.iter();
     if elsewhere.any(|agent| agent.loading_since(model.as_str()).is_some()) {
@@ -299,7 +305,7 @@
     }
     let fingerprint = request.resolved.fingerprint;
     let crashed_at = ctx.shared.suspects.lock().crash_heard_at(fingerprint);
-    let crashed = avoided.iter();
+    let crashed = crashed_agents.iter();
     let mut crashed = crashed.filter_map(|id| ctx.control.directory.get(id));
     crashed.any(|agent| {
         agent.residents.iter().any(|held| {
@@ -327,22 +333,22 @@
 
 fn pool_of<'a>(control: &'a Control, request: &Request) -> Option<&'a PoolId> {
     let config = control.config()?;
-    match &request.resolved.wanted {
-        Wanted::Model(model) => Some(&config.model(model.as_str())?.pool),
-        Wanted::Service(service) => Some(&config.service(service.as_str())?.pool),
+    match &request.resolved.resource {
+        Resource::Model(model) => Some(&config.model(model.as_str())?.pool),
+        Resource::Service(service) => Some(&config.service(service.as_str())?.pool),
     }
 }
 
 /// Time for the loads of other models that began to wait here after the last
 /// forecast: they start one after another.
-fn burst_ms(ctx: &Ctx<'_>, model: &ModelId) -> u64 {
-    if ctx.control.is_foreseen(model) {
+fn new_loads_wait_ms(ctx: &Ctx<'_>, model: &ModelId) -> u64 {
+    if ctx.control.has_forecast(model) {
         return 0;
     }
-    let waiting = ctx.shared.waiting.lock();
-    let new = waiting.models().filter(|held| {
+    let wait_queue = ctx.shared.wait_queue.lock();
+    let new = wait_queue.models().filter(|held| {
         let mut holders = ctx.control.directory.holders(held.as_str());
-        *held != model && !ctx.control.is_foreseen(held) && holders.next().is_none()
+        *held != model && !ctx.control.has_forecast(held) && holders.next().is_none()
     });
     let config = ctx.control.config();
     let loads_per_s = config.map_or(1.0, |held| held.store().loads_per_s);
--- a/crates/role/src/entry/requests/place.rs
+++ b/crates/role/src/entry/requests/dispatch.rs
@@ -8,28 +8,28 @@
 use schema::timeline::EventKind;
 
 use super::super::shared::Ctx;
-use super::super::trace::Note;
-use super::super::waiting::{Place, Queued};
+use super::super::timeline::TimelineEvent;
+use super::super::wait_queue::{EnqueueResult, QueuePosition};
 use super::Requests;
-use super::holders::{Candidates, admit_input, crashed_all, waits_for_load};
+use super::candidates::{Candidates, admit_input, crashed_all, keeps_waiting_for_load};
 use super::send::Route;
 use super::state::{Request, State};
 use super::timers::Timer;
 
 /// Refusals by gates after which a request is given up. Each was a statement
 /// that it was not run, so the bound is only against going round for ever.
-const GATE_REFUSALS_MAX: u32 = 16;
+const ADMISSION_REFUSALS_MAX: u32 = 16;
 
 /// When to come back if that can't be predicted.
-const RETRY_AFTER_MS: u64 = 1_000;
+const DEFAULT_RETRY_AFTER_MS: u64 = 1_000;
 
 /// What came of placing a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Placed {
+pub(crate) enum Dispatched {
     /// It was sent.
     Sent,
     /// It waits.
-    Waits,
+    Waiting,
     /// It has ended.
     Ended,
 }
@@ -41,114 +41,131 @@
         self.timers
             .set(request.deadline, Timer::Deadline { sequence });
         {
-            let mut book = ctx.shared.book.lock();
-            book.first_try(ctx.now, &request.resolved.wanted);
+            let mut workload = ctx.shared.workload.lock();
+            workload.record_first_attempt(ctx.now, &request.resolved.resource);
         }
-        self.live.insert(sequence, request);
-        self.place(ctx, sequence);
+        self.requests.insert(sequence, request);
+        self.dispatch(ctx, sequence);
     }
 
     /// Tries to send a request; it waits if it can't be sent now and will be in
     /// time, and is refused at once if it won't.
-    pub(crate) fn place(&mut self, ctx: &mut Ctx<'_>, sequence: u64) -> Placed {
-        let held = self.live.get(&sequence);
-        let ahead = held.map_or(0, |request| ahead_of_new(ctx, request));
-        self.place_behind(ctx, sequence, ahead)
+    pub(crate) fn dispatch(&mut self, ctx: &mut Ctx<'_>, sequence: u64) -> Dispatched {
+        let held = self.requests.get(&sequence);
+        let ahead = held.map_or(0, |request| requests_ahead(ctx, request));
+        self.dispatch_behind(ctx, sequence, ahead)
     }
 
     /// The same, with the number of requests that go before it.
-    fn place_behind(&mut self, ctx: &mut Ctx<'_>, sequence: u64, ahead: u32) -> Placed {
-        let Some(request) = self.live.get(&sequence) else {
-            return Placed::Ended;
+    fn dispatch_behind(
+        &mut self,
+        ctx: &mut Ctx<'_>,
+        sequence: u64,
+        ahead: u32,
+    ) -> Dispatched {
+        let Some(request) = self.requests.get(&sequence) else {
+            return Dispatched::Ended;
         };
         if request.deadline <= ctx.now {
             return self.refuse(ctx, sequence, Code::DeadlineBeforeRun, None);
         }
-        if request.refused > GATE_REFUSALS_MAX {
-            return self.refuse(ctx, sequence, Code::Overloaded, Some(RETRY_AFTER_MS));
+        if request.admission_refusals > ADMISSION_REFUSALS_MAX {
+            return self.refuse(
+                ctx,
+                sequence,
+                Code::Overloaded,
+                Some(DEFAULT_RETRY_AFTER_MS),
+            );
         }
         let fingerprint = request.resolved.fingerprint;
         let verdict = ctx.shared.suspects.lock().verdict(ctx.now, fingerprint);
         match verdict {
-            Verdict::Free => self.place_as(ctx, sequence, ahead, false),
-            Verdict::Suspect => self.place_as(ctx, sequence, ahead, true),
+            Verdict::Free => self.dispatch_with(ctx, sequence, ahead, false),
+            Verdict::Suspect => self.dispatch_with(ctx, sequence, ahead, true),
             Verdict::Convicted { remaining_ms } => {
                 self.refuse(ctx, sequence, Code::Convicted, Some(remaining_ms))
             }
         }
     }
 
-    fn place_as(
+    fn dispatch_with(
         &mut self,
         ctx: &mut Ctx<'_>,
         sequence: u64,
         ahead: u32,
-        alone: bool,
-    ) -> Placed {
-        let Some(request) = self.live.get(&sequence) else {
-            return Placed::Ended;
+        exclusive: bool,
+    ) -> Dispatched {
+        let Some(request) = self.requests.get(&sequence) else {
+            return Dispatched::Ended;
         };
         let mut candidates = Candidates::of(ctx.control, ctx.now, request);
-        let avoided = match alone {
+        let crashed_agents = match exclusive {
             true => crashed_on(ctx, request),
             false => Vec::new(),
         };
-        if alone {
-            candidates.without(&avoided);
+        if exclusive {
+            candidates.exclude(&crashed_agents);
             candidates.prefer_idle();
         }
         let failing = candidates.take_failing(ctx);
-        if cut_off(ctx, request, &candidates) {
+        if cannot_resume(ctx, request, &candidates) {
             return self.refuse(ctx, sequence, Code::AnswerBroken, None);
         }
-        let input = admit_input(ctx, request, &candidates, &avoided, ahead);
-        if alone && let Some((code, ms)) = out_of_reach(ctx, request, &input, &avoided)
+        let input = admit_input(ctx, request, &candidates, &crashed_agents, ahead);
+        if exclusive
+            && let Some((code, ms)) =
+                exclusive_run_refusal(ctx, request, &input, &crashed_agents)
         {
             return self.refuse(ctx, sequence, code, Some(ms));
         }
         match admit(&input) {
-            Admit::Refuse(_) if waits_for_load(ctx, request, &input, &avoided) => {
-                self.wait(ctx, sequence, input.load_wait_ms)
+            Admit::Refuse(_)
+                if keeps_waiting_for_load(ctx, request, &input, &crashed_agents) =>
+            {
+                self.wait_in_queue(ctx, sequence, input.load_wait_ms)
             }
             Admit::Refuse(refusal) => {
                 self.refuse(ctx, sequence, refusal.code, refusal.retry_after_ms)
             }
             Admit::Wait { predicted_ms } => {
-                ctx.later.plan |= input.holders == 0;
-                self.wait(ctx, sequence, Some(predicted_ms))
+                ctx.follow_ups.plan |= input.holders == 0;
+                self.wait_in_queue(ctx, sequence, Some(predicted_ms))
             }
             Admit::Send if request.not_before > ctx.now => {
-                self.wait(ctx, sequence, None)
+                self.wait_in_queue(ctx, sequence, None)
             }
             Admit::Send => {
-                match self.route(ctx, sequence, &candidates, &failing, alone) {
+                match self.choose_route(ctx, sequence, &candidates, &failing, exclusive)
+                {
                     Some(route) => self.send(ctx, sequence, &route),
-                    None => self.wait(ctx, sequence, None),
+                    None => self.wait_in_queue(ctx, sequence, None),
                 }
             }
         }
     }
 
-    /// Chooses a holder, and takes the model's place for a suspect.
-    fn route(
+    /// Chooses a holder, and takes the model's position for a suspect.
+    fn choose_route(
         &mut self,
         ctx: &mut Ctx<'_>,
         sequence: u64,
         candidates: &Candidates<'_>,
         failing: &Candidates<'_>,
-        alone: bool,
+        exclusive: bool,
     ) -> Option<Route> {
-        let request = self.live.get(&sequence)?;
-        if !alone && let Some(route) = probe(ctx, request, failing, candidates) {
+        let request = self.requests.get(&sequence)?;
+        if !exclusive
+            && let Some(route) = probe_route(ctx, request, failing, candidates)
+        {
             return Some(route);
         }
         let input = ChooseInput {
-            prefix_hash: request.arrival.prefix_hash,
+            prefix_hash: request.incoming.prefix_hash,
             domain: &ctx.shared.options.failure_domain,
-            excluded: &request.excluded,
+            excluded: &request.excluded_agents,
         };
         let chosen = choose(&candidates.holders, &input, &mut self.rng)?;
-        if alone && !start_alone(ctx, request) {
+        if exclusive && !try_start_exclusive(ctx, request) {
             return None;
         }
         let holder = &candidates.holders[chosen.index];
@@ -165,7 +182,7 @@
             agent: agent.id.clone(),
             incarnation: agent.incarnation,
             version,
-            alone,
+            exclusive,
             probe: false,
             reason: chosen.reason.number(),
             detail,
@@ -173,89 +190,93 @@
     }
 
     /// Puts a request into its queue, unless it stands there.
-    pub(super) fn wait(
+    pub(super) fn wait_in_queue(
         &mut self,
         ctx: &mut Ctx<'_>,
         sequence: u64,
         predicted_ms: Option<u64>,
-    ) -> Placed {
-        let Some(request) = self.live.get_mut(&sequence) else {
-            return Placed::Ended;
+    ) -> Dispatched {
+        let Some(request) = self.requests.get_mut(&sequence) else {
+            return Dispatched::Ended;
         };
         // Whom it was refused by may have room by the time it is its turn.
-        request.excluded.clear();
+        request.excluded_agents.clear();
         if matches!(request.state, State::Waiting(_)) {
-            return Placed::Waits;
+            return Dispatched::Waiting;
         }
-        let place = place_of(request);
-        let wanted = request.resolved.wanted.clone();
-        if let Err(code) = enqueue(ctx, request, place) {
-            let retry_after = predicted_ms.unwrap_or(RETRY_AFTER_MS);
+        let position = queue_position(request);
+        let resource = request.resolved.resource.clone();
+        if let Err(code) = enqueue(ctx, request, position) {
+            let retry_after = predicted_ms.unwrap_or(DEFAULT_RETRY_AFTER_MS);
             return self.refuse(ctx, sequence, code, Some(retry_after));
         }
-        request.state = State::Waiting(place);
+        request.state = State::Waiting(position);
         let detail = match predicted_ms {
             Some(ms) => format!("predicted wait {ms} ms"),
             None => "no holder has room".to_owned(),
         };
-        Note::new(EventKind::RequestWaiting, detail)
+        TimelineEvent::new(EventKind::RequestWaiting, detail)
             .request(request.id())
-            .model(wanted.as_str())
-            .put(ctx.out);
+            .model(resource.as_str())
+            .record(ctx.out);
         if request.not_before > ctx.now {
             let at = request.not_before;
             self.timers.set(at, Timer::Wake { sequence });
         }
-        Placed::Waits
+        Dispatched::Waiting
     }
 
-    /// A waiting request lost its place to a more urgent one.
+    /// A waiting request lost its position to a more urgent one.
     pub(crate) fn evicted(&mut self, ctx: &mut Ctx<'_>, request: RequestId) {
-        let held = self.live.get(&request.sequence);
+        let held = self.requests.get(&request.sequence);
         if held.is_some_and(|held| matches!(held.state, State::Waiting(_))) {
-            let retry_after = Some(RETRY_AFTER_MS);
+            let retry_after = Some(DEFAULT_RETRY_AFTER_MS);
             self.refuse(ctx, request.sequence, Code::QueueFull, retry_after);
         }
     }
 
     /// Tries to send a request that stands at the head of its queue.
-    pub(crate) fn try_waiting(
+    pub(crate) fn dispatch_waiting(
         &mut self,
         ctx: &mut Ctx<'_>,
         request: RequestId,
         ahead: u32,
-    ) -> Placed {
-        let held = self.live.get(&request.sequence);
+    ) -> Dispatched {
+        let held = self.requests.get(&request.sequence);
         if held.is_some_and(|held| matches!(held.state, State::Waiting(_))) {
-            return self.place_behind(ctx, request.sequence, ahead);
+            return self.dispatch_behind(ctx, request.sequence, ahead);
         }
-        Placed::Ended
+        Dispatched::Ended
     }
 }
 
 /// Adds a request to its queue, within its caller's share.
 ///
 /// Without the share one caller's burst would fill the queue, and every other
-/// caller would be refused. More urgent work that takes a place from less urgent
+/// caller would be refused. More urgent work that takes a position from less urgent
 /// work is exempt: the queue does not grow by it.
-fn enqueue(ctx: &mut Ctx<'_>, request: &Request, place: Place) -> Result<(), Code> {
+fn enqueue(
+    ctx: &mut Ctx<'_>,
+    request: &Request,
+    position: QueuePosition,
+) -> Result<(), Code> {
     let config = ctx.control.config();
     let max = config.map_or(0, |held| held.limits().waiting_max);
     let caller = &request.caller;
     let within = ctx.shared.callers.lock().try_wait(caller, max);
     let queued = {
-        let mut waiting = ctx.shared.waiting.lock();
-        if !within && waiting.len() < max as usize {
+        let mut wait_queue = ctx.shared.wait_queue.lock();
+        if !within && wait_queue.len() < max as usize {
             return Err(Code::CallerLimit);
         }
-        waiting.add(&request.resolved.wanted, place, ctx.now, max as usize)
+        wait_queue.enqueue(&request.resolved.resource, position, ctx.now, max as usize)
     };
     match queued {
-        Queued::Full if within => ctx.shared.callers.lock().end_wait(caller),
-        Queued::Instead(other) => ctx.later.evicted.push(other),
-        Queued::Full | Queued::Yes => {}
+        EnqueueResult::Full if within => ctx.shared.callers.lock().end_wait(caller),
+        EnqueueResult::Evicted(other) => ctx.follow_ups.evicted.push(other),
+        EnqueueResult::Full | EnqueueResult::Added => {}
     }
-    if queued == Queued::Full {
+    if queued == EnqueueResult::Full {
         return Err(Code::QueueFull);
     }
     if !within {
@@ -265,9 +286,13 @@
 }
 
 /// Whether an answer was begun by a version that nobody holds or will hold.
-fn cut_off(ctx: &Ctx<'_>, request: &Request, candidates: &Candidates<'_>) -> bool {
+fn cannot_resume(
+    ctx: &Ctx<'_>,
+    request: &Request,
+    candidates: &Candidates<'_>,
+) -> bool {
     let (Some(version), Some(model)) =
-        (request.version, request.resolved.wanted.model())
+        (request.version, request.resolved.resource.model())
     else {
         return false;
     };
@@ -276,21 +301,21 @@
     candidates.holders.is_empty() && spec.map(|held| held.version) != Some(version)
 }
 
-fn place_of(request: &Request) -> Place {
-    Place {
+fn queue_position(request: &Request) -> QueuePosition {
+    QueuePosition {
         priority: std::cmp::Reverse(request.resolved.priority),
         deadline: request.deadline,
         request: request.id(),
     }
 }
 
-fn ahead_of_new(ctx: &Ctx<'_>, request: &Request) -> u32 {
-    let waiting = ctx.shared.waiting.lock();
-    waiting.ahead(&request.resolved.wanted, &place_of(request))
+fn requests_ahead(ctx: &Ctx<'_>, request: &Request) -> u32 {
+    let wait_queue = ctx.shared.wait_queue.lock();
+    wait_queue.count_ahead(&request.resolved.resource, &queue_position(request))
 }
 
 /// The way to a failing upstream, if the request is the one to probe it.
-fn probe(
+fn probe_route(
     ctx: &Ctx<'_>,
     request: &Request,
     failing: &Candidates<'_>,
@@ -301,25 +326,25 @@
     let held = all
         .iter()
         .flat_map(|held| held.holders.iter().zip(&held.agents));
-    let mut health = ctx.shared.health.lock();
-    if !health.any_failing() {
+    let mut breakers = ctx.shared.breakers.lock();
+    if !breakers.any_failing() {
         return None;
     }
     let mut fit = held.filter(|(holder, (agent, _))| {
-        has_room(holder) && !request.excluded.contains(&agent.id)
+        has_room(holder) && !request.excluded_agents.contains(&agent.id)
     });
     let (_, (agent, version)) = fit.find(|(_, (agent, _))| {
-        let prober = ctx.control.probes(ctx.now, &agent.id);
+        let prober = ctx.control.is_prober(ctx.now, &agent.id);
         let idempotent = request.resolved.idempotent;
-        health.is_failing(&agent.id)
-            && health.try_probe(ctx.now, &agent.id, prober, idempotent)
+        breakers.is_failing(&agent.id)
+            && breakers.try_probe(ctx.now, &agent.id, prober, idempotent)
     })?;
     agent.hint.note_sent();
     Some(Route {
         agent: agent.id.clone(),
         incarnation: agent.incarnation,
         version: *version,
-        alone: false,
+        exclusive: false,
         probe: true,
         reason: RouteReason::OnlyHolder.number(),
         detail: "to see whether it works again".to_owned(),
@@ -337,7 +362,7 @@
 /// Only an upstream that it has not crashed may run it, and only in this
 /// entry's turn. One that has neither in time would stand in the queue until
 /// its deadline, and its caller would learn nothing by it.
-fn out_of_reach(
+fn exclusive_run_refusal(
     ctx: &Ctx<'_>,
     request: &Request,
     input: &AdmitInput,
@@ -349,23 +374,23 @@
         let ms = suspects.remaining_ms(ctx.now, fingerprint);
         return Some((Code::ModelUnavailable, ms));
     }
-    request.resolved.wanted.model()?;
-    let turn_ms = ctx.control.alone_turn_in_ms(ctx.now);
+    request.resolved.resource.model()?;
+    let turn_ms = ctx.control.exclusive_turn_wait_ms(ctx.now);
     let late = turn_ms.saturating_add(input.whole_ms) > input.remaining_ms;
     late.then_some((Code::Overloaded, turn_ms.max(ALONE_RETRY_MS)))
 }
 
-fn start_alone(ctx: &mut Ctx<'_>, request: &Request) -> bool {
-    let Some(model) = request.resolved.wanted.model() else {
+fn try_start_exclusive(ctx: &mut Ctx<'_>, request: &Request) -> bool {
+    let Some(model) = request.resolved.resource.model() else {
         return true;
     };
-    if ctx.control.alone_turn_in_ms(ctx.now) > 0 {
+    if ctx.control.exclusive_turn_wait_ms(ctx.now) > 0 {
         return false;
     }
     let me = &ctx.shared.options.id;
     let fingerprint = request.resolved.fingerprint;
     let mut suspects = ctx.shared.suspects.lock();
     let started = suspects.try_start_alone(model, fingerprint, me);
-    ctx.later.gossip |= started;
+    ctx.follow_ups.gossip |= started;
     started
 }
--- a/crates/role/src/entry/requests/end.rs
+++ b/crates/role/src/entry/requests/end.rs
@@ -5,54 +5,54 @@
 
 use super::super::EntryAction;
 use super::super::counters::Counts;
+use super::super::resolve::Resource;
 use super::super::shared::Ctx;
-use super::super::trace::Note;
-use super::super::wanted::Wanted;
+use super::super::timeline::TimelineEvent;
 use super::Requests;
-use super::outcome::note_outcome;
-use super::place::Placed;
+use super::dispatch::Dispatched;
 use super::state::{Attempt, Request, State};
+use super::upstream_outcome::record_outcome;
 
 impl Requests {
     /// Refuses a request, saying of it what its attempts show.
     ///
-    /// An attempt in flight is settled by what was seen of it.
+    /// An attempt in flight is settled by what was observed of it.
     pub(super) fn refuse(
         &mut self,
         ctx: &mut Ctx<'_>,
         sequence: u64,
         code: Code,
         retry_after_ms: Option<u64>,
-    ) -> Placed {
-        let Some(request) = self.take(ctx, sequence) else {
-            return Placed::Ended;
+    ) -> Dispatched {
+        let Some(request) = self.remove(ctx, sequence) else {
+            return Dispatched::Ended;
         };
-        let ran = request.trail.ran();
+        let ran = request.history.ran();
         let refusal = Refusal {
-            code: said_of(&request, code, ran),
+            code: refusal_code(&request, code, ran),
             ran,
             retry_after_ms,
         };
         ctx.shared.counts.refused(refusal.code);
-        ctx.shared.tally.lock().refused(&request);
+        ctx.shared.outcomes.lock().record_refused(&request);
         let detail = format!(
             "{} after {} ms, {} sent, {} refused by gates, {} units given: {code}",
             ran.as_str(),
             ctx.now.ms_since(request.arrived_at),
-            request.sent,
-            request.refused,
+            request.attempts_sent,
+            request.admission_refusals,
             request.delivered,
         );
-        Note::new(EventKind::RequestFailed, detail)
+        TimelineEvent::new(EventKind::RequestFailed, detail)
             .request(request.id())
-            .model(request.resolved.wanted.as_str())
+            .model(request.resolved.resource.as_str())
             .code(refusal.code)
-            .put(ctx.out);
+            .record(ctx.out);
         ctx.out.push(EntryAction::Refuse {
             request: request.id(),
             refusal,
         });
-        Placed::Ended
+        Dispatched::Ended
     }
 
     /// Gives the caller the end of a whole answer.
@@ -64,21 +64,24 @@
         content_type: String,
         replayed: bool,
     ) {
-        let Some(request) = self.take(ctx, sequence) else {
+        let Some(request) = self.remove(ctx, sequence) else {
             return;
         };
         Counts::add(&ctx.shared.counts.finished);
-        ctx.shared.tally.lock().finished(ctx.now, &request);
+        ctx.shared
+            .outcomes
+            .lock()
+            .record_finished(ctx.now, &request);
         let replayed = if replayed { ", of an earlier run" } else { "" };
         let detail = format!(
             "{} units after {} ms{replayed}",
             request.delivered,
             ctx.now.ms_since(request.arrived_at),
         );
-        Note::new(EventKind::RequestFinished, detail)
+        TimelineEvent::new(EventKind::RequestFinished, detail)
             .request(request.id())
-            .model(request.resolved.wanted.as_str())
-            .put(ctx.out);
+            .model(request.resolved.resource.as_str())
+            .record(ctx.out);
         ctx.out.push(EntryAction::Finish {
             request: request.id(),
             status: http_status(status),
@@ -88,11 +91,15 @@
     }
 
     /// Takes a request out of the shard and gives back what it held.
-    pub(super) fn take(&mut self, ctx: &mut Ctx<'_>, sequence: u64) -> Option<Request> {
-        self.settle(ctx, sequence, None);
-        let request = self.live.remove(&sequence)?;
-        if let State::Waiting(place) = request.state {
-            ctx.shared.waiting.lock().remove(place);
+    pub(super) fn remove(
+        &mut self,
+        ctx: &mut Ctx<'_>,
+        sequence: u64,
+    ) -> Option<Request> {
+        self.settle_attempt(ctx, sequence, None);
+        let request = self.requests.remove(&sequence)?;
+        if let State::Waiting(position) = request.state {
+            ctx.shared.wait_queue.lock().remove(position);
             ctx.shared.callers.lock().end_wait(&request.caller);
         }
         ctx.shared.callers.lock().leave(&request.caller);
@@ -101,15 +108,15 @@
 
     /// Ends the attempt in flight, if any: its frames are late from now on.
     ///
-    /// `shown` is what its agent said of it in the end. Without such a word an
+    /// `reported` is what its agent said of it in the end. Without such a word an
     /// attempt counts as run if its start was announced, else as unknown.
-    pub(super) fn settle(
+    pub(super) fn settle_attempt(
         &mut self,
         ctx: &mut Ctx<'_>,
         sequence: u64,
-        shown: Option<Ran>,
+        reported: Option<Ran>,
     ) -> Option<Attempt> {
-        let request = self.live.get_mut(&sequence)?;
+        let request = self.requests.get_mut(&sequence)?;
         let held = std::mem::replace(&mut request.state, State::New);
         let attempt = match held {
             State::Running(attempt) => attempt,
@@ -121,25 +128,29 @@
         self.attempts.remove(&attempt.id.sequence);
         if attempt.probe {
             // It ended without a word of its upstream: the next may try.
-            note_outcome(ctx, &attempt.agent, false, true);
+            record_outcome(ctx, &attempt.agent, false, true);
         }
-        let seen = match attempt.started {
+        let observed = match attempt.started {
             true => Ran::Ran,
             false => Ran::Unknown,
         };
         // An attempt that answered did run, whatever is said of it.
-        let shown = shown.filter(|_| !attempt.answered);
-        request.trail.add(shown.unwrap_or(seen));
-        if attempt.alone
-            && let Wanted::Model(model) = &request.resolved.wanted
+        let reported = reported.filter(|_| !attempt.answered);
+        request.history.add(reported.unwrap_or(observed));
+        if attempt.exclusive
+            && let Resource::Model(model) = &request.resolved.resource
         {
             let fingerprint = request.resolved.fingerprint;
             let mut suspects = ctx.shared.suspects.lock();
             suspects.end_alone(model, fingerprint);
-            ctx.later.wake.insert(request.resolved.wanted.clone());
-            ctx.later.gossip = true;
+            ctx.follow_ups
+                .wake
+                .insert(request.resolved.resource.clone());
+            ctx.follow_ups.gossip = true;
         }
-        ctx.later.room.insert(attempt.agent.clone());
+        ctx.follow_ups
+            .agents_with_capacity
+            .insert(attempt.agent.clone());
         Some(attempt)
     }
 }
@@ -150,7 +161,7 @@
 /// Two of them don't speak of that. A convict ran. A key in progress is another
 /// call's, whose answer the caller gets by coming back: told that the outcome is
 /// unknown instead, it would not come back for it.
-fn said_of(request: &Request, code: Code, ran: Ran) -> Code {
+fn refusal_code(request: &Request, code: Code, ran: Ran) -> Code {
     let stands = matches!(code, Code::Convicted | Code::KeyInProgress);
     if ran == Ran::NotRun || code.number() / 1_000 != 2 || stands {
         return code;
@@ -163,7 +174,7 @@
     }
     match code {
         Code::DeadlineBeforeRun => Code::DeadlineWhileRunning,
-        _ => request.last_code.unwrap_or(Code::UpstreamLost),
+        _ => request.last_failure_code.unwrap_or(Code::UpstreamLost),
     }
 }
 
--- a/crates/role/src/entry/requests/failures.rs
+++ b/crates/role/src/entry/requests/failures.rs
@@ -5,13 +5,13 @@
 use schema::timeline::EventKind;
 
 use super::super::EntryAction;
-use super::super::control::Gone;
+use super::super::control::GoneReason;
 use super::super::counters::Counts;
 use super::super::shared::Ctx;
-use super::super::trace::Note;
+use super::super::timeline::TimelineEvent;
 use super::Requests;
-use super::answers::attempt_of;
-use super::send::wire_id;
+use super::answers::decode_attempt_id;
+use super::send::encode_attempt_id;
 use super::state::{Attempt, State};
 use crate::Peer;
 
@@ -27,14 +27,14 @@
 
 /// Whether a retry is paid for from the budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Charge {
+pub(super) enum RetryCharge {
     /// The attempt failed at an upstream.
-    Yes,
+    Charged,
     /// The upstream was crashed, maybe by another request: bystanders don't
     /// pay. Suspects run one at a time, which bounds these retries. Nor does a
     /// probe, which was sent to a failing upstream for the fleet's sake; there
     /// is one at a time.
-    No,
+    Exempt,
 }
 
 /// How an attempt failed.
@@ -43,12 +43,12 @@
     pub(super) code: Code,
     /// Whether it ran, if its agent said so.
     pub(super) ran: Option<Ran>,
-    pub(super) charge: Charge,
+    pub(super) charge: RetryCharge,
 }
 
 impl Requests {
     /// An attempt ended with an error.
-    pub(super) fn ended_badly(
+    pub(super) fn attempt_ended_with_error(
         &mut self,
         ctx: &mut Ctx<'_>,
         sequence: u64,
@@ -59,9 +59,9 @@
         let failing = matches!(code, Code::UpstreamLost | Code::UpstreamFault);
         let mut probe = false;
         if failing && !frame.upstream_crashed {
-            probe = self.judge_upstream(ctx, sequence, false);
+            probe = self.record_upstream_outcome(ctx, sequence, false);
         }
-        let Some(request) = self.live.get(&sequence) else {
+        let Some(request) = self.requests.get(&sequence) else {
             return;
         };
         let answered = request.attempt().is_some_and(|held| held.answered);
@@ -71,20 +71,20 @@
             ran => ran,
         };
         if ran == Ran::NotRun {
-            self.not_run(ctx, sequence, code, u64::from(frame.retry_after_ms));
+            self.attempt_not_run(ctx, sequence, code, u64::from(frame.retry_after_ms));
             return;
         }
-        if !fails_elsewhere_too(code) {
+        if !fails_on_any_upstream(code) {
             let charge = match frame.upstream_crashed || probe {
-                true => Charge::No,
-                false => Charge::Yes,
+                true => RetryCharge::Exempt,
+                false => RetryCharge::Charged,
             };
             let ran = Some(ran);
-            self.failed(ctx, sequence, Failure { code, ran, charge });
+            self.attempt_failed(ctx, sequence, Failure { code, ran, charge });
             return;
         }
         let retry_after = u64::from(frame.retry_after_ms);
-        self.settle(ctx, sequence, Some(ran));
+        self.settle_attempt(ctx, sequence, Some(ran));
         self.refuse(
             ctx,
             sequence,
@@ -94,7 +94,7 @@
     }
 
     /// Units are missing in an answer.
-    pub(crate) fn gap(
+    pub(crate) fn answer_gap(
         &mut self,
         ctx: &mut Ctx<'_>,
         agent: &AgentId,
@@ -107,29 +107,29 @@
         let broken = Failure {
             code: Code::AnswerBroken,
             ran: Some(Ran::Ran),
-            charge: Charge::Yes,
+            charge: RetryCharge::Charged,
         };
-        self.failed(ctx, sequence, broken);
+        self.attempt_failed(ctx, sequence, broken);
     }
 
     /// The attempt in flight failed after it may have run: it is settled, and
     /// the request is retried if that can do no harm, else ended.
-    pub(super) fn failed(
+    pub(super) fn attempt_failed(
         &mut self,
         ctx: &mut Ctx<'_>,
         sequence: u64,
         failure: Failure,
     ) {
         let Failure { code, ran, charge } = failure;
-        let Some(attempt) = self.settle(ctx, sequence, ran) else {
+        let Some(attempt) = self.settle_attempt(ctx, sequence, ran) else {
             return;
         };
-        let Some(request) = self.live.get_mut(&sequence) else {
+        let Some(request) = self.requests.get_mut(&sequence) else {
             return;
         };
-        request.failed += 1;
-        request.last_code = Some(code);
-        request.excluded.push(attempt.agent);
+        request.failures += 1;
+        request.last_failure_code = Some(code);
+        request.excluded_agents.push(attempt.agent);
         // What may have run once must not run twice: the caller is told at once
         // that the outcome is not known, and decides.
         if !request.resolved.idempotent {
@@ -140,28 +140,33 @@
             self.refuse(ctx, sequence, Code::AnswerBroken, None);
             return;
         }
-        if request.failed > FAILURES_MAX {
+        if request.failures > FAILURES_MAX {
             self.refuse(ctx, sequence, code, Some(BUDGET_RETRY_MS));
             return;
         }
-        if charge == Charge::Yes && !take_retry(ctx, request) {
+        if charge == RetryCharge::Charged && !take_retry(ctx, request) {
             Counts::add(&ctx.shared.counts.retries_denied);
             self.refuse(ctx, sequence, code, Some(BUDGET_RETRY_MS));
             return;
         }
-        self.place_elsewhere(ctx, sequence);
+        self.dispatch_elsewhere(ctx, sequence);
     }
 
     /// Attempts at an agent can't be waited for any longer.
-    pub(crate) fn agent_gone(&mut self, ctx: &mut Ctx<'_>, agent: &AgentId, why: Gone) {
-        let now_of = ctx.control.directory.get(agent);
-        let incarnation = now_of.map(|held| held.incarnation);
-        let lost = self.live.iter().filter(|(_, request)| {
+    pub(crate) fn agent_gone(
+        &mut self,
+        ctx: &mut Ctx<'_>,
+        agent: &AgentId,
+        why: GoneReason,
+    ) {
+        let known_agent = ctx.control.directory.get(agent);
+        let incarnation = known_agent.map(|held| held.incarnation);
+        let lost = self.requests.iter().filter(|(_, request)| {
             request.attempt().is_some_and(|held| {
                 // A heartbeat of the very run that the attempt was sent to says
                 // nothing against it.
                 let same_run = Some(held.incarnation) == incarnation;
-                let spared = why == Gone::Restarted && same_run;
+                let spared = why == GoneReason::Restarted && same_run;
                 // Another thread may have sent it after the event.
                 held.agent == *agent && held.sent_at <= ctx.now && !spared
             })
@@ -172,21 +177,21 @@
         }
     }
 
-    fn attempt_gone(&mut self, ctx: &mut Ctx<'_>, sequence: u64, why: Gone) {
-        let Some(request) = self.live.get(&sequence) else {
+    fn attempt_gone(&mut self, ctx: &mut Ctx<'_>, sequence: u64, why: GoneReason) {
+        let Some(request) = self.requests.get(&sequence) else {
             return;
         };
-        let asks = why == Gone::Lost && !request.resolved.idempotent;
+        let asks = why == GoneReason::Lost && !request.resolved.idempotent;
         if asks && request.attempt().is_some_and(|held| !held.started) {
-            self.revoke(ctx, sequence);
+            self.revoke_attempt(ctx, sequence);
             return;
         }
         self.give_up_attempt(ctx, sequence);
     }
 
     /// An answer is missing: what can be asked is asked, the rest is given up.
-    pub(super) fn missing(&mut self, ctx: &mut Ctx<'_>, sequence: u64) {
-        let Some(request) = self.live.get(&sequence) else {
+    pub(super) fn answer_missing(&mut self, ctx: &mut Ctx<'_>, sequence: u64) {
+        let Some(request) = self.requests.get(&sequence) else {
             return;
         };
         let Some(attempt) = request.attempt() else {
@@ -196,11 +201,11 @@
         // once; one that may run twice goes on at once.
         let ask = !request.resolved.idempotent && attempt.revoked_at.is_none();
         if ask {
-            self.revoke(ctx, sequence);
+            self.revoke_attempt(ctx, sequence);
             return;
         }
         if attempt.started {
-            self.judge_upstream(ctx, sequence, false);
+            self.record_upstream_outcome(ctx, sequence, false);
         }
         self.give_up_attempt(ctx, sequence);
     }
@@ -212,9 +217,9 @@
         let lost = Failure {
             code: Code::UpstreamLost,
             ran: None,
-            charge: Charge::Yes,
+            charge: RetryCharge::Charged,
         };
-        self.failed(ctx, sequence, lost);
+        self.attempt_failed(ctx, sequence, lost);
     }
 
     /// Tells the agent to stop the attempt in flight, and never to start it.
@@ -224,7 +229,7 @@
     /// that must not run twice and has started is left to end, so that its
     /// answer is stored for the caller's next try.
     fn cancel_attempt(&mut self, ctx: &mut Ctx<'_>, sequence: u64) {
-        let Some(request) = self.live.get(&sequence) else {
+        let Some(request) = self.requests.get(&sequence) else {
             return;
         };
         let Some(attempt) = request.attempt() else {
@@ -239,8 +244,8 @@
     }
 
     /// Asks the agent whether the attempt ran, and forbids it to start.
-    fn revoke(&mut self, ctx: &mut Ctx<'_>, sequence: u64) {
-        let Some(request) = self.live.get_mut(&sequence) else {
+    fn revoke_attempt(&mut self, ctx: &mut Ctx<'_>, sequence: u64) {
+        let Some(request) = self.requests.get_mut(&sequence) else {
             return;
         };
         let id = request.id();
@@ -254,43 +259,43 @@
         send_revoke(ctx, attempt);
         let (agent, attempt) = (attempt.agent.clone(), attempt.id);
         Counts::add(&ctx.shared.counts.revoked);
-        Note::new(
+        TimelineEvent::new(
             EventKind::RequestRevoked,
             format!("asked {agent} whether it ran"),
         )
         .request(id)
         .peer(&agent)
-        .put(ctx.out);
+        .record(ctx.out);
         self.wait_for_revoked(ctx.now, attempt);
     }
 
     /// The agent says whether an attempt ran.
-    pub(crate) fn revoked(
+    pub(crate) fn revoke_answered(
         &mut self,
         ctx: &mut Ctx<'_>,
         agent: &AgentId,
         frame: &Revoked,
     ) {
-        let attempt = attempt_of(frame.attempt.as_ref());
+        let attempt = decode_attempt_id(frame.attempt.as_ref());
         let Some(sequence) = self.current(agent, attempt) else {
             Counts::add(&ctx.shared.counts.stray_frames);
             return;
         };
-        let Some(request) = self.live.get_mut(&sequence) else {
+        let Some(request) = self.requests.get_mut(&sequence) else {
             return;
         };
         let started = request.attempt().is_some_and(|held| held.started);
         match Ran::from_number(frame.ran) {
             Ran::NotRun if !started => {
-                self.not_run(ctx, sequence, Code::Revoked, 0);
+                self.attempt_not_run(ctx, sequence, Code::Revoked, 0);
             }
             Ran::Unknown => {
                 let unknown = Failure {
                     code: Code::OutcomeUnknown,
                     ran: Some(Ran::Unknown),
-                    charge: Charge::Yes,
+                    charge: RetryCharge::Charged,
                 };
-                self.failed(ctx, sequence, unknown);
+                self.attempt_failed(ctx, sequence, unknown);
             }
             Ran::Ran | Ran::NotRun => {
                 // It ran, so its answer may still come: it is waited for like
@@ -304,28 +309,32 @@
     }
 
     /// The caller is gone.
-    pub(crate) fn caller_gone(&mut self, ctx: &mut Ctx<'_>, request: RequestId) {
+    pub(crate) fn caller_disconnected(
+        &mut self,
+        ctx: &mut Ctx<'_>,
+        request: RequestId,
+    ) {
         let sequence = request.sequence;
-        let Some(held) = self.live.get(&sequence) else {
+        let Some(held) = self.requests.get(&sequence) else {
             return;
         };
         if held.id() != request {
             return;
         }
         self.cancel_attempt(ctx, sequence);
-        if let Some(held) = self.take(ctx, sequence) {
+        if let Some(held) = self.remove(ctx, sequence) {
             Counts::add(&ctx.shared.counts.cancelled);
             let detail = format!("the caller went after {} units", held.delivered);
-            Note::new(EventKind::RequestCancelled, detail)
+            TimelineEvent::new(EventKind::RequestCancelled, detail)
                 .request(request)
-                .model(held.resolved.wanted.as_str())
-                .put(ctx.out);
+                .model(held.resolved.resource.as_str())
+                .record(ctx.out);
         }
     }
 
     /// The deadline has come.
-    pub(super) fn deadline(&mut self, ctx: &mut Ctx<'_>, sequence: u64) {
-        let Some(request) = self.live.get(&sequence) else {
+    pub(super) fn deadline_passed(&mut self, ctx: &mut Ctx<'_>, sequence: u64) {
+        let Some(request) = self.requests.get(&sequence) else {
             return;
         };
         let code = match &request.state {
@@ -335,7 +344,7 @@
         // A call that must not run twice helps its caller to come back only with
         // a key, by which the stored answer is found.
         let comes_back =
-            request.resolved.idempotent || request.arrival.idempotency_key.is_some();
+            request.resolved.idempotent || request.incoming.idempotency_key.is_some();
         let retry_after = comes_back.then_some(DEADLINE_RETRY_MS);
         self.cancel_attempt(ctx, sequence);
         self.refuse(ctx, sequence, code, retry_after);
@@ -343,13 +352,13 @@
 }
 
 fn take_retry(ctx: &Ctx<'_>, request: &super::Request) -> bool {
-    let mut book = ctx.shared.book.lock();
-    book.try_retry(ctx.now, &request.resolved.wanted)
+    let mut workload = ctx.shared.workload.lock();
+    workload.try_take_retry(ctx.now, &request.resolved.resource)
 }
 
 fn send_revoke(ctx: &mut Ctx<'_>, attempt: &Attempt) {
     let body = frame::Body::Revoke(Revoke {
-        attempt: Some(wire_id(attempt.id)),
+        attempt: Some(encode_attempt_id(attempt.id)),
         agent_incarnation: attempt.incarnation.0,
     });
     send(ctx, attempt, body);
@@ -357,7 +366,7 @@
 
 fn send_cancel(ctx: &mut Ctx<'_>, attempt: &Attempt) {
     let body = frame::Body::Cancel(Cancel {
-        attempt: Some(wire_id(attempt.id)),
+        attempt: Some(encode_attempt_id(attempt.id)),
     });
     send(ctx, attempt, body);
 }
@@ -370,7 +379,7 @@
 }
 
 /// Codes that another upstream would end with as well.
-const fn fails_elsewhere_too(code: Code) -> bool {
+const fn fails_on_any_upstream(code: Code) -> bool {
     matches!(
         code,
         Code::BadRequest
--- a/crates/role/src/entry/requests/mod.rs
+++ b/crates/role/src/entry/requests/mod.rs
@@ -5,27 +5,27 @@
 //! It ends once: whoever ends it takes it out of the shard first.
 //!
 //! What is said about whether a request ran is not chosen where it is refused.
-//! It follows from what was seen of all its attempts ([`Trail`]), so that no
+//! It follows from what was seen of all its attempts ([`AttemptHistory`]), so that no
 //! path can say `not_run` of a request with an attempt that may have started.
 
 mod answers;
+mod candidates;
+mod dispatch;
 mod end;
 mod failures;
-mod holders;
-mod outcome;
-mod place;
 mod send;
 mod state;
 mod timers;
+mod upstream_outcome;
 
 use base::Timers;
 use base::prelude::*;
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
-pub(crate) use answers::{Part, PartOutcome, attempt_of};
-pub(crate) use place::Placed;
-pub(crate) use state::{Request, State, Trail};
+pub(crate) use answers::{AnswerPart, PartOutcome, decode_attempt_id};
+pub(crate) use dispatch::Dispatched;
+pub(crate) use state::{AttemptHistory, Request, State};
 
 use timers::Timer;
 
@@ -37,7 +37,7 @@
     origin: u64,
     next_attempt: u64,
     rng: Pcg64Mcg,
-    live: BTreeMap<u64, Request>,
+    requests: BTreeMap<u64, Request>,
     /// Request of each attempt in flight.
     attempts: BTreeMap<u64, u64>,
     timers: Timers<Timer>,
@@ -52,7 +52,7 @@
             origin,
             next_attempt: 1,
             rng: Pcg64Mcg::new(state),
-            live: BTreeMap::new(),
+            requests: BTreeMap::new(),
             attempts: BTreeMap::new(),
             timers: Timers::new(),
         }
@@ -65,7 +65,7 @@
 
     /// Requests in progress.
     pub(crate) fn len(&self) -> usize {
-        self.live.len()
+        self.requests.len()
     }
 
     /// Attempts in flight.
@@ -89,7 +89,7 @@
             return None;
         }
         let sequence = *self.attempts.get(&attempt.sequence)?;
-        let held = self.live.get(&sequence)?.attempt()?;
+        let held = self.requests.get(&sequence)?.attempt()?;
         (held.id == attempt && held.agent == *agent).then_some(sequence)
     }
 }
--- a/crates/role/src/entry/requests/send.rs
+++ b/crates/role/src/entry/requests/send.rs
@@ -8,9 +8,9 @@
 use super::super::EntryAction;
 use super::super::counters::Counts;
 use super::super::shared::Ctx;
-use super::super::trace::Note;
+use super::super::timeline::TimelineEvent;
 use super::Requests;
-use super::place::Placed;
+use super::dispatch::Dispatched;
 use super::state::{Attempt, Request, State};
 use super::timers::Timer;
 
@@ -18,7 +18,7 @@
 pub(super) const START_WAIT_MS: u64 = 3_000;
 
 /// The same for a suspect, which waits until nothing else is in flight.
-pub(super) const START_ALONE_WAIT_MS: u64 = 20_000;
+pub(super) const EXCLUSIVE_START_WAIT_MS: u64 = 20_000;
 
 /// Where an attempt goes.
 #[derive(Debug)]
@@ -26,7 +26,7 @@
     pub(super) agent: AgentId,
     pub(super) incarnation: Incarnation,
     pub(super) version: u32,
-    pub(super) alone: bool,
+    pub(super) exclusive: bool,
     pub(super) probe: bool,
     pub(super) reason: u32,
     /// Why there, for the time line.
@@ -34,7 +34,7 @@
 }
 
 /// An attempt as links carry it.
-pub(super) const fn wire_id(id: AttemptId) -> link::Attempt {
+pub(super) const fn encode_attempt_id(id: AttemptId) -> link::Attempt {
     link::Attempt {
         origin: id.origin,
         sequence: id.sequence,
@@ -47,13 +47,13 @@
         ctx: &mut Ctx<'_>,
         sequence: u64,
         route: &Route,
-    ) -> Placed {
+    ) -> Dispatched {
         let id = self.attempt_id();
-        let Some(request) = self.live.get_mut(&sequence) else {
-            return Placed::Ended;
+        let Some(request) = self.requests.get_mut(&sequence) else {
+            return Dispatched::Ended;
         };
-        if let State::Waiting(place) = request.state {
-            ctx.shared.waiting.lock().remove(place);
+        if let State::Waiting(position) = request.state {
+            ctx.shared.wait_queue.lock().remove(position);
             ctx.shared.callers.lock().end_wait(&request.caller);
         }
         let attempt = Attempt {
@@ -66,17 +66,17 @@
             answered: false,
             heard_at: ctx.now,
             revoked_at: None,
-            alone: route.alone,
+            exclusive: route.exclusive,
             probe: route.probe,
         };
-        let wait_ms = match route.alone {
-            true => START_ALONE_WAIT_MS,
+        let wait_ms = match route.exclusive {
+            true => EXCLUSIVE_START_WAIT_MS,
             false => START_WAIT_MS,
         };
-        trace_sent(ctx, request, route);
+        record_sent(ctx, request, route);
         let run = run(ctx, request, &attempt);
         request.state = State::Running(attempt);
-        request.sent += 1;
+        request.attempts_sent += 1;
         self.attempts.insert(id.sequence, sequence);
         let at = ctx.now.plus_ms(wait_ms);
         self.timers.set(at, Timer::Answer { attempt: id });
@@ -86,12 +86,12 @@
             agent: route.agent.clone(),
             run: Box::new(run),
         });
-        Placed::Sent
+        Dispatched::Sent
     }
 }
 
-fn trace_sent(ctx: &mut Ctx<'_>, request: &Request, route: &Route) {
-    let (kind, counter) = match (request.failed, request.delivered) {
+fn record_sent(ctx: &mut Ctx<'_>, request: &Request, route: &Route) {
+    let (kind, counter) = match (request.failures, request.delivered) {
         (0, _) => (EventKind::RequestSent, None),
         (_, 0) => (EventKind::RequestRetried, Some(&ctx.shared.counts.retried)),
         _ => (EventKind::RequestResumed, Some(&ctx.shared.counts.resumed)),
@@ -100,40 +100,46 @@
         Counts::add(counter);
     }
     if let Some(reason) = RouteReason::from_number(route.reason) {
-        ctx.shared.tally.lock().decided("route", reason.as_str());
+        ctx.shared
+            .outcomes
+            .lock()
+            .record_decision("route", reason.as_str());
     }
-    let alone = if route.alone { ", alone" } else { "" };
+    let exclusive = if route.exclusive { ", alone" } else { "" };
     let from = match request.delivered {
         0 => String::new(),
         units => format!(", from offset {units}"),
     };
     let probe = if route.probe { ", a probe" } else { "" };
-    let detail = format!("to {}: {}{from}{alone}{probe}", route.agent, route.detail);
-    Note::new(kind, detail)
+    let detail = format!(
+        "to {}: {}{from}{exclusive}{probe}",
+        route.agent, route.detail
+    );
+    TimelineEvent::new(kind, detail)
         .request(request.id())
-        .model(request.resolved.wanted.as_str())
+        .model(request.resolved.resource.as_str())
         .peer(&route.agent)
         .reason(route.reason)
-        .put(ctx.out);
+        .record(ctx.out);
 }
 
 fn run(ctx: &Ctx<'_>, request: &Request, attempt: &Attempt) -> Run {
-    let arrival = &request.arrival;
+    let arrival = &request.incoming;
     let resolved = &request.resolved;
-    let service = match resolved.wanted.model() {
+    let service = match resolved.resource.model() {
         Some(_) => String::new(),
-        None => resolved.wanted.as_str().to_owned(),
+        None => resolved.resource.as_str().to_owned(),
     };
     let waited_ms = ctx.now.ms_since(request.arrived_at);
     let first_token_ms = u64::from(resolved.first_token_ms).saturating_sub(waited_ms);
     Run {
-        attempt: Some(wire_id(attempt.id)),
+        attempt: Some(encode_attempt_id(attempt.id)),
         agent_incarnation: attempt.incarnation.0,
         revision: ctx.control.log.revision().0,
         remaining_ms: request.remaining_ms(ctx.now),
         caller: request.caller.to_string(),
         profile: resolved.profile.clone(),
-        model: resolved.wanted.model_text().to_owned(),
+        model: resolved.resource.wire_model().to_owned(),
         version: attempt.version,
         service,
         idempotent: resolved.idempotent,
@@ -148,7 +154,7 @@
         method: arrival.method.clone(),
         path: arrival.path.clone(),
         content_type: arrival.content_type.clone(),
-        alone: attempt.alone,
+        alone: attempt.exclusive,
         // 0 means no expectation, so one that has passed is still told.
         first_token_ms: match resolved.first_token_ms {
             0 => 0,
--- a/crates/role/src/entry/requests/state.rs
+++ b/crates/role/src/entry/requests/state.rs
@@ -3,29 +3,29 @@
 use base::prelude::*;
 
 use super::super::IncomingRequest;
-use super::super::waiting::Place;
-use super::super::wanted::Resolved;
+use super::super::resolve::ResolvedRequest;
+use super::super::wait_queue::QueuePosition;
 
 /// What was seen of a request's attempts so far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub(crate) struct Trail {
+pub(crate) struct AttemptHistory {
     started: bool,
-    unsettled: bool,
+    unknown: bool,
 }
 
-impl Trail {
+impl AttemptHistory {
     /// Adds what is known of an attempt that is over.
     pub(crate) const fn add(&mut self, ran: Ran) {
         match ran {
             Ran::NotRun => {}
             Ran::Ran => self.started = true,
-            Ran::Unknown => self.unsettled = true,
+            Ran::Unknown => self.unknown = true,
         }
     }
 
     /// What is known now.
     pub(crate) const fn ran(self) -> Ran {
-        match (self.started, self.unsettled) {
+        match (self.started, self.unknown) {
             (true, _) => Ran::Ran,
             (false, true) => Ran::Unknown,
             (false, false) => Ran::NotRun,
@@ -36,8 +36,8 @@
 /// One request in progress.
 #[derive(Debug)]
 pub(crate) struct Request {
-    pub(crate) arrival: Box<IncomingRequest>,
-    pub(crate) resolved: Resolved,
+    pub(crate) incoming: Box<IncomingRequest>,
+    pub(crate) resolved: ResolvedRequest,
     pub(crate) caller: CallerId,
     pub(crate) arrived_at: Instant,
     pub(crate) deadline: Instant,
@@ -47,17 +47,17 @@
     pub(crate) delivered: u64,
     /// Version that the units came from; the rest has to come from it as well.
     pub(crate) version: Option<u32>,
-    pub(crate) trail: Trail,
+    pub(crate) history: AttemptHistory,
     /// Agents not to send to for now.
-    pub(crate) excluded: Vec<AgentId>,
+    pub(crate) excluded_agents: Vec<AgentId>,
     /// Attempts sent.
-    pub(crate) sent: u32,
+    pub(crate) attempts_sent: u32,
     /// Refusals by gates.
-    pub(crate) refused: u32,
+    pub(crate) admission_refusals: u32,
     /// Failures of attempts that may have run.
-    pub(crate) failed: u32,
+    pub(crate) failures: u32,
     /// Code of the last failure.
-    pub(crate) last_code: Option<Code>,
+    pub(crate) last_failure_code: Option<Code>,
     /// Not sent again before this.
     pub(crate) not_before: Instant,
     pub(crate) state: State,
@@ -69,7 +69,7 @@
     /// Being placed; never left so.
     New,
     /// It waits in a queue.
-    Waiting(Place),
+    Waiting(QueuePosition),
     /// An attempt is in flight.
     Running(Attempt),
 }
@@ -90,14 +90,14 @@
     /// When the agent was asked whether it ran, and forbidden to start it.
     pub(crate) revoked_at: Option<Instant>,
     /// It runs alone, as a suspect.
-    pub(crate) alone: bool,
+    pub(crate) exclusive: bool,
     /// Its outcome decides on a failing upstream, and is not known yet.
     pub(crate) probe: bool,
 }
 
 impl Request {
     pub(crate) const fn id(&self) -> RequestId {
-        self.arrival.request
+        self.incoming.request
     }
 
     pub(crate) const fn attempt(&self) -> Option<&Attempt> {
@@ -116,7 +116,7 @@
 
     /// Neither sent nor waiting so far.
     pub(crate) const fn is_fresh(&self) -> bool {
-        self.sent == 0 && matches!(self.state, State::New)
+        self.attempts_sent == 0 && matches!(self.state, State::New)
     }
 
     pub(crate) fn remaining_ms(&self, now: Instant) -> u64 {
@@ -126,6 +126,6 @@
     /// A plain service's answer can't be continued by another run: its bytes
     /// need not be the same.
     pub(crate) fn can_resume(&self) -> bool {
-        self.delivered == 0 || self.resolved.wanted.model().is_some()
+        self.delivered == 0 || self.resolved.resource.model().is_some()
     }
 }
--- a/crates/role/src/entry/requests/timers.rs
+++ b/crates/role/src/entry/requests/timers.rs
@@ -4,7 +4,7 @@
 
 use super::super::shared::Ctx;
 use super::Requests;
-use super::send::{START_ALONE_WAIT_MS, START_WAIT_MS};
+use super::send::{EXCLUSIVE_START_WAIT_MS, START_WAIT_MS};
 use super::state::{Attempt, Request};
 
 /// Time for which an agent's answer to `Revoke` is waited for.
@@ -45,12 +45,12 @@
     pub(crate) fn tick(&mut self, ctx: &mut Ctx<'_>) {
         while let Some(timer) = self.timers.take(ctx.now) {
             match timer {
-                Timer::Deadline { sequence } => self.deadline(ctx, sequence),
+                Timer::Deadline { sequence } => self.deadline_passed(ctx, sequence),
                 Timer::Answer { attempt } => self.answer_due(ctx, attempt),
                 Timer::Wake { sequence } => {
-                    if let Some(request) = self.live.get(&sequence) {
-                        let wanted = request.resolved.wanted.clone();
-                        ctx.later.wake.insert(wanted);
+                    if let Some(request) = self.requests.get(&sequence) {
+                        let resource = request.resolved.resource.clone();
+                        ctx.follow_ups.wake.insert(resource);
                     }
                 }
             }
@@ -68,32 +68,33 @@
         let Some(sequence) = self.attempts.get(&attempt.sequence).copied() else {
             return;
         };
-        let Some(request) = self.live.get(&sequence) else {
+        let Some(request) = self.requests.get(&sequence) else {
             return;
         };
         let Some(held) = request.attempt() else {
             return;
         };
         // After a freeze the answer may wait in a socket.
-        let bound = bound(ctx, request, held).max(ctx.control.read_by());
+        let bound =
+            silence_limit(ctx, request, held).max(ctx.control.backlog_read_by());
         if bound > ctx.now {
             self.timers.set(bound, Timer::Answer { attempt });
             return;
         }
-        self.missing(ctx, sequence);
+        self.answer_missing(ctx, sequence);
     }
 }
 
 /// When an attempt that stays silent is given up.
-fn bound(ctx: &Ctx<'_>, request: &Request, attempt: &Attempt) -> Instant {
+fn silence_limit(ctx: &Ctx<'_>, request: &Request, attempt: &Attempt) -> Instant {
     if attempt.started {
         return attempt.heard_at.plus_ms(stall_ms(ctx, request, attempt));
     }
     if let Some(at) = attempt.revoked_at {
         return at.plus_ms(REVOKED_WAIT_MS);
     }
-    let wait_ms = match attempt.alone {
-        true => START_ALONE_WAIT_MS,
+    let wait_ms = match attempt.exclusive {
+        true => EXCLUSIVE_START_WAIT_MS,
         false => START_WAIT_MS,
     };
     attempt.sent_at.plus_ms(wait_ms)
@@ -101,7 +102,7 @@
 
 fn stall_ms(ctx: &Ctx<'_>, request: &Request, attempt: &Attempt) -> u64 {
     let resolved = &request.resolved;
-    if resolved.wanted.model().is_none() {
+    if resolved.resource.model().is_none() {
         let timeout_ms = u64::from(resolved.service_timeout_ms);
         return (timeout_ms + SERVICE_GRACE_MS).max(STALL_MIN_MS);
     }
--- a/crates/role/src/entry/requests/outcome.rs
+++ b/crates/role/src/entry/requests/upstream_outcome.rs
@@ -8,31 +8,36 @@
 impl Requests {
     /// Takes the outcome of the attempt in flight into account for its upstream.
     /// Returns whether it was a probe.
-    pub(super) fn judge_upstream(
+    pub(super) fn record_upstream_outcome(
         &mut self,
         ctx: &mut Ctx<'_>,
         sequence: u64,
         ok: bool,
     ) -> bool {
-        let request = self.live.get_mut(&sequence);
+        let request = self.requests.get_mut(&sequence);
         let Some(attempt) = request.and_then(|held| held.attempt_mut()) else {
             return false;
         };
         let probe = std::mem::take(&mut attempt.probe);
-        note_outcome(ctx, &attempt.agent, ok, probe);
+        record_outcome(ctx, &attempt.agent, ok, probe);
         probe
     }
 }
 
 /// Takes the outcome of an attempt into account for its upstream.
-pub(super) fn note_outcome(ctx: &mut Ctx<'_>, agent: &AgentId, ok: bool, probe: bool) {
+pub(super) fn record_outcome(
+    ctx: &mut Ctx<'_>,
+    agent: &AgentId,
+    ok: bool,
+    probe: bool,
+) {
     let change = {
-        let mut health = ctx.shared.health.lock();
-        health.observe(ctx.now, agent, ok, probe)
+        let mut breakers = ctx.shared.breakers.lock();
+        breakers.record_outcome(ctx.now, agent, ok, probe)
     };
     if let Some(change) = change {
-        change.trace(agent, "seen here", ctx.out);
-        ctx.later.room.insert(agent.clone());
-        ctx.later.gossip = true;
+        change.record(agent, "seen here", ctx.out);
+        ctx.follow_ups.agents_with_capacity.insert(agent.clone());
+        ctx.follow_ups.gossip = true;
     }
 }
--- a/crates/role/src/entry/wanted.rs
+++ b/crates/role/src/entry/resolve.rs
@@ -14,14 +14,14 @@
 
 /// What upstream a request wants: the key of queues, demand and budgets.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Wanted {
+pub(crate) enum Resource {
     /// A model or adapter.
     Model(ModelId),
     /// A plain service.
     Service(ServiceId),
 }
 
-impl Wanted {
+impl Resource {
     /// The name, for operators.
     pub(crate) fn as_str(&self) -> &str {
         match self {
@@ -39,15 +39,15 @@
     }
 
     /// The model as links carry it: empty for a plain service.
-    pub(crate) fn model_text(&self) -> &str {
+    pub(crate) fn wire_model(&self) -> &str {
         self.model().map_or("", ModelId::as_str)
     }
 }
 
 /// What the configuration says about a request.
 #[derive(Debug, Clone)]
-pub(crate) struct Resolved {
-    pub(crate) wanted: Wanted,
+pub(crate) struct ResolvedRequest {
+    pub(crate) resource: Resource,
     /// Empty when a service is called that no profile names.
     pub(crate) profile: String,
     pub(crate) interactive: bool,
@@ -70,20 +70,20 @@
 pub(crate) fn resolve(
     config: &Config,
     arrival: &IncomingRequest,
-) -> Result<Resolved, Code> {
+) -> Result<ResolvedRequest, Code> {
     let named = named_profile(config, arrival)?;
-    let (wanted, profile) = match &arrival.resource {
-        RequestedResource::Model(Some(model)) => by_model(config, named, model)?,
-        RequestedResource::Model(None) => by_default(config, named)?,
-        RequestedResource::Service(service) => by_service(config, named, service)?,
+    let (resource, profile) = match &arrival.resource {
+        RequestedResource::Model(Some(model)) => resolve_model(config, named, model)?,
+        RequestedResource::Model(None) => resolve_default_model(config, named)?,
+        RequestedResource::Service(service) => resolve_service(config, named, service)?,
     };
     let deadline_ms = deadline(arrival, profile)?;
-    let service = match &wanted {
-        Wanted::Service(service) => config.service(service.as_str()),
-        Wanted::Model(_) => None,
+    let service = match &resource {
+        Resource::Service(service) => config.service(service.as_str()),
+        Resource::Model(_) => None,
     };
-    let seed = xxh3_64_with_seed(wanted.as_str().as_bytes(), 0);
-    Ok(Resolved {
+    let seed = xxh3_64_with_seed(resource.as_str().as_bytes(), 0);
+    Ok(ResolvedRequest {
         profile: profile.map_or(String::new(), |held| held.id.to_string()),
         interactive: profile.is_none_or(|held| held.kind == ProfileKind::Interactive),
         idempotent: service.is_none_or(|held| held.idempotent),
@@ -94,11 +94,11 @@
         deadline_ms,
         service_timeout_ms: service.map_or(0, |held| held.timeout_ms),
         fingerprint: xxh3_64_with_seed(&arrival.body_hash.to_le_bytes(), seed),
-        wanted,
+        resource,
     })
 }
 
-type Found<'a> = (Wanted, Option<&'a ProfileSpec>);
+type ResourceAndProfile<'a> = (Resource, Option<&'a ProfileSpec>);
 
 fn named_profile<'a>(
     config: &'a Config,
@@ -111,11 +111,11 @@
     found.map(Some).ok_or(Code::UnknownProfile)
 }
 
-fn by_model<'a>(
+fn resolve_model<'a>(
     config: &'a Config,
     named: Option<&'a ProfileSpec>,
     model: &ModelId,
-) -> Result<Found<'a>, Code> {
+) -> Result<ResourceAndProfile<'a>, Code> {
     if config.model(model.as_str()).is_none() {
         return Err(Code::UnknownModel);
     }
@@ -125,13 +125,13 @@
         None => candidates.find(|held| held.models.contains(model)),
     };
     let profile = profile.ok_or(Code::UnknownProfile)?;
-    Ok((Wanted::Model(model.clone()), Some(profile)))
+    Ok((Resource::Model(model.clone()), Some(profile)))
 }
 
-fn by_default<'a>(
+fn resolve_default_model<'a>(
     config: &'a Config,
     named: Option<&'a ProfileSpec>,
-) -> Result<Found<'a>, Code> {
+) -> Result<ResourceAndProfile<'a>, Code> {
     let mut with_models = config.profiles().filter(|held| !held.models.is_empty());
     let profile = match named {
         Some(profile) => Some(profile),
@@ -143,14 +143,14 @@
     if config.model(model.as_str()).is_none() {
         return Err(Code::UnknownModel);
     }
-    Ok((Wanted::Model(model.clone()), Some(profile)))
+    Ok((Resource::Model(model.clone()), Some(profile)))
 }
 
-fn by_service<'a>(
+fn resolve_service<'a>(
     config: &'a Config,
     named: Option<&'a ProfileSpec>,
     service: &ServiceId,
-) -> Result<Found<'a>, Code> {
+) -> Result<ResourceAndProfile<'a>, Code> {
     if config.service(service.as_str()).is_none() {
         return Err(Code::UnknownService);
     }
@@ -159,7 +159,7 @@
         Some(profile) => Some(Some(profile).filter(calls).ok_or(Code::UnknownProfile)?),
         None => config.profiles().find(calls),
     };
-    Ok((Wanted::Service(service.clone()), profile))
+    Ok((Resource::Service(service.clone()), profile))
 }
 
 fn deadline(
