--- a/crates/role/src/entry/role.rs
+++ b/crates/role/src/entry/role.rs
@@ -10,9 +10,9 @@
 
 use super::control::{Control, Effects};
 use super::counters::Counts;
-use super::requests::{Part, PartOutcome, Requests, attempt_of};
-use super::shared::{Ctx, Later, Shared};
-use super::trace::Note;
+use super::requests::{AnswerPart, PartOutcome, Requests, decode_attempt_id};
+use super::shared::{Ctx, FollowUps, Shared};
+use super::timeline::TimelineEvent;
 use super::{EntryAction, EntryEvent, EntryOptions, IncomingRequest};
 use crate::Peer;
 
@@ -33,9 +33,9 @@
     ///
     /// The driver asks after each event. Asking the parts themselves would take
     /// every lock for each frame that comes.
-    dues: Vec<AtomicU64>,
+    due_times: Vec<AtomicU64>,
     /// When an event means that the process stood still, in microseconds.
-    freeze_at: AtomicU64,
+    freeze_threshold: AtomicU64,
 }
 
 /// A part that is never due.
@@ -61,41 +61,43 @@
             .map(|shard| Mutex::new(Requests::new(shard, bits, origin, seed)))
             .collect();
         let control = Control::new(&options, now, out);
-        let dues: Vec<AtomicU64> =
+        let due_times: Vec<AtomicU64> =
             (0..=count).map(|_| AtomicU64::new(NEVER_US)).collect();
-        let freeze_at = AtomicU64::new(NEVER_US);
-        store_due(&dues[0], control.due());
-        store_due(&freeze_at, control.freeze_at());
+        let freeze_threshold = AtomicU64::new(NEVER_US);
+        store_due(&due_times[0], control.due());
+        store_due(&freeze_threshold, control.freeze_threshold());
         Self {
             control: RwLock::new(control),
             shared: Shared::new(options),
             shards,
             next: AtomicU64::new(1),
-            dues,
-            freeze_at,
+            due_times,
+            freeze_threshold,
         }
     }
 
     /// Takes an event and adds the actions it calls for.
     pub fn handle(&self, now: Instant, event: EntryEvent, out: &mut Vec<EntryAction>) {
-        if self.freeze_at.load(Ordering::Acquire) <= now.as_us() {
-            self.with_control(|control| control.wake(now));
+        if self.freeze_threshold.load(Ordering::Acquire) <= now.as_us() {
+            self.with_control(|control| control.detect_freeze(now));
         }
         match event {
             EntryEvent::Tick => self.tick(now, out),
-            EntryEvent::RequestReceived(arrival) => self.arrive(now, arrival, out),
+            EntryEvent::RequestReceived(arrival) => {
+                self.request_received(now, arrival, out)
+            }
             EntryEvent::CallerDisconnected { request } => {
-                self.in_shard(now, request.sequence, out, |shard, ctx| {
-                    shard.caller_gone(ctx, request);
+                self.run_in_shard(now, request.sequence, out, |shard, ctx| {
+                    shard.caller_disconnected(ctx, request);
                 });
             }
             EntryEvent::LinkUp { peer, incarnation } => {
-                self.in_control(now, out, |control, out, effects| {
+                self.run_in_control(now, out, |control, out, effects| {
                     control.link_up(now, peer, incarnation, out, effects);
                 });
             }
             EntryEvent::LinkDown { peer } => {
-                self.in_control(now, out, |control, out, effects| {
+                self.run_in_control(now, out, |control, out, effects| {
                     control.link_down(now, &peer, out, effects);
                 });
             }
@@ -110,16 +112,16 @@
                 offset,
                 units,
             } => {
-                let part = Part {
+                let part = AnswerPart {
                     agent: &agent,
                     attempt,
                     offset,
                     units,
                 };
-                self.part(now, &part, out);
+                self.answer_part(now, &part, out);
             }
             EntryEvent::PlatformAnswered(answer) => {
-                self.in_control(now, out, |control, out, effects| {
+                self.run_in_control(now, out, |control, out, effects| {
                     control.answered(now, &self.shared, answer, out, effects);
                 });
             }
@@ -127,13 +129,16 @@
                 self.with_control(|control| control.drain(now, &self.shared, out));
             }
         }
-        self.leave_if_empty(now, out);
+        self.exit_if_drained(now, out);
     }
 
     /// When the machine wants its next `Tick`.
     pub fn due(&self) -> Option<Instant> {
-        let dues = self.dues.iter().map(|held| held.load(Ordering::Acquire));
-        let first = dues.min().filter(|us| *us != NEVER_US);
+        let due_times = self
+            .due_times
+            .iter()
+            .map(|held| held.load(Ordering::Acquire));
+        let first = due_times.min().filter(|us| *us != NEVER_US);
         first.map(Instant::from_us)
     }
 
@@ -167,7 +172,7 @@
         let mut shard = self.shards[index].lock();
         let done = work(&mut shard);
         // Under the lock, so that an older word never replaces a newer.
-        store_due(&self.dues[index + 1], shard.due());
+        store_due(&self.due_times[index + 1], shard.due());
         done
     }
 
@@ -175,31 +180,32 @@
     pub(super) fn with_control<T>(&self, work: impl FnOnce(&mut Control) -> T) -> T {
         let mut control = self.control.write();
         let done = work(&mut control);
-        store_due(&self.dues[0], control.due());
-        store_due(&self.freeze_at, control.freeze_at());
+        store_due(&self.due_times[0], control.due());
+        store_due(&self.freeze_threshold, control.freeze_threshold());
         done
     }
 
     /// Does something in the shard of a sequence, then what follows from it.
-    fn in_shard<T>(
+    fn run_in_shard<T>(
         &self,
         now: Instant,
         sequence: u64,
         out: &mut Vec<EntryAction>,
         work: impl FnOnce(&mut Requests, &mut Ctx<'_>) -> T,
     ) -> T {
-        let mut later = Later::default();
-        let done = self.in_shard_only(now, sequence, out, &mut later, work);
-        self.follow(now, later, out);
+        let mut follow_ups = FollowUps::default();
+        let done =
+            self.run_in_shard_deferring(now, sequence, out, &mut follow_ups, work);
+        self.run_follow_ups(now, follow_ups, out);
         done
     }
 
-    pub(super) fn in_shard_only<T>(
+    pub(super) fn run_in_shard_deferring<T>(
         &self,
         now: Instant,
         sequence: u64,
         out: &mut Vec<EntryAction>,
-        later: &mut Later,
+        follow_ups: &mut FollowUps,
         work: impl FnOnce(&mut Requests, &mut Ctx<'_>) -> T,
     ) -> T {
         let control = self.control.read();
@@ -208,13 +214,13 @@
             shared: &self.shared,
             control: &control,
             out,
-            later,
+            follow_ups,
         };
         self.with_shard(sequence, |shard| work(shard, &mut ctx))
     }
 
     /// Does something in the control part, then what follows from it.
-    fn in_control(
+    fn run_in_control(
         &self,
         now: Instant,
         out: &mut Vec<EntryAction>,
@@ -222,28 +228,34 @@
     ) {
         let mut effects = Effects::default();
         self.with_control(|control| work(control, out, &mut effects));
-        self.carry_out(now, effects, out);
+        self.apply_effects(now, effects, out);
     }
 
     fn tick(&self, now: Instant, out: &mut Vec<EntryAction>) {
-        if self.dues[0].load(Ordering::Acquire) <= now.as_us() {
-            self.in_control(now, out, |control, out, effects| {
+        if self.due_times[0].load(Ordering::Acquire) <= now.as_us() {
+            self.run_in_control(now, out, |control, out, effects| {
                 control.tick(now, &self.shared, out, effects);
             });
         }
-        let mut later = Later::default();
+        let mut follow_ups = FollowUps::default();
         for index in 0..self.shards.len() {
-            if self.dues[index + 1].load(Ordering::Acquire) > now.as_us() {
+            if self.due_times[index + 1].load(Ordering::Acquire) > now.as_us() {
                 continue;
             }
-            self.in_shard_only(now, index as u64, out, &mut later, |shard, ctx| {
-                shard.tick(ctx);
-            });
+            self.run_in_shard_deferring(
+                now,
+                index as u64,
+                out,
+                &mut follow_ups,
+                |shard, ctx| {
+                    shard.tick(ctx);
+                },
+            );
         }
-        self.follow(now, later, out);
+        self.run_follow_ups(now, follow_ups, out);
     }
 
-    fn arrive(
+    fn request_received(
         &self,
         now: Instant,
         arrival: Box<IncomingRequest>,
@@ -251,7 +263,7 @@
     ) {
         Counts::add(&self.shared.counts.arrived);
         let id = arrival.request;
-        let mut later = Later::default();
+        let mut follow_ups = FollowUps::default();
         {
             let control = self.control.read();
             let mut ctx = Ctx {
@@ -259,7 +271,7 @@
                 shared: &self.shared,
                 control: &control,
                 out,
-                later: &mut later,
+                follow_ups: &mut follow_ups,
             };
             match super::accept::accept(&mut ctx, arrival) {
                 Ok(request) => {
@@ -267,38 +279,48 @@
                         shard.start(&mut ctx, request);
                     });
                 }
-                Err(refusal) => self.turn_away(id, refusal, out),
+                Err(refusal) => self.refuse_on_arrival(id, refusal, out),
             }
         }
-        self.follow(now, later, out);
+        self.run_follow_ups(now, follow_ups, out);
     }
 
     /// Refuses a request that was never in progress.
-    fn turn_away(&self, id: RequestId, refusal: Refusal, out: &mut Vec<EntryAction>) {
+    fn refuse_on_arrival(
+        &self,
+        id: RequestId,
+        refusal: Refusal,
+        out: &mut Vec<EntryAction>,
+    ) {
         self.shared.counts.refused(refusal.code);
-        Note::new(
+        TimelineEvent::new(
             EventKind::RequestFailed,
             format!("turned away: {}", refusal.code),
         )
         .request(id)
         .code(refusal.code)
-        .put(out);
+        .record(out);
         out.push(EntryAction::Refuse {
             request: id,
             refusal,
         });
     }
 
-    fn part(&self, now: Instant, part: &Part<'_>, out: &mut Vec<EntryAction>) {
+    fn answer_part(
+        &self,
+        now: Instant,
+        part: &AnswerPart<'_>,
+        out: &mut Vec<EntryAction>,
+    ) {
         let sequence = part.attempt.sequence;
         // A part sets no timer.
         let outcome = {
             let mut shard = self.shards[self.index(sequence)].lock();
-            shard.part(now, &self.shared, part, out)
+            shard.answer_part(now, &self.shared, part, out)
         };
         if outcome == PartOutcome::Gap {
-            self.in_shard(now, sequence, out, |shard, ctx| {
-                shard.gap(ctx, part.agent, part.attempt);
+            self.run_in_shard(now, sequence, out, |shard, ctx| {
+                shard.answer_gap(ctx, part.agent, part.attempt);
             });
         }
     }
@@ -319,42 +341,42 @@
         }
         match (peer, body) {
             (Peer::Agent(agent), frame::Body::Started(started)) => {
-                let attempt = attempt_of(started.attempt.as_ref());
-                self.in_shard(now, attempt.sequence, out, |shard, ctx| {
-                    shard.started(ctx, agent, attempt, started.load.as_ref());
+                let attempt = decode_attempt_id(started.attempt.as_ref());
+                self.run_in_shard(now, attempt.sequence, out, |shard, ctx| {
+                    shard.attempt_started(ctx, agent, attempt, started.load.as_ref());
                 });
             }
             (Peer::Agent(agent), frame::Body::Refused(refused)) => {
-                let sequence = attempt_of(refused.attempt.as_ref()).sequence;
-                self.in_shard(now, sequence, out, |shard, ctx| {
-                    shard.refused(ctx, agent, &refused);
+                let sequence = decode_attempt_id(refused.attempt.as_ref()).sequence;
+                self.run_in_shard(now, sequence, out, |shard, ctx| {
+                    shard.attempt_refused(ctx, agent, &refused);
                 });
             }
             (Peer::Agent(agent), frame::Body::End(end)) => {
-                let sequence = attempt_of(end.attempt.as_ref()).sequence;
-                self.in_shard(now, sequence, out, |shard, ctx| {
-                    shard.ended(ctx, agent, end);
+                let sequence = decode_attempt_id(end.attempt.as_ref()).sequence;
+                self.run_in_shard(now, sequence, out, |shard, ctx| {
+                    shard.attempt_ended(ctx, agent, end);
                 });
             }
             (Peer::Agent(agent), frame::Body::Revoked(revoked)) => {
-                let sequence = attempt_of(revoked.attempt.as_ref()).sequence;
-                self.in_shard(now, sequence, out, |shard, ctx| {
-                    shard.revoked(ctx, agent, &revoked);
+                let sequence = decode_attempt_id(revoked.attempt.as_ref()).sequence;
+                self.run_in_shard(now, sequence, out, |shard, ctx| {
+                    shard.revoke_answered(ctx, agent, &revoked);
                 });
             }
-            (peer, body) => self.in_control(now, out, |control, out, effects| {
+            (peer, body) => self.run_in_control(now, out, |control, out, effects| {
                 control.frame(now, &self.shared, peer, body, out, effects);
             }),
         }
     }
 
     /// Ends a drained process once its last request has ended.
-    fn leave_if_empty(&self, now: Instant, out: &mut Vec<EntryAction>) {
+    fn exit_if_drained(&self, now: Instant, out: &mut Vec<EntryAction>) {
         if !self.control.read().leaving {
             return;
         }
         if self.shards.iter().all(|shard| shard.lock().len() == 0) {
-            self.with_control(|control| control.leave(now, &self.shared, out));
+            self.with_control(|control| control.shut_down(now, &self.shared, out));
         }
     }
 }
--- a/crates/role/src/entry/shared.rs
+++ b/crates/role/src/entry/shared.rs
@@ -9,13 +9,13 @@
 use route::{CallerLimits, Suspects};
 use std::collections::BTreeSet;
 
-use super::book::Book;
+use super::circuit_breakers::CircuitBreakers;
 use super::control::Control;
 use super::counters::Counts;
-use super::health::Health;
-use super::tally::Tally;
-use super::waiting::Waiting;
-use super::wanted::Wanted;
+use super::outcome_counts::OutcomeCounts;
+use super::resolve::Resource;
+use super::wait_queue::WaitQueue;
+use super::workload::Workload;
 use super::{EntryAction, EntryOptions};
 
 /// Time for which a verdict on a request holds until a configuration says so.
@@ -26,12 +26,12 @@
 pub(crate) struct Shared {
     pub(crate) options: EntryOptions,
     pub(crate) counts: Counts,
-    pub(crate) waiting: Mutex<Waiting>,
-    pub(crate) book: Mutex<Book>,
+    pub(crate) wait_queue: Mutex<WaitQueue>,
+    pub(crate) workload: Mutex<Workload>,
     pub(crate) callers: Mutex<CallerLimits>,
     pub(crate) suspects: Mutex<Suspects>,
-    pub(crate) health: Mutex<Health>,
-    pub(crate) tally: Mutex<Tally>,
+    pub(crate) breakers: Mutex<CircuitBreakers>,
+    pub(crate) outcomes: Mutex<OutcomeCounts>,
 }
 
 impl Shared {
@@ -39,25 +39,25 @@
         Self {
             options,
             counts: Counts::new(),
-            waiting: Mutex::new(Waiting::default()),
-            book: Mutex::new(Book::new()),
+            wait_queue: Mutex::new(WaitQueue::default()),
+            workload: Mutex::new(Workload::new()),
             callers: Mutex::new(CallerLimits::new()),
             suspects: Mutex::new(Suspects::new(VERDICT_DEFAULT_MS)),
-            health: Mutex::new(Health::default()),
-            tally: Mutex::new(Tally::default()),
+            breakers: Mutex::new(CircuitBreakers::default()),
+            outcomes: Mutex::new(OutcomeCounts::default()),
         }
     }
 }
 
 /// RequestedResource that can only be done once the shard's lock is given back.
 #[derive(Debug, Default)]
-pub(crate) struct Later {
+pub(crate) struct FollowUps {
     /// Queues whose head may now be sent.
-    pub(crate) wake: BTreeSet<Wanted>,
-    /// They are looked at as a whole.
-    pub(crate) whole: bool,
-    /// Agents that have room again.
-    pub(crate) room: BTreeSet<AgentId>,
+    pub(crate) wake: BTreeSet<Resource>,
+    /// They are looked at as a full_scan.
+    pub(crate) full_scan: bool,
+    /// Agents that have agents_with_capacity again.
+    pub(crate) agents_with_capacity: BTreeSet<AgentId>,
     /// Requests that lost their place in the queue to a more urgent one.
     pub(crate) evicted: Vec<RequestId>,
     /// RequestedResource waits for a model that nobody holds.
@@ -66,9 +66,9 @@
     pub(crate) gossip: bool,
 }
 
-impl Later {
+impl FollowUps {
     pub(crate) fn is_empty(&self) -> bool {
-        let queues = self.wake.is_empty() && self.room.is_empty();
+        let queues = self.wake.is_empty() && self.agents_with_capacity.is_empty();
         queues && self.evicted.is_empty() && !self.plan && !self.gossip
     }
 }
@@ -80,5 +80,5 @@
     pub(crate) shared: &'a Shared,
     pub(crate) control: &'a Control,
     pub(crate) out: &'a mut Vec<EntryAction>,
-    pub(crate) later: &'a mut Later,
+    pub(crate) follow_ups: &'a mut FollowUps,
 }
--- a/crates/role/src/entry/suspicion.rs
+++ b/crates/role/src/entry/suspect_events.rs
@@ -6,11 +6,11 @@
 use std::mem::discriminant;
 
 use super::EntryAction;
-use super::trace::Note;
+use super::timeline::TimelineEvent;
 
 /// A fingerprint against which something is held that was not before.
 #[derive(Debug)]
-pub(crate) struct Charged {
+pub(crate) struct VerdictChange {
     pub(crate) fingerprint: u64,
     /// It is not run again, and not only suspected.
     convicted: bool,
@@ -22,23 +22,23 @@
 }
 
 /// Does something to the verdicts and tells what it changed for the worse.
-pub(crate) fn charged_by(
+pub(crate) fn apply_and_diff(
     suspects: &mut Suspects,
     now: Instant,
     fingerprints: &[u64],
     work: impl FnOnce(&mut Suspects),
-) -> Vec<Charged> {
+) -> Vec<VerdictChange> {
     let verdicts = fingerprints.iter();
     let before: Vec<Verdict> =
         verdicts.map(|held| suspects.verdict(now, *held)).collect();
     work(suspects);
-    let mut charged = Vec::new();
+    let mut worsened = Vec::new();
     for (fingerprint, before) in fingerprints.iter().zip(before) {
         let after = suspects.verdict(now, *fingerprint);
         if after == Verdict::Free || discriminant(&after) == discriminant(&before) {
             continue;
         }
-        charged.push(Charged {
+        worsened.push(VerdictChange {
             fingerprint: *fingerprint,
             convicted: after != Verdict::Suspect,
             agents: suspects.crashed_on(*fingerprint).collect(),
@@ -46,17 +46,21 @@
             remaining_ms: suspects.remaining_ms(now, *fingerprint),
         });
     }
-    charged
+    worsened
 }
 
-impl Charged {
+impl VerdictChange {
     /// Records it; the request is known only at the entry that ran it.
-    pub(crate) fn trace(&self, request: Option<RequestId>, out: &mut Vec<EntryAction>) {
+    pub(crate) fn record(
+        &self,
+        request: Option<RequestId>,
+        out: &mut Vec<EntryAction>,
+    ) {
         let (kind, code) = match self.convicted {
             true => (EventKind::RequestConvicted, Some(Code::Convicted)),
             false => (EventKind::RequestSuspected, None),
         };
-        let mut note = Note::new(kind, self.sentence());
+        let mut note = TimelineEvent::new(kind, self.description());
         if let Some(request) = request {
             note = note.request(request);
         }
@@ -66,10 +70,10 @@
         if let Some(code) = code {
             note = note.code(code);
         }
-        note.put(out);
+        note.record(out);
     }
 
-    fn sentence(&self) -> String {
+    fn description(&self) -> String {
         let names = self.agents.iter().map(AgentId::as_str);
         let names = names.collect::<Vec<_>>().join(" and ");
         let what = match (self.convicted, self.alone) {
--- a/crates/role/src/entry/trace.rs
+++ b/crates/role/src/entry/timeline.rs
@@ -8,10 +8,10 @@
 
 /// An event being put together.
 #[derive(Debug)]
-pub(crate) struct Note(Event);
+pub(crate) struct TimelineEvent(Event);
 
-impl Note {
-    /// An event with a sentence for an operator.
+impl TimelineEvent {
+    /// An event with a reason_text for an operator.
     pub(crate) fn new(kind: EventKind, detail: impl Into<String>) -> Self {
         Self(Event {
             kind: kind as i32,
@@ -51,7 +51,7 @@
     }
 
     /// Records it.
-    pub(crate) fn put(self, out: &mut Vec<EntryAction>) {
+    pub(crate) fn record(self, out: &mut Vec<EntryAction>) {
         out.push(EntryAction::RecordEvent(self.0));
     }
 }
--- a/crates/role/src/entry/book.rs
+++ b/crates/role/src/entry/workload.rs
@@ -5,19 +5,19 @@
 use route::RetryBudget;
 use std::collections::BTreeMap;
 
-use super::wanted::Wanted;
+use super::resolve::Resource;
 
 /// Time over which arrivals are smoothed.
 const RATE_WINDOW_S: f64 = 20.0;
 
 /// Share of one new service time or value in the mean.
-const MEAN_SHARE: f64 = 0.1;
+const MEAN_WEIGHT: f64 = 0.1;
 
 /// Records kept at most; the names come from configurations.
-const RECORDS_MAX: usize = 16_384;
+const RESOURCES_MAX: usize = 16_384;
 
 #[derive(Debug)]
-struct Record {
+struct ResourceStats {
     rate_per_s: f64,
     rate_at: Instant,
     service_time_ms: Option<f64>,
@@ -27,7 +27,7 @@
 
 /// What is known of the work for one model or service.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct WorkStats {
+pub(crate) struct WorkloadSnapshot {
     /// Smoothed arrivals.
     pub(crate) rate_per_s: f64,
     /// Mean service time, once one was seen.
@@ -36,28 +36,28 @@
     pub(crate) value: f64,
 }
 
-/// The records.
+/// The resources.
 #[derive(Debug)]
-pub(crate) struct Book {
-    records: BTreeMap<Wanted, Record>,
+pub(crate) struct Workload {
+    resources: BTreeMap<Resource, ResourceStats>,
 }
 
-impl Book {
+impl Workload {
     pub(crate) const fn new() -> Self {
         Self {
-            records: BTreeMap::new(),
+            resources: BTreeMap::new(),
         }
     }
 
     /// Counts an arrival.
-    pub(crate) fn arrived(
+    pub(crate) fn record_arrival(
         &mut self,
         now: Instant,
-        wanted: &Wanted,
+        resource: &Resource,
         value: f64,
         retry_percent: u32,
     ) {
-        if let Some(record) = self.record(now, wanted, retry_percent) {
+        if let Some(record) = self.stats_mut(now, resource, retry_percent) {
             record.rate_per_s = record.rate(now) + 1.0 / RATE_WINDOW_S;
             record.rate_at = now;
             record.value = Some(mean(record.value, value));
@@ -67,32 +67,36 @@
     }
 
     /// Counts a first try towards the budget.
-    pub(crate) fn first_try(&mut self, now: Instant, wanted: &Wanted) {
-        if let Some(record) = self.records.get_mut(wanted) {
+    pub(crate) fn record_first_attempt(&mut self, now: Instant, resource: &Resource) {
+        if let Some(record) = self.resources.get_mut(resource) {
             record.budget.first_try(now);
         }
     }
 
     /// Takes a retry from the budget.
-    pub(crate) fn try_retry(&mut self, now: Instant, wanted: &Wanted) -> bool {
-        let record = self.records.get_mut(wanted);
+    pub(crate) fn try_take_retry(&mut self, now: Instant, resource: &Resource) -> bool {
+        let record = self.resources.get_mut(resource);
         record.is_some_and(|record| record.budget.try_take(now))
     }
 
     /// Notes how long an upstream was busy with a request.
-    pub(crate) fn served(&mut self, wanted: &Wanted, ms: u64) {
-        if let Some(record) = self.records.get_mut(wanted) {
+    pub(crate) fn record_service_time(&mut self, resource: &Resource, ms: u64) {
+        if let Some(record) = self.resources.get_mut(resource) {
             let ms = ms as f64;
             record.service_time_ms = Some(mean(record.service_time_ms, ms));
         }
     }
 
     /// What is known now.
-    pub(crate) fn stats(&self, now: Instant, wanted: &Wanted) -> WorkStats {
-        let Some(record) = self.records.get(wanted) else {
-            return WorkStats::default();
+    pub(crate) fn snapshot(
+        &self,
+        now: Instant,
+        resource: &Resource,
+    ) -> WorkloadSnapshot {
+        let Some(record) = self.resources.get(resource) else {
+            return WorkloadSnapshot::default();
         };
-        WorkStats {
+        WorkloadSnapshot {
             rate_per_s: record.rate(now),
             service_time_ms: record.service_time_ms.map(|ms| ms as u32),
             value: record.value.unwrap_or(0.0),
@@ -101,21 +105,21 @@
 
     /// Models that have a record, in order of name.
     pub(crate) fn models(&self) -> impl Iterator<Item = &ModelId> {
-        self.records.keys().filter_map(Wanted::model)
+        self.resources.keys().filter_map(Resource::model)
     }
 
-    fn record(
+    fn stats_mut(
         &mut self,
         now: Instant,
-        wanted: &Wanted,
+        resource: &Resource,
         retry_percent: u32,
-    ) -> Option<&mut Record> {
-        let full = self.records.len() >= RECORDS_MAX;
-        if full && !self.records.contains_key(wanted) {
+    ) -> Option<&mut ResourceStats> {
+        let full = self.resources.len() >= RESOURCES_MAX;
+        if full && !self.resources.contains_key(resource) {
             return None;
         }
-        let record = self.records.entry(wanted.clone());
-        Some(record.or_insert_with(|| Record {
+        let record = self.resources.entry(resource.clone());
+        Some(record.or_insert_with(|| ResourceStats {
             rate_per_s: 0.0,
             rate_at: now,
             service_time_ms: None,
@@ -125,7 +129,7 @@
     }
 }
 
-impl Record {
+impl ResourceStats {
     fn rate(&self, now: Instant) -> f64 {
         let passed_s = now.since(self.rate_at).as_secs_f64();
         self.rate_per_s * (-passed_s / RATE_WINDOW_S).exp()
@@ -133,5 +137,5 @@
 }
 
 fn mean(held: Option<f64>, new: f64) -> f64 {
-    held.map_or(new, |held| held + (new - held) * MEAN_SHARE)
+    held.map_or(new, |held| held + (new - held) * MEAN_WEIGHT)
 }
