--- a/crates/role/src/entry/accept.rs
+++ b/crates/role/src/entry/accept.rs
@@ -1,7 +1,7 @@
 //! What is checked of a request before it is in progress.
 
 use base::prelude::*;
-use route::Verdict;
+use route::CrashVerdict;
 use schema::timeline::EventKind;
 
 use super::IncomingRequest;
@@ -50,7 +50,7 @@
         let mut suspects = ctx.shared.suspects.lock();
         suspects.verdict(ctx.now, resolved.fingerprint)
     };
-    if let Verdict::Convicted { remaining_ms } = verdict {
+    if let CrashVerdict::Convicted { remaining_ms } = verdict {
         return Err(refuse(Code::Convicted).retry_after_ms(remaining_ms));
     }
     let max = match caller.concurrent_max {
--- a/crates/role/src/entry/circuit_breakers.rs
+++ b/crates/role/src/entry/circuit_breakers.rs
@@ -6,7 +6,7 @@
 
 use base::prelude::*;
 use live::Directory;
-use route::{Allow, HealthView, UpstreamHealth};
+use route::{BreakerState, CircuitBreaker, Permission};
 use schema::link::UpstreamVerdict;
 use schema::timeline::EventKind;
 use std::collections::BTreeMap;
@@ -115,7 +115,7 @@
             held.health.is_open() || held.health.view().version > 0 && lately
         });
         told.map(|(agent, held)| {
-            let view = held.health.view();
+            let view = held.health.state();
             UpstreamVerdict {
                 agent: agent.to_string(),
                 version: view.version,
--- a/crates/role/src/entry/requests/answers.rs
+++ b/crates/role/src/entry/requests/answers.rs
@@ -256,7 +256,10 @@
         ctx.shared.workload.lock().record_service_time(resource, ms);
         if attempt.exclusive {
             let fingerprint = request.resolved.fingerprint;
-            ctx.shared.suspects.lock().completed(fingerprint);
+            ctx.shared
+                .suspects
+                .lock()
+                .record_completed_alone(fingerprint);
         }
     }
 
@@ -270,7 +273,7 @@
             let mut suspects = ctx.shared.suspects.lock();
             apply_and_diff(&mut suspects, ctx.now, fingerprints, |suspects| {
                 let run = frame.upstream_incarnation;
-                suspects.on_crash(ctx.now, fingerprints, agent, run, alone);
+                suspects.record_crash(ctx.now, fingerprints, agent, run, alone);
             })
         };
         let attempt = decode_attempt_id(frame.attempt.as_ref());
--- a/crates/role/src/entry/requests/candidates.rs
+++ b/crates/role/src/entry/requests/candidates.rs
@@ -2,7 +2,7 @@
 
 use base::prelude::*;
 use live::{Agent, Life, ResidencyState};
-use route::{AdmitInput, Holder};
+use route::{AdmissionInput, Holder};
 
 use super::super::control::{Control, predicted_return_ms};
 use super::super::resolve::Resource;
@@ -90,17 +90,17 @@
             let load = held
                 .running
                 .saturating_add(held.waiting)
-                .saturating_add(held.sent_since_hint);
+                .saturating_add(held.sent_since_report);
             let free = held.running_max.saturating_sub(load);
             // The little queue that a holder may have beyond its places.
-            free.max(u32::from(route::has_room(held)))
+            free.max(u32::from(route::has_capacity(held)))
         });
         free.sum()
     }
 }
 
 const fn is_idle(held: &Holder<'_>) -> bool {
-    held.running == 0 && held.waiting == 0 && held.sent_since_hint == 0
+    held.running == 0 && held.waiting == 0 && held.sent_since_report == 0
 }
 
 fn model_agents<'a>(
@@ -158,8 +158,8 @@
         waiting: hint.waiting,
         running_max: hint.running_max,
         step_time_us: hint.step_time_us,
-        hint_age_ms: hint.age_ms,
-        sent_since_hint: hint.sent_since,
+        report_age_ms: hint.age_ms,
+        sent_since_report: hint.sent_since,
         suspected: false,
     }
 }
@@ -178,7 +178,7 @@
         true => predicted_serve_wait_ms(ctx, request, crashed_agents),
         false => None,
     };
-    AdmitInput {
+    AdmissionInput {
         remaining_ms: request.remaining_ms(ctx.now),
         // One that waits already, or ran, has lost its first token's time to a
         // load or a failure; refusing it would only add to that.
@@ -273,7 +273,7 @@
     };
     let waits = matches!(request.state, State::Waiting(_));
     let look_ms = ctx.control.directory.timing().heartbeat_ms();
-    let in_time = input.whole_ms.saturating_add(look_ms) < input.remaining_ms;
+    let in_time = input.answer_time_ms.saturating_add(look_ms) < input.remaining_ms;
     let mut agents = ctx.control.directory.agents();
     waits
         && input.holders == 0
--- a/crates/role/src/entry/requests/dispatch.rs
+++ b/crates/role/src/entry/requests/dispatch.rs
@@ -2,8 +2,8 @@
 
 use base::prelude::*;
 use route::{
-    ALONE_RETRY_MS, Admit, AdmitInput, ChooseInput, RouteReason, Verdict, admit,
-    choose, has_room,
+    ALONE_RUN_RETRY_MS, Admission, AdmissionInput, CrashVerdict, RouteReason,
+    RoutingInput, admit, choose_holder, has_capacity,
 };
 use schema::timeline::EventKind;
 
@@ -124,7 +124,7 @@
             {
                 self.wait_in_queue(ctx, sequence, input.load_wait_ms)
             }
-            Admit::Refuse(refusal) => {
+            Admission::Refuse(refusal) => {
                 self.refuse(ctx, sequence, refusal.code, refusal.retry_after_ms)
             }
             Admit::Wait { predicted_ms } => {
@@ -263,7 +263,7 @@
     let config = ctx.control.config();
     let max = config.map_or(0, |held| held.limits().waiting_max);
     let caller = &request.caller;
-    let within = ctx.shared.callers.lock().try_wait(caller, max);
+    let within = ctx.shared.callers.lock().try_enqueue(caller, max);
     let queued = {
         let mut wait_queue = ctx.shared.wait_queue.lock();
         if !within && wait_queue.len() < max as usize {
@@ -280,7 +280,7 @@
         return Err(Code::QueueFull);
     }
     if !within {
-        ctx.shared.callers.lock().wait_instead(caller);
+        ctx.shared.callers.lock().enqueue_displacing(caller);
     }
     Ok(())
 }
@@ -354,7 +354,9 @@
 /// Agents whose upstreams crashed with a request in flight.
 fn crashed_on(ctx: &Ctx<'_>, request: &Request) -> Vec<AgentId> {
     let suspects = ctx.shared.suspects.lock();
-    suspects.crashed_on(request.resolved.fingerprint).collect()
+    suspects
+        .crashed_agents(request.resolved.fingerprint)
+        .collect()
 }
 
 /// Why a suspect can't be run before its deadline, with when to come back.
@@ -365,7 +367,7 @@
 fn exclusive_run_refusal(
     ctx: &Ctx<'_>,
     request: &Request,
-    input: &AdmitInput,
+    input: &AdmissionInput,
     crashed: &[AgentId],
 ) -> Option<(Code, u64)> {
     if input.holders == 0 && crashed_all(ctx, request, crashed) {
--- a/crates/role/src/entry/requests/end.rs
+++ b/crates/role/src/entry/requests/end.rs
@@ -102,7 +102,7 @@
             ctx.shared.wait_queue.lock().remove(position);
             ctx.shared.callers.lock().end_wait(&request.caller);
         }
-        ctx.shared.callers.lock().leave(&request.caller);
+        ctx.shared.callers.lock().finish_request(&request.caller);
         Some(request)
     }
 
--- a/crates/role/src/entry/shared.rs
+++ b/crates/role/src/entry/shared.rs
@@ -6,7 +6,7 @@
 
 use base::prelude::*;
 use parking_lot::Mutex;
-use route::{CallerLimits, Suspects};
+use route::{CallerLimits, SuspectRequests};
 use std::collections::BTreeSet;
 
 use super::circuit_breakers::CircuitBreakers;
--- a/crates/role/src/entry/suspect_events.rs
+++ b/crates/role/src/entry/suspect_events.rs
@@ -1,7 +1,7 @@
 //! What changes in what is held against requests, and its events.
 
 use base::prelude::*;
-use route::{Suspects, Verdict};
+use route::{CrashVerdict, SuspectRequests};
 use schema::timeline::EventKind;
 use std::mem::discriminant;
 
@@ -29,19 +29,20 @@
     work: impl FnOnce(&mut Suspects),
 ) -> Vec<VerdictChange> {
     let verdicts = fingerprints.iter();
-    let before: Vec<Verdict> =
+    let before: Vec<CrashVerdict> =
         verdicts.map(|held| suspects.verdict(now, *held)).collect();
     work(suspects);
     let mut worsened = Vec::new();
     for (fingerprint, before) in fingerprints.iter().zip(before) {
         let after = suspects.verdict(now, *fingerprint);
-        if after == Verdict::Free || discriminant(&after) == discriminant(&before) {
+        if after == CrashVerdict::Clear || discriminant(&after) == discriminant(&before)
+        {
             continue;
         }
         worsened.push(VerdictChange {
             fingerprint: *fingerprint,
-            convicted: after != Verdict::Suspect,
-            agents: suspects.crashed_on(*fingerprint).collect(),
+            convicted: after != CrashVerdict::Suspect,
+            agents: suspects.crashed_agents(*fingerprint).collect(),
             alone: suspects.crashed_alone(*fingerprint),
             remaining_ms: suspects.remaining_ms(now, *fingerprint),
         });
