--- a/crates/role/src/entry/accept.rs
+++ b/crates/role/src/entry/accept.rs
@@ -1,4 +1,4 @@
-//! What is checked of a request before it is in progress.
+//! Checks a received request before it is assigned to a shard.
 
 use base::prelude::*;
 use route::CrashVerdict;
@@ -10,32 +10,33 @@
 use super::shared::Ctx;
 use super::timeline::TimelineEvent;
 
-/// When to come back to a process that is stopping or not ready: another one
-/// takes the request in the meantime.
+/// Retry delay told to the caller by an entry that is draining or not ready. Short,
+/// since another entry can take the request.
 const RETRY_ELSEWHERE_MS: u64 = 500;
 
-/// When to come back with one request more than the caller may have.
+/// Retry delay told to a caller that exceeds its limit of concurrent requests.
 const CALLER_LIMIT_RETRY_MS: u64 = 1_000;
 
-/// Identifies the caller and resolves what is asked for.
+/// Authenticates the caller, resolves the model or service and checks the caller's
+/// limit.
 ///
 /// # Errors
 ///
-/// A refusal; the request was not run.
+/// The refusal to send; the request was not run.
 pub(super) fn accept(
     ctx: &mut Ctx<'_>,
-    arrival: Box<IncomingRequest>,
+    incoming: Box<IncomingRequest>,
 ) -> Result<Request, Refusal> {
     let refuse = Refusal::not_run;
-    let named = match &arrival.resource {
+    let name = match &incoming.resource {
         super::RequestedResource::Model(model) => {
             model.as_ref().map_or("", ModelId::as_str)
         }
         super::RequestedResource::Service(service) => service.as_str(),
     };
     TimelineEvent::new(EventKind::RequestArrived, "")
-        .request(arrival.request)
-        .model(named)
+        .request(incoming.request)
+        .model(name)
         .record(ctx.out);
     if ctx.control.leaving {
         return Err(refuse(Code::Leaving).retry_after_ms(RETRY_ELSEWHERE_MS));
@@ -43,9 +44,9 @@
     let Some(config) = ctx.control.config().cloned() else {
         return Err(refuse(Code::NotReady).retry_after_ms(RETRY_ELSEWHERE_MS));
     };
-    let caller = config.caller(&arrival.credential);
+    let caller = config.caller(&incoming.credential);
     let caller = caller.ok_or_else(|| refuse(Code::UnknownCaller))?;
-    let resolved = resolve(&config, &arrival).map_err(refuse)?;
+    let resolved = resolve(&config, &incoming).map_err(refuse)?;
     let verdict = {
         let mut suspects = ctx.shared.suspects.lock();
         suspects.verdict(ctx.now, resolved.fingerprint)
@@ -57,7 +58,7 @@
         0 => u32::MAX,
         max => max,
     };
-    if !ctx.shared.callers.lock().try_enter(&caller.id, max) {
+    if !ctx.shared.callers.lock().try_start_request(&caller.id, max) {
         return Err(refuse(Code::CallerLimit).retry_after_ms(CALLER_LIMIT_RETRY_MS));
     }
     let percent = config.limits().retry_percent;
@@ -83,6 +84,6 @@
         not_before: ctx.now,
         state: State::New,
         resolved,
-        incoming: arrival,
+        incoming,
     })
 }
--- a/crates/role/src/entry/circuit_breakers.rs
+++ b/crates/role/src/entry/circuit_breakers.rs
@@ -1,8 +1,8 @@
-//! Verdicts on upstreams that answer heartbeats and fail the work given to them.
+//! Circuit breakers for upstreams that are reported up but fail their requests.
 //!
-//! The verdict is shared: each entry sees only its part of the failures, and
-//! probes of every entry would be load for an upstream that can bear none. One
-//! entry probes, by rendezvous over the live entries.
+//! Entries share the state of the breakers, as each sees only some of the failures.
+//! One entry, chosen by rendezvous hashing over the live entries, sends the probes:
+//! probes of every entry could overload a failing upstream.
 
 use base::prelude::*;
 use live::Directory;
@@ -14,52 +14,54 @@
 use super::EntryAction;
 use super::timeline::TimelineEvent;
 
-/// Time without a probe or a word of one after which any request of any entry
-/// may be the probe: the entry that should probe may get no work to do it with.
+/// Time without a probe or a change of the breaker after which every entry may
+/// probe, with any request: the designated entry may receive no request to probe
+/// with.
 const PROBER_TIMEOUT_MS: u64 = 10_000;
 
-/// Time for which a verdict that was lifted is still told.
+/// How long a closed breaker is still sent in gossip.
 const RECOVERY_GOSSIP_MS: u64 = 60_000;
 
 #[derive(Debug)]
 struct BreakerEntry {
-    health: UpstreamHealth,
-    /// When the verdict changed, or a probe was sent here.
+    breaker: CircuitBreaker,
+    /// When the breaker opened or closed, or this entry last sent a probe.
     changed_at: Instant,
 }
 
-/// Verdicts by agent; one that was never failing has none.
+/// Circuit breakers by agent. An agent whose upstream never failed has none.
 #[derive(Debug, Default)]
 pub(crate) struct CircuitBreakers {
     upstreams: BTreeMap<AgentId, BreakerEntry>,
     open_count: usize,
 }
 
-/// A verdict that changed.
+/// A breaker opened or closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum BreakerChange {
-    /// The upstream gets no work but probes.
+    /// It opened: the upstream gets only probes.
     Failing,
-    /// It gets work again.
+    /// It closed: the upstream gets requests again.
     Recovered,
 }
 
 impl CircuitBreakers {
-    /// Whether any upstream is failing.
+    /// Whether any breaker is open.
     pub(crate) const fn any_failing(&self) -> bool {
         self.open_count > 0
     }
 
-    /// Whether an upstream gets no work but probes.
+    /// Whether the breaker is open, so that the upstream gets only probes.
     pub(crate) fn is_failing(&self, agent: &AgentId) -> bool {
-        let held = self.upstreams.get(agent);
-        held.is_some_and(|held| held.health.is_open())
+        let entry = self.upstreams.get(agent);
+        entry.is_some_and(|entry| entry.breaker.is_open())
     }
 
-    /// Whether a request may be sent as a probe now; it must be sent then.
+    /// Reserves the next probe for a request; if it returns true, the request has to
+    /// be sent.
     ///
-    /// A call that must not run twice is spared as long as others can probe,
-    /// since its outcome would be unknown if the probe failed.
+    /// A request that is not idempotent is used only after `PROBER_TIMEOUT_MS`, since
+    /// its outcome would be unknown if the probe failed.
     pub(crate) fn try_probe(
         &mut self,
         now: Instant,
@@ -67,19 +69,20 @@
         is_prober: bool,
         idempotent: bool,
     ) -> bool {
-        let Some(held) = self.upstreams.get_mut(agent) else {
+        let Some(entry) = self.upstreams.get_mut(agent) else {
             return false;
         };
-        let orphaned = now.ms_since(held.changed_at) >= PROBER_TIMEOUT_MS;
-        let probes = orphaned || is_prober && idempotent;
-        let probe = held.health.allow(now, probes) == Allow::Probe;
+        let prober_timed_out = now.ms_since(entry.changed_at) >= PROBER_TIMEOUT_MS;
+        let may_probe = prober_timed_out || is_prober && idempotent;
+        let probe =
+            entry.breaker.acquire_permission(now, may_probe) == Permission::Probe;
         if probe {
-            held.changed_at = now;
+            entry.changed_at = now;
         }
         probe
     }
 
-    /// Takes the outcome of an attempt into account.
+    /// Records the outcome of an attempt.
     pub(crate) fn record_outcome(
         &mut self,
         now: Instant,
@@ -90,42 +93,43 @@
         if ok && !self.upstreams.contains_key(agent) {
             return None;
         }
-        self.update(now, agent, |health| health.observe(now, ok, probe))
+        self.update(now, agent, |breaker| breaker.record_outcome(now, ok, probe))
     }
 
-    /// Takes over another entry's verdict if it is newer.
+    /// Adopts another entry's state of a breaker if it is newer.
     pub(crate) fn merge(
         &mut self,
         now: Instant,
         from: &UpstreamVerdict,
     ) -> Option<BreakerChange> {
-        let view = HealthView {
+        let state = BreakerState {
             version: from.version,
             open: from.open,
         };
         let agent = AgentId::new(&from.agent);
-        self.update(now, &agent, |health| health.merge(now, view))
+        self.update(now, &agent, |breaker| breaker.merge(now, state))
     }
 
-    /// What to tell other entries: all that stands and what was lifted lately,
-    /// so that one lost message costs a heartbeat only.
+    /// States to send in gossip: all open breakers and those closed recently. They
+    /// are repeated, so that a lost message delays them by one heartbeat only.
     pub(crate) fn export(&self, now: Instant) -> Vec<UpstreamVerdict> {
-        let told = self.upstreams.iter().filter(|(_, held)| {
-            let lately = now.ms_since(held.changed_at) < RECOVERY_GOSSIP_MS;
-            held.health.is_open() || held.health.view().version > 0 && lately
+        let to_send = self.upstreams.iter().filter(|(_, entry)| {
+            let recent = now.ms_since(entry.changed_at) < RECOVERY_GOSSIP_MS;
+            entry.breaker.is_open() || entry.breaker.state().version > 0 && recent
         });
-        told.map(|(agent, held)| {
-            let view = held.health.state();
-            UpstreamVerdict {
-                agent: agent.to_string(),
-                version: view.version,
-                open: view.open,
-            }
-        })
-        .collect()
+        to_send
+            .map(|(agent, entry)| {
+                let state = entry.breaker.state();
+                UpstreamVerdict {
+                    agent: agent.to_string(),
+                    version: state.version,
+                    open: state.open,
+                }
+            })
+            .collect()
     }
 
-    /// Forgets upstreams whose agents are not known any more.
+    /// Removes breakers whose agents are no longer in the directory.
     pub(crate) fn forget_unknown(&mut self, directory: &Directory) {
         self.upstreams.retain(|id, _| directory.get(id).is_some());
         self.recount_open();
@@ -135,20 +139,20 @@
         &mut self,
         now: Instant,
         agent: &AgentId,
-        work: impl FnOnce(&mut UpstreamHealth),
+        work: impl FnOnce(&mut CircuitBreaker),
     ) -> Option<BreakerChange> {
-        let held = self.upstreams.entry(agent.clone());
-        let held = held.or_insert_with(|| BreakerEntry {
-            health: UpstreamHealth::new(),
+        let entry = self.upstreams.entry(agent.clone());
+        let entry = entry.or_insert_with(|| BreakerEntry {
+            breaker: CircuitBreaker::new(),
             changed_at: now,
         });
-        let before = held.health.is_open();
-        work(&mut held.health);
-        let after = held.health.is_open();
+        let before = entry.breaker.is_open();
+        work(&mut entry.breaker);
+        let after = entry.breaker.is_open();
         if before == after {
             return None;
         }
-        held.changed_at = now;
+        entry.changed_at = now;
         self.recount_open();
         Some(match after {
             true => BreakerChange::Failing,
@@ -157,20 +161,20 @@
     }
 
     fn recount_open(&mut self) {
-        let held = self.upstreams.values();
-        self.open_count = held.filter(|held| held.health.is_open()).count();
+        let entry = self.upstreams.values();
+        self.open_count = entry.filter(|entry| entry.breaker.is_open()).count();
     }
 }
 
 impl BreakerChange {
-    /// Records it.
+    /// Records the change in the timeline; `by` names the source of the state.
     pub(crate) fn record(self, agent: &AgentId, by: &str, out: &mut Vec<EntryAction>) {
         let (kind, what) = match self {
             Self::Failing => (
                 EventKind::UpstreamFailing,
-                "fails the work given to it and gets only probes",
+                "requests to it fail; it gets only probes",
             ),
-            Self::Recovered => (EventKind::UpstreamRecovered, "a probe ended well"),
+            Self::Recovered => (EventKind::UpstreamRecovered, "a probe succeeded"),
         };
         TimelineEvent::new(kind, format!("{what}, {by}"))
             .peer(agent)
--- a/crates/role/src/entry/control/cells.rs
+++ b/crates/role/src/entry/control/cells.rs
@@ -1,4 +1,4 @@
-//! Cells: the agents that one planner plans together.
+//! Planning cells: groups of agents that one entry plans together.
 
 use base::prelude::*;
 use conf::Config;
@@ -6,24 +6,24 @@
 use place::{AgentView, ResidentState, ResidentView};
 use std::collections::BTreeMap;
 
-/// Agents in one cell at most.
+/// Limit of agents in one planning cell.
 const CELL_AGENTS_MAX: usize = 64;
 
-/// Engines of one pool in one region that are planned together.
+/// Agents of engines in one pool and region, planned together.
 ///
-/// A cell spans the region's failure domains: one plan then sees all the room
-/// there is for a model, and places its replicas apart.
+/// A cell spans the failure domains of its region, so that one plan considers all
+/// accelerators that can hold a model and spreads the replicas over the domains.
 #[derive(Debug)]
 pub(super) struct PlanningCell {
-    /// Name, the key of its planner's rank.
+    /// Name; the entry that plans the cell is chosen by rendezvous hashing of it.
     pub(super) key: String,
-    /// Pool.
+    /// Pool of the agents.
     pub(super) pool: PoolId,
     /// Agents in order of name.
     pub(super) agents: Vec<AgentView>,
 }
 
-/// All cells of engines, in order of name.
+/// All planning cells, in order of pool and region.
 pub(super) fn planning_cells(
     directory: &Directory,
     config: &Config,
@@ -52,25 +52,25 @@
     cells
 }
 
-/// Region of a failure domain; a domain without one is a region of its own.
+/// Region of a failure domain; a domain without a configured region forms its own.
 fn region<'a>(config: &'a Config, domain: &'a DomainId) -> &'a str {
-    let known = config.fleet().failure_domains.get(domain.as_str());
-    let named = known.filter(|known| !known.region.is_empty());
-    named.map_or(domain.as_str(), |known| known.region.as_str())
+    let configured = config.fleet().failure_domains.get(domain.as_str());
+    let configured = configured.filter(|domain| !domain.region.is_empty());
+    configured.map_or(domain.as_str(), |domain| domain.region.as_str())
 }
 
 fn agent_view(agent: &Agent) -> AgentView {
-    let residents = agent.residents.iter().map(|held| ResidentView {
-        model: held.model.clone(),
-        version: held.version,
-        accelerator: held.accelerator,
-        size_mib: held.size_mib,
-        state: match held.state {
+    let residents = agent.residents.iter().map(|resident| ResidentView {
+        model: resident.model.clone(),
+        version: resident.version,
+        accelerator: resident.accelerator,
+        size_mib: resident.size_mib,
+        state: match resident.state {
             ResidencyState::Loading => ResidentState::Loading,
             ResidencyState::Loaded => ResidentState::Loaded,
             ResidencyState::Unloading => ResidentState::Unloading,
         },
-        since: held.since,
+        since: resident.since,
     });
     AgentView {
         id: agent.id.clone(),
--- a/crates/role/src/entry/control/config.rs
+++ b/crates/role/src/entry/control/config.rs
@@ -1,4 +1,4 @@
-//! The configuration: from the platform, or from peers while it is away.
+//! The configuration, read from the platform, or from peers during its outages.
 
 use base::Version;
 use base::prelude::*;
@@ -16,11 +16,11 @@
 use super::{Control, Effects};
 use crate::Peer;
 
-/// Least time between two questions for missing changes.
+/// Minimum interval between requests to peers for missing changes.
 const CONFIG_REQUEST_MIN_INTERVAL_MS: u64 = 200;
 
 impl Control {
-    /// Takes the platform's snapshot.
+    /// Applies the snapshot stored by the platform.
     pub(super) fn apply_snapshot(
         &mut self,
         value: &[u8],
@@ -34,8 +34,8 @@
         }
     }
 
-    /// Takes changes from the platform. Returns whether some are missing
-    /// between what is in force and the newest.
+    /// Applies changes read from the platform. Returns whether changes are missing
+    /// between the revision in force and the oldest newer one.
     pub(super) fn apply_config_changes(
         &mut self,
         objects: &[(String, Version, Vec<u8>)],
@@ -45,7 +45,7 @@
     ) -> bool {
         let mut changes: Vec<ConfigChange> = objects
             .iter()
-            .filter_map(|(key, _, value)| decode_change(key, value))
+            .filter_map(|(key, _, value)| parse_change(key, value))
             .collect();
         changes.sort_by_key(|change| change.revision);
         let next = self.log.revision().0 + 1;
@@ -62,8 +62,8 @@
         gap
     }
 
-    /// Puts newer changes in force; whatever is older or broken leaves all as
-    /// it was.
+    /// Applies newer changes. Older or invalid ones leave the configuration in force
+    /// unchanged.
     pub(super) fn merge_config(
         &mut self,
         offered: &ConfigChanges,
@@ -96,12 +96,12 @@
         self.entries.set_timing(timing);
         let verdict_ms = u64::from(config.limits().verdict_ms);
         shared.suspects.lock().set_verdict_ms(verdict_ms);
-        let detail = format!("revision {} in place of {before}", self.log.revision());
+        let detail = format!("revision {} replaces {before}", self.log.revision());
         TimelineEvent::new(EventKind::ConfigApplied, detail).record(out);
         self.set_ready(out);
     }
 
-    /// A peer shows a revision: asks for what is missing if it is higher.
+    /// Requests the missing changes from a peer that has a higher revision in force.
     pub(super) fn request_newer_config(
         &mut self,
         now: Instant,
@@ -109,17 +109,17 @@
         revision: Revision,
         out: &mut Vec<EntryAction>,
     ) {
-        let lately = self
+        let requested_recently = self
             .config_requested_at
             .is_some_and(|at| now.ms_since(at) < CONFIG_REQUEST_MIN_INTERVAL_MS);
-        if revision <= self.log.revision() || lately {
+        if revision <= self.log.revision() || requested_recently {
             return;
         }
         self.config_requested_at = Some(now);
         self.request_config(peer, out);
     }
 
-    /// Asks a peer for the changes after the revision in force.
+    /// Requests the changes after the revision in force from a peer.
     pub(super) fn request_config(&self, peer: &Peer, out: &mut Vec<EntryAction>) {
         out.push(EntryAction::SendFrame {
             peer: peer.clone(),
@@ -129,7 +129,7 @@
         });
     }
 
-    /// Answers a peer's question.
+    /// Answers a peer's request for changes.
     pub(super) fn send_config(
         &self,
         peer: &Peer,
@@ -149,13 +149,13 @@
 
 fn record_rejected(shared: &Shared, error: &impl Display, out: &mut Vec<EntryAction>) {
     Counts::add(&shared.counts.config_rejected);
-    let detail = format!("change not taken: {error}");
+    let detail = format!("configuration change rejected: {error}");
     TimelineEvent::new(EventKind::ConfigRejected, detail)
         .code(Code::BadSyntax)
         .record(out);
 }
 
-fn decode_change(key: &str, value: &[u8]) -> Option<ConfigChange> {
+fn parse_change(key: &str, value: &[u8]) -> Option<ConfigChange> {
     let revision = key.strip_prefix(REVISION_PREFIX)?.parse().ok()?;
     Some(ConfigChange {
         revision,
--- a/crates/role/src/entry/control/demand_shares.rs
+++ b/crates/role/src/entry/control/demand_shares.rs
@@ -1,10 +1,10 @@
-//! Which cells serve which models.
+//! Divides the demand for models between the planning cells.
 //!
-//! If each cell planned for the whole demand, each failure domain would load
-//! every model. So a base model with its adapters gets home cells: one, or more
-//! when one accelerator does not serve the demand, each with its share. Every
-//! entry computes the same from the same gossip; where two differ for a moment,
-//! a model is loaded once too often.
+//! If each cell planned for the whole demand, each would load every model. So a base
+//! model with its adapters is assigned to one cell, or to several, each with a share
+//! of the demand, if one accelerator can't serve it. All entries compute the same
+//! assignment from the same gossip; while two of them differ, a model may be loaded
+//! in one cell too many.
 
 use base::prelude::*;
 use conf::Config;
@@ -15,43 +15,43 @@
 
 use super::cells::PlanningCell;
 
-/// Part of an accelerator's slots that demand is planned to fill.
+/// Planned utilization of an accelerator's slots.
 const TARGET_UTILIZATION: f64 = 0.7;
 
-/// What a waiting request counts beside an arriving one's busy time: the queue
-/// shrinks by itself once the model is there.
+/// Slots counted for each waiting request, in addition to the slots kept busy by
+/// arrivals. Below 1, as the queue drains by itself once the model is loaded.
 const WAITING_WEIGHT: f64 = 0.25;
 
-/// Service time assumed before one was seen.
+/// Service time assumed until one was measured.
 const SERVICE_TIME_DEFAULT_MS: u32 = 1_000;
 
-/// Store weight of a cell that has nothing to load.
+/// Weight of a cell without loads in the division of the weight store's load rate.
 const IDLE_CELL_STORE_WEIGHT: f64 = 0.25;
 
-/// What one cell is to plan for.
+/// The part of one planning cell.
 #[derive(Debug, Default)]
 pub(super) struct CellDemand {
-    /// Its part of the demand, in order of name.
+    /// Its part of the demand, in order of model name.
     pub(super) demands: Vec<ModelDemand>,
-    /// Its part of the weight store's budget, 0 to 1.
+    /// Its part of the weight store's load rate, 0 to 1.
     pub(super) store_share: f64,
 }
 
-/// Models held by one cell; its order never shows.
+/// Models held in one cell. Never iterated, so its random order has no effect.
 type HeldModels<'a> = HashSet<&'a ModelId>;
 
-/// A base model with its adapters.
+/// Demand for a base model and its adapters.
 #[derive(Debug)]
 struct ModelGroup<'a> {
     base: &'a ModelId,
     pool: &'a PoolId,
     size_mib: u64,
-    /// Places kept busy.
+    /// Number of slots that the demand keeps busy.
     busy_slots: f64,
     members: Vec<&'a ModelDemand>,
 }
 
-/// Shares demand out over cells; the answer has one item for each cell.
+/// Divides the demand between cells; the result has one item for each cell.
 pub(super) fn share_demand(
     config: &Config,
     cells: &[PlanningCell],
@@ -59,32 +59,33 @@
 ) -> Vec<CellDemand> {
     let mut shares: Vec<CellDemand> =
         cells.iter().map(|_| CellDemand::default()).collect();
-    let mut room_mib: Vec<u64> = cells.iter().map(capacity_mib).collect();
+    let mut unassigned_mib: Vec<u64> = cells.iter().map(capacity_mib).collect();
     let mut weights = vec![IDLE_CELL_STORE_WEIGHT; cells.len()];
-    let held: Vec<HeldModels<'_>> = cells.iter().map(held_models).collect();
+    let held_by_cell: Vec<HeldModels<'_>> = cells.iter().map(held_models).collect();
     for group in groups(config, demands) {
         let replicas = replica_count(config, &group);
-        let counts = assign_cells(cells, &held, &group, replicas, &mut room_mib);
+        let counts =
+            assign_cells(cells, &held_by_cell, &group, replicas, &mut unassigned_mib);
         for (index, count) in counts {
             let share = f64::from(count) / f64::from(replicas);
             let members = group.members.iter();
             shares[index]
                 .demands
                 .extend(members.map(|demand| scaled(demand, share)));
-            if !held[index].contains(group.base) {
+            if !held_by_cell[index].contains(group.base) {
                 weights[index] += f64::from(count);
             }
         }
     }
     let sum: f64 = weights.iter().sum();
-    for (shares, weight) in shares.iter_mut().zip(weights) {
-        shares.demands.sort_by(|a, b| a.model.cmp(&b.model));
-        shares.store_share = weight / sum;
+    for (share, weight) in shares.iter_mut().zip(weights) {
+        share.demands.sort_by(|a, b| a.model.cmp(&b.model));
+        share.store_share = weight / sum;
     }
     shares
 }
 
-/// Groups with demand, the neediest first.
+/// Groups with demand, those with the most busy slots first.
 fn groups<'a>(config: &'a Config, demands: &'a [ModelDemand]) -> Vec<ModelGroup<'a>> {
     let mut groups: BTreeMap<&ModelId, ModelGroup<'a>> = BTreeMap::new();
     for demand in demands {
@@ -92,7 +93,7 @@
             continue;
         };
         let base = spec.base.as_ref().unwrap_or(&spec.id);
-        let base_size = config.model(base.as_str()).map_or(0, |held| held.size_mib);
+        let base_size = config.model(base.as_str()).map_or(0, |spec| spec.size_mib);
         let group = groups.entry(base).or_insert_with(|| ModelGroup {
             base,
             pool: &spec.pool,
@@ -121,7 +122,7 @@
     arriving + f64::from(demand.waiting) * WAITING_WEIGHT
 }
 
-/// Accelerators that the group's demand fills; one at least.
+/// Number of replicas needed to serve a group's demand; at least one.
 fn replica_count(config: &Config, group: &ModelGroup<'_>) -> u32 {
     let pool = config.pool(group.pool.as_str());
     let slots = pool.map_or(1, |pool| pool.concurrent_max).max(1);
@@ -129,36 +130,37 @@
         let each = u32::try_from(pool.accelerators_mib.len()).unwrap_or(1);
         pool.instances.saturating_mul(each)
     });
-    let wanted = (group.busy_slots / (f64::from(slots) * TARGET_UTILIZATION)).ceil();
-    (wanted as u32).clamp(1, accelerators.max(1))
+    let needed = (group.busy_slots / (f64::from(slots) * TARGET_UTILIZATION)).ceil();
+    (needed as u32).clamp(1, accelerators.max(1))
 }
 
-/// Cells for a group's replicas, with how many each takes.
+/// Assigns a group's replicas to cells, and returns the number for each cell.
 ///
-/// Replicas go to different cells first, so that one failure domain's end
-/// leaves some. Then come cells with room, those that hold the model already
-/// (no move), and last the rendezvous rank, which keeps the choice stable.
+/// For each replica, a cell with enough unassigned memory comes first, then the one with
+/// the fewest replicas of the group, so that the loss of one cell leaves some. Next
+/// comes a cell that already holds the model, which saves a load, and last the
+/// rendezvous weight, which keeps the choice stable.
 fn assign_cells(
     cells: &[PlanningCell],
-    held: &[HeldModels<'_>],
+    held_by_cell: &[HeldModels<'_>],
     group: &ModelGroup<'_>,
     replicas: u32,
-    room_mib: &mut [u64],
+    unassigned_mib: &mut [u64],
 ) -> BTreeMap<usize, u32> {
     let mut counts: BTreeMap<usize, u32> = BTreeMap::new();
     for _ in 0..replicas {
         let candidates = (0..cells.len()).filter(|i| cells[*i].pool == *group.pool);
         let best = candidates.max_by_key(|index| {
-            let taken = counts.get(index).copied().unwrap_or(0);
-            let fits = room_mib[*index] >= group.size_mib;
-            let here = held[*index].contains(group.base);
+            let assigned = counts.get(index).copied().unwrap_or(0);
+            let fits = unassigned_mib[*index] >= group.size_mib;
+            let already_held = held_by_cell[*index].contains(group.base);
             let rank = rendezvous(group.base.as_str(), &cells[*index].key);
-            (fits, Reverse(taken), here, rank)
+            (fits, Reverse(assigned), already_held, rank)
         });
         let Some(index) = best else {
             break;
         };
-        room_mib[index] = room_mib[index].saturating_sub(group.size_mib);
+        unassigned_mib[index] = unassigned_mib[index].saturating_sub(group.size_mib);
         *counts.entry(index).or_default() += 1;
     }
     counts
@@ -170,14 +172,15 @@
     accelerators.map(|mib| u64::from(*mib)).sum()
 }
 
-/// Models that the agents of a cell hold or load.
+/// Models that are loaded or being loaded in a cell.
 ///
-/// Looking through all residents for each model and replica would cost an entry
-/// the product of models and accelerators.
+/// Collected once, since a search of all residents for each model and replica would
+/// cost the product of the numbers of models and accelerators.
 fn held_models(cell: &PlanningCell) -> HeldModels<'_> {
     let residents = cell.agents.iter().flat_map(|agent| &agent.residents);
-    let staying = residents.filter(|held| held.state != ResidentState::Unloading);
-    staying.map(|held| &held.model).collect()
+    let staying =
+        residents.filter(|resident| resident.state != ResidentState::Unloading);
+    staying.map(|resident| &resident.model).collect()
 }
 
 fn scaled(demand: &ModelDemand, share: f64) -> ModelDemand {
--- a/crates/role/src/entry/control/forecast.rs
+++ b/crates/role/src/entry/control/forecast.rs
@@ -1,11 +1,11 @@
-//! When a model that nobody holds will be held.
+//! Predicts when a model that no agent holds will be loaded.
 //!
-//! Admission has to update_forecast it. The time of one load is not enough: loads start
-//! one after another at the weight store's rate, models wait for one another's
-//! accelerators and minimum residence, and an adapter waits for its base. So
-//! each heartbeat the loads that are waited for, here and at other entries, are
-//! laid out in order of their wait. The planner's order differs where one model
-//! is worth more, so this is a prediction and no promise.
+//! Admission depends on this. The duration of one load is not enough: the weight store
+//! limits the rate at which loads start, a model may have to wait for the minimum
+//! residence time of others on its accelerator, and an adapter waits for its base. So
+//! at each heartbeat the loads that requests wait for, here and at other entries, are
+//! simulated in order of their waiting time. The planner also weighs the models'
+//! values, so its order may differ and the result is only an estimate.
 
 use base::prelude::*;
 use conf::{Config, ModelSpec};
@@ -17,31 +17,33 @@
 use super::super::shared::Shared;
 use super::Control;
 
-/// Time from a wish to the order for a load.
+/// Assumed time from the planning of a load to its order.
 const PLAN_DELAY_MS: u64 = 500;
 
-/// Least time that a load which is under way still takes.
+/// Minimum predicted time to the end of a load in progress.
 const LOAD_REMAINING_MIN_MS: u64 = 50;
 
-/// Time within which an agent that is there, but can't serve, may be able to.
+/// Minimum predicted time until an agent that can't currently serve can.
 const AGENT_RETURN_MIN_MS: u64 = 1_000;
 
-/// Models laid out at most; those after them count as the last.
+/// Limit of models in the simulation. Those beyond it get the prediction for a load
+/// that starts after all of these.
 const FORECAST_MODELS_MAX: usize = 256;
 
-/// An accelerator as the layout fills it.
+/// State of an accelerator in the simulation.
 #[derive(Debug)]
 struct Accelerator {
     pool: PoolId,
     capacity_mib: u64,
     free_mib: u64,
-    /// When its agent may serve.
+    /// When its agent is expected to be able to serve.
     available_from: Instant,
-    /// Until when each model residents_until, with its size, the first to go first.
+    /// Earliest time at which each resident model may be unloaded, with its size in
+    /// MiB, in ascending order.
     residents_until: Vec<(Instant, u64)>,
 }
 
-/// What is foreseen.
+/// Result of the simulation, and its state while it runs.
 #[derive(Debug, Default)]
 pub(crate) struct LoadForecast {
     ready_at: BTreeMap<ModelId, Instant>,
@@ -51,16 +53,16 @@
 }
 
 impl Control {
-    /// Lays the loads out that are waited for.
+    /// Repeats the simulation of the awaited loads.
     pub(super) fn update_forecast(&mut self, now: Instant, shared: &Shared) {
         let Some(config) = self.config().cloned() else {
             return;
         };
-        let mut waited = self.awaited_unheld_models(now, shared, &config);
-        waited.truncate(FORECAST_MODELS_MAX);
+        let mut awaited = self.awaited_unheld_models(now, shared, &config);
+        awaited.truncate(FORECAST_MODELS_MAX);
         let mut forecast =
-            LoadForecast::new(now, &self.directory, &config, waited.len());
-        for (since, model) in waited {
+            LoadForecast::new(now, &self.directory, &config, awaited.len());
+        for (since, model) in awaited {
             let ready = forecast.schedule_load(now, &config, &self.directory, &model);
             if let Some(ready) = ready {
                 let ready = extend_overdue(now, since, ready, &forecast, &config);
@@ -70,8 +72,8 @@
         self.forecast = forecast;
     }
 
-    /// Predicted time until a model that nobody holds can be served, if any
-    /// accelerator may hold it.
+    /// Predicted time until a model without holders can be served; `None` if no
+    /// accelerator can hold it.
     pub(crate) fn predicted_load_wait_ms(
         &self,
         now: Instant,
@@ -98,14 +100,14 @@
         if spec.base.is_some() {
             return Some(load_ms + PLAN_DELAY_MS);
         }
-        let room = self.forecast.room_from(spec);
-        let room = room.or_else(|| self.can_fit(spec).then_some(now))?;
-        let start = room.max(self.forecast.next_load_start).max(now);
+        let room_at = self.forecast.room_from(spec);
+        let room_at = room_at.or_else(|| self.can_fit(spec).then_some(now))?;
+        let start = room_at.max(self.forecast.next_load_start).max(now);
         Some(start.ms_since(now) + load_ms + PLAN_DELAY_MS)
     }
 
-    /// Whether an accelerator can hold a model at all; its agent may have been
-    /// heard first after the last forecast.
+    /// Whether any accelerator is large enough for a model. Also considers agents first
+    /// heard after the last forecast.
     fn can_fit(&self, spec: &ModelSpec) -> bool {
         let agents = self.directory.agents().filter(|agent| can_load(agent));
         let mut of_pool = agents.filter(|agent| agent.pool == spec.pool);
@@ -115,13 +117,13 @@
         })
     }
 
-    /// Whether a model's load is foreseen, and not only how long one would take.
+    /// Whether the last forecast contains the model.
     pub(crate) fn has_forecast(&self, model: &ModelId) -> bool {
         self.forecast.ready_at.contains_key(model)
     }
 
-    /// Models waited for that nobody holds, here or at other entries, the one
-    /// that has waited longest first.
+    /// Models without holders that requests wait for, here or at other entries, in
+    /// order of the oldest wait.
     fn awaited_unheld_models(
         &self,
         now: Instant,
@@ -130,8 +132,8 @@
     ) -> Vec<(Instant, ModelId)> {
         let mut since: BTreeMap<ModelId, Instant> = BTreeMap::new();
         let mut note = |model: &ModelId, at: Instant| {
-            let held = since.entry(model.clone()).or_insert(at);
-            *held = (*held).min(at);
+            let oldest = since.entry(model.clone()).or_insert(at);
+            *oldest = (*oldest).min(at);
         };
         {
             let wait_queue = shared.wait_queue.lock();
@@ -142,10 +144,13 @@
                 note(model, oldest.unwrap_or(now));
             }
         }
-        let told = self.gossip.demands.iter();
-        let told = told.filter(|(id, _)| self.entries.alive(now, id));
-        let waits = |demand: &&Demand| demand.waiting > 0;
-        for demand in told.flat_map(|(_, demands)| demands).filter(waits) {
+        let gossiped = self.gossip.demands.iter();
+        let gossiped = gossiped.filter(|(id, _)| self.entries.alive(now, id));
+        let has_waiting = |demand: &&Demand| demand.waiting > 0;
+        for demand in gossiped
+            .flat_map(|(_, demands)| demands)
+            .filter(has_waiting)
+        {
             let wait = Duration::from_millis(demand.oldest_wait_ms);
             note(&ModelId::new(&demand.model), now - wait);
         }
@@ -165,23 +170,24 @@
         now: Instant,
         directory: &Directory,
         config: &Config,
-        waited: usize,
+        awaited: usize,
     ) -> Self {
-        let there = || directory.agents().filter(|agent| can_load(agent));
-        let loading = there().flat_map(|agent| &agent.residents);
-        let loading = loading.filter(|held| held.state == ResidencyState::Loading);
+        let loadable_agents = || directory.agents().filter(|agent| can_load(agent));
+        let loading = loadable_agents().flat_map(|agent| &agent.residents);
+        let loading =
+            loading.filter(|resident| resident.state == ResidencyState::Loading);
         let residence_ms = u64::from(config.weights().min_residence_ms);
         Self {
             ready_at: BTreeMap::new(),
-            load_ms: shared_load_ms(config, loading.count() + waited),
-            accelerators: there()
+            load_ms: shared_load_ms(config, loading.count() + awaited),
+            accelerators: loadable_agents()
                 .flat_map(|agent| agent_accelerators(now, agent, residence_ms))
                 .collect(),
             next_load_start: now,
         }
     }
 
-    /// Lays out one load, that of its base before it if need be.
+    /// Schedules a load, after that of its base if the base is not loaded.
     fn schedule_load(
         &mut self,
         now: Instant,
@@ -211,58 +217,64 @@
         Some(start.plus_ms(PLAN_DELAY_MS + self.load_ms))
     }
 
-    /// When room for a model is free first.
+    /// Earliest time at which an accelerator has room for a model.
     fn room_from(&self, spec: &ModelSpec) -> Option<Instant> {
         let candidates = self.accelerators.iter();
-        let fitting = candidates.filter(|held| held.pool == spec.pool);
-        let times = fitting.filter_map(|held| held.room_at(spec.size_mib.into()));
+        let fitting = candidates.filter(|accelerator| accelerator.pool == spec.pool);
+        let times =
+            fitting.filter_map(|accelerator| accelerator.room_at(spec.size_mib.into()));
         times.map(|(at, _)| at).min()
     }
 
-    /// Takes the room that is free first.
+    /// Reserves room for a model where it is available earliest.
     fn reserve_room(&mut self, config: &Config, spec: &ModelSpec) -> Option<Instant> {
         let size_mib = u64::from(spec.size_mib);
         let candidates = self.accelerators.iter_mut();
-        let fitting = candidates.filter(|held| held.pool == spec.pool);
-        let times = fitting.filter_map(|held| Some((held.room_at(size_mib)?, held)));
-        let ((at, leaving), held) = times.min_by_key(|((at, _), _)| *at)?;
-        let left = held
+        let fitting = candidates.filter(|accelerator| accelerator.pool == spec.pool);
+        let times = fitting.filter_map(|accelerator| {
+            Some((accelerator.room_at(size_mib)?, accelerator))
+        });
+        let ((at, unloads), accelerator) = times.min_by_key(|((at, _), _)| *at)?;
+        let freed_mib = accelerator
             .residents_until
-            .drain(..leaving)
+            .drain(..unloads)
             .map(|(_, mib)| mib)
             .sum::<u64>();
-        held.free_mib = (held.free_mib + left).saturating_sub(size_mib);
+        accelerator.free_mib =
+            (accelerator.free_mib + freed_mib).saturating_sub(size_mib);
         let residence_ms = u64::from(config.weights().min_residence_ms);
         let ready = at.max(self.next_load_start).plus_ms(self.load_ms);
-        held.residents_until
+        accelerator
+            .residents_until
             .push((ready.plus_ms(residence_ms), size_mib));
-        held.residents_until.sort_unstable();
+        accelerator.residents_until.sort_unstable();
         Some(at)
     }
 }
 
 impl Accelerator {
-    /// When it has room, and how many models have to go for it.
+    /// When the accelerator has room for a model, and how many of its residents have to
+    /// be unloaded for it.
     fn room_at(&self, size_mib: u64) -> Option<(Instant, usize)> {
         if size_mib > self.capacity_mib {
             return None;
         }
         let (mut free_mib, mut at) = (self.free_mib, self.available_from);
-        let mut leaving = 0;
+        let mut unloads = 0;
         while free_mib < size_mib {
-            let (until, mib) = self.residents_until.get(leaving)?;
+            let (until, mib) = self.residents_until.get(unloads)?;
             at = at.max(*until);
             free_mib += mib;
-            leaving += 1;
+            unloads += 1;
         }
-        Some((at, leaving))
+        Some((at, unloads))
     }
 }
 
-/// Predicted time until an agent can be sent work; 0 if it can.
+/// Predicted time until an agent can be sent requests; 0 if it can now.
 ///
-/// What has been away for long is not back in a moment, so it is expected to
-/// stay away as long again.
+/// An agent that has been unavailable for long is not expected back soon, so it is
+/// predicted to stay unavailable for the same time again.
 pub(crate) fn predicted_return_ms(now: Instant, agent: &Agent) -> u64 {
     let silent_ms = match agent.life {
         Life::Up => None,
@@ -276,9 +288,9 @@
     away_ms.map_or(0, |ms| ms.max(AGENT_RETURN_MIN_MS))
 }
 
-/// The prediction for a load that has been waited for longer than was foreseen:
-/// the same time again, but not beyond the turn that the planner gives to work
-/// which has waited for the longest time allowed.
+/// Extends the prediction for a load whose requests have already waited for longer than
+/// it: it is predicted to take the time waited again, but not longer than until the
+/// planner gives precedence to requests that waited for `wait_max_ms`.
 fn extend_overdue(
     now: Instant,
     since: Instant,
@@ -302,8 +314,8 @@
     directory.holders(model.as_str()).next().is_some()
 }
 
-/// When a load that is under way should be done. One that takes longer than a
-/// load should takes as long again.
+/// Predicted end of a load in progress. One that exceeds the configured load time is
+/// predicted to exceed it by as much again.
 fn load_end(
     now: Instant,
     directory: &Directory,
@@ -321,7 +333,8 @@
     u64::from(config.store().load_time_ms)
 }
 
-/// Duration of a load beside as many others as the store starts in that time.
+/// Duration of a load that shares the weight store with the others started in that
+/// time.
 fn shared_load_ms(config: &Config, loads: usize) -> u64 {
     let store = config.store();
     let load_ms = f64::from(store.load_time_ms);
@@ -338,13 +351,13 @@
 ) -> impl Iterator<Item = Accelerator> + '_ {
     let numbered = agent.accelerators_mib.iter().zip(0u32..);
     numbered.map(move |(capacity_mib, index)| {
-        let on = agent
+        let residents = agent
             .residents
             .iter()
-            .filter(|held| held.accelerator == index);
-        let residents_until = on.map(|held| {
-            let until = held.since.plus_ms(residence_ms).max(now);
-            (until, u64::from(held.size_mib))
+            .filter(|resident| resident.accelerator == index);
+        let residents_until = residents.map(|resident| {
+            let until = resident.since.plus_ms(residence_ms).max(now);
+            (until, u64::from(resident.size_mib))
         });
         let mut residents_until: Vec<(Instant, u64)> = residents_until.collect();
         residents_until.sort_unstable();
--- a/crates/role/src/entry/control/frames.rs
+++ b/crates/role/src/entry/control/frames.rs
@@ -1,4 +1,4 @@
-//! Frames that concern the control part.
+//! Handles frames that concern the control state.
 
 use base::prelude::*;
 use live::{Heard, MemberKind};
@@ -10,7 +10,7 @@
 use crate::Peer;
 
 impl Control {
-    /// Takes a frame that concerns the control part; others are dropped.
+    /// Handles a frame that concerns the control state; any other is dropped.
     pub(crate) fn frame(
         &mut self,
         now: Instant,
@@ -21,11 +21,11 @@
         effects: &mut Effects,
     ) {
         match (body, peer) {
-            // A process speaks for itself only.
-            (frame::Body::Heartbeat(beat), Peer::Agent(id))
-                if beat.agent == id.as_str() =>
+            // A process may send only its own heartbeats and gossip.
+            (frame::Body::Heartbeat(heartbeat), Peer::Agent(id))
+                if heartbeat.agent == id.as_str() =>
             {
-                self.heartbeat(now, beat, Heard::Direct, out, effects);
+                self.heartbeat(now, heartbeat, Heard::Direct, out, effects);
             }
             (frame::Body::Gossip(gossip), Peer::Entry(id))
                 if gossip.entry == id.as_str() =>
@@ -44,30 +44,30 @@
         }
     }
 
-    /// Takes a heartbeat, its sender's own or one relayed.
+    /// Handles an agent's heartbeat, received directly or relayed in gossip.
     pub(super) fn heartbeat(
         &mut self,
         now: Instant,
-        beat: Heartbeat,
+        heartbeat: Heartbeat,
         heard: Heard,
         out: &mut Vec<EntryAction>,
         effects: &mut Effects,
     ) {
-        let incarnation = Incarnation(beat.incarnation);
-        let id = AgentId::new(&beat.agent);
-        let address = beat.link_address.clone();
+        let incarnation = Incarnation(heartbeat.incarnation);
+        let id = AgentId::new(&heartbeat.agent);
+        let address = heartbeat.link_address.clone();
         let mut changes = Vec::new();
-        if !self.directory.hear(now, beat, heard, &mut changes) {
+        if !self.directory.hear(now, heartbeat, heard, &mut changes) {
             return;
         }
         self.connect_if_new(MemberKind::Agent, id.as_str(), incarnation, &address, out);
-        let alone = !self.entries.any_alive(now);
-        self.directory.judge(now, &id, alone, &mut changes);
+        let only_entry = !self.entries.any_alive(now);
+        self.directory.judge(now, &id, only_entry, &mut changes);
         self.apply_changes(&changes, out, effects);
         effects.agents_with_capacity.insert(id);
     }
 
-    /// TimelineEvent that a revision was heard with a frame.
+    /// Handles the configuration revision that came with a peer's frame.
     pub(crate) fn heard_revision(
         &mut self,
         now: Instant,
--- a/crates/role/src/entry/control/freeze.rs
+++ b/crates/role/src/entry/control/freeze.rs
@@ -1,27 +1,28 @@
-//! What an entry makes of time in which it stood still itself.
+//! Detects that the entry process itself was frozen, and discounts that time.
 //!
-//! A process that was stopped for seconds wakes with its clock moved on, and
-//! what its peers sent meanwhile still waits in its sockets. By its clock they
-//! all were silent. It would give up agents that are well, with the work it gave
-//! them, would count itself the only entry, and would plan as such on a view that
-//! is old. So time in which it stood still counts as nobody's silence.
+//! A process that was not scheduled for seconds (SIGSTOP, a paused virtual machine)
+//! resumes with its clock advanced, and the frames that peers sent meanwhile are
+//! still unread in its sockets. By its clock all peers were silent. It would declare
+//! healthy agents lost and give up the attempts at them, would take itself for the
+//! only entry, and would plan on an outdated view. So the time of a freeze does not
+//! count towards any peer's silence.
 
 use base::prelude::*;
 
 use super::Control;
 
-/// Heartbeat intervals by which a timer is late after a freeze. Agents heard
-/// before a shorter one are at worst suspected, which ends with the next frame.
+/// Delay of a timer, in heartbeat intervals, from which the process counts as frozen.
+/// A shorter freeze at worst makes agents suspected, until their next frame is read.
 const FREEZE_HEARTBEATS: u64 = 2;
 
-/// The newest time in which the process stood still.
+/// The latest freeze of the process.
 #[derive(Debug)]
 pub(super) struct Freeze {
     gap_ms: u64,
-    /// Until when silence is counted without the gap. Whoever is not heard by
-    /// then has been silent for the whole bound since the detect_freeze.
+    /// Until when the gap is discounted from silences. An agent that is not heard by
+    /// then has been silent for the whole limit since the process resumed.
     discount_until: Instant,
-    /// When what waited in the sockets has been read.
+    /// When the frames received during the freeze have been read.
     backlog_read_by: Instant,
 }
 
@@ -36,14 +37,14 @@
 }
 
 impl Control {
-    /// When an event means that the process stood still: some timer is due a
-    /// few times in each heartbeat interval, so this one would be late.
+    /// Time from which an event shows that the process was frozen. Some timer is due
+    /// several times in each heartbeat interval, so only a freeze delays one by more.
     pub(crate) fn freeze_threshold(&self) -> Option<Instant> {
         let late_ms = self.directory.timing().heartbeat_ms() * FREEZE_HEARTBEATS;
         self.due().map(|due| due.plus_ms(late_ms))
     }
 
-    /// Notes that the process has woken, if it has.
+    /// Notes a freeze, if one has just ended.
     pub(crate) fn detect_freeze(&mut self, now: Instant) {
         let (Some(due), Some(bound)) = (self.due(), self.freeze_threshold()) else {
             return;
@@ -61,7 +62,7 @@
             discount_until: now.plus_ms(timing.lost_ms()),
             backlog_read_by: now.plus_ms(timing.heartbeat_ms()),
         };
-        // The next event must not find the same timers late again.
+        // Reset the overdue timers, so that the next event does not find them late.
         let mut late = Vec::new();
         while let Some(timer) = self.timers.take(now) {
             late.push(timer);
@@ -71,7 +72,7 @@
         }
     }
 
-    /// The time by which silence is judged.
+    /// The current time without the freeze, against which silences are measured.
     pub(super) fn silence_clock(&self, now: Instant) -> Instant {
         match now < self.freeze.discount_until {
             true => now - Duration::from_millis(self.freeze.gap_ms),
@@ -79,8 +80,8 @@
         }
     }
 
-    /// When what peers sent during a freeze has been read. Before that nothing
-    /// is planned, and no attempt counts as silent.
+    /// When the frames that peers sent during a freeze have been read. Until then no
+    /// plan is made, and no attempt counts as silent.
     pub(crate) const fn backlog_read_by(&self) -> Instant {
         self.freeze.backlog_read_by
     }
--- a/crates/role/src/entry/control/gossip.rs
+++ b/crates/role/src/entry/control/gossip.rs
@@ -1,4 +1,4 @@
-//! What entries tell one another.
+//! Gossip between entries.
 
 use base::prelude::*;
 use live::{Heard, Life, MemberKind};
@@ -12,25 +12,26 @@
 use super::{Control, Effects, Timer};
 use crate::Peer;
 
-/// Models whose demand is taken from one entry.
+/// Limit of models whose demand is accepted from one entry.
 const DEMANDS_MAX: usize = 4_096;
 
-/// Suspects, heartbeats and silences taken from one gossip.
+/// Limit, each, of the heartbeats, silences, suspects and verdicts accepted from one
+/// gossip message.
 const ITEMS_MAX: usize = 4_096;
 
-/// Least time between two gossips that can't wait for the next heartbeat.
+/// Minimum interval between gossip messages sent ahead of the next heartbeat.
 const GOSSIP_MIN_INTERVAL_MS: u64 = 20;
 
-/// State of gossip.
+/// State of the gossip with other entries.
 #[derive(Debug)]
 pub(crate) struct GossipState {
     sequence: u64,
     sent_at: Option<Instant>,
-    /// A timer is set for what came too soon after the last.
+    /// A timer is set to send gossip that was requested too soon after the last.
     pub(super) send_scheduled: bool,
-    /// Newest heartbeat told of each agent.
+    /// Newest heartbeat of each agent that was relayed: incarnation and sequence.
     relayed: BTreeMap<AgentId, (Incarnation, u64)>,
-    /// Demand as the other entries see it.
+    /// Demand reported by each other entry.
     pub(crate) demands: BTreeMap<EntryId, Vec<Demand>>,
 }
 
@@ -47,8 +48,8 @@
 }
 
 impl Control {
-    /// Tells the other entries now; if they were told a moment ago, a moment
-    /// later. What must not wait for the next heartbeat is not lost by that.
+    /// Sends gossip without waiting for the next heartbeat: now, or as soon as
+    /// `GOSSIP_MIN_INTERVAL_MS` has passed since the last.
     pub(crate) fn request_gossip(
         &mut self,
         now: Instant,
@@ -112,26 +113,26 @@
         }
     }
 
-    /// Heartbeats heard over this entry's own links since the last gossip. Only
-    /// these: two entries that relay what they were told would keep a dead
-    /// agent alive between them.
+    /// Heartbeats received directly from agents since the last gossip. Relayed ones are
+    /// not passed on: two entries that relay to each other would keep a dead agent
+    /// alive.
     fn heartbeats_to_relay(&mut self, now: Instant) -> Vec<schema::link::Heartbeat> {
         let suspect_ms = self.directory.timing().suspect_ms();
-        let mut news = Vec::new();
+        let mut heartbeats = Vec::new();
         for agent in self.directory.agents() {
             let direct = agent.direct_at;
             let heard = direct.is_some_and(|at| now.ms_since(at) < suspect_ms);
             let newest = (agent.incarnation, agent.sequence);
             if heard && self.gossip.relayed.get(&agent.id) != Some(&newest) {
                 self.gossip.relayed.insert(agent.id.clone(), newest);
-                news.push(agent.last.clone());
+                heartbeats.push(agent.last.clone());
             }
         }
         let directory = &self.directory;
         self.gossip
             .relayed
             .retain(|id, _| directory.get(id).is_some());
-        news
+        heartbeats
     }
 
     fn silences(&self, now: Instant) -> Vec<Silence> {
@@ -170,16 +171,21 @@
             address,
             out,
         );
-        for beat in gossip.agents.into_iter().take(ITEMS_MAX) {
-            self.heartbeat(now, beat, Heard::Relayed, out, effects);
+        for heartbeat in gossip.agents.into_iter().take(ITEMS_MAX) {
+            self.heartbeat(now, heartbeat, Heard::Relayed, out, effects);
         }
-        let said: Vec<_> = gossip
+        let silences: Vec<_> = gossip
             .silences
             .iter()
             .take(ITEMS_MAX)
-            .map(|held| (AgentId::new(&held.agent), Incarnation(held.incarnation)))
+            .map(|silence| {
+                (
+                    AgentId::new(&silence.agent),
+                    Incarnation(silence.incarnation),
+                )
+            })
             .collect();
-        self.directory.silences(now, &from, &said);
+        self.directory.silences(now, &from, &silences);
         for suspect in gossip.suspects.iter().take(ITEMS_MAX) {
             merge_suspect(now, suspect, shared, out, effects);
         }
@@ -188,18 +194,18 @@
         }
         let mut demands = gossip.demands;
         demands.truncate(DEMANDS_MAX);
-        let unheld = demands.iter().any(|demand| {
+        let unheld_model_awaited = demands.iter().any(|demand| {
             demand.waiting > 0 && self.directory.holders(&demand.model).next().is_none()
         });
         self.gossip.demands.insert(from, demands);
-        if unheld {
+        if unheld_model_awaited {
             effects.set_plan_job(self.plan_soon(now, shared));
         }
     }
 }
 
 impl Control {
-    /// Takes another entry's verdict on an upstream.
+    /// Merges another entry's circuit breaker state of an upstream.
     fn merge_verdict(
         &self,
         now: Instant,
@@ -215,14 +221,14 @@
         }
         let change = shared.breakers.lock().merge(now, verdict);
         if let Some(change) = change {
-            change.record(&agent, &format!("says {from}"), out);
+            change.record(&agent, &format!("reported by {from}"), out);
             effects.agents_with_capacity.insert(agent);
         }
     }
 }
 
-/// Takes another entry's word on a request. What waits here may be free by it,
-/// or may not run any more.
+/// Merges another entry's record of a suspect request. If it adds something, all wait
+/// queues are tried again, as waiting requests may become runnable or convicted.
 fn merge_suspect(
     now: Instant,
     suspect: &Suspect,
@@ -230,20 +236,20 @@
     out: &mut Vec<EntryAction>,
     effects: &mut Effects,
 ) {
-    let mut news = false;
+    let mut updated = false;
     let worsened = {
         let mut suspects = shared.suspects.lock();
         apply_and_diff(&mut suspects, now, &[suspect.fingerprint], |suspects| {
-            news = suspects.merge(now, suspect);
+            updated = suspects.merge(now, suspect);
         })
     };
-    for held in worsened {
-        held.record(None, out);
+    for change in worsened {
+        change.record(None, out);
     }
-    effects.wake_all |= news;
+    effects.wake_all |= updated;
 }
 
-/// Demand by model as this entry sees it.
+/// Demand by model at this entry.
 pub(super) fn own_demands(now: Instant, shared: &Shared) -> Vec<Demand> {
     let stats = stats_by_model(now, shared);
     let wait_queue = shared.wait_queue.lock();
@@ -259,8 +265,8 @@
             value_milli: milli(stats.value),
         }
     });
-    let told = demands.filter(|demand| demand.rate_milli > 0 || demand.waiting > 0);
-    told.collect()
+    let nonzero = demands.filter(|demand| demand.rate_milli > 0 || demand.waiting > 0);
+    nonzero.collect()
 }
 
 fn stats_by_model(
@@ -277,7 +283,7 @@
         .collect()
 }
 
-/// A number in thousandths; one out of range is cut.
+/// Converts to thousandths; a value out of range saturates.
 fn milli(value: f64) -> u32 {
     (value * 1_000.0).round() as u32
 }
--- a/crates/role/src/entry/control/instances.rs
+++ b/crates/role/src/entry/control/instances.rs
@@ -1,4 +1,4 @@
-//! The platform's words on instances, and which entries wait for its news.
+//! Instance states published by the platform, and which entries keep watches open.
 
 use base::prelude::*;
 use base::{PlatformOp, Version};
@@ -9,45 +9,46 @@
 use super::platform::{CallKind, list};
 use super::{Control, Effects, Timer};
 
-/// Start of the keys of the platform's own words on instances.
+/// Key prefix of the instance states.
 const INSTANCES_PREFIX: &str = "instances/";
 
-/// Interval at which they are read as a whole, whatever a watch tells.
+/// Interval at which all instance states are listed, regardless of the watch.
 const INSTANCES_LIST_INTERVAL_MS: u64 = 30_000;
 
-/// Entries of one failure domain that wait for the platform's news.
+/// Number of entries in each failure domain that keep watches open at the platform.
 ///
-/// The platform counts a waiting watch as a call, and its rates grow more slowly
-/// than the fleet: at 1,300 entries with two watches each it would be past its
-/// bound. The others hear of a revision with the next frame, of addresses by
-/// gossip, and look for themselves now and then. Two in each domain, so that one
-/// that dies leaves one.
+/// The platform counts an open watch as a call, and its call rate limit grows more
+/// slowly than the fleet: 1,300 entries with two watches each would exceed it. The
+/// other entries learn of a new revision from the next frame and of addresses from
+/// gossip, and poll occasionally. There are two per domain, so that one is left if
+/// the other dies.
 const WATCHERS_PER_DOMAIN: usize = 2;
 
-/// Time after which an entry that does not wait for news asks itself again.
+/// Interval at which an entry without open watches checks whether it has to open
+/// them.
 const DEFERRED_WATCH_CHECK_MS: u64 = 5_000;
 
-/// Key by which the watchers of a failure domain are ranked.
+/// Key of the rendezvous hashing that chooses a failure domain's watchers.
 const WATCHER_KEY: &str = "platform-watch";
 
 impl Control {
-    /// Whether this entry waits for the platform's news.
+    /// Whether this entry keeps watches open.
     ///
-    /// Entries that see different peers for a while disagree; too many wait, or
-    /// too few, and then the slow looks bring the news.
+    /// While entries see different peers alive, too many or too few of them may watch;
+    /// if too few do, polling finds the changes.
     pub(super) fn is_watcher(&self, now: Instant) -> bool {
-        let mine = rendezvous(WATCHER_KEY, self.own_id.as_str());
-        let others = self.entries.all().filter(|held| {
-            held.domain == self.failure_domain
-                && !held.leaving
-                && self.entries.alive(now, &held.id)
+        let own_weight = rendezvous(WATCHER_KEY, self.own_id.as_str());
+        let others = self.entries.all().filter(|entry| {
+            entry.domain == self.failure_domain
+                && !entry.leaving
+                && self.entries.alive(now, &entry.id)
         });
-        let before =
-            others.filter(|held| rendezvous(WATCHER_KEY, held.id.as_str()) > mine);
-        before.count() < WATCHERS_PER_DOMAIN
+        let higher_ranked = others
+            .filter(|entry| rendezvous(WATCHER_KEY, entry.id.as_str()) > own_weight);
+        higher_ranked.count() < WATCHERS_PER_DOMAIN
     }
 
-    /// Puts a watch off if it is for others to wait; returns whether it did.
+    /// Defers a watch if other entries are to keep it open; returns whether it did.
     pub(super) fn defer_watch(&mut self, call: CallKind) -> bool {
         let watch = matches!(
             call,
@@ -56,8 +57,8 @@
         if !watch || self.is_watcher(self.ticked_at) {
             return false;
         }
-        // One timer for each: without this, every list would begin a chain of
-        // its own that never ends.
+        // At most one timer for each watch: otherwise each list would start another
+        // chain of timers that never ends.
         if self.deferred_watches.insert(call) {
             let at = self.ticked_at.plus_ms(DEFERRED_WATCH_CHECK_MS);
             self.timers.set(at, Timer::Call(call));
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Takes the whole list, and waits for news of it.
+    /// Applies a list of all instance states, then watches for changes.
     pub(super) fn instances_listed(
         &mut self,
         now: Instant,
@@ -102,8 +103,8 @@
         self.timers.set(at, Timer::Call(CallKind::InstancesList));
     }
 
-    /// A wait for news of instances ended: if there is some, all are read, since
-    /// an instance that is no longer leaving shows only in the whole list.
+    /// Handles the end of a watch. If it reported changes, all instance states are
+    /// listed, since only a full list shows that an instance is no longer leaving.
     pub(super) fn instances_watch_ended(
         &mut self,
         now: Instant,
@@ -120,6 +121,6 @@
 }
 
 fn is_leaving(value: &[u8]) -> bool {
-    let word: Result<serde_json::Value, _> = serde_json::from_slice(value);
-    word.is_ok_and(|word| word["state"] == "leaving")
+    let state: Result<serde_json::Value, _> = serde_json::from_slice(value);
+    state.is_ok_and(|state| state["state"] == "leaving")
 }
--- a/crates/role/src/entry/control/links.rs
+++ b/crates/role/src/entry/control/links.rs
@@ -1,4 +1,5 @@
-//! Links, members, and what changes in the directory mean.
+//! Links to other processes, member records, and the effects of changes in the
+//! agent directory.
 
 use base::prelude::*;
 use live::{Change, MemberKind};
@@ -13,8 +14,8 @@
 use crate::Peer;
 
 impl Control {
-    /// Connects to the entries named in the settings, which are there also when
-    /// the platform is not.
+    /// Connects to the entries named in the settings, which can be reached without the
+    /// platform.
     pub(super) fn dial_peers(
         &mut self,
         options: &EntryOptions,
@@ -42,7 +43,7 @@
         self.connect_if_new(kind, &member.id, incarnation, &member.link_address, out);
     }
 
-    /// Connects to a process whose address is new.
+    /// Connects to a process if its address is new.
     pub(super) fn connect_if_new(
         &mut self,
         kind: MemberKind,
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Judges every agent anew.
+    /// Checks the liveness of all agents.
     pub(super) fn check_liveness(
         &mut self,
         now: Instant,
@@ -121,13 +122,13 @@
         effects: &mut Effects,
     ) {
         let silence_clock = self.silence_clock(now);
-        let alone = !self.entries.any_alive(now);
+        let only_entry = !self.entries.any_alive(now);
         let mut changes = Vec::new();
-        self.directory.tick(silence_clock, alone, &mut changes);
+        self.directory.tick(silence_clock, only_entry, &mut changes);
         self.apply_changes(&changes, out, effects);
     }
 
-    /// Carries out what changes in the directory mean.
+    /// Applies the effects of changes in the agent directory.
     pub(super) fn apply_changes(
         &mut self,
         changes: &[Change],
@@ -149,25 +150,33 @@
             Change::Suspected(id) => (
                 EventKind::AgentSuspected,
                 id,
-                "silent or its link is down: no new work",
+                "silent or its link is down; gets no new requests",
             ),
             Change::Lost(id) => {
                 effects
                     .gone_agents
                     .entry(id.clone())
                     .or_insert(GoneReason::Lost);
-                (EventKind::AgentLost, id, "given up")
+                (
+                    EventKind::AgentLost,
+                    id,
+                    "silent for too long; its attempts are given up",
+                )
             }
             Change::Back(id) => {
                 effects.agents_with_capacity.insert(id.clone());
-                (EventKind::AgentBack, id, "heard")
+                (EventKind::AgentBack, id, "heard again")
             }
-            Change::Leaving(id) => (EventKind::AgentLeaving, id, "no new work"),
+            Change::Leaving(id) => (
+                EventKind::AgentLeaving,
+                id,
+                "draining; gets no new requests",
+            ),
             Change::Restarted(id) => {
                 effects
                     .gone_agents
                     .insert(id.clone(), GoneReason::Restarted);
-                (EventKind::AgentBack, id, "a new run of it")
+                (EventKind::AgentBack, id, "restarted")
             }
             Change::UpstreamUp(id) => {
                 effects.agents_with_capacity.insert(id.clone());
--- a/crates/role/src/entry/control/mod.rs
+++ b/crates/role/src/entry/control/mod.rs
@@ -1,9 +1,8 @@
-//! The control part: directory, configuration, other entries and planning.
+//! Control state: agent directory, configuration, other entries and planning.
 //!
-//! Everything here changes a few times a second, while requests only read it,
-//! so it stands under a read-write lock. What its changes mean for requests in
-//! flight or waiting is returned as [`Effects`] and carried out once the lock
-//! is given back.
+//! This state changes a few times per second, while requests only read it, so it is
+//! guarded by a read-write lock. The effects of a change on running and waiting
+//! requests are returned as [`Effects`] and applied after the lock is released.
 
 mod cells;
 mod config;
@@ -40,38 +39,39 @@
 use plan::Planning;
 use platform::PlatformCalls;
 
-/// Interval of heartbeats until a configuration says so.
+/// Heartbeat interval while no configuration is in force.
 const HEARTBEAT_DEFAULT_MS: u32 = 500;
 
-/// Length of one entry's turn to run suspects alone.
+/// Length of one entry's turn to start exclusive runs of suspect requests.
 const EXCLUSIVE_TURN_MS: u64 = 3_000;
 
-/// Start of a turn in which nobody starts a suspect. It covers the difference
-/// between two entries' wall clocks and the way of the last turn's word.
+/// Time at the start of a turn in which no entry starts an exclusive run. It covers
+/// the skew between the entries' wall clocks and the delivery of the gossip sent at
+/// the end of the previous turn.
 const EXCLUSIVE_TURN_GUARD_MS: u64 = 1_000;
 
-/// Why attempts at an agent can't be waited for any longer.
+/// Why the entry stops waiting for the attempts at an agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum GoneReason {
-    /// The link broke: frames may be lost, and nothing can be asked.
+    /// The link broke: frames may be lost, and the agent can't be queried.
     LinkDown,
-    /// A new run of the agent knows nothing of them.
+    /// The agent restarted and has no record of them.
     Restarted,
-    /// The agent is silent.
+    /// The agent has been silent for so long that it counts as lost.
     Lost,
 }
 
-/// Times in a heartbeat interval that all agents are judged.
+/// Liveness checks of all agents in each heartbeat interval.
 const LIVENESS_CHECKS_PER_HEARTBEAT: u64 = 5;
 
-/// What a change means for requests.
+/// Effects of a change of the control state on requests.
 #[derive(Debug, Default)]
 pub(crate) struct Effects {
-    /// Agents whose attempts have to be settled.
+    /// Agents whose attempts in flight are to be ended, and why.
     pub(crate) gone_agents: BTreeMap<AgentId, GoneReason>,
-    /// Agents that may have agents_with_capacity or hold something new.
+    /// Agents that may have capacity again or hold another model.
     pub(crate) agents_with_capacity: BTreeSet<AgentId>,
-    /// All queues have to be looked at.
+    /// All wait queues are to be tried.
     pub(crate) wake_all: bool,
     /// A round of planning to run.
     pub(crate) plan: Option<PlanJob>,
@@ -79,12 +79,12 @@
 
 impl Effects {
     fn set_plan_job(&mut self, job: Option<PlanJob>) {
-        // A second job is not made while one is out.
+        // No second job is made while one is running.
         self.plan = self.plan.take().or(job);
     }
 }
 
-/// Timers of the control part.
+/// Timers of the control state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Timer {
     Heartbeat,
@@ -96,7 +96,7 @@
     Exit,
 }
 
-/// The control part.
+/// The control state.
 #[derive(Debug)]
 pub(crate) struct Control {
     pub(crate) directory: Directory,
@@ -110,7 +110,8 @@
     own_id: EntryId,
     failure_domain: DomainId,
     instances_version: Version,
-    /// Watches that are left to other entries, until they are asked for again.
+    /// Watches that are currently left to other entries, with a timer set for each
+    /// to check again.
     deferred_watches: BTreeSet<platform::CallKind>,
     unix_ms_at_zero: u64,
     started_at: Instant,
@@ -175,12 +176,12 @@
         self.log.current()
     }
 
-    /// When the control part wants its next tick.
+    /// When the next timer of the control state is due.
     pub(crate) fn due(&self) -> Option<Instant> {
         self.timers.due()
     }
 
-    /// Time of the last tick: the present, as far as reports need it.
+    /// Time of the last tick, which reports use as the current time.
     pub(crate) const fn ticked_at(&self) -> Instant {
         self.ticked_at
     }
@@ -190,57 +191,58 @@
         self.platform.up()
     }
 
-    /// Whether this process has just started and may not have heard of agents.
+    /// Whether this process started so recently that it may not know all agents.
     pub(crate) fn just_started(&self, now: Instant) -> bool {
         now.ms_since(self.started_at) < self.directory.timing().lost_ms()
     }
 
-    /// Whether an agent may be sent work.
+    /// Whether an agent may be sent requests.
     pub(crate) fn usable(&self, now: Instant, agent: &Agent) -> bool {
         agent.life == Life::Up && self.directory.usable(now, agent)
     }
 
-    /// Whether this entry probes an upstream for the fleet.
+    /// Whether this entry is the one that probes a failing upstream for all entries.
     pub(crate) fn is_prober(&self, now: Instant, agent: &AgentId) -> bool {
-        let others = self.entries.all().filter(|held| !held.leaving);
-        let alive = others.filter(|held| self.entries.alive(now, &held.id));
-        let names = alive.map(|held| &held.id).chain([&self.own_id]);
-        route::prober(agent, names) == Some(&self.own_id)
+        let others = self.entries.all().filter(|entry| !entry.leaving);
+        let alive = others.filter(|entry| self.entries.alive(now, &entry.id));
+        let live_ids = alive.map(|entry| &entry.id).chain([&self.own_id]);
+        route::probing_entry(agent, live_ids) == Some(&self.own_id)
     }
 
-    /// Time until this entry may start a suspect alone; 0 if it may now.
+    /// Time until this entry may start an exclusive run of a suspect request; 0 if it
+    /// may now.
     ///
-    /// A request that crashes upstreams may come through every entry at once.
-    /// If two started it alone at the same time, it would crash three upstreams
-    /// and not two. So the live entries take turns by the wall clock, and each
-    /// tells the others at once what it started. Nobody starts anything in the
-    /// first part of a turn: within it the last word of the turn before has
-    /// arrived, even if the two clocks differ a little.
+    /// A request that crashes upstreams may arrive at every entry at once. If two
+    /// entries started it exclusively at the same time, it would crash three upstreams
+    /// instead of two. So the live entries take turns by the wall clock, and each
+    /// sends gossip at once when it starts one. No entry starts one in the first part
+    /// of a turn, so that the last gossip of the previous turn has arrived by then,
+    /// even if the clocks differ slightly.
     pub(crate) fn exclusive_turn_wait_ms(&self, now: Instant) -> u64 {
         let others = self.entries.all();
         let silence_clock = self.silence_clock(now);
-        let alive = others.filter(|held| self.entries.alive(silence_clock, &held.id));
-        let (mut count, mut before) = (1, 0);
-        for held in alive {
+        let alive = others.filter(|entry| self.entries.alive(silence_clock, &entry.id));
+        let (mut count, mut rank) = (1, 0);
+        for entry in alive {
             count += 1;
-            before += u64::from(held.id < self.own_id);
+            rank += u64::from(entry.id < self.own_id);
         }
         if count == 1 {
             return 0;
         }
         let round_ms = count * EXCLUSIVE_TURN_MS;
         let unix_ms = self.unix_ms_at_zero.saturating_add(now.as_ms());
-        let passed_ms = unix_ms % round_ms;
-        let start_ms = before * EXCLUSIVE_TURN_MS + EXCLUSIVE_TURN_GUARD_MS;
-        let end_ms = (before + 1) * EXCLUSIVE_TURN_MS;
-        match passed_ms {
-            passed if passed < start_ms => start_ms - passed,
-            passed if passed < end_ms => 0,
-            passed => round_ms - passed + start_ms,
+        let elapsed_ms = unix_ms % round_ms;
+        let start_ms = rank * EXCLUSIVE_TURN_MS + EXCLUSIVE_TURN_GUARD_MS;
+        let end_ms = (rank + 1) * EXCLUSIVE_TURN_MS;
+        match elapsed_ms {
+            elapsed if elapsed < start_ms => start_ms - elapsed,
+            elapsed if elapsed < end_ms => 0,
+            elapsed => round_ms - elapsed + start_ms,
         }
     }
 
-    /// Does what is due.
+    /// Handles the timers that are due.
     pub(crate) fn tick(
         &mut self,
         now: Instant,
@@ -281,11 +283,11 @@
         effects.wake_all = true;
     }
 
-    /// Judges all agents, several times in a heartbeat interval.
+    /// Checks the liveness of all agents, several times in a heartbeat interval.
     ///
-    /// Silence has to end work in flight soon after its bound, but nothing says
-    /// so by itself. A fixed interval costs the same whatever is heard; judging
-    /// all of them with each heartbeat costs the square of their number.
+    /// Attempts at a silent agent have to end soon after the silence limit, and no
+    /// event marks that time. A timer has a fixed cost, whereas a check of all agents
+    /// at each received heartbeat would cost the square of their number.
     fn liveness_due(
         &mut self,
         now: Instant,
@@ -299,7 +301,7 @@
             .set(now.plus_ms(interval.max(1)), Timer::Liveness);
     }
 
-    /// Starts to stop.
+    /// Starts draining.
     pub(crate) fn drain(
         &mut self,
         now: Instant,
@@ -310,7 +312,7 @@
             return;
         }
         self.leaving = true;
-        let detail = "takes no new work, finishes what it has";
+        let detail = "accepts no new requests, finishes those in progress";
         TimelineEvent::new(EventKind::ProcessDraining, detail).record(out);
         self.set_ready(out);
         self.register(shared, out);
@@ -331,7 +333,8 @@
         }
     }
 
-    /// Says goodbye, once the last request has ended.
+    /// Leaves the fleet after the last request has ended: sends goodbyes and deletes
+    /// the member record.
     pub(crate) fn shut_down(
         &mut self,
         now: Instant,
@@ -343,8 +346,8 @@
         }
         self.send_goodbye(shared, out);
         self.unregister(shared, out);
-        // The record is a help to others, not a promise: an outage of the
-        // platform must not keep a drained process from ending.
+        // Other processes don't depend on the record being deleted, so an outage of
+        // the platform must not keep a drained process from ending.
         self.timers
             .set(now.plus_ms(platform::UNREGISTER_WAIT_MS), Timer::Exit);
     }
--- a/crates/role/src/entry/control/placements.rs
+++ b/crates/role/src/entry/control/placements.rs
@@ -1,4 +1,4 @@
-//! What is wanted where, and its events.
+//! Planned placements of models, and the timeline events for their changes.
 
 use base::prelude::*;
 use place::{PlacementReason, Plan};
@@ -9,22 +9,22 @@
 use super::super::outcome_counts::OutcomeCounts;
 use super::super::timeline::TimelineEvent;
 
-/// What is wanted where, by agent, accelerator and model.
-pub(super) type PlannedPlacements = BTreeMap<(AgentId, u32, ModelId), PlaceReason>;
+/// Reason of each planned placement, by agent, accelerator and model.
+pub(super) type PlannedPlacements = BTreeMap<(AgentId, u32, ModelId), PlacementReason>;
 
-/// What a plan wants.
+/// Collects the placements of a plan.
 pub(super) fn planned_placements(plan: &Plan) -> PlannedPlacements {
     let mut placements = PlannedPlacements::new();
     for target in &plan.targets {
-        for wish in &target.models {
-            let key = (target.agent.clone(), wish.accelerator, wish.model.clone());
-            placements.insert(key, wish.reason);
+        for model in &target.models {
+            let key = (target.agent.clone(), model.accelerator, model.model.clone());
+            placements.insert(key, model.reason);
         }
     }
     placements
 }
 
-/// Records what is wanted and was not, and the reverse.
+/// Records the placements that were added and removed.
 pub(super) fn record_changes(
     before: &PlannedPlacements,
     after: &PlannedPlacements,
@@ -32,16 +32,16 @@
     out: &mut Vec<EntryAction>,
 ) {
     for (key, reason) in after {
-        // What was merely found in place is no decision.
+        // A model that is only kept where it was loaded is no new decision.
         if before.contains_key(key) || *reason == PlacementReason::Kept {
             continue;
         }
         let (agent, accelerator, model) = key;
-        let why = reason_text(*reason);
+        let text = reason_text(*reason);
         outcomes.record_decision("place", reason.as_str());
         TimelineEvent::new(
             EventKind::ModelPlanned,
-            format!("wanted on {agent}, accelerator {accelerator}: {why}"),
+            format!("planned on {agent}, accelerator {accelerator}: {text}"),
         )
         .model(model.as_str())
         .peer(agent)
@@ -53,31 +53,37 @@
         if after.contains_key(&key) {
             continue;
         }
-        outcomes.record_decision("place", PlaceReason::Displaced.as_str());
-        let detail = format!("no longer wanted on {agent}, accelerator {accelerator}");
+        outcomes.record_decision("place", PlacementReason::Displaced.as_str());
+        let detail = format!("no longer planned on {agent}, accelerator {accelerator}");
         TimelineEvent::new(EventKind::ModelPlanned, detail)
             .model(model.as_str())
             .peer(agent)
-            .reason(PlaceReason::Displaced as u32)
+            .reason(PlacementReason::Displaced as u32)
             .record(out);
     }
 }
 
-/// A reason in words.
-pub(crate) const fn reason_text(reason: PlaceReason) -> &'static str {
+/// Describes a placement reason to operators.
+pub(crate) const fn reason_text(reason: PlacementReason) -> &'static str {
     match reason {
-        PlacementReason::Kept => "it was there and nothing is worth moving it",
-        PlacementReason::Demand => "its demand is worth the move",
-        PlacementReason::WaitBound => "work waited for it and it got its turn",
-        PlacementReason::Replica => "one holder does not serve its demand",
+        PlacementReason::Kept => {
+            "it is already loaded there and no move is worth its cost"
+        }
+        PlacementReason::Demand => "its demand is worth the cost of the load",
+        PlacementReason::WaitBound => {
+            "requests waited for it for the configured maximum time"
+        }
+        PlacementReason::Replica => "one holder can't serve its demand",
         PlacementReason::Spread => "a replica in another failure domain",
         PlacementReason::Leaving => "a holder is leaving",
-        PlacementReason::MinResidence => "it stays for its minimum residence",
-        PlacementReason::BaseOfAdapter => "it is the base of a wanted adapter",
-        PlacementReason::NewVersion => "a newer version is to be held",
-        PlacementReason::Displaced => "it was taken off for a model worth more",
-        PlacementReason::StoreBudget => "the weight store's budget is used up for now",
-        PlacementReason::NotWorthMove => "its demand is not worth a move",
-        PlacementReason::NoRoom => "no accelerator has room",
+        PlacementReason::MinResidence => "its minimum residence time has not passed",
+        PlacementReason::BaseOfAdapter => "it is the base model of a planned adapter",
+        PlacementReason::NewVersion => "a newer version is configured",
+        PlacementReason::Displaced => "it was replaced by a model of higher value",
+        PlacementReason::StoreBudget => {
+            "the load rate of the weight store is currently exhausted"
+        }
+        PlacementReason::NotWorthMove => "its demand is not worth the cost of a load",
+        PlacementReason::NoRoom => "no accelerator has enough free memory",
     }
 }
--- a/crates/role/src/entry/control/plan.rs
+++ b/crates/role/src/entry/control/plan.rs
@@ -1,4 +1,4 @@
-//! Planning the cells for which this entry ranks first.
+//! Plans model placement in the planning cells for which this entry ranks first.
 
 use base::prelude::*;
 use conf::Config;
@@ -23,14 +23,14 @@
 /// Interval between plans.
 const PLAN_INTERVAL_MS: u64 = 500;
 
-/// Least time between plans that work waiting without a holder brings about.
+/// Minimum interval between plans triggered by requests for a model without holders.
 const PLAN_MIN_INTERVAL_MS: u64 = 50;
 
-/// Time after which a round counts as lost. One whose thread panicked would
-/// otherwise keep this entry from planning for good, while it ranks first.
+/// Time after which a round of planning counts as lost. Otherwise a round whose thread
+/// panicked would keep this entry, which still ranks first, from ever planning again.
 const PLAN_ROUND_TIMEOUT_MS: u64 = 10_000;
 
-/// One cell that this entry plans.
+/// State of a cell that this entry plans.
 #[derive(Debug, Default)]
 struct CellPlan {
     planner: Planner,
@@ -38,32 +38,32 @@
     notes: Vec<PlanNote>,
 }
 
-/// State of planning.
+/// State of the planning at this entry.
 #[derive(Debug)]
 pub(crate) struct Planning {
     cells: BTreeMap<String, CellPlan>,
     planned_at: Option<Instant>,
     scheduled: bool,
-    /// Since when a round is planned outside of the control part's lock.
+    /// Since when a round has been running outside of the control state's lock.
     running_since: Option<Instant>,
     sequence: u64,
 }
 
-/// What a round of planning needs, taken from the control part.
+/// Input of a round of planning, copied from the control state.
 ///
-/// Each request reads the control part, and planning takes long for a large
-/// fleet. So it works on this copy, while nobody waits for its lock.
+/// Every request reads the control state, and planning a large fleet takes long. So
+/// the plan is computed from this copy without holding the lock.
 #[derive(Debug)]
 pub(crate) struct PlanJob {
     now: Instant,
     config: Arc<Config>,
     cells: Vec<PlanningCell>,
     demands: Vec<ModelDemand>,
-    /// Planners of the cells for which this entry ranks first.
+    /// Planners of the cells for which this entry ranks first, by cell.
     planners: BTreeMap<String, Planner>,
 }
 
-/// One cell, planned.
+/// The plan of one cell.
 #[derive(Debug)]
 struct PlannedCell {
     cell: PlanningCell,
@@ -71,14 +71,14 @@
     plan: Plan,
 }
 
-/// A round of planning that is done.
+/// Result of a round of planning.
 #[derive(Debug)]
 pub(crate) struct PlanDone {
     cells: Vec<PlannedCell>,
 }
 
 impl PlanJob {
-    /// Plans.
+    /// Computes the plans of the cells that this entry plans.
     pub(crate) fn run(mut self) -> PlanDone {
         let shares = share_demand(&self.config, &self.cells, &self.demands);
         let mut cells = Vec::new();
@@ -118,23 +118,23 @@
         self.cells.clear();
     }
 
-    /// Cells that this entry plans.
+    /// Names of the cells that this entry plans.
     pub(crate) fn cells(&self) -> impl Iterator<Item = &str> {
         self.cells.keys().map(String::as_str)
     }
 
-    /// Where this entry wants a model, and why.
+    /// Agents on which this entry plans to hold a model, and why.
     pub(crate) fn placements<'a>(
         &'a self,
         model: &'a str,
-    ) -> impl Iterator<Item = (&'a AgentId, PlaceReason)> {
+    ) -> impl Iterator<Item = (&'a AgentId, PlacementReason)> {
         let placements = self.cells.values().flat_map(|cell| &cell.placements);
         placements
-            .filter(move |((_, _, held), _)| held.as_str() == model)
+            .filter(move |((_, _, placed), _)| placed.as_str() == model)
             .map(|((agent, _, _), reason)| (agent, *reason))
     }
 
-    /// Why a model is not where its demand would have it.
+    /// Reasons why a model is not placed as its demand calls for.
     pub(crate) fn notes<'a>(
         &'a self,
         model: &'a str,
@@ -156,7 +156,7 @@
         self.plan_now(now, shared)
     }
 
-    /// Plans at once, or as soon as the last plan is old enough.
+    /// Starts a round now, or schedules it for when the minimum interval has passed.
     pub(crate) fn plan_soon(
         &mut self,
         now: Instant,
@@ -180,7 +180,7 @@
         }
     }
 
-    /// Takes out what a round of planning needs. One round runs at a time.
+    /// Prepares a round of planning. Only one round runs at a time.
     pub(super) fn plan_now(
         &mut self,
         now: Instant,
@@ -203,26 +203,26 @@
         self.planning.running_since = Some(now);
         self.planning.planned_at = Some(now);
         let cells = planning_cells(&self.directory, &config);
-        let mut before = std::mem::take(&mut self.planning.cells);
+        let mut previous = std::mem::take(&mut self.planning.cells);
         let mut planners = BTreeMap::new();
         for cell in &cells {
             if self.entries.ranks_first(now, &self.own_id, &cell.key) {
-                let mut held = before.remove(&cell.key).unwrap_or_default();
-                let planner = std::mem::take(&mut held.planner);
+                let mut state = previous.remove(&cell.key).unwrap_or_default();
+                let planner = std::mem::take(&mut state.planner);
                 planners.insert(cell.key.clone(), planner);
-                self.planning.cells.insert(cell.key.clone(), held);
+                self.planning.cells.insert(cell.key.clone(), state);
             }
         }
         Some(PlanJob {
             now,
-            demands: self.sum_demands(now, shared, &config),
+            demands: self.total_demands(now, shared, &config),
             config,
             cells,
             planners,
         })
     }
 
-    /// Takes a round of planning back, and tells agents their targets.
+    /// Stores the result of a round of planning, and sends agents their targets.
     pub(crate) fn planned(
         &mut self,
         done: PlanDone,
@@ -230,7 +230,7 @@
         out: &mut Vec<EntryAction>,
     ) {
         self.planning.running_since = None;
-        // Others plan from the moment on that this process says it leaves.
+        // Once this process announced that it is leaving, others plan its cells.
         if self.leaving {
             return;
         }
@@ -238,13 +238,13 @@
             Counts::add(&shared.counts.plans);
             let placements = planned_placements(&planned.plan);
             let key = &planned.cell.key;
-            let held = self.planning.cells.entry(key.clone()).or_default();
+            let state = self.planning.cells.entry(key.clone()).or_default();
             let mut outcomes = shared.outcomes.lock();
-            record_changes(&held.placements, &placements, &mut outcomes, out);
+            record_changes(&state.placements, &placements, &mut outcomes, out);
             drop(outcomes);
-            held.placements = placements;
-            held.planner = planned.planner;
-            held.notes = planned.plan.notes;
+            state.placements = placements;
+            state.planner = planned.planner;
+            state.notes = planned.plan.notes;
             self.planning.sequence += 1;
             for target in &planned.plan.targets {
                 self.send_target(&planned.cell, target, shared, out);
@@ -266,11 +266,11 @@
             return;
         }
         Counts::add(&shared.counts.targets_sent);
-        let models = target.models.iter().map(|wish| TargetModel {
-            model: wish.model.to_string(),
-            version: wish.version,
-            accelerator: wish.accelerator,
-            reason: wish.reason as u32,
+        let models = target.models.iter().map(|placed| TargetModel {
+            model: placed.model.to_string(),
+            version: placed.version,
+            accelerator: placed.accelerator,
+            reason: placed.reason as u32,
         });
         out.push(EntryAction::SendFrame {
             peer: Peer::Agent(target.agent.clone()),
@@ -285,8 +285,8 @@
         });
     }
 
-    /// Demand over this entry and all others that are alive.
-    pub(crate) fn sum_demands(
+    /// Demand summed over this entry and all other live ones.
+    pub(crate) fn total_demands(
         &self,
         now: Instant,
         shared: &Shared,
@@ -294,8 +294,8 @@
     ) -> Vec<ModelDemand> {
         let mut sums: BTreeMap<ModelId, DemandSum> = BTreeMap::new();
         let own = own_demands(now, shared);
-        let told = self.gossip.demands.iter();
-        let others = told.filter(|(id, _)| self.entries.alive(now, id));
+        let gossiped = self.gossip.demands.iter();
+        let others = gossiped.filter(|(id, _)| self.entries.alive(now, id));
         let others = others.flat_map(|(_, demands)| demands);
         for demand in own.iter().chain(others) {
             if config.model(&demand.model).is_some() {
@@ -308,7 +308,7 @@
     }
 }
 
-/// Demand for one model, being added up.
+/// Accumulates the demand for one model.
 #[derive(Debug, Default)]
 struct DemandSum {
     rate_per_s: f64,
@@ -322,7 +322,7 @@
 impl DemandSum {
     fn add(&mut self, demand: &Demand) {
         let rate_per_s = f64::from(demand.rate_milli) / 1_000.0;
-        // Means count by the work behind them.
+        // Means are weighted by the requests they stand for.
         let weight = rate_per_s + f64::from(demand.waiting) + 0.001;
         self.rate_per_s += rate_per_s;
         self.waiting = self.waiting.saturating_add(demand.waiting);
--- a/crates/role/src/entry/control/platform.rs
+++ b/crates/role/src/entry/control/platform.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform: configuration, members and leaving instances.
+//! Calls to the platform: configuration, member records and instance states.
 
 use base::prelude::*;
 use base::{Expect, PlatformAnswer, PlatformCall, PlatformOp, PlatformResult, Version};
@@ -15,33 +15,34 @@
 use super::super::{EntryAction, EntryOptions};
 use super::{Control, Effects, Timer};
 
-/// Start of the keys of all member records.
+/// Key prefix of the member records.
 const MEMBERS_PREFIX: &str = "live/";
 
-/// First and longest wait before a failed call is made again.
+/// Bounds of the backoff before a failed call is repeated.
 const BACKOFF_MIN_MS: u64 = 100;
 const BACKOFF_MAX_MS: u64 = 5_000;
 
-/// Longest time between two reads of the next revision; the least is half of it.
+/// Maximum interval between two polls for the next revision; the minimum is half of
+/// it.
 ///
-/// A watch that misses a change is never made up for: the platform believes it
-/// told, and nothing else would ever look. So each entry reads the next
-/// revision's key, a call of one small object, at 0.1 to 0.2 calls a second.
+/// A change missed by a watch is not reported again: the platform considers it
+/// delivered. So each entry also polls the next revision's key, which reads one small
+/// object, 0.1 to 0.2 times per second.
 const CONFIG_POLL_MAX_MS: u64 = 10_000;
 
-/// Looks between two reads of the snapshot, from which a process catches up
-/// whose next revision was dropped from the log in the meantime, and of the list
-/// of members, whose watch may miss an address as well.
+/// Polls between two reads of the snapshot and of the list of members. The snapshot
+/// serves a process whose next revision has been dropped from the log meanwhile; the
+/// list finds addresses that the watch missed.
 const POLLS_PER_LIST: u32 = 6;
 
-/// Least time between two waits on a prefix, in case the platform ends them at
-/// once: it has a bound on calls a second.
+/// Minimum interval between two watches of a prefix, in case the platform ends them at
+/// once: it limits the call rate.
 const WATCH_MIN_INTERVAL_MS: u64 = 50;
 
-/// Longest wait for the member record's deletion at the end.
+/// Maximum wait for the deletion of the member record at shutdown.
 pub(super) const UNREGISTER_WAIT_MS: u64 = 2_000;
 
-/// What a call is for.
+/// Purpose of a platform call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum CallKind {
     Snapshot,
@@ -57,7 +58,7 @@
     Unregister,
 }
 
-/// Calls that wait for an answer.
+/// State of the calls to the platform.
 #[derive(Debug)]
 pub(crate) struct PlatformCalls {
     next: u64,
@@ -66,8 +67,8 @@
     away: bool,
     config_version: Version,
     polls: u32,
-    /// Revision that the look in flight is for. The answer does not name it, and
-    /// by then another one may be the next.
+    /// Revision requested by the poll in flight. The answer does not name it, and by
+    /// then another revision may be the next.
     polled_revision: Revision,
 }
 
@@ -96,7 +97,7 @@
 }
 
 impl Control {
-    /// The first calls of a process.
+    /// Makes the first calls of the process.
     pub(super) fn start_platform_calls(
         &mut self,
         options: &EntryOptions,
@@ -112,12 +113,12 @@
         self.call(CallKind::Register, options, out);
     }
 
-    /// Writes the process's member record.
+    /// Writes this process's member record.
     pub(super) fn register(&mut self, shared: &Shared, out: &mut Vec<EntryAction>) {
         self.call(CallKind::Register, &shared.options, out);
     }
 
-    /// Deletes the process's member record.
+    /// Deletes this process's member record.
     pub(super) fn unregister(&mut self, shared: &Shared, out: &mut Vec<EntryAction>) {
         self.call(CallKind::Unregister, &shared.options, out);
     }
@@ -138,9 +139,14 @@
         options: &EntryOptions,
         out: &mut Vec<EntryAction>,
     ) {
-        // One call of each kind at a time; only the newest record counts.
+        // At most one call of each kind, except that a new member record is written
+        // without waiting for the previous write.
         if call != CallKind::Register
-            && self.platform.pending.values().any(|c| *c == call)
+            && self
+                .platform
+                .pending
+                .values()
+                .any(|pending| *pending == call)
         {
             return;
         }
@@ -203,7 +209,7 @@
         }
     }
 
-    /// Takes the platform's answer; one that no call waits for is dropped.
+    /// Handles the result of a call; one without a pending call is dropped.
     pub(crate) fn answered(
         &mut self,
         now: Instant,
@@ -237,7 +243,7 @@
         Counts::add(&shared.counts.platform_away);
         if !self.platform.away {
             self.platform.away = true;
-            let detail = "goes on with what it knows";
+            let detail = "continues with the state known so far";
             TimelineEvent::new(EventKind::PlatformAway, detail).record(out);
         }
         if call == CallKind::Unregister {
@@ -247,8 +253,8 @@
         let failures = self.platform.failures.entry(call).or_default();
         *failures = failures.saturating_add(1);
         let wait_ms = (BACKOFF_MIN_MS << (*failures).min(6)).min(BACKOFF_MAX_MS);
-        // Jitter keeps processes that lost the platform at the same moment from
-        // coming back to it at the same moment.
+        // Jitter keeps processes that lost the platform at the same time from
+        // retrying at the same time.
         let jitter_ms = u64::from(self.rng.next_u32()) % wait_ms;
         let at = now.plus_ms(wait_ms / 2 + jitter_ms / 2);
         self.timers.set(at, Timer::Call(call));
@@ -287,7 +293,8 @@
                 self.note_config_version(version);
                 let gap = self.apply_config_changes(&objects, shared, out, effects);
                 if gap {
-                    // Old changes were dropped from the log after a snapshot.
+                    // The missing changes were dropped from the log after a snapshot
+                    // was written, so the snapshot is read.
                     let at = now.plus_ms(BACKOFF_MIN_MS);
                     self.timers.set(at, Timer::Call(CallKind::Snapshot));
                 } else {
@@ -319,8 +326,8 @@
         }
     }
 
-    /// The next revision was there, or not yet. One that was there is put in
-    /// force, and the one after it is config_polled for at once.
+    /// Handles the result of a poll. If the next revision exists, it is applied and the
+    /// one after it is polled at once.
     fn config_polled(
         &mut self,
         now: Instant,
@@ -346,8 +353,8 @@
         self.schedule_config_poll(now);
     }
 
-    /// Sets the next look, at a time drawn anew so that processes which started
-    /// together don't look together.
+    /// Schedules the next poll at a random time, so that processes which started
+    /// together don't poll together.
     pub(super) fn schedule_config_poll(&mut self, now: Instant) {
         let half_ms = CONFIG_POLL_MAX_MS / 2;
         let jitter_ms = u64::from(self.rng.next_u32()) % half_ms;
@@ -355,11 +362,11 @@
         self.timers.set(at, Timer::Call(CallKind::ConfigPoll));
     }
 
-    /// Versions never step back either: a watch behind an old one would give
+    /// Keeps the version from decreasing: a watch after an older version would report
     /// the same objects again and again.
     fn note_config_version(&mut self, version: Version) {
-        let held = &mut self.platform.config_version;
-        *held = (*held).max(version);
+        let newest = &mut self.platform.config_version;
+        *newest = (*newest).max(version);
     }
 
     pub(super) fn schedule_watch(&mut self, now: Instant, call: CallKind) {
@@ -373,7 +380,7 @@
         out: &mut Vec<EntryAction>,
     ) {
         for (_, _, value) in objects {
-            // A record that can't be read only hides one process's address.
+            // A record that can't be decoded affects the address of one process only.
             if let Ok(member) = Member::decode(value.as_slice()) {
                 self.apply_member(&member, out);
             }
--- a/crates/role/src/entry/counters.rs
+++ b/crates/role/src/entry/counters.rs
@@ -1,66 +1,67 @@
-//! What an entry counts.
+//! Counters of an entry.
 
 use super::outcome_counts::{DecisionCount, ProfileOutcomes};
 use base::Code;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Counts since the start of the process, and gauges of the present.
+/// Counters since the start of the process, and current gauges.
 #[derive(Debug, Clone, Default)]
 pub struct EntryCounters {
-    /// Requests that arrived.
+    /// Requests received.
     pub arrived: u64,
-    /// Requests whose whole answer was given.
+    /// Requests whose complete answer was delivered.
     pub finished: u64,
     /// Requests refused or failed, by code.
     pub refused: Vec<RefusalCount>,
-    /// RequestedResource by profile, in order of name.
+    /// Outcomes by profile, in order of name.
     pub profiles: Vec<ProfileOutcomes>,
-    /// Decisions by reason.
+    /// Routing and placement decisions by reason.
     pub decisions: Vec<DecisionCount>,
-    /// Requests whose caller went away.
+    /// Requests whose caller disconnected.
     pub cancelled: u64,
-    /// Runs sent to agents.
+    /// Attempts sent to agents.
     pub sent: u64,
-    /// Refusals by agents' gates.
+    /// Attempts refused by an agent's admission control.
     pub refused_by_gate: u64,
-    /// Attempts made again after a failure.
+    /// Attempts sent after a failure, before any unit was delivered.
     pub retried: u64,
-    /// Answers continued on another upstream.
+    /// Attempts sent after a failure to continue a partly delivered answer.
     pub resumed: u64,
-    /// Attempts revoked because an answer was missing.
+    /// Attempts whose agent was asked whether they ran, and forbidden to start them,
+    /// because it did not answer.
     pub revoked: u64,
-    /// Frames dropped because they were late, doubled or of another attempt.
+    /// Frames dropped because they were late, duplicated or of another attempt.
     pub stray_frames: u64,
-    /// Retries not made because the budget was used up.
+    /// Retries not made because the retry budget was exhausted.
     pub retries_denied: u64,
-    /// Targets sent to agents.
+    /// `Target` frames sent to agents: the models each is to hold.
     pub targets_sent: u64,
-    /// Plans made.
+    /// Plans made, one for each planning cell.
     pub plans: u64,
-    /// Configuration changes that could not be applied.
+    /// Configuration changes rejected as invalid.
     pub config_rejected: u64,
-    /// Calls that the platform did not answer.
+    /// Platform calls without an answer.
     pub platform_away: u64,
-    /// Requests that wait for a model or an upstream.
+    /// Requests waiting for a model or an upstream.
     pub waiting: u64,
     /// Requests with an attempt in flight.
     pub running: u64,
-    /// Agents that may be sent work.
+    /// Agents considered alive.
     pub agents_up: u64,
-    /// Agents known.
+    /// Agents in the directory.
     pub agents_known: u64,
 }
 
 /// Refusals with one code.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RefusalCount {
-    /// Code.
+    /// Error code.
     pub code: Code,
-    /// How many.
+    /// Number of refusals.
     pub count: u64,
 }
 
-/// The counters as the machine keeps them: any thread adds without a lock.
+/// The counters as atomics, so that any thread can count without a lock.
 #[derive(Debug)]
 pub(crate) struct Counts {
     pub(crate) arrived: AtomicU64,
@@ -106,13 +107,13 @@
     }
 
     pub(crate) fn refused(&self, code: Code) {
-        let index = Code::ALL.iter().position(|held| *held == code);
+        let index = Code::ALL.iter().position(|other| *other == code);
         if let Some(counter) = index.and_then(|index| self.refused.get(index)) {
             Self::add(counter);
         }
     }
 
-    /// The counts without the gauges.
+    /// The counters; gauges are left at zero.
     pub(crate) fn snapshot(&self) -> EntryCounters {
         let get = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         let by_code = Code::ALL.iter().zip(&self.refused);
@@ -124,7 +125,7 @@
                     code: *code,
                     count: get(counter),
                 })
-                .filter(|held| held.count > 0)
+                .filter(|refusals| refusals.count > 0)
                 .collect(),
             cancelled: get(&self.cancelled),
             sent: get(&self.sent),
--- a/crates/role/src/entry/event.rs
+++ b/crates/role/src/entry/event.rs
@@ -1,4 +1,5 @@
-//! What an entry's machine is told and what it asks of its driver.
+//! Events that the driver feeds into the entry's state machine, and the actions it
+//! requests in return.
 
 use access::Credential;
 use base::prelude::*;
@@ -8,127 +9,129 @@
 
 use crate::Peer;
 
-/// Something that happened to an entry.
+/// An input of the entry's state machine.
 #[derive(Debug)]
-// An event is handed over once and never stored, so its size costs nothing.
+// An event is passed on once and never stored, so its size does not matter.
 #[allow(clippy::large_enum_variant)]
 pub enum EntryEvent {
-    /// The time given by `due` has come.
+    /// The time returned by `EntryRole::due` has passed.
     Tick,
     /// A caller sent a request.
     RequestReceived(Box<IncomingRequest>),
-    /// The caller of a request is gone.
+    /// The caller closed its connection before the answer was complete.
     CallerDisconnected {
         /// Request.
         request: RequestId,
     },
-    /// A connection was made and the far end said hello.
+    /// A link is established: the peer's `Hello` was received.
     LinkUp {
-        /// Far end.
+        /// Peer at the other end of the link.
         peer: Peer,
-        /// Incarnation it said hello with.
+        /// Incarnation in its `Hello`.
         incarnation: Incarnation,
     },
-    /// A connection ended or could not be made.
+    /// A link ended or could not be established.
     LinkDown {
-        /// Far end.
+        /// Peer at the other end of the link.
         peer: Peer,
     },
-    /// A frame came, other than a part of an answer.
+    /// A frame was received that is not a part of an answer.
     Frame {
-        /// Far end.
+        /// Peer at the other end of the link.
         peer: Peer,
-        /// Revision that the sender has in force.
+        /// Configuration revision in force at the sender.
         revision: Revision,
-        /// Content.
+        /// Body of the frame.
         body: frame::Body,
     },
-    /// A part of an answer came; the driver holds its payload until the call
-    /// returns.
+    /// A part of an answer was received. The driver keeps its payload until the
+    /// call of `handle` returns.
     AnswerPart {
-        /// Agent that sent it.
+        /// Sender.
         agent: AgentId,
-        /// Attempt.
+        /// Attempt that the part belongs to.
         attempt: AttemptId,
-        /// Units before the part.
+        /// Units of the answer before this part: tokens of a model, bytes of a
+        /// plain service.
         offset: u64,
         /// Units in the part.
         units: u32,
     },
-    /// The platform answered a call.
+    /// The platform answered a call, or the call failed.
     PlatformAnswered(PlatformAnswer),
-    /// The operator or the platform asks the process to stop.
+    /// The process is to stop: it finishes its requests and accepts no new ones.
     Drain,
 }
 
-/// A request as it comes from a caller.
+/// A request as received from a caller.
 #[derive(Debug, Clone)]
 pub struct IncomingRequest {
-    /// Name the driver gave the request, by `EntryRole::next_request_id`.
+    /// Id from `EntryRole::next_request_id`.
     pub request: RequestId,
-    /// Who the caller says it is.
+    /// Credential by which the caller is identified.
     pub credential: Credential,
-    /// Profile named, if any.
+    /// Profile named in the request, if any.
     pub profile: Option<ProfileId>,
-    /// Deadline named, from now, if any.
+    /// Deadline named in the request, from its arrival, if any.
     pub deadline_ms: Option<u64>,
-    /// What is asked for.
+    /// Model or service that the request is for.
     pub resource: RequestedResource,
     /// Idempotency key, if any.
     pub idempotency_key: Option<String>,
     /// HTTP method.
     pub method: String,
-    /// Path of the API called, or the service's own path.
+    /// Path of the API endpoint, or the path within a plain service.
     pub path: String,
     /// Content type of the body.
     pub content_type: String,
     /// Hash of method, path and body.
     pub body_hash: u64,
-    /// Hash of the prompt's start, by which cached prefixes are found.
+    /// Hash of the beginning of the prompt, for routing to an upstream that has
+    /// this prefix cached.
     pub prefix_hash: u64,
-    /// Estimated tokens in the prompt.
+    /// Estimated number of prompt tokens.
     pub prompt_tokens: u32,
-    /// Most tokens in the answer.
+    /// Limit of tokens in the answer.
     pub tokens_max: u32,
 }
 
-/// What a request asks for.
+/// The model or service named by a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RequestedResource {
-    /// Tokens of a model or adapter; `None` takes the profile's default.
+    /// A model or adapter; `None` selects the profile's default.
     Model(Option<ModelId>),
-    /// A call of a plain service.
+    /// A plain service.
     Service(ServiceId),
 }
 
-/// Something an entry's machine asks of its driver.
+/// An output of the entry's state machine, to be carried out by the driver.
 #[derive(Debug)]
 pub enum EntryAction {
-    /// Send a frame.
+    /// Send a frame on the link to a peer.
     SendFrame {
-        /// Far end.
+        /// Peer at the other end of the link.
         peer: Peer,
-        /// Content.
+        /// Body of the frame.
         body: frame::Body,
     },
     /// Send a request to an agent; the driver adds the request's body.
     SendRun {
         /// Request.
         request: RequestId,
-        /// Agent.
+        /// Destination.
         agent: AgentId,
-        /// The message without the body.
+        /// The message without the request's body.
         run: Box<Run>,
     },
-    /// Give the part of an answer that the driver holds to the caller, less
-    /// its first units.
+    /// Send the caller the answer part that the driver keeps, without its first
+    /// `skip_units` units.
     DeliverPart {
         /// Request.
         request: RequestId,
-        /// Units at the start of the part that the caller already has.
+        /// Units at the start of the part that were delivered before.
         skip_units: u32,
     },
-    /// The answer is whole.
+    /// End the answer: all of it has been delivered.
     Finish {
         /// Request.
         request: RequestId,
@@ -136,35 +139,35 @@
         status: u16,
         /// Content type of a plain service's answer.
         content_type: String,
-        /// Units in the whole answer.
+        /// Units in the complete answer.
         total_units: u64,
     },
-    /// There is no whole answer; the driver sends an error, or ends a stream
-    /// that has begun with an error event.
+    /// End the request with an error: as an error response, or as an error event
+    /// if the answer's stream has begun.
     Refuse {
         /// Request.
         request: RequestId,
-        /// What to say.
+        /// Error code, whether the request ran, and when to retry.
         refusal: Refusal,
     },
-    /// Keep a connection to a process.
+    /// Establish a link to a process and keep it up.
     Connect {
-        /// Far end.
+        /// Peer at the other end of the link.
         peer: Peer,
         /// `ip:port` of its link listener.
         address: String,
     },
-    /// End the connection to a process.
+    /// Close the link to a process.
     Disconnect {
-        /// Far end.
+        /// Peer at the other end of the link.
         peer: Peer,
     },
     /// Call the platform.
     CallPlatform(PlatformCall),
-    /// Whether the process takes work.
+    /// Set whether the process reports itself ready for requests.
     SetReady(bool),
-    /// Record an event of the time line; clock and process are the driver's.
+    /// Record an event in the timeline; the driver adds the time and the process.
     RecordEvent(timeline::Event),
-    /// The process has drained and may end.
+    /// End the process: it is drained.
     Exit,
 }
--- a/crates/role/src/entry/follow_up.rs
+++ b/crates/role/src/entry/follow_up.rs
@@ -1,4 +1,4 @@
-//! What follows from an event beyond the lock under which it was taken in.
+//! Work that an event causes outside the lock under which it was handled.
 
 use base::prelude::*;
 use std::collections::BTreeSet;
@@ -10,20 +10,21 @@
 use super::role::EntryRole;
 use super::shared::FollowUps;
 
-/// Requests of one queue looked at when something wakes it.
+/// Requests of one queue tried when an agent may have capacity for it.
 const WAKE_SCAN_MAX: usize = 256;
 
-/// Requests of one queue that can't be sent before the rest is left alone.
+/// Requests of one queue that can't be sent before a wake-up gives up on the rest.
 const BLOCKED_MAX: usize = 16;
 
-/// Requests of one queue looked at with each heartbeat.
+/// Requests of one queue tried at each heartbeat.
 const FULL_SCAN_MAX: usize = 4_096;
 
-/// Rounds in which what follows from an event is carried out; the rest waits
-/// for the next heartbeat.
+/// Rounds of follow-ups after one event. Whatever remains is done at the next
+/// heartbeat.
 const FOLLOW_UP_ROUNDS_MAX: usize = 8;
 
 impl EntryRole {
+    /// Applies the effects of a change of the control state on requests.
     pub(super) fn apply_effects(
         &self,
         now: Instant,
@@ -35,7 +36,7 @@
             agents_with_capacity: effects.agents_with_capacity,
             ..FollowUps::default()
         };
-        for (agent, why) in &effects.gone_agents {
+        for (agent, reason) in &effects.gone_agents {
             for index in 0..self.shards.len() as u64 {
                 self.run_in_shard_deferring(
                     now,
@@ -43,7 +44,7 @@
                     out,
                     &mut follow_ups,
                     |shard, ctx| {
-                        shard.agent_gone(ctx, agent, *why);
+                        shard.agent_gone(ctx, agent, *reason);
                     },
                 );
             }
@@ -57,7 +58,7 @@
         self.run_follow_ups(now, follow_ups, out);
     }
 
-    /// Carries out what could not be done under a shard's lock.
+    /// Does the work that was deferred while a shard was locked.
     pub(super) fn run_follow_ups(
         &self,
         now: Instant,
@@ -98,7 +99,7 @@
             return;
         }
         let job = self.with_control(|control| {
-            // The planner of the model's cell may be another entry.
+            // Another entry may be the one that plans the model's cell.
             control.request_gossip(now, &self.shared, out);
             work.plan
                 .then(|| control.plan_soon(now, &self.shared))
@@ -107,7 +108,7 @@
         self.plan(job, out);
     }
 
-    /// Runs a round of planning; nobody waits for a lock meanwhile.
+    /// Runs a round of planning; no lock is held while the plan is computed.
     fn plan(&self, job: Option<PlanJob>, out: &mut Vec<EntryAction>) {
         if let Some(job) = job {
             let done = job.run();
@@ -115,19 +116,19 @@
         }
     }
 
-    /// Queues that may go on: those named, and those of what the agents with
-    /// room can serve.
+    /// Queues to try: those named, and those of models that the agents with
+    /// capacity can serve. Services are always included.
     fn queues_to_wake(&self, work: &FollowUps) -> BTreeSet<Resource> {
         let mut queues = work.wake.clone();
         if work.agents_with_capacity.is_empty() {
             return queues;
         }
-        let waited_for = self.shared.wait_queue.lock().resources();
-        if waited_for.is_empty() {
+        let awaited = self.shared.wait_queue.lock().resources();
+        if awaited.is_empty() {
             return queues;
         }
         let control = self.control.read();
-        let served = waited_for.into_iter().filter(|resource| match resource {
+        let served = awaited.into_iter().filter(|resource| match resource {
             Resource::Service(_) => true,
             Resource::Model(model) => work.agents_with_capacity.iter().any(|id| {
                 let agent = control.directory.get(id);
@@ -138,11 +139,11 @@
         queues
     }
 
-    /// Sends what waits in a queue, from its head, as long as it can be sent.
+    /// Tries to send the requests of a queue in order.
     ///
-    /// With each heartbeat the full_scan queue is looked at, since what stands
-    /// behind others that can't be sent may not be in time any more: it would
-    /// be held to its deadline, and is to be refused now.
+    /// At each heartbeat the queue is tried beyond its blocked head: a request behind
+    /// it that can no longer meet its deadline is refused now, and not only when the
+    /// deadline passes.
     fn wake(
         &self,
         now: Instant,
--- a/crates/role/src/entry/mod.rs
+++ b/crates/role/src/entry/mod.rs
@@ -1,4 +1,8 @@
-//! The entry's machine: admission, routing, answers, directory and planning.
+//! The entry process's state machine.
+//!
+//! It authenticates and admits callers' requests, routes each to an agent, passes
+//! the answers on, tracks which processes are alive and plans which models are
+//! loaded where.
 
 mod accept;
 mod circuit_breakers;
--- a/crates/role/src/entry/options.rs
+++ b/crates/role/src/entry/options.rs
@@ -1,28 +1,28 @@
-//! What an entry's machine is started with.
+//! Options of the entry's state machine.
 
 use base::prelude::*;
 
-/// Start of an entry's machine.
+/// Options of the entry's state machine.
 #[derive(Debug, Clone)]
 pub struct EntryOptions {
     /// Name of the process.
     pub id: EntryId,
-    /// This run of the process.
+    /// Incarnation: differs at each start of the process.
     pub incarnation: Incarnation,
     /// Failure domain the process runs in.
     pub failure_domain: DomainId,
-    /// `ip:port` on which other entries connect.
+    /// `ip:port` on which other entries connect to this one.
     pub link_address: String,
-    /// `ip:port` for operators.
+    /// `ip:port` of the operators' HTTP endpoint.
     pub operator_address: String,
-    /// Other entries, each with the `ip:port` of its link listener; they are
-    /// connected to at the start, so that an outage of the platform does not
-    /// keep the process from learning the configuration.
+    /// Other entries, each with the `ip:port` of its link listener. The process
+    /// connects to them at startup, so that it can get the configuration during an
+    /// outage of the platform.
     pub peers: Vec<(EntryId, String)>,
     /// Number of request shards, each under its own lock.
     pub shards: usize,
-    /// Seed of the decisions' generator.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// Wall clock time at `Instant::ZERO`.
+    /// Wall clock time at `Instant::ZERO`, in milliseconds since the Unix epoch.
     pub unix_ms_at_zero: u64,
 }
--- a/crates/role/src/entry/outcome_counts.rs
+++ b/crates/role/src/entry/outcome_counts.rs
@@ -1,39 +1,40 @@
-//! What came of the work of each profile, and why decisions fell as they did.
+//! Outcomes of requests by profile, and decisions by reason.
 //!
-//! Attainment is what operators hold accelerators for: work that met its
-//! profile's expectation. It is counted where the answer ends, since only the
-//! entry sees both the caller's wait and the units given.
+//! A request attains its profile if its complete answer met the profile's latency
+//! targets. This is counted at the entry, the only process that sees both the
+//! caller's wait and the delivered units.
 
 use base::prelude::*;
 use std::collections::BTreeMap;
 
 use super::requests::Request;
 
-/// What came of the work of one profile since the start of the process.
+/// Outcomes of one profile's requests since the start of the process.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct ProfileOutcomes {
-    /// Profile; empty for services that no profile names.
+    /// Profile; empty for services that no profile lists.
     pub profile: String,
-    /// Whole answers.
+    /// Complete answers.
     pub finished: u64,
-    /// Whole answers that met the profile's expectation.
+    /// Complete answers that met the profile's latency targets.
     pub attained: u64,
-    /// Whole answers whose first unit came late.
+    /// Complete answers whose first unit was late.
     pub first_unit_late: u64,
-    /// Whole answers whose units came too far apart, on average.
+    /// Complete answers whose mean time between units was above the target.
     pub between_units_late: u64,
-    /// Requests that got no whole answer.
+    /// Requests without a complete answer.
     pub refused: u64,
 }
 
-/// Decisions that fell for one reason.
+/// Decisions of one kind made for one reason.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DecisionCount {
-    /// `route` for the choice of an upstream, `place` for a change of a plan.
+    /// `route` for the choice of an upstream, `place` for a change in a placement
+    /// plan.
     pub decision: &'static str,
-    /// Word for the reason.
+    /// Reason, as the value of a metric's label.
     pub reason: &'static str,
-    /// How many.
+    /// Number of decisions.
     pub count: u64,
 }
 
@@ -45,28 +46,29 @@
 }
 
 impl OutcomeCounts {
-    /// A request got its whole answer.
+    /// Records a request with a complete answer.
     pub(crate) fn record_finished(&mut self, now: Instant, request: &Request) {
         let resolved = &request.resolved;
         let first = request.first_unit_at.unwrap_or(now);
         let first_ms = first.ms_since(request.arrived_at);
         let gaps = request.delivered.saturating_sub(1).max(1);
         let gap_us = now.since(first).as_micros() as u64 / gaps;
-        let late = is_late(first_ms, resolved.first_token_ms);
-        let apart = is_late(gap_us, resolved.between_tokens_ms.saturating_mul(1_000));
+        let first_unit_late = is_late(first_ms, resolved.first_token_ms);
+        let between_units_late =
+            is_late(gap_us, resolved.between_tokens_ms.saturating_mul(1_000));
         let count = self.profile(&resolved.profile);
         count.finished += 1;
-        count.first_unit_late += u64::from(late);
-        count.between_units_late += u64::from(apart);
-        count.attained += u64::from(!late && !apart);
+        count.first_unit_late += u64::from(first_unit_late);
+        count.between_units_late += u64::from(between_units_late);
+        count.attained += u64::from(!first_unit_late && !between_units_late);
     }
 
-    /// A request got no whole answer.
+    /// Records a request without a complete answer.
     pub(crate) fn record_refused(&mut self, request: &Request) {
         self.profile(&request.resolved.profile).refused += 1;
     }
 
-    /// A decision fell.
+    /// Records a decision.
     pub(crate) fn record_decision(
         &mut self,
         decision: &'static str,
@@ -103,7 +105,7 @@
     }
 }
 
-/// Whether a time is above what is expected; 0 expects nothing.
-fn is_late(found: u64, expected: u32) -> bool {
-    expected > 0 && found > u64::from(expected)
+/// Whether a measured time exceeds its target; 0 means that there is no target.
+fn is_late(measured: u64, target: u32) -> bool {
+    target > 0 && measured > u64::from(target)
 }
--- a/crates/role/src/entry/report.rs
+++ b/crates/role/src/entry/report.rs
@@ -1,4 +1,4 @@
-//! What an entry tells operators: counters, status and explanations.
+//! Data for the operators' endpoints: counters, status and explanations.
 
 use base::prelude::*;
 use live::{Agent, Life, ResidencyState};
@@ -9,7 +9,7 @@
 use super::{AgentSummary, EntryCounters, EntryStatus, ModelSummary, PeerEntrySummary};
 
 impl EntryRole {
-    /// Counts and gauges for `/metrics`.
+    /// Counters and gauges for `/metrics`.
     pub fn counters(&self) -> EntryCounters {
         let (known, up) = {
             let control = self.control.read();
@@ -31,17 +31,17 @@
         }
     }
 
-    /// State for `/status`.
+    /// Status for `/status`.
     pub fn status(&self) -> EntryStatus {
         let (waiting, running) = (self.waiting(), self.running());
         let control = self.control.read();
         let now = control.ticked_at();
         let options = &self.shared.options;
         let agents = control.directory.agents();
-        let entries = control.entries.all().map(|held| PeerEntrySummary {
-            id: held.id.to_string(),
-            alive: control.entries.alive(now, &held.id),
-            leaving: held.leaving,
+        let entries = control.entries.all().map(|entry| PeerEntrySummary {
+            id: entry.id.to_string(),
+            alive: control.entries.alive(now, &entry.id),
+            leaving: entry.leaving,
         });
         EntryStatus {
             id: options.id.to_string(),
@@ -60,15 +60,18 @@
         }
     }
 
-    /// What an operator wants to know about a model, in plain sentences.
+    /// Explains where a model is loaded, its demand and the plans for it, for
+    /// `/explain`.
     pub fn explain_model(&self, model: &str) -> Vec<String> {
         let control = self.control.read();
         let now = control.ticked_at();
         let Some(config) = control.config() else {
-            return vec!["there is no configuration yet".to_owned()];
+            return vec!["no configuration is in force yet".to_owned()];
         };
         let Some(spec) = config.model(model) else {
-            return vec![format!("there is no model or adapter `{model}`")];
+            return vec![format!(
+                "the configuration has no model or adapter `{model}`"
+            )];
         };
         let mut lines = vec![format!(
             "configured version {}, {} MiB, pool {}",
@@ -85,29 +88,35 @@
             lines.push(format!("planned on {agent}: {}", reason_text(reason)));
         }
         for reason in control.planning.notes(model) {
-            lines.push(format!("the planner says: {}", reason_text(reason)));
+            lines.push(format!(
+                "not placed as its demand calls for: {}",
+                reason_text(reason)
+            ));
         }
         if control.planning.cells().next().is_none() {
-            lines.push("other entries plan; ask them for reasons".to_owned());
+            lines.push(
+                "this entry plans no models; query the other entries for reasons"
+                    .to_owned(),
+            );
         }
         lines
     }
 
     fn demand_line(&self, control: &Control, now: Instant, model: &str) -> String {
         let demands = match control.config() {
-            Some(config) => control.sum_demands(now, &self.shared, config),
+            Some(config) => control.total_demands(now, &self.shared, config),
             None => Vec::new(),
         };
-        let demand = demands.iter().find(|held| held.model.as_str() == model);
+        let demand = demands.iter().find(|demand| demand.model.as_str() == model);
         match demand {
             None => "no demand".to_owned(),
-            Some(held) => format!(
-                "{:.2} requests a second over all entries, {} waiting, the oldest for \
-                 {} ms, {} ms each",
-                held.rate_per_s,
-                held.waiting,
-                held.oldest_wait_ms,
-                held.service_time_ms
+            Some(demand) => format!(
+                "{:.2} requests per second over all entries, {} waiting, the oldest for \
+                 {} ms, mean service time {} ms",
+                demand.rate_per_s,
+                demand.waiting,
+                demand.oldest_wait_ms,
+                demand.service_time_ms
             ),
         }
     }
@@ -116,17 +125,17 @@
         let Some(config) = control.config() else {
             return Vec::new();
         };
-        let demands = control.sum_demands(now, &self.shared, config);
+        let demands = control.total_demands(now, &self.shared, config);
         let lines = config.models().map(|spec| {
             let id = spec.id.as_str();
-            let demand = demands.iter().find(|held| held.model == spec.id);
+            let demand = demands.iter().find(|demand| demand.model == spec.id);
             let resource = Resource::Model(spec.id.clone());
             let holders = control.directory.holders(id);
             ModelSummary {
                 model: id.to_owned(),
                 holders: holders.map(|agent| agent.id.to_string()).collect(),
                 waiting: self.shared.wait_queue.lock().depth_and_oldest(&resource).0,
-                rate_per_s: demand.map_or(0.0, |held| held.rate_per_s),
+                rate_per_s: demand.map_or(0.0, |demand| demand.rate_per_s),
             }
         });
         let shown = lines.filter(|line| {
@@ -148,7 +157,7 @@
 fn agent_summary(now: Instant, agent: &Agent) -> AgentSummary {
     let hint = agent.hint.read(now);
     let loaded = agent.residents.iter();
-    let loaded = loaded.filter(|held| held.state == ResidencyState::Loaded);
+    let loaded = loaded.filter(|resident| resident.state == ResidencyState::Loaded);
     AgentSummary {
         id: agent.id.to_string(),
         pool: agent.pool.to_string(),
@@ -160,7 +169,7 @@
         running: hint.running,
         waiting: hint.waiting,
         running_max: hint.running_max,
-        models: loaded.map(|held| held.model.to_string()).collect(),
+        models: loaded.map(|demand| demand.model.to_string()).collect(),
         silent_ms: now.ms_since(agent.heard_at),
     }
 }
@@ -174,22 +183,23 @@
 }
 
 fn residency_lines(agent: &Agent, model: &str) -> Vec<String> {
-    let held = agent.residents.iter();
-    let held = held.filter(|held| held.model.as_str() == model);
-    held.map(|held| {
-        let state = match held.state {
-            ResidencyState::Loading => "is loading",
-            ResidencyState::Loaded => "holds",
-            ResidencyState::Unloading => "is unloading",
-        };
-        format!(
-            "{} {state} version {} on accelerator {}; the agent is {}{}",
-            agent.id,
-            held.version,
-            held.accelerator,
-            life_name(agent.life),
-            if agent.leaving() { " and leaving" } else { "" },
-        )
-    })
-    .collect()
+    let residents = agent.residents.iter();
+    let residents = residents.filter(|resident| resident.model.as_str() == model);
+    residents
+        .map(|resident| {
+            let state = match resident.state {
+                ResidencyState::Loading => "is loading",
+                ResidencyState::Loaded => "holds",
+                ResidencyState::Unloading => "is unloading",
+            };
+            format!(
+                "{} {state} version {} on accelerator {}; the agent is {}{}",
+                agent.id,
+                resident.version,
+                resident.accelerator,
+                life_name(agent.life),
+                if agent.leaving() { " and leaving" } else { "" },
+            )
+        })
+        .collect()
 }
--- a/crates/role/src/entry/requests/answers.rs
+++ b/crates/role/src/entry/requests/answers.rs
@@ -1,4 +1,4 @@
-//! Frames about attempts: started, parts, the end, refused, revoked.
+//! Handles agents' frames about attempts: start, answer parts, end and refusal.
 
 use base::prelude::*;
 use schema::link::{End, Load, Refused};
@@ -12,22 +12,22 @@
 use super::Requests;
 use super::failures::{Failure, RetryCharge};
 
-/// Wait before a request that no agent took is sent again.
+/// Backoff before a request that was refused is dispatched again.
 const REFUSAL_BACKOFF_MS: u64 = 100;
 
-/// Growth of that wait, with each refusal, at most to this multiple.
+/// The backoff grows with each refusal, up to this multiple.
 const REFUSAL_BACKOFF_STEPS_MAX: u64 = 10;
 
-/// What came of a part of an answer.
+/// Result of handling an answer part.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum PartOutcome {
-    /// It was given to the caller, or dropped.
+    /// The part was delivered to the caller or dropped.
     Done,
-    /// Units before it are missing.
+    /// Units before the part are missing.
     Gap,
 }
 
-/// An attempt as the link carries it.
+/// Decodes an attempt id of a frame. A missing one becomes an id that no attempt has.
 pub(crate) fn decode_attempt_id(wire: Option<&schema::link::Attempt>) -> AttemptId {
     wire.map_or(
         AttemptId {
@@ -42,12 +42,11 @@
 }
 
 impl Requests {
-    /// Takes a part of an answer.
+    /// Handles a part of an answer.
     ///
-    /// A part of another attempt must not reach the caller: it may be another
-    /// request's, or the same units again from an upstream thought dead. So
-    /// only the attempt in flight counts, and of it only what goes on where the
-    /// caller's answer ends.
+    /// Only parts of the attempt in flight are delivered. A part of another attempt may
+    /// belong to another request, or repeat units from an upstream that was considered
+    /// dead. Units that the caller already has are skipped.
     pub(crate) fn answer_part(
         &mut self,
         now: Instant,
@@ -55,8 +54,8 @@
         part: &AnswerPart<'_>,
         out: &mut Vec<EntryAction>,
     ) -> PartOutcome {
-        let held = self.current(part.agent, part.attempt);
-        let request = held.and_then(|sequence| self.requests.get_mut(&sequence));
+        let sequence = self.current(part.agent, part.attempt);
+        let request = sequence.and_then(|sequence| self.requests.get_mut(&sequence));
         let Some(request) = request else {
             Counts::add(&shared.counts.stray_frames);
             return PartOutcome::Done;
@@ -88,8 +87,8 @@
         }
         request.delivered = end;
         request.version = Some(version);
-        // The part starts at or before the end of what the caller has, and its
-        // units fit 32 bits, so the units to skip do as well.
+        // The units to skip lie within the part, so their number fits in 32 bits like
+        // the part's own.
         let skip_units = u32::try_from(delivered - part.offset).unwrap_or(u32::MAX);
         out.push(EntryAction::DeliverPart {
             request: id,
@@ -98,7 +97,7 @@
         PartOutcome::Done
     }
 
-    /// The attempt was handed to the upstream.
+    /// Handles `Started`: the agent passed the attempt to the upstream.
     pub(crate) fn attempt_started(
         &mut self,
         ctx: &mut Ctx<'_>,
@@ -115,10 +114,10 @@
             return;
         };
         let id = request.id();
-        if let Some(held) = request.attempt_mut() {
-            held.started = true;
-            held.heard_at = ctx.now;
-            let ms = ctx.now.ms_since(held.sent_at);
+        if let Some(current) = request.attempt_mut() {
+            current.started = true;
+            current.heard_at = ctx.now;
+            let ms = ctx.now.ms_since(current.sent_at);
             TimelineEvent::new(
                 EventKind::RequestStarted,
                 format!("{ms} ms after it was sent"),
@@ -129,7 +128,8 @@
         }
     }
 
-    /// The gate refused the attempt: it was not run and never will be.
+    /// Handles `Refused`: the agent's admission control refused the attempt, which has
+    /// not run and never will.
     pub(crate) fn attempt_refused(
         &mut self,
         ctx: &mut Ctx<'_>,
@@ -148,7 +148,7 @@
         if let Some(request) = self.requests.get(&sequence) {
             TimelineEvent::new(
                 EventKind::RequestRefusedByGate,
-                format!("by {agent}: {code}"),
+                format!("refused by {agent}: {code}"),
             )
             .request(request.id())
             .model(request.resolved.resource.as_str())
@@ -159,7 +159,8 @@
         self.attempt_not_run(ctx, sequence, code, retry_after_ms);
     }
 
-    /// An attempt was provably not run.
+    /// Ends an attempt that provably did not run, and dispatches the request again if
+    /// another agent may accept it.
     pub(super) fn attempt_not_run(
         &mut self,
         ctx: &mut Ctx<'_>,
@@ -184,22 +185,22 @@
         self.dispatch_elsewhere(ctx, sequence);
     }
 
-    /// Sends a request to another agent at once, or lets it wait a moment.
+    /// Dispatches a request to another agent now, or after a backoff.
     pub(super) fn dispatch_elsewhere(&mut self, ctx: &mut Ctx<'_>, sequence: u64) {
         self.dispatch(ctx, sequence);
         if let Some(request) = self.requests.get_mut(&sequence)
             && request.attempt().is_none()
         {
-            let times = u64::from(request.admission_refusals)
+            let steps = u64::from(request.admission_refusals)
                 .clamp(1, REFUSAL_BACKOFF_STEPS_MAX);
-            let pause = ctx.now.plus_ms(REFUSAL_BACKOFF_MS * times);
-            request.not_before = pause;
+            let retry_at = ctx.now.plus_ms(REFUSAL_BACKOFF_MS * steps);
+            request.not_before = retry_at;
             self.timers
-                .set(pause, super::timers::Timer::Wake { sequence });
+                .set(retry_at, super::timers::Timer::Retry { sequence });
         }
     }
 
-    /// The attempt ended.
+    /// Handles `End`: the attempt ended.
     pub(crate) fn attempt_ended(
         &mut self,
         ctx: &mut Ctx<'_>,
@@ -219,8 +220,8 @@
             self.attempt_ended_with_error(ctx, sequence, &frame);
             return;
         }
-        // An end whose total differs from what was delivered is not the end of
-        // this answer: the caller would take a cut answer for a whole one.
+        // If the total differs from the delivered units, the answer is incomplete and
+        // must not be presented to the caller as complete.
         let Some(request) = self.requests.get(&sequence) else {
             return;
         };
@@ -263,9 +264,9 @@
         }
     }
 
-    /// Takes note of a crash. The run of the upstream tells two crashes of one
-    /// upstream apart: by the agent's run, which goes on, the second would pass
-    /// for another report of the first.
+    /// Records the crash of an upstream. Crashes are told apart by the incarnation of
+    /// the upstream. The agent's own incarnation stays the same, so by that a second
+    /// crash would be taken for another report of the first.
     fn upstream_crashed(&mut self, ctx: &mut Ctx<'_>, agent: &AgentId, frame: &End) {
         let fingerprints = &frame.crash_fingerprints;
         let alone = fingerprints.len() == 1;
@@ -279,16 +280,16 @@
         let attempt = decode_attempt_id(frame.attempt.as_ref());
         let request = self.current(agent, attempt);
         let request = request.and_then(|sequence| self.requests.get(&sequence));
-        for held in worsened {
+        for change in worsened {
             let own =
-                request.filter(|own| own.resolved.fingerprint == held.fingerprint);
-            held.record(own.map(super::Request::id), ctx.out);
+                request.filter(|own| own.resolved.fingerprint == change.fingerprint);
+            change.record(own.map(super::Request::id), ctx.out);
         }
         ctx.follow_ups.gossip = true;
     }
 }
 
-/// One part of an answer, without its payload.
+/// A part of an answer, without its payload.
 #[derive(Debug)]
 pub(crate) struct AnswerPart<'a> {
     pub(crate) agent: &'a AgentId,
@@ -298,13 +299,13 @@
 }
 
 fn record_load_report(ctx: &mut Ctx<'_>, agent: &AgentId, load: Option<&Load>) {
-    if let (Some(held), Some(load)) = (ctx.control.directory.get(agent), load) {
-        held.hint.note(ctx.now, load);
+    if let (Some(known), Some(load)) = (ctx.control.directory.get(agent), load) {
+        known.hint.note(ctx.now, load);
         ctx.follow_ups.agents_with_capacity.insert(agent.clone());
     }
 }
 
-/// Whether another agent may take what one refused with this code.
+/// Whether another agent may accept a request that one refused with this code.
 const fn retryable_elsewhere(code: Code) -> bool {
     matches!(
         code,
--- a/crates/role/src/entry/requests/candidates.rs
+++ b/crates/role/src/entry/requests/candidates.rs
@@ -1,4 +1,4 @@
-//! Who can serve a request now, and when somebody will.
+//! Finds the agents that can serve a request, or predicts when one can.
 
 use base::prelude::*;
 use live::{Agent, Life, ResidencyState};
@@ -9,13 +9,13 @@
 use super::super::shared::Ctx;
 use super::state::{Request, State};
 
-/// Service time assumed before one was seen.
+/// Service time assumed until one was measured.
 const SERVICE_TIME_DEFAULT_MS: u32 = 1_000;
 
-/// Time within which an agent that is there, but can't serve, may be able to.
-const AGENT_BACK_MS: u64 = 1_000;
+/// Minimum predicted time until an agent that can't currently serve can.
+const AGENT_RETURN_MIN_MS: u64 = 1_000;
 
-/// Agents that can serve a request, with the version each would serve.
+/// Agents that can serve a request, with the model version that each would serve.
 #[derive(Debug)]
 pub(super) struct Candidates<'a> {
     pub(super) holders: Vec<Holder<'a>>,
@@ -23,12 +23,11 @@
 }
 
 impl<'a> Candidates<'a> {
-    /// Those that can serve `request`, in order of name.
+    /// Agents that can serve `request`, in order of name.
     ///
-    /// The configured version comes first. While nobody holds it yet, the
-    /// highest that is held goes on serving, so that a new version does not
-    /// make a model unreachable until it is loaded. An answer that was begun
-    /// stays with its version.
+    /// The configured version is preferred. While no agent holds it, the highest version
+    /// held is used, so that the model stays available until a new version is loaded. A
+    /// partly delivered answer is continued by the same version only.
     pub(super) fn of(control: &'a Control, now: Instant, request: &Request) -> Self {
         let agents = match &request.resolved.resource {
             Resource::Model(model) => model_agents(control, now, request, model),
@@ -38,16 +37,16 @@
         Self { holders, agents }
     }
 
-    /// Leaves out agents.
+    /// Removes agents.
     pub(super) fn exclude(&mut self, excluded: &[AgentId]) {
         let keep = |id: &AgentId| !excluded.contains(id);
         self.holders.retain(|holder| keep(holder.agent));
         self.agents.retain(|(agent, _)| keep(&agent.id));
     }
 
-    /// Takes out those whose upstreams fail, unless all do: then a verdict that
-    /// is wrong or old would keep the model from everybody. Returns those taken
-    /// out.
+    /// Removes agents whose upstreams are failing, and returns them. If all are failing,
+    /// none is removed: otherwise a wrong or outdated state of the circuit breakers
+    /// would make the model unavailable.
     pub(super) fn take_failing(&mut self, ctx: &Ctx<'a>) -> Self {
         let mut failing = Self {
             holders: Vec::new(),
@@ -57,50 +56,52 @@
         if !breakers.any_failing() {
             return failing;
         }
-        let fails = |id: &AgentId| breakers.is_failing(id);
-        if self.holders.iter().all(|held| fails(held.agent)) {
+        let is_failing = |id: &AgentId| breakers.is_failing(id);
+        if self.holders.iter().all(|holder| is_failing(holder.agent)) {
             return failing;
         }
         failing.holders = self
             .holders
-            .extract_if(.., |held| fails(held.agent))
+            .extract_if(.., |holder| is_failing(holder.agent))
             .collect();
-        let agents = self.agents.extract_if(.., |(agent, _)| fails(&agent.id));
+        let agents = self
+            .agents
+            .extract_if(.., |(agent, _)| is_failing(&agent.id));
         failing.agents = agents.collect();
         failing
     }
 
-    /// Keeps only holders without load if there are any: a gate takes a suspect
-    /// only when nothing else is in flight.
+    /// Keeps only idle holders, if there are any: an agent starts an exclusive run only
+    /// when nothing else is in flight at its upstream.
     pub(super) fn prefer_idle(&mut self) {
-        let idle = self.holders.iter().filter(|held| is_idle(held));
-        let idle: Vec<AgentId> = idle.map(|held| held.agent.clone()).collect();
+        let idle = self.holders.iter().filter(|holder| is_idle(holder));
+        let idle: Vec<AgentId> = idle.map(|holder| holder.agent.clone()).collect();
         if !idle.is_empty() {
-            self.holders.retain(|held| idle.contains(held.agent));
+            self.holders.retain(|holder| idle.contains(holder.agent));
             self.agents.retain(|(agent, _)| idle.contains(&agent.id));
         }
     }
 
     fn slots(&self) -> u32 {
-        self.holders.iter().map(|held| held.running_max).sum()
+        self.holders.iter().map(|holder| holder.running_max).sum()
     }
 
     fn free_slots(&self) -> u32 {
-        let free = self.holders.iter().map(|held| {
-            let load = held
+        let free = self.holders.iter().map(|holder| {
+            let load = holder
                 .running
-                .saturating_add(held.waiting)
-                .saturating_add(held.sent_since_report);
-            let free = held.running_max.saturating_sub(load);
-            // The little queue that a holder may have beyond its places.
-            free.max(u32::from(route::has_capacity(held)))
+                .saturating_add(holder.waiting)
+                .saturating_add(holder.sent_since_report);
+            let free = holder.running_max.saturating_sub(load);
+            // A holder may also have a short queue beyond its slots.
+            free.max(u32::from(route::has_capacity(holder)))
         });
         free.sum()
     }
 }
 
-const fn is_idle(held: &Holder<'_>) -> bool {
-    held.running == 0 && held.waiting == 0 && held.sent_since_report == 0
+const fn is_idle(holder: &Holder<'_>) -> bool {
+    holder.running == 0 && holder.waiting == 0 && holder.sent_since_report == 0
 }
 
 fn model_agents<'a>(
@@ -113,11 +114,12 @@
     let usable = holders.filter(|agent| control.usable(now, agent));
     let usable: Vec<&Agent> = usable.collect();
     let config = control.config();
-    let configured = config.and_then(|held| held.model(model.as_str()));
+    let configured = config.and_then(|config| config.model(model.as_str()));
     let configured = configured.map(|spec| spec.version);
     let of_version = |version: u32| -> Vec<(&'a Agent, u32)> {
-        let held = usable.iter();
-        held.filter(|agent| agent.serves_version(model.as_str(), version))
+        let agents = usable.iter();
+        agents
+            .filter(|agent| agent.serves_version(model.as_str(), version))
             .map(|agent| (*agent, version))
             .collect()
     };
@@ -140,7 +142,7 @@
     service: &ServiceId,
 ) -> Vec<(&'a Agent, u32)> {
     let config = control.config();
-    let Some(spec) = config.and_then(|held| held.service(service.as_str())) else {
+    let Some(spec) = config.and_then(|config| config.service(service.as_str())) else {
         return Vec::new();
     };
     let agents = control.directory.agents();
@@ -164,14 +166,14 @@
     }
 }
 
-/// What admission has to know of a request.
+/// Input of admission control for a request.
 pub(super) fn admit_input(
     ctx: &Ctx<'_>,
     request: &Request,
     candidates: &Candidates<'_>,
     crashed_agents: &[AgentId],
     ahead: u32,
-) -> AdmitInput {
+) -> AdmissionInput {
     let resource = &request.resolved.resource;
     let stats = ctx.shared.workload.lock().snapshot(ctx.now, resource);
     let load_wait_ms = match candidates.holders.is_empty() {
@@ -180,32 +182,32 @@
     };
     AdmissionInput {
         remaining_ms: request.remaining_ms(ctx.now),
-        // One that waits already, or ran, has lost its first token's time to a
-        // load or a failure; refusing it would only add to that.
+        // The target applies to new requests only. One that already waited or ran has
+        // lost that time to a load or a failure, and refusing it would lose more.
         first_token_ms: match request.is_fresh() {
             true => request.resolved.first_token_ms,
             false => 0,
         },
         interactive: request.resolved.interactive,
         holders: u32::try_from(candidates.holders.len()).unwrap_or(u32::MAX),
-        free_places: candidates.free_slots(),
-        places: candidates.slots(),
-        ahead,
+        free_slots: candidates.free_slots(),
+        slots: candidates.slots(),
+        queued_ahead: ahead,
         service_time_ms: stats.service_time_ms.unwrap_or(SERVICE_TIME_DEFAULT_MS),
         load_wait_ms,
-        whole_ms: predicted_answer_ms(request, candidates, stats.service_time_ms),
+        answer_time_ms: predicted_answer_ms(request, candidates, stats.service_time_ms),
     }
 }
 
-/// Predicted time of the whole answer: the mean of others, but not more than
-/// the answer's greatest length takes.
+/// Predicted time to the end of the answer: the mean service time, but no more than the
+/// remaining tokens take at the limit of the answer's length.
 fn predicted_answer_ms(
     request: &Request,
     candidates: &Candidates<'_>,
     mean_ms: Option<u32>,
 ) -> u64 {
     let mean_ms = u64::from(mean_ms.unwrap_or(0));
-    let steps = candidates.holders.iter().map(|held| held.step_time_us);
+    let steps = candidates.holders.iter().map(|holder| holder.step_time_us);
     let step_us = steps.filter(|us| *us > 0).min();
     let Some(step_us) = step_us.filter(|_| request.incoming.tokens_max > 0) else {
         return mean_ms;
@@ -215,7 +217,7 @@
     mean_ms.min(left.saturating_mul(u64::from(step_us)) / 1_000)
 }
 
-/// Predicted time until somebody can serve what nobody can serve now.
+/// Predicted time until an agent can serve a request that none can serve now.
 fn predicted_serve_wait_ms(
     ctx: &Ctx<'_>,
     request: &Request,
@@ -223,57 +225,57 @@
 ) -> Option<u64> {
     let pool = pool_of(ctx.control, request)?;
     let agents = ctx.control.directory.agents();
-    let there: Vec<&Agent> = agents
+    let pool_agents: Vec<&Agent> = agents
         .filter(|agent| agent.pool == *pool && !agent.leaving())
         .filter(|agent| agent.life != Life::Lost && !crashed_agents.contains(&agent.id))
         .collect();
-    if there.is_empty() {
-        // A process that has just started has not heard of the agents yet.
+    if pool_agents.is_empty() {
+        // A process that has just started may not have heard of the agents yet.
         let starting = ctx.control.just_started(ctx.now);
-        return starting.then_some(AGENT_BACK_MS);
+        return starting.then_some(AGENT_RETURN_MIN_MS);
     }
-    let back = |agent: &&Agent| predicted_return_ms(ctx.now, agent);
+    let return_ms = |agent: &&Agent| predicted_return_ms(ctx.now, agent);
     let Some(model) = request.resolved.resource.model() else {
-        let soonest = there.iter().map(back).min()?;
-        return Some(soonest.max(AGENT_BACK_MS));
+        let soonest = pool_agents.iter().map(return_ms).min()?;
+        return Some(soonest.max(AGENT_RETURN_MIN_MS));
     };
     let holds = |agent: &&&Agent| match request.version {
         Some(version) => agent.serves_version(model.as_str(), version),
         None => agent.serves(model.as_str()).is_some(),
     };
-    let held = there.iter().filter(holds).map(back).min();
-    let held = held.map(|ms| ms.max(AGENT_BACK_MS));
+    let holder_ms = pool_agents.iter().filter(holds).map(return_ms).min();
+    let holder_ms = holder_ms.map(|ms| ms.max(AGENT_RETURN_MIN_MS));
     if !crashed_agents.is_empty()
-        && held_only_where_crashed(ctx, request, model, &there, crashed_agents)
+        && held_only_where_crashed(ctx, request, model, &pool_agents, crashed_agents)
     {
-        return held;
+        return holder_ms;
     }
-    let load = ctx.control.predicted_load_wait_ms(ctx.now, model);
-    let load = load.map(|ms| ms + new_loads_wait_ms(ctx, model));
-    held.into_iter().chain(load).min()
+    let load_ms = ctx.control.predicted_load_wait_ms(ctx.now, model);
+    let load_ms = load_ms.map(|ms| ms + new_loads_wait_ms(ctx, model));
+    holder_ms.into_iter().chain(load_ms).min()
 }
 
-/// Whether a request goes on waiting for a load that is under way, though it is
-/// predicted to be late.
+/// Whether a request keeps waiting for a load in progress although the load is predicted
+/// to be too late.
 ///
-/// A load that takes longer than loads do is expected to take as long again. By
-/// that, what has waited for most of a slow load would be refused shortly before
-/// its end, and its wait would be for nothing. A load in progress may end at any
-/// moment, so it is waited for as long as the deadline leaves time for the answer
-/// and for one more look at the queue, which tells the caller when to come back.
-/// Who comes while the load is late already is told at once.
+/// A load that exceeds the configured load time is predicted to exceed it by as much
+/// again. By that prediction, a request that has waited for most of a slow load would be
+/// refused shortly before its end. But a load in progress may end at any time, so a
+/// waiting request stays in the queue as long as its deadline leaves time for the answer
+/// and for one more scan of the queue, in which it can still be refused with a retry
+/// delay. A new request that arrives while the load is overdue is refused at once.
 pub(super) fn keeps_waiting_for_load(
     ctx: &Ctx<'_>,
     request: &Request,
-    input: &AdmitInput,
+    input: &AdmissionInput,
     crashed_agents: &[AgentId],
 ) -> bool {
     let Some(model) = request.resolved.resource.model() else {
         return false;
     };
     let waits = matches!(request.state, State::Waiting(_));
-    let look_ms = ctx.control.directory.timing().heartbeat_ms();
-    let in_time = input.answer_time_ms.saturating_add(look_ms) < input.remaining_ms;
+    let scan_ms = ctx.control.directory.timing().heartbeat_ms();
+    let in_time = input.answer_time_ms.saturating_add(scan_ms) < input.remaining_ms;
     let mut agents = ctx.control.directory.agents();
     waits
         && input.holders == 0
@@ -287,36 +289,37 @@
         })
 }
 
-/// Whether only upstreams that the suspect crashed hold its model, and nobody
-/// loads it elsewhere: then there is nothing to wait for.
+/// Whether the model is held only by upstreams that the suspect request crashed, and no
+/// other agent is loading it, so that waiting is pointless.
 ///
-/// What was held before the crash does not count. It went with the upstream, and
-/// the next heartbeat will say so.
+/// A residency from before the crash does not count: it was lost with the upstream, and
+/// the next heartbeat will report that.
 fn held_only_where_crashed(
     ctx: &Ctx<'_>,
     request: &Request,
     model: &ModelId,
-    there: &[&Agent],
+    pool_agents: &[&Agent],
     crashed_agents: &[AgentId],
 ) -> bool {
-    let mut elsewhere = there.iter();
+    let mut elsewhere = pool_agents.iter();
     if elsewhere.any(|agent| agent.loading_since(model.as_str()).is_some()) {
         return false;
     }
     let fingerprint = request.resolved.fingerprint;
-    let crashed_at = ctx.shared.suspects.lock().crash_heard_at(fingerprint);
+    let crashed_at = ctx.shared.suspects.lock().last_crash_at(fingerprint);
     let crashed = crashed_agents.iter();
     let mut crashed = crashed.filter_map(|id| ctx.control.directory.get(id));
     crashed.any(|agent| {
-        agent.residents.iter().any(|held| {
-            held.model == *model
-                && held.state == ResidencyState::Loaded
-                && Some(held.since) > crashed_at
+        agent.residents.iter().any(|resident| {
+            resident.model == *model
+                && resident.state == ResidencyState::Loaded
+                && Some(resident.since) > crashed_at
         })
     })
 }
 
-/// Whether agents are there, and the suspect has crashed every one of them.
+/// Whether the pool has agents, and the suspect request has crashed the upstreams of all
+/// of them.
 pub(super) fn crashed_all(
     ctx: &Ctx<'_>,
     request: &Request,
@@ -326,9 +329,10 @@
         return false;
     };
     let agents = ctx.control.directory.agents();
-    let there = agents.filter(|agent| agent.pool == *pool && agent.life != Life::Lost);
-    let mut there = there.peekable();
-    there.peek().is_some() && there.all(|agent| crashed.contains(&agent.id))
+    let pool_agents =
+        agents.filter(|agent| agent.pool == *pool && agent.life != Life::Lost);
+    let mut pool_agents = pool_agents.peekable();
+    pool_agents.peek().is_some() && pool_agents.all(|agent| crashed.contains(&agent.id))
 }
 
 fn pool_of<'a>(control: &'a Control, request: &Request) -> Option<&'a PoolId> {
@@ -339,18 +343,18 @@
     }
 }
 
-/// Time for the loads of other models that began to wait here after the last
-/// forecast: they start one after another.
+/// Time until the loads of other models have started that requests began to wait for here
+/// since the last forecast: the weight store starts them one after another.
 fn new_loads_wait_ms(ctx: &Ctx<'_>, model: &ModelId) -> u64 {
     if ctx.control.has_forecast(model) {
         return 0;
     }
     let wait_queue = ctx.shared.wait_queue.lock();
-    let new = wait_queue.models().filter(|held| {
-        let mut holders = ctx.control.directory.holders(held.as_str());
-        *held != model && !ctx.control.has_forecast(held) && holders.next().is_none()
+    let new = wait_queue.models().filter(|other| {
+        let mut holders = ctx.control.directory.holders(other.as_str());
+        *other != model && !ctx.control.has_forecast(other) && holders.next().is_none()
     });
     let config = ctx.control.config();
-    let loads_per_s = config.map_or(1.0, |held| held.store().loads_per_s);
+    let loads_per_s = config.map_or(1.0, |config| config.store().loads_per_s);
     (new.count() as f64 * 1_000.0 / loads_per_s.max(0.001)) as u64
 }
--- a/crates/role/src/entry/requests/dispatch.rs
+++ b/crates/role/src/entry/requests/dispatch.rs
@@ -1,4 +1,4 @@
-//! Where a request goes: to an agent, into a queue, or back.
+//! Dispatches requests: each is sent to an agent, queued or refused.
 
 use base::prelude::*;
 use route::{
@@ -16,26 +16,26 @@
 use super::state::{Request, State};
 use super::timers::Timer;
 
-/// Refusals by gates after which a request is given up. Each was a statement
-/// that it was not run, so the bound is only against going round for ever.
+/// Number of refusals by agents after which a request is refused. Each says that the
+/// request did not run, so the limit only keeps it from circulating forever.
 const ADMISSION_REFUSALS_MAX: u32 = 16;
 
-/// When to come back if that can't be predicted.
+/// Retry delay told to the caller if none can be predicted.
 const DEFAULT_RETRY_AFTER_MS: u64 = 1_000;
 
-/// What came of placing a request.
+/// Result of dispatching a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Dispatched {
-    /// It was sent.
+    /// It was sent to an agent.
     Sent,
-    /// It waits.
+    /// It is in a wait queue.
     Waiting,
     /// It has ended.
     Ended,
 }
 
 impl Requests {
-    /// Takes a new request.
+    /// Adds a new request and dispatches it.
     pub(crate) fn start(&mut self, ctx: &mut Ctx<'_>, request: Request) {
         let sequence = request.id().sequence;
         self.timers
@@ -48,15 +48,15 @@
         self.dispatch(ctx, sequence);
     }
 
-    /// Tries to send a request; it waits if it can't be sent now and will be in
-    /// time, and is refused at once if it won't.
+    /// Sends a request if possible. Otherwise it is queued if it is predicted to meet its
+    /// deadline, and refused at once if not.
     pub(crate) fn dispatch(&mut self, ctx: &mut Ctx<'_>, sequence: u64) -> Dispatched {
-        let held = self.requests.get(&sequence);
-        let ahead = held.map_or(0, |request| requests_ahead(ctx, request));
+        let request = self.requests.get(&sequence);
+        let ahead = request.map_or(0, |request| requests_ahead(ctx, request));
         self.dispatch_behind(ctx, sequence, ahead)
     }
 
-    /// The same, with the number of requests that go before it.
+    /// Like [`Self::dispatch`], with the number of queued requests ahead of it.
     fn dispatch_behind(
         &mut self,
         ctx: &mut Ctx<'_>,
@@ -80,9 +80,9 @@
         let fingerprint = request.resolved.fingerprint;
         let verdict = ctx.shared.suspects.lock().verdict(ctx.now, fingerprint);
         match verdict {
-            Verdict::Free => self.dispatch_with(ctx, sequence, ahead, false),
-            Verdict::Suspect => self.dispatch_with(ctx, sequence, ahead, true),
-            Verdict::Convicted { remaining_ms } => {
+            CrashVerdict::Clear => self.dispatch_with(ctx, sequence, ahead, false),
+            CrashVerdict::Suspect => self.dispatch_with(ctx, sequence, ahead, true),
+            CrashVerdict::Convicted { remaining_ms } => {
                 self.refuse(ctx, sequence, Code::Convicted, Some(remaining_ms))
             }
         }
@@ -119,7 +119,7 @@
             return self.refuse(ctx, sequence, code, Some(ms));
         }
         match admit(&input) {
-            Admit::Refuse(_)
+            Admission::Refuse(_)
                 if keeps_waiting_for_load(ctx, request, &input, &crashed_agents) =>
             {
                 self.wait_in_queue(ctx, sequence, input.load_wait_ms)
@@ -127,14 +127,14 @@
             Admission::Refuse(refusal) => {
                 self.refuse(ctx, sequence, refusal.code, refusal.retry_after_ms)
             }
-            Admit::Wait { predicted_ms } => {
+            Admission::Wait { predicted_ms } => {
                 ctx.follow_ups.plan |= input.holders == 0;
                 self.wait_in_queue(ctx, sequence, Some(predicted_ms))
             }
-            Admit::Send if request.not_before > ctx.now => {
+            Admission::Send if request.not_before > ctx.now => {
                 self.wait_in_queue(ctx, sequence, None)
             }
-            Admit::Send => {
+            Admission::Send => {
                 match self.choose_route(ctx, sequence, &candidates, &failing, exclusive)
                 {
                     Some(route) => self.send(ctx, sequence, &route),
@@ -144,7 +144,8 @@
         }
     }
 
-    /// Chooses a holder, and takes the model's position for a suspect.
+    /// Chooses the agent. For an exclusive run it also reserves the model's single such
+    /// run.
     fn choose_route(
         &mut self,
         ctx: &mut Ctx<'_>,
@@ -159,19 +160,19 @@
         {
             return Some(route);
         }
-        let input = ChooseInput {
+        let input = RoutingInput {
             prefix_hash: request.incoming.prefix_hash,
             domain: &ctx.shared.options.failure_domain,
             excluded: &request.excluded_agents,
         };
-        let chosen = choose(&candidates.holders, &input, &mut self.rng)?;
+        let chosen = choose_holder(&candidates.holders, &input, &mut self.rng)?;
         if exclusive && !try_start_exclusive(ctx, request) {
             return None;
         }
         let holder = &candidates.holders[chosen.index];
         let (agent, version) = candidates.agents[chosen.index];
         let detail = format!(
-            "{} holders, {} of {} running there, {}",
+            "{} holders, {} of {} slots in use at the chosen one, {}",
             candidates.holders.len(),
             holder.running,
             holder.running_max,
@@ -189,7 +190,7 @@
         })
     }
 
-    /// Puts a request into its queue, unless it stands there.
+    /// Adds a request to its wait queue, unless it is in it.
     pub(super) fn wait_in_queue(
         &mut self,
         ctx: &mut Ctx<'_>,
@@ -199,7 +200,7 @@
         let Some(request) = self.requests.get_mut(&sequence) else {
             return Dispatched::Ended;
         };
-        // Whom it was refused by may have room by the time it is its turn.
+        // Agents that refused it may have capacity when its turn comes.
         request.excluded_agents.clear();
         if matches!(request.state, State::Waiting(_)) {
             return Dispatched::Waiting;
@@ -213,7 +214,7 @@
         request.state = State::Waiting(position);
         let detail = match predicted_ms {
             Some(ms) => format!("predicted wait {ms} ms"),
-            None => "no holder has room".to_owned(),
+            None => "no holder has capacity".to_owned(),
         };
         TimelineEvent::new(EventKind::RequestWaiting, detail)
             .request(request.id())
@@ -221,71 +222,74 @@
             .record(ctx.out);
         if request.not_before > ctx.now {
             let at = request.not_before;
-            self.timers.set(at, Timer::Wake { sequence });
+            self.timers.set(at, Timer::Retry { sequence });
         }
         Dispatched::Waiting
     }
 
-    /// A waiting request lost its position to a more urgent one.
+    /// Refuses a request that was evicted from its queue by a more urgent one.
     pub(crate) fn evicted(&mut self, ctx: &mut Ctx<'_>, request: RequestId) {
-        let held = self.requests.get(&request.sequence);
-        if held.is_some_and(|held| matches!(held.state, State::Waiting(_))) {
+        let current = self.requests.get(&request.sequence);
+        if current.is_some_and(|current| matches!(current.state, State::Waiting(_))) {
             let retry_after = Some(DEFAULT_RETRY_AFTER_MS);
             self.refuse(ctx, request.sequence, Code::QueueFull, retry_after);
         }
     }
 
-    /// Tries to send a request that stands at the head of its queue.
+    /// Dispatches a waiting request again; `ahead` requests of its queue remain ahead.
     pub(crate) fn dispatch_waiting(
         &mut self,
         ctx: &mut Ctx<'_>,
         request: RequestId,
         ahead: u32,
     ) -> Dispatched {
-        let held = self.requests.get(&request.sequence);
-        if held.is_some_and(|held| matches!(held.state, State::Waiting(_))) {
+        let current = self.requests.get(&request.sequence);
+        if current.is_some_and(|current| matches!(current.state, State::Waiting(_))) {
             return self.dispatch_behind(ctx, request.sequence, ahead);
         }
         Dispatched::Ended
     }
 }
 
-/// Adds a request to its queue, within its caller's share.
+/// Adds a request to its queue, subject to its caller's limit of waiting requests.
 ///
-/// Without the share one caller's burst would fill the queue, and every other
-/// caller would be refused. More urgent work that takes a position from less urgent
-/// work is exempt: the queue does not grow by it.
+/// Without this limit a burst of one caller would fill the queue, and the requests of
+/// all others would be refused. A request that evicts a less urgent one is exempt, as
+/// the queue does not grow by it.
 fn enqueue(
     ctx: &mut Ctx<'_>,
     request: &Request,
     position: QueuePosition,
 ) -> Result<(), Code> {
     let config = ctx.control.config();
-    let max = config.map_or(0, |held| held.limits().waiting_max);
+    let max = config.map_or(0, |config| config.limits().waiting_max);
     let caller = &request.caller;
-    let within = ctx.shared.callers.lock().try_enqueue(caller, max);
+    let within_limit = ctx.shared.callers.lock().try_enqueue(caller, max);
     let queued = {
         let mut wait_queue = ctx.shared.wait_queue.lock();
-        if !within && wait_queue.len() < max as usize {
+        if !within_limit && wait_queue.len() < max as usize {
             return Err(Code::CallerLimit);
         }
         wait_queue.enqueue(&request.resolved.resource, position, ctx.now, max as usize)
     };
     match queued {
-        EnqueueResult::Full if within => ctx.shared.callers.lock().end_wait(caller),
+        EnqueueResult::Full if within_limit => {
+            ctx.shared.callers.lock().dequeue(caller)
+        }
         EnqueueResult::Evicted(other) => ctx.follow_ups.evicted.push(other),
         EnqueueResult::Full | EnqueueResult::Added => {}
     }
     if queued == EnqueueResult::Full {
         return Err(Code::QueueFull);
     }
-    if !within {
+    if !within_limit {
         ctx.shared.callers.lock().enqueue_displacing(caller);
     }
     Ok(())
 }
 
-/// Whether an answer was begun by a version that nobody holds or will hold.
+/// Whether a partly delivered answer needs a model version that no agent holds and that
+/// is no longer configured.
 fn cannot_resume(
     ctx: &Ctx<'_>,
     request: &Request,
@@ -297,8 +301,8 @@
         return false;
     };
     let config = ctx.control.config();
-    let spec = config.and_then(|held| held.model(model.as_str()));
-    candidates.holders.is_empty() && spec.map(|held| held.version) != Some(version)
+    let spec = config.and_then(|config| config.model(model.as_str()));
+    candidates.holders.is_empty() && spec.map(|spec| spec.version) != Some(version)
 }
 
 fn queue_position(request: &Request) -> QueuePosition {
@@ -314,30 +318,30 @@
     wait_queue.count_ahead(&request.resolved.resource, &queue_position(request))
 }
 
-/// The way to a failing upstream, if the request is the one to probe it.
+/// Route to a failing upstream, if the request is to probe it.
 fn probe_route(
     ctx: &Ctx<'_>,
     request: &Request,
     failing: &Candidates<'_>,
     others: &Candidates<'_>,
 ) -> Option<Route> {
-    // With all holders failing they are among the others.
-    let all = [failing, others];
-    let held = all
+    // If all holders are failing, they are among `others`.
+    let groups = [failing, others];
+    let candidates = groups
         .iter()
-        .flat_map(|held| held.holders.iter().zip(&held.agents));
+        .flat_map(|group| group.holders.iter().zip(&group.agents));
     let mut breakers = ctx.shared.breakers.lock();
     if !breakers.any_failing() {
         return None;
     }
-    let mut fit = held.filter(|(holder, (agent, _))| {
-        has_room(holder) && !request.excluded_agents.contains(&agent.id)
+    let mut available = candidates.filter(|(holder, (agent, _))| {
+        has_capacity(holder) && !request.excluded_agents.contains(&agent.id)
     });
-    let (_, (agent, version)) = fit.find(|(_, (agent, _))| {
-        let prober = ctx.control.is_prober(ctx.now, &agent.id);
+    let (_, (agent, version)) = available.find(|(_, (agent, _))| {
+        let is_prober = ctx.control.is_prober(ctx.now, &agent.id);
         let idempotent = request.resolved.idempotent;
         breakers.is_failing(&agent.id)
-            && breakers.try_probe(ctx.now, &agent.id, prober, idempotent)
+            && breakers.try_probe(ctx.now, &agent.id, is_prober, idempotent)
     })?;
     agent.hint.note_sent();
     Some(Route {
@@ -347,11 +351,11 @@
         exclusive: false,
         probe: true,
         reason: RouteReason::OnlyHolder.number(),
-        detail: "to see whether it works again".to_owned(),
+        detail: "to check whether it has recovered".to_owned(),
     })
 }
 
-/// Agents whose upstreams crashed with a request in flight.
+/// Agents whose upstreams crashed with the request in flight.
 fn crashed_on(ctx: &Ctx<'_>, request: &Request) -> Vec<AgentId> {
     let suspects = ctx.shared.suspects.lock();
     suspects
@@ -359,11 +363,11 @@
         .collect()
 }
 
-/// Why a suspect can't be run before its deadline, with when to come back.
+/// Error code and retry delay if a suspect request can't run before its deadline.
 ///
-/// Only an upstream that it has not crashed may run it, and only in this
-/// entry's turn. One that has neither in time would stand in the queue until
-/// its deadline, and its caller would learn nothing by it.
+/// It may run only on an upstream that it has not crashed, and only in this entry's
+/// turn. If it gets neither in time, it would only wait in the queue until its deadline,
+/// so it is refused now.
 fn exclusive_run_refusal(
     ctx: &Ctx<'_>,
     request: &Request,
@@ -378,8 +382,8 @@
     }
     request.resolved.resource.model()?;
     let turn_ms = ctx.control.exclusive_turn_wait_ms(ctx.now);
-    let late = turn_ms.saturating_add(input.whole_ms) > input.remaining_ms;
-    late.then_some((Code::Overloaded, turn_ms.max(ALONE_RETRY_MS)))
+    let late = turn_ms.saturating_add(input.answer_time_ms) > input.remaining_ms;
+    late.then_some((Code::Overloaded, turn_ms.max(ALONE_RUN_RETRY_MS)))
 }
 
 fn try_start_exclusive(ctx: &mut Ctx<'_>, request: &Request) -> bool {
@@ -389,10 +393,10 @@
     if ctx.control.exclusive_turn_wait_ms(ctx.now) > 0 {
         return false;
     }
-    let me = &ctx.shared.options.id;
+    let own_id = &ctx.shared.options.id;
     let fingerprint = request.resolved.fingerprint;
     let mut suspects = ctx.shared.suspects.lock();
-    let started = suspects.try_start_alone(model, fingerprint, me);
+    let started = suspects.try_start_alone_run(model, fingerprint, own_id);
     ctx.follow_ups.gossip |= started;
     started
 }
--- a/crates/role/src/entry/requests/end.rs
+++ b/crates/role/src/entry/requests/end.rs
@@ -1,4 +1,4 @@
-//! The end of a request.
+//! Ends requests and attempts.
 
 use base::prelude::*;
 use schema::timeline::EventKind;
@@ -14,9 +14,8 @@
 use super::upstream_outcome::record_outcome;
 
 impl Requests {
-    /// Refuses a request, saying of it what its attempts show.
-    ///
-    /// An attempt in flight is settled by what was observed of it.
+    /// Ends a request with an error. The refusal reports whether the request ran, as far
+    /// as is known from its attempts, including the one in flight, which is ended.
     pub(super) fn refuse(
         &mut self,
         ctx: &mut Ctx<'_>,
@@ -36,7 +35,7 @@
         ctx.shared.counts.refused(refusal.code);
         ctx.shared.outcomes.lock().record_refused(&request);
         let detail = format!(
-            "{} after {} ms, {} sent, {} refused by gates, {} units given: {code}",
+            "{} after {} ms, {} attempts, {} refused by agents, {} units delivered: {code}",
             ran.as_str(),
             ctx.now.ms_since(request.arrived_at),
             request.attempts_sent,
@@ -55,7 +54,7 @@
         Dispatched::Ended
     }
 
-    /// Gives the caller the end of a whole answer.
+    /// Ends a request with a complete answer.
     pub(super) fn finish(
         &mut self,
         ctx: &mut Ctx<'_>,
@@ -72,7 +71,11 @@
             .outcomes
             .lock()
             .record_finished(ctx.now, &request);
-        let replayed = if replayed { ", of an earlier run" } else { "" };
+        let replayed = if replayed {
+            ", replayed from an earlier run"
+        } else {
+            ""
+        };
         let detail = format!(
             "{} units after {} ms{replayed}",
             request.delivered,
@@ -90,7 +93,7 @@
         });
     }
 
-    /// Takes a request out of the shard and gives back what it held.
+    /// Removes a request from the shard, its queue and its caller's count.
     pub(super) fn remove(
         &mut self,
         ctx: &mut Ctx<'_>,
@@ -100,16 +103,16 @@
         let request = self.requests.remove(&sequence)?;
         if let State::Waiting(position) = request.state {
             ctx.shared.wait_queue.lock().remove(position);
-            ctx.shared.callers.lock().end_wait(&request.caller);
+            ctx.shared.callers.lock().dequeue(&request.caller);
         }
         ctx.shared.callers.lock().finish_request(&request.caller);
         Some(request)
     }
 
-    /// Ends the attempt in flight, if any: its frames are late from now on.
+    /// Ends the attempt in flight, if any; later frames about it are dropped.
     ///
-    /// `reported` is what its agent said of it in the end. Without such a word an
-    /// attempt counts as run if its start was announced, else as unknown.
+    /// `reported` is what the agent finally reported. Without a report, the attempt
+    /// counts as run if its start was reported, else as unknown.
     pub(super) fn settle_attempt(
         &mut self,
         ctx: &mut Ctx<'_>,
@@ -117,8 +120,8 @@
         reported: Option<Ran>,
     ) -> Option<Attempt> {
         let request = self.requests.get_mut(&sequence)?;
-        let held = std::mem::replace(&mut request.state, State::New);
-        let attempt = match held {
+        let state = std::mem::replace(&mut request.state, State::New);
+        let attempt = match state {
             State::Running(attempt) => attempt,
             other => {
                 request.state = other;
@@ -127,14 +130,14 @@
         };
         self.attempts.remove(&attempt.id.sequence);
         if attempt.probe {
-            // It ended without a word of its upstream: the next may try.
+            // The probe ended without an outcome; the breaker may grant another one.
             record_outcome(ctx, &attempt.agent, false, true);
         }
         let observed = match attempt.started {
             true => Ran::Ran,
             false => Ran::Unknown,
         };
-        // An attempt that answered did run, whatever is said of it.
+        // An attempt with answer parts did run, whatever the agent reports.
         let reported = reported.filter(|_| !attempt.answered);
         request.history.add(reported.unwrap_or(observed));
         if attempt.exclusive
@@ -142,7 +145,7 @@
         {
             let fingerprint = request.resolved.fingerprint;
             let mut suspects = ctx.shared.suspects.lock();
-            suspects.end_alone(model, fingerprint);
+            suspects.end_alone_run(model, fingerprint);
             ctx.follow_ups
                 .wake
                 .insert(request.resolved.resource.clone());
@@ -155,15 +158,14 @@
     }
 }
 
-/// The code that fits what is known: codes that speak of a request that was
-/// not run are not said of one that may have run.
+/// Replaces codes that imply that a request did not run (the 2000s) if it may have run.
 ///
-/// Two of them don't speak of that. A convict ran. A key in progress is another
-/// call's, whose answer the caller gets by coming back: told that the outcome is
-/// unknown instead, it would not come back for it.
+/// Two of these codes are kept. A convicted request did run. A key in progress belongs
+/// to another call, whose answer the caller gets by retrying; it would not retry if it
+/// were told that the outcome is unknown.
 fn refusal_code(request: &Request, code: Code, ran: Ran) -> Code {
-    let stands = matches!(code, Code::Convicted | Code::KeyInProgress);
-    if ran == Ran::NotRun || code.number() / 1_000 != 2 || stands {
+    let keeps_code = matches!(code, Code::Convicted | Code::KeyInProgress);
+    if ran == Ran::NotRun || code.number() / 1_000 != 2 || keeps_code {
         return code;
     }
     if !request.resolved.idempotent {
--- a/crates/role/src/entry/requests/failures.rs
+++ b/crates/role/src/entry/requests/failures.rs
@@ -1,4 +1,4 @@
-//! Attempts that failed, are missing, or can't be asked after.
+//! Handles failed attempts, missing answers and lost agents.
 
 use base::prelude::*;
 use schema::link::{Cancel, End, Revoke, Revoked, frame};
@@ -15,25 +15,25 @@
 use super::state::{Attempt, State};
 use crate::Peer;
 
-/// When to come back with a request whose retry the budget denied.
+/// Retry delay told to the caller if the retry budget was exhausted.
 const BUDGET_RETRY_MS: u64 = 2_000;
 
-/// When to come back after a deadline: the place taken is free at once, and a
-/// call that goes on may have ended by then.
+/// Retry delay told to the caller after a deadline. The slot is freed at once, and a call
+/// that continues may have ended by then.
 const DEADLINE_RETRY_MS: u64 = 1_000;
 
-/// Failures after which a request is given up, whatever the budget.
+/// Number of failures after which a request is refused, whatever the retry budget.
 const FAILURES_MAX: u32 = 4;
 
-/// Whether a retry is paid for from the budget.
+/// Whether a retry is charged to the retry budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RetryCharge {
-    /// The attempt failed at an upstream.
+    /// The attempt failed at its upstream.
     Charged,
-    /// The upstream was crashed, maybe by another request: bystanders don't
-    /// pay. Suspects run one at a time, which bounds these retries. Nor does a
-    /// probe, which was sent to a failing upstream for the fleet's sake; there
-    /// is one at a time.
+    /// The upstream crashed, possibly due to another request, which must not use up the
+    /// budget. These retries are limited, as suspect requests run one at a time. Neither
+    /// is a failed probe charged: it was sent to a failing upstream on behalf of all
+    /// entries, and there is one at a time.
     Exempt,
 }
 
@@ -41,13 +41,13 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Failure {
     pub(super) code: Code,
-    /// Whether it ran, if its agent said so.
+    /// Whether it ran, if its agent reported that.
     pub(super) ran: Option<Ran>,
     pub(super) charge: RetryCharge,
 }
 
 impl Requests {
-    /// An attempt ended with an error.
+    /// Handles `End` with an error code.
     pub(super) fn attempt_ended_with_error(
         &mut self,
         ctx: &mut Ctx<'_>,
@@ -55,7 +55,8 @@
         frame: &End,
     ) {
         let code = Code::from_number(frame.code).unwrap_or(Code::UpstreamFault);
-        // A crash is no verdict on the upstream: it is down, and is told so.
+        // A crash does not count for the circuit breaker: the upstream is down, and its
+        // agent reports it as such.
         let failing = matches!(code, Code::UpstreamLost | Code::UpstreamFault);
         let mut probe = false;
         if failing && !frame.upstream_crashed {
@@ -64,9 +65,9 @@
         let Some(request) = self.requests.get(&sequence) else {
             return;
         };
-        let answered = request.attempt().is_some_and(|held| held.answered);
+        let answered = request.attempt().is_some_and(|attempt| attempt.answered);
         let ran = match Ran::from_number(frame.ran) {
-            // An attempt that answered did run, whatever its end says.
+            // An attempt with answer parts did run, whatever its end reports.
             Ran::NotRun if answered => Ran::Ran,
             ran => ran,
         };
@@ -93,7 +94,7 @@
         );
     }
 
-    /// Units are missing in an answer.
+    /// Handles a gap in the units of an answer.
     pub(crate) fn answer_gap(
         &mut self,
         ctx: &mut Ctx<'_>,
@@ -112,8 +113,8 @@
         self.attempt_failed(ctx, sequence, broken);
     }
 
-    /// The attempt in flight failed after it may have run: it is settled, and
-    /// the request is retried if that can do no harm, else ended.
+    /// Ends an attempt that failed after it may have run. The request is dispatched again
+    /// if that is safe and the limits allow it, and is refused otherwise.
     pub(super) fn attempt_failed(
         &mut self,
         ctx: &mut Ctx<'_>,
@@ -130,8 +131,8 @@
         request.failures += 1;
         request.last_failure_code = Some(code);
         request.excluded_agents.push(attempt.agent);
-        // What may have run once must not run twice: the caller is told at once
-        // that the outcome is not known, and decides.
+        // A request that is not idempotent and may have run must not run again. The
+        // caller is told at once that the outcome is unknown, and decides what to do.
         if !request.resolved.idempotent {
             self.refuse(ctx, sequence, Code::OutcomeUnknown, None);
             return;
@@ -152,44 +153,45 @@
         self.dispatch_elsewhere(ctx, sequence);
     }
 
-    /// Attempts at an agent can't be waited for any longer.
+    /// Handles the loss of an agent or of the link to it.
     pub(crate) fn agent_gone(
         &mut self,
         ctx: &mut Ctx<'_>,
         agent: &AgentId,
-        why: GoneReason,
+        reason: GoneReason,
     ) {
         let known_agent = ctx.control.directory.get(agent);
-        let incarnation = known_agent.map(|held| held.incarnation);
+        let incarnation = known_agent.map(|known| known.incarnation);
         let lost = self.requests.iter().filter(|(_, request)| {
-            request.attempt().is_some_and(|held| {
-                // A heartbeat of the very run that the attempt was sent to says
-                // nothing against it.
-                let same_run = Some(held.incarnation) == incarnation;
-                let spared = why == GoneReason::Restarted && same_run;
-                // Another thread may have sent it after the event.
-                held.agent == *agent && held.sent_at <= ctx.now && !spared
+            request.attempt().is_some_and(|attempt| {
+                // An attempt sent to the agent's current incarnation is not affected by
+                // the restart.
+                let same_run = Some(attempt.incarnation) == incarnation;
+                let spared = reason == GoneReason::Restarted && same_run;
+                // Another thread may have sent an attempt after the event.
+                attempt.agent == *agent && attempt.sent_at <= ctx.now && !spared
             })
         });
         let lost: Vec<u64> = lost.map(|(sequence, _)| *sequence).collect();
         for sequence in lost {
-            self.attempt_gone(ctx, sequence, why);
+            self.attempt_gone(ctx, sequence, reason);
         }
     }
 
-    fn attempt_gone(&mut self, ctx: &mut Ctx<'_>, sequence: u64, why: GoneReason) {
+    fn attempt_gone(&mut self, ctx: &mut Ctx<'_>, sequence: u64, reason: GoneReason) {
         let Some(request) = self.requests.get(&sequence) else {
             return;
         };
-        let asks = why == GoneReason::Lost && !request.resolved.idempotent;
-        if asks && request.attempt().is_some_and(|held| !held.started) {
+        let query_first = reason == GoneReason::Lost && !request.resolved.idempotent;
+        if query_first && request.attempt().is_some_and(|attempt| !attempt.started) {
             self.revoke_attempt(ctx, sequence);
             return;
         }
         self.give_up_attempt(ctx, sequence);
     }
 
-    /// An answer is missing: what can be asked is asked, the rest is given up.
+    /// Handles an attempt that was silent for too long: queries the agent if that is
+    /// useful, else gives the attempt up.
     pub(super) fn answer_missing(&mut self, ctx: &mut Ctx<'_>, sequence: u64) {
         let Some(request) = self.requests.get(&sequence) else {
             return;
@@ -197,10 +199,11 @@
         let Some(attempt) = request.attempt() else {
             return;
         };
-        // A call that must not run twice is worth waiting for the agent's word,
-        // once; one that may run twice goes on at once.
-        let ask = !request.resolved.idempotent && attempt.revoked_at.is_none();
-        if ask {
+        // If the request is not idempotent, the agent is queried once, as its answer
+        // decides whether the request may be sent again. An idempotent one is retried
+        // at once.
+        let query = !request.resolved.idempotent && attempt.revoked_at.is_none();
+        if query {
             self.revoke_attempt(ctx, sequence);
             return;
         }
@@ -210,8 +213,8 @@
         self.give_up_attempt(ctx, sequence);
     }
 
-    /// Ends the attempt in flight without knowing more of it, and stops it at
-    /// the agent if it can be reached.
+    /// Ends the attempt in flight as lost, and stops it at the agent if there is a link
+    /// to it.
     fn give_up_attempt(&mut self, ctx: &mut Ctx<'_>, sequence: u64) {
         self.cancel_attempt(ctx, sequence);
         let lost = Failure {
@@ -222,12 +225,11 @@
         self.attempt_failed(ctx, sequence, lost);
     }
 
-    /// Tells the agent to stop the attempt in flight, and never to start it.
+    /// Tells the agent to stop the attempt in flight, or not to start it.
     ///
-    /// A `Run` that was delayed on its way could start an attempt nobody waits
-    /// for; the tombstone that `Revoke` leaves keeps it from doing so. A call
-    /// that must not run twice and has started is left to end, so that its
-    /// answer is stored for the caller's next try.
+    /// A delayed `Run` frame could start an attempt that nobody waits for any more; the
+    /// tombstone left by `Revoke` prevents that. A call that is not idempotent and has
+    /// started is left running, so that its answer is stored for the caller's retry.
     fn cancel_attempt(&mut self, ctx: &mut Ctx<'_>, sequence: u64) {
         let Some(request) = self.requests.get(&sequence) else {
             return;
@@ -243,7 +245,7 @@
         }
     }
 
-    /// Asks the agent whether the attempt ran, and forbids it to start.
+    /// Queries the agent whether the attempt ran, and forbids it to start.
     fn revoke_attempt(&mut self, ctx: &mut Ctx<'_>, sequence: u64) {
         let Some(request) = self.requests.get_mut(&sequence) else {
             return;
@@ -261,7 +263,7 @@
         Counts::add(&ctx.shared.counts.revoked);
         TimelineEvent::new(
             EventKind::RequestRevoked,
-            format!("asked {agent} whether it ran"),
+            format!("queried {agent} whether it ran"),
         )
         .request(id)
         .peer(&agent)
@@ -269,7 +271,7 @@
         self.wait_for_revoked(ctx.now, attempt);
     }
 
-    /// The agent says whether an attempt ran.
+    /// Handles `Revoked`, in which the agent reports whether an attempt ran.
     pub(crate) fn revoke_answered(
         &mut self,
         ctx: &mut Ctx<'_>,
@@ -284,7 +286,7 @@
         let Some(request) = self.requests.get_mut(&sequence) else {
             return;
         };
-        let started = request.attempt().is_some_and(|held| held.started);
+        let started = request.attempt().is_some_and(|attempt| attempt.started);
         match Ran::from_number(frame.ran) {
             Ran::NotRun if !started => {
                 self.attempt_not_run(ctx, sequence, Code::Revoked, 0);
@@ -298,41 +300,42 @@
                 self.attempt_failed(ctx, sequence, unknown);
             }
             Ran::Ran | Ran::NotRun => {
-                // It ran, so its answer may still come: it is waited for like
-                // that of any attempt that started.
-                if let Some(held) = request.attempt_mut() {
-                    held.started = true;
-                    held.heard_at = ctx.now;
+                // It ran, so its answer may still arrive. It is awaited as for any
+                // started attempt.
+                if let Some(attempt) = request.attempt_mut() {
+                    attempt.started = true;
+                    attempt.heard_at = ctx.now;
                 }
             }
         }
     }
 
-    /// The caller is gone.
+    /// Ends a request whose caller disconnected.
     pub(crate) fn caller_disconnected(
         &mut self,
         ctx: &mut Ctx<'_>,
         request: RequestId,
     ) {
         let sequence = request.sequence;
-        let Some(held) = self.requests.get(&sequence) else {
+        let Some(current) = self.requests.get(&sequence) else {
             return;
         };
-        if held.id() != request {
+        if current.id() != request {
             return;
         }
         self.cancel_attempt(ctx, sequence);
-        if let Some(held) = self.remove(ctx, sequence) {
+        if let Some(removed) = self.remove(ctx, sequence) {
             Counts::add(&ctx.shared.counts.cancelled);
-            let detail = format!("the caller went after {} units", held.delivered);
+            let detail =
+                format!("the caller disconnected after {} units", removed.delivered);
             TimelineEvent::new(EventKind::RequestCancelled, detail)
                 .request(request)
-                .model(held.resolved.resource.as_str())
+                .model(removed.resolved.resource.as_str())
                 .record(ctx.out);
         }
     }
 
-    /// The deadline has come.
+    /// Ends a request whose deadline passed.
     pub(super) fn deadline_passed(&mut self, ctx: &mut Ctx<'_>, sequence: u64) {
         let Some(request) = self.requests.get(&sequence) else {
             return;
@@ -341,11 +344,11 @@
             State::Running(_) => Code::DeadlineWhileRunning,
             _ => Code::DeadlineBeforeRun,
         };
-        // A call that must not run twice helps its caller to come back only with
-        // a key, by which the stored answer is found.
-        let comes_back =
+        // For a call that is not idempotent, a retry is useful only with an idempotency
+        // key, by which the stored answer is found.
+        let can_retry =
             request.resolved.idempotent || request.incoming.idempotency_key.is_some();
-        let retry_after = comes_back.then_some(DEADLINE_RETRY_MS);
+        let retry_after = can_retry.then_some(DEADLINE_RETRY_MS);
         self.cancel_attempt(ctx, sequence);
         self.refuse(ctx, sequence, code, retry_after);
     }
@@ -378,7 +381,7 @@
     }
 }
 
-/// Codes that another upstream would end with as well.
+/// Whether the attempt would end with the same code at any other upstream.
 const fn fails_on_any_upstream(code: Code) -> bool {
     matches!(
         code,
--- a/crates/role/src/entry/requests/mod.rs
+++ b/crates/role/src/entry/requests/mod.rs
@@ -1,12 +1,12 @@
-//! Requests in progress, one shard of them.
+//! One shard of the requests in progress.
 //!
-//! A request is waiting or has one attempt in flight, never both and never two
-//! attempts, so frames of any other attempt are late or doubled and dropped.
-//! It ends once: whoever ends it takes it out of the shard first.
+//! A request is either waiting or has one attempt in flight, so frames of any other
+//! attempt are late or duplicated and are dropped. It ends exactly once: the code that
+//! ends it removes it from the shard first.
 //!
-//! What is said about whether a request ran is not chosen where it is refused.
-//! It follows from what was seen of all its attempts ([`AttemptHistory`]), so that no
-//! path can say `not_run` of a request with an attempt that may have started.
+//! Whether a request ran is not decided where it is refused. It follows from what is
+//! known of all its attempts ([`AttemptHistory`]), so that no code path can report
+//! `not_run` for a request with an attempt that may have started.
 
 mod answers;
 mod candidates;
@@ -38,7 +38,7 @@
     next_attempt: u64,
     rng: Pcg64Mcg,
     requests: BTreeMap<u64, Request>,
-    /// Request of each attempt in flight.
+    /// Sequence number of the request of each attempt in flight.
     attempts: BTreeMap<u64, u64>,
     timers: Timers<Timer>,
 }
@@ -58,17 +58,17 @@
         }
     }
 
-    /// When the shard wants its next tick.
+    /// When the next timer of the shard is due.
     pub(crate) fn due(&self) -> Option<Instant> {
         self.timers.due()
     }
 
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub(crate) fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Attempts in flight.
+    /// Number of attempts in flight.
     pub(crate) fn in_flight(&self) -> usize {
         self.attempts.len()
     }
@@ -82,14 +82,14 @@
         }
     }
 
-    /// Request whose current attempt this is, if the frame came from the agent
-    /// that the attempt was sent to.
+    /// Sequence number of the request whose current attempt this is, provided that
+    /// `agent`, the sender of a frame, is the one that the attempt was sent to.
     fn current(&self, agent: &AgentId, attempt: AttemptId) -> Option<u64> {
         if attempt.origin != self.origin {
             return None;
         }
         let sequence = *self.attempts.get(&attempt.sequence)?;
-        let held = self.requests.get(&sequence)?.attempt()?;
-        (held.id == attempt && held.agent == *agent).then_some(sequence)
+        let current = self.requests.get(&sequence)?.attempt()?;
+        (current.id == attempt && current.agent == *agent).then_some(sequence)
     }
 }
