--- a/crates/role/src/entry/requests/send.rs
+++ b/crates/role/src/entry/requests/send.rs
@@ -1,4 +1,4 @@
-//! Sending an attempt.
+//! Sends attempts to agents.
 
 use base::prelude::*;
 use route::RouteReason;
@@ -14,13 +14,14 @@
 use super::state::{Attempt, Request, State};
 use super::timers::Timer;
 
-/// Time within which an agent has to say that an attempt started or is refused.
+/// Time within which an agent has to report that an attempt started or was refused.
 pub(super) const START_WAIT_MS: u64 = 3_000;
 
-/// The same for a suspect, which waits until nothing else is in flight.
+/// The same for an exclusive run, which waits until nothing else is in flight at the
+/// upstream.
 pub(super) const EXCLUSIVE_START_WAIT_MS: u64 = 20_000;
 
-/// Where an attempt goes.
+/// Destination and parameters of an attempt.
 #[derive(Debug)]
 pub(super) struct Route {
     pub(super) agent: AgentId,
@@ -29,11 +30,11 @@
     pub(super) exclusive: bool,
     pub(super) probe: bool,
     pub(super) reason: u32,
-    /// Why there, for the time line.
+    /// Why this agent was chosen, for the timeline.
     pub(super) detail: String,
 }
 
-/// An attempt as links carry it.
+/// Encodes an attempt id for a frame.
 pub(super) const fn encode_attempt_id(id: AttemptId) -> link::Attempt {
     link::Attempt {
         origin: id.origin,
@@ -54,7 +55,7 @@
         };
         if let State::Waiting(position) = request.state {
             ctx.shared.wait_queue.lock().remove(position);
-            ctx.shared.callers.lock().end_wait(&request.caller);
+            ctx.shared.callers.lock().dequeue(&request.caller);
         }
         let attempt = Attempt {
             id,
@@ -74,7 +75,7 @@
             false => START_WAIT_MS,
         };
         record_sent(ctx, request, route);
-        let run = run(ctx, request, &attempt);
+        let run = run_frame(ctx, request, &attempt);
         request.state = State::Running(attempt);
         request.attempts_sent += 1;
         self.attempts.insert(id.sequence, sequence);
@@ -105,12 +106,16 @@
             .lock()
             .record_decision("route", reason.as_str());
     }
-    let exclusive = if route.exclusive { ", alone" } else { "" };
+    let exclusive = if route.exclusive {
+        ", exclusive run"
+    } else {
+        ""
+    };
     let from = match request.delivered {
         0 => String::new(),
         units => format!(", from offset {units}"),
     };
-    let probe = if route.probe { ", a probe" } else { "" };
+    let probe = if route.probe { ", probe" } else { "" };
     let detail = format!(
         "to {}: {}{from}{exclusive}{probe}",
         route.agent, route.detail
@@ -123,7 +128,7 @@
         .record(ctx.out);
 }
 
-fn run(ctx: &Ctx<'_>, request: &Request, attempt: &Attempt) -> Run {
+fn run_frame(ctx: &Ctx<'_>, request: &Request, attempt: &Attempt) -> Run {
     let arrival = &request.incoming;
     let resolved = &request.resolved;
     let service = match resolved.resource.model() {
@@ -155,7 +160,7 @@
         path: arrival.path.clone(),
         content_type: arrival.content_type.clone(),
         alone: attempt.exclusive,
-        // 0 means no expectation, so one that has passed is still told.
+        // 0 means no target, so an expired one is sent as 1.
         first_token_ms: match resolved.first_token_ms {
             0 => 0,
             _ => u32::try_from(first_token_ms.max(1)).unwrap_or(u32::MAX),
--- a/crates/role/src/entry/requests/state.rs
+++ b/crates/role/src/entry/requests/state.rs
@@ -6,7 +6,7 @@
 use super::super::resolve::ResolvedRequest;
 use super::super::wait_queue::QueuePosition;
 
-/// What was seen of a request's attempts so far.
+/// What is known of a request's finished attempts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(crate) struct AttemptHistory {
     started: bool,
@@ -14,7 +14,7 @@
 }
 
 impl AttemptHistory {
-    /// Adds what is known of an attempt that is over.
+    /// Adds a finished attempt.
     pub(crate) const fn add(&mut self, ran: Ran) {
         match ran {
             Ran::NotRun => {}
@@ -23,7 +23,7 @@
         }
     }
 
-    /// What is known now.
+    /// Whether the request ran, as far as is known.
     pub(crate) const fn ran(self) -> Ran {
         match (self.started, self.unknown) {
             (true, _) => Ran::Ran,
@@ -41,34 +41,35 @@
     pub(crate) caller: CallerId,
     pub(crate) arrived_at: Instant,
     pub(crate) deadline: Instant,
-    /// When the caller's first unit was given.
+    /// When the first unit was delivered to the caller.
     pub(crate) first_unit_at: Option<Instant>,
-    /// Units the caller has.
+    /// Units delivered to the caller.
     pub(crate) delivered: u64,
-    /// Version that the units came from; the rest has to come from it as well.
+    /// Model version that produced the delivered units; the rest has to come from the
+    /// same version.
     pub(crate) version: Option<u32>,
     pub(crate) history: AttemptHistory,
-    /// Agents not to send to for now.
+    /// Agents to which the request is currently not sent.
     pub(crate) excluded_agents: Vec<AgentId>,
     /// Attempts sent.
     pub(crate) attempts_sent: u32,
-    /// Refusals by gates.
+    /// Refusals by the agents' admission control.
     pub(crate) admission_refusals: u32,
-    /// Failures of attempts that may have run.
+    /// Failed attempts that may have run.
     pub(crate) failures: u32,
     /// Code of the last failure.
     pub(crate) last_failure_code: Option<Code>,
-    /// Not sent again before this.
+    /// Earliest time of the next attempt.
     pub(crate) not_before: Instant,
     pub(crate) state: State,
 }
 
-/// Where a request is.
+/// Phase of a request.
 #[derive(Debug)]
 pub(crate) enum State {
-    /// Being placed; never left so.
+    /// Being dispatched; only while an event is handled.
     New,
-    /// It waits in a queue.
+    /// In a wait queue.
     Waiting(QueuePosition),
     /// An attempt is in flight.
     Running(Attempt),
@@ -83,15 +84,16 @@
     pub(crate) version: u32,
     pub(crate) sent_at: Instant,
     pub(crate) started: bool,
-    /// Parts of its answer came.
+    /// At least one part of its answer was received.
     pub(crate) answered: bool,
-    /// Last sign of life.
+    /// When a frame about it was last received, or when it was sent.
     pub(crate) heard_at: Instant,
-    /// When the agent was asked whether it ran, and forbidden to start it.
+    /// When `Revoke` was sent, which asks the agent whether the attempt ran and forbids
+    /// it to start.
     pub(crate) revoked_at: Option<Instant>,
-    /// It runs alone, as a suspect.
+    /// It is an exclusive run of a suspect request.
     pub(crate) exclusive: bool,
-    /// Its outcome decides on a failing upstream, and is not known yet.
+    /// It probes a failing upstream, and its outcome is still unknown.
     pub(crate) probe: bool,
 }
 
@@ -114,7 +116,7 @@
         }
     }
 
-    /// Neither sent nor waiting so far.
+    /// Whether the request has neither been sent nor waited yet.
     pub(crate) const fn is_fresh(&self) -> bool {
         self.attempts_sent == 0 && matches!(self.state, State::New)
     }
@@ -123,8 +125,8 @@
         self.deadline.ms_since(now)
     }
 
-    /// A plain service's answer can't be continued by another run: its bytes
-    /// need not be the same.
+    /// Whether another attempt may continue the answer. That of a plain service can't be
+    /// continued, since the bytes may differ from run to run.
     pub(crate) fn can_resume(&self) -> bool {
         self.delivered == 0 || self.resolved.resource.model().is_some()
     }
--- a/crates/role/src/entry/requests/timers.rs
+++ b/crates/role/src/entry/requests/timers.rs
@@ -1,4 +1,4 @@
-//! What requests wait for.
+//! Timers of a shard: deadlines, silent attempts and retries.
 
 use base::prelude::*;
 
@@ -7,26 +7,26 @@
 use super::send::{EXCLUSIVE_START_WAIT_MS, START_WAIT_MS};
 use super::state::{Attempt, Request};
 
-/// Time for which an agent's answer to `Revoke` is waited for.
+/// How long to wait for an agent's answer to `Revoke`.
 const REVOKED_WAIT_MS: u64 = 1_000;
 
-/// Least silence within an answer that counts as a stall.
+/// Minimum silence after the start of an attempt that counts as a stall.
 const STALL_MIN_MS: u64 = 5_000;
 
-/// Stall bound of work that nobody waits for: it may stand behind other work
-/// at the engine for long.
+/// Stall limit of batch requests, which may be queued behind other requests at the
+/// engine for long.
 const STALL_BATCH_MS: u64 = 60_000;
 
-/// Stall bound as a multiple of the expected time between tokens.
+/// Stall limit as a multiple of the profile's target time between tokens.
 const STALL_TOKENS: u64 = 20;
 
-/// Stall bound before the first token, as a multiple of the expectation.
+/// Stall limit before the first token, as a multiple of its target time.
 const STALL_FIRST: u64 = 4;
 
-/// Stall bound as a multiple of the step time.
+/// Stall limit as a multiple of the engine's step time.
 const STALL_STEPS: u64 = 200;
 
-/// Grace on top of the longest time a call of a service is expected to take.
+/// Grace period beyond the configured time limit of a service.
 const SERVICE_GRACE_MS: u64 = 1_000;
 
 /// A timer of a shard.
@@ -34,20 +34,20 @@
 pub(super) enum Timer {
     /// The request's deadline.
     Deadline { sequence: u64 },
-    /// An answer about the attempt has to have come.
+    /// The attempt may have been silent for too long.
     Answer { attempt: AttemptId },
-    /// The request may be sent again.
-    Wake { sequence: u64 },
+    /// The request may be sent again: its backoff has passed.
+    Retry { sequence: u64 },
 }
 
 impl Requests {
-    /// Does what is due.
+    /// Handles the timers that are due.
     pub(crate) fn tick(&mut self, ctx: &mut Ctx<'_>) {
         while let Some(timer) = self.timers.take(ctx.now) {
             match timer {
                 Timer::Deadline { sequence } => self.deadline_passed(ctx, sequence),
                 Timer::Answer { attempt } => self.answer_due(ctx, attempt),
-                Timer::Wake { sequence } => {
+                Timer::Retry { sequence } => {
                     if let Some(request) = self.requests.get(&sequence) {
                         let resource = request.resolved.resource.clone();
                         ctx.follow_ups.wake.insert(resource);
@@ -62,8 +62,8 @@
         self.timers.set(at, Timer::Answer { attempt });
     }
 
-    /// Looks whether the attempt has been silent for too long; if not, looks
-    /// again when it would be.
+    /// Checks whether the attempt has been silent for too long; if not, sets the timer to
+    /// the end of its limit.
     fn answer_due(&mut self, ctx: &mut Ctx<'_>, attempt: AttemptId) {
         let Some(sequence) = self.attempts.get(&attempt.sequence).copied() else {
             return;
@@ -71,21 +71,21 @@
         let Some(request) = self.requests.get(&sequence) else {
             return;
         };
-        let Some(held) = request.attempt() else {
+        let Some(current) = request.attempt() else {
             return;
         };
-        // After a freeze the answer may wait in a socket.
-        let bound =
-            silence_limit(ctx, request, held).max(ctx.control.backlog_read_by());
-        if bound > ctx.now {
-            self.timers.set(bound, Timer::Answer { attempt });
+        // After a freeze of this process the answer may be unread in a socket.
+        let limit =
+            silence_limit(ctx, request, current).max(ctx.control.backlog_read_by());
+        if limit > ctx.now {
+            self.timers.set(limit, Timer::Answer { attempt });
             return;
         }
         self.answer_missing(ctx, sequence);
     }
 }
 
-/// When an attempt that stays silent is given up.
+/// When an attempt is given up if no further frame about it is received.
 fn silence_limit(ctx: &Ctx<'_>, request: &Request, attempt: &Attempt) -> Instant {
     if attempt.started {
         return attempt.heard_at.plus_ms(stall_ms(ctx, request, attempt));
@@ -110,11 +110,11 @@
         return STALL_BATCH_MS;
     }
     let agent = ctx.control.directory.get(&attempt.agent);
-    let step_us = agent.map_or(0, |held| held.hint.read(ctx.now).step_time_us);
+    let step_us = agent.map_or(0, |agent| agent.hint.read(ctx.now).step_time_us);
     let by_steps = u64::from(step_us) * STALL_STEPS / 1_000;
-    let expected = match request.delivered {
+    let by_target = match request.delivered {
         0 => u64::from(resolved.first_token_ms) * STALL_FIRST,
         _ => u64::from(resolved.between_tokens_ms) * STALL_TOKENS,
     };
-    expected.max(by_steps).max(STALL_MIN_MS)
+    by_target.max(by_steps).max(STALL_MIN_MS)
 }
--- a/crates/role/src/entry/requests/upstream_outcome.rs
+++ b/crates/role/src/entry/requests/upstream_outcome.rs
@@ -1,4 +1,4 @@
-//! What the end of an attempt says about its upstream.
+//! Reports the outcomes of attempts to the circuit breakers of their upstreams.
 
 use base::prelude::*;
 
@@ -6,8 +6,8 @@
 use super::Requests;
 
 impl Requests {
-    /// Takes the outcome of the attempt in flight into account for its upstream.
-    /// Returns whether it was a probe.
+    /// Records the outcome of the attempt in flight for its upstream. Returns whether it
+    /// was a probe.
     pub(super) fn record_upstream_outcome(
         &mut self,
         ctx: &mut Ctx<'_>,
@@ -15,7 +15,7 @@
         ok: bool,
     ) -> bool {
         let request = self.requests.get_mut(&sequence);
-        let Some(attempt) = request.and_then(|held| held.attempt_mut()) else {
+        let Some(attempt) = request.and_then(|request| request.attempt_mut()) else {
             return false;
         };
         let probe = std::mem::take(&mut attempt.probe);
@@ -24,7 +24,7 @@
     }
 }
 
-/// Takes the outcome of an attempt into account for its upstream.
+/// Records the outcome of an attempt for its upstream.
 pub(super) fn record_outcome(
     ctx: &mut Ctx<'_>,
     agent: &AgentId,
@@ -36,7 +36,7 @@
         breakers.record_outcome(ctx.now, agent, ok, probe)
     };
     if let Some(change) = change {
-        change.record(agent, "seen here", ctx.out);
+        change.record(agent, "observed by this entry", ctx.out);
         ctx.follow_ups.agents_with_capacity.insert(agent.clone());
         ctx.follow_ups.gossip = true;
     }
--- a/crates/role/src/entry/resolve.rs
+++ b/crates/role/src/entry/resolve.rs
@@ -1,4 +1,4 @@
-//! What a request wants, resolved against the configuration.
+//! Resolves a request against the configuration: model or service, profile, deadline.
 
 use base::prelude::*;
 use conf::{Config, ProfileKind, ProfileSpec};
@@ -6,13 +6,13 @@
 
 use super::{IncomingRequest, RequestedResource};
 
-/// Deadline of work whose profile states none.
+/// Deadline of a request that names none and whose profile has none.
 const DEADLINE_DEFAULT_MS: u64 = 60_000;
 
-/// Longest deadline accepted; a longer one is cut to this.
+/// Longest deadline; a longer one is clamped to it.
 const DEADLINE_MAX_MS: u64 = 24 * 3_600_000;
 
-/// What upstream a request wants: the key of queues, demand and budgets.
+/// What a request is for. Wait queues, statistics and retry budgets are keyed by it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Resource {
     /// A model or adapter.
@@ -22,7 +22,7 @@
 }
 
 impl Resource {
-    /// The name, for operators.
+    /// Name, as shown to operators.
     pub(crate) fn as_str(&self) -> &str {
         match self {
             Self::Model(model) => model.as_str(),
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The model or adapter, if it is one.
+    /// The model or adapter; `None` for a plain service.
     pub(crate) const fn model(&self) -> Option<&ModelId> {
         match self {
             Self::Model(model) => Some(model),
@@ -38,17 +38,17 @@
         }
     }
 
-    /// The model as links carry it: empty for a plain service.
+    /// The model as encoded in frames: empty for a plain service.
     pub(crate) fn wire_model(&self) -> &str {
         self.model().map_or("", ModelId::as_str)
     }
 }
 
-/// What the configuration says about a request.
+/// A request's parameters according to the configuration.
 #[derive(Debug, Clone)]
 pub(crate) struct ResolvedRequest {
     pub(crate) resource: Resource,
-    /// Empty when a service is called that no profile names.
+    /// Empty for a service that no profile lists.
     pub(crate) profile: String,
     pub(crate) interactive: bool,
     pub(crate) idempotent: bool,
@@ -57,54 +57,59 @@
     pub(crate) priority: u32,
     pub(crate) value: f64,
     pub(crate) deadline_ms: u64,
-    /// Longest time one call of a plain service is expected to take.
+    /// Configured time limit of one call of a plain service; 0 for a model.
     pub(crate) service_timeout_ms: u32,
     pub(crate) fingerprint: u64,
 }
 
-/// Finds model or service, profile and deadline of a request.
+/// Determines the model or service, profile and deadline of a request.
 ///
 /// # Errors
 ///
 /// The code to refuse the request with.
 pub(crate) fn resolve(
     config: &Config,
-    arrival: &IncomingRequest,
+    incoming: &IncomingRequest,
 ) -> Result<ResolvedRequest, Code> {
-    let named = named_profile(config, arrival)?;
-    let (resource, profile) = match &arrival.resource {
-        RequestedResource::Model(Some(model)) => resolve_model(config, named, model)?,
-        RequestedResource::Model(None) => resolve_default_model(config, named)?,
-        RequestedResource::Service(service) => resolve_service(config, named, service)?,
+    let named_profile = find_named_profile(config, incoming)?;
+    let (resource, profile) = match &incoming.resource {
+        RequestedResource::Model(Some(model)) => {
+            resolve_model(config, named_profile, model)?
+        }
+        RequestedResource::Model(None) => resolve_default_model(config, named_profile)?,
+        RequestedResource::Service(service) => {
+            resolve_service(config, named_profile, service)?
+        }
     };
-    let deadline_ms = deadline(arrival, profile)?;
+    let deadline_ms = deadline_ms(incoming, profile)?;
     let service = match &resource {
         Resource::Service(service) => config.service(service.as_str()),
         Resource::Model(_) => None,
     };
     let seed = xxh3_64_with_seed(resource.as_str().as_bytes(), 0);
     Ok(ResolvedRequest {
-        profile: profile.map_or(String::new(), |held| held.id.to_string()),
-        interactive: profile.is_none_or(|held| held.kind == ProfileKind::Interactive),
-        idempotent: service.is_none_or(|held| held.idempotent),
-        first_token_ms: profile.map_or(0, |held| held.first_token_ms),
-        between_tokens_ms: profile.map_or(0, |held| held.between_tokens_ms),
-        priority: profile.map_or(0, |held| held.priority),
-        value: profile.map_or(1.0, |held| held.value),
+        profile: profile.map_or(String::new(), |profile| profile.id.to_string()),
+        interactive: profile
+            .is_none_or(|profile| profile.kind == ProfileKind::Interactive),
+        idempotent: service.is_none_or(|spec| spec.idempotent),
+        first_token_ms: profile.map_or(0, |profile| profile.first_token_ms),
+        between_tokens_ms: profile.map_or(0, |profile| profile.between_tokens_ms),
+        priority: profile.map_or(0, |profile| profile.priority),
+        value: profile.map_or(1.0, |profile| profile.value),
         deadline_ms,
-        service_timeout_ms: service.map_or(0, |held| held.timeout_ms),
-        fingerprint: xxh3_64_with_seed(&arrival.body_hash.to_le_bytes(), seed),
+        service_timeout_ms: service.map_or(0, |spec| spec.timeout_ms),
+        fingerprint: xxh3_64_with_seed(&incoming.body_hash.to_le_bytes(), seed),
         resource,
     })
 }
 
 type ResourceAndProfile<'a> = (Resource, Option<&'a ProfileSpec>);
 
-fn named_profile<'a>(
+fn find_named_profile<'a>(
     config: &'a Config,
-    arrival: &IncomingRequest,
+    incoming: &IncomingRequest,
 ) -> Result<Option<&'a ProfileSpec>, Code> {
-    let Some(name) = &arrival.profile else {
+    let Some(name) = &incoming.profile else {
         return Ok(None);
     };
     let found = config.profile(name.as_str());
@@ -113,16 +118,16 @@
 
 fn resolve_model<'a>(
     config: &'a Config,
-    named: Option<&'a ProfileSpec>,
+    named_profile: Option<&'a ProfileSpec>,
     model: &ModelId,
 ) -> Result<ResourceAndProfile<'a>, Code> {
     if config.model(model.as_str()).is_none() {
         return Err(Code::UnknownModel);
     }
     let mut candidates = config.profiles();
-    let profile = match named {
-        Some(profile) => Some(profile).filter(|held| held.models.contains(model)),
-        None => candidates.find(|held| held.models.contains(model)),
+    let profile = match named_profile {
+        Some(profile) => Some(profile).filter(|profile| profile.models.contains(model)),
+        None => candidates.find(|profile| profile.models.contains(model)),
     };
     let profile = profile.ok_or(Code::UnknownProfile)?;
     Ok((Resource::Model(model.clone()), Some(profile)))
@@ -130,12 +135,14 @@
 
 fn resolve_default_model<'a>(
     config: &'a Config,
-    named: Option<&'a ProfileSpec>,
+    named_profile: Option<&'a ProfileSpec>,
 ) -> Result<ResourceAndProfile<'a>, Code> {
-    let mut with_models = config.profiles().filter(|held| !held.models.is_empty());
-    let profile = match named {
+    let mut with_models = config
+        .profiles()
+        .filter(|profile| !profile.models.is_empty());
+    let profile = match named_profile {
         Some(profile) => Some(profile),
-        // Without a name there is a default only if there is no choice.
+        // Without a named_profile profile there has to be exactly one with models.
         None => with_models.next().filter(|_| with_models.next().is_none()),
     };
     let profile = profile.ok_or(Code::UnknownProfile)?;
@@ -148,29 +155,34 @@
 
 fn resolve_service<'a>(
     config: &'a Config,
-    named: Option<&'a ProfileSpec>,
+    named_profile: Option<&'a ProfileSpec>,
     service: &ServiceId,
 ) -> Result<ResourceAndProfile<'a>, Code> {
     if config.service(service.as_str()).is_none() {
         return Err(Code::UnknownService);
     }
-    let calls = |held: &&ProfileSpec| held.service.as_ref() == Some(service);
-    let profile = match named {
-        Some(profile) => Some(Some(profile).filter(calls).ok_or(Code::UnknownProfile)?),
-        None => config.profiles().find(calls),
+    let lists_service =
+        |profile: &&ProfileSpec| profile.service.as_ref() == Some(service);
+    let profile = match named_profile {
+        Some(profile) => Some(
+            Some(profile)
+                .filter(lists_service)
+                .ok_or(Code::UnknownProfile)?,
+        ),
+        None => config.profiles().find(lists_service),
     };
     Ok((Resource::Service(service.clone()), profile))
 }
 
-fn deadline(
-    arrival: &IncomingRequest,
+fn deadline_ms(
+    incoming: &IncomingRequest,
     profile: Option<&ProfileSpec>,
 ) -> Result<u64, Code> {
-    let stated = profile.map_or(0, |held| u64::from(held.deadline_ms));
-    match arrival.deadline_ms {
+    let default_ms = profile.map_or(0, |profile| u64::from(profile.deadline_ms));
+    match incoming.deadline_ms {
         Some(0) => Err(Code::BadDeadline),
         Some(ms) => Ok(ms.min(DEADLINE_MAX_MS)),
-        None if stated == 0 => Ok(DEADLINE_DEFAULT_MS),
-        None => Ok(stated),
+        None if default_ms == 0 => Ok(DEADLINE_DEFAULT_MS),
+        None => Ok(default_ms),
     }
 }
--- a/crates/role/src/entry/role.rs
+++ b/crates/role/src/entry/role.rs
@@ -1,4 +1,4 @@
-//! The machine itself: who is told of an event, under which lock.
+//! Dispatches events to the parts of the state machine, with their locking.
 
 use base::prelude::*;
 use conf::Config;
@@ -16,39 +16,42 @@
 use super::{EntryAction, EntryEvent, EntryOptions, IncomingRequest};
 use crate::Peer;
 
-/// Shards at most, so that sequences keep room for counting.
+/// Bounds the shard bits in an attempt's sequence number, so that enough bits
+/// remain for the counter.
 const SHARDS_MAX: usize = 256;
 
-/// The entry's machine.
+/// The entry's state machine.
 ///
 /// [`EntryRole::handle`] may be called from any thread. Locks are taken in the
-/// order control part, shard, shared state; no two shards are locked at once.
+/// order control state, shard, shared state; no two shards are locked at once.
 #[derive(Debug)]
 pub struct EntryRole {
     pub(super) shared: Shared,
     pub(super) control: RwLock<Control>,
     pub(super) shards: Vec<Mutex<Requests>>,
     next: AtomicU64,
-    /// When the control part, and then each shard, is due, in microseconds.
+    /// Next timer of the control state (index 0) and of each shard, in
+    /// microseconds.
     ///
-    /// The driver asks after each event. Asking the parts themselves would take
-    /// every lock for each frame that comes.
+    /// The driver reads the earliest after each event. Without these copies that
+    /// would take every lock for each received frame.
     due_times: Vec<AtomicU64>,
-    /// When an event means that the process stood still, in microseconds.
+    /// Time, in microseconds, from which an event shows that the process was
+    /// frozen; see `control::freeze`.
     freeze_threshold: AtomicU64,
 }
 
-/// A part that is never due.
+/// No timer is set.
 const NEVER_US: u64 = u64::MAX;
 
-fn store_due(held: &AtomicU64, due: Option<Instant>) {
+fn store_due(slot: &AtomicU64, due: Option<Instant>) {
     let us = due.map_or(NEVER_US, Instant::as_us);
-    held.store(us, Ordering::Release);
+    slot.store(us, Ordering::Release);
 }
 
 impl EntryRole {
-    /// Starts the machine; its first actions ask the platform for the
-    /// configuration and connect to peers.
+    /// Creates the state machine. The first actions read the configuration from
+    /// the platform, register the process there and connect to peers.
     pub fn new(
         options: EntryOptions,
         now: Instant,
@@ -76,7 +79,7 @@
         }
     }
 
-    /// Takes an event and adds the actions it calls for.
+    /// Handles an event and appends the resulting actions to `out`.
     pub fn handle(&self, now: Instant, event: EntryEvent, out: &mut Vec<EntryAction>) {
         if self.freeze_threshold.load(Ordering::Acquire) <= now.as_us() {
             self.with_control(|control| control.detect_freeze(now));
@@ -132,17 +135,14 @@
         self.exit_if_drained(now, out);
     }
 
-    /// When the machine wants its next `Tick`.
+    /// When the driver has to send the next [`EntryEvent::Tick`].
     pub fn due(&self) -> Option<Instant> {
-        let due_times = self
-            .due_times
-            .iter()
-            .map(|held| held.load(Ordering::Acquire));
+        let due_times = self.due_times.iter().map(|due| due.load(Ordering::Acquire));
         let first = due_times.min().filter(|us| *us != NEVER_US);
         first.map(Instant::from_us)
     }
 
-    /// A name for the next request.
+    /// Allocates the id of the next request.
     pub fn next_request_id(&self) -> RequestId {
         RequestId {
             origin: self.shared.options.incarnation.0,
@@ -150,12 +150,12 @@
         }
     }
 
-    /// Configuration in force.
+    /// The configuration in force.
     pub fn config(&self) -> Option<Arc<Config>> {
         self.control.read().config().cloned()
     }
 
-    /// Revision in force; 0 for none.
+    /// Revision of the configuration in force; 0 if there is none.
     pub fn revision(&self) -> Revision {
         self.control.read().log.revision()
     }
@@ -166,17 +166,17 @@
         index.expect("shards number at most 256")
     }
 
-    /// Locks the shard of a sequence; what it is due for is kept afterwards.
+    /// Locks the shard of a sequence number, and stores its next timer afterwards.
     fn with_shard<T>(&self, sequence: u64, work: impl FnOnce(&mut Requests) -> T) -> T {
         let index = self.index(sequence);
         let mut shard = self.shards[index].lock();
         let done = work(&mut shard);
-        // Under the lock, so that an older word never replaces a newer.
+        // Stored under the lock, so that an older value can't replace a newer one.
         store_due(&self.due_times[index + 1], shard.due());
         done
     }
 
-    /// Changes the control part; what it is due for is kept afterwards.
+    /// Locks the control state for writing, and stores its next timer afterwards.
     pub(super) fn with_control<T>(&self, work: impl FnOnce(&mut Control) -> T) -> T {
         let mut control = self.control.write();
         let done = work(&mut control);
@@ -185,7 +185,7 @@
         done
     }
 
-    /// Does something in the shard of a sequence, then what follows from it.
+    /// Runs `work` in the shard of a sequence number, then its follow-ups.
     fn run_in_shard<T>(
         &self,
         now: Instant,
@@ -200,6 +200,7 @@
         done
     }
 
+    /// Runs `work` in the shard of a sequence number, and collects its follow-ups.
     pub(super) fn run_in_shard_deferring<T>(
         &self,
         now: Instant,
@@ -219,7 +220,7 @@
         self.with_shard(sequence, |shard| work(shard, &mut ctx))
     }
 
-    /// Does something in the control part, then what follows from it.
+    /// Runs `work` on the control state, then applies its effects on requests.
     fn run_in_control(
         &self,
         now: Instant,
@@ -285,7 +286,7 @@
         self.run_follow_ups(now, follow_ups, out);
     }
 
-    /// Refuses a request that was never in progress.
+    /// Refuses a request that was not accepted into a shard.
     fn refuse_on_arrival(
         &self,
         id: RequestId,
@@ -295,7 +296,7 @@
         self.shared.counts.refused(refusal.code);
         TimelineEvent::new(
             EventKind::RequestFailed,
-            format!("turned away: {}", refusal.code),
+            format!("refused on arrival: {}", refusal.code),
         )
         .request(id)
         .code(refusal.code)
@@ -313,7 +314,7 @@
         out: &mut Vec<EntryAction>,
     ) {
         let sequence = part.attempt.sequence;
-        // A part sets no timer.
+        // An answer part sets no timer, so `with_shard` is not needed.
         let outcome = {
             let mut shard = self.shards[self.index(sequence)].lock();
             shard.answer_part(now, &self.shared, part, out)
@@ -370,7 +371,7 @@
         }
     }
 
-    /// Ends a drained process once its last request has ended.
+    /// Ends a draining process once its last request has ended.
     fn exit_if_drained(&self, now: Instant, out: &mut Vec<EntryAction>) {
         if !self.control.read().leaving {
             return;
--- a/crates/role/src/entry/shared.rs
+++ b/crates/role/src/entry/shared.rs
@@ -1,8 +1,8 @@
-//! State that every shard needs, and the order of locks.
+//! State shared by all request shards, and the lock order.
 //!
-//! Locks are taken in this order and never the other way round: the control
-//! part, one shard, one of the locks here. The locks here are held for a few
-//! steps and nothing is called under them that takes another.
+//! Locks are taken in this order only: the control state, one shard, one of the
+//! locks in [`Shared`]. The locks in [`Shared`] are held briefly, and nothing that
+//! takes another lock is called under them.
 
 use base::prelude::*;
 use parking_lot::Mutex;
@@ -18,10 +18,10 @@
 use super::workload::Workload;
 use super::{EntryAction, EntryOptions};
 
-/// Time for which a verdict on a request holds until a configuration says so.
+/// How long a verdict on a request holds while no configuration is in force.
 const VERDICT_DEFAULT_MS: u64 = 600_000;
 
-/// State that every shard needs.
+/// State shared by all request shards.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) options: EntryOptions,
@@ -29,7 +29,7 @@
     pub(crate) wait_queue: Mutex<WaitQueue>,
     pub(crate) workload: Mutex<Workload>,
     pub(crate) callers: Mutex<CallerLimits>,
-    pub(crate) suspects: Mutex<Suspects>,
+    pub(crate) suspects: Mutex<SuspectRequests>,
     pub(crate) breakers: Mutex<CircuitBreakers>,
     pub(crate) outcomes: Mutex<OutcomeCounts>,
 }
@@ -42,27 +42,28 @@
             wait_queue: Mutex::new(WaitQueue::default()),
             workload: Mutex::new(Workload::new()),
             callers: Mutex::new(CallerLimits::new()),
-            suspects: Mutex::new(Suspects::new(VERDICT_DEFAULT_MS)),
+            suspects: Mutex::new(SuspectRequests::new(VERDICT_DEFAULT_MS)),
             breakers: Mutex::new(CircuitBreakers::default()),
             outcomes: Mutex::new(OutcomeCounts::default()),
         }
     }
 }
 
-/// RequestedResource that can only be done once the shard's lock is given back.
+/// Work deferred until the shard's lock is released.
 #[derive(Debug, Default)]
 pub(crate) struct FollowUps {
-    /// Queues whose head may now be sent.
+    /// Wait queues whose first requests may be sendable now.
     pub(crate) wake: BTreeSet<Resource>,
-    /// They are looked at as a full_scan.
+    /// The queues in `wake` are scanned up to `FULL_SCAN_MAX` requests, not only
+    /// at their head.
     pub(crate) full_scan: bool,
-    /// Agents that have agents_with_capacity again.
+    /// Agents that may be able to take requests again.
     pub(crate) agents_with_capacity: BTreeSet<AgentId>,
-    /// Requests that lost their place in the queue to a more urgent one.
+    /// Requests evicted from the full wait queue by more urgent ones.
     pub(crate) evicted: Vec<RequestId>,
-    /// RequestedResource waits for a model that nobody holds.
+    /// A request waits for a model that no agent holds, so a plan is due.
     pub(crate) plan: bool,
-    /// Other entries should hear of a suspect at once.
+    /// Gossip is due before the next heartbeat.
     pub(crate) gossip: bool,
 }
 
@@ -73,7 +74,7 @@
     }
 }
 
-/// What a shard works with while an event is handled.
+/// What the code of a shard has access to while it handles an event.
 #[derive(Debug)]
 pub(crate) struct Ctx<'a> {
     pub(crate) now: Instant,
--- a/crates/role/src/entry/status.rs
+++ b/crates/role/src/entry/status.rs
@@ -1,4 +1,4 @@
-//! What an entry tells an operator about itself.
+//! Status of an entry as reported to operators.
 
 use serde::Serialize;
 
@@ -7,80 +7,80 @@
 pub struct EntryStatus {
     /// Name of the process.
     pub id: String,
-    /// This run of the process.
+    /// Incarnation: differs at each start of the process.
     pub incarnation: u64,
     /// Failure domain the process runs in.
     pub failure_domain: String,
-    /// Whether it takes work.
+    /// Whether it accepts requests.
     pub ready: bool,
-    /// Whether it is stopping.
+    /// Whether it is draining.
     pub leaving: bool,
     /// Whether the platform answers.
     pub platform_up: bool,
-    /// Configuration in force; 0 for none.
+    /// Revision of the configuration in force; 0 if there is none.
     pub revision: u64,
-    /// Agents in order of name.
+    /// Known agents in order of name.
     pub agents: Vec<AgentSummary>,
     /// Other entries in order of name.
     pub entries: Vec<PeerEntrySummary>,
-    /// Models held or asked for, in order of name.
+    /// Models that are loaded or requested, in order of name.
     pub models: Vec<ModelSummary>,
-    /// Requests that wait.
+    /// Requests waiting for a model or an upstream.
     pub waiting: u64,
     /// Requests with an attempt in flight.
     pub running: u64,
-    /// Cells for which this entry plans.
+    /// Planning cells for which this entry is the planner.
     pub planned_cells: Vec<String>,
 }
 
-/// One agent as this entry sees it.
+/// An agent as seen by this entry.
 #[derive(Debug, Clone, Serialize)]
 pub struct AgentSummary {
     /// Name.
     pub id: String,
-    /// Pool of its upstream.
+    /// Pool that its upstream belongs to.
     pub pool: String,
     /// Failure domain.
     pub failure_domain: String,
     /// `up`, `suspected` or `lost`.
     pub state: &'static str,
-    /// It is stopping.
+    /// Whether it is draining.
     pub leaving: bool,
-    /// Its upstream answers.
+    /// Whether its upstream is up.
     pub upstream_up: bool,
-    /// This entry has a connection to it.
+    /// Whether this entry has a link to it.
     pub connected: bool,
-    /// Requests in its batch.
+    /// Requests that its upstream is running.
     pub running: u32,
-    /// Requests waiting there.
+    /// Requests waiting at the agent or its upstream.
     pub waiting: u32,
-    /// Requests it runs at most.
+    /// Limit of requests that its upstream runs at once.
     pub running_max: u32,
     /// Models loaded.
     pub models: Vec<String>,
-    /// Time since it was last heard.
+    /// Time since its last heartbeat.
     pub silent_ms: u64,
 }
 
-/// One other entry as this entry sees it.
+/// Another entry as seen by this entry.
 #[derive(Debug, Clone, Serialize)]
 pub struct PeerEntrySummary {
     /// Name.
     pub id: String,
-    /// It was heard lately.
+    /// Whether it was heard recently.
     pub alive: bool,
-    /// It is stopping.
+    /// Whether it is draining.
     pub leaving: bool,
 }
 
-/// One model or adapter as this entry sees it.
+/// A model or adapter as seen by this entry.
 #[derive(Debug, Clone, Serialize)]
 pub struct ModelSummary {
     /// Name.
     pub model: String,
-    /// Agents that can serve it.
+    /// Agents that have it loaded.
     pub holders: Vec<String>,
-    /// Requests waiting here.
+    /// Requests waiting for it at this entry.
     pub waiting: u32,
     /// Smoothed arrivals per second over all entries.
     pub rate_per_s: f64,
--- a/crates/role/src/entry/suspect_events.rs
+++ b/crates/role/src/entry/suspect_events.rs
@@ -1,4 +1,7 @@
-//! What changes in what is held against requests, and its events.
+//! Timeline events for requests that become suspect or convicted.
+//!
+//! A request that was in flight when an upstream crashed is a suspect; one that
+//! crashed two upstreams is convicted, which means that it is refused.
 
 use base::prelude::*;
 use route::{CrashVerdict, SuspectRequests};
@@ -8,29 +11,30 @@
 use super::EntryAction;
 use super::timeline::TimelineEvent;
 
-/// A fingerprint against which something is held that was not before.
+/// A request, named by its fingerprint, whose verdict became worse.
 #[derive(Debug)]
 pub(crate) struct VerdictChange {
     pub(crate) fingerprint: u64,
-    /// It is not run again, and not only suspected.
+    /// It is convicted and not only a suspect.
     convicted: bool,
-    /// Upstreams that crashed with it in flight.
+    /// Agents whose upstreams crashed with the request in flight.
     agents: Vec<AgentId>,
-    /// At one of the crashes it was the only one in flight.
+    /// It was the only request in flight at one of the crashes.
     alone: bool,
     remaining_ms: u64,
 }
 
-/// Does something to the verdicts and tells what it changed for the worse.
+/// Applies `work` to the suspects and returns the verdicts that it made worse.
 pub(crate) fn apply_and_diff(
-    suspects: &mut Suspects,
+    suspects: &mut SuspectRequests,
     now: Instant,
     fingerprints: &[u64],
-    work: impl FnOnce(&mut Suspects),
+    work: impl FnOnce(&mut SuspectRequests),
 ) -> Vec<VerdictChange> {
     let verdicts = fingerprints.iter();
-    let before: Vec<CrashVerdict> =
-        verdicts.map(|held| suspects.verdict(now, *held)).collect();
+    let before: Vec<CrashVerdict> = verdicts
+        .map(|fingerprint| suspects.verdict(now, *fingerprint))
+        .collect();
     work(suspects);
     let mut worsened = Vec::new();
     for (fingerprint, before) in fingerprints.iter().zip(before) {
@@ -51,7 +55,8 @@
 }
 
 impl VerdictChange {
-    /// Records it; the request is known only at the entry that ran it.
+    /// Records the change in the timeline. The request's id is known only to the entry
+    /// that sent it.
     pub(crate) fn record(
         &self,
         request: Option<RequestId>,
@@ -61,26 +66,28 @@
             true => (EventKind::RequestConvicted, Some(Code::Convicted)),
             false => (EventKind::RequestSuspected, None),
         };
-        let mut note = TimelineEvent::new(kind, self.description());
+        let mut event = TimelineEvent::new(kind, self.description());
         if let Some(request) = request {
-            note = note.request(request);
+            event = event.request(request);
         }
         if let Some(agent) = self.agents.last() {
-            note = note.peer(agent);
+            event = event.peer(agent);
         }
         if let Some(code) = code {
-            note = note.code(code);
+            event = event.code(code);
         }
-        note.record(out);
+        event.record(out);
     }
 
     fn description(&self) -> String {
         let names = self.agents.iter().map(AgentId::as_str);
         let names = names.collect::<Vec<_>>().join(" and ");
         let what = match (self.convicted, self.alone) {
-            (false, _) => "runs only alone from now on",
+            (false, _) => "gets only exclusive runs from now on",
             (true, true) => "is refused",
-            (true, false) => "is refused, though it was alone at neither",
+            (true, false) => {
+                "is refused, though other requests were in flight at each crash"
+            }
         };
         format!(
             "fingerprint {:x} was in flight when {names} crashed: it {what}, for {} s",
--- a/crates/role/src/entry/wait_queue.rs
+++ b/crates/role/src/entry/wait_queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a model or an upstream.
+//! Queues of requests that wait for a model or an upstream.
 
 use base::prelude::*;
 use std::cmp::Reverse;
@@ -6,7 +6,7 @@
 
 use super::resolve::Resource;
 
-/// Order in a queue: priority, then deadline, then arrival.
+/// Position in a queue, ordered by priority, then deadline, then arrival.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueuePosition {
     pub(crate) priority: Reverse<u32>,
@@ -14,31 +14,33 @@
     pub(crate) request: RequestId,
 }
 
-/// What happened to a request that asked to wait.
+/// Result of [`WaitQueue::enqueue`].
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum EnqueueResult {
-    /// It waits.
+    /// The request was added.
     Added,
-    /// It waits in the position of another, which has to be refused.
+    /// The request was added, and this less urgent one removed, which the caller of
+    /// `enqueue` has to refuse.
     Evicted(RequestId),
-    /// There is no room.
+    /// The queue is full of requests that are as urgent or more.
     Full,
 }
 
-/// The waiting requests of all shards, with one queue for each model.
+/// The waiting requests of all shards, with one queue per model and service.
 ///
-/// Bounded over all queues: without a bound a model that can't be loaded would
-/// fill the memory with requests that are late anyway.
+/// The total length is bounded. Otherwise the requests for a model that can't be
+/// loaded would use up the memory, though they will miss their deadlines anyway.
 #[derive(Debug, Default)]
 pub(crate) struct WaitQueue {
     queues: BTreeMap<Resource, BTreeMap<QueuePosition, Instant>>,
-    /// All positions, the one to give up first at the end.
+    /// Positions of all queues; the last is the first to be evicted.
     positions: BTreeMap<QueuePosition, Resource>,
 }
 
 impl WaitQueue {
-    /// Adds a request, at the cost of a less urgent one when all positions are
-    /// taken: otherwise a burst of overnight work would have desk work refused.
+    /// Adds a request; if the queue is full, a request of lower priority is evicted.
+    /// Otherwise a burst of batch requests would cause interactive ones to be
+    /// refused.
     pub(crate) fn enqueue(
         &mut self,
         resource: &Resource,
@@ -62,7 +64,7 @@
         queued
     }
 
-    /// Takes a request out.
+    /// Removes a request.
     pub(crate) fn remove(&mut self, position: QueuePosition) {
         let Some(resource) = self.positions.remove(&position) else {
             return;
@@ -75,14 +77,14 @@
         }
     }
 
-    /// The first positions of a queue.
+    /// The first `count` positions of a queue.
     pub(crate) fn head(&self, resource: &Resource, count: usize) -> Vec<QueuePosition> {
         let queue = self.queues.get(resource);
         let positions = queue.into_iter().flat_map(|queue| queue.keys());
         positions.take(count).copied().collect()
     }
 
-    /// Requests that go before a position in its queue.
+    /// Number of requests ahead of a position in a queue.
     pub(crate) fn count_ahead(
         &self,
         resource: &Resource,
@@ -93,17 +95,17 @@
         u32::try_from(ahead).unwrap_or(u32::MAX)
     }
 
-    /// Everything that is waited for.
+    /// Models and services with waiting requests.
     pub(crate) fn resources(&self) -> BTreeSet<Resource> {
         self.queues.keys().cloned().collect()
     }
 
-    /// Models waited for.
+    /// Models with waiting requests.
     pub(crate) fn models(&self) -> impl Iterator<Item = &ModelId> {
         self.queues.keys().filter_map(Resource::model)
     }
 
-    /// Number waiting for one thing, and since when the oldest does.
+    /// Number of requests in a queue, and since when the oldest has been waiting.
     pub(crate) fn depth_and_oldest(
         &self,
         resource: &Resource,
@@ -115,7 +117,7 @@
         (count, queue.values().min().copied())
     }
 
-    /// Number waiting.
+    /// Number of waiting requests.
     pub(crate) fn len(&self) -> usize {
         self.positions.len()
     }
--- a/crates/role/src/entry/workload.rs
+++ b/crates/role/src/entry/workload.rs
@@ -1,5 +1,5 @@
-//! What is known of the work for each model and service: arrivals, service
-//! times and the budget of retries.
+//! Statistics per model and service: arrival rate, service time, value, and the
+//! retry budget.
 
 use base::prelude::*;
 use route::RetryBudget;
@@ -7,13 +7,14 @@
 
 use super::resolve::Resource;
 
-/// Time over which arrivals are smoothed.
+/// Time constant of the exponentially decaying arrival rate.
 const RATE_WINDOW_S: f64 = 20.0;
 
-/// Share of one new service time or value in the mean.
+/// Weight of a new sample in the moving averages of service time and value.
 const MEAN_WEIGHT: f64 = 0.1;
 
-/// Records kept at most; the names come from configurations.
+/// Limit of models and services with statistics. Names come from configurations, so
+/// removed ones would otherwise accumulate.
 const RESOURCES_MAX: usize = 16_384;
 
 #[derive(Debug)]
@@ -25,18 +26,18 @@
     budget: RetryBudget,
 }
 
-/// What is known of the work for one model or service.
+/// Current statistics of one model or service.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct WorkloadSnapshot {
-    /// Smoothed arrivals.
+    /// Smoothed arrivals per second at this entry.
     pub(crate) rate_per_s: f64,
-    /// Mean service time, once one was seen.
+    /// Mean service time, if one was measured.
     pub(crate) service_time_ms: Option<u32>,
-    /// Mean worth of one request.
+    /// Mean value of a request, as configured in its profile.
     pub(crate) value: f64,
 }
 
-/// The resources.
+/// Statistics by model and service.
 #[derive(Debug)]
 pub(crate) struct Workload {
     resources: BTreeMap<Resource, ResourceStats>,
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Counts an arrival.
+    /// Records an arrival.
     pub(crate) fn record_arrival(
         &mut self,
         now: Instant,
@@ -57,53 +58,53 @@
         value: f64,
         retry_percent: u32,
     ) {
-        if let Some(record) = self.stats_mut(now, resource, retry_percent) {
-            record.rate_per_s = record.rate(now) + 1.0 / RATE_WINDOW_S;
-            record.rate_at = now;
-            record.value = Some(mean(record.value, value));
-            // The budget follows the configuration with the next arrival.
-            record.budget.set_percent(retry_percent);
+        if let Some(stats) = self.stats_mut(now, resource, retry_percent) {
+            stats.rate_per_s = stats.rate(now) + 1.0 / RATE_WINDOW_S;
+            stats.rate_at = now;
+            stats.value = Some(moving_average(stats.value, value));
+            // A changed configuration takes effect with the next arrival.
+            stats.budget.set_percent(retry_percent);
         }
     }
 
-    /// Counts a first try towards the budget.
+    /// Credits a first attempt to the retry budget.
     pub(crate) fn record_first_attempt(&mut self, now: Instant, resource: &Resource) {
-        if let Some(record) = self.resources.get_mut(resource) {
-            record.budget.first_try(now);
+        if let Some(stats) = self.resources.get_mut(resource) {
+            stats.budget.record_first_attempt(now);
         }
     }
 
-    /// Takes a retry from the budget.
+    /// Takes a retry from the budget; returns whether one was left.
     pub(crate) fn try_take_retry(&mut self, now: Instant, resource: &Resource) -> bool {
-        let record = self.resources.get_mut(resource);
-        record.is_some_and(|record| record.budget.try_take(now))
+        let stats = self.resources.get_mut(resource);
+        stats.is_some_and(|stats| stats.budget.try_acquire(now))
     }
 
-    /// Notes how long an upstream was busy with a request.
+    /// Records the time from sending a request to the end of its answer.
     pub(crate) fn record_service_time(&mut self, resource: &Resource, ms: u64) {
-        if let Some(record) = self.resources.get_mut(resource) {
+        if let Some(stats) = self.resources.get_mut(resource) {
             let ms = ms as f64;
-            record.service_time_ms = Some(mean(record.service_time_ms, ms));
+            stats.service_time_ms = Some(moving_average(stats.service_time_ms, ms));
         }
     }
 
-    /// What is known now.
+    /// Current statistics of a model or service.
     pub(crate) fn snapshot(
         &self,
         now: Instant,
         resource: &Resource,
     ) -> WorkloadSnapshot {
-        let Some(record) = self.resources.get(resource) else {
+        let Some(stats) = self.resources.get(resource) else {
             return WorkloadSnapshot::default();
         };
         WorkloadSnapshot {
-            rate_per_s: record.rate(now),
-            service_time_ms: record.service_time_ms.map(|ms| ms as u32),
-            value: record.value.unwrap_or(0.0),
+            rate_per_s: stats.rate(now),
+            service_time_ms: stats.service_time_ms.map(|ms| ms as u32),
+            value: stats.value.unwrap_or(0.0),
         }
     }
 
-    /// Models that have a record, in order of name.
+    /// Models with statistics, in order of name.
     pub(crate) fn models(&self) -> impl Iterator<Item = &ModelId> {
         self.resources.keys().filter_map(Resource::model)
     }
@@ -118,8 +119,8 @@
         if full && !self.resources.contains_key(resource) {
             return None;
         }
-        let record = self.resources.entry(resource.clone());
-        Some(record.or_insert_with(|| ResourceStats {
+        let stats = self.resources.entry(resource.clone());
+        Some(stats.or_insert_with(|| ResourceStats {
             rate_per_s: 0.0,
             rate_at: now,
             service_time_ms: None,
@@ -136,6 +137,6 @@
     }
 }
 
-fn mean(held: Option<f64>, new: f64) -> f64 {
-    held.map_or(new, |held| held + (new - held) * MEAN_WEIGHT)
+fn moving_average(mean: Option<f64>, new: f64) -> f64 {
+    mean.map_or(new, |mean| mean + (new - mean) * MEAN_WEIGHT)
 }
