--- a/crates/role/src/entry/control/links.rs
+++ b/crates/role/src/entry/control/links.rs
@@ -87,7 +87,7 @@
                 self.check_liveness(now, out, effects);
             }
             Peer::Entry(_) if self.config().is_none() => {
-                self.request_config(&peer, out)
+                self.request_config(&peer, out);
             }
             Peer::Entry(_) => {}
         }
--- a/crates/role/src/entry/requests/dispatch.rs
+++ b/crates/role/src/entry/requests/dispatch.rs
@@ -274,7 +274,7 @@
     };
     match queued {
         EnqueueResult::Full if within_limit => {
-            ctx.shared.callers.lock().dequeue(caller)
+            ctx.shared.callers.lock().dequeue(caller);
         }
         EnqueueResult::Evicted(other) => ctx.follow_ups.evicted.push(other),
         EnqueueResult::Full | EnqueueResult::Added => {}
--- a/crates/role/src/entry/role.rs
+++ b/crates/role/src/entry/role.rs
@@ -87,7 +87,7 @@
         match event {
             EntryEvent::Tick => self.tick(now, out),
             EntryEvent::RequestReceived(arrival) => {
-                self.request_received(now, arrival, out)
+                self.request_received(now, arrival, out);
             }
             EntryEvent::CallerDisconnected { request } => {
                 self.run_in_shard(now, request.sequence, out, |shard, ctx| {
