--- a/crates/role/src/entry/control/plan.rs
+++ b/crates/role/src/entry/control/plan.rs
@@ -1,4 +1,4 @@
-//! Planning the cells for which this entry ranks first.
+//! Plans model placement in the planning cells for which this entry ranks first.
 
 use base::prelude::*;
 use conf::Config;
@@ -13,76 +13,76 @@
 use super::super::EntryAction;
 use super::super::counters::Counts;
 use super::super::shared::Shared;
-use super::cells::{Cell, cells};
+use super::cells::{PlanningCell, planning_cells};
+use super::demand_shares::share_demand;
 use super::gossip::own_demands;
-use super::spread::spread;
-use super::wishes::{Wishes, trace_changes, wishes};
+use super::placements::{PlannedPlacements, planned_placements, record_changes};
 use super::{Control, Timer};
 use crate::Peer;
 
 /// Interval between plans.
-const PLAN_EVERY_MS: u64 = 500;
+const PLAN_INTERVAL_MS: u64 = 500;
 
-/// Least time between plans that work waiting without a holder brings about.
-const PLAN_MIN_MS: u64 = 50;
+/// Minimum interval between plans triggered by requests for a model without holders.
+const PLAN_MIN_INTERVAL_MS: u64 = 50;
 
-/// Time after which a round counts as lost. One whose thread panicked would
-/// otherwise keep this entry from planning for good, while it ranks first.
-const ROUND_MAX_MS: u64 = 10_000;
+/// Time after which a round of planning counts as lost. Otherwise a round whose thread
+/// panicked would keep this entry, which still ranks first, from ever planning again.
+const PLAN_ROUND_TIMEOUT_MS: u64 = 10_000;
 
-/// One cell that this entry plans.
+/// State of a cell that this entry plans.
 #[derive(Debug, Default)]
 struct CellPlan {
     planner: Planner,
-    wishes: Wishes,
+    placements: PlannedPlacements,
     notes: Vec<PlanNote>,
 }
 
-/// State of planning.
+/// State of the planning at this entry.
 #[derive(Debug)]
 pub(crate) struct Planning {
     cells: BTreeMap<String, CellPlan>,
     planned_at: Option<Instant>,
-    soon: bool,
-    /// Since when a round is planned outside of the control part's lock.
+    scheduled: bool,
+    /// Since when a round has been running outside of the control state's lock.
     running_since: Option<Instant>,
     sequence: u64,
 }
 
-/// What a round of planning needs, taken from the control part.
+/// Input of a round of planning, copied from the control state.
 ///
-/// Each request reads the control part, and planning takes long for a large
-/// fleet. So it works on this copy, while nobody waits for its lock.
+/// Every request reads the control state, and planning a large fleet takes long. So
+/// the plan is computed from this copy without holding the lock.
 #[derive(Debug)]
 pub(crate) struct PlanJob {
     now: Instant,
     config: Arc<Config>,
-    cells: Vec<Cell>,
+    cells: Vec<PlanningCell>,
     demands: Vec<ModelDemand>,
-    /// Planners of the cells for which this entry ranks first.
+    /// Planners of the cells for which this entry ranks first, by cell.
     planners: BTreeMap<String, Planner>,
 }
 
-/// One cell, planned.
+/// The plan of one cell.
 #[derive(Debug)]
-struct Planned {
-    cell: Cell,
+struct PlannedCell {
+    cell: PlanningCell,
     planner: Planner,
     plan: Plan,
 }
 
-/// A round of planning that is done.
+/// Result of a round of planning.
 #[derive(Debug)]
 pub(crate) struct PlanDone {
-    cells: Vec<Planned>,
+    cells: Vec<PlannedCell>,
 }
 
 impl PlanJob {
-    /// Plans.
+    /// Computes the plans of the cells that this entry plans.
     pub(crate) fn run(mut self) -> PlanDone {
-        let work = spread(&self.config, &self.cells, &self.demands);
+        let shares = share_demand(&self.config, &self.cells, &self.demands);
         let mut cells = Vec::new();
-        for (cell, work) in self.cells.into_iter().zip(work) {
+        for (cell, share) in self.cells.into_iter().zip(shares) {
             let Some(mut planner) = self.planners.remove(&cell.key) else {
                 continue;
             };
@@ -90,10 +90,10 @@
                 now: self.now,
                 config: &self.config,
                 agents: &cell.agents,
-                demands: &work.demands,
-                store_share: work.store_share,
+                demands: &share.demands,
+                store_share: share.store_share,
             });
-            cells.push(Planned {
+            cells.push(PlannedCell {
                 cell,
                 planner,
                 plan,
@@ -108,7 +108,7 @@
         Self {
             cells: BTreeMap::new(),
             planned_at: None,
-            soon: false,
+            scheduled: false,
             running_since: None,
             sequence: 0,
         }
@@ -118,23 +118,23 @@
         self.cells.clear();
     }
 
-    /// Cells that this entry plans.
+    /// Names of the cells that this entry plans.
     pub(crate) fn cells(&self) -> impl Iterator<Item = &str> {
         self.cells.keys().map(String::as_str)
     }
 
-    /// Where this entry wants a model, and why.
-    pub(crate) fn wishes<'a>(
+    /// Agents on which this entry plans to hold a model, and why.
+    pub(crate) fn placements<'a>(
         &'a self,
         model: &'a str,
     ) -> impl Iterator<Item = (&'a AgentId, PlacementReason)> {
-        let wishes = self.cells.values().flat_map(|cell| &cell.wishes);
-        wishes
-            .filter(move |((_, _, held), _)| held.as_str() == model)
+        let placements = self.cells.values().flat_map(|cell| &cell.placements);
+        placements
+            .filter(move |((_, _, placed), _)| placed.as_str() == model)
             .map(|((agent, _, _), reason)| (agent, *reason))
     }
 
-    /// Why a model is not where its demand would have it.
+    /// Reasons why a model is not placed as its demand calls for.
     pub(crate) fn notes<'a>(
         &'a self,
         model: &'a str,
@@ -152,74 +152,77 @@
         now: Instant,
         shared: &Shared,
     ) -> Option<PlanJob> {
-        self.timers.set(now.plus_ms(PLAN_EVERY_MS), Timer::Plan);
+        self.timers.set(now.plus_ms(PLAN_INTERVAL_MS), Timer::Plan);
         self.plan_now(now, shared)
     }
 
-    /// Plans at once, or as soon as the last plan is old enough.
+    /// Starts a round now, or schedules it for when the minimum interval has passed.
     pub(crate) fn plan_soon(
         &mut self,
         now: Instant,
         shared: &Shared,
     ) -> Option<PlanJob> {
-        let next = self.planning.planned_at.map(|at| at.plus_ms(PLAN_MIN_MS));
+        let next = self
+            .planning
+            .planned_at
+            .map(|at| at.plus_ms(PLAN_MIN_INTERVAL_MS));
         match next.filter(|next| *next > now) {
             None => return self.plan_now(now, shared),
-            Some(next) => self.plan_at(next),
+            Some(next) => self.schedule_plan(next),
         }
         None
     }
 
-    fn plan_at(&mut self, at: Instant) {
-        if !self.planning.soon {
-            self.planning.soon = true;
+    fn schedule_plan(&mut self, at: Instant) {
+        if !self.planning.scheduled {
+            self.planning.scheduled = true;
             self.timers.set(at, Timer::PlanSoon);
         }
     }
 
-    /// Takes out what a round of planning needs. One round runs at a time.
+    /// Prepares a round of planning. Only one round runs at a time.
     pub(super) fn plan_now(
         &mut self,
         now: Instant,
         shared: &Shared,
     ) -> Option<PlanJob> {
-        self.planning.soon = false;
+        self.planning.scheduled = false;
         let config = self.config().cloned()?;
         if self.leaving {
             return None;
         }
-        if now < self.read_by() {
-            self.plan_at(self.read_by());
+        if now < self.backlog_read_by() {
+            self.schedule_plan(self.backlog_read_by());
             return None;
         }
         let running = self.planning.running_since;
-        if running.is_some_and(|since| now.ms_since(since) < ROUND_MAX_MS) {
-            self.plan_at(now.plus_ms(PLAN_MIN_MS));
+        if running.is_some_and(|since| now.ms_since(since) < PLAN_ROUND_TIMEOUT_MS) {
+            self.schedule_plan(now.plus_ms(PLAN_MIN_INTERVAL_MS));
             return None;
         }
         self.planning.running_since = Some(now);
         self.planning.planned_at = Some(now);
-        let cells = cells(&self.directory, &config);
-        let mut before = std::mem::take(&mut self.planning.cells);
+        let cells = planning_cells(&self.directory, &config);
+        let mut previous = std::mem::take(&mut self.planning.cells);
         let mut planners = BTreeMap::new();
         for cell in &cells {
-            if self.entries.ranks_first(now, &self.me, &cell.key) {
-                let mut held = before.remove(&cell.key).unwrap_or_default();
-                let planner = std::mem::take(&mut held.planner);
+            if self.entries.ranks_first(now, &self.own_id, &cell.key) {
+                let mut state = previous.remove(&cell.key).unwrap_or_default();
+                let planner = std::mem::take(&mut state.planner);
                 planners.insert(cell.key.clone(), planner);
-                self.planning.cells.insert(cell.key.clone(), held);
+                self.planning.cells.insert(cell.key.clone(), state);
             }
         }
         Some(PlanJob {
             now,
-            demands: self.sum_demands(now, shared, &config),
+            demands: self.total_demands(now, shared, &config),
             config,
             cells,
             planners,
         })
     }
 
-    /// Takes a round of planning back, and tells agents their targets.
+    /// Stores the result of a round of planning, and sends agents their targets.
     pub(crate) fn planned(
         &mut self,
         done: PlanDone,
@@ -227,21 +230,21 @@
         out: &mut Vec<EntryAction>,
     ) {
         self.planning.running_since = None;
-        // Others plan from the moment on that this process says it leaves.
+        // Once this process announced that it is leaving, others plan its cells.
         if self.leaving {
             return;
         }
         for planned in done.cells {
             Counts::add(&shared.counts.plans);
-            let wishes = wishes(&planned.plan);
+            let placements = planned_placements(&planned.plan);
             let key = &planned.cell.key;
-            let held = self.planning.cells.entry(key.clone()).or_default();
-            let mut tally = shared.tally.lock();
-            trace_changes(&held.wishes, &wishes, &mut tally, out);
-            drop(tally);
-            held.wishes = wishes;
-            held.planner = planned.planner;
-            held.notes = planned.plan.notes;
+            let state = self.planning.cells.entry(key.clone()).or_default();
+            let mut outcomes = shared.outcomes.lock();
+            record_changes(&state.placements, &placements, &mut outcomes, out);
+            drop(outcomes);
+            state.placements = placements;
+            state.planner = planned.planner;
+            state.notes = planned.plan.notes;
             self.planning.sequence += 1;
             for target in &planned.plan.targets {
                 self.send_target(&planned.cell, target, shared, out);
@@ -251,7 +254,7 @@
 
     fn send_target(
         &self,
-        cell: &Cell,
+        cell: &PlanningCell,
         target: &AgentTarget,
         shared: &Shared,
         out: &mut Vec<EntryAction>,
@@ -263,17 +266,17 @@
             return;
         }
         Counts::add(&shared.counts.targets_sent);
-        let models = target.models.iter().map(|wish| TargetModel {
-            model: wish.model.to_string(),
-            version: wish.version,
-            accelerator: wish.accelerator,
-            reason: wish.reason as u32,
+        let models = target.models.iter().map(|placed| TargetModel {
+            model: placed.model.to_string(),
+            version: placed.version,
+            accelerator: placed.accelerator,
+            reason: placed.reason as u32,
         });
         out.push(EntryAction::SendFrame {
             peer: Peer::Agent(target.agent.clone()),
             body: frame::Body::Target(Target {
-                planner: self.me.to_string(),
-                rank: rendezvous(&cell.key, self.me.as_str()),
+                planner: self.own_id.to_string(),
+                rank: rendezvous(&cell.key, self.own_id.as_str()),
                 sequence: self.planning.sequence,
                 agent_incarnation: agent.incarnation.0,
                 models: models.collect(),
@@ -282,17 +285,17 @@
         });
     }
 
-    /// Demand over this entry and all others that are alive.
-    pub(crate) fn sum_demands(
+    /// Demand summed over this entry and all other live ones.
+    pub(crate) fn total_demands(
         &self,
         now: Instant,
         shared: &Shared,
         config: &Config,
     ) -> Vec<ModelDemand> {
-        let mut sums: BTreeMap<ModelId, Sum> = BTreeMap::new();
+        let mut sums: BTreeMap<ModelId, DemandSum> = BTreeMap::new();
         let own = own_demands(now, shared);
-        let told = self.gossip.demands.iter();
-        let others = told.filter(|(id, _)| self.entries.alive(now, id));
+        let gossiped = self.gossip.demands.iter();
+        let others = gossiped.filter(|(id, _)| self.entries.alive(now, id));
         let others = others.flat_map(|(_, demands)| demands);
         for demand in own.iter().chain(others) {
             if config.model(&demand.model).is_some() {
@@ -305,9 +308,9 @@
     }
 }
 
-/// Demand for one model, being added up.
+/// Accumulates the demand for one model.
 #[derive(Debug, Default)]
-struct Sum {
+struct DemandSum {
     rate_per_s: f64,
     waiting: u32,
     oldest_wait_ms: u64,
@@ -316,10 +319,10 @@
     weight: f64,
 }
 
-impl Sum {
+impl DemandSum {
     fn add(&mut self, demand: &Demand) {
         let rate_per_s = f64::from(demand.rate_milli) / 1_000.0;
-        // Means count by the work behind them.
+        // Means are weighted by the requests they stand for.
         let weight = rate_per_s + f64::from(demand.waiting) + 0.001;
         self.rate_per_s += rate_per_s;
         self.waiting = self.waiting.saturating_add(demand.waiting);
--- a/crates/role/src/entry/suspicion.rs
+++ b/crates/role/src/entry/suspect_events.rs
@@ -1,4 +1,7 @@
-//! What changes in what is held against requests, and its events.
+//! Timeline events for requests that become suspect or convicted.
+//!
+//! A request that was in flight when an upstream crashed is a suspect; one that
+//! crashed two upstreams is convicted, which means that it is refused.
 
 use base::prelude::*;
 use route::{CrashVerdict, SuspectRequests};
@@ -6,40 +9,41 @@
 use std::mem::discriminant;
 
 use super::EntryAction;
-use super::trace::Note;
+use super::timeline::TimelineEvent;
 
-/// A fingerprint against which something is held that was not before.
+/// A request, named by its fingerprint, whose verdict became worse.
 #[derive(Debug)]
-pub(crate) struct Charged {
+pub(crate) struct VerdictChange {
     pub(crate) fingerprint: u64,
-    /// It is not run again, and not only suspected.
+    /// It is convicted and not only a suspect.
     convicted: bool,
-    /// Upstreams that crashed with it in flight.
+    /// Agents whose upstreams crashed with the request in flight.
     agents: Vec<AgentId>,
-    /// At one of the crashes it was the only one in flight.
+    /// It was the only request in flight at one of the crashes.
     alone: bool,
     remaining_ms: u64,
 }
 
-/// Does something to the verdicts and tells what it changed for the worse.
-pub(crate) fn charged_by(
+/// Applies `work` to the suspects and returns the verdicts that it made worse.
+pub(crate) fn apply_and_diff(
     suspects: &mut SuspectRequests,
     now: Instant,
     fingerprints: &[u64],
     work: impl FnOnce(&mut SuspectRequests),
-) -> Vec<Charged> {
+) -> Vec<VerdictChange> {
     let verdicts = fingerprints.iter();
-    let before: Vec<CrashVerdict> =
-        verdicts.map(|held| suspects.verdict(now, *held)).collect();
+    let before: Vec<CrashVerdict> = verdicts
+        .map(|fingerprint| suspects.verdict(now, *fingerprint))
+        .collect();
     work(suspects);
-    let mut charged = Vec::new();
+    let mut worsened = Vec::new();
     for (fingerprint, before) in fingerprints.iter().zip(before) {
         let after = suspects.verdict(now, *fingerprint);
         if after == CrashVerdict::Clear || discriminant(&after) == discriminant(&before)
         {
             continue;
         }
-        charged.push(Charged {
+        worsened.push(VerdictChange {
             fingerprint: *fingerprint,
             convicted: after != CrashVerdict::Suspect,
             agents: suspects.crashed_agents(*fingerprint).collect(),
@@ -47,36 +51,43 @@
             remaining_ms: suspects.remaining_ms(now, *fingerprint),
         });
     }
-    charged
+    worsened
 }
 
-impl Charged {
-    /// Records it; the request is known only at the entry that ran it.
-    pub(crate) fn trace(&self, request: Option<RequestId>, out: &mut Vec<EntryAction>) {
+impl VerdictChange {
+    /// Records the change in the timeline. The request's id is known only to the entry
+    /// that sent it.
+    pub(crate) fn record(
+        &self,
+        request: Option<RequestId>,
+        out: &mut Vec<EntryAction>,
+    ) {
         let (kind, code) = match self.convicted {
             true => (EventKind::RequestConvicted, Some(Code::Convicted)),
             false => (EventKind::RequestSuspected, None),
         };
-        let mut note = Note::new(kind, self.sentence());
+        let mut event = TimelineEvent::new(kind, self.description());
         if let Some(request) = request {
-            note = note.request(request);
+            event = event.request(request);
         }
         if let Some(agent) = self.agents.last() {
-            note = note.peer(agent);
+            event = event.peer(agent);
         }
         if let Some(code) = code {
-            note = note.code(code);
+            event = event.code(code);
         }
-        note.put(out);
+        event.record(out);
     }
 
-    fn sentence(&self) -> String {
+    fn description(&self) -> String {
         let names = self.agents.iter().map(AgentId::as_str);
         let names = names.collect::<Vec<_>>().join(" and ");
         let what = match (self.convicted, self.alone) {
-            (false, _) => "runs only alone from now on",
+            (false, _) => "gets only exclusive runs from now on",
             (true, true) => "is refused",
-            (true, false) => "is refused, though it was alone at neither",
+            (true, false) => {
+                "is refused, though other requests were in flight at each crash"
+            }
         };
         format!(
             "fingerprint {:x} was in flight when {names} crashed: it {what}, for {} s",
