--- a/crates/direct/benches/entry.rs
+++ b/crates/direct/benches/entry.rs
@@ -6,8 +6,9 @@
 
 use base::prelude::*;
 use direct::{
-    Activity, Copies, Engine, Fleet, ModelSpec, Pick, ReadingQueue, Resident, Start,
-    UpstreamNews, Usage, pick, tell_every_ms,
+    Activity, EngineSpec, Fleet, LocalWeights, ModelSpec, PrefillQueue, ResidentModel,
+    SelectionInput, UpstreamIncarnation, UpstreamRecord, Usage,
+    peer_message_interval_ms, select_upstream,
 };
 use std::sync::Arc;
 use std::time::Instant as Wall;
@@ -42,7 +43,7 @@
             plant.pick(number as u64);
         }
         let pick_us = begun.elapsed().as_secs_f64() * 1e6 / PICKS as f64;
-        let every_s = tell_every_ms(entries) as f64 / 1_000.0;
+        let every_s = peer_message_interval_ms(entries) as f64 / 1_000.0;
         let per_s = (entries - 1) as f64 / every_s;
         let upstreams = entries * UPSTREAMS_EACH;
         println!(
@@ -56,7 +57,7 @@
     upstreams: Vec<Arc<str>>,
     peers: Vec<String>,
     models: Vec<Arc<str>>,
-    engine: Engine,
+    engine: EngineSpec,
     now_ms: u64,
 }
 
@@ -72,7 +73,7 @@
         let listed = upstreams.iter().enumerate();
         let listed = listed.map(|(index, id)| (1, news(id, index, &models)));
         let mut fleet = Fleet::new();
-        fleet.list(Instant::from_ms(0), 1, listed.collect());
+        fleet.apply_list(Instant::from_ms(0), 1, listed.collect());
         Self {
             fleet,
             peers: (1..entries)
@@ -95,55 +96,55 @@
                     (number * 37 + place * 101 + round * 13) % self.upstreams.len();
                 &*self.upstreams[of]
             });
-            let start = |id| Start {
+            let start = |id| UpstreamIncarnation {
                 id,
-                born_ms: Some(7),
+                started_unix_ms: Some(7),
             };
             let usage = Usage {
                 running: 2,
-                reading: ReadingQueue::of(1, 900),
-                kept_tokens: 4_000,
+                prefill: PrefillQueue::single(1, 900),
+                kv_tokens: 4_000,
             };
             let activity = Activity {
-                begun: 1,
+                answering: 1,
                 silent_ms: 20,
             };
             let uses = used.clone().map(|id| (start(id), usage));
-            self.fleet.peer_usage(now, peer, uses);
+            self.fleet.set_peer_usage(now, peer, uses);
             let heard = used.map(|id| (start(id), activity));
-            self.fleet.peer_activity(now, peer, heard);
+            self.fleet.set_peer_activity(now, peer, heard);
         }
     }
 
     fn pick(&self, number: u64) {
         let model = &self.models[number as usize * 31 % self.models.len()];
-        let input = Pick {
+        let input = SelectionInput {
             now: Instant::from_ms(self.now_ms),
             service: "engines",
             engine: Some(&self.engine),
             model: Some((model, None)),
-            parts: &[(7, 500), (number, 900)],
-            rank: 1,
+            prompt_parts: &[(7, 500), (number, 900)],
+            priority: 1,
             prompt_tokens: 1_400,
-            pace: 1.0,
-            kept_tokens: 1_800,
+            time_factor: 1.0,
+            kv_tokens: 1_800,
             excluded: &[],
             domain: "domain-1",
             random: number,
         };
-        std::hint::black_box(pick(&self.fleet, &input)).expect("it is held");
+        std::hint::black_box(select_upstream(&self.fleet, &input)).expect("it is held");
     }
 }
 
-fn news(id: &Arc<str>, index: usize, models: &[Arc<str>]) -> UpstreamNews {
-    let residents = (0..MODELS_HELD).map(|place| Resident {
+fn news(id: &Arc<str>, index: usize, models: &[Arc<str>]) -> UpstreamRecord {
+    let residents = (0..MODELS_HELD).map(|place| ResidentModel {
         model: Arc::clone(&models[(index * MODELS_HELD + place) % models.len()]),
         version: 1,
         adapters: Vec::new(),
     });
-    UpstreamNews {
+    UpstreamRecord {
         id: Arc::clone(id),
-        born_ms: Some(7),
+        started_unix_ms: Some(7),
         service: "engines".into(),
         address: ([127, 0, 0, 1], 1).into(),
         domain: format!("domain-{}", index % 5).into(),
@@ -151,11 +152,11 @@
         leaving: false,
         gone_in_ms: None,
         residents: residents.collect(),
-        copies: Copies::default(),
+        local_weights: LocalWeights::default(),
     }
 }
 
-fn engine(models: &[Arc<str>]) -> Engine {
+fn engine(models: &[Arc<str>]) -> EngineSpec {
     let spec = ModelSpec {
         weights_mb: 70_000.0,
         store_load_ms: 2_300,
@@ -165,9 +166,9 @@
         adapters: Vec::new(),
     };
     let models = models.iter().map(|model| (Arc::clone(model), spec.clone()));
-    Engine {
+    EngineSpec {
         batch_slots: 6_400,
-        cache_tokens: 100_000_000,
+        kv_capacity_tokens: 100_000_000,
         weights_max_mb: 230_000.0,
         adapters_max: 8,
         store_loads_per_s: 13.0,
--- a/crates/direct/benches/plan.rs
+++ b/crates/direct/benches/plan.rs
@@ -4,7 +4,9 @@
 //! as nine hundredths of a core: a plan has to stay within a few milliseconds.
 
 use base::prelude::*;
-use direct::{Engine, Group, Load, ModelSpec, Moves, Spot};
+use direct::{
+    DemandEstimate, EngineSpec, LoadPlanner, ModelSpec, PlacedModel, UpstreamState,
+};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -27,7 +29,7 @@
         let begun = std::time::Instant::now();
         let mut moves = 0;
         for _ in 0..PLANS {
-            let mut plans = Moves::new(6_000);
+            let mut plans = LoadPlanner::new(6_000);
             moves = plans
                 .plan(Instant::from_ms(60_000), &engine, &spots, &loads)
                 .len();
@@ -37,7 +39,7 @@
     }
 }
 
-fn engine(names: &[Arc<str>]) -> Engine {
+fn engine(names: &[Arc<str>]) -> EngineSpec {
     let spec = ModelSpec {
         weights_mb: 70_000.0,
         store_load_ms: 2_300,
@@ -46,9 +48,9 @@
         adapter_mb: 60.0,
         adapters: Vec::new(),
     };
-    Engine {
+    EngineSpec {
         batch_slots: 64,
-        cache_tokens: 100_000,
+        kv_capacity_tokens: 100_000,
         weights_max_mb: 230_000.0,
         adapters_max: 8,
         store_loads_per_s: 13.0,
@@ -60,34 +62,34 @@
 }
 
 /// Upstreams with three models each, the first third of all being held.
-fn spots(names: &[Arc<str>], upstreams: usize) -> Vec<Spot> {
+fn spots(names: &[Arc<str>], upstreams: usize) -> Vec<UpstreamState> {
     let spot = |index: usize| {
-        let groups = (0..3).map(|place| Group {
+        let groups = (0..3).map(|place| PlacedModel {
             model: Arc::clone(&names[(index * 3 + place) % (names.len() / 3)]),
             size_mb: 70_000.0,
             unloading: false,
             since: Instant::ZERO,
         });
-        Spot {
+        UpstreamState {
             upstream: format!("upstream-{index:03}").into(),
             domain: format!("domain-{}", index % 5).into(),
             idle: true,
             free_mb: 20_000.0,
-            groups: groups.collect(),
-            copies: Vec::new(),
+            models: groups.collect(),
+            local_weights: Vec::new(),
         }
     };
     (0..upstreams).map(spot).collect()
 }
 
 /// A few models that are asked for most, and all others a little.
-fn loads(names: &[Arc<str>]) -> BTreeMap<Arc<str>, Load> {
+fn loads(names: &[Arc<str>]) -> BTreeMap<Arc<str>, DemandEstimate> {
     let load = |index: usize| {
         let ms_per_s = 8_000.0 / (index as f64 + 1.0);
-        Load {
-            newest_ms_per_s: ms_per_s,
-            lasting_ms_per_s: ms_per_s,
-            ..Load::default()
+        DemandEstimate {
+            recent_ms_per_s: ms_per_s,
+            sustained_ms_per_s: ms_per_s,
+            ..DemandEstimate::default()
         }
     };
     let loads = names.iter().enumerate();
--- a/crates/direct/src/adapters.rs
+++ b/crates/direct/src/adapters.rs
@@ -9,12 +9,12 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-use crate::{Engine, Load};
+use crate::{DemandEstimate, EngineSpec};
 
 /// Time for which an adapter keeps its place before it makes room for another.
 /// Where more adapters are asked for than there are places, they take turns; a turn
 /// is some tens of loads long.
-pub const ADAPTER_TURN_MS: u64 = 300;
+pub const ADAPTER_MIN_RESIDENCE_MS: u64 = 300;
 
 /// Part of the demand that is taken to be spread over all models alike: demand moves
 /// to models that nobody asks for now, and their adapters are to be there by then.
@@ -30,15 +30,15 @@
 
 /// One upstream as the spread of adapters sees it.
 #[derive(Debug, Clone)]
-pub struct AdapterSpot {
+pub struct UpstreamAdapterState {
     /// Upstream.
     pub upstream: Arc<str>,
     /// Whether it can be ordered an adapter now.
-    pub takes_orders: bool,
+    pub accepts_orders: bool,
     /// Whether it can be given one that nobody waits for.
-    pub takes_ahead: bool,
+    pub accepts_prefetch: bool,
     /// Places that are free.
-    pub free_places: u32,
+    pub free_slots: u32,
     /// Memory that is free.
     pub free_mb: f64,
     /// Requests that run there.
@@ -68,7 +68,7 @@
 
 /// An adapter that is to be loaded.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct AdapterChoice {
+pub struct PlannedAdapterLoad {
     /// Upstream that is to hold it.
     pub upstream: Arc<str>,
     /// Adapter.
@@ -79,10 +79,10 @@
 
 /// The adapters of a service's upstreams, and what each copy of one is worth.
 #[derive(Debug)]
-pub struct AdapterSpread<'a> {
+pub struct AdapterPlanner<'a> {
     now: Instant,
-    engine: &'a Engine,
-    spots: &'a [AdapterSpot],
+    engine: &'a EngineSpec,
+    spots: &'a [UpstreamAdapterState],
     /// Whether each upstream was chosen already: it takes one order at a time.
     chosen: Vec<bool>,
     copies: HashMap<AdapterName, u32>,
@@ -92,13 +92,13 @@
     model_mb: f64,
 }
 
-impl<'a> AdapterSpread<'a> {
+impl<'a> AdapterPlanner<'a> {
     /// What is held, against the demand for models.
     pub fn new(
         now: Instant,
-        engine: &'a Engine,
-        spots: &'a [AdapterSpot],
-        loads: &BTreeMap<Arc<str>, Load>,
+        engine: &'a EngineSpec,
+        spots: &'a [UpstreamAdapterState],
+        loads: &BTreeMap<Arc<str>, DemandEstimate>,
     ) -> Self {
         let mut copies = HashMap::new();
         for (model, adapters) in spots.iter().flat_map(|spot| &spot.models) {
@@ -123,10 +123,13 @@
     ///
     /// A free place goes first, then the place of the adapter that is worth least, and
     /// of equal ones that at the least used upstream.
-    pub fn wanted(&mut self, wanted: &AdapterName) -> Option<AdapterChoice> {
+    pub fn load_requested(
+        &mut self,
+        wanted: &AdapterName,
+    ) -> Option<PlannedAdapterLoad> {
         let spots = self.spots.iter().enumerate();
         let open =
-            spots.filter(|(index, spot)| spot.takes_orders && !self.chosen[*index]);
+            spots.filter(|(index, spot)| spot.accepts_orders && !self.chosen[*index]);
         let found = open.filter_map(|(index, spot)| {
             let held = spot.models.get(&wanted.model)?;
             if held.contains_key(&wanted.adapter) {
@@ -137,7 +140,7 @@
         });
         let best = found.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
         let (_, _, index, unload) = best?;
-        let choice = AdapterChoice {
+        let choice = PlannedAdapterLoad {
             upstream: Arc::clone(&self.spots[index].upstream),
             load: wanted.clone(),
             unload,
@@ -147,10 +150,10 @@
     }
 
     /// Adapters worth loading before anybody asks for them, one an upstream at most.
-    pub fn ahead(&mut self) -> Vec<AdapterChoice> {
+    pub fn prefetch(&mut self) -> Vec<PlannedAdapterLoad> {
         let mut choices = Vec::new();
         for (index, spot) in self.spots.iter().enumerate() {
-            if !spot.takes_ahead || self.chosen[index] {
+            if !spot.accepts_prefetch || self.chosen[index] {
                 continue;
             }
             if let Some(choice) = self.ahead_at(spot) {
@@ -161,7 +164,7 @@
         choices
     }
 
-    fn ahead_at(&self, spot: &AdapterSpot) -> Option<AdapterChoice> {
+    fn ahead_at(&self, spot: &UpstreamAdapterState) -> Option<PlannedAdapterLoad> {
         let (gain, load) = self.best_missing(spot)?;
         let (loss, unload) = self.room(spot)?;
         let spec = self.engine.models.get(&load.model)?;
@@ -170,7 +173,7 @@
         if gain <= loss * WORTH_CHANGING || takes_model {
             return None;
         }
-        Some(AdapterChoice {
+        Some(PlannedAdapterLoad {
             upstream: Arc::clone(&spot.upstream),
             load,
             unload,
@@ -179,7 +182,7 @@
 
     /// The adapter that is worth most of those that an upstream could hold and does
     /// not.
-    fn best_missing(&self, spot: &AdapterSpot) -> Option<(f64, AdapterName)> {
+    fn best_missing(&self, spot: &UpstreamAdapterState) -> Option<(f64, AdapterName)> {
         let models = spot.models.iter();
         let all = models.flat_map(|(model, held)| {
             let spec = self.engine.models.get(model);
@@ -195,15 +198,15 @@
 
     /// What making room costs, and the adapter that has to go for it if there is no
     /// free place.
-    fn room(&self, spot: &AdapterSpot) -> Option<(f64, Option<AdapterName>)> {
-        if spot.free_places > 0 {
+    fn room(&self, spot: &UpstreamAdapterState) -> Option<(f64, Option<AdapterName>)> {
+        if spot.free_slots > 0 {
             return Some((0.0, None));
         }
         let models = spot.models.iter();
         let all = models.flat_map(|(model, held)| {
-            let had_turn = held
-                .iter()
-                .filter(|(_, since)| self.now.ms_since(**since) >= ADAPTER_TURN_MS);
+            let had_turn = held.iter().filter(|(_, since)| {
+                self.now.ms_since(**since) >= ADAPTER_MIN_RESIDENCE_MS
+            });
             had_turn.map(move |(adapter, since)| {
                 let name = AdapterName::new(model, adapter);
                 let others = self.copies_of(&name).saturating_sub(1);
@@ -215,7 +218,7 @@
     }
 
     /// Counts what was chosen, for the choices after it.
-    fn choose(&mut self, index: usize, choice: &AdapterChoice) {
+    fn choose(&mut self, index: usize, choice: &PlannedAdapterLoad) {
         self.chosen[index] = true;
         *self.copies.entry(choice.load.clone()).or_default() += 1;
         let gone = choice.unload.as_ref();
@@ -243,10 +246,14 @@
 
 /// Share of the demand that each adapter of a model is expected to have.
 fn worth<'a>(
-    engine: &'a Engine,
-    loads: &BTreeMap<Arc<str>, Load>,
+    engine: &'a EngineSpec,
+    loads: &BTreeMap<Arc<str>, DemandEstimate>,
 ) -> HashMap<&'a str, f64> {
-    let demand_of = |model: &str| loads.get(model).map_or(0.0, Load::kept_ms_per_s);
+    let demand_of = |model: &str| {
+        loads
+            .get(model)
+            .map_or(0.0, DemandEstimate::retention_ms_per_s)
+    };
     let with_adapters = || {
         let models = engine.models.iter();
         models.filter(|(_, spec)| !spec.adapters.is_empty())
--- a/crates/direct/src/admit.rs
+++ b/crates/direct/src/admit.rs
@@ -23,21 +23,21 @@
 
 /// A request that has found an upstream.
 #[derive(Debug, Clone, Copy)]
-pub struct Admission {
+pub struct AdmissionInput {
     /// The present.
     pub now: Instant,
     /// When the request arrived.
-    pub arrived: Instant,
+    pub arrived_at: Instant,
     /// Time within which its answer earns its full worth.
-    pub aim_ms: u64,
+    pub target_latency_ms: u64,
     /// When the first part of its answer is of use at the latest.
-    pub first_by: Instant,
+    pub first_answer_deadline: Instant,
     /// Time at the upstream until its prompt is read.
     pub queue_ms: u64,
     /// Time of reading its prompt.
-    pub reading_ms: u64,
+    pub prefill_ms: u64,
     /// Time of reading a prompt of its route, in the mean.
-    pub mean_reading_ms: u64,
+    pub mean_prefill_ms: u64,
     /// Whether the upstream is an engine, at which prompts wait for one another.
     pub at_engine: bool,
 }
@@ -59,19 +59,19 @@
 /// # Errors
 ///
 /// It would be too late.
-pub fn admit(admission: &Admission) -> Result<(), u64> {
-    let own_ms = admission.queue_ms + admission.reading_ms;
-    let of_use_ms = admission.first_by.ms_since(admission.now);
+pub fn admit(admission: &AdmissionInput) -> Result<(), u64> {
+    let own_ms = admission.queue_ms + admission.prefill_ms;
+    let of_use_ms = admission.first_answer_deadline.ms_since(admission.now);
     if own_ms > of_use_ms {
         return Err(own_ms - of_use_ms);
     }
-    let usable_ms = admission.aim_ms * AIM_USABLE_PERCENT / 100;
-    let in_time_by = admission.arrived.plus_ms(usable_ms);
+    let usable_ms = admission.target_latency_ms * AIM_USABLE_PERCENT / 100;
+    let in_time_by = admission.arrived_at.plus_ms(usable_ms);
     if !admission.at_engine || admission.now >= in_time_by {
         return Ok(());
     }
     let reading_max_ms = usable_ms * (100 - QUEUE_LEAST_PERCENT) / 100;
-    let mean_ms = admission.mean_reading_ms.min(reading_max_ms);
+    let mean_ms = admission.mean_prefill_ms.min(reading_max_ms);
     let expected_ms = admission.queue_ms + mean_ms;
     let left_ms = in_time_by.ms_since(admission.now);
     if expected_ms <= left_ms {
@@ -83,11 +83,11 @@
 
 /// Mean time that reading a prompt takes, by route.
 #[derive(Debug, Default)]
-pub struct Readings {
+pub struct MeanPrefillTimes {
     routes: BTreeMap<Arc<str>, f64>,
 }
 
-impl Readings {
+impl MeanPrefillTimes {
     /// No route's prompts are known.
     pub fn new() -> Self {
         Self::default()
--- a/crates/direct/src/again.rs
+++ b/crates/direct/src/again.rs
@@ -4,7 +4,7 @@
 
 /// How a try at an upstream ended without a whole answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Outcome {
+pub enum AttemptOutcome {
     /// No byte of the request left this process.
     NotSent,
     /// The upstream says that it did not and will not run it.
@@ -15,7 +15,7 @@
     Failed,
 }
 
-impl Outcome {
+impl AttemptOutcome {
     /// The word used in logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -29,7 +29,7 @@
 
 /// What has been tried of a request.
 #[derive(Debug, Clone, Copy)]
-pub struct Tried {
+pub struct AttemptHistory {
     /// Upstreams that the request was sent to, this try's included.
     pub upstreams: u32,
     /// Most upstreams that it may be sent to.
@@ -40,15 +40,15 @@
 
 /// What follows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Next {
+pub enum RetryDecision {
     /// It may be sent to another upstream; this does not count as a repeat.
-    Other,
+    Resend,
     /// It may be sent to another upstream if the budget of repeats allows it.
-    Repeat,
+    Retry,
     /// It may not be sent again and provably has not run.
-    EndNotRun,
+    FailNotRun,
     /// It may not be sent again and may have run.
-    EndMayHaveRun,
+    FailMayHaveRun,
 }
 
 /// Decides what may follow a try.
@@ -57,21 +57,25 @@
 /// word is given only when every try was refused or never sent. An answer that
 /// is missing is never taken for a refusal: the upstream may have taken the
 /// order and lost the answer, and a second send would do it twice.
-pub const fn after(kind: RouteKind, tried: Tried, outcome: Outcome) -> Next {
-    let may_have_run =
-        tried.may_have_run || matches!(outcome, Outcome::Unknown | Outcome::Failed);
-    if matches!(outcome, Outcome::NotSent) && !may_have_run {
-        return Next::Other;
+pub const fn decide_retry(
+    kind: RouteKind,
+    tried: AttemptHistory,
+    outcome: AttemptOutcome,
+) -> RetryDecision {
+    let may_have_run = tried.may_have_run
+        || matches!(outcome, AttemptOutcome::Unknown | AttemptOutcome::Failed);
+    if matches!(outcome, AttemptOutcome::NotSent) && !may_have_run {
+        return RetryDecision::Resend;
     }
-    if may_have_run && !kind.may_repeat() {
-        return Next::EndMayHaveRun;
+    if may_have_run && !kind.may_rerun() {
+        return RetryDecision::FailMayHaveRun;
     }
     if tried.upstreams < tried.upstreams_max {
-        return Next::Repeat;
+        return RetryDecision::Retry;
     }
     if may_have_run {
-        Next::EndMayHaveRun
+        RetryDecision::FailMayHaveRun
     } else {
-        Next::EndNotRun
+        RetryDecision::FailNotRun
     }
 }
--- a/crates/direct/src/board/mod.rs
+++ b/crates/direct/src/board/mod.rs
@@ -10,7 +10,9 @@
 
 use crate::outlook::Outlook;
 use crate::unserved::{Unserved, turn_ms};
-use crate::{Choice, Engine, Load, ModelSpec, Reason, Spot};
+use crate::{
+    DemandEstimate, EngineSpec, LoadReason, ModelSpec, PlannedLoad, UpstreamState,
+};
 use bits::Bits;
 use models::Models;
 use relief::{Move, View, each};
@@ -50,7 +52,7 @@
 #[derive(Debug)]
 pub(crate) struct Board<'a> {
     now: Instant,
-    engine: &'a Engine,
+    engine: &'a EngineSpec,
     /// Models that the engine runs, that are asked for or held.
     models: Models,
     facts: Vec<Facts<'a>>,
@@ -58,14 +60,14 @@
     /// How demand may go on.
     views: Vec<View>,
     store_left: usize,
-    pub(crate) choices: Vec<Choice>,
+    pub(crate) choices: Vec<PlannedLoad>,
 }
 
 /// What is known of one model throughout a plan.
 #[derive(Debug)]
 struct Facts<'a> {
     spec: Option<&'a ModelSpec>,
-    load: Option<&'a Load>,
+    load: Option<&'a DemandEstimate>,
     /// Time for which it has gone unserved beyond the patience.
     overdue_ms: u64,
     turn_ms: u64,
@@ -73,7 +75,7 @@
 
 impl Facts<'_> {
     fn is_wanted(&self) -> bool {
-        self.load.is_some_and(Load::is_wanted)
+        self.load.is_some_and(DemandEstimate::is_wanted)
     }
 
     fn is_waited_for(&self) -> bool {
@@ -84,7 +86,7 @@
 /// One upstream.
 #[derive(Debug)]
 struct Row<'a> {
-    spot: &'a Spot,
+    spot: &'a UpstreamState,
     idle: bool,
     free_mb: f64,
     groups: Vec<Held>,
@@ -116,7 +118,7 @@
 #[derive(Debug)]
 pub(crate) struct Asked<'a> {
     /// Demand by model.
-    pub(crate) loads: &'a BTreeMap<Arc<str>, Load>,
+    pub(crate) loads: &'a BTreeMap<Arc<str>, DemandEstimate>,
     /// Since when models are asked for that nothing holds.
     pub(crate) unserved: &'a Unserved,
     /// How demand may go on.
@@ -126,8 +128,8 @@
 impl<'a> Board<'a> {
     pub(crate) fn new(
         now: Instant,
-        engine: &'a Engine,
-        spots: &'a [Spot],
+        engine: &'a EngineSpec,
+        spots: &'a [UpstreamState],
         asked: &Asked<'a>,
         store_left: usize,
     ) -> Self {
@@ -184,7 +186,7 @@
         let waiting: Vec<usize> = waiting.iter().map(|(.., model)| *model).collect();
         for model in waiting {
             if let Some(place) = self.place(model, true) {
-                self.choose(model, &place, Reason::Waited);
+                self.choose(model, &place, LoadReason::Waited);
             }
         }
     }
@@ -195,7 +197,7 @@
             let Some((model, place)) = self.best_copy() else {
                 return;
             };
-            self.choose(model, &place, Reason::Busy);
+            self.choose(model, &place, LoadReason::Busy);
         }
     }
 
@@ -211,7 +213,7 @@
                 return;
             }
             if let Some(place) = self.place(model, false) {
-                self.choose(model, &place, Reason::Reachable);
+                self.choose(model, &place, LoadReason::Reachable);
             }
         }
     }
@@ -340,7 +342,7 @@
         views.map(|view| view.weight * value(view)).sum()
     }
 
-    fn choose(&mut self, model: usize, place: &Place, reason: Reason) {
+    fn choose(&mut self, model: usize, place: &Place, reason: LoadReason) {
         let size_mb = self.facts[model].spec.map_or(0.0, |spec| spec.weights_mb);
         let row = &mut self.rows[place.row];
         let unload = place.victim.map(|index| row.groups.remove(index));
@@ -361,7 +363,7 @@
             self.store_left -= 1;
         }
         let unload = unload.map(|victim| Arc::clone(self.models.name(victim.model)));
-        self.choices.push(Choice {
+        self.choices.push(PlannedLoad {
             upstream: Arc::clone(&row.spot.upstream),
             load: Arc::clone(self.models.name(model)),
             unload,
@@ -400,12 +402,12 @@
 }
 
 impl<'a> Row<'a> {
-    fn new(spot: &'a Spot, models: &mut Models) -> Self {
+    fn new(spot: &'a UpstreamState, models: &mut Models) -> Self {
         let mut copies = Bits::default();
-        for name in &spot.copies {
+        for name in &spot.local_weights {
             copies.insert(models.number(name));
         }
-        let groups = spot.groups.iter().map(|group| Held {
+        let groups = spot.models.iter().map(|group| Held {
             model: models.number(&group.model),
             size_mb: group.size_mb,
             unloading: group.unloading,
--- a/crates/direct/src/cadence.rs
+++ b/crates/direct/src/cadence.rs
@@ -27,7 +27,7 @@
 
 /// Time within which what each upstream holds is told again. What changes is told at
 /// once and twice; this makes good a change of which both messages were lost.
-pub const HOLDINGS_TOLD_MS: u64 = 4_000;
+pub const HOLDINGS_RESEND_MS: u64 = 4_000;
 
 /// Messages over which what the upstreams hold is spread with few peers, and peers
 /// for each further one.
@@ -41,27 +41,27 @@
 const SUSPECTS_TO_ALL: usize = 256;
 
 /// Time between two messages to each of so many peers.
-pub fn tell_every_ms(peers: usize) -> u64 {
+pub fn peer_message_interval_ms(peers: usize) -> u64 {
     let every_ms = (peers as u64 * 1_000).div_ceil(MESSAGES_PER_S);
     every_ms.clamp(EVERY_MIN_MS, EVERY_MAX_MS)
 }
 
 /// Time between two messages that are sent at once to each of so many peers.
-pub fn tell_at_once_every_ms(peers: usize) -> u64 {
+pub fn urgent_message_interval_ms(peers: usize) -> u64 {
     let every_ms = peers as u64 * AT_ONCE_PER_PEER_MS;
     every_ms.clamp(AT_ONCE_MIN_MS, EVERY_MAX_MS)
 }
 
 /// Messages over which what the upstreams hold is spread, one after the other, with
 /// so many peers.
-pub fn holdings_rounds(peers: usize) -> usize {
+pub fn holdings_message_count(peers: usize) -> usize {
     let rounds = (peers as u64 / PEERS_A_ROUND).max(ROUNDS_MIN);
-    let rounds_max = (HOLDINGS_TOLD_MS / tell_every_ms(peers)).max(1);
+    let rounds_max = (HOLDINGS_RESEND_MS / peer_message_interval_ms(peers)).max(1);
     rounds.min(rounds_max) as usize
 }
 
 /// Suspects of crashes told with one message to each of so many peers: as many of the
 /// new ones, and as many of the others in turn.
-pub fn suspects_told(peers: usize) -> usize {
+pub fn suspects_per_message(peers: usize) -> usize {
     (SUSPECTS_TO_ALL / peers.max(1)).clamp(SUSPECTS_MIN, SUSPECTS_MAX)
 }
--- a/crates/direct/src/demand.rs
+++ b/crates/direct/src/demand.rs
@@ -50,9 +50,9 @@
     /// Tokens that it is expected to generate.
     pub answer_tokens: u64,
     /// Factor on the time that its model's engines take.
-    pub pace: f64,
+    pub time_factor: f64,
     /// Time within which its answer earns its full worth.
-    pub aim_ms: u64,
+    pub target_latency_ms: u64,
 }
 
 impl Arrival {
@@ -60,23 +60,23 @@
     fn work_ms(&self, unread_part: f64) -> f64 {
         let reading_ms = self.prompt_tokens as f64 * unread_part / PROMPT_TOKENS_PER_MS;
         let answer_ms = self.answer_tokens as f64 / ANSWER_TOKENS_PER_MS;
-        (reading_ms + answer_ms) * self.pace
+        (reading_ms + answer_ms) * self.time_factor
     }
 
     /// Part of its work that counts as demand.
     fn urgency(&self) -> f64 {
-        let aim_ms = self.aim_ms.max(1) as f64;
+        let aim_ms = self.target_latency_ms.max(1) as f64;
         (URGENT_AIM_MS / aim_ms).clamp(URGENCY_LEAST, 1.0)
     }
 }
 
 /// Demand for one model.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Load {
+pub struct DemandEstimate {
     /// Engine time that the requests of one second take, over the last second.
-    pub newest_ms_per_s: f64,
+    pub recent_ms_per_s: f64,
     /// The same over some seconds.
-    pub lasting_ms_per_s: f64,
+    pub sustained_ms_per_s: f64,
     /// Requests that wait because no upstream holds the model.
     pub waiting: u32,
     /// Wait of the oldest of them.
@@ -86,11 +86,11 @@
     pub request_ms: f64,
 }
 
-impl Load {
+impl DemandEstimate {
     /// Adds another entry's demand.
     pub fn add(&mut self, other: &Self) {
-        self.newest_ms_per_s += other.newest_ms_per_s;
-        self.lasting_ms_per_s += other.lasting_ms_per_s;
+        self.recent_ms_per_s += other.recent_ms_per_s;
+        self.sustained_ms_per_s += other.sustained_ms_per_s;
         self.waiting += other.waiting;
         self.oldest_wait_ms = self.oldest_wait_ms.max(other.oldest_wait_ms);
         self.request_ms = self.request_ms.max(other.request_ms);
@@ -98,27 +98,27 @@
 
     /// Whether requests ask for the model now.
     pub fn is_wanted(&self) -> bool {
-        self.waiting > 0 || self.lasting_ms_per_s > WANTED_MS_PER_S
+        self.waiting > 0 || self.sustained_ms_per_s > WANTED_MS_PER_S
     }
 
     /// Demand to be expected when a load is done, as far as it is certain.
     pub fn expected_ms_per_s(&self) -> f64 {
         let known = self.request_ms > 0.0;
         let request_ms = if known { self.request_ms } else { REQUEST_MS };
-        let variance = self.newest_ms_per_s * request_ms / (2.0 * NEWEST_MS / 1_000.0);
-        let certain = (self.newest_ms_per_s - variance.sqrt() * DEVIATIONS).max(0.0);
-        certain + (certain - self.lasting_ms_per_s).max(0.0) * TREND
+        let variance = self.recent_ms_per_s * request_ms / (2.0 * NEWEST_MS / 1_000.0);
+        let certain = (self.recent_ms_per_s - variance.sqrt() * DEVIATIONS).max(0.0);
+        certain + (certain - self.sustained_ms_per_s).max(0.0) * TREND
     }
 
     /// Demand that a copy may still be kept for.
-    pub const fn kept_ms_per_s(&self) -> f64 {
-        self.newest_ms_per_s.max(self.lasting_ms_per_s)
+    pub const fn retention_ms_per_s(&self) -> f64 {
+        self.recent_ms_per_s.max(self.sustained_ms_per_s)
     }
 }
 
 /// Demand that one entry sees for the models of a service.
 #[derive(Debug, Default)]
-pub struct Demand {
+pub struct DemandTracker {
     models: BTreeMap<Arc<str>, Seen>,
     requests: Requests,
     updated_at: Instant,
@@ -169,7 +169,7 @@
     waiting: Vec<Instant>,
 }
 
-impl Demand {
+impl DemandTracker {
     /// No demand.
     pub fn new() -> Self {
         Self::default()
@@ -181,14 +181,14 @@
     /// by its whole prompt, a few requests for a rare model would look like a load that
     /// keeps an engine busy, and bring it copies in the place of the models that most
     /// callers ask for.
-    pub fn arrived(&mut self, model: &Arc<str>, arrival: &Arrival) {
+    pub fn record_arrival(&mut self, model: &Arc<str>, arrival: &Arrival) {
         let work_ms = arrival.work_ms(self.requests.unread_part) * arrival.urgency();
         self.requests.observe(work_ms);
         self.seen(model).new_work_ms += work_ms;
     }
 
     /// A request was sent to an upstream that has to read a part of its prompt.
-    pub fn sent(&mut self, prompt_tokens: u64, unread_tokens: u64) {
+    pub fn record_sent(&mut self, prompt_tokens: u64, unread_tokens: u64) {
         if prompt_tokens == 0 {
             return;
         }
@@ -198,12 +198,12 @@
     }
 
     /// A request begins to wait for a model.
-    pub fn wait(&mut self, model: &Arc<str>, since: Instant) {
+    pub fn begin_wait(&mut self, model: &Arc<str>, since: Instant) {
         self.seen(model).waiting.push(since);
     }
 
     /// A request that waited since `since` waits no more.
-    pub fn wait_ended(&mut self, model: &Arc<str>, since: Instant) {
+    pub fn end_wait(&mut self, model: &Arc<str>, since: Instant) {
         let waiting = &mut self.seen(model).waiting;
         if let Some(index) = waiting.iter().position(|at| *at == since) {
             waiting.swap_remove(index);
@@ -229,12 +229,15 @@
     }
 
     /// The demand for each model.
-    pub fn loads(&self, now: Instant) -> impl Iterator<Item = (&Arc<str>, Load)> {
+    pub fn estimates(
+        &self,
+        now: Instant,
+    ) -> impl Iterator<Item = (&Arc<str>, DemandEstimate)> {
         self.models.iter().map(move |(model, seen)| {
             let oldest = seen.waiting.iter().min();
-            let load = Load {
-                newest_ms_per_s: seen.newest_ms_per_s,
-                lasting_ms_per_s: seen.lasting_ms_per_s,
+            let load = DemandEstimate {
+                recent_ms_per_s: seen.newest_ms_per_s,
+                sustained_ms_per_s: seen.lasting_ms_per_s,
                 waiting: u32::try_from(seen.waiting.len()).unwrap_or(u32::MAX),
                 oldest_wait_ms: oldest.map_or(0, |at| now.ms_since(*at)),
                 request_ms: self.requests.request_ms(),
--- a/crates/direct/src/doubts.rs
+++ b/crates/direct/src/doubts.rs
@@ -8,7 +8,7 @@
 
 /// Why an upstream is better avoided.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Doubt {
+pub enum AvoidReason {
     /// It has work and gives no sign of life to any request.
     Silent,
     /// It could not be connected to.
@@ -17,7 +17,7 @@
     Vanished,
 }
 
-impl Doubt {
+impl AvoidReason {
     /// The word used in logs.
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -30,13 +30,13 @@
 
 /// A doubt that arose, changed or ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Turn {
+pub struct AvoidanceChange {
     /// Upstream.
     pub upstream: Arc<str>,
     /// What was held of it before.
-    pub before: Option<Doubt>,
+    pub before: Option<AvoidReason>,
     /// What is held of it now.
-    pub now: Option<Doubt>,
+    pub after: Option<AvoidReason>,
 }
 
 /// The doubts held at the last look.
@@ -44,12 +44,12 @@
 /// Whether an upstream is avoided follows from times that pass, so nothing
 /// happens at the moment at which it turns: only comparing two looks shows it.
 #[derive(Debug, Default)]
-pub struct Doubts {
+pub struct AvoidanceTracker {
     /// Of each upstream, with the start that it was held of.
-    held: BTreeMap<Arc<str>, (Option<u64>, Doubt)>,
+    held: BTreeMap<Arc<str>, (Option<u64>, AvoidReason)>,
 }
 
-impl Doubts {
+impl AvoidanceTracker {
     /// No doubts.
     pub fn new() -> Self {
         Self::default()
@@ -57,20 +57,24 @@
 
     /// What has turned since the last look. An upstream that was forgotten or has
     /// started again meanwhile is no turn.
-    pub fn look(&mut self, now: Instant, fleet: &Fleet) -> Vec<Turn> {
+    pub fn update_all(&mut self, now: Instant, fleet: &Fleet) -> Vec<AvoidanceChange> {
         self.held.retain(|id, _| fleet.get(id).is_some());
         fleet
             .all()
-            .filter_map(|upstream| self.look_at(now, upstream))
+            .filter_map(|upstream| self.update(now, upstream))
             .collect()
     }
 
     /// What has turned for one upstream since the last look. A decision that
     /// rests on a doubt calls this at once: the doubt may be over before the
     /// next look at all upstreams.
-    pub fn look_at(&mut self, now: Instant, upstream: &Upstream) -> Option<Turn> {
-        let (id, born_ms) = (&upstream.news.id, upstream.news.born_ms);
-        let doubt = upstream.doubt(now);
+    pub fn update(
+        &mut self,
+        now: Instant,
+        upstream: &Upstream,
+    ) -> Option<AvoidanceChange> {
+        let (id, born_ms) = (&upstream.record.id, upstream.record.started_unix_ms);
+        let doubt = upstream.avoid_reason(now);
         let before = match doubt {
             Some(doubt) => self.held.insert(Arc::clone(id), (born_ms, doubt)),
             None => self.held.remove(id),
@@ -78,10 +82,10 @@
         let before = before
             .filter(|(of, _)| *of == born_ms)
             .map(|(_, doubt)| doubt);
-        (before != doubt).then(|| Turn {
+        (before != doubt).then(|| AvoidanceChange {
             upstream: Arc::clone(id),
             before,
-            now: doubt,
+            after: doubt,
         })
     }
 }
--- a/crates/direct/src/fleet.rs
+++ b/crates/direct/src/fleet.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-use crate::{Resident, Setup, Start, UpstreamNews};
+use crate::{ResidentModel, Setup, UpstreamIncarnation, UpstreamRecord};
 use upstream::{SAID_MAX_MS, SAID_MS, Said};
 
 pub use liveness::Activity;
@@ -69,7 +69,12 @@
     }
 
     /// The whole list at a version; what is missing from it has gone.
-    pub fn list(&mut self, now: Instant, at: u64, listed: Vec<(u64, UpstreamNews)>) {
+    pub fn apply_list(
+        &mut self,
+        now: Instant,
+        at: u64,
+        listed: Vec<(u64, UpstreamRecord)>,
+    ) {
         let names: Vec<Arc<str>> = listed
             .iter()
             .map(|(_, news)| Arc::clone(&news.id))
@@ -91,7 +96,7 @@
 
     /// News of one upstream; older news than is known changes nothing. True if it
     /// has started again.
-    pub fn put(&mut self, version: u64, news: UpstreamNews) -> bool {
+    pub fn apply_update(&mut self, version: u64, news: UpstreamRecord) -> bool {
         let known = self.upstreams.len();
         let restarted = self.take(version, news);
         // Looks at all: most news, signs of life, leave their number as it is.
@@ -104,7 +109,7 @@
     /// A start goes before a version: what an earlier start wrote last may be
     /// carried out after the later one's entry, and would have a higher version.
     /// That an entry was missing at a version holds for all starts before it.
-    fn take(&mut self, version: u64, news: UpstreamNews) -> bool {
+    fn take(&mut self, version: u64, news: UpstreamRecord) -> bool {
         let Some(known) = self.upstreams.get_mut(&news.id) else {
             let id = Arc::clone(&news.id);
             self.upstreams.insert(id, Upstream::new(news, version));
@@ -113,7 +118,7 @@
         if known.gone.is_some_and(|gone| version <= gone) {
             return false;
         }
-        match news.born_ms.cmp(&known.news.born_ms) {
+        match news.started_unix_ms.cmp(&known.record.started_unix_ms) {
             Ordering::Less => return false,
             Ordering::Greater => {
                 *known = Upstream::new(news, version);
@@ -125,10 +130,10 @@
         // An upstream that said it is leaving never takes work again; only its
         // next start does. One whose entry had vanished and is back lives: its
         // signs of life were lost on their way.
-        let leaving = known.news.leaving || news.leaving;
+        let leaving = known.record.leaving || news.leaving;
         known.is_leaving_unlisted &= !news.leaving;
-        known.news = news;
-        known.news.leaving = leaving;
+        known.record = news;
+        known.record.leaving = leaving;
         known.version = version;
         known.vanished_at = None;
         known.gone = None;
@@ -142,7 +147,7 @@
     /// It gets nothing new until a newer entry of its own is there. That the entry
     /// is not missing but replaced shows that it has not lapsed, so the grace after
     /// an outage is not given.
-    pub fn unreadable(&mut self, id: &str, version: u64) -> bool {
+    pub fn mark_unreadable(&mut self, id: &str, version: u64) -> bool {
         let Some(upstream) = self.upstreams.get_mut(id) else {
             return false;
         };
@@ -189,7 +194,7 @@
     /// known. Told for as long as they are remembered, the upstreams of a failure
     /// domain that is lost were most of each message for a minute. What the platform does
     /// not say yet is told for as long: an entry that starts can't hear it elsewhere.
-    pub fn leaving(
+    pub fn leaving_upstreams(
         &self,
         now: Instant,
     ) -> impl Iterator<Item = (&Upstream, u64, bool)> {
@@ -198,7 +203,7 @@
                 || now.ms_since(upstream.idle_since) < LEAVING_TOLD_MS
         });
         lately.filter_map(|upstream| {
-            let (version, vanished) = upstream.leaving()?;
+            let (version, vanished) = upstream.leaving_version()?;
             Some((upstream, version, vanished))
         })
     }
@@ -207,10 +212,10 @@
     ///
     /// One that is still listed as leaving is kept: forgotten, it would be taken
     /// for a new one by the next list that is behind.
-    pub fn sweep(&mut self, now: Instant) {
+    pub fn forget_gone(&mut self, now: Instant) {
         self.upstreams.retain(|_, upstream| {
             upstream.forget_ended_rate(now);
-            if upstream.is_usable(now) || upstream.own.running > 0 {
+            if upstream.is_usable(now) || upstream.own_usage.running > 0 {
                 upstream.idle_since = now;
             }
             upstream.is_leaving_unlisted
@@ -221,13 +226,18 @@
 
     /// An answer of this start says that it leaves, which its entry may come to say
     /// late or never; whether that is new.
-    pub fn note_leaving(&mut self, start: Start<'_>) -> bool {
-        self.start_mut(start).is_some_and(Upstream::leave)
+    pub fn note_leaving(&mut self, start: UpstreamIncarnation<'_>) -> bool {
+        self.incarnation_mut(start).is_some_and(Upstream::leave)
     }
 
     /// Another entry says that an upstream is leaving, or that its entry had
     /// vanished at a version.
-    pub fn heard_leaving(&mut self, start: Start<'_>, version: u64, vanished: bool) {
+    pub fn peer_reported_leaving(
+        &mut self,
+        start: UpstreamIncarnation<'_>,
+        version: u64,
+        vanished: bool,
+    ) {
         let Some(upstream) = self.heard_of(start) else {
             return;
         };
@@ -239,11 +249,11 @@
     }
 
     /// Another entry's use of upstreams; what it does not name it does not use.
-    pub fn peer_usage<'a>(
+    pub fn set_peer_usage<'a>(
         &mut self,
         now: Instant,
         peer: &str,
-        used: impl Iterator<Item = (Start<'a>, Usage)>,
+        used: impl Iterator<Item = (UpstreamIncarnation<'a>, Usage)>,
     ) {
         for id in self.named.used.remove(peer).unwrap_or_default() {
             // Left in with nothing, each entry that ever used it would be added up at
@@ -257,7 +267,7 @@
             let Some(upstream) = self.heard_of(start) else {
                 continue;
             };
-            named.push(Arc::clone(&upstream.news.id));
+            named.push(Arc::clone(&upstream.record.id));
             match upstream.peers.get_mut(peer) {
                 Some(known) => *known = (now, usage),
                 None => {
@@ -270,11 +280,11 @@
 
     /// What another entry hears of upstreams; where it names none, it has no
     /// request.
-    pub fn peer_activity<'a>(
+    pub fn set_peer_activity<'a>(
         &mut self,
         now: Instant,
         peer: &str,
-        heard: impl Iterator<Item = (Start<'a>, Activity)>,
+        heard: impl Iterator<Item = (UpstreamIncarnation<'a>, Activity)>,
     ) {
         for id in self.named.heard.remove(peer).unwrap_or_default() {
             if let Some(upstream) = self.upstreams.get_mut(&id) {
@@ -283,9 +293,9 @@
         }
         let mut named = Vec::new();
         for (start, activity) in heard {
-            if let Some(upstream) = self.start_mut(start) {
+            if let Some(upstream) = self.incarnation_mut(start) {
                 upstream.liveness.word(now, peer, Some(activity));
-                named.push(Arc::clone(&upstream.news.id));
+                named.push(Arc::clone(&upstream.record.id));
             }
         }
         self.named.heard.insert(peer.to_owned(), named);
@@ -293,11 +303,11 @@
 
     /// What the giver of orders says that an upstream holds, and what is on its
     /// way there, with when it is expected to serve.
-    pub fn said(
+    pub fn set_coordinator_holdings(
         &mut self,
         now: Instant,
-        start: Start<'_>,
-        residents: Vec<Resident>,
+        start: UpstreamIncarnation<'_>,
+        residents: Vec<ResidentModel>,
         coming: Vec<(Arc<str>, Instant)>,
     ) {
         if let Some(upstream) = self.heard_of(start) {
@@ -314,7 +324,7 @@
     ///
     /// It tells of a change at once and of all upstreams in turn, which takes seconds
     /// where there are many entries. What an earlier giver said ends with it.
-    pub fn giver_heard(&mut self, now: Instant, token: u64) {
+    pub fn coordinator_heard(&mut self, now: Instant, token: u64) {
         if token < self.giver.token {
             return;
         }
@@ -335,14 +345,14 @@
 
     /// When the first upstream of a service is expected to serve a model that is
     /// on its way there.
-    pub fn ready_at(
+    pub fn model_ready_at(
         &self,
         now: Instant,
         service: &str,
         model: &str,
     ) -> Option<Instant> {
         let said = self
-            .of(service)
+            .of_service(service)
             .filter(|upstream| upstream.is_usable(now))
             .filter_map(|upstream| upstream.said.as_ref())
             .filter(|said| now.ms_since(said.at) < SAID_MS);
@@ -355,17 +365,17 @@
 
     /// When the first upstream of a service takes requests for a model again, among those
     /// that said that they don't now.
-    pub fn takes_again_at(
+    pub fn accepts_again_at(
         &self,
         now: Instant,
         service: &str,
         model: Option<&str>,
     ) -> Option<Instant> {
-        let able = self.of(service).filter(|upstream| {
+        let able = self.of_service(service).filter(|upstream| {
             upstream.is_usable(now)
                 && model.is_none_or(|model| upstream.holds(now, model, None))
         });
-        able.filter_map(|upstream| upstream.takes_again_at(now))
+        able.filter_map(|upstream| upstream.accepts_again_at(now))
             .min()
     }
 
@@ -380,9 +390,12 @@
     }
 
     /// The upstreams of a service.
-    pub fn of<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a Upstream> {
+    pub fn of_service<'a>(
+        &'a self,
+        service: &'a str,
+    ) -> impl Iterator<Item = &'a Upstream> {
         let all = self.upstreams.values();
-        all.filter(move |upstream| &*upstream.news.service == service)
+        all.filter(move |upstream| &*upstream.record.service == service)
     }
 
     /// All upstreams.
@@ -392,13 +405,13 @@
 
     /// Services of models among those of the configuration, with their usable
     /// upstreams.
-    pub fn engines<'a>(
+    pub fn model_upstreams<'a>(
         &'a self,
         now: Instant,
         setup: &'a Setup,
     ) -> impl Iterator<Item = &'a Upstream> {
         self.all().filter(move |upstream| {
-            let spec = setup.services.get(&upstream.news.service);
+            let spec = setup.services.get(&upstream.record.service);
             upstream.is_usable(now) && spec.is_some_and(|spec| spec.engine.is_some())
         })
     }
--- a/crates/direct/src/fleet/liveness.rs
+++ b/crates/direct/src/fleet/liveness.rs
@@ -32,7 +32,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Activity {
     /// Requests that have their first answer.
-    pub begun: u32,
+    pub answering: u32,
     /// Time since the last bytes from the upstream; where no request has begun, since
     /// the first of them was sent.
     pub silent_ms: u64,
@@ -75,7 +75,7 @@
 
     pub(super) fn activity(&self, now: Instant) -> Activity {
         Activity {
-            begun: self.begun,
+            answering: self.begun,
             silent_ms: now.ms_since(self.heard_at),
         }
     }
@@ -109,10 +109,9 @@
     fn sign_due_ms(&self, now: Instant, reading_ms: u64) -> u64 {
         // An entry whose requests all wait has heard nothing. Taken for a sign, each new
         // request to a dead upstream would have all others wait for it longer.
-        let words = self
-            .words
-            .values()
-            .filter(|word| now.ms_since(word.at) < WORD_MS && word.activity.begun > 0);
+        let words = self.words.values().filter(|word| {
+            now.ms_since(word.at) < WORD_MS && word.activity.answering > 0
+        });
         let last = words.clone().map(Word::heard_at).max();
         // A stream pauses for nobody's prompt.
         let stream_is_silent = words.clone().any(|word| {
--- a/crates/direct/src/fleet/rate.rs
+++ b/crates/direct/src/fleet/rate.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 use super::{Fleet, Upstream};
-use crate::Start;
+use crate::UpstreamIncarnation;
 
 /// Rate that is kept to where an upstream asks for less: without any request no answer
 /// would say that the bound has ended.
@@ -64,15 +64,15 @@
     /// Its bound, where it asks for one.
     pub fn rate_limit(&self) -> Option<RateLimit> {
         let per_s = self.rate_per_s()?.max(LEAST_PER_S);
-        let born_ms = self.news.born_ms.unwrap_or(0);
+        let born_ms = self.record.started_unix_ms.unwrap_or(0);
         Some(RateLimit {
-            key: format!("{}@{born_ms}", self.news.id).into(),
+            key: format!("{}@{born_ms}", self.record.id).into(),
             per_s,
         })
     }
 
     /// Until when it is sent nothing, as all that it takes was sent.
-    pub fn rate_spent_until(&mut self, until: Instant) {
+    pub fn set_rate_spent_until(&mut self, until: Instant) {
         self.rate_spent_until = until;
     }
 
@@ -110,17 +110,21 @@
 impl Fleet {
     /// An answer of this start said at which rate it takes requests; whether the bound
     /// is another one now.
-    pub fn note_rate(&mut self, start: Start<'_>, notice: RateNotice) -> bool {
-        self.start_mut(start)
+    pub fn note_rate(
+        &mut self,
+        start: UpstreamIncarnation<'_>,
+        notice: RateNotice,
+    ) -> bool {
+        self.incarnation_mut(start)
             .is_some_and(|upstream| upstream.take_rate(notice))
     }
 
     /// Another entry tells of an answer, with how long ago it was asked for and heard;
     /// whether the bound is another one now.
-    pub fn heard_rate(
+    pub fn peer_reported_rate(
         &mut self,
         now: Instant,
-        start: Start<'_>,
+        start: UpstreamIncarnation<'_>,
         per_s: Option<f64>,
         (asked_ms_ago, heard_ms_ago): (u64, u64),
     ) -> bool {
@@ -135,7 +139,7 @@
     }
 
     /// Upstreams that ask for a rate, or did until a moment ago, with what they said.
-    pub fn rates(
+    pub fn rate_notices(
         &self,
         now: Instant,
     ) -> impl Iterator<Item = (&Upstream, &RateNotice)> {
--- a/crates/direct/src/fleet/starts.rs
+++ b/crates/direct/src/fleet/starts.rs
@@ -1,23 +1,23 @@
 //! Starts of upstreams under one name.
 
 use super::{Fleet, Upstream};
-use crate::{Copies, Start, UpstreamNews};
+use crate::{LocalWeights, UpstreamIncarnation, UpstreamRecord};
 
 impl Upstream {
     /// What is left of what was known once it has started again, as long as its
     /// new entry was not read: where it is reached, what it serves, its disk, and
     /// whether its entry is missing. It holds nothing and has no requests.
     fn restarted(&self, born_ms: Option<u64>) -> Self {
-        let news = UpstreamNews {
-            born_ms,
+        let news = UpstreamRecord {
+            started_unix_ms: born_ms,
             leaving: false,
             gone_in_ms: None,
             residents: Vec::new(),
-            copies: Copies {
+            local_weights: LocalWeights {
                 in_memory: Vec::new(),
-                on_disk: self.news.copies.on_disk.clone(),
+                on_disk: self.record.local_weights.on_disk.clone(),
             },
-            ..self.news.clone()
+            ..self.record.clone()
         };
         Self {
             vanished_at: self.vanished_at,
@@ -30,38 +30,44 @@
 
 impl Fleet {
     /// The upstream, if this start of it is the latest that is known.
-    pub fn start_mut(&mut self, start: Start<'_>) -> Option<&mut Upstream> {
+    pub fn incarnation_mut(
+        &mut self,
+        start: UpstreamIncarnation<'_>,
+    ) -> Option<&mut Upstream> {
         let known = self.upstreams.get_mut(start.id)?;
-        (known.news.born_ms == start.born_ms).then_some(known)
+        (known.record.started_unix_ms == start.started_unix_ms).then_some(known)
     }
 
     /// Whether an upstream has started again after this start of it. What ran
     /// there has ended.
-    pub fn is_over(&self, start: Start<'_>) -> bool {
+    pub fn is_superseded(&self, start: UpstreamIncarnation<'_>) -> bool {
         let known = self.upstreams.get(start.id);
-        known.is_some_and(|known| known.news.born_ms > start.born_ms)
+        known.is_some_and(|known| known.record.started_unix_ms > start.started_unix_ms)
     }
 
     /// An upstream's report names its start.
     ///
     /// Where entries say nothing of starts, the report changes nothing here: each
     /// entry that comes after it would be taken for an earlier start's.
-    pub fn reported(&mut self, start: Start<'_>) {
+    pub fn observe_report(&mut self, start: UpstreamIncarnation<'_>) {
         let known = self.upstreams.get(start.id);
-        if known.is_some_and(|known| known.news.born_ms.is_some()) {
+        if known.is_some_and(|known| known.record.started_unix_ms.is_some()) {
             self.heard_of(start);
         }
     }
 
     /// Another than the platform speaks of a start: the upstream, unless a later
     /// start is known. A later one than is known begins here.
-    pub(super) fn heard_of(&mut self, start: Start<'_>) -> Option<&mut Upstream> {
+    pub(super) fn heard_of(
+        &mut self,
+        start: UpstreamIncarnation<'_>,
+    ) -> Option<&mut Upstream> {
         let known = self.upstreams.get_mut(start.id)?;
-        if start.born_ms > known.news.born_ms {
-            *known = known.restarted(start.born_ms);
+        if start.started_unix_ms > known.record.started_unix_ms {
+            *known = known.restarted(start.started_unix_ms);
             self.judge_undated();
         }
-        self.start_mut(start)
+        self.incarnation_mut(start)
     }
 
     /// Finds the entries that do not say when their upstream started though most
@@ -72,10 +78,12 @@
     /// used, since a request to what is no upstream only goes elsewhere.
     pub(super) fn judge_undated(&mut self) {
         let all = self.upstreams.values();
-        let dated = all.filter(|known| known.news.born_ms.is_some()).count();
+        let dated = all
+            .filter(|known| known.record.started_unix_ms.is_some())
+            .count();
         let most_are_dated = dated * 2 > self.upstreams.len();
         for known in self.upstreams.values_mut() {
-            known.undated = most_are_dated && known.news.born_ms.is_none();
+            known.undated = most_are_dated && known.record.started_unix_ms.is_none();
         }
     }
 }
--- a/crates/direct/src/fleet/upstream.rs
+++ b/crates/direct/src/fleet/upstream.rs
@@ -7,7 +7,7 @@
 use super::liveness::{Activity, Liveness};
 use super::rate::RateNotice;
 use super::turned_away::TurnedAway;
-use crate::{Doubt, ReadingQueue, Resident, UpstreamNews};
+use crate::{AvoidReason, PrefillQueue, ResidentModel, UpstreamRecord};
 
 /// Time for which an upstream is still used whose entry was found missing just
 /// after the platform was away. Entries that lapsed meanwhile are back within two
@@ -27,7 +27,7 @@
 /// Age at which what the giver said of an upstream counts no more though the giver is
 /// heard: it tells of each one several times meanwhile, unless it knows nothing of
 /// that one any more.
-pub(super) const SAID_MAX_MS: u64 = 3 * crate::HOLDINGS_TOLD_MS;
+pub(super) const SAID_MAX_MS: u64 = 3 * crate::HOLDINGS_RESEND_MS;
 
 /// Time for which an upstream that could not be connected to is avoided.
 const UNREACHED_MS: u64 = 1_000;
@@ -48,16 +48,16 @@
     /// Requests sent and not ended.
     pub running: u32,
     /// Prompts of requests that have no first answer yet.
-    pub reading: ReadingQueue,
+    pub prefill: PrefillQueue,
     /// Tokens that the requests may keep at the upstream.
-    pub kept_tokens: u64,
+    pub kv_tokens: u64,
 }
 
 impl Usage {
     pub(super) fn add(&mut self, other: &Self) {
         self.running += other.running;
-        self.reading.add(&other.reading);
-        self.kept_tokens += other.kept_tokens;
+        self.prefill.add(&other.prefill);
+        self.kv_tokens += other.kv_tokens;
     }
 }
 
@@ -65,7 +65,7 @@
 #[derive(Debug)]
 pub struct Upstream {
     /// What the platform last said.
-    pub news: UpstreamNews,
+    pub record: UpstreamRecord,
     /// Version of the platform's entry.
     pub version: u64,
     /// When its entry was found missing while that may have been the platform's
@@ -81,7 +81,7 @@
     /// Whether its entry does not say when it started though most entries do.
     pub(super) undated: bool,
     /// This entry's own requests there.
-    pub own: Usage,
+    pub own_usage: Usage,
     /// Other entries' requests there.
     pub(super) peers: HashMap<String, (Instant, Usage)>,
     /// What the giver of orders says that it holds.
@@ -113,22 +113,22 @@
     pub(super) told_at: Instant,
     /// When it was last heard since.
     pub(super) at: Instant,
-    pub(super) residents: Vec<Resident>,
+    pub(super) residents: Vec<ResidentModel>,
     /// Models on their way, with when they are expected to serve.
     pub(super) coming: Vec<(Arc<str>, Instant)>,
 }
 
 impl Upstream {
-    pub(super) fn new(news: UpstreamNews, version: u64) -> Self {
+    pub(super) fn new(news: UpstreamRecord, version: u64) -> Self {
         Self {
-            news,
+            record: news,
             version,
             vanished_at: None,
             gone: None,
             is_void: false,
             is_leaving_unlisted: false,
             undated: false,
-            own: Usage::default(),
+            own_usage: Usage::default(),
             peers: HashMap::new(),
             said: None,
             parts: HashMap::new(),
@@ -149,47 +149,47 @@
         let vanished_ms = self.vanished_at.map(|at| now.ms_since(at));
         let lapsed = vanished_ms.is_some_and(|ms| ms < VANISHED_MS);
         let listed = self.gone.is_none() || (lapsed && !self.is_void);
-        !self.news.leaving && !self.undated && listed
+        !self.record.leaving && !self.undated && listed
     }
 
     /// Another than the platform says that it leaves; whether that is new.
     pub(super) fn leave(&mut self) -> bool {
-        let is_new = !std::mem::replace(&mut self.news.leaving, true);
+        let is_new = !std::mem::replace(&mut self.record.leaving, true);
         self.is_leaving_unlisted |= is_new && self.gone.is_none();
         is_new
     }
 
     /// The version at which it was said to leave or its entry vanished, and
     /// whether the latter.
-    pub fn leaving(&self) -> Option<(u64, bool)> {
-        if self.news.leaving {
+    pub fn leaving_version(&self) -> Option<(u64, bool)> {
+        if self.record.leaving {
             return Some((self.version, false));
         }
         self.gone.map(|version| (version, true))
     }
 
     /// Whether it is better avoided.
-    pub fn is_suspected(&self, now: Instant) -> bool {
-        self.doubt(now).is_some()
+    pub fn is_avoided(&self, now: Instant) -> bool {
+        self.avoid_reason(now).is_some()
     }
 
     /// Why it is better avoided, if it is.
-    pub fn doubt(&self, now: Instant) -> Option<Doubt> {
+    pub fn avoid_reason(&self, now: Instant) -> Option<AvoidReason> {
         if now < self.unreached_until {
-            return Some(Doubt::Unreached);
+            return Some(AvoidReason::Unreached);
         }
         if self.vanished_at.is_some() {
-            return Some(Doubt::Vanished);
+            return Some(AvoidReason::Vanished);
         }
-        self.is_silent(now).then_some(Doubt::Silent)
+        self.is_silent(now).then_some(AvoidReason::Silent)
     }
 
     /// Whether it has work from here and gives no sign of life that is due.
     pub fn is_silent(&self, now: Instant) -> bool {
-        if self.own.running == 0 {
+        if self.own_usage.running == 0 {
             return false;
         }
-        let reading_ms = self.usage(now).reading.reading_ms();
+        let reading_ms = self.usage(now).prefill.prefill_ms();
         self.liveness.is_silent(now, reading_ms as u64)
     }
 
@@ -200,7 +200,7 @@
 
     /// Use by all entries.
     pub fn usage(&self, now: Instant) -> Usage {
-        let mut usage = self.own;
+        let mut usage = self.own_usage;
         for (at, peer) in self.peers.values() {
             if now.ms_since(*at) < PEER_USAGE_MS {
                 usage.add(peer);
@@ -211,10 +211,10 @@
 
     /// What it holds: as the giver of orders says, who knows what it has just
     /// ordered, and as the platform says when the giver has fallen silent.
-    pub fn residents(&self, now: Instant) -> &[Resident] {
+    pub fn residents(&self, now: Instant) -> &[ResidentModel] {
         match &self.said {
             Some(said) if now.ms_since(said.at) < SAID_MS => &said.residents,
-            _ => &self.news.residents,
+            _ => &self.record.residents,
         }
     }
 
@@ -249,7 +249,7 @@
     }
 
     /// Remembers prompt parts that it reads now.
-    pub fn remember_parts(&mut self, now: Instant, parts: &[(u64, u64)]) {
+    pub fn remember_prompt_parts(&mut self, now: Instant, parts: &[(u64, u64)]) {
         for (chain, _) in parts {
             self.parts.insert(*chain, now);
         }
@@ -260,39 +260,44 @@
     }
 
     /// A request was sent.
-    pub fn sent(&mut self, now: Instant, usage: &Usage) {
-        if self.own.running == 0 {
+    pub fn request_sent(&mut self, now: Instant, usage: &Usage) {
+        if self.own_usage.running == 0 {
             self.liveness.heard(now);
         }
-        self.own.add(usage);
+        self.own_usage.add(usage);
     }
 
     /// Some bytes came from it.
-    pub const fn heard(&mut self, now: Instant) {
+    pub const fn bytes_received(&mut self, now: Instant) {
         self.liveness.heard(now);
     }
 
     /// A request has its first answer.
-    pub fn begun(&mut self, reading: &ReadingQueue) {
-        self.own.reading.remove(reading);
+    pub fn first_answer_received(&mut self, reading: &PrefillQueue) {
+        self.own_usage.prefill.remove(reading);
         self.liveness.begun();
     }
 
     /// A request ended.
-    pub const fn ended(&mut self, running: u32, kept_tokens: u64) {
-        self.own.running = self.own.running.saturating_sub(running);
-        self.own.kept_tokens = self.own.kept_tokens.saturating_sub(kept_tokens);
+    pub const fn requests_ended(&mut self, running: u32, kept_tokens: u64) {
+        self.own_usage.running = self.own_usage.running.saturating_sub(running);
+        self.own_usage.kv_tokens = self.own_usage.kv_tokens.saturating_sub(kept_tokens);
         self.liveness.ended(running);
     }
 
     /// Counts an answer, whether it was good.
-    pub fn observe(&mut self, ok: bool) {
+    pub fn record_answer(&mut self, ok: bool) {
         let newest = if ok { 0.0 } else { 1.0 };
         self.failed_share += (newest - self.failed_share) * FAILED_WEIGHT;
     }
 
     /// It said that it does not hold a model or adapter.
-    pub fn deny(&mut self, now: Instant, model: &Arc<str>, adapter: Option<&Arc<str>>) {
+    pub fn note_not_held(
+        &mut self,
+        now: Instant,
+        model: &Arc<str>,
+        adapter: Option<&Arc<str>>,
+    ) {
         self.denied.retain(|(_, _, until)| now < *until);
         let until = now.plus_ms(DENIED_MS);
         self.denied
@@ -300,12 +305,12 @@
     }
 
     /// It refused a request for a model, which has not run.
-    pub fn refused(&mut self, now: Instant, model: &Arc<str>) {
+    pub fn request_refused(&mut self, now: Instant, model: &Arc<str>) {
         self.turned_away.refused(now, model);
     }
 
     /// It took a request for a model.
-    pub fn took(&mut self, model: &str) {
+    pub fn request_accepted(&mut self, model: &str) {
         self.turned_away.took(model);
     }
 
@@ -326,14 +331,14 @@
     }
 
     /// When it takes requests of this entry again, where it said that it does not now.
-    pub fn takes_again_at(&self, now: Instant) -> Option<Instant> {
+    pub fn accepts_again_at(&self, now: Instant) -> Option<Instant> {
         let spent = self.is_rate_spent(now).then_some(self.rate_spent_until);
         let backed_off = self.is_backed_off(now).then_some(self.backed_off_until);
         spent.max(backed_off)
     }
 
     /// It could not be connected to.
-    pub fn unreached(&mut self, now: Instant) {
+    pub fn connect_failed(&mut self, now: Instant) {
         self.unreached_until = now.plus_ms(UNREACHED_MS);
     }
 }
--- a/crates/direct/src/home.rs
+++ b/crates/direct/src/home.rs
@@ -7,7 +7,7 @@
 use std::collections::HashMap;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::{Fleet, Pick, ReadingQueue};
+use crate::{Fleet, PrefillQueue, SelectionInput};
 
 /// Part of the shared tokens that the second upstream in line is taken to keep; the
 /// third that of the second, and so on. The first alone would be the only one to read
@@ -29,21 +29,21 @@
 impl<'a> Homes<'a> {
     /// The order for a request. A prompt of one part, or of none, shares nothing: the
     /// last part is the request's own.
-    pub(crate) fn of(fleet: &'a Fleet, input: &Pick<'a>) -> Self {
+    pub(crate) fn of(fleet: &'a Fleet, input: &SelectionInput<'a>) -> Self {
         let shared = input
-            .parts
+            .prompt_parts
             .split_last()
             .map_or(&[][..], |(_, shared)| shared);
         let (Some((part, _)), Some((model, adapter))) = (shared.last(), input.model)
         else {
             return Self::default();
         };
-        let able = fleet.of(input.service).filter(|upstream| {
+        let able = fleet.of_service(input.service).filter(|upstream| {
             upstream.is_usable(input.now) && upstream.holds(input.now, model, adapter)
         });
         let mut ranked: Vec<(u64, &str)> = able
             .map(|upstream| {
-                let id = &*upstream.news.id;
+                let id = &*upstream.record.id;
                 (xxh3_64_with_seed(id.as_bytes(), *part), id)
             })
             .collect();
@@ -60,13 +60,13 @@
         &self,
         id: &str,
         known_tokens: u64,
-        input: &Pick<'_>,
+        input: &SelectionInput<'_>,
     ) -> f64 {
         let Some(place) = self.places.get(id) else {
             return 0.0;
         };
         let kept = self.shared_tokens as f64 * NEXT_KEEPS.powi(*place);
-        let unknown = (kept - known_tokens as f64).max(0.0) * input.pace;
-        ReadingQueue::of(input.rank, unknown as u64).reading_ms()
+        let unknown = (kept - known_tokens as f64).max(0.0) * input.time_factor;
+        PrefillQueue::single(input.priority, unknown as u64).prefill_ms()
     }
 }
--- a/crates/direct/src/late.rs
+++ b/crates/direct/src/late.rs
@@ -3,7 +3,7 @@
 use base::prelude::*;
 use std::sync::Arc;
 
-use crate::{Action, Engine, Order};
+use crate::{EngineSpec, Order, OrderAction};
 
 /// Time for which an order without an answer may still be carried out.
 pub(crate) const LATE_ORDER_MS: u64 = 12_500;
@@ -15,11 +15,11 @@
 /// carried out beside what was ordered from the later start, which without this
 /// would be ordered to hold more than it can and crash.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct LateOrders {
+pub struct UnansweredOrders {
     orders: Vec<(Instant, Order)>,
 }
 
-impl LateOrders {
+impl UnansweredOrders {
     /// An order that has no answer yet.
     pub(crate) fn add(&mut self, now: Instant, order: Order) {
         self.remove(&order);
@@ -42,9 +42,9 @@
     }
 
     /// Loads of models among them, of any start.
-    pub fn loads(&self) -> usize {
+    pub fn load_count(&self) -> usize {
         let all = self.orders.iter();
-        all.filter(|(_, order)| matches!(order.action, Action::Load(_)))
+        all.filter(|(_, order)| matches!(order.action, OrderAction::Load(_)))
             .count()
     }
 
@@ -57,26 +57,32 @@
     ) -> impl Iterator<Item = &Arc<str>> {
         let orders = self.orders.iter().map(|(_, order)| order);
         let accepted = orders.filter(move |order| {
-            order.born_ms == born_ms && order.expect + 1 == orders_accepted
+            order.started_unix_ms == born_ms
+                && order.expected_count + 1 == orders_accepted
         });
         accepted.filter_map(|order| match &order.action {
-            Action::Unload(model) => Some(model),
+            OrderAction::Unload(model) => Some(model),
             _ => None,
         })
     }
 
     /// Weights that orders to earlier starts may bring to a later one.
-    pub(crate) fn mb(&self, engine: &Engine, born_ms: Option<u64>, count: u64) -> f64 {
+    pub(crate) fn mb(
+        &self,
+        engine: &EngineSpec,
+        born_ms: Option<u64>,
+        count: u64,
+    ) -> f64 {
         let sizes = self.possible(born_ms, count).map(|action| match action {
-            Action::Load(model) => {
+            OrderAction::Load(model) => {
                 let spec = engine.models.get(model);
                 spec.map_or(0.0, |spec| spec.weights_mb)
             }
-            Action::LoadAdapter(model, _) => {
+            OrderAction::LoadAdapter(model, _) => {
                 let spec = engine.models.get(model);
                 spec.map_or(0.0, |spec| spec.adapter_mb)
             }
-            Action::Unload(_) | Action::UnloadAdapter(..) => 0.0,
+            OrderAction::Unload(_) | OrderAction::UnloadAdapter(..) => 0.0,
         });
         sizes.sum()
     }
@@ -84,7 +90,8 @@
     /// Adapters that orders to earlier starts may bring to a later one.
     pub(crate) fn adapters(&self, born_ms: Option<u64>, count: u64) -> u32 {
         let loads = self.possible(born_ms, count);
-        let loads = loads.filter(|action| matches!(action, Action::LoadAdapter(..)));
+        let loads =
+            loads.filter(|action| matches!(action, OrderAction::LoadAdapter(..)));
         u32::try_from(loads.count()).unwrap_or(u32::MAX)
     }
 
@@ -97,10 +104,12 @@
         &self,
         born_ms: Option<u64>,
         count: u64,
-    ) -> impl Iterator<Item = &Action> {
+    ) -> impl Iterator<Item = &OrderAction> {
         let earlier = self.orders.iter().map(|(_, order)| order);
         earlier
-            .filter(move |order| order.born_ms < born_ms && order.expect > count)
+            .filter(move |order| {
+                order.started_unix_ms < born_ms && order.expected_count > count
+            })
             .map(|order| &order.action)
     }
 }
--- a/crates/direct/src/lease.rs
+++ b/crates/direct/src/lease.rs
@@ -53,7 +53,7 @@
     }
 
     /// Whether a record can be what entries made of the object by this version.
-    pub const fn is_sound(&self, version: u64) -> bool {
+    pub const fn is_plausible(&self, version: u64) -> bool {
         self.token <= version && self.renewal <= version
     }
 }
@@ -155,7 +155,7 @@
     /// from the reading its lease would end that much later than it does. It told of
     /// the renewal when that was written, and its time ran by then: counted from the
     /// first telling, nobody begins earlier than after the same wait.
-    pub fn hear(&mut self, now: Instant, record: LeaseRecord) {
+    pub fn on_holder_message(&mut self, now: Instant, record: LeaseRecord) {
         let number = |record: &LeaseRecord| (record.token, record.renewal);
         let known = self.heard.as_ref();
         if known.is_none_or(|known| number(&known.record) < number(&record)) {
@@ -164,7 +164,7 @@
     }
 
     /// Number of the renewal by which this entry may order.
-    pub fn renewal_held(&self, now: Instant) -> Option<u64> {
+    pub fn held_renewal(&self, now: Instant) -> Option<u64> {
         self.token(now)?;
         self.seen.as_ref().map(|seen| seen.record.renewal)
     }
@@ -182,7 +182,7 @@
 
     /// The next step; the shell tells what came of it by [`Self::read`],
     /// [`Self::written`] or [`Self::failed`].
-    pub fn step(&mut self, now: Instant, holder_heard: bool) -> LeaseStep {
+    pub fn next_step(&mut self, now: Instant, holder_heard: bool) -> LeaseStep {
         if self.busy || now < self.next_at {
             return LeaseStep::Wait;
         }
@@ -200,7 +200,7 @@
     }
 
     /// The object was read: its version and record, or none.
-    pub fn read(&mut self, now: Instant, found: Option<(u64, LeaseRecord)>) {
+    pub fn on_read(&mut self, now: Instant, found: Option<(u64, LeaseRecord)>) {
         self.busy = false;
         self.must_read = false;
         let Some((version, record)) = found else {
@@ -222,7 +222,7 @@
     }
 
     /// A write took effect with this version. It was sent at `sent_at`.
-    pub fn written(&mut self, sent_at: Instant, version: u64, record: LeaseRecord) {
+    pub fn on_written(&mut self, sent_at: Instant, version: u64, record: LeaseRecord) {
         self.busy = false;
         self.must_read = false;
         let mine = self.is_mine(&record);
@@ -240,7 +240,7 @@
     }
 
     /// A call had no effect.
-    pub fn failed(&mut self, now: Instant) {
+    pub fn on_failed(&mut self, now: Instant) {
         self.busy = false;
         self.next_at = now.plus_ms(RENEW_EVERY_MS / 4);
     }
@@ -251,7 +251,7 @@
     /// A lease that was held stays good until its time is over: what may have
     /// been written meanwhile is this process's own renewal, or was written by
     /// somebody who waited until that time.
-    pub fn unsure(&mut self, now: Instant) {
+    pub fn on_uncertain(&mut self, now: Instant) {
         self.busy = false;
         self.must_read = true;
         self.next_at = now;
@@ -276,7 +276,7 @@
     /// It may have been unable to renew for a while. Successors wait from when they see
     /// that it was given back; told for how long it had ended by then, they need not
     /// wait for that time once more.
-    pub fn give_back(&mut self, now: Instant) -> Option<(LeaseRecord, u64)> {
+    pub fn release(&mut self, now: Instant) -> Option<(LeaseRecord, u64)> {
         let until = self.until.take().unwrap_or(now);
         let ended_at = *self.ended_at.get_or_insert(until.min(now));
         let seen = self.seen.as_ref()?;
--- a/crates/direct/src/ledger.rs
+++ b/crates/direct/src/ledger.rs
@@ -5,7 +5,10 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use crate::{Action, Engine, LateOrders, Order, OrderAnswer, Report, Resident, Sent};
+use crate::{
+    EngineSpec, Order, OrderAction, OrderAnswer, ResidentModel, SendOutcome,
+    UnansweredOrders, UpstreamReport,
+};
 
 /// Time after an accepted order for an adapter after which it is taken to be
 /// there. Adapters come in tens of milliseconds, and a request that is early is
@@ -45,13 +48,13 @@
     born_ms: Option<u64>,
     orders_accepted: u64,
     held: BTreeMap<Arc<str>, Held>,
-    copies: crate::Copies,
+    copies: crate::LocalWeights,
     /// Whether a model is being loaded or unloaded.
     busy: bool,
     /// The order that is on its way.
     open: Option<Order>,
     /// Orders without an answer, also to earlier starts.
-    late: LateOrders,
+    late: UnansweredOrders,
     /// Whether what is held was read since it was last unknown.
     known: bool,
 }
@@ -64,7 +67,7 @@
 
     /// A ledger of a start that was not asked yet, with the orders to earlier ones
     /// that it may still carry out.
-    pub fn of_start(born_ms: Option<u64>, late: LateOrders) -> Self {
+    pub fn for_incarnation(born_ms: Option<u64>, late: UnansweredOrders) -> Self {
         Self {
             born_ms,
             late,
@@ -73,14 +76,14 @@
     }
 
     /// The start that it is the ledger of.
-    pub const fn born_ms(&self) -> Option<u64> {
+    pub const fn started_unix_ms(&self) -> Option<u64> {
         self.born_ms
     }
 
     /// Orders that may still be carried out when the upstream starts again or is
     /// lost sight of.
     #[must_use]
-    pub fn into_late(mut self, now: Instant) -> LateOrders {
+    pub fn into_unanswered(mut self, now: Instant) -> UnansweredOrders {
         self.late.expire(now);
         if let Some(order) = self.open {
             self.late.add(now, order);
@@ -89,8 +92,8 @@
     }
 
     /// Loads without an answer, of any start, that may still be carried out.
-    pub fn late_loads(&self) -> usize {
-        self.late.loads()
+    pub fn unanswered_loads(&self) -> usize {
+        self.late.load_count()
     }
 
     /// Forgets orders that can't come any more.
@@ -110,7 +113,7 @@
 
     /// Whether the upstream has to be asked: before it is ordered anything, and while
     /// an order without an answer may begin at any moment.
-    pub const fn wants_report(&self) -> bool {
+    pub const fn needs_report(&self) -> bool {
         self.open.is_none() && (!self.known || self.busy || !self.late.is_empty())
     }
 
@@ -123,12 +126,12 @@
     /// Takes over a report; one of an earlier start or from before the last
     /// accepted order is dropped. With one of a later start all begins anew: its
     /// order count is lower than the one known, and it would be dropped for ever.
-    pub fn report(&mut self, now: Instant, report: &Report) {
-        match report.born_ms.cmp(&self.born_ms) {
+    pub fn apply_report(&mut self, now: Instant, report: &UpstreamReport) {
+        match report.started_unix_ms.cmp(&self.born_ms) {
             Ordering::Less => return,
             Ordering::Greater => {
-                let late = std::mem::take(self).into_late(now);
-                *self = Self::of_start(report.born_ms, late);
+                let late = std::mem::take(self).into_unanswered(now);
+                *self = Self::for_incarnation(report.started_unix_ms, late);
             }
             Ordering::Equal => {}
         }
@@ -139,7 +142,7 @@
         for resident in &report.residents {
             self.hold(now, resident, kept.get(&resident.model));
         }
-        for (model, adapter) in &report.adapters_coming {
+        for (model, adapter) in &report.adapters_loading {
             if let Some(held) = self.held.get_mut(model) {
                 let known = kept.get(model).and_then(|old| old.adapters.get(adapter));
                 let coming = known.copied().unwrap_or(Adapter {
@@ -154,7 +157,7 @@
             self.begin_late_unload(report.orders_accepted);
         }
         self.orders_accepted = report.orders_accepted;
-        self.copies = report.copies.clone();
+        self.copies = report.local_weights.clone();
         self.busy = report.busy;
         self.known = true;
     }
@@ -172,18 +175,18 @@
     }
 
     /// Whether a model can be loaded without the weight store.
-    pub fn has_copy(&self, model: &Arc<str>) -> bool {
+    pub fn has_local_weights(&self, model: &Arc<str>) -> bool {
         self.copies.in_memory.contains(model) || self.copies.on_disk.contains(model)
     }
 
     /// What can serve now, as entries are told.
-    pub fn serving(&self, now: Instant) -> Vec<Resident> {
+    pub fn servable(&self, now: Instant) -> Vec<ResidentModel> {
         let loaded = self
             .held
             .iter()
             .filter(|(_, held)| held.phase == Phase::Loaded);
         loaded
-            .map(|(model, held)| Resident {
+            .map(|(model, held)| ResidentModel {
                 model: Arc::clone(model),
                 version: held.version,
                 adapters: held
@@ -197,12 +200,12 @@
     }
 
     /// Weights held or on their way, also by late orders to an earlier start.
-    pub fn used_mb(&self, engine: &Engine) -> f64 {
+    pub fn used_mb(&self, engine: &EngineSpec) -> f64 {
         let late = self.late.mb(engine, self.born_ms, self.orders_accepted);
         late + self.held_mb(engine)
     }
 
-    fn held_mb(&self, engine: &Engine) -> f64 {
+    fn held_mb(&self, engine: &EngineSpec) -> f64 {
         let sizes = self.held.iter().map(|(model, held)| {
             let spec = engine.models.get(model);
             spec.map_or(0.0, |spec| {
@@ -213,7 +216,7 @@
     }
 
     /// Adapters held or on their way, also by late orders to an earlier start.
-    pub fn adapters(&self) -> u32 {
+    pub fn adapter_count(&self) -> u32 {
         let count: usize = self.held.values().map(|held| held.adapters.len()).sum();
         let late = self.late.adapters(self.born_ms, self.orders_accepted);
         u32::try_from(count)
@@ -224,7 +227,7 @@
     /// Whether a model and an adapter are held, on their way or just ordered.
     pub fn has_adapter(&self, model: &str, adapter: &str) -> bool {
         let open = self.open.as_ref().map(|order| &order.action);
-        if let Some(Action::LoadAdapter(of, name)) = open
+        if let Some(OrderAction::LoadAdapter(of, name)) = open
             && **of == *model
             && **name == *adapter
         {
@@ -251,56 +254,62 @@
     }
 
     /// Whether orders without an answer may still be carried out.
-    pub const fn has_late(&self) -> bool {
+    pub const fn has_unanswered(&self) -> bool {
         !self.late.is_empty()
     }
 
     /// Makes an order, or none if it can't be given now or would not fit.
-    pub fn order(&mut self, engine: &Engine, action: Action) -> Option<Order> {
+    pub fn issue_order(
+        &mut self,
+        engine: &EngineSpec,
+        action: OrderAction,
+    ) -> Option<Order> {
         if !self.allows(engine, &action) {
             return None;
         }
         let order = Order {
-            takes_ms: self.takes_ms(engine, &action),
+            expected_ms: self.takes_ms(engine, &action),
             action,
-            born_ms: self.born_ms,
-            expect: self.orders_accepted,
+            started_unix_ms: self.born_ms,
+            expected_count: self.orders_accepted,
         };
         self.open = Some(order.clone());
         Some(order)
     }
 
     /// Takes over what came of an order.
-    pub fn sent(&mut self, now: Instant, order: &Order, sent: Sent) {
+    pub fn apply_outcome(&mut self, now: Instant, order: &Order, sent: SendOutcome) {
         match sent {
-            Sent::Unanswered => self.late.add(now, order.clone()),
-            Sent::Answered(OrderAnswer::Accepted | OrderAnswer::Done) => {}
-            Sent::Answered(_) | Sent::NotSent => self.late.remove(order),
+            SendOutcome::Unanswered => self.late.add(now, order.clone()),
+            SendOutcome::Answered(OrderAnswer::Accepted | OrderAnswer::Done) => {}
+            SendOutcome::Answered(_) | SendOutcome::NotSent => self.late.remove(order),
         }
-        if order.born_ms != self.born_ms {
+        if order.started_unix_ms != self.born_ms {
             // Which start has answered is not said, so what is held is not known.
             self.known = false;
             return;
         }
         self.open = None;
         match sent {
-            Sent::Answered(OrderAnswer::Accepted) => self.accepted(now, order, false),
-            Sent::Answered(OrderAnswer::Done) => self.accepted(now, order, true),
-            Sent::Answered(OrderAnswer::Conflict | OrderAnswer::Refused)
-            | Sent::Unanswered => self.known = false,
-            Sent::NotSent => {}
+            SendOutcome::Answered(OrderAnswer::Accepted) => {
+                self.accepted(now, order, false);
+            }
+            SendOutcome::Answered(OrderAnswer::Done) => self.accepted(now, order, true),
+            SendOutcome::Answered(OrderAnswer::Conflict | OrderAnswer::Refused)
+            | SendOutcome::Unanswered => self.known = false,
+            SendOutcome::NotSent => {}
         }
     }
 
-    fn takes_ms(&self, engine: &Engine, action: &Action) -> u64 {
-        let Action::Load(model) = action else {
+    fn takes_ms(&self, engine: &EngineSpec, action: &OrderAction) -> u64 {
+        let OrderAction::Load(model) = action else {
             return 0;
         };
         self.load_ms(engine, model)
     }
 
     /// Time that a load of a model takes from where its weights are.
-    pub fn load_ms(&self, engine: &Engine, model: &Arc<str>) -> u64 {
+    pub fn load_ms(&self, engine: &EngineSpec, model: &Arc<str>) -> u64 {
         let Some(spec) = engine.models.get(model) else {
             return 0;
         };
@@ -314,7 +323,7 @@
     }
 
     /// Models on their way, with when they are expected to serve.
-    pub fn coming(&self) -> impl Iterator<Item = (&Arc<str>, Instant)> {
+    pub fn loading_models(&self) -> impl Iterator<Item = (&Arc<str>, Instant)> {
         let loading = self
             .held
             .iter()
@@ -322,17 +331,19 @@
         loading.map(|(model, held)| (model, held.ready_at))
     }
 
-    fn allows(&self, engine: &Engine, action: &Action) -> bool {
+    fn allows(&self, engine: &EngineSpec, action: &OrderAction) -> bool {
         match action {
-            Action::Load(model) => {
+            OrderAction::Load(model) => {
                 let spec = engine.models.get(model);
                 let fits = spec.is_some_and(|spec| {
                     self.used_mb(engine) + spec.weights_mb <= engine.weights_max_mb
                 });
                 self.is_idle() && !self.held.contains_key(model) && fits
             }
-            Action::Unload(model) => self.is_idle() && self.held.contains_key(model),
-            Action::LoadAdapter(model, adapter) => {
+            OrderAction::Unload(model) => {
+                self.is_idle() && self.held.contains_key(model)
+            }
+            OrderAction::LoadAdapter(model, adapter) => {
                 let loaded = self
                     .held
                     .get(model)
@@ -340,11 +351,11 @@
                 let spec = engine.models.get(model);
                 let fits = spec.is_some_and(|spec| {
                     self.used_mb(engine) + spec.adapter_mb <= engine.weights_max_mb
-                        && self.adapters() < engine.adapters_max
+                        && self.adapter_count() < engine.adapters_max
                 });
                 self.is_idle() && loaded && fits && !self.has_adapter(model, adapter)
             }
-            Action::UnloadAdapter(model, adapter) => {
+            OrderAction::UnloadAdapter(model, adapter) => {
                 self.is_idle() && self.has_adapter(model, adapter)
             }
         }
@@ -352,31 +363,31 @@
 
     fn accepted(&mut self, now: Instant, order: &Order, done: bool) {
         if !done {
-            self.orders_accepted = order.expect + 1;
+            self.orders_accepted = order.expected_count + 1;
         }
         match &order.action {
-            Action::Load(model) => {
+            OrderAction::Load(model) => {
                 let held = Held {
                     phase: if done { Phase::Loaded } else { Phase::Loading },
-                    ready_at: now.plus_ms(order.takes_ms),
+                    ready_at: now.plus_ms(order.expected_ms),
                     version: 0,
                     adapters: BTreeMap::new(),
                 };
                 self.held.insert(Arc::clone(model), held);
                 self.busy = !done;
             }
-            Action::Unload(model) if done => {
+            OrderAction::Unload(model) if done => {
                 self.held.remove(model);
                 // Whether it counted as an order is not said.
                 self.known = false;
             }
-            Action::Unload(model) => {
+            OrderAction::Unload(model) => {
                 if let Some(held) = self.held.get_mut(model) {
                     held.phase = Phase::Unloading;
                 }
                 self.busy = true;
             }
-            Action::LoadAdapter(model, adapter) => {
+            OrderAction::LoadAdapter(model, adapter) => {
                 if let Some(held) = self.held.get_mut(model) {
                     let coming = Adapter {
                         ready_at: now.plus_ms(ADAPTER_READY_MS),
@@ -385,20 +396,20 @@
                     held.adapters.insert(Arc::clone(adapter), coming);
                 }
             }
-            Action::UnloadAdapter(model, adapter) if done => {
+            OrderAction::UnloadAdapter(model, adapter) if done => {
                 // It is gone at once, and counted as an order.
-                self.orders_accepted = order.expect + 1;
+                self.orders_accepted = order.expected_count + 1;
                 if let Some(held) = self.held.get_mut(model) {
                     held.adapters.remove(adapter);
                 }
             }
             // It waits for a request that uses it; a report tells when it is
             // gone.
-            Action::UnloadAdapter(..) => self.known = false,
+            OrderAction::UnloadAdapter(..) => self.known = false,
         }
     }
 
-    fn hold(&mut self, now: Instant, resident: &Resident, old: Option<&Held>) {
+    fn hold(&mut self, now: Instant, resident: &ResidentModel, old: Option<&Held>) {
         let adapters = resident.adapters.iter().map(|name| {
             let known = old.and_then(|old| old.adapters.get(name));
             let adapter = Adapter {
--- a/crates/direct/src/lib.rs
+++ b/crates/direct/src/lib.rs
@@ -9,18 +9,18 @@
 //! - [`Setup`] is the operator's configuration as the decisions need it, with
 //!   routes by host and longest prefix.
 //! - [`Fleet`] is what this entry knows of the upstreams.
-//! - [`Doubts`] says when an upstream begins or ceases to be avoided.
-//! - [`pick`] chooses an upstream for one request.
-//! - [`admit`] says whether it joins those that wait there; [`Paces`] and
-//!   [`ReadingQueue`] how long that is.
-//! - [`after`] says what may follow a try that did not end well.
-//! - [`Repeats`] keeps repeats of all entries together under one bound.
+//! - [`AvoidanceTracker`] says when an upstream begins or ceases to be avoided.
+//! - [`select_upstream`] chooses an upstream for one request.
+//! - [`admit`] says whether it joins those that wait there; [`ModelTimeFactors`] and
+//!   [`PrefillQueue`] how long that is.
+//! - [`decide_retry`] says what may follow a try that did not end well.
+//! - [`RetryBudget`] keeps repeats of all entries together under one bound.
 //! - [`Lease`] makes one entry the giver of orders, and [`has_successor`] says when
 //!   one that is being stopped hands it over; [`Ledger`] keeps what it
-//!   ordered from one upstream; [`Moves`] decides what is to be held where, and
-//!   [`AdapterSpread`] which adapters beside it.
+//!   ordered from one upstream; [`LoadPlanner`] decides what is to be held where, and
+//!   [`AdapterPlanner`] which adapters beside it.
 //! - [`SharedWatch`] lets one entry watch the platform for its failure domain;
-//!   [`tell_every_ms`] and its like say how often entries tell one another what.
+//!   [`peer_message_interval_ms`] and its like say how often entries tell one another what.
 //!
 //! Invariants:
 //!
@@ -63,30 +63,36 @@
 mod watermark;
 
 pub use adapters::{
-    ADAPTER_TURN_MS, AdapterChoice, AdapterName, AdapterSpot, AdapterSpread,
+    ADAPTER_MIN_RESIDENCE_MS, AdapterName, AdapterPlanner, PlannedAdapterLoad,
+    UpstreamAdapterState,
 };
-pub use admit::{Admission, Readings, admit};
-pub use again::{Next, Outcome, Tried, after};
+pub use admit::{AdmissionInput, MeanPrefillTimes, admit};
+pub use again::{AttemptHistory, AttemptOutcome, RetryDecision, decide_retry};
 pub use cadence::{
-    HOLDINGS_TOLD_MS, holdings_rounds, suspects_told, tell_at_once_every_ms,
-    tell_every_ms,
+    HOLDINGS_RESEND_MS, holdings_message_count, peer_message_interval_ms,
+    suspects_per_message, urgent_message_interval_ms,
 };
-pub use demand::{Arrival, Demand, Load};
-pub use doubts::{Doubt, Doubts, Turn};
+pub use demand::{Arrival, DemandEstimate, DemandTracker};
+pub use doubts::{AvoidReason, AvoidanceChange, AvoidanceTracker};
 pub use fleet::{Activity, Fleet, RateLimit, RateNotice, Upstream, Usage};
-pub use late::LateOrders;
+pub use late::UnansweredOrders;
 pub use lease::{Lease, LeaseRecord, LeaseStep};
 pub use ledger::Ledger;
-pub use moves::{Choice, Group, Moves, Reason, Spot};
-pub use news::{Copies, Report, Resident, Start, UpstreamNews};
-pub use order::{Action, Order, OrderAnswer, Sent};
-pub use pace::Paces;
-pub use pick::{Pick, Picked, Unpicked, pick};
-pub use reading::{RANKS, ReadingQueue};
-pub use repeats::Repeats;
+pub use moves::{LoadPlanner, LoadReason, PlacedModel, PlannedLoad, UpstreamState};
+pub use news::{
+    LocalWeights, ResidentModel, UpstreamIncarnation, UpstreamRecord, UpstreamReport,
+};
+pub use order::{Order, OrderAction, OrderAnswer, SendOutcome};
+pub use pace::ModelTimeFactors;
+pub use pick::{SelectedUpstream, SelectionError, SelectionInput, select_upstream};
+pub use reading::{PRIORITY_LEVELS, PrefillQueue};
+pub use repeats::RetryBudget;
 pub use setup::{
-    Engine, Limits, ModelSpec, Route, RouteKind, ServiceSpec, Setup, Target,
+    EngineSpec, Limits, ModelSpec, Route, RouteKind, ServiceSpec, Setup,
+    WeightedService,
+};
+pub use shared_watch::{
+    ChangedObject, ReceivedBatches, SharedWatch, WatchBatch, WatchRole,
 };
-pub use shared_watch::{Batch, Changed, Received, SharedWatch, WatchRole};
-pub use successor::{OtherEntry, has_successor};
+pub use successor::{PeerEntry, has_successor};
 pub use watermark::Watermark;
--- a/crates/direct/src/moves.rs
+++ b/crates/direct/src/moves.rs
@@ -9,7 +9,7 @@
 use crate::outlook::outlooks;
 use crate::shifts::Shifts;
 use crate::unserved::Unserved;
-use crate::{Engine, Load};
+use crate::{DemandEstimate, EngineSpec};
 
 /// Part of the loads that the weight store allows which is used. The rest is
 /// for orders whose answer is lost and that begin late.
@@ -17,7 +17,7 @@
 
 /// One upstream as the plan sees it.
 #[derive(Debug, Clone)]
-pub struct Spot {
+pub struct UpstreamState {
     /// Upstream.
     pub upstream: Arc<str>,
     /// Failure domain.
@@ -27,14 +27,14 @@
     /// Weights that still fit.
     pub free_mb: f64,
     /// Models held or on their way.
-    pub groups: Vec<Group>,
+    pub models: Vec<PlacedModel>,
     /// Models that it can load without the weight store.
-    pub copies: Vec<Arc<str>>,
+    pub local_weights: Vec<Arc<str>>,
 }
 
 /// A model with its adapters at one upstream.
 #[derive(Debug, Clone)]
-pub struct Group {
+pub struct PlacedModel {
     /// Model.
     pub model: Arc<str>,
     /// Memory that it takes with its adapters.
@@ -47,7 +47,7 @@
 
 /// Why a model is loaded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reason {
+pub enum LoadReason {
     /// Requests wait for it.
     Waited,
     /// Its copies are too busy.
@@ -56,7 +56,7 @@
     Reachable,
 }
 
-impl Reason {
+impl LoadReason {
     /// The word used in logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -69,7 +69,7 @@
 
 /// A move that was decided.
 #[derive(Debug, Clone)]
-pub struct Choice {
+pub struct PlannedLoad {
     /// Upstream that is to load.
     pub upstream: Arc<str>,
     /// Model to load.
@@ -79,14 +79,14 @@
     /// Whether the weights come from the weight store.
     pub from_store: bool,
     /// Why.
-    pub reason: Reason,
+    pub reason: LoadReason,
     /// Fall of the sum of the squares of all upstreams' loads.
     pub relief: f64,
 }
 
 /// Decides moves and keeps to the weight store's rate.
 #[derive(Debug)]
-pub struct Moves {
+pub struct LoadPlanner {
     window_ms: u64,
     store_loads: Vec<Instant>,
     /// Ends of the times in which unanswered loads may begin.
@@ -95,7 +95,7 @@
     shifts: Shifts,
 }
 
-impl Moves {
+impl LoadPlanner {
     /// No moves yet; loads from the store are counted over `window_ms`.
     pub fn new(window_ms: u64) -> Self {
         Self {
@@ -108,13 +108,13 @@
     }
 
     /// Counts a load from the weight store that was ordered.
-    pub fn store_load(&mut self, now: Instant) {
+    pub fn record_store_load(&mut self, now: Instant) {
         self.store_loads.push(now);
     }
 
     /// Counts a load whose order got no answer: it may begin at any time until
     /// no late order is carried out any more.
-    pub fn unanswered(&mut self, now: Instant) {
+    pub fn record_unanswered_load(&mut self, now: Instant) {
         self.late.push(now.plus_ms(LATE_ORDER_MS));
     }
 
@@ -123,7 +123,7 @@
     /// One that was to come from a copy may come from the weight store instead,
     /// since a start keeps no copy in memory of the one before. Not counted, the
     /// restart of many upstreams at once would load more than the store allows.
-    pub fn outlived(&mut self, now: Instant, loads: usize) {
+    pub fn record_surviving_loads(&mut self, now: Instant, loads: usize) {
         let until = now.plus_ms(LATE_ORDER_MS);
         self.late.extend(std::iter::repeat_n(until, loads));
     }
@@ -131,20 +131,20 @@
     /// Orders are given again after a time without them. Who waits has waited for
     /// nobody meanwhile, but loads that were ordered before count as they did: a lease
     /// that lapses for a moment would else allow the window's loads a second time.
-    pub fn begin_again(&mut self) {
+    pub fn resume(&mut self) {
         self.unserved = Unserved::default();
         self.shifts = Shifts::default();
     }
 
     /// Counts what an earlier giver may have ordered up to a time.
-    pub fn assume_spent(&mut self, until: Instant, engine: &Engine) {
+    pub fn assume_window_spent(&mut self, until: Instant, engine: &EngineSpec) {
         for _ in 0..self.window_loads(engine) {
             self.store_loads.push(until);
         }
     }
 
     /// Loads that may be ordered from the weight store now.
-    pub fn allowance(&mut self, now: Instant, engine: &Engine) -> usize {
+    pub fn store_loads_left(&mut self, now: Instant, engine: &EngineSpec) -> usize {
         let oldest = now - Duration::from_millis(self.window_ms);
         self.store_loads.retain(|at| *at > oldest);
         self.late.retain(|until| *until > now);
@@ -156,13 +156,13 @@
     pub fn plan(
         &mut self,
         now: Instant,
-        engine: &Engine,
-        spots: &[Spot],
-        loads: &BTreeMap<Arc<str>, Load>,
-    ) -> Vec<Choice> {
-        let allowance = self.allowance(now, engine);
+        engine: &EngineSpec,
+        spots: &[UpstreamState],
+        loads: &BTreeMap<Arc<str>, DemandEstimate>,
+    ) -> Vec<PlannedLoad> {
+        let allowance = self.store_loads_left(now, engine);
         let is_held = |model: &str| {
-            let mut groups = spots.iter().flat_map(|spot| &spot.groups);
+            let mut groups = spots.iter().flat_map(|spot| &spot.models);
             groups.any(|group| &*group.model == model && !group.unloading)
         };
         self.unserved.look(now, loads, is_held);
@@ -180,7 +180,7 @@
         board.choices
     }
 
-    fn window_loads(&self, engine: &Engine) -> usize {
+    fn window_loads(&self, engine: &EngineSpec) -> usize {
         let seconds = self.window_ms as f64 / 1_000.0;
         (engine.store_loads_per_s * seconds * STORE_USABLE).max(1.0) as usize
     }
--- a/crates/direct/src/news.rs
+++ b/crates/direct/src/news.rs
@@ -9,30 +9,30 @@
 /// and knows nothing of before. A start of which the time is not known is older
 /// than any that is; among those, the name alone tells starts apart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Start<'a> {
+pub struct UpstreamIncarnation<'a> {
     /// Name of the upstream.
     pub id: &'a str,
     /// Unix millisecond of its start.
-    pub born_ms: Option<u64>,
+    pub started_unix_ms: Option<u64>,
 }
 
-impl UpstreamNews {
+impl UpstreamRecord {
     /// The start that says this.
-    pub fn start(&self) -> Start<'_> {
-        Start {
+    pub fn incarnation(&self) -> UpstreamIncarnation<'_> {
+        UpstreamIncarnation {
             id: &self.id,
-            born_ms: self.born_ms,
+            started_unix_ms: self.started_unix_ms,
         }
     }
 }
 
 /// The platform's entry of one upstream.
 #[derive(Debug, Clone)]
-pub struct UpstreamNews {
+pub struct UpstreamRecord {
     /// Name. An upstream may start again under it.
     pub id: Arc<str>,
     /// Unix millisecond of the start that says this, where upstreams say it.
-    pub born_ms: Option<u64>,
+    pub started_unix_ms: Option<u64>,
     /// Service.
     pub service: Arc<str>,
     /// Address.
@@ -46,14 +46,14 @@
     /// Time until it is gone, where it is taken away at short notice.
     pub gone_in_ms: Option<u64>,
     /// Models held.
-    pub residents: Vec<Resident>,
+    pub residents: Vec<ResidentModel>,
     /// Copies of weights that it can load without the weight store.
-    pub copies: Copies,
+    pub local_weights: LocalWeights,
 }
 
 /// A model that an upstream holds.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Resident {
+pub struct ResidentModel {
     /// Model.
     pub model: Arc<str>,
     /// Version of the weights.
@@ -64,7 +64,7 @@
 
 /// Copies of weights that an upstream can load without the weight store.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Copies {
+pub struct LocalWeights {
     /// Models in its host's memory.
     pub in_memory: Vec<Arc<str>>,
     /// Models on its disk.
@@ -73,17 +73,17 @@
 
 /// An upstream's own report.
 #[derive(Debug, Clone, Default)]
-pub struct Report {
+pub struct UpstreamReport {
     /// Unix millisecond of the start that says this, where upstreams say it.
-    pub born_ms: Option<u64>,
+    pub started_unix_ms: Option<u64>,
     /// Whether an order is being carried out.
     pub busy: bool,
     /// Orders accepted since its start.
     pub orders_accepted: u64,
     /// Models held.
-    pub residents: Vec<Resident>,
+    pub residents: Vec<ResidentModel>,
     /// Adapters on their way, as model and adapter.
-    pub adapters_coming: Vec<(Arc<str>, Arc<str>)>,
+    pub adapters_loading: Vec<(Arc<str>, Arc<str>)>,
     /// Copies of weights.
-    pub copies: Copies,
+    pub local_weights: LocalWeights,
 }
--- a/crates/direct/src/order.rs
+++ b/crates/direct/src/order.rs
@@ -4,7 +4,7 @@
 
 /// What an order does.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Action {
+pub enum OrderAction {
     /// Loads a model.
     Load(Arc<str>),
     /// Unloads a model and its adapters.
@@ -19,14 +19,14 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Order {
     /// What it does.
-    pub action: Action,
+    pub action: OrderAction,
     /// Start of the upstream on which it was decided.
-    pub born_ms: Option<u64>,
+    pub started_unix_ms: Option<u64>,
     /// Order count of the upstream on which it was decided; at another one the
     /// upstream refuses it.
-    pub expect: u64,
+    pub expected_count: u64,
     /// Time that it is expected to take.
-    pub takes_ms: u64,
+    pub expected_ms: u64,
 }
 
 /// What an upstream answered to an order.
@@ -44,7 +44,7 @@
 
 /// What came of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Sent {
+pub enum SendOutcome {
     /// An answer came.
     Answered(OrderAnswer),
     /// No answer came: it may be carried out, now or seconds later.
--- a/crates/direct/src/outlook.rs
+++ b/crates/direct/src/outlook.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-use crate::{Engine, Load};
+use crate::{DemandEstimate, EngineSpec};
 
 /// Weight of the outlook in which demand has moved on.
 const MOVED_ON: f64 = 0.4;
@@ -57,8 +57,8 @@
 /// Where upstreams have no time to spare, what comes later does not count, unless
 /// loads take so long that all who ask for it meanwhile would be too late.
 pub(crate) fn outlooks(
-    engine: &Engine,
-    loads: &BTreeMap<Arc<str>, Load>,
+    engine: &EngineSpec,
+    loads: &BTreeMap<Arc<str>, DemandEstimate>,
     spots: usize,
     step: Option<usize>,
 ) -> Vec<Outlook> {
@@ -69,7 +69,7 @@
         .collect();
     let kept: HashMap<Arc<str>, f64> = loads
         .iter()
-        .map(|(model, load)| (Arc::clone(model), part(load.kept_ms_per_s())))
+        .map(|(model, load)| (Arc::clone(model), part(load.retention_ms_per_s())))
         .collect();
     let work: f64 = kept.values().sum();
     let spare = work < SPARE_BELOW * spots as f64;
@@ -96,7 +96,7 @@
     std::iter::once(now).chain(moved).collect()
 }
 
-fn loads_are_long(engine: &Engine) -> bool {
+fn loads_are_long(engine: &EngineSpec) -> bool {
     let specs = engine.models.values();
     let longest_ms = specs.map(|spec| spec.store_load_ms).max();
     longest_ms.is_some_and(|longest_ms| longest_ms >= LONG_LOAD_MS)
--- a/crates/direct/src/pace.rs
+++ b/crates/direct/src/pace.rs
@@ -29,7 +29,7 @@
 /// on engines twice as fast, each entry refused the longest prompts of a model
 /// until it had learned that model by itself.
 #[derive(Debug, Default)]
-pub struct Paces {
+pub struct ModelTimeFactors {
     services: BTreeMap<Arc<str>, Service>,
 }
 
@@ -65,14 +65,14 @@
     }
 }
 
-impl Paces {
+impl ModelTimeFactors {
     /// All models at the common pace.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// The factor of a model; of its service where no answer of the model came.
-    pub fn of(&self, service: &str, model: &str) -> f64 {
+    pub fn factor(&self, service: &str, model: &str) -> f64 {
         let Some(service) = self.services.get(service) else {
             return 1.0;
         };
--- a/crates/direct/src/pick.rs
+++ b/crates/direct/src/pick.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use crate::home::Homes;
-use crate::{Engine, Fleet, ReadingQueue, Upstream, Usage};
+use crate::{EngineSpec, Fleet, PrefillQueue, Upstream, Usage};
 
 /// Delay of a first answer by each request that already runs.
 const RUNNING_MS: f64 = 1.0;
@@ -26,25 +26,25 @@
 
 /// What the choice depends on besides the upstreams.
 #[derive(Debug)]
-pub struct Pick<'a> {
+pub struct SelectionInput<'a> {
     /// The present.
     pub now: Instant,
     /// Service.
     pub service: &'a str,
     /// The service's engine; `None` for a plain service.
-    pub engine: Option<&'a Engine>,
+    pub engine: Option<&'a EngineSpec>,
     /// Model and adapter.
     pub model: Option<(&'a str, Option<&'a str>)>,
     /// Prompt parts: hash of all parts up to it, and its tokens.
-    pub parts: &'a [(u64, u64)],
+    pub prompt_parts: &'a [(u64, u64)],
     /// Rank of the request, 0 the most urgent.
-    pub rank: u32,
+    pub priority: u32,
     /// Prompt tokens.
     pub prompt_tokens: u64,
     /// Factor on the time that reading them takes.
-    pub pace: f64,
+    pub time_factor: f64,
     /// Tokens that the request may keep at the upstream.
-    pub kept_tokens: u64,
+    pub kv_tokens: u64,
     /// Upstreams it was sent to already.
     pub excluded: &'a [Arc<str>],
     /// Failure domain of this entry.
@@ -55,25 +55,25 @@
 
 /// A chosen upstream.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Picked {
+pub struct SelectedUpstream {
     /// Upstream.
     pub id: Arc<str>,
     /// What the request uses there.
     pub usage: Usage,
     /// Time that reading its prompt takes there at the common pace, if nothing
     /// waits before it.
-    pub reading_ms: Option<f64>,
+    pub unqueued_prefill_ms: Option<f64>,
     /// Time to its first answer as far as can be told.
-    pub wait_ms: f64,
+    pub first_answer_ms: f64,
     /// Part of that which reading its own prompt takes.
-    pub own_ms: f64,
+    pub own_prefill_ms: f64,
     /// Prompt tokens that the upstream has to read, as far as this entry knows.
-    pub unread_tokens: u64,
+    pub uncached_tokens: u64,
 }
 
 /// Why there is no upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Unpicked {
+pub enum SelectionError {
     /// The service has no usable upstream.
     NoUpstream,
     /// None holds the model.
@@ -88,7 +88,7 @@
     Full,
 }
 
-impl Unpicked {
+impl SelectionError {
     /// The word used in logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -113,19 +113,23 @@
 /// # Errors
 ///
 /// No upstream can run the request now.
-pub fn pick<'a>(fleet: &'a Fleet, input: &Pick<'a>) -> Result<Picked, Unpicked> {
-    let mut best: Option<(bool, f64, Picked)> = None;
-    let mut reason = Unpicked::NoUpstream;
+pub fn select_upstream<'a>(
+    fleet: &'a Fleet,
+    input: &SelectionInput<'a>,
+) -> Result<SelectedUpstream, SelectionError> {
+    let mut best: Option<(bool, f64, SelectedUpstream)> = None;
+    let mut reason = SelectionError::NoUpstream;
     let homes = Homes::of(fleet, input);
-    for (index, upstream) in fleet.of(input.service).enumerate() {
-        if !upstream.is_usable(input.now) || input.excluded.contains(&upstream.news.id)
+    for (index, upstream) in fleet.of_service(input.service).enumerate() {
+        if !upstream.is_usable(input.now)
+            || input.excluded.contains(&upstream.record.id)
         {
             continue;
         }
         match candidate(upstream, input, &homes, index as u64) {
             Err(why) => reason = reason.max_known(why),
             Ok((score, picked)) => {
-                let suspected = upstream.is_suspected(input.now);
+                let suspected = upstream.is_avoided(input.now);
                 let better = best.as_ref().is_none_or(|(other, least, _)| {
                     (suspected, score) < (*other, *least)
                 });
@@ -138,7 +142,7 @@
     best.map(|(_, _, picked)| picked).ok_or(reason)
 }
 
-impl Unpicked {
+impl SelectionError {
     /// The reason closest to an upstream that could run the request.
     const fn max_known(self, other: Self) -> Self {
         if other as u8 > self as u8 {
@@ -151,10 +155,10 @@
 
 fn candidate(
     upstream: &Upstream,
-    input: &Pick<'_>,
+    input: &SelectionInput<'_>,
     homes: &Homes<'_>,
     index: u64,
-) -> Result<(f64, Picked), Unpicked> {
+) -> Result<(f64, SelectedUpstream), SelectionError> {
     if let Some((model, adapter)) = input.model {
         check_holds(upstream, input.now, model, adapter)?;
     }
@@ -169,29 +173,30 @@
         None => Need::default(),
     };
     let wait_ms = if input.model.is_some() {
-        engine_wait_ms(&usage, &adds, input.rank)
+        engine_wait_ms(&usage, &adds, input.priority)
     } else {
         service_wait_ms(upstream, &usage)
     };
     let chance = jitter(input.random, index);
-    let domain_ms = if *upstream.news.domain == *input.domain {
+    let domain_ms = if *upstream.record.domain == *input.domain {
         0.0
     } else {
         OTHER_DOMAIN_MS
     };
-    let saved_ms = homes.saved_ms(&upstream.news.id, known_tokens, input);
+    let saved_ms = homes.saved_ms(&upstream.record.id, known_tokens, input);
     let score = (wait_ms - saved_ms).max(0.0) * (1.0 + 0.1 * chance)
         + chance
         + domain_ms
         + failing_ms(upstream);
-    let alone = input.model.is_some() && usage.reading.is_empty();
-    let picked = Picked {
-        id: Arc::clone(&upstream.news.id),
+    let alone = input.model.is_some() && usage.prefill.is_empty();
+    let picked = SelectedUpstream {
+        id: Arc::clone(&upstream.record.id),
         usage: adds,
-        reading_ms: alone.then(|| adds.reading.reading_ms() / input.pace),
-        wait_ms,
-        own_ms: adds.reading.reading_ms(),
-        unread_tokens: input.prompt_tokens.saturating_sub(known_tokens),
+        unqueued_prefill_ms: alone
+            .then(|| adds.prefill.prefill_ms() / input.time_factor),
+        first_answer_ms: wait_ms,
+        own_prefill_ms: adds.prefill.prefill_ms(),
+        uncached_tokens: input.prompt_tokens.saturating_sub(known_tokens),
     };
     Ok((score, picked))
 }
@@ -201,23 +206,23 @@
     now: Instant,
     model: &str,
     adapter: Option<&str>,
-) -> Result<(), Unpicked> {
+) -> Result<(), SelectionError> {
     if !upstream.holds(now, model, None) {
-        return Err(Unpicked::NoModel);
+        return Err(SelectionError::NoModel);
     }
     if !upstream.holds(now, model, adapter) {
-        return Err(Unpicked::NoAdapter);
+        return Err(SelectionError::NoAdapter);
     }
     Ok(())
 }
 
 /// Whether an upstream takes a request, by what it said itself.
-fn check_wanted(upstream: &Upstream, now: Instant) -> Result<(), Unpicked> {
+fn check_wanted(upstream: &Upstream, now: Instant) -> Result<(), SelectionError> {
     if upstream.is_backed_off(now) {
-        return Err(Unpicked::BackedOff);
+        return Err(SelectionError::BackedOff);
     }
     if upstream.is_rate_spent(now) {
-        return Err(Unpicked::RateSpent);
+        return Err(SelectionError::RateSpent);
     }
     Ok(())
 }
@@ -245,39 +250,40 @@
 
 fn model_need(
     upstream: &Upstream,
-    input: &Pick<'_>,
+    input: &SelectionInput<'_>,
     model: &str,
     usage: &Usage,
-) -> Result<Need, Unpicked> {
+) -> Result<Need, SelectionError> {
     if upstream.is_refusing(input.now, model) {
-        return Err(Unpicked::Full);
+        return Err(SelectionError::Full);
     }
-    let known_tokens = upstream.cached_tokens(input.parts);
+    let known_tokens = upstream.cached_tokens(input.prompt_parts);
     if let Some(engine) = input.engine {
-        let kept = usage.kept_tokens + input.kept_tokens;
-        let room = engine.cache_tokens as f64 * CACHE_USABLE;
+        let kept = usage.kv_tokens + input.kv_tokens;
+        let room = engine.kv_capacity_tokens as f64 * CACHE_USABLE;
         if usage.running >= engine.batch_slots || kept as f64 > room {
-            return Err(Unpicked::Full);
+            return Err(SelectionError::Full);
         }
     }
-    let unread = input.prompt_tokens.saturating_sub(known_tokens) as f64 * input.pace;
+    let unread =
+        input.prompt_tokens.saturating_sub(known_tokens) as f64 * input.time_factor;
     Ok(Need {
         usage: Usage {
             running: 1,
-            reading: ReadingQueue::of(input.rank, unread as u64),
-            kept_tokens: input.kept_tokens,
+            prefill: PrefillQueue::single(input.priority, unread as u64),
+            kv_tokens: input.kv_tokens,
         },
         known_tokens,
     })
 }
 
 fn engine_wait_ms(usage: &Usage, adds: &Usage, rank: u32) -> f64 {
-    let ahead_ms = usage.reading.ahead_ms(rank);
-    ahead_ms + adds.reading.reading_ms() + f64::from(usage.running) * RUNNING_MS
+    let ahead_ms = usage.prefill.wait_ms(rank);
+    ahead_ms + adds.prefill.prefill_ms() + f64::from(usage.running) * RUNNING_MS
 }
 
 fn service_wait_ms(upstream: &Upstream, usage: &Usage) -> f64 {
-    let slots = upstream.news.batch_slots.max(1);
+    let slots = upstream.record.batch_slots.max(1);
     let queued = usage.running.saturating_sub(slots - 1);
     f64::from(usage.running) * SLOT_MS + f64::from(queued) * QUEUED_MS
 }
--- a/crates/direct/src/reading.rs
+++ b/crates/direct/src/reading.rs
@@ -2,7 +2,7 @@
 
 /// Ranks of requests that are told apart, 0 the most urgent. Lower ones count as the
 /// last: three kinds of prompts are more than most services have.
-pub const RANKS: usize = 3;
+pub const PRIORITY_LEVELS: usize = 3;
 
 /// Prompt tokens that an engine reads in a millisecond. Engines do not tell; paces
 /// of models are factors on it, so only what is expected before any answer came
@@ -18,23 +18,25 @@
 /// Prompt tokens to be read of requests that have no first answer yet, by rank, as
 /// many as take the same time at the common pace.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct ReadingQueue {
-    tokens: [u64; RANKS],
+pub struct PrefillQueue {
+    tokens: [u64; PRIORITY_LEVELS],
 }
 
-impl ReadingQueue {
+impl PrefillQueue {
     /// Nothing waits.
-    pub const EMPTY: Self = Self { tokens: [0; RANKS] };
+    pub const EMPTY: Self = Self {
+        tokens: [0; PRIORITY_LEVELS],
+    };
 
     /// One request's prompt.
-    pub const fn of(rank: u32, tokens: u64) -> Self {
+    pub const fn single(rank: u32, tokens: u64) -> Self {
         let mut queue = Self::EMPTY;
         queue.tokens[index(rank)] = tokens;
         queue
     }
 
     /// A queue by rank; what is missing is none.
-    pub fn from_ranks(tokens: &[u64]) -> Self {
+    pub fn from_priorities(tokens: &[u64]) -> Self {
         let mut queue = Self::EMPTY;
         for (own, tokens) in queue.tokens.iter_mut().zip(tokens) {
             *own = *tokens;
@@ -43,7 +45,7 @@
     }
 
     /// Tokens by rank.
-    pub const fn ranks(&self) -> &[u64; RANKS] {
+    pub const fn by_priority(&self) -> &[u64; PRIORITY_LEVELS] {
         &self.tokens
     }
 
@@ -67,12 +69,12 @@
     }
 
     /// Time that reading all of it takes.
-    pub fn reading_ms(&self) -> f64 {
+    pub fn prefill_ms(&self) -> f64 {
         ms(self.tokens.iter().sum())
     }
 
     /// Time for which a request of a rank waits behind it.
-    pub fn ahead_ms(&self, rank: u32) -> f64 {
+    pub fn wait_ms(&self, rank: u32) -> f64 {
         let (ahead, behind) = self.tokens.split_at(index(rank) + 1);
         ms(ahead.iter().sum()) + ms(behind.iter().sum()) * LESS_URGENT_PART
     }
@@ -80,7 +82,11 @@
 
 const fn index(rank: u32) -> usize {
     let rank = rank as usize;
-    if rank < RANKS { rank } else { RANKS - 1 }
+    if rank < PRIORITY_LEVELS {
+        rank
+    } else {
+        PRIORITY_LEVELS - 1
+    }
 }
 
 fn ms(tokens: u64) -> f64 {
--- a/crates/direct/src/repeats.rs
+++ b/crates/direct/src/repeats.rs
@@ -28,7 +28,7 @@
 /// entries know of one another, so no message has to arrive for the bound to
 /// hold.
 #[derive(Debug)]
-pub struct Repeats {
+pub struct RetryBudget {
     ratio: f64,
     burst: f64,
     window_ms: u64,
@@ -37,7 +37,7 @@
     services: BTreeMap<Arc<str>, [Part; PARTS as usize]>,
 }
 
-impl Repeats {
+impl RetryBudget {
     /// A bound of `ratio` repeats for each request and `burst` more in any
     /// `window_ms`, over all entries.
     ///
@@ -65,13 +65,13 @@
     }
 
     /// Counts a request of a caller.
-    pub fn request(&mut self, now: Instant, service: &Arc<str>) {
+    pub fn record_request(&mut self, now: Instant, service: &Arc<str>) {
         self.part(now, service).requests += 1;
     }
 
     /// Takes one repeat; false when the share is spent.
     pub fn try_take(&mut self, now: Instant, service: &Arc<str>) -> bool {
-        let (requests, repeats) = self.in_window(now, service);
+        let (requests, repeats) = self.window_counts(now, service);
         let up_ms = now.ms_since(self.started_at).min(self.window_ms);
         let burst = self.burst / f64::from(self.entries);
         let burst = burst * up_ms as f64 / self.window_ms as f64;
@@ -84,7 +84,7 @@
     }
 
     /// Requests and repeats in the window that ends now.
-    pub fn in_window(&self, now: Instant, service: &Arc<str>) -> (u32, u32) {
+    pub fn window_counts(&self, now: Instant, service: &Arc<str>) -> (u32, u32) {
         let number = self.number(now);
         let oldest = (number + 1).saturating_sub(PARTS);
         let parts = self.services.get(service).into_iter().flatten();
--- a/crates/direct/src/setup.rs
+++ b/crates/direct/src/setup.rs
@@ -30,13 +30,13 @@
     /// Path prefix, beginning and ending with a slash.
     pub prefix: String,
     /// Services with their weights.
-    pub targets: Vec<Target>,
+    pub targets: Vec<WeightedService>,
     /// What may be repeated.
     pub kind: RouteKind,
     /// Longest time a caller is kept waiting.
     pub timeout_ms: u64,
     /// Time within which an answer earns its full worth.
-    pub aim_ms: u64,
+    pub target_latency_ms: u64,
     /// Rank, 0 the highest.
     pub priority: u32,
     /// Most upstreams one request may be sent to.
@@ -49,7 +49,7 @@
 
 /// A service of a route.
 #[derive(Debug, Clone)]
-pub struct Target {
+pub struct WeightedService {
     /// Service.
     pub service: Arc<str>,
     /// Weight against the route's other services.
@@ -72,7 +72,7 @@
 
 impl RouteKind {
     /// Whether a request may run more than once.
-    pub const fn may_repeat(self) -> bool {
+    pub const fn may_rerun(self) -> bool {
         matches!(self, Self::Idempotent | Self::ResumableStream)
     }
 
@@ -86,16 +86,16 @@
 #[derive(Debug, Clone, Default)]
 pub struct ServiceSpec {
     /// What upstreams of models hold and how; `None` for a plain service.
-    pub engine: Option<Engine>,
+    pub engine: Option<EngineSpec>,
 }
 
 /// What the upstreams of a service of models hold and how.
 #[derive(Debug, Clone, Default)]
-pub struct Engine {
+pub struct EngineSpec {
     /// Requests that run at once.
     pub batch_slots: u32,
     /// Tokens kept at once by running requests and cached prompts.
-    pub cache_tokens: u64,
+    pub kv_capacity_tokens: u64,
     /// Memory for weights of models and adapters.
     pub weights_max_mb: f64,
     /// Most adapters held at once.
@@ -187,7 +187,7 @@
     }
 
     /// Whether a service is declared, or a route leads to it.
-    pub fn names(&self, service: &str) -> bool {
+    pub fn knows_service(&self, service: &str) -> bool {
         let targets = self.routes().flat_map(|route| &route.targets);
         let mut targets = targets.map(|target| &*target.service);
         self.services.contains_key(service) || targets.any(|named| named == service)
--- a/crates/direct/src/shared_watch.rs
+++ b/crates/direct/src/shared_watch.rs
@@ -62,7 +62,7 @@
 
 /// An object that changed, as the platform gives it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Changed {
+pub struct ChangedObject {
     /// Key.
     pub key: String,
     /// Version.
@@ -73,19 +73,19 @@
 
 /// What one watch saw: all changes after a version, up to another one.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Batch {
+pub struct WatchBatch {
     /// Version after which these are all changes.
-    pub after: u64,
+    pub after_version: u64,
     /// Version up to which they are.
-    pub at: u64,
+    pub to_version: u64,
     /// The changes in order.
-    pub objects: Vec<Changed>,
+    pub objects: Vec<ChangedObject>,
     /// Whether there were changes that are left out here: whoever is told of them has
     /// to watch for them itself.
     pub is_partial: bool,
 }
 
-impl Batch {
+impl WatchBatch {
     fn bytes(&self) -> usize {
         let objects = self.objects.iter();
         objects
@@ -96,13 +96,13 @@
 
 /// What came of a leader's word.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Received {
+pub struct ReceivedBatches {
     /// Batches that are new, in order.
-    pub new: Vec<Batch>,
+    pub new_batches: Vec<WatchBatch>,
     /// Version up to which changes are now known, if the word followed on what was.
-    pub known: Option<u64>,
+    pub known_version: Option<u64>,
     /// Whether an own watch has to bring what was left out.
-    pub is_due: bool,
+    pub needs_own_watch: bool,
 }
 
 /// One entry's view of the shared watch.
@@ -117,7 +117,7 @@
     works: bool,
     /// Whether something changed that was not told.
     is_due: bool,
-    recorded: VecDeque<Batch>,
+    recorded: VecDeque<WatchBatch>,
 }
 
 impl SharedWatch {
@@ -130,14 +130,14 @@
     ///
     /// What was watched before it is passed on no more: it would be taken for all that
     /// there is up to now, and what changed before the list be missing.
-    pub fn listed(&mut self, now: Instant, at: u64) {
+    pub fn on_listed(&mut self, now: Instant, at: u64) {
         self.recorded.clear();
         self.confirmed(now, at);
     }
 
     /// An own watch was answered: what it saw is known, and kept to be passed on.
-    pub fn watched(&mut self, now: Instant, batch: Batch) {
-        self.confirmed(now, batch.at);
+    pub fn on_watched(&mut self, now: Instant, batch: WatchBatch) {
+        self.confirmed(now, batch.to_version);
         self.recorded.push_back(batch);
         while self.recorded.len() > BATCHES_MAX {
             self.recorded.pop_front();
@@ -152,12 +152,12 @@
     }
 
     /// An own call was not answered.
-    pub const fn failed(&mut self) {
+    pub const fn on_failed(&mut self) {
         self.works = false;
     }
 
     /// Whether others may rely on this entry's watch.
-    pub const fn works(&self) -> bool {
+    pub const fn is_working(&self) -> bool {
         self.works
     }
 
@@ -190,20 +190,20 @@
     }
 
     /// What is passed on now: the newest batches, with what of their changes fits.
-    pub fn outgoing(&self) -> Vec<Batch> {
+    pub fn outgoing(&self) -> Vec<WatchBatch> {
         let mut bytes = 0;
         let newest = self.recorded.iter().rev().map(|batch| {
             bytes += batch.bytes();
             if bytes <= MESSAGE_MAX_BYTES {
                 return batch.clone();
             }
-            Batch {
+            WatchBatch {
                 objects: Vec::new(),
                 is_partial: true,
                 ..*batch
             }
         });
-        let mut batches: Vec<Batch> = newest.collect();
+        let mut batches: Vec<WatchBatch> = newest.collect();
         batches.reverse();
         batches
     }
@@ -213,26 +213,30 @@
     ///
     /// Batches that do not follow on what is known are left: something between was
     /// lost, and the own watch that is due soon brings it.
-    pub fn receive(&mut self, confirmed_at: Instant, batches: Vec<Batch>) -> Received {
-        let mut received = Received::default();
+    pub fn receive(
+        &mut self,
+        confirmed_at: Instant,
+        batches: Vec<WatchBatch>,
+    ) -> ReceivedBatches {
+        let mut received = ReceivedBatches::default();
         let mut follows = false;
         for batch in batches {
-            follows = batch.after <= self.known;
-            if !follows || batch.at <= self.known {
+            follows = batch.after_version <= self.known;
+            if !follows || batch.to_version <= self.known {
                 continue;
             }
             if batch.is_partial {
                 self.is_due = true;
                 break;
             }
-            self.known = batch.at;
-            received.new.push(batch);
+            self.known = batch.to_version;
+            received.new_batches.push(batch);
         }
         if follows {
             self.received_at = self.received_at.max(Some(confirmed_at));
-            received.known = Some(self.known);
+            received.known_version = Some(self.known);
         }
-        received.is_due = self.is_due;
+        received.needs_own_watch = self.is_due;
         received
     }
 }
--- a/crates/direct/src/shifts.rs
+++ b/crates/direct/src/shifts.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-use crate::Load;
+use crate::DemandEstimate;
 
 /// Time between two rankings that are kept, and how many: a change takes seconds, so
 /// a ranking is compared with one from before it.
@@ -35,7 +35,11 @@
 
 impl Shifts {
     /// Looks at the demand of now.
-    pub(crate) fn look(&mut self, now: Instant, loads: &BTreeMap<Arc<str>, Load>) {
+    pub(crate) fn look(
+        &mut self,
+        now: Instant,
+        loads: &BTreeMap<Arc<str>, DemandEstimate>,
+    ) {
         let newest = self.rankings.back();
         if newest.is_some_and(|newest| now.ms_since(newest.at) < KEEP_EVERY_MS) {
             return;
@@ -62,10 +66,10 @@
 }
 
 impl Ranking {
-    fn of(now: Instant, loads: &BTreeMap<Arc<str>, Load>) -> Self {
+    fn of(now: Instant, loads: &BTreeMap<Arc<str>, DemandEstimate>) -> Self {
         let mut models: Vec<(Arc<str>, f64)> = loads
             .iter()
-            .map(|(model, load)| (Arc::clone(model), load.newest_ms_per_s))
+            .map(|(model, load)| (Arc::clone(model), load.recent_ms_per_s))
             .collect();
         models.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
         Self { at: now, models }
--- a/crates/direct/src/unserved.rs
+++ b/crates/direct/src/unserved.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use crate::{Engine, Load};
+use crate::{DemandEstimate, EngineSpec};
 
 /// Time for which a wanted model may go without a holder before it takes its turn
 /// in the place of another wanted one. Demand that has moved on leaves places
@@ -31,7 +31,7 @@
     pub(crate) fn look(
         &mut self,
         now: Instant,
-        loads: &BTreeMap<Arc<str>, Load>,
+        loads: &BTreeMap<Arc<str>, DemandEstimate>,
         is_held: impl Fn(&str) -> bool,
     ) {
         self.since.retain(|model, _| loads.contains_key(model));
@@ -54,7 +54,7 @@
 
 /// Time for which a model stays where it was loaded before it makes room for one
 /// that is overdue.
-pub(crate) fn turn_ms(engine: &Engine, model: &str) -> u64 {
+pub(crate) fn turn_ms(engine: &EngineSpec, model: &str) -> u64 {
     let spec = engine.models.get(model);
     spec.map_or(0, |spec| spec.disk_load_ms * TURN_LOADS)
 }
--- a/crates/direct/tests/all/adapters.rs
+++ b/crates/direct/tests/all/adapters.rs
@@ -3,16 +3,16 @@
 use crate::support::{at, cases, engine, name};
 use base::prelude::*;
 use direct::{
-    ADAPTER_TURN_MS, AdapterChoice, AdapterName, AdapterSpot, AdapterSpread, Engine,
-    Load,
+    ADAPTER_MIN_RESIDENCE_MS, AdapterName, AdapterPlanner, DemandEstimate, EngineSpec,
+    PlannedAdapterLoad, UpstreamAdapterState,
 };
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 /// Time at which all adapters of these tests have had their turn.
-const NOW_MS: u64 = 10 * ADAPTER_TURN_MS;
+const NOW_MS: u64 = 10 * ADAPTER_MIN_RESIDENCE_MS;
 
-fn with_adapters(count: usize) -> Engine {
+fn with_adapters(count: usize) -> EngineSpec {
     let mut engine = engine(&["a", "b", "c"]);
     for spec in engine.models.values_mut() {
         spec.adapters = (0..count)
@@ -22,18 +22,22 @@
     engine
 }
 
-fn spot(id: &str, free_places: u32, models: &[(&str, &[&str])]) -> AdapterSpot {
+fn spot(
+    id: &str,
+    free_places: u32,
+    models: &[(&str, &[&str])],
+) -> UpstreamAdapterState {
     let held = |adapters: &[&str]| -> BTreeMap<Arc<str>, Instant> {
         adapters
             .iter()
             .map(|adapter| (name(adapter), at(0)))
             .collect()
     };
-    AdapterSpot {
+    UpstreamAdapterState {
         upstream: name(id),
-        takes_orders: true,
-        takes_ahead: true,
-        free_places,
+        accepts_orders: true,
+        accepts_prefetch: true,
+        free_slots: free_places,
         free_mb: 5.0,
         running: 0,
         models: models
@@ -43,10 +47,10 @@
     }
 }
 
-fn demand(of: &[(&str, f64)]) -> BTreeMap<Arc<str>, Load> {
-    let load = |ms: f64| Load {
-        newest_ms_per_s: ms,
-        lasting_ms_per_s: ms,
+fn demand(of: &[(&str, f64)]) -> BTreeMap<Arc<str>, DemandEstimate> {
+    let load = |ms: f64| DemandEstimate {
+        recent_ms_per_s: ms,
+        sustained_ms_per_s: ms,
         waiting: 0,
         oldest_wait_ms: 0,
         request_ms: 0.0,
@@ -65,12 +69,12 @@
 
 /// Carries choices out, until none is left; how many there were.
 fn settle(
-    engine: &Engine,
-    spots: &mut [AdapterSpot],
-    loads: &BTreeMap<Arc<str>, Load>,
+    engine: &EngineSpec,
+    spots: &mut [UpstreamAdapterState],
+    loads: &BTreeMap<Arc<str>, DemandEstimate>,
 ) -> usize {
     for round in 0..200 {
-        let choices = AdapterSpread::new(at(NOW_MS), engine, spots, loads).ahead();
+        let choices = AdapterPlanner::new(at(NOW_MS), engine, spots, loads).prefetch();
         if choices.is_empty() {
             return round;
         }
@@ -81,7 +85,7 @@
     panic!("adapters change places for ever: {spots:?}");
 }
 
-fn carry_out(spots: &mut [AdapterSpot], choice: &AdapterChoice) {
+fn carry_out(spots: &mut [UpstreamAdapterState], choice: &PlannedAdapterLoad) {
     let mut all = spots.iter_mut();
     let spot = all
         .find(|spot| spot.upstream == choice.upstream)
@@ -89,19 +93,19 @@
     if let Some(gone) = &choice.unload {
         let held = spot.models.get_mut(&gone.model).expect("held");
         held.remove(&gone.adapter).expect("held");
-        spot.free_places += 1;
+        spot.free_slots += 1;
         return;
     }
-    assert!(spot.free_places > 0, "{choice:?}");
+    assert!(spot.free_slots > 0, "{choice:?}");
     let held = spot
         .models
         .get_mut(&choice.load.model)
         .expect("its model is there");
     assert_eq!(held.insert(Arc::clone(&choice.load.adapter), at(0)), None);
-    spot.free_places -= 1;
+    spot.free_slots -= 1;
 }
 
-fn copies(spots: &[AdapterSpot], of: &AdapterName) -> usize {
+fn copies(spots: &[UpstreamAdapterState], of: &AdapterName) -> usize {
     let held = spots.iter().filter_map(|spot| spot.models.get(&of.model));
     held.filter(|adapters| adapters.contains_key(&of.adapter))
         .count()
@@ -112,7 +116,7 @@
 #[test]
 fn each_adapter_is_held_somewhere_where_there_are_places_for_all() {
     let engine = with_adapters(4);
-    let mut spots: Vec<AdapterSpot> = (0..4)
+    let mut spots: Vec<UpstreamAdapterState> = (0..4)
         .map(|id| spot(&id.to_string(), 4, &[("a", &[]), ("b", &[]), ("c", &[])]))
         .collect();
     settle(&engine, &mut spots, &demand(&[("a", 900.0)]));
@@ -151,17 +155,20 @@
         spot("2", 0, &[("a", &[]), ("b", &["x0"])]),
     ];
     let wanted = adapter("a", "x1");
-    let choice = AdapterSpread::new(at(NOW_MS), &engine, &full, &loads).wanted(&wanted);
+    let choice =
+        AdapterPlanner::new(at(NOW_MS), &engine, &full, &loads).load_requested(&wanted);
     let choice = choice.expect("one can go");
     assert_eq!(
         (&*choice.upstream, choice.unload),
         ("2", Some(adapter("b", "x0")))
     );
-    let early = AdapterSpread::new(at(ADAPTER_TURN_MS - 1), &engine, &full, &loads)
-        .wanted(&wanted);
+    let early =
+        AdapterPlanner::new(at(ADAPTER_MIN_RESIDENCE_MS - 1), &engine, &full, &loads)
+            .load_requested(&wanted);
     assert_eq!(early, None, "their turns are not over");
     let free = [full[0].clone(), spot("2", 1, &[("a", &[]), ("b", &["x0"])])];
-    let choice = AdapterSpread::new(at(NOW_MS), &engine, &free, &loads).wanted(&wanted);
+    let choice =
+        AdapterPlanner::new(at(NOW_MS), &engine, &free, &loads).load_requested(&wanted);
     assert_eq!(choice.expect("there is room").unload, None);
 }
 
@@ -172,12 +179,16 @@
     let engine = with_adapters(4);
     let spots = [spot("1", 2, &[("a", &[])]), spot("2", 2, &[("a", &[])])];
     let loads = demand(&[]);
-    let mut spread = AdapterSpread::new(at(NOW_MS), &engine, &spots, &loads);
-    let first = spread.wanted(&adapter("a", "x0")).expect("there is room");
-    let second = spread.wanted(&adapter("a", "x1")).expect("there is room");
+    let mut spread = AdapterPlanner::new(at(NOW_MS), &engine, &spots, &loads);
+    let first = spread
+        .load_requested(&adapter("a", "x0"))
+        .expect("there is room");
+    let second = spread
+        .load_requested(&adapter("a", "x1"))
+        .expect("there is room");
     assert_ne!(first.upstream, second.upstream);
-    assert_eq!(spread.wanted(&adapter("a", "x2")), None);
-    assert_eq!(spread.ahead(), []);
+    assert_eq!(spread.load_requested(&adapter("a", "x2")), None);
+    assert_eq!(spread.prefetch(), []);
 }
 
 /// Memory that the next model needs is not given to adapters that nobody waits for.
@@ -188,11 +199,11 @@
     spots[0].free_mb = 70.5;
     let loads = demand(&[]);
     assert_eq!(
-        AdapterSpread::new(at(NOW_MS), &engine, &spots, &loads).ahead(),
+        AdapterPlanner::new(at(NOW_MS), &engine, &spots, &loads).prefetch(),
         []
     );
     spots[0].free_mb = 71.0;
-    let chosen = AdapterSpread::new(at(NOW_MS), &engine, &spots, &loads).ahead();
+    let chosen = AdapterPlanner::new(at(NOW_MS), &engine, &spots, &loads).prefetch();
     assert_eq!(chosen.len(), 1);
 }
 
@@ -202,7 +213,7 @@
 #[test]
 fn copies_follow_the_demand_and_not_the_places() {
     let engine = with_adapters(8);
-    let spots_of = |count: usize| -> Vec<AdapterSpot> {
+    let spots_of = |count: usize| -> Vec<UpstreamAdapterState> {
         let all = (0..count)
             .map(|id| spot(&id.to_string(), 8, &[("a", &[]), ("b", &[]), ("c", &[])]));
         all.collect()
--- a/crates/direct/tests/all/admit.rs
+++ b/crates/direct/tests/all/admit.rs
@@ -1,17 +1,17 @@
 //! Whether a request joins those that wait.
 
 use crate::support::{at, name};
-use direct::{Admission, Readings, admit};
+use direct::{AdmissionInput, MeanPrefillTimes, admit};
 
-fn admission(now_ms: u64, queue_ms: u64) -> Admission {
-    Admission {
+fn admission(now_ms: u64, queue_ms: u64) -> AdmissionInput {
+    AdmissionInput {
         now: at(now_ms),
-        arrived: at(0),
-        aim_ms: 800,
-        first_by: at(3_200),
+        arrived_at: at(0),
+        target_latency_ms: 800,
+        first_answer_deadline: at(3_200),
         queue_ms,
-        reading_ms: 0,
-        mean_reading_ms: 0,
+        prefill_ms: 0,
+        mean_prefill_ms: 0,
         at_engine: true,
     }
 }
@@ -33,7 +33,7 @@
 
 #[test]
 fn a_plain_service_is_asked_while_its_answer_is_of_use() {
-    let plain = Admission {
+    let plain = AdmissionInput {
         at_engine: false,
         ..admission(0, 3_000)
     };
@@ -50,12 +50,12 @@
     let (mut free_at_ms, mut served, mut in_time) = (0_u64, 0, 0);
     for arrived_ms in (0..20_000).step_by(EVERY_MS as usize) {
         let done_ms = free_at_ms.max(arrived_ms) + READ_MS;
-        let admission = Admission {
+        let admission = AdmissionInput {
             now: at(arrived_ms),
-            arrived: at(arrived_ms),
-            first_by: at(arrived_ms + 3_200),
-            reading_ms: READ_MS,
-            mean_reading_ms: READ_MS,
+            arrived_at: at(arrived_ms),
+            first_answer_deadline: at(arrived_ms + 3_200),
+            prefill_ms: READ_MS,
+            mean_prefill_ms: READ_MS,
             ..admission(0, done_ms - arrived_ms - READ_MS)
         };
         if admit(&admission).is_ok() {
@@ -76,7 +76,7 @@
 fn long_prompts_are_admitted_as_often_as_short_ones() {
     const SHORT_MS: u64 = 160;
     const LONG_MS: u64 = 480;
-    let (mut free_at_ms, mut readings) = (0_u64, Readings::new());
+    let (mut free_at_ms, mut readings) = (0_u64, MeanPrefillTimes::new());
     let (mut asked, mut served) = ([0_u32; 2], [0_u32; 2]);
     let (mut arrived_ms, mut random) = (0, 7_u64);
     for _ in 0..2_000 {
@@ -87,13 +87,13 @@
         let reading_ms = if long { LONG_MS } else { SHORT_MS };
         let mean_ms = readings.observe(&name("summary"), reading_ms as f64);
         let queue_ms = free_at_ms.saturating_sub(arrived_ms);
-        let admission = Admission {
+        let admission = AdmissionInput {
             now: at(arrived_ms),
-            arrived: at(arrived_ms),
-            first_by: at(arrived_ms + 3_200),
+            arrived_at: at(arrived_ms),
+            first_answer_deadline: at(arrived_ms + 3_200),
             queue_ms,
-            reading_ms,
-            mean_reading_ms: mean_ms as u64,
+            prefill_ms: reading_ms,
+            mean_prefill_ms: mean_ms as u64,
             ..admission(0, 0)
         };
         asked[usize::from(long)] += 1;
@@ -112,13 +112,13 @@
 /// time that it comes again.
 #[test]
 fn a_long_prompt_is_sent_to_an_idle_engine() {
-    let long = Admission {
-        reading_ms: 900,
-        mean_reading_ms: 900,
+    let long = AdmissionInput {
+        prefill_ms: 900,
+        mean_prefill_ms: 900,
         ..admission(0, 0)
     };
     assert_eq!(admit(&long), Ok(()));
-    let behind_others = Admission {
+    let behind_others = AdmissionInput {
         queue_ms: 400,
         ..long
     };
@@ -128,8 +128,8 @@
 /// One that can't begin before its caller leaves is refused at once.
 #[test]
 fn a_prompt_that_is_read_too_late_for_its_caller_is_refused() {
-    let useless = Admission {
-        reading_ms: 3_300,
+    let useless = AdmissionInput {
+        prefill_ms: 3_300,
         ..admission(0, 0)
     };
     assert_eq!(admit(&useless), Err(100));
@@ -138,7 +138,7 @@
 /// A route leaves the configuration, and its prompts are forgotten with it.
 #[test]
 fn the_mean_prompt_follows_its_route_and_ends_with_it() {
-    let mut readings = Readings::new();
+    let mut readings = MeanPrefillTimes::new();
     for _ in 0..200 {
         readings.observe(&name("a"), 100.0);
         readings.observe(&name("b"), 900.0);
--- a/crates/direct/tests/all/again.rs
+++ b/crates/direct/tests/all/again.rs
@@ -1,6 +1,6 @@
 //! What may follow a try, over every kind of request and every outcome.
 
-use direct::{Next, Outcome, RouteKind, Tried, after};
+use direct::{AttemptHistory, AttemptOutcome, RetryDecision, RouteKind, decide_retry};
 
 const KINDS: [RouteKind; 4] = [
     RouteKind::Idempotent,
@@ -8,15 +8,15 @@
     RouteKind::ResumableStream,
     RouteKind::Stream,
 ];
-const OUTCOMES: [Outcome; 4] = [
-    Outcome::NotSent,
-    Outcome::Refused,
-    Outcome::Unknown,
-    Outcome::Failed,
+const OUTCOMES: [AttemptOutcome; 4] = [
+    AttemptOutcome::NotSent,
+    AttemptOutcome::Refused,
+    AttemptOutcome::Unknown,
+    AttemptOutcome::Failed,
 ];
 
-fn tried(upstreams: u32, may_have_run: bool) -> Tried {
-    Tried {
+fn tried(upstreams: u32, may_have_run: bool) -> AttemptHistory {
+    AttemptHistory {
         upstreams,
         upstreams_max: 2,
         may_have_run,
@@ -31,13 +31,24 @@
     for kind in [RouteKind::NonIdempotent, RouteKind::Stream] {
         for outcome in OUTCOMES {
             for before in [false, true] {
-                let next = after(kind, tried(1, before), outcome);
-                let ran =
-                    before || matches!(outcome, Outcome::Unknown | Outcome::Failed);
+                let next = decide_retry(kind, tried(1, before), outcome);
+                let ran = before
+                    || matches!(
+                        outcome,
+                        AttemptOutcome::Unknown | AttemptOutcome::Failed
+                    );
                 if ran {
-                    assert_eq!(next, Next::EndMayHaveRun, "{kind:?} {outcome:?}");
+                    assert_eq!(
+                        next,
+                        RetryDecision::FailMayHaveRun,
+                        "{kind:?} {outcome:?}"
+                    );
                 } else {
-                    assert_ne!(next, Next::EndMayHaveRun, "{kind:?} {outcome:?}");
+                    assert_ne!(
+                        next,
+                        RetryDecision::FailMayHaveRun,
+                        "{kind:?} {outcome:?}"
+                    );
                 }
             }
         }
@@ -51,10 +62,10 @@
     for kind in KINDS {
         for outcome in OUTCOMES {
             for before in [false, true] {
-                let next = after(kind, tried(2, before), outcome);
-                if next == Next::EndNotRun {
+                let next = decide_retry(kind, tried(2, before), outcome);
+                if next == RetryDecision::FailNotRun {
                     assert!(!before, "{kind:?} {outcome:?}");
-                    assert_eq!(outcome, Outcome::Refused);
+                    assert_eq!(outcome, AttemptOutcome::Refused);
                 }
             }
         }
@@ -64,10 +75,13 @@
 #[test]
 fn a_refused_request_goes_to_another_upstream_while_it_may() {
     for kind in KINDS {
-        assert_eq!(after(kind, tried(1, false), Outcome::Refused), Next::Repeat);
         assert_eq!(
-            after(kind, tried(2, false), Outcome::Refused),
-            Next::EndNotRun
+            decide_retry(kind, tried(1, false), AttemptOutcome::Refused),
+            RetryDecision::Retry
+        );
+        assert_eq!(
+            decide_retry(kind, tried(2, false), AttemptOutcome::Refused),
+            RetryDecision::FailNotRun
         );
     }
 }
@@ -75,17 +89,29 @@
 #[test]
 fn a_request_that_never_left_is_no_repeat() {
     for kind in KINDS {
-        assert_eq!(after(kind, tried(0, false), Outcome::NotSent), Next::Other);
-        assert_eq!(after(kind, tried(2, false), Outcome::NotSent), Next::Other);
+        assert_eq!(
+            decide_retry(kind, tried(0, false), AttemptOutcome::NotSent),
+            RetryDecision::Resend
+        );
+        assert_eq!(
+            decide_retry(kind, tried(2, false), AttemptOutcome::NotSent),
+            RetryDecision::Resend
+        );
     }
 }
 
 #[test]
 fn what_may_run_again_is_repeated_up_to_its_upstreams() {
     for kind in [RouteKind::Idempotent, RouteKind::ResumableStream] {
-        for outcome in [Outcome::Unknown, Outcome::Failed] {
-            assert_eq!(after(kind, tried(1, false), outcome), Next::Repeat);
-            assert_eq!(after(kind, tried(2, false), outcome), Next::EndMayHaveRun);
+        for outcome in [AttemptOutcome::Unknown, AttemptOutcome::Failed] {
+            assert_eq!(
+                decide_retry(kind, tried(1, false), outcome),
+                RetryDecision::Retry
+            );
+            assert_eq!(
+                decide_retry(kind, tried(2, false), outcome),
+                RetryDecision::FailMayHaveRun
+            );
         }
     }
 }
--- a/crates/direct/tests/all/fleet.rs
+++ b/crates/direct/tests/all/fleet.rs
@@ -1,7 +1,7 @@
 //! What an entry knows of upstreams.
 
 use crate::support::{at, name, news, resident, start};
-use direct::{Fleet, ReadingQueue, Usage};
+use direct::{Fleet, PrefillQueue, Usage};
 
 fn usable(fleet: &Fleet, ms: u64, id: &str) -> bool {
     fleet
@@ -12,7 +12,7 @@
 fn fleet(ids: &[&str]) -> Fleet {
     let mut fleet = Fleet::new();
     let listed = ids.iter().map(|id| (5, news(id, &["a"])));
-    fleet.list(at(0), 5, listed.collect());
+    fleet.apply_list(at(0), 5, listed.collect());
     fleet
 }
 
@@ -21,11 +21,11 @@
     let mut fleet = fleet(&["1", "2"]);
     let mut leaving = news("1", &["a"]);
     leaving.leaving = true;
-    fleet.put(6, leaving);
+    fleet.apply_update(6, leaving);
     assert!(!usable(&fleet, 1, "1"));
     // An old list, and one that is newer but says otherwise.
-    fleet.put(4, news("1", &["a"]));
-    fleet.put(9, news("1", &["a"]));
+    fleet.apply_update(4, news("1", &["a"]));
+    fleet.apply_update(9, news("1", &["a"]));
     assert!(!usable(&fleet, 1, "1"));
     assert!(usable(&fleet, 1, "2"));
 }
@@ -33,8 +33,8 @@
 #[test]
 fn older_news_changes_nothing() {
     let mut fleet = fleet(&["1"]);
-    fleet.put(9, news("1", &["b"]));
-    fleet.put(8, news("1", &["a"]));
+    fleet.apply_update(9, news("1", &["b"]));
+    fleet.apply_update(8, news("1", &["a"]));
     let upstream = fleet.get("1").expect("it is known");
     assert!(upstream.holds(at(0), "b", None) && !upstream.holds(at(0), "a", None));
 }
@@ -44,7 +44,7 @@
     let mut fleet = fleet(&["1", "2"]);
     fleet.remove(at(10), "1", 6);
     assert!(!usable(&fleet, 10, "1"));
-    fleet.list(at(20), 8, vec![(5, news("1", &["a"]))]);
+    fleet.apply_list(at(20), 8, vec![(5, news("1", &["a"]))]);
     assert!(!usable(&fleet, 20, "1"), "an older list");
     assert!(!usable(&fleet, 20, "2"));
 }
@@ -57,15 +57,15 @@
     let mut fleet = fleet(&["1"]);
     fleet.remove(at(10), "1", 6);
     assert!(!usable(&fleet, 10, "1"));
-    fleet.put(9, news("1", &["a"]));
+    fleet.apply_update(9, news("1", &["a"]));
     assert!(usable(&fleet, 20, "1"));
-    fleet.heard_leaving(start("1"), 6, true);
+    fleet.peer_reported_leaving(start("1"), 6, true);
     assert!(usable(&fleet, 20, "1"));
-    fleet.heard_leaving(start("1"), 10, true);
+    fleet.peer_reported_leaving(start("1"), 10, true);
     assert!(!usable(&fleet, 20, "1"));
-    fleet.put(12, news("1", &["a"]));
+    fleet.apply_update(12, news("1", &["a"]));
     assert!(usable(&fleet, 30, "1"));
-    fleet.heard_leaving(start("1"), 3, false);
+    fleet.peer_reported_leaving(start("1"), 3, false);
     assert!(!usable(&fleet, 30, "1"), "it said itself that it leaves");
 }
 
@@ -76,14 +76,14 @@
 fn entries_that_lapsed_while_the_platform_was_away_stay_in_use_for_a_while() {
     let mut fleet = fleet(&["1", "2"]);
     fleet.platform_returned(at(10_000));
-    fleet.list(at(10_000), 7, Vec::new());
+    fleet.apply_list(at(10_000), 7, Vec::new());
     assert!(usable(&fleet, 10_000, "1"));
     assert!(usable(&fleet, 10_900, "2"));
     assert!(
         !usable(&fleet, 11_100, "2"),
         "it may have left at that moment"
     );
-    fleet.put(8, news("1", &["a"]));
+    fleet.apply_update(8, news("1", &["a"]));
     assert!(usable(&fleet, 13_000, "1"));
     assert!(!usable(&fleet, 13_000, "2"), "still missing: gone");
 }
@@ -91,7 +91,7 @@
 #[test]
 fn the_giver_of_orders_is_believed_until_it_falls_silent() {
     let mut fleet = fleet(&["1"]);
-    fleet.said(
+    fleet.set_coordinator_holdings(
         at(0),
         start("1"),
         vec![resident("b", &["x"])],
@@ -103,10 +103,10 @@
     };
     assert!(holds(&fleet, 100, "b", Some("x")));
     assert!(!holds(&fleet, 100, "a", None));
-    assert_eq!(fleet.ready_at(at(100), "oracle", "c"), Some(at(900)));
+    assert_eq!(fleet.model_ready_at(at(100), "oracle", "c"), Some(at(900)));
     assert!(holds(&fleet, 5_000, "a", None));
     assert!(!holds(&fleet, 5_000, "b", None));
-    assert_eq!(fleet.ready_at(at(5_000), "oracle", "c"), None);
+    assert_eq!(fleet.model_ready_at(at(5_000), "oracle", "c"), None);
 }
 
 /// With many entries, the giver of orders tells of each upstream every few seconds and
@@ -120,32 +120,47 @@
         let upstream = fleet.get("1").expect("it is known");
         upstream.holds(at(ms), model, None)
     };
-    fleet.giver_heard(at(0), 4);
-    fleet.said(at(0), start("1"), vec![resident("b", &[])], Vec::new());
+    fleet.coordinator_heard(at(0), 4);
+    fleet.set_coordinator_holdings(
+        at(0),
+        start("1"),
+        vec![resident("b", &[])],
+        Vec::new(),
+    );
     for ms in (300..6_000).step_by(300) {
-        fleet.giver_heard(at(ms), 4);
+        fleet.coordinator_heard(at(ms), 4);
         assert!(holds(&fleet, ms + 1_200, "b"), "{ms}");
     }
     // A giver that was followed by another one says nothing that counts, and what it
     // said counts no longer than its silence.
     for ms in (6_000..7_500).step_by(300) {
-        fleet.giver_heard(at(ms), 5);
-        fleet.giver_heard(at(ms), 4);
+        fleet.coordinator_heard(at(ms), 5);
+        fleet.coordinator_heard(at(ms), 4);
     }
     assert!(holds(&fleet, 7_500, "a") && !holds(&fleet, 7_500, "b"));
     // Nor does an earlier giver that goes on talking keep a later one's word alive.
-    fleet.said(at(7_500), start("1"), vec![resident("c", &[])], Vec::new());
+    fleet.set_coordinator_holdings(
+        at(7_500),
+        start("1"),
+        vec![resident("c", &[])],
+        Vec::new(),
+    );
     for ms in (7_600..9_400).step_by(300) {
-        fleet.giver_heard(at(ms), 4);
+        fleet.coordinator_heard(at(ms), 4);
     }
     assert!(holds(&fleet, 9_400, "a") && !holds(&fleet, 9_400, "c"));
-    fleet.giver_heard(at(7_500), 5);
-    fleet.said(at(7_500), start("1"), vec![resident("c", &[])], Vec::new());
-    fleet.giver_heard(at(9_000), 5);
+    fleet.coordinator_heard(at(7_500), 5);
+    fleet.set_coordinator_holdings(
+        at(7_500),
+        start("1"),
+        vec![resident("c", &[])],
+        Vec::new(),
+    );
+    fleet.coordinator_heard(at(9_000), 5);
     assert!(holds(&fleet, 10_400, "c"));
     // It tells of others and not of this one: it knows nothing of it any more.
     for ms in (9_000..21_000).step_by(300) {
-        fleet.giver_heard(at(ms), 5);
+        fleet.coordinator_heard(at(ms), 5);
     }
     assert!(holds(&fleet, 21_100, "a"));
 }
@@ -155,19 +170,19 @@
 #[test]
 fn upstreams_that_left_are_told_of_for_a_while() {
     let mut fleet = fleet(&["1", "2", "3"]);
-    fleet.sweep(at(1_000));
+    fleet.forget_gone(at(1_000));
     fleet.remove(at(1_500), "1", 6);
     let mut leaving = news("2", &["a"]);
     leaving.leaving = true;
-    fleet.put(7, leaving);
+    fleet.apply_update(7, leaving);
     let told = |fleet: &Fleet, ms| {
-        let leaving = fleet.leaving(at(ms));
+        let leaving = fleet.leaving_upstreams(at(ms));
         let leaving = leaving.map(|(upstream, version, vanished)| {
-            (upstream.news.id.to_string(), version, vanished)
+            (upstream.record.id.to_string(), version, vanished)
         });
         leaving.collect::<Vec<_>>()
     };
-    fleet.sweep(at(2_000));
+    fleet.forget_gone(at(2_000));
     let both = [("1".to_owned(), 6, true), ("2".to_owned(), 7, false)];
     assert_eq!(told(&fleet, 2_000), both);
     assert_eq!(told(&fleet, 8_900), both);
@@ -184,10 +199,10 @@
     assert!(fleet.note_leaving(start("1")));
     assert!(!fleet.note_leaving(start("1")), "told of once");
     for ms in (0..150_000).step_by(1_000) {
-        fleet.sweep(at(ms));
+        fleet.forget_gone(at(ms));
         assert!(!usable(&fleet, ms, "1"), "{ms}");
     }
-    fleet.list(
+    fleet.apply_list(
         at(150_000),
         9,
         ["1", "2"].map(|id| (9, news(id, &["a"]))).to_vec(),
@@ -203,14 +218,14 @@
     let mut fleet = fleet(&["1", "2"]);
     fleet.note_leaving(start("1"));
     fleet.note_leaving(start("2"));
-    fleet.sweep(at(30_000));
-    assert_eq!(fleet.leaving(at(30_000)).count(), 2);
+    fleet.forget_gone(at(30_000));
+    assert_eq!(fleet.leaving_upstreams(at(30_000)).count(), 2);
     let mut listed = news("1", &["a"]);
     listed.leaving = true;
-    fleet.put(9, listed);
+    fleet.apply_update(9, listed);
     fleet.remove(at(30_000), "2", 10);
-    assert_eq!(fleet.leaving(at(30_000)).count(), 0);
-    fleet.sweep(at(100_000));
+    assert_eq!(fleet.leaving_upstreams(at(30_000)).count(), 0);
+    fleet.forget_gone(at(100_000));
     assert!(fleet.get("1").is_none() && fleet.get("2").is_none());
 }
 
@@ -218,7 +233,7 @@
 fn an_upstreams_own_word_goes_before_late_news_for_a_moment() {
     let mut fleet = fleet(&["1"]);
     let upstream = fleet.get_mut("1").expect("it is known");
-    upstream.deny(at(0), &name("a"), None);
+    upstream.note_not_held(at(0), &name("a"), None);
     assert!(!upstream.holds(at(100), "a", None));
     assert!(upstream.holds(at(400), "a", None));
 }
@@ -228,16 +243,19 @@
     let mut fleet = fleet(&["1"]);
     let used = Usage {
         running: 2,
-        reading: ReadingQueue::of(0, 10),
-        kept_tokens: 100,
+        prefill: PrefillQueue::single(0, 10),
+        kv_tokens: 100,
     };
-    fleet.peer_usage(at(0), "p", [(start("1"), used)].into_iter());
-    fleet.peer_usage(at(0), "q", [(start("1"), used)].into_iter());
-    fleet.get_mut("1").expect("known").sent(at(0), &used);
+    fleet.set_peer_usage(at(0), "p", [(start("1"), used)].into_iter());
+    fleet.set_peer_usage(at(0), "q", [(start("1"), used)].into_iter());
+    fleet
+        .get_mut("1")
+        .expect("known")
+        .request_sent(at(0), &used);
     let running =
         |fleet: &Fleet, ms| fleet.get("1").expect("known").usage(at(ms)).running;
     assert_eq!(running(&fleet, 100), 6);
-    fleet.peer_usage(at(200), "p", std::iter::empty());
+    fleet.set_peer_usage(at(200), "p", std::iter::empty());
     assert_eq!(running(&fleet, 200), 4);
     assert_eq!(running(&fleet, 10_000), 2);
 }
@@ -250,22 +268,22 @@
         running: 1,
         ..Usage::default()
     };
-    assert!(!upstream.is_suspected(at(5_000)), "it has no work");
-    upstream.sent(at(5_000), &used);
-    assert!(!upstream.is_suspected(at(5_500)));
-    assert!(upstream.is_suspected(at(6_000)));
-    upstream.heard(at(6_000));
-    assert!(!upstream.is_suspected(at(6_500)));
+    assert!(!upstream.is_avoided(at(5_000)), "it has no work");
+    upstream.request_sent(at(5_000), &used);
+    assert!(!upstream.is_avoided(at(5_500)));
+    assert!(upstream.is_avoided(at(6_000)));
+    upstream.bytes_received(at(6_000));
+    assert!(!upstream.is_avoided(at(6_500)));
 }
 
 #[test]
 fn gone_upstreams_are_forgotten_only_after_a_while() {
     let mut fleet = fleet(&["1"]);
-    fleet.sweep(at(0));
+    fleet.forget_gone(at(0));
     fleet.remove(at(10), "1", 6);
-    fleet.sweep(at(1_000));
+    fleet.forget_gone(at(1_000));
     assert!(fleet.get("1").is_some());
-    fleet.sweep(at(90_000));
+    fleet.forget_gone(at(90_000));
     assert!(fleet.get("1").is_none());
 }
 
@@ -275,15 +293,15 @@
 #[test]
 fn an_entry_that_cant_be_read_names_no_upstream_until_a_newer_one_can() {
     let mut fleet = fleet(&["1", "2"]);
-    assert!(fleet.unreadable("1", 7));
+    assert!(fleet.mark_unreadable("1", 7));
     assert!(!usable(&fleet, 1, "1") && usable(&fleet, 1, "2"));
-    fleet.put(6, news("1", &["a"]));
+    fleet.apply_update(6, news("1", &["a"]));
     assert!(!usable(&fleet, 1, "1"), "an older entry");
-    fleet.put(8, news("1", &["a"]));
+    fleet.apply_update(8, news("1", &["a"]));
     assert!(usable(&fleet, 1, "1"));
-    fleet.unreadable("1", 7);
+    fleet.mark_unreadable("1", 7);
     assert!(usable(&fleet, 1, "1"), "older news of it");
-    assert!(!fleet.unreadable("3", 9), "it was never known");
+    assert!(!fleet.mark_unreadable("3", 9), "it was never known");
     assert!(!usable(&fleet, 1, "3"));
 }
 
@@ -294,11 +312,11 @@
 fn an_entry_that_cant_be_read_has_not_lapsed_in_an_outage() {
     let mut fleet = fleet(&["1", "2"]);
     fleet.platform_returned(at(100));
-    fleet.list(at(100), 9, vec![(5, news("2", &["a"]))]);
+    fleet.apply_list(at(100), 9, vec![(5, news("2", &["a"]))]);
     assert!(usable(&fleet, 100, "1"), "it may have lapsed");
-    fleet.unreadable("1", 8);
+    fleet.mark_unreadable("1", 8);
     assert!(!usable(&fleet, 100, "1"));
-    fleet.list(at(150), 10, vec![(5, news("2", &["a"]))]);
+    fleet.apply_list(at(150), 10, vec![(5, news("2", &["a"]))]);
     assert!(!usable(&fleet, 150, "1"));
 }
 
@@ -309,9 +327,9 @@
     let mut fleet = fleet(&["1"]);
     let mut leaving = news("1", &["a"]);
     leaving.leaving = true;
-    fleet.put(6, leaving);
-    fleet.unreadable("1", 7);
-    fleet.put(8, news("1", &["a"]));
+    fleet.apply_update(6, leaving);
+    fleet.mark_unreadable("1", 7);
+    fleet.apply_update(8, news("1", &["a"]));
     assert!(!usable(&fleet, 1, "1"));
 }
 
@@ -323,6 +341,6 @@
     let mut fleet = fleet(&["1", "2"]);
     fleet.remove(at(10), "1", 6);
     fleet.platform_returned(at(5_000));
-    fleet.list(at(5_000), 9, vec![(5, news("2", &["a"]))]);
+    fleet.apply_list(at(5_000), 9, vec![(5, news("2", &["a"]))]);
     assert!(!usable(&fleet, 5_000, "1"));
 }
--- a/crates/direct/tests/all/lease.rs
+++ b/crates/direct/tests/all/lease.rs
@@ -3,7 +3,7 @@
 use crate::support::{at, cases, engine};
 use arbtest::arbitrary;
 use base::prelude::*;
-use direct::{Engine, Lease, LeaseRecord, LeaseStep, Moves};
+use direct::{EngineSpec, Lease, LeaseRecord, LeaseStep, LoadPlanner};
 
 const VALID_MS: u64 = 5_000;
 const QUIET_MS: u64 = 3_000;
@@ -47,15 +47,15 @@
 
 /// Carries a step out at once, with answers that arrive.
 fn carry_out(lease: &mut Lease, store: &mut Store, now: Instant, heard: bool) {
-    match lease.step(now, heard) {
+    match lease.next_step(now, heard) {
         LeaseStep::Wait => {}
         LeaseStep::Read => {
             let found = store.record.clone().map(|record| (store.version, record));
-            lease.read(now, found);
+            lease.on_read(now, found);
         }
         LeaseStep::Write { record, version } => match store.write(&record, version) {
-            Some(version) => lease.written(now, version, record),
-            None => lease.unsure(now),
+            Some(version) => lease.on_written(now, version, record),
+            None => lease.on_uncertain(now),
         },
     }
 }
@@ -103,7 +103,7 @@
     let mut store = Store::default();
     let (mut first, mut second) = (lease("one", 1), lease("two", 2));
     run(&mut first, &mut store, 0, 1_000);
-    let (record, version) = first.give_back(at(1_000)).expect("it holds the lease");
+    let (record, version) = first.release(at(1_000)).expect("it holds the lease");
     assert_eq!(first.token(at(1_000)), None);
     store
         .write(&record, Some(version))
@@ -127,17 +127,17 @@
     let renewed = store
         .write(&renewal, Some(version))
         .expect("nobody else wrote");
-    let (record, version) = first.give_back(at(1_000)).expect("it holds the lease");
+    let (record, version) = first.release(at(1_000)).expect("it holds the lease");
     assert_eq!(store.write(&record, Some(version)), None);
-    first.written(at(1_000), renewed, renewal);
-    first.unsure(at(1_010));
+    first.on_written(at(1_000), renewed, renewal);
+    first.on_uncertain(at(1_010));
     assert_eq!(first.token(at(1_020)), None);
-    let (record, version) = first.give_back(at(1_000)).expect("it is still its own");
+    let (record, version) = first.release(at(1_000)).expect("it is still its own");
     let given = store
         .write(&record, Some(version))
         .expect("nobody else wrote");
-    first.written(at(1_030), given, record);
-    assert_eq!(first.give_back(at(1_000)), None);
+    first.on_written(at(1_030), given, record);
+    assert_eq!(first.release(at(1_000)), None);
     run(&mut second, &mut store, 1_100, 1_200 + QUIET_MS + 1_000);
     assert_eq!(second.token(at(1_200 + QUIET_MS + 1_000)), Some(2));
 }
@@ -149,8 +149,8 @@
     let mut store = Store::default();
     let (mut first, mut second) = (lease("one", 1), lease("two", 2));
     run(&mut first, &mut store, 0, 1_000);
-    let renewal = first.renewal_held(at(1_000)).expect("it holds the lease");
-    second.hear(at(1_000), renewed("one", 1, 1, renewal));
+    let renewal = first.held_renewal(at(1_000)).expect("it holds the lease");
+    second.on_holder_message(at(1_000), renewed("one", 1, 1, renewal));
     run(&mut second, &mut store, 3_500, 1_000 + VALID_MS + QUIET_MS);
     assert_eq!(second.token(at(1_000 + VALID_MS + QUIET_MS)), None);
     run(&mut second, &mut store, 9_000, 9_400);
@@ -167,7 +167,7 @@
     let ends_ms = (1..20_000).find(|ms| first.token(at(*ms)).is_none());
     let ends_ms = ends_ms.expect("nobody renews it");
     let late_ms = ends_ms + QUIET_MS - 200;
-    let (record, version) = first.give_back(at(late_ms)).expect("it is its own");
+    let (record, version) = first.release(at(late_ms)).expect("it is its own");
     assert_eq!(record.idle_ms, QUIET_MS - 200);
     store
         .write(&record, Some(version))
@@ -202,11 +202,17 @@
     let mut again = lease("one", 2);
     run(&mut again, &mut store, 1_600, 1_900);
     assert_eq!(again.token(at(1_900)), Some(2));
-    let engine: Engine = engine(&["a"]);
-    let mut moves = Moves::new(WINDOW_MS);
-    moves.assume_spent(again.others_ordered_until(at(1_900), started_at), &engine);
-    assert_eq!(moves.allowance(at(1_500 + WINDOW_MS - 1), &engine), 0);
-    assert!(moves.allowance(at(1_500 + WINDOW_MS), &engine) > 0);
+    let engine: EngineSpec = engine(&["a"]);
+    let mut moves = LoadPlanner::new(WINDOW_MS);
+    moves.assume_window_spent(
+        again.others_ordered_until(at(1_900), started_at),
+        &engine,
+    );
+    assert_eq!(
+        moves.store_loads_left(at(1_500 + WINDOW_MS - 1), &engine),
+        0
+    );
+    assert!(moves.store_loads_left(at(1_500 + WINDOW_MS), &engine) > 0);
 }
 
 /// Another entry's lease ran out long ago and it was quiet since: nothing more is
@@ -226,11 +232,12 @@
     let mut first = lease("one", 1);
     run(&mut first, &mut store, 0, 1_000);
     let lost = (1_000..3_000).step_by(100).find(|ms| {
-        let LeaseStep::Write { record, version } = first.step(at(*ms), false) else {
+        let LeaseStep::Write { record, version } = first.next_step(at(*ms), false)
+        else {
             return false;
         };
         store.write(&record, version);
-        first.unsure(at(*ms));
+        first.on_uncertain(at(*ms));
         true
     });
     let lost = lost.expect("it renews once a second");
@@ -285,7 +292,7 @@
                 let holder = format!("e{}", told.from);
                 let (token, renewal) = told.renewal;
                 let record = renewed(&holder, told.start, token, renewal);
-                leases[told.to].hear(at(ms), record);
+                leases[told.to].on_holder_message(at(ms), record);
                 false
             });
             let mut due = std::mem::take(&mut calls);
@@ -322,7 +329,7 @@
                         }
                     }
                     last = Some((entry, ms, token));
-                    let renewal = leases[entry].renewal_held(at(ms)).expect("it holds");
+                    let renewal = leases[entry].held_renewal(at(ms)).expect("it holds");
                     for to in (0..3).filter(|to| *to != entry) {
                         let takes_ms = random.int_in_range(1..=1_500)?;
                         told.push(Told {
@@ -335,7 +342,7 @@
                     }
                 }
                 if random.ratio(1, 400)?
-                    && let Some((record, version)) = leases[entry].give_back(at(ms))
+                    && let Some((record, version)) = leases[entry].release(at(ms))
                 {
                     let step = LeaseStep::Write {
                         record,
@@ -343,7 +350,7 @@
                     };
                     calls.push(call(random, entry, ms, step)?);
                 }
-                let next = leases[entry].step(at(ms), false);
+                let next = leases[entry].next_step(at(ms), false);
                 if next != LeaseStep::Wait {
                     calls.push(call(random, entry, ms, next)?);
                 }
@@ -380,17 +387,17 @@
         LeaseStep::Wait => {}
         LeaseStep::Read if call.answered => {
             let found = store.record.clone().map(|record| (store.version, record));
-            lease.read(at(ms), found);
+            lease.on_read(at(ms), found);
         }
-        LeaseStep::Read => lease.failed(at(ms)),
+        LeaseStep::Read => lease.on_failed(at(ms)),
         LeaseStep::Write { record, version } => {
             let written = store.write(record, *version);
             match written {
-                _ if !call.answered => lease.unsure(at(ms)),
+                _ if !call.answered => lease.on_uncertain(at(ms)),
                 Some(version) => {
-                    lease.written(at(call.sent_at), version, record.clone());
+                    lease.on_written(at(call.sent_at), version, record.clone());
                 }
-                None => lease.unsure(at(ms)),
+                None => lease.on_uncertain(at(ms)),
             }
         }
     }
--- a/crates/direct/tests/all/liveness.rs
+++ b/crates/direct/tests/all/liveness.rs
@@ -1,26 +1,32 @@
 //! Which upstreams are held silent: dead ones soon, full ones not.
 
 use crate::support::{at, name, news, start};
-use direct::{Activity, Fleet, ReadingQueue, Usage};
+use direct::{Activity, Fleet, PrefillQueue, Usage};
 
 fn fleet() -> Fleet {
     let mut fleet = Fleet::new();
-    fleet.list(at(0), 1, vec![(1, news("1", &["a"]))]);
+    fleet.apply_list(at(0), 1, vec![(1, news("1", &["a"]))]);
     fleet
 }
 
 fn sent(fleet: &mut Fleet, ms: u64, tokens: u64) {
     let used = Usage {
         running: 1,
-        reading: ReadingQueue::of(1, tokens),
+        prefill: PrefillQueue::single(1, tokens),
         ..Usage::default()
     };
-    fleet.get_mut("1").expect("known").sent(at(ms), &used);
+    fleet
+        .get_mut("1")
+        .expect("known")
+        .request_sent(at(ms), &used);
 }
 
 fn tells(fleet: &mut Fleet, ms: u64, peer: &str, begun: u32, silent_ms: u64) {
-    let activity = Activity { begun, silent_ms };
-    fleet.peer_activity(at(ms), peer, [(start("1"), activity)].into_iter());
+    let activity = Activity {
+        answering: begun,
+        silent_ms,
+    };
+    fleet.set_peer_activity(at(ms), peer, [(start("1"), activity)].into_iter());
 }
 
 fn is_silent(fleet: &Fleet, ms: u64) -> bool {
@@ -82,13 +88,13 @@
     let mut fleet = fleet();
     sent(&mut fleet, 0, 2_000);
     let upstream = fleet.get_mut("1").expect("known");
-    upstream.heard(at(100));
-    upstream.begun(&ReadingQueue::of(1, 2_000));
+    upstream.bytes_received(at(100));
+    upstream.first_answer_received(&PrefillQueue::single(1, 2_000));
     tells(&mut fleet, 700, "p", 1, 10);
     assert!(!is_silent(&fleet, 800));
     assert!(is_silent(&fleet, 810));
     let upstream = fleet.get_mut("1").expect("known");
-    upstream.ended(1, 0);
+    upstream.requests_ended(1, 0);
     assert!(!is_silent(&fleet, 900), "it has no work from here");
 }
 
@@ -130,7 +136,7 @@
     assert!(is_silent(&fleet, 1_650), "its word is too old");
     tells(&mut fleet, 1_700, "p", 1, 10);
     assert!(!is_silent(&fleet, 1_750));
-    fleet.peer_activity(at(1_760), "p", std::iter::empty());
+    fleet.set_peer_activity(at(1_760), "p", std::iter::empty());
     assert!(is_silent(&fleet, 1_770));
 }
 
@@ -140,13 +146,13 @@
     let mut fleet = fleet();
     sent(&mut fleet, 0, 0);
     let activity = Activity {
-        begun: 1,
+        answering: 1,
         silent_ms: 10,
     };
-    let other = direct::Start {
+    let other = direct::UpstreamIncarnation {
         id: &name("1"),
-        born_ms: Some(5),
+        started_unix_ms: Some(5),
     };
-    fleet.peer_activity(at(700), "p", [(other, activity)].into_iter());
+    fleet.set_peer_activity(at(700), "p", [(other, activity)].into_iter());
     assert!(is_silent(&fleet, 710));
 }
--- a/crates/direct/tests/all/moves.rs
+++ b/crates/direct/tests/all/moves.rs
@@ -2,47 +2,52 @@
 
 use crate::support::{at, cases, engine, name};
 use base::prelude::*;
-use direct::{Choice, Group, Load, Moves, Reason, Spot};
+use direct::{
+    DemandEstimate, LoadPlanner, LoadReason, PlacedModel, PlannedLoad, UpstreamState,
+};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 const MODELS: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
 
-fn spot(id: &str, models: &[&str]) -> Spot {
-    let groups = models.iter().map(|model| Group {
+fn spot(id: &str, models: &[&str]) -> UpstreamState {
+    let groups = models.iter().map(|model| PlacedModel {
         model: name(model),
         size_mb: 70.0,
         unloading: false,
         since: Instant::ZERO,
     });
-    Spot {
+    UpstreamState {
         upstream: name(id),
         domain: name("east"),
         idle: true,
         free_mb: 215.0 - 70.0 * models.len() as f64,
-        groups: groups.collect(),
-        copies: Vec::new(),
+        models: groups.collect(),
+        local_weights: Vec::new(),
     }
 }
 
-fn load(ms_per_s: f64) -> Load {
-    Load {
-        newest_ms_per_s: ms_per_s,
-        lasting_ms_per_s: ms_per_s,
+fn load(ms_per_s: f64) -> DemandEstimate {
+    DemandEstimate {
+        recent_ms_per_s: ms_per_s,
+        sustained_ms_per_s: ms_per_s,
         waiting: 0,
         oldest_wait_ms: 0,
         request_ms: 0.0,
     }
 }
 
-fn loads(of: &[(&str, f64)]) -> BTreeMap<Arc<str>, Load> {
+fn loads(of: &[(&str, f64)]) -> BTreeMap<Arc<str>, DemandEstimate> {
     of.iter()
         .map(|(model, ms)| (name(model), load(*ms)))
         .collect()
 }
 
-fn plan(spots: &[Spot], loads: &BTreeMap<Arc<str>, Load>) -> Vec<Choice> {
-    Moves::new(5_000).plan(at(0), &engine(&MODELS), spots, loads)
+fn plan(
+    spots: &[UpstreamState],
+    loads: &BTreeMap<Arc<str>, DemandEstimate>,
+) -> Vec<PlannedLoad> {
+    LoadPlanner::new(5_000).plan(at(0), &engine(&MODELS), spots, loads)
 }
 
 #[test]
@@ -55,7 +60,7 @@
     let loads = loads(&[("a", 1_500.0), ("b", 200.0), ("e", 100.0)]);
     let choices = plan(&spots, &loads);
     let first = choices.first().expect("a is worth a copy");
-    assert_eq!((&*first.load, first.reason), ("a", Reason::Busy));
+    assert_eq!((&*first.load, first.reason), ("a", LoadReason::Busy));
     assert!(first.unload.is_some());
     // The last copies of wanted models stay.
     assert!(
@@ -80,7 +85,7 @@
 fn the_last_copy_of_a_wanted_model_goes_for_nobody() {
     let spots = [spot("1", &["a", "b", "c"])];
     let mut loads = loads(&[("a", 100.0), ("b", 100.0), ("c", 100.0)]);
-    let waiting = Load {
+    let waiting = DemandEstimate {
         waiting: 9,
         oldest_wait_ms: 100,
         request_ms: 0.0,
@@ -92,7 +97,7 @@
 
 /// Two upstreams with three places each, where a load takes a second.
 struct Places {
-    spots: [Spot; 2],
+    spots: [UpstreamState; 2],
     busy_until_ms: [u64; 2],
 }
 
@@ -103,7 +108,7 @@
     fn new(all: &[&str]) -> Self {
         let mut spots = [spot("1", &all[..3]), spot("2", &all[3..6])];
         for spot in &mut spots {
-            spot.copies = all.iter().map(|model| name(model)).collect();
+            spot.local_weights = all.iter().map(|model| name(model)).collect();
         }
         Self {
             spots,
@@ -116,23 +121,23 @@
         let mut spots = self.spots.iter().zip(self.busy_until_ms);
         spots.any(|(spot, until_ms)| {
             let loading = usize::from(until_ms > ms);
-            let mut held = spot.groups.iter().rev().skip(loading);
+            let mut held = spot.models.iter().rev().skip(loading);
             held.any(|group| &*group.model == model)
         })
     }
 
-    fn look(&mut self, ms: u64) -> &[Spot] {
+    fn look(&mut self, ms: u64) -> &[UpstreamState] {
         for (spot, until_ms) in self.spots.iter_mut().zip(self.busy_until_ms) {
             spot.idle = until_ms <= ms;
         }
         &self.spots
     }
 
-    fn carry_out(&mut self, ms: u64, choice: &Choice) {
+    fn carry_out(&mut self, ms: u64, choice: &PlannedLoad) {
         let index = usize::from(&*choice.upstream == "2");
-        let groups = &mut self.spots[index].groups;
+        let groups = &mut self.spots[index].models;
         groups.retain(|group| Some(&group.model) != choice.unload.as_ref());
-        groups.push(Group {
+        groups.push(PlacedModel {
             model: Arc::clone(&choice.load),
             size_mb: 70.0,
             unloading: false,
@@ -151,14 +156,14 @@
     const ALL: [&str; 8] = ["a", "b", "c", "d", "e", "f", "g", "h"];
     const TICK_MS: u64 = 150;
     let engine = engine(&ALL);
-    let mut moves = Moves::new(5_000);
+    let mut moves = LoadPlanner::new(5_000);
     let mut places = Places::new(&ALL);
     let mut served_ms: BTreeMap<&str, u64> = BTreeMap::new();
     for ms in (0..60_000).step_by(TICK_MS as usize) {
         let loads = ALL.map(|model| {
             let serves = places.serves(ms, model);
             *served_ms.entry(model).or_default() += TICK_MS * u64::from(serves);
-            let load = Load {
+            let load = DemandEstimate {
                 waiting: u32::from(!serves),
                 oldest_wait_ms: 100,
                 request_ms: 0.0,
@@ -182,7 +187,7 @@
 fn a_model_that_is_waited_for_is_loaded_even_in_place_of_an_unused_last_copy() {
     let spots = [spot("1", &["a", "b", "c"])];
     let mut loads = loads(&[("a", 100.0), ("b", 100.0)]);
-    let waiting = Load {
+    let waiting = DemandEstimate {
         waiting: 1,
         oldest_wait_ms: 100,
         request_ms: 0.0,
@@ -193,7 +198,7 @@
     assert_eq!(choices.len(), 1);
     assert_eq!(&*choices[0].load, "f");
     assert_eq!(choices[0].unload.as_deref(), Some("c"));
-    assert_eq!(choices[0].reason, Reason::Waited);
+    assert_eq!(choices[0].reason, LoadReason::Waited);
 }
 
 #[test]
@@ -213,21 +218,21 @@
 #[test]
 fn loads_from_the_weight_store_stay_within_its_rate() {
     let engine = engine(&MODELS);
-    let mut moves = Moves::new(5_000);
-    let whole = moves.allowance(at(0), &engine);
+    let mut moves = LoadPlanner::new(5_000);
+    let whole = moves.store_loads_left(at(0), &engine);
     assert!((8..=10).contains(&whole));
     for _ in 0..whole {
-        moves.store_load(at(0));
+        moves.record_store_load(at(0));
     }
-    assert_eq!(moves.allowance(at(4_900), &engine), 0);
-    assert_eq!(moves.allowance(at(5_001), &engine), whole);
-    moves.unanswered(at(5_001));
-    assert_eq!(moves.allowance(at(16_000), &engine), whole - 1);
-    assert_eq!(moves.allowance(at(18_000), &engine), whole);
-    let mut next = Moves::new(5_000);
-    next.assume_spent(at(20_000), &engine);
-    assert_eq!(next.allowance(at(21_000), &engine), 0);
-    assert_eq!(next.allowance(at(25_001), &engine), whole);
+    assert_eq!(moves.store_loads_left(at(4_900), &engine), 0);
+    assert_eq!(moves.store_loads_left(at(5_001), &engine), whole);
+    moves.record_unanswered_load(at(5_001));
+    assert_eq!(moves.store_loads_left(at(16_000), &engine), whole - 1);
+    assert_eq!(moves.store_loads_left(at(18_000), &engine), whole);
+    let mut next = LoadPlanner::new(5_000);
+    next.assume_window_spent(at(20_000), &engine);
+    assert_eq!(next.store_loads_left(at(21_000), &engine), 0);
+    assert_eq!(next.store_loads_left(at(25_001), &engine), whole);
 }
 
 /// The platform is away for so long that the giver's lease lapses; it renews it and
@@ -236,25 +241,25 @@
 #[test]
 fn loads_ordered_before_a_pause_count_behind_it() {
     let engine = engine(&MODELS);
-    let mut moves = Moves::new(5_000);
-    let whole = moves.allowance(at(0), &engine);
+    let mut moves = LoadPlanner::new(5_000);
+    let whole = moves.store_loads_left(at(0), &engine);
     for _ in 0..whole {
-        moves.store_load(at(1_000));
+        moves.record_store_load(at(1_000));
     }
-    moves.begin_again();
-    assert_eq!(moves.allowance(at(2_000), &engine), 0);
-    moves.assume_spent(at(500), &engine);
-    assert_eq!(moves.allowance(at(5_900), &engine), 0);
-    assert_eq!(moves.allowance(at(6_001), &engine), whole);
+    moves.resume();
+    assert_eq!(moves.store_loads_left(at(2_000), &engine), 0);
+    moves.assume_window_spent(at(500), &engine);
+    assert_eq!(moves.store_loads_left(at(5_900), &engine), 0);
+    assert_eq!(moves.store_loads_left(at(6_001), &engine), whole);
 }
 
 #[test]
 fn without_an_allowance_only_what_an_upstream_has_itself_is_loaded() {
     let engine = engine(&MODELS);
-    let mut moves = Moves::new(5_000);
-    moves.assume_spent(at(0), &engine);
+    let mut moves = LoadPlanner::new(5_000);
+    moves.assume_window_spent(at(0), &engine);
     let mut with_copy = spot("1", &["a"]);
-    with_copy.copies = vec![name("c")];
+    with_copy.local_weights = vec![name("c")];
     let choices = moves.plan(at(10), &engine, &[with_copy], &loads(&[]));
     assert_eq!(choices.len(), 1);
     assert_eq!(&*choices[0].load, "c");
@@ -281,11 +286,11 @@
 #[test]
 fn loads_that_outlive_a_start_count_as_loads_from_the_store() {
     let engine = engine(&MODELS);
-    let mut moves = Moves::new(5_000);
-    let whole = moves.allowance(at(0), &engine);
-    moves.outlived(at(0), 3);
-    assert_eq!(moves.allowance(at(12_000), &engine), whole - 3);
-    assert_eq!(moves.allowance(at(13_000), &engine), whole);
+    let mut moves = LoadPlanner::new(5_000);
+    let whole = moves.store_loads_left(at(0), &engine);
+    moves.record_surviving_loads(at(0), 3);
+    assert_eq!(moves.store_loads_left(at(12_000), &engine), whole - 3);
+    assert_eq!(moves.store_loads_left(at(13_000), &engine), whole);
 }
 
 /// What an unload costs for each part of an upstream's time that the model took there,
@@ -297,23 +302,32 @@
 /// each copy takes its part of what is expected of its model, and what a displaced copy
 /// is kept for goes to the others.
 fn fall_by_definition(
-    spots: &[Spot],
-    loads: &BTreeMap<Arc<str>, Load>,
-    choice: &Choice,
+    spots: &[UpstreamState],
+    loads: &BTreeMap<Arc<str>, DemandEstimate>,
+    choice: &PlannedLoad,
 ) -> f64 {
     let holders = |model: &Arc<str>| -> Vec<usize> {
-        let holds = |spot: &Spot| spot.groups.iter().any(|group| group.model == *model);
+        let holds = |spot: &UpstreamState| {
+            spot.models.iter().any(|group| group.model == *model)
+        };
         (0..spots.len())
             .filter(|index| holds(&spots[*index]))
             .collect()
     };
     let part = |work_ms: f64, copies: usize| work_ms / 1_000.0 / copies.max(1) as f64;
-    let expected =
-        |model: &Arc<str>| loads.get(model).map_or(0.0, Load::expected_ms_per_s);
-    let kept = |model: &Arc<str>| loads.get(model).map_or(0.0, Load::kept_ms_per_s);
+    let expected = |model: &Arc<str>| {
+        loads
+            .get(model)
+            .map_or(0.0, DemandEstimate::expected_ms_per_s)
+    };
+    let kept = |model: &Arc<str>| {
+        loads
+            .get(model)
+            .map_or(0.0, DemandEstimate::retention_ms_per_s)
+    };
     let mut before = vec![0.0; spots.len()];
     for (index, spot) in spots.iter().enumerate() {
-        for group in &spot.groups {
+        for group in &spot.models {
             let copies = holders(&group.model).len();
             before[index] += part(expected(&group.model), copies);
         }
@@ -368,7 +382,7 @@
         }
         let choices = plan(&spots, &loads);
         let first = choices.first();
-        let Some(first) = first.filter(|first| first.reason == Reason::Busy) else {
+        let Some(first) = first.filter(|first| first.reason == LoadReason::Busy) else {
             return Ok(());
         };
         let fall = fall_by_definition(&spots, &loads, first);
@@ -391,13 +405,13 @@
     for spec in engine.models.values_mut() {
         spec.store_load_ms = 6_000;
     }
-    let spots: Vec<Spot> = MODELS
+    let spots: Vec<UpstreamState> = MODELS
         .iter()
         .map(|model| spot(model, &[*model, "x", "y"]))
         .chain(["7", "8", "9"].map(|free| spot(free, &["x", "y"])))
         .collect();
     let ahead_after = |risen: &str| {
-        let mut moves = Moves::new(5_000);
+        let mut moves = LoadPlanner::new(5_000);
         let shares = [3_600.0, 1_200.0, 1_100.0, 1_000.0, 900.0, 800.0];
         let before: Vec<(&str, f64)> = MODELS.into_iter().zip(shares).collect();
         moves.plan(at(0), &engine, &spots, &loads(&before));
--- a/crates/direct/tests/all/rate.rs
+++ b/crates/direct/tests/all/rate.rs
@@ -1,12 +1,15 @@
 //! Rates that upstreams ask for.
 
 use crate::support::{at, born_news, cases, engine, name, news, start};
-use direct::{Fleet, Pick, RateNotice, Start, Unpicked, pick};
+use direct::{
+    Fleet, RateNotice, SelectionError, SelectionInput, UpstreamIncarnation,
+    select_upstream,
+};
 
 fn fleet() -> Fleet {
     let mut fleet = Fleet::new();
     let listed = ["1", "2"].map(|id| (1, news(id, &["a"])));
-    fleet.list(at(0), 1, listed.to_vec());
+    fleet.apply_list(at(0), 1, listed.to_vec());
     fleet
 }
 
@@ -22,23 +25,23 @@
     fleet.get("1").expect("known").rate_per_s()
 }
 
-fn picked(fleet: &Fleet, ms: u64) -> Result<String, Unpicked> {
+fn picked(fleet: &Fleet, ms: u64) -> Result<String, SelectionError> {
     let engine = engine(&["a"]);
-    let input = Pick {
+    let input = SelectionInput {
         now: at(ms),
         service: "oracle",
         engine: Some(&engine),
         model: Some(("a", None)),
-        parts: &[],
-        rank: 0,
+        prompt_parts: &[],
+        priority: 0,
         prompt_tokens: 100,
-        pace: 1.0,
-        kept_tokens: 200,
+        time_factor: 1.0,
+        kv_tokens: 200,
         excluded: &[name("2")],
         domain: "east",
         random: 42,
     };
-    pick(fleet, &input).map(|picked| picked.id.to_string())
+    select_upstream(fleet, &input).map(|picked| picked.id.to_string())
 }
 
 /// An answer from before the bound was named comes behind the one that names it: taken
@@ -77,8 +80,8 @@
     for now in (2_200..9_000).step_by(100) {
         let heard_ms_ago = now - 100;
         let ago = (now, heard_ms_ago);
-        assert!(!fleet.heard_rate(at(now), start("1"), Some(2.0), ago));
-        fleet.sweep(at(now));
+        assert!(!fleet.peer_reported_rate(at(now), start("1"), Some(2.0), ago));
+        fleet.forget_gone(at(now));
     }
     assert_eq!(rate(&fleet), None);
 }
@@ -87,9 +90,9 @@
 #[test]
 fn another_entry_tells_that_a_bound_has_ended() {
     let mut fleet = fleet();
-    assert!(fleet.heard_rate(at(1_000), start("1"), Some(2.0), (100, 50)));
-    assert!(!fleet.heard_rate(at(1_500), start("1"), None, (300, 100)));
-    assert!(fleet.heard_rate(at(4_000), start("1"), None, (300, 100)));
+    assert!(fleet.peer_reported_rate(at(1_000), start("1"), Some(2.0), (100, 50)));
+    assert!(!fleet.peer_reported_rate(at(1_500), start("1"), None, (300, 100)));
+    assert!(fleet.peer_reported_rate(at(4_000), start("1"), None, (300, 100)));
     assert_eq!(rate(&fleet), None);
 }
 
@@ -98,16 +101,16 @@
 #[test]
 fn the_next_start_has_no_bound() {
     let mut fleet = Fleet::new();
-    fleet.list(at(0), 1, vec![(1, born_news("1", 10, &["a"]))]);
-    let earlier = Start {
+    fleet.apply_list(at(0), 1, vec![(1, born_news("1", 10, &["a"]))]);
+    let earlier = UpstreamIncarnation {
         id: "1",
-        born_ms: Some(10),
+        started_unix_ms: Some(10),
     };
     fleet.note_rate(earlier, notice(Some(1.0), 100, 200));
-    fleet.put(2, born_news("1", 20, &["a"]));
+    fleet.apply_update(2, born_news("1", 20, &["a"]));
     assert_eq!(rate(&fleet), None);
     assert!(!fleet.note_rate(earlier, notice(Some(1.0), 300, 400)));
-    assert!(!fleet.heard_rate(at(500), earlier, Some(1.0), (200, 100)));
+    assert!(!fleet.peer_reported_rate(at(500), earlier, Some(1.0), (200, 100)));
     assert_eq!(rate(&fleet), None);
 }
 
@@ -121,9 +124,9 @@
     fleet
         .get_mut("1")
         .expect("known")
-        .rate_spent_until(at(1_000));
-    assert_eq!(picked(&fleet, 20), Err(Unpicked::RateSpent));
-    let returns = fleet.takes_again_at(at(20), "oracle", Some("a"));
+        .set_rate_spent_until(at(1_000));
+    assert_eq!(picked(&fleet, 20), Err(SelectionError::RateSpent));
+    let returns = fleet.accepts_again_at(at(20), "oracle", Some("a"));
     assert_eq!(returns, Some(at(1_000)));
     assert_eq!(picked(&fleet, 1_000).as_deref(), Ok("1"));
     fleet.note_rate(start("1"), notice(None, 30, 40));
@@ -157,7 +160,7 @@
                 fleet.note_rate(start("1"), notice(per_s, asked, heard));
             } else {
                 let ago = (12_000 - asked, 12_000 - heard);
-                fleet.heard_rate(at(12_000), start("1"), per_s, ago);
+                fleet.peer_reported_rate(at(12_000), start("1"), per_s, ago);
             }
         }
         fleet.note_rate(start("1"), notice(Some(2.0), 11_000, 11_100));
@@ -176,9 +179,9 @@
     fleet.note_rate(start("1"), notice(Some(2.0), 0, 100));
     for now in (200..20_000).step_by(100) {
         fleet.note_rate(start("1"), notice(None, now, now + 50));
-        fleet.sweep(at(now + 50));
+        fleet.forget_gone(at(now + 50));
     }
-    assert_eq!(fleet.rates(at(20_000)).count(), 0);
+    assert_eq!(fleet.rate_notices(at(20_000)).count(), 0);
     assert!(!fleet.note_rate(start("1"), notice(None, 20_000, 20_050)));
 }
 
@@ -190,8 +193,8 @@
     let upstream = fleet.get_mut("1").expect("known");
     upstream.back_off(at(3_000));
     upstream.back_off(at(1_000));
-    assert_eq!(picked(&fleet, 2_999), Err(Unpicked::BackedOff));
-    let again = fleet.takes_again_at(at(20), "oracle", Some("a"));
+    assert_eq!(picked(&fleet, 2_999), Err(SelectionError::BackedOff));
+    let again = fleet.accepts_again_at(at(20), "oracle", Some("a"));
     assert_eq!(again, Some(at(3_000)));
     assert_eq!(picked(&fleet, 3_000).as_deref(), Ok("1"));
 }
@@ -202,10 +205,10 @@
     let mut fleet = fleet();
     fleet.note_rate(start("1"), notice(Some(1.0), 0, 10));
     let upstream = fleet.get_mut("1").expect("known");
-    upstream.rate_spent_until(at(1_000));
+    upstream.set_rate_spent_until(at(1_000));
     upstream.back_off(at(3_000));
-    let again = fleet.takes_again_at(at(20), "oracle", Some("a"));
+    let again = fleet.accepts_again_at(at(20), "oracle", Some("a"));
     assert_eq!(again, Some(at(3_000)));
-    let other = fleet.takes_again_at(at(20), "oracle", Some("b"));
+    let other = fleet.accepts_again_at(at(20), "oracle", Some("b"));
     assert_eq!(other, None);
 }
--- a/crates/direct/tests/all/repeats.rs
+++ b/crates/direct/tests/all/repeats.rs
@@ -1,12 +1,12 @@
 //! The bound on repeats, over several entries.
 
 use crate::support::{at, name};
-use direct::Repeats;
+use direct::RetryBudget;
 
 const WINDOW_MS: u64 = 10_000;
 
-fn grown_up(entries: u32) -> Repeats {
-    let mut repeats = Repeats::new(at(0), 0.2, 40.0, WINDOW_MS);
+fn grown_up(entries: u32) -> RetryBudget {
+    let mut repeats = RetryBudget::new(at(0), 0.2, 40.0, WINDOW_MS);
     repeats.set_entries(entries);
     repeats
 }
@@ -22,7 +22,7 @@
     for _ in 0..4 {
         let mut entry = grown_up(4);
         for ms in (20_000..30_000).step_by(100) {
-            entry.request(at(ms), &service);
+            entry.record_request(at(ms), &service);
             requests += 1;
             for _ in 0..5 {
                 taken += u32::from(entry.try_take(at(ms), &service));
--- a/crates/direct/tests/all/setup.rs
+++ b/crates/direct/tests/all/setup.rs
@@ -1,6 +1,6 @@
 //! Choice of a route and of a service.
 
-use direct::{Limits, Route, RouteKind, Setup, Target};
+use direct::{Limits, Route, RouteKind, Setup, WeightedService};
 use std::collections::BTreeMap;
 
 fn route(name: &str, host: &str, prefix: &str, services: &[(&str, u64)]) -> Route {
@@ -10,14 +10,14 @@
         prefix: prefix.to_owned(),
         targets: services
             .iter()
-            .map(|(service, weight)| Target {
+            .map(|(service, weight)| WeightedService {
                 service: (*service).into(),
                 weight: *weight,
             })
             .collect(),
         kind: RouteKind::Idempotent,
         timeout_ms: 1_000,
-        aim_ms: 100,
+        target_latency_ms: 100,
         priority: 1,
         upstreams_max: 2,
         pause_max_ms: 0,
--- a/crates/direct/tests/all/shared_watch.rs
+++ b/crates/direct/tests/all/shared_watch.rs
@@ -1,20 +1,20 @@
 //! One watch for the entries of a failure domain, and what holds where it fails.
 
 use crate::support::at;
-use direct::{Batch, Changed, SharedWatch, WatchRole};
+use direct::{ChangedObject, SharedWatch, WatchBatch, WatchRole};
 
-fn changed(key: &str, version: u64, bytes: usize) -> Changed {
-    Changed {
+fn changed(key: &str, version: u64, bytes: usize) -> ChangedObject {
+    ChangedObject {
         key: key.to_owned(),
         version,
         value: vec![1; bytes],
     }
 }
 
-fn batch(after: u64, at: u64) -> Batch {
-    Batch {
-        after,
-        at,
+fn batch(after: u64, at: u64) -> WatchBatch {
+    WatchBatch {
+        after_version: after,
+        to_version: at,
         objects: vec![changed(&format!("servers/{at}"), at, 1)],
         is_partial: false,
     }
@@ -22,14 +22,14 @@
 
 fn role(me: &str, others: &[&str]) -> WatchRole {
     let mut shared = SharedWatch::new();
-    shared.listed(at(0), 1);
+    shared.on_listed(at(0), 1);
     shared.role(me, others)
 }
 
 /// An entry that was listed up to version 10, and is told.
 fn told() -> SharedWatch {
     let mut shared = SharedWatch::new();
-    shared.listed(at(0), 10);
+    shared.on_listed(at(0), 10);
     shared
 }
 
@@ -43,8 +43,8 @@
         "two save nothing"
     );
     let mut shared = SharedWatch::new();
-    shared.listed(at(0), 1);
-    shared.failed();
+    shared.on_listed(at(0), 1);
+    shared.on_failed();
     assert_eq!(shared.role("a", &["b", "c"]), WatchRole::Independent);
 }
 
@@ -82,23 +82,23 @@
 fn a_word_that_does_not_follow_is_not_taken_over() {
     let mut leader = told();
     let mut shared = told();
-    leader.watched(at(0), batch(10, 12));
-    leader.watched(at(0), batch(12, 15));
+    leader.on_watched(at(0), batch(10, 12));
+    leader.on_watched(at(0), batch(12, 15));
     let told_at = shared.receive(at(100), leader.outgoing());
-    assert_eq!(told_at.new, [batch(10, 12), batch(12, 15)]);
-    assert_eq!(told_at.known, Some(15));
+    assert_eq!(told_at.new_batches, [batch(10, 12), batch(12, 15)]);
+    assert_eq!(told_at.known_version, Some(15));
     let again = shared.receive(at(200), leader.outgoing());
-    assert!(again.new.is_empty(), "nothing is new");
+    assert!(again.new_batches.is_empty(), "nothing is new");
     for (after, last) in [(15, 18), (18, 20), (20, 22)] {
-        leader.watched(at(0), batch(after, last));
+        leader.on_watched(at(0), batch(after, last));
     }
     let gap = shared.receive(at(300), leader.outgoing());
-    assert_eq!((gap.new.len(), gap.known), (0, None));
+    assert_eq!((gap.new_batches.len(), gap.known_version), (0, None));
     assert!(!shared.may_skip(at(1_600)), "it was confirmed 200 last");
-    shared.listed(at(1_700), 22);
-    leader.watched(at(0), batch(22, 23));
+    shared.on_listed(at(1_700), 22);
+    leader.on_watched(at(0), batch(22, 23));
     let follows = shared.receive(at(1_800), leader.outgoing());
-    assert_eq!(follows.new, [batch(22, 23)]);
+    assert_eq!(follows.new_batches, [batch(22, 23)]);
 }
 
 /// The leader's history was gone, and it listed anew. What it watched before the list
@@ -108,14 +108,14 @@
 fn what_was_watched_before_a_list_is_passed_on_no_more() {
     let mut leader = told();
     let mut shared = told();
-    leader.watched(at(0), batch(10, 12));
+    leader.on_watched(at(0), batch(10, 12));
     shared.receive(at(0), leader.outgoing());
-    leader.listed(at(2_000), 40);
+    leader.on_listed(at(2_000), 40);
     assert!(leader.outgoing().is_empty());
     let received = shared.receive(at(2_000), leader.outgoing());
-    assert_eq!(received.known, None);
+    assert_eq!(received.known_version, None);
     assert!(!shared.may_skip(at(2_000)));
-    leader.watched(at(2_100), batch(40, 41));
+    leader.on_watched(at(2_100), batch(40, 41));
     shared.receive(at(2_100), leader.outgoing());
     assert!(!shared.may_skip(at(2_100)), "the list is not known here");
 }
@@ -129,7 +129,7 @@
     let mut until_ms = 0;
     for ms in (200..60_000).step_by(400) {
         let told = shared.receive(at(ms), vec![batch(12, 13)]);
-        assert!(told.new.is_empty());
+        assert!(told.new_batches.is_empty());
         if !shared.may_skip(at(ms)) {
             until_ms = ms;
             break;
@@ -143,29 +143,29 @@
 #[test]
 fn what_does_not_fit_is_told_as_left_out() {
     let mut leader = told();
-    let large = Batch {
+    let large = WatchBatch {
         objects: vec![changed("config/main", 14, 40_000)],
         ..batch(10, 14)
     };
-    leader.watched(at(0), large);
+    leader.on_watched(at(0), large);
     let sent = leader.outgoing();
     assert!(sent[0].is_partial && sent[0].objects.is_empty());
     let mut shared = told();
     shared.receive(
         at(50),
-        vec![Batch {
+        vec![WatchBatch {
             objects: Vec::new(),
             ..batch(8, 10)
         }],
     );
     assert!(shared.may_skip(at(100)));
     let told = shared.receive(at(150), sent.clone());
-    assert!(told.is_due && told.new.is_empty());
+    assert!(told.needs_own_watch && told.new_batches.is_empty());
     assert!(!shared.may_skip(at(160)));
     // Until it has watched, no later word makes it rest.
     shared.receive(at(200), vec![batch(10, 11)]);
     assert!(!shared.may_skip(at(210)));
-    shared.listed(at(220), 14);
+    shared.on_listed(at(220), 14);
     shared.receive(at(250), sent);
     assert!(shared.may_skip(at(260)));
 }
@@ -181,19 +181,19 @@
         let mut messages = Vec::new();
         for step in 0..60_u64 {
             let next = last + random.int_in_range(0..=2)?;
-            leader.watched(at(0), batch(last, next));
+            leader.on_watched(at(0), batch(last, next));
             last = next;
             messages.push((at(step * 100), leader.outgoing()));
             let heard = random.int_in_range(0..=messages.len() - 1)?;
             if random.int_in_range(0..=2)? > 0 {
                 let (confirmed_at, batches) = messages[heard].clone();
-                for batch in shared.receive(confirmed_at, batches).new {
-                    assert!(batch.after <= known, "{batch:?} behind {known}");
-                    known = batch.at;
+                for batch in shared.receive(confirmed_at, batches).new_batches {
+                    assert!(batch.after_version <= known, "{batch:?} behind {known}");
+                    known = batch.to_version;
                 }
             }
             if random.int_in_range(0..=9)? == 0 {
-                shared.listed(at(step * 100), last);
+                shared.on_listed(at(step * 100), last);
                 known = last;
             }
         }
