--- a/crates/direct/tests/all/starts.rs
+++ b/crates/direct/tests/all/starts.rs
@@ -1,24 +1,26 @@
 //! Upstreams that start again under their name: what is known of the latest start.
 
 use crate::support::{at, born_news, cases, name, news, resident, start};
-use direct::{Doubt, Doubts, Fleet, ReadingQueue, Start, Usage};
+use direct::{
+    AvoidReason, AvoidanceTracker, Fleet, PrefillQueue, UpstreamIncarnation, Usage,
+};
 
-const fn born(id: &str, born_ms: u64) -> Start<'_> {
-    Start {
+const fn born(id: &str, born_ms: u64) -> UpstreamIncarnation<'_> {
+    UpstreamIncarnation {
         id,
-        born_ms: Some(born_ms),
+        started_unix_ms: Some(born_ms),
     }
 }
 
 const USED: Usage = Usage {
     running: 2,
-    reading: ReadingQueue::of(0, 10),
-    kept_tokens: 100,
+    prefill: PrefillQueue::single(0, 10),
+    kv_tokens: 100,
 };
 
 fn fleet(born_ms: u64) -> Fleet {
     let mut fleet = Fleet::new();
-    fleet.list(at(0), 5, vec![(5, born_news("1", born_ms, &["a"]))]);
+    fleet.apply_list(at(0), 5, vec![(5, born_news("1", born_ms, &["a"]))]);
     fleet
 }
 
@@ -38,25 +40,34 @@
 #[test]
 fn nothing_that_was_known_of_an_earlier_start_is_believed_of_a_later_one() {
     let mut fleet = fleet(100);
-    fleet.said(at(0), born("1", 100), vec![resident("b", &[])], Vec::new());
-    fleet.peer_usage(at(0), "p", [(born("1", 100), USED)].into_iter());
-    let upstream = fleet.start_mut(born("1", 100)).expect("it is the latest");
-    upstream.sent(at(0), &USED);
-    upstream.remember_parts(at(0), &[(7, 50)]);
-    upstream.observe(false);
-    upstream.unreached(at(0));
-    upstream.deny(at(0), &name("c"), None);
-    fleet.heard_leaving(born("1", 100), 6, false);
+    fleet.set_coordinator_holdings(
+        at(0),
+        born("1", 100),
+        vec![resident("b", &[])],
+        Vec::new(),
+    );
+    fleet.set_peer_usage(at(0), "p", [(born("1", 100), USED)].into_iter());
+    let upstream = fleet
+        .incarnation_mut(born("1", 100))
+        .expect("it is the latest");
+    upstream.request_sent(at(0), &USED);
+    upstream.remember_prompt_parts(at(0), &[(7, 50)]);
+    upstream.record_answer(false);
+    upstream.connect_failed(at(0));
+    upstream.note_not_held(at(0), &name("c"), None);
+    fleet.peer_reported_leaving(born("1", 100), 6, false);
     assert!(!usable(&fleet, "1"));
-    assert!(fleet.put(7, born_news("1", 200, &["c"])));
+    assert!(fleet.apply_update(7, born_news("1", 200, &["c"])));
     let upstream = fleet.get("1").expect("it is known");
-    assert!(upstream.is_usable(at(0)) && !upstream.is_suspected(at(0)));
+    assert!(upstream.is_usable(at(0)) && !upstream.is_avoided(at(0)));
     assert!(holds(&fleet, "c") && !holds(&fleet, "a") && !holds(&fleet, "b"));
     assert_eq!(upstream.usage(at(0)), Usage::default());
     assert_eq!(upstream.cached_tokens(&[(7, 50)]), 0);
     assert!(upstream.failed_share() < f64::EPSILON);
-    assert!(fleet.is_over(born("1", 100)) && !fleet.is_over(born("1", 200)));
-    assert!(fleet.start_mut(born("1", 100)).is_none());
+    assert!(
+        fleet.is_superseded(born("1", 100)) && !fleet.is_superseded(born("1", 200))
+    );
+    assert!(fleet.incarnation_mut(born("1", 100)).is_none());
 }
 
 /// The last words of an earlier start come late and by every way, some with a
@@ -66,21 +77,21 @@
     let mut fleet = fleet(200);
     let mut leaving = born_news("1", 100, &["old"]);
     leaving.leaving = true;
-    assert!(!fleet.put(9, leaving.clone()));
-    fleet.list(at(0), 10, vec![(9, leaving)]);
-    fleet.put(11, news("1", &["old"]));
+    assert!(!fleet.apply_update(9, leaving.clone()));
+    fleet.apply_list(at(0), 10, vec![(9, leaving)]);
+    fleet.apply_update(11, news("1", &["old"]));
     fleet.remove(at(0), "1", 4);
-    fleet.heard_leaving(born("1", 100), 12, false);
-    fleet.heard_leaving(born("1", 100), 12, true);
-    fleet.heard_leaving(start("1"), 12, false);
-    fleet.said(
+    fleet.peer_reported_leaving(born("1", 100), 12, false);
+    fleet.peer_reported_leaving(born("1", 100), 12, true);
+    fleet.peer_reported_leaving(start("1"), 12, false);
+    fleet.set_coordinator_holdings(
         at(0),
         born("1", 100),
         vec![resident("old", &[])],
         Vec::new(),
     );
-    fleet.peer_usage(at(0), "p", [(born("1", 100), USED)].into_iter());
-    fleet.reported(born("1", 100));
+    fleet.set_peer_usage(at(0), "p", [(born("1", 100), USED)].into_iter());
+    fleet.observe_report(born("1", 100));
     assert!(usable(&fleet, "1"));
     assert!(holds(&fleet, "a") && !holds(&fleet, "old"));
     let upstream = fleet.get("1").expect("it is known");
@@ -93,20 +104,25 @@
 #[test]
 fn a_later_start_is_also_heard_of_from_reports_and_other_entries() {
     let ways: [fn(&mut Fleet); 3] = [
-        |fleet| fleet.reported(born("1", 200)),
-        |fleet| fleet.peer_usage(at(0), "p", [(born("1", 200), USED)].into_iter()),
+        |fleet| fleet.observe_report(born("1", 200)),
+        |fleet| fleet.set_peer_usage(at(0), "p", [(born("1", 200), USED)].into_iter()),
         |fleet| {
-            fleet.said(at(0), born("1", 200), vec![resident("b", &[])], Vec::new());
+            fleet.set_coordinator_holdings(
+                at(0),
+                born("1", 200),
+                vec![resident("b", &[])],
+                Vec::new(),
+            );
         },
     ];
     for way in ways {
         let mut fleet = fleet(100);
         way(&mut fleet);
-        assert!(fleet.is_over(born("1", 100)));
+        assert!(fleet.is_superseded(born("1", 100)));
         assert!(!holds(&fleet, "a") && usable(&fleet, "1"));
-        assert!(!fleet.put(6, born_news("1", 100, &["a"])));
+        assert!(!fleet.apply_update(6, born_news("1", 100, &["a"])));
         assert!(!holds(&fleet, "a"));
-        assert!(!fleet.put(7, born_news("1", 200, &["c"])));
+        assert!(!fleet.apply_update(7, born_news("1", 200, &["c"])));
         let entry_is_behind = holds(&fleet, "b");
         assert!(entry_is_behind || holds(&fleet, "c"));
     }
@@ -116,11 +132,11 @@
 #[test]
 fn a_later_start_that_leaves_is_not_used() {
     let mut fleet = fleet(100);
-    fleet.heard_leaving(born("1", 200), 7, false);
+    fleet.peer_reported_leaving(born("1", 200), 7, false);
     assert!(!usable(&fleet, "1"));
-    fleet.put(6, born_news("1", 200, &["a"]));
+    fleet.apply_update(6, born_news("1", 200, &["a"]));
     assert!(!usable(&fleet, "1"));
-    fleet.put(8, born_news("1", 300, &["a"]));
+    fleet.apply_update(8, born_news("1", 300, &["a"]));
     assert!(usable(&fleet, "1"));
 }
 
@@ -129,15 +145,15 @@
 #[test]
 fn entries_that_never_say_their_start_stay_in_force() {
     let mut fleet = Fleet::new();
-    fleet.list(
+    fleet.apply_list(
         at(0),
         5,
         vec![(5, news("1", &["a"])), (5, news("2", &["a"]))],
     );
-    fleet.reported(born("1", 200));
+    fleet.observe_report(born("1", 200));
     let mut leaving = news("1", &["a"]);
     leaving.leaving = true;
-    fleet.put(6, leaving);
+    fleet.apply_update(6, leaving);
     assert!(!usable(&fleet, "1") && usable(&fleet, "2"));
 }
 
@@ -149,16 +165,16 @@
     let plain = |id: &str| (5, news(id, &["a"]));
     let dated = |id: &str| (5, born_news(id, 100, &["a"]));
     let mut fleet = Fleet::new();
-    fleet.list(at(0), 5, vec![plain("1"), plain("2"), dated("3")]);
+    fleet.apply_list(at(0), 5, vec![plain("1"), plain("2"), dated("3")]);
     assert!(["1", "2", "3"].iter().all(|id| usable(&fleet, id)));
     let mut fleet = Fleet::new();
-    fleet.list(at(0), 5, vec![plain("1"), dated("2"), dated("3")]);
+    fleet.apply_list(at(0), 5, vec![plain("1"), dated("2"), dated("3")]);
     assert!(!usable(&fleet, "1") && usable(&fleet, "2") && usable(&fleet, "3"));
-    fleet.put(6, news("2", &["b"]));
+    fleet.apply_update(6, news("2", &["b"]));
     assert!(
         usable(&fleet, "2") && !fleet.get("2").expect("known").holds(at(0), "b", None)
     );
-    fleet.put(7, born_news("1", 50, &["a"]));
+    fleet.apply_update(7, born_news("1", 50, &["a"]));
     assert!(usable(&fleet, "1"));
 }
 
@@ -170,11 +186,11 @@
     let mut fleet = Fleet::new();
     let ids = ["1", "2", "3", "4", "5"];
     let listed = ids.map(|id| (5, news(id, &["a"])));
-    fleet.list(at(0), 5, listed.to_vec());
+    fleet.apply_list(at(0), 5, listed.to_vec());
     for (index, id) in ids.into_iter().enumerate() {
         let used = ids.into_iter().filter(|id| usable(&fleet, id)).count();
         assert_eq!(used, if index > 2 { index } else { 5 });
-        fleet.put(6, born_news(id, 100, &["a"]));
+        fleet.apply_update(6, born_news(id, 100, &["a"]));
     }
 }
 
@@ -182,13 +198,13 @@
 /// was held of another start.
 #[test]
 fn a_doubt_ends_with_its_start() {
-    let (mut fleet, mut doubts) = (fleet(100), Doubts::new());
+    let (mut fleet, mut doubts) = (fleet(100), AvoidanceTracker::new());
     let upstream = fleet.get_mut("1").expect("it is known");
-    upstream.unreached(at(0));
-    let turns = doubts.look(at(1), &fleet);
-    assert_eq!(turns[0].now, Some(Doubt::Unreached));
-    fleet.put(6, born_news("1", 200, &["a"]));
-    assert_eq!(doubts.look(at(2), &fleet), []);
+    upstream.connect_failed(at(0));
+    let turns = doubts.update_all(at(1), &fleet);
+    assert_eq!(turns[0].after, Some(AvoidReason::Unreached));
+    fleet.apply_update(6, born_news("1", 200, &["a"]));
+    assert_eq!(doubts.update_all(at(2), &fleet), []);
 }
 
 /// News of four starts comes by every way and in any order, most of it late. What
@@ -206,24 +222,33 @@
             version += 1;
             match random.int_in_range(0..=5)? {
                 0 => {
-                    fleet.put(version, born_news("1", of, &[&model]));
+                    fleet.apply_update(version, born_news("1", of, &[&model]));
                 }
                 1 => {
                     let listed = vec![(version, born_news("1", of, &[&model]))];
-                    fleet.list(now, version, listed);
+                    fleet.apply_list(now, version, listed);
                 }
-                2 => fleet.reported(born("1", of)),
+                2 => fleet.observe_report(born("1", of)),
                 3 => {
                     let held = vec![resident(&model, &[])];
-                    fleet.said(now, born("1", of), held, Vec::new());
+                    fleet.set_coordinator_holdings(
+                        now,
+                        born("1", of),
+                        held,
+                        Vec::new(),
+                    );
+                }
+                4 => {
+                    fleet.set_peer_usage(now, "p", [(born("1", of), USED)].into_iter());
+                }
+                _ if of < latest => {
+                    fleet.peer_reported_leaving(born("1", of), version, false);
                 }
-                4 => fleet.peer_usage(now, "p", [(born("1", of), USED)].into_iter()),
-                _ if of < latest => fleet.heard_leaving(born("1", of), version, false),
                 _ => continue,
             }
             latest = latest.max(of);
             let upstream = fleet.get_mut("1").expect("it is known");
-            assert_eq!(upstream.news.born_ms, Some(latest));
+            assert_eq!(upstream.record.started_unix_ms, Some(latest));
             assert!(upstream.is_usable(now));
             let of_earlier =
                 (1..latest).any(|of| upstream.holds(now, &of.to_string(), None));
@@ -231,7 +256,7 @@
             let running = upstream.usage(now).running;
             assert!(running == 0 || running == USED.running);
         }
-        fleet.put(version + 1, born_news("1", latest, &[&latest.to_string()]));
+        fleet.apply_update(version + 1, born_news("1", latest, &[&latest.to_string()]));
         let upstream = fleet.get("1").expect("it is known");
         assert!(upstream.holds(at(5_000), &latest.to_string(), None));
         Ok(())
@@ -244,17 +269,17 @@
 #[test]
 fn entries_that_are_forgotten_count_no_more() {
     let mut fleet = Fleet::new();
-    fleet.list(at(0), 5, vec![(5, news("1", &["a"]))]);
+    fleet.apply_list(at(0), 5, vec![(5, news("1", &["a"]))]);
     let upstream = fleet.get_mut("1").expect("it is known");
-    upstream.sent(at(0), &USED);
-    fleet.put(6, born_news("2", 100, &["a"]));
-    fleet.put(6, born_news("3", 100, &["a"]));
+    upstream.request_sent(at(0), &USED);
+    fleet.apply_update(6, born_news("2", 100, &["a"]));
+    fleet.apply_update(6, born_news("3", 100, &["a"]));
     assert!(!usable(&fleet, "1"));
-    fleet.sweep(at(0));
-    fleet.list(at(0), 7, vec![(5, news("1", &["a"]))]);
-    fleet.sweep(at(50_000));
+    fleet.forget_gone(at(0));
+    fleet.apply_list(at(0), 7, vec![(5, news("1", &["a"]))]);
+    fleet.forget_gone(at(50_000));
     assert!(!usable(&fleet, "1"));
-    fleet.sweep(at(90_000));
+    fleet.forget_gone(at(90_000));
     assert!(usable(&fleet, "1"));
 }
 
@@ -263,11 +288,11 @@
 #[test]
 fn the_next_start_of_an_upstream_that_left_serves() {
     let mut fleet = Fleet::new();
-    fleet.list(at(0), 1, vec![(1, born_news("1", 100, &[]))]);
+    fleet.apply_list(at(0), 1, vec![(1, born_news("1", 100, &[]))]);
     assert!(fleet.note_leaving(born("1", 100)));
-    fleet.put(2, born_news("1", 200, &[]));
+    fleet.apply_update(2, born_news("1", 200, &[]));
     assert!(!fleet.note_leaving(born("1", 100)));
-    fleet.heard_leaving(born("1", 100), 2, false);
+    fleet.peer_reported_leaving(born("1", 100), 2, false);
     let upstream = fleet.get("1").expect("known");
     assert!(upstream.is_usable(at(1)));
 }
--- a/crates/direct/tests/all/successor.rs
+++ b/crates/direct/tests/all/successor.rs
@@ -1,12 +1,15 @@
 //! When a leader that is being stopped hands its lease over.
 
-use direct::{OtherEntry, has_successor};
+use direct::{PeerEntry, has_successor};
 
 /// Start of the leader that is being stopped.
 const OWN_START_MS: u64 = 1_000;
 
-fn other(start_ms: u64, stopping: bool) -> OtherEntry {
-    OtherEntry { start_ms, stopping }
+fn other(start_ms: u64, stopping: bool) -> PeerEntry {
+    PeerEntry {
+        started_unix_ms: start_ms,
+        stopping,
+    }
 }
 
 /// One entry is stopped. Another one can lead at once, and models are placed again as soon
--- a/crates/direct/tests/all/support.rs
+++ b/crates/direct/tests/all/support.rs
@@ -2,7 +2,10 @@
 
 use arbtest::{arbitrary, arbtest};
 use base::prelude::*;
-use direct::{Copies, Engine, ModelSpec, Resident, Start, UpstreamNews};
+use direct::{
+    EngineSpec, LocalWeights, ModelSpec, ResidentModel, UpstreamIncarnation,
+    UpstreamRecord,
+};
 use std::sync::Arc;
 
 pub fn at(ms: u64) -> Instant {
@@ -14,7 +17,7 @@
 }
 
 /// An engine with room for three models of 70 and two adapters.
-pub fn engine(models: &[&str]) -> Engine {
+pub fn engine(models: &[&str]) -> EngineSpec {
     let spec = ModelSpec {
         weights_mb: 70.0,
         store_load_ms: 2_000,
@@ -23,9 +26,9 @@
         adapter_mb: 1.0,
         adapters: Vec::new(),
     };
-    Engine {
+    EngineSpec {
         batch_slots: 8,
-        cache_tokens: 10_000,
+        kv_capacity_tokens: 10_000,
         weights_max_mb: 215.0,
         adapters_max: 2,
         store_loads_per_s: 2.0,
@@ -36,10 +39,10 @@
     }
 }
 
-pub fn news(id: &str, models: &[&str]) -> UpstreamNews {
-    UpstreamNews {
+pub fn news(id: &str, models: &[&str]) -> UpstreamRecord {
+    UpstreamRecord {
         id: name(id),
-        born_ms: None,
+        started_unix_ms: None,
         service: name("oracle"),
         address: ([127, 0, 0, 1], 1).into(),
         domain: name("east"),
@@ -47,25 +50,28 @@
         leaving: false,
         gone_in_ms: None,
         residents: models.iter().map(|model| resident(model, &[])).collect(),
-        copies: Copies::default(),
+        local_weights: LocalWeights::default(),
     }
 }
 
 /// A start of which the time is not known.
-pub fn start(id: &str) -> Start<'_> {
-    Start { id, born_ms: None }
+pub fn start(id: &str) -> UpstreamIncarnation<'_> {
+    UpstreamIncarnation {
+        id,
+        started_unix_ms: None,
+    }
 }
 
 /// As [`news`], of a start that says when it was.
-pub fn born_news(id: &str, born_ms: u64, models: &[&str]) -> UpstreamNews {
-    UpstreamNews {
-        born_ms: Some(born_ms),
+pub fn born_news(id: &str, born_ms: u64, models: &[&str]) -> UpstreamRecord {
+    UpstreamRecord {
+        started_unix_ms: Some(born_ms),
         ..news(id, models)
     }
 }
 
-pub fn resident(model: &str, adapters: &[&str]) -> Resident {
-    Resident {
+pub fn resident(model: &str, adapters: &[&str]) -> ResidentModel {
+    ResidentModel {
         model: name(model),
         version: 1,
         adapters: adapters.iter().map(|adapter| name(adapter)).collect(),
--- a/crates/direct/tests/all/turned_away.rs
+++ b/crates/direct/tests/all/turned_away.rs
@@ -1,32 +1,34 @@
 //! Models that an upstream refuses requests for.
 
 use crate::support::{at, engine, name, news};
-use direct::{Fleet, Pick, ReadingQueue, Unpicked, Usage, pick};
+use direct::{
+    Fleet, PrefillQueue, SelectionError, SelectionInput, Usage, select_upstream,
+};
 
 fn fleet() -> Fleet {
     let mut fleet = Fleet::new();
     let listed = ["1", "2"].map(|id| (1, news(id, &["a", "b"])));
-    fleet.list(at(0), 1, listed.to_vec());
+    fleet.apply_list(at(0), 1, listed.to_vec());
     fleet
 }
 
-fn picked(fleet: &Fleet, ms: u64, model: &str) -> Result<String, Unpicked> {
+fn picked(fleet: &Fleet, ms: u64, model: &str) -> Result<String, SelectionError> {
     let engine = engine(&["a", "b"]);
-    let input = Pick {
+    let input = SelectionInput {
         now: at(ms),
         service: "oracle",
         engine: Some(&engine),
         model: Some((model, None)),
-        parts: &[],
-        rank: 0,
+        prompt_parts: &[],
+        priority: 0,
         prompt_tokens: 1_000,
-        pace: 1.0,
-        kept_tokens: 1_200,
+        time_factor: 1.0,
+        kv_tokens: 1_200,
         excluded: &[],
         domain: "east",
         random: 42,
     };
-    pick(fleet, &input).map(|picked| picked.id.to_string())
+    select_upstream(fleet, &input).map(|picked| picked.id.to_string())
 }
 
 /// Upstream 1 refuses every request for the model at once and so looks idle. Without
@@ -36,19 +38,22 @@
     let mut fleet = fleet();
     let busy = Usage {
         running: 3,
-        reading: ReadingQueue::of(0, 4_000),
+        prefill: PrefillQueue::single(0, 4_000),
         ..Usage::default()
     };
-    fleet.get_mut("2").expect("known").sent(at(0), &busy);
+    fleet
+        .get_mut("2")
+        .expect("known")
+        .request_sent(at(0), &busy);
     let mut refused = 0;
     for ms in (0..20_000).step_by(50) {
-        fleet.get_mut("2").expect("known").heard(at(ms));
+        fleet.get_mut("2").expect("known").bytes_received(at(ms));
         if picked(&fleet, ms, "a").as_deref() == Ok("1") {
             refused += 1;
             fleet
                 .get_mut("1")
                 .expect("known")
-                .refused(at(ms), &name("a"));
+                .request_refused(at(ms), &name("a"));
         }
     }
     assert!((8..20).contains(&refused), "{refused} of 400");
@@ -62,12 +67,12 @@
     fleet.remove(at(0), "2", 2);
     assert_eq!(picked(&fleet, 1, "a").as_deref(), Ok("1"));
     let upstream = fleet.get_mut("1").expect("known");
-    upstream.refused(at(1), &name("a"));
-    assert_eq!(picked(&fleet, 2, "a"), Err(Unpicked::Full));
+    upstream.request_refused(at(1), &name("a"));
+    assert_eq!(picked(&fleet, 2, "a"), Err(SelectionError::Full));
     assert_eq!(picked(&fleet, 2, "b").as_deref(), Ok("1"));
     assert_eq!(picked(&fleet, 52, "a").as_deref(), Ok("1"));
     let upstream = fleet.get_mut("1").expect("known");
-    upstream.refused(at(52), &name("a"));
-    upstream.took("a");
+    upstream.request_refused(at(52), &name("a"));
+    upstream.request_accepted("a");
     assert_eq!(picked(&fleet, 53, "a").as_deref(), Ok("1"));
 }
--- a/crates/front/src/answer_news.rs
+++ b/crates/front/src/answer_news.rs
@@ -1,7 +1,7 @@
 //! What answers say of their upstreams, beyond the request that they answer.
 
 use base::prelude::*;
-use direct::Start;
+use direct::UpstreamIncarnation;
 use serde_json::json;
 
 use crate::state::Node;
@@ -11,7 +11,7 @@
 /// upstream at its address says nothing of it.
 pub(crate) fn learn(
     node: &Node,
-    start: Start<'_>,
+    start: UpstreamIncarnation<'_>,
     head: &AnswerHead,
     asked_at: Instant,
 ) {
@@ -29,7 +29,7 @@
 
 /// The platform may say it much later, or be away: others and the leader, who has to
 /// replace what it holds, hear of it at once.
-fn learn_leaving(node: &Node, start: Start<'_>) {
+fn learn_leaving(node: &Node, start: UpstreamIncarnation<'_>) {
     let is_new = node.fleet.lock().note_leaving(start);
     if is_new {
         node.log.line(
@@ -42,9 +42,9 @@
 }
 
 /// It counts for this entry alone, so nobody else is told.
-fn learn_retry_after(node: &Node, start: Start<'_>, ms: u64) {
+fn learn_retry_after(node: &Node, start: UpstreamIncarnation<'_>, ms: u64) {
     let until = node.now().plus_ms(ms);
-    if let Some(upstream) = node.fleet.lock().start_mut(start) {
+    if let Some(upstream) = node.fleet.lock().incarnation_mut(start) {
         upstream.back_off(until);
     }
     node.log.line(
--- a/crates/front/src/beliefs.rs
+++ b/crates/front/src/beliefs.rs
@@ -3,7 +3,7 @@
 //! not run for a while.
 
 use base::prelude::*;
-use direct::Turn;
+use direct::AvoidanceChange;
 use serde_json::json;
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,7 +29,7 @@
         let token = node.lease.lock().token(now);
         tell_lapse(&node, held, token);
         held = token;
-        let turns = node.doubts.lock().look(now, &node.fleet.lock());
+        let turns = node.doubts.lock().update_all(now, &node.fleet.lock());
         for turn in &turns {
             tell_turn(&node, now, turn);
         }
@@ -57,7 +57,7 @@
     let mut doubts = node.doubts.lock();
     let fleet = node.fleet.lock();
     let upstream = fleet.get(upstream);
-    let turn = upstream.and_then(|upstream| doubts.look_at(now, upstream));
+    let turn = upstream.and_then(|upstream| doubts.update(now, upstream));
     drop(fleet);
     drop(doubts);
     if let Some(turn) = turn {
@@ -83,20 +83,20 @@
     );
 }
 
-fn tell_turn(node: &Node, now: Instant, turn: &Turn) {
+fn tell_turn(node: &Node, now: Instant, turn: &AvoidanceChange) {
     let known = node.fleet.lock().get(&turn.upstream).map(|upstream| {
         (
             upstream.activity(now).silent_ms,
-            upstream.own.running,
+            upstream.own_usage.running,
             upstream.version,
         )
     });
     let Some((silent_ms, running, version)) = known else {
         return;
     };
-    let event = match turn.now {
+    let event = match turn.after {
         Some(doubt) => {
-            if doubt == direct::Doubt::Silent {
+            if doubt == direct::AvoidReason::Silent {
                 // Others whose requests only wait there learn of it by this alone.
                 node.peers.wake.notify_one();
             }
@@ -108,8 +108,8 @@
     };
     node.log.line(
         event,
-        json!({ "upstream": &*turn.upstream, "why": turn.now.map(direct::Doubt::as_str),
-            "before": turn.before.map(direct::Doubt::as_str), "silent_ms": silent_ms,
+        json!({ "upstream": &*turn.upstream, "why": turn.after.map(direct::AvoidReason::as_str),
+            "before": turn.before.map(direct::AvoidReason::as_str), "silent_ms": silent_ms,
             "running": running, "version": version }),
     );
 }
--- a/crates/front/src/crash.rs
+++ b/crates/front/src/crash.rs
@@ -1,7 +1,7 @@
 //! Telling an upstream that crashed from one that lost an answer.
 
 use base::prelude::*;
-use direct::Start;
+use direct::UpstreamIncarnation;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -18,8 +18,12 @@
 /// A lost answer or a cut stream ends its connection just the same. Taken for
 /// crashes, two of them would keep an innocent request, and all that look like
 /// it, from every upstream for a minute.
-pub(crate) fn look_for_crash(node: &Arc<Node>, fingerprint: u64, start: Start<'_>) {
-    let (node, born_ms) = (Arc::clone(node), start.born_ms);
+pub(crate) fn look_for_crash(
+    node: &Arc<Node>,
+    fingerprint: u64,
+    start: UpstreamIncarnation<'_>,
+) {
+    let (node, born_ms) = (Arc::clone(node), start.started_unix_ms);
     let upstream: Arc<str> = start.id.into();
     tokio::spawn(async move {
         tokio::time::sleep(LOOK_AFTER).await;
--- a/crates/front/src/dialect.rs
+++ b/crates/front/src/dialect.rs
@@ -2,7 +2,7 @@
 
 use access::Credential;
 use bytes::Bytes;
-use direct::{Order, OrderAnswer, Report, Setup, UpstreamNews};
+use direct::{Order, OrderAnswer, Setup, UpstreamRecord, UpstreamReport};
 use hyper::header::HeaderMap;
 use hyper::{Method, StatusCode};
 use snafu::Snafu;
@@ -119,7 +119,8 @@
     /// # Errors
     ///
     /// It is not one.
-    fn upstream(&self, key: &str, value: &[u8]) -> Result<UpstreamNews, DialectError>;
+    fn upstream(&self, key: &str, value: &[u8])
+    -> Result<UpstreamRecord, DialectError>;
 
     /// Reads a caller's headers.
     fn ask(&self, headers: &HeaderMap) -> AskHead;
@@ -158,7 +159,7 @@
     /// # Errors
     ///
     /// It is not one.
-    fn report(&self, value: &[u8]) -> Result<Report, DialectError>;
+    fn report(&self, value: &[u8]) -> Result<UpstreamReport, DialectError>;
 
     /// Path of the balancer's question whether the entry takes callers.
     fn ready_path(&self) -> &'static str;
--- a/crates/front/src/follow.rs
+++ b/crates/front/src/follow.rs
@@ -2,7 +2,7 @@
 
 use base::prelude::*;
 use base::{PlatformOp, PlatformResult, Version};
-use direct::{Batch, Changed};
+use direct::{ChangedObject, WatchBatch};
 use serde_json::json;
 use std::sync::Arc;
 use std::time::Duration;
@@ -40,7 +40,7 @@
 type Object = (String, Version, Vec<u8>);
 
 /// Takes over changes, from an own watch or another entry's.
-pub(crate) fn apply(node: &Node, followed: Followed, changed: &[Changed]) {
+pub(crate) fn apply(node: &Node, followed: Followed, changed: &[ChangedObject]) {
     let objects = changed.iter();
     let objects =
         objects.map(|of| (of.key.clone(), Version(of.version), of.value.clone()));
@@ -116,14 +116,14 @@
     };
     lost.regained(node);
     let objects = objects.into_iter();
-    let objects = objects.map(|(key, version, value)| Changed {
+    let objects = objects.map(|(key, version, value)| ChangedObject {
         key,
         version: version.0,
         value,
     });
-    let batch = Batch {
-        after: after.0,
-        at: at.0,
+    let batch = WatchBatch {
+        after_version: after.0,
+        to_version: at.0,
         objects: objects.collect(),
         is_partial: false,
     };
@@ -265,8 +265,8 @@
     );
     let prefix = &node.options.keys.upstream_prefix;
     for upstream in node.fleet.lock().all() {
-        let key = format!("{prefix}{}", upstream.news.id);
-        tell_if_unnamed(node, &key, &upstream.news.service);
+        let key = format!("{prefix}{}", upstream.record.id);
+        tell_if_unnamed(node, &key, &upstream.record.service);
     }
 }
 
@@ -280,9 +280,9 @@
         }
     }
     let mut fleet = node.fleet.lock();
-    fleet.list(node.now(), at.0, listed);
+    fleet.apply_list(node.now(), at.0, listed);
     for (key, version, _) in unread {
-        fleet.unreadable(id_of(node, key), version.0);
+        fleet.mark_unreadable(id_of(node, key), version.0);
     }
     node.unread.retain(Kind::Upstream, |known| {
         objects.iter().any(|(key, ..)| key == known)
@@ -313,7 +313,7 @@
         return;
     }
     let Some((version, news)) = read(node, object) else {
-        node.fleet.lock().unreadable(id, version.0);
+        node.fleet.lock().mark_unreadable(id, version.0);
         return;
     };
     if news.leaving {
@@ -323,8 +323,8 @@
                 "gone_in_ms": news.gone_in_ms }),
         );
     }
-    let (id, born_ms) = (Arc::clone(&news.id), news.born_ms);
-    if node.fleet.lock().put(version, news) {
+    let (id, born_ms) = (Arc::clone(&news.id), news.started_unix_ms);
+    if node.fleet.lock().apply_update(version, news) {
         node.log.line(
             "upstream_restarted",
             json!({ "upstream": &*id, "version": version, "born_ms": born_ms }),
@@ -338,7 +338,7 @@
 }
 
 /// Reads an upstream's entry; what can't be read is told of.
-fn read(node: &Node, object: &Object) -> Option<(u64, direct::UpstreamNews)> {
+fn read(node: &Node, object: &Object) -> Option<(u64, direct::UpstreamRecord)> {
     let (key, version, value) = object;
     let news = match node.dialect.upstream(key, value) {
         Ok(news) => news,
@@ -357,7 +357,7 @@
     let Some(setup) = node.setup() else {
         return;
     };
-    if setup.names(service) {
+    if setup.knows_service(service) {
         node.unread.forget(Kind::Upstream, key);
         return;
     }
--- a/crates/front/src/giver/adapters.rs
+++ b/crates/front/src/giver/adapters.rs
@@ -1,7 +1,10 @@
 //! Orders for adapters: those that requests wait for, and those ahead of need.
 
 use base::prelude::*;
-use direct::{AdapterChoice, AdapterName, AdapterSpot, AdapterSpread, Engine, Setup};
+use direct::{
+    AdapterName, AdapterPlanner, EngineSpec, PlannedAdapterLoad, Setup,
+    UpstreamAdapterState,
+};
 use std::sync::Arc;
 
 use super::{Ordered, State, engine, loads};
@@ -49,13 +52,13 @@
             };
             let loads = loads(node, &service, now);
             let spots = self.adapter_spots(node, &service, engine, now);
-            let mut spread = AdapterSpread::new(now, engine, &spots, &loads);
-            let mut choices: Vec<AdapterChoice> = wanted
+            let mut spread = AdapterPlanner::new(now, engine, &spots, &loads);
+            let mut choices: Vec<PlannedAdapterLoad> = wanted
                 .iter()
-                .filter_map(|name| spread.wanted(name))
+                .filter_map(|name| spread.load_requested(name))
                 .collect();
             if ahead {
-                choices.extend(spread.ahead());
+                choices.extend(spread.prefetch());
             }
             for choice in choices {
                 orders.extend(self.adapter_order(&service, engine, &choice));
@@ -82,9 +85,9 @@
         &self,
         node: &Node,
         service: &str,
-        engine: &Engine,
+        engine: &EngineSpec,
         now: Instant,
-    ) -> Vec<AdapterSpot> {
+    ) -> Vec<UpstreamAdapterState> {
         let fleet = node.fleet.lock();
         let books = self
             .books
@@ -101,8 +104,8 @@
     fn adapter_order(
         &mut self,
         service: &Arc<str>,
-        engine: &Engine,
-        choice: &AdapterChoice,
+        engine: &EngineSpec,
+        choice: &PlannedAdapterLoad,
     ) -> Option<Ordered> {
         let book = self.books.get_mut(&choice.upstream)?;
         let order = book.adapter_order(engine, choice)?;
--- a/crates/front/src/giver/kept.rs
+++ b/crates/front/src/giver/kept.rs
@@ -1,7 +1,7 @@
 //! Which upstreams the giver of orders keeps books of.
 
 use base::prelude::*;
-use direct::{LateOrders, Setup, Upstream};
+use direct::{Setup, UnansweredOrders, Upstream};
 use std::sync::Arc;
 
 use crate::state::Node;
@@ -20,10 +20,10 @@
             })
         });
         for (id, book) in gone {
-            self.late.insert(id, book.ledger.into_late(now));
+            self.late.insert(id, book.ledger.into_unanswered(now));
         }
-        for upstream in fleet.engines(now, setup) {
-            let id = &upstream.news.id;
+        for upstream in fleet.model_upstreams(now, setup) {
+            let id = &upstream.record.id;
             if !self.books.contains_key(id) {
                 let late = self.take_late(now, upstream);
                 let book = Book::new(upstream, late);
@@ -40,11 +40,11 @@
     }
 
     /// Orders to an upstream's earlier starts that may still be carried out.
-    fn take_late(&mut self, now: Instant, upstream: &Upstream) -> LateOrders {
-        let mut late = self.late.remove(&upstream.news.id).unwrap_or_default();
+    fn take_late(&mut self, now: Instant, upstream: &Upstream) -> UnansweredOrders {
+        let mut late = self.late.remove(&upstream.record.id).unwrap_or_default();
         late.expire(now);
-        if let Some(moves) = self.moves.get_mut(&upstream.news.service) {
-            moves.outlived(now, late.loads());
+        if let Some(moves) = self.moves.get_mut(&upstream.record.service) {
+            moves.record_surviving_loads(now, late.load_count());
         }
         late
     }
--- a/crates/front/src/giver/mod.rs
+++ b/crates/front/src/giver/mod.rs
@@ -5,7 +5,10 @@
 mod kept;
 
 use base::prelude::*;
-use direct::{Action, Choice, Engine, Load, Moves, Setup, Spot};
+use direct::{
+    DemandEstimate, EngineSpec, LoadPlanner, OrderAction, PlannedLoad, Setup,
+    UpstreamState,
+};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -93,7 +96,7 @@
     fn begin(&mut self, node: &Node, setup: &Setup, token: u64, now: Instant) {
         self.token = Some(token);
         for (id, book) in std::mem::take(&mut self.books) {
-            self.late.insert(id, book.ledger.into_late(now));
+            self.late.insert(id, book.ledger.into_unanswered(now));
         }
         let others_held = token > 1 && self.last_token != Some(token);
         self.last_token = Some(token);
@@ -106,10 +109,10 @@
                 continue;
             };
             let moves = self.moves.entry(Arc::clone(name));
-            let moves = moves.or_insert_with(|| Moves::new(node.giver.window_ms));
-            moves.begin_again();
+            let moves = moves.or_insert_with(|| LoadPlanner::new(node.giver.window_ms));
+            moves.resume();
             if others_held {
-                moves.assume_spent(others_until, engine);
+                moves.assume_window_spent(others_until, engine);
             }
         }
         node.log.line(
@@ -125,7 +128,7 @@
             let lately = book
                 .asked_at
                 .is_some_and(|at| now.ms_since(at) < ASK_EVERY_MS);
-            if book.ledger.wants_report() && !lately && !book.backed_off {
+            if book.ledger.needs_report() && !lately && !book.backed_off {
                 book.asked_at = Some(now);
                 asks.push(Arc::clone(id));
             }
@@ -150,18 +153,18 @@
             if book.backed_off {
                 continue;
             }
-            let from_store = !book.ledger.has_copy(&intent.load);
+            let from_store = !book.ledger.has_local_weights(&intent.load);
             let Some(moves) = self.moves.get_mut(&book.service) else {
                 continue;
             };
-            if from_store && moves.allowance(now, engine) == 0 {
+            if from_store && moves.store_loads_left(now, engine) == 0 {
                 continue;
             }
-            let action = Action::Load(Arc::clone(&intent.load));
-            if let Some(order) = book.ledger.order(engine, action) {
+            let action = OrderAction::Load(Arc::clone(&intent.load));
+            if let Some(order) = book.ledger.issue_order(engine, action) {
                 book.intent = None;
                 if from_store {
-                    moves.store_load(now);
+                    moves.record_store_load(now);
                 }
                 let service = Arc::clone(&book.service);
                 orders.push((Arc::clone(id), service, order, from_store));
@@ -190,19 +193,19 @@
         orders
     }
 
-    fn spots(&self, service: &Arc<str>, engine: &Engine) -> Vec<Spot> {
+    fn spots(&self, service: &Arc<str>, engine: &EngineSpec) -> Vec<UpstreamState> {
         let books = self
             .books
             .iter()
             .filter(|(_, book)| book.service == *service);
         books
-            .map(|(id, book)| Spot {
+            .map(|(id, book)| UpstreamState {
                 upstream: Arc::clone(id),
                 domain: Arc::clone(&book.domain),
                 idle: book.takes_orders() && book.intent.is_none(),
                 free_mb: engine.weights_max_mb - book.ledger.used_mb(engine),
-                groups: book.groups(engine),
-                copies: book.copies.clone(),
+                models: book.groups(engine),
+                local_weights: book.copies.clone(),
             })
             .collect()
     }
@@ -211,23 +214,23 @@
         &mut self,
         node: &Node,
         service: &Arc<str>,
-        engine: &Engine,
+        engine: &EngineSpec,
         now: Instant,
-        choice: &Choice,
+        choice: &PlannedLoad,
     ) -> Option<Ordered> {
         let book = self.books.get_mut(&choice.upstream)?;
         let action = match &choice.unload {
-            Some(victim) => Action::Unload(Arc::clone(victim)),
-            None => Action::Load(Arc::clone(&choice.load)),
+            Some(victim) => OrderAction::Unload(Arc::clone(victim)),
+            None => OrderAction::Load(Arc::clone(&choice.load)),
         };
-        let order = book.ledger.order(engine, action)?;
+        let order = book.ledger.issue_order(engine, action)?;
         if choice.unload.is_some() {
             book.intent = Some(Intent {
                 load: Arc::clone(&choice.load),
                 begun_at: now,
             });
         } else if choice.from_store {
-            self.moves.get_mut(service)?.store_load(now);
+            self.moves.get_mut(service)?.record_store_load(now);
         }
         node.log.line(
             "move",
@@ -252,7 +255,7 @@
             if !book.ledger.is_known() || !book.is_listed() {
                 continue;
             }
-            let serving = book.ledger.serving(now);
+            let serving = book.ledger.servable(now);
             let coming = book.coming(setup);
             if serving != book.serving || coming.len() != book.coming.len() {
                 book.serving = serving;
@@ -260,7 +263,7 @@
                 changed = true;
             }
             book.coming = coming;
-            fleet.said(
+            fleet.set_coordinator_holdings(
                 now,
                 book.start(id),
                 book.serving.clone(),
@@ -272,10 +275,14 @@
 }
 
 /// Demand for a service's models over all entries.
-fn loads(node: &Node, service: &Arc<str>, now: Instant) -> BTreeMap<Arc<str>, Load> {
-    let mut loads: BTreeMap<Arc<str>, Load> = BTreeMap::new();
+fn loads(
+    node: &Node,
+    service: &Arc<str>,
+    now: Instant,
+) -> BTreeMap<Arc<str>, DemandEstimate> {
+    let mut loads: BTreeMap<Arc<str>, DemandEstimate> = BTreeMap::new();
     if let Some(demand) = node.demand.lock().get(service) {
-        for (model, load) in demand.loads(now) {
+        for (model, load) in demand.estimates(now) {
             loads.insert(Arc::clone(model), load);
         }
     }
--- a/crates/front/src/in_flight.rs
+++ b/crates/front/src/in_flight.rs
@@ -1,7 +1,7 @@
 //! What requests that are running take of their upstreams.
 
 use base::prelude::*;
-use direct::{Picked, Start, Upstream, Usage};
+use direct::{SelectedUpstream, Upstream, UpstreamIncarnation, Usage};
 use std::sync::Arc;
 
 use crate::state::Node;
@@ -25,7 +25,7 @@
     pub(crate) fn begin(
         node: &Arc<Node>,
         call: &Call,
-        picked: &Picked,
+        picked: &SelectedUpstream,
         born_ms: Option<u64>,
     ) -> Self {
         let now = node.now();
@@ -38,17 +38,17 @@
             begun: false,
         };
         in_flight.with_upstream(|upstream| {
-            upstream.sent(now, &picked.usage);
-            upstream.remember_parts(now, &call.parts);
+            upstream.request_sent(now, &picked.usage);
+            upstream.remember_prompt_parts(now, &call.parts);
         });
         in_flight
     }
 
     /// Start of the upstream that it was sent to.
-    pub(crate) fn start(&self) -> Start<'_> {
-        Start {
+    pub(crate) fn start(&self) -> UpstreamIncarnation<'_> {
+        UpstreamIncarnation {
             id: &self.upstream,
-            born_ms: self.born_ms,
+            started_unix_ms: self.born_ms,
         }
     }
 
@@ -59,7 +59,7 @@
 
     /// Books something of the upstream, unless it has started again since.
     fn with_upstream(&self, change: impl FnOnce(&mut Upstream)) {
-        if let Some(upstream) = self.node.fleet.lock().start_mut(self.start()) {
+        if let Some(upstream) = self.node.fleet.lock().incarnation_mut(self.start()) {
             change(upstream);
         }
     }
@@ -70,16 +70,16 @@
     /// Its connection need not show that: it may have been lost without a word, or
     /// lead to a process that hangs. Nobody would answer, up to the deadline.
     pub(crate) fn is_over(&self) -> bool {
-        self.node.fleet.lock().is_over(self.start())
+        self.node.fleet.lock().is_superseded(self.start())
     }
 
     /// Bytes of an answer came.
     pub(crate) fn heard(&mut self) {
         let now = self.node.now();
         self.with_upstream(|upstream| {
-            upstream.heard(now);
+            upstream.bytes_received(now);
             if !self.begun {
-                upstream.begun(&self.usage.reading);
+                upstream.first_answer_received(&self.usage.prefill);
             }
         });
         self.begun = true;
@@ -104,7 +104,9 @@
         let Some((model, adapter)) = &call.ask.model else {
             return;
         };
-        self.with_upstream(|upstream| upstream.deny(now, model, adapter.as_ref()));
+        self.with_upstream(|upstream| {
+            upstream.note_not_held(now, model, adapter.as_ref());
+        });
     }
 
     /// The upstream refuses what the request asks for; it has not run.
@@ -113,18 +115,18 @@
         let Some((model, _)) = &call.ask.model else {
             return;
         };
-        self.with_upstream(|upstream| upstream.refused(now, model));
+        self.with_upstream(|upstream| upstream.request_refused(now, model));
     }
 
     /// The upstream takes what the request asks for.
     pub(crate) fn took(&self, call: &Call) {
         if let Some((model, _)) = &call.ask.model {
-            self.with_upstream(|upstream| upstream.took(model));
+            self.with_upstream(|upstream| upstream.request_accepted(model));
         }
     }
 
     pub(crate) fn observe(&self, ok: bool) {
-        self.with_upstream(|upstream| upstream.observe(ok));
+        self.with_upstream(|upstream| upstream.record_answer(ok));
     }
 }
 
@@ -132,9 +134,9 @@
     fn drop(&mut self) {
         self.with_upstream(|upstream| {
             if !self.begun {
-                upstream.begun(&self.usage.reading);
+                upstream.first_answer_received(&self.usage.prefill);
             }
-            upstream.ended(self.usage.running, self.usage.kept_tokens);
+            upstream.requests_ended(self.usage.running, self.usage.kv_tokens);
         });
         self.node.room.notify_waiters();
     }
--- a/crates/front/src/orders.rs
+++ b/crates/front/src/orders.rs
@@ -2,7 +2,7 @@
 
 use base::{Expect, PlatformOp, PlatformResult, Version};
 use bytes::Bytes;
-use direct::{LeaseRecord, LeaseStep, Order, Sent, Start};
+use direct::{LeaseRecord, LeaseStep, Order, SendOutcome, UpstreamIncarnation};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::header::{HOST, HeaderValue};
 use hyper::{Request, Response, StatusCode};
@@ -52,11 +52,11 @@
     };
     let answer = send(&node, &id, call, ORDER_TIMEOUT, permit).await;
     let sent = match &answer {
-        Ok((status, _)) => Sent::Answered(node.dialect.order_answer(*status)),
-        Err(SendFault::NotSent) => Sent::NotSent,
-        Err(SendFault::Broken) => Sent::Unanswered,
+        Ok((status, _)) => SendOutcome::Answered(node.dialect.order_answer(*status)),
+        Err(SendFault::NotSent) => SendOutcome::NotSent,
+        Err(SendFault::Broken) => SendOutcome::Unanswered,
     };
-    if sent == Sent::Unanswered && from_store {
+    if sent == SendOutcome::Unanswered && from_store {
         node.giver.load_unanswered(node.now(), &service);
     }
     let status = answer.map_or(0, |(status, _)| status.as_u16());
@@ -67,7 +67,7 @@
     node.meters.orders.with_label_values(&labels).inc();
     node.log.line(
         "order",
-        json!({ "upstream": &*id, "action": action, "expect": order.expect,
+        json!({ "upstream": &*id, "action": action, "expect": order.expected_count,
             "token": token, "status": status, "outcome": outcome }),
     );
     let now = node.now();
@@ -100,12 +100,12 @@
     match node.dialect.report(&body) {
         Ok(mut report) => {
             node.unread.forget(Kind::Report, &id);
-            report.born_ms = report.born_ms.or(asked);
-            let start = Start {
+            report.started_unix_ms = report.started_unix_ms.or(asked);
+            let start = UpstreamIncarnation {
                 id: &id,
-                born_ms: report.born_ms,
+                started_unix_ms: report.started_unix_ms,
             };
-            node.fleet.lock().reported(start);
+            node.fleet.lock().observe_report(start);
             node.giver.reported(node.now(), &id, &report);
         }
         Err(fault) => node.tell_unread(Kind::Report, &id, &body, &fault),
@@ -133,9 +133,9 @@
         let response: Response<_> = line.send(request).await?;
         let status = response.status();
         let head = node.dialect.answer(status, response.headers());
-        let start = Start {
+        let start = UpstreamIncarnation {
             id,
-            born_ms: place.born_ms,
+            started_unix_ms: place.born_ms,
         };
         answer_news::learn(node, start, &head, sent_at);
         let body = Limited::new(response.into_body(), REPORT_MAX_BYTES)
@@ -193,7 +193,7 @@
         node.peers.is_heard(now, holder, HOLDER_SILENT_MS)
             && node.peers.giver_token(now, HOLDER_SILENT_MS) > 0
     });
-    lease.step(now, heard)
+    lease.next_step(now, heard)
 }
 
 async fn read_lease(node: &Node) {
@@ -202,13 +202,13 @@
     let now = node.now();
     let mut lease = node.lease.lock();
     match result {
-        PlatformResult::Object(None) => lease.read(now, None),
+        PlatformResult::Object(None) => lease.on_read(now, None),
         PlatformResult::Object(Some((version, value))) => {
             let record = lease_record(node, version.0, &value);
-            lease.read(now, Some((version.0, record)));
+            lease.on_read(now, Some((version.0, record)));
         }
         _ => {
-            lease.failed(now);
+            lease.on_failed(now);
             drop(lease);
             ask_renewal(node);
         }
@@ -219,7 +219,7 @@
 fn lease_record(node: &Node, version: u64, value: &[u8]) -> LeaseRecord {
     let key = &node.options.keys.lease;
     let why = match serde_json::from_slice::<LeaseRecord>(value) {
-        Ok(record) if record.is_sound(version) => {
+        Ok(record) if record.is_plausible(version) => {
             node.unread.forget(Kind::Lease, key);
             return record;
         }
@@ -247,9 +247,13 @@
     let before = lease.token(now);
     let renewed = matches!(result, PlatformResult::Written(_));
     match result {
-        PlatformResult::Written(version) => lease.written(sent_at, version.0, record),
-        PlatformResult::Conflict | PlatformResult::Unanswered => lease.unsure(now),
-        _ => lease.failed(now),
+        PlatformResult::Written(version) => {
+            lease.on_written(sent_at, version.0, record);
+        }
+        PlatformResult::Conflict | PlatformResult::Unanswered => {
+            lease.on_uncertain(now);
+        }
+        _ => lease.on_failed(now),
     }
     let token = lease.token(node.now());
     drop(lease);
@@ -292,12 +296,12 @@
 /// giver that fell silent.
 async fn give_back_lease(node: &Node) {
     loop {
-        let given = node.lease.lock().give_back(node.now());
+        let given = node.lease.lock().release(node.now());
         let Some((record, version)) = given else {
             return;
         };
         write_lease(node, record, Some(version)).await;
-        if node.lease.lock().give_back(node.now()).is_none() {
+        if node.lease.lock().release(node.now()).is_none() {
             return;
         }
         // A renewal under way came first, or the platform is away.
--- a/crates/front/src/peers/hear.rs
+++ b/crates/front/src/peers/hear.rs
@@ -1,6 +1,9 @@
 //! Hearing other entries.
 
-use direct::{Activity, LeaseRecord, Load, ReadingQueue, Resident, Start, Usage};
+use direct::{
+    Activity, DemandEstimate, LeaseRecord, PrefillQueue, ResidentModel,
+    UpstreamIncarnation, Usage,
+};
 use prost::Message;
 use schema::peer::{HeldModel, PeerNews, Tokens};
 use serde_json::json;
@@ -60,24 +63,24 @@
     let uses = news.uses.iter().map(|used| {
         let usage = Usage {
             running: used.running,
-            reading: ReadingQueue::from_ranks(&used.reading_tokens),
-            kept_tokens: used.kept_tokens,
+            prefill: PrefillQueue::from_priorities(&used.reading_tokens),
+            kv_tokens: used.kept_tokens,
         };
         (start(&used.upstream, used.born_ms), usage)
     });
     let mut fleet = node.fleet.lock();
-    fleet.peer_usage(now, &news.entry, uses);
+    fleet.set_peer_usage(now, &news.entry, uses);
     let activity = news.uses.iter().map(|used| {
         let activity = Activity {
-            begun: used.begun,
+            answering: used.begun,
             silent_ms: used.silent_ms,
         };
         (start(&used.upstream, used.born_ms), activity)
     });
-    fleet.peer_activity(now, &news.entry, activity);
+    fleet.set_peer_activity(now, &news.entry, activity);
     for leaving in &news.leaving {
         let start = start(&leaving.upstream, leaving.born_ms);
-        fleet.heard_leaving(start, leaving.version, leaving.vanished);
+        fleet.peer_reported_leaving(start, leaving.version, leaving.vanished);
     }
     for holding in &news.holdings {
         let residents = holding.models.iter().map(resident).collect();
@@ -86,10 +89,10 @@
             (Arc::from(coming.model.as_str()), ready_at)
         });
         let start = start(&holding.upstream, holding.born_ms);
-        fleet.said(now, start, residents, coming.collect());
+        fleet.set_coordinator_holdings(now, start, residents, coming.collect());
     }
     if news.giver_token > 0 {
-        fleet.giver_heard(now, news.giver_token);
+        fleet.coordinator_heard(now, news.giver_token);
     }
     drop(fleet);
     upstream_rate::hear(node, &news.entry, &news.rates);
@@ -101,7 +104,7 @@
             renewal: news.lease_renewal,
             idle_ms: 0,
         };
-        node.lease.lock().hear(now, record);
+        node.lease.lock().on_holder_message(now, record);
     }
     if !news.holdings.is_empty() {
         node.holdings.notify_waiters();
@@ -126,13 +129,16 @@
     }
 }
 
-const fn start(id: &str, born_ms: u64) -> Start<'_> {
+const fn start(id: &str, born_ms: u64) -> UpstreamIncarnation<'_> {
     let born_ms = if born_ms == 0 { None } else { Some(born_ms) };
-    Start { id, born_ms }
+    UpstreamIncarnation {
+        id,
+        started_unix_ms: born_ms,
+    }
 }
 
-fn resident(held: &HeldModel) -> Resident {
-    Resident {
+fn resident(held: &HeldModel) -> ResidentModel {
+    ResidentModel {
         model: held.model.as_str().into(),
         version: held.version,
         adapters: held
@@ -162,9 +168,9 @@
             );
         }
         let loads = news.demands.iter().map(|demand| {
-            let load = Load {
-                newest_ms_per_s: demand.newest_us_per_s as f64 / 1_000.0,
-                lasting_ms_per_s: demand.lasting_us_per_s as f64 / 1_000.0,
+            let load = DemandEstimate {
+                recent_ms_per_s: demand.newest_us_per_s as f64 / 1_000.0,
+                sustained_ms_per_s: demand.lasting_us_per_s as f64 / 1_000.0,
                 waiting: demand.waiting,
                 oldest_wait_ms: demand.oldest_wait_ms,
                 request_ms: 0.0,
--- a/crates/front/src/peers/tell.rs
+++ b/crates/front/src/peers/tell.rs
@@ -2,8 +2,8 @@
 
 use base::prelude::*;
 use direct::{
-    Fleet, Resident, WatchRole, holdings_rounds, suspects_told, tell_at_once_every_ms,
-    tell_every_ms,
+    Fleet, ResidentModel, WatchRole, holdings_message_count, peer_message_interval_ms,
+    suspects_per_message, urgent_message_interval_ms,
 };
 use prost::Message;
 use schema::peer::{
@@ -29,7 +29,7 @@
 /// Tells other entries what holds here, for ever.
 pub(crate) async fn tell(node: Arc<Node>, socket: Arc<UdpSocket>) {
     loop {
-        let every_ms = tell_every_ms(node.peers.count());
+        let every_ms = peer_message_interval_ms(node.peers.count());
         tokio::time::sleep(Duration::from_millis(every_ms)).await;
         node.peers.table.lock().turns += 1;
         tell_once(&node, &socket, Occasion::Turn).await;
@@ -59,7 +59,7 @@
             }
             () = node.shared.seen.notified() => tell_watched(&node, &socket).await,
         }
-        let every_ms = tell_at_once_every_ms(node.peers.count());
+        let every_ms = urgent_message_interval_ms(node.peers.count());
         tokio::time::sleep(Duration::from_millis(every_ms)).await;
     }
 }
@@ -167,7 +167,7 @@
     };
     let (giver_token, lease_renewal) = {
         let lease = node.lease.lock();
-        let renewal = lease.renewal_held(now).unwrap_or(0);
+        let renewal = lease.held_renewal(now).unwrap_or(0);
         (lease.token(now).unwrap_or(0), renewal)
     };
     let fleet = node.fleet.lock();
@@ -195,10 +195,11 @@
         leaving,
         giver_token,
         holdings: holdings(node, occasion, turn, giver_token),
-        suspects: node
-            .suspects
-            .lock()
-            .export_part(now, round, suspects_told(peers)),
+        suspects: node.suspects.lock().export_part(
+            now,
+            round,
+            suspects_per_message(peers),
+        ),
         lease_ask: node.relay.asking(now),
         lease_told: node.relay.telling(now),
         domain: node.options.domain.clone(),
@@ -215,27 +216,29 @@
 }
 
 fn leaving(fleet: &Fleet, now: Instant) -> Vec<LeavingUpstream> {
-    let leaving = fleet.leaving(now);
+    let leaving = fleet.leaving_upstreams(now);
     let leaving = leaving.map(|(upstream, version, vanished)| LeavingUpstream {
-        upstream: upstream.news.id.to_string(),
+        upstream: upstream.record.id.to_string(),
         version,
         vanished,
-        born_ms: upstream.news.born_ms.unwrap_or(0),
+        born_ms: upstream.record.started_unix_ms.unwrap_or(0),
     });
     leaving.collect()
 }
 
 fn uses(fleet: &Fleet, now: Instant) -> Vec<UpstreamUse> {
-    let used = fleet.all().filter(|upstream| upstream.own.running > 0);
+    let used = fleet
+        .all()
+        .filter(|upstream| upstream.own_usage.running > 0);
     let uses = used.map(|upstream| {
         let activity = upstream.activity(now);
         UpstreamUse {
-            upstream: upstream.news.id.to_string(),
-            running: upstream.own.running,
-            reading_tokens: upstream.own.reading.ranks().to_vec(),
-            kept_tokens: upstream.own.kept_tokens,
-            born_ms: upstream.news.born_ms.unwrap_or(0),
-            begun: activity.begun,
+            upstream: upstream.record.id.to_string(),
+            running: upstream.own_usage.running,
+            reading_tokens: upstream.own_usage.prefill.by_priority().to_vec(),
+            kept_tokens: upstream.own_usage.kv_tokens,
+            born_ms: upstream.record.started_unix_ms.unwrap_or(0),
+            begun: activity.answering,
             silent_ms: activity.silent_ms,
         }
     });
@@ -245,11 +248,11 @@
 fn demands(node: &Node, now: Instant) -> Vec<ModelDemand> {
     let demand = node.demand.lock();
     let all = demand.iter().flat_map(|(service, demand)| {
-        demand.loads(now).map(move |(model, load)| ModelDemand {
+        demand.estimates(now).map(move |(model, load)| ModelDemand {
             service: service.to_string(),
             model: model.to_string(),
-            newest_us_per_s: (load.newest_ms_per_s * 1_000.0) as u64,
-            lasting_us_per_s: (load.lasting_ms_per_s * 1_000.0) as u64,
+            newest_us_per_s: (load.recent_ms_per_s * 1_000.0) as u64,
+            lasting_us_per_s: (load.sustained_ms_per_s * 1_000.0) as u64,
             waiting: load.waiting,
             oldest_wait_ms: load.oldest_wait_ms,
         })
@@ -277,7 +280,7 @@
     if giver_token == 0 {
         return Vec::new();
     }
-    let rounds = holdings_rounds(node.peers.count());
+    let rounds = holdings_message_count(node.peers.count());
     let part = turn as usize % rounds;
     let told = node.giver.told(node.now(), |index| {
         occasion == Occasion::Turn && index % rounds == part
@@ -303,7 +306,7 @@
     }
 }
 
-fn held_model(resident: &Resident) -> HeldModel {
+fn held_model(resident: &ResidentModel) -> HeldModel {
     HeldModel {
         model: resident.model.to_string(),
         version: resident.version,
--- a/crates/front/src/relay.rs
+++ b/crates/front/src/relay.rs
@@ -39,7 +39,7 @@
     };
     node.lease
         .lock()
-        .written(asked_at, told.version, record.clone());
+        .on_written(asked_at, told.version, record.clone());
     node.log.line(
         "lease_relayed",
         json!({ "token": record.token, "renewal": record.renewal,
--- a/crates/front/src/run.rs
+++ b/crates/front/src/run.rs
@@ -1,7 +1,10 @@
 //! A request's way to its answer, over as many upstreams as it may take.
 
 use base::prelude::*;
-use direct::{Arrival, Next, Outcome, Picked, Tried, after};
+use direct::{
+    Arrival, AttemptHistory, AttemptOutcome, RetryDecision, SelectedUpstream,
+    decide_retry,
+};
 use hyper::Response;
 use serde_json::{Value, json};
 use std::sync::Arc;
@@ -64,17 +67,19 @@
     pub(crate) fn begin(node: Arc<Node>, call: Call) -> Self {
         let now = node.now();
         node.meters.in_progress.inc();
-        node.repeats.lock().request(now, &call.service);
+        node.repeats.lock().record_request(now, &call.service);
         if let Some((model, _)) = &call.ask.model {
             let answer = call.ask.answer_tokens_hint;
             let answer = answer.unwrap_or(call.ask.answer_tokens_max / 2);
             let arrival = Arrival {
                 prompt_tokens: call.ask.prompt_tokens,
                 answer_tokens: answer,
-                pace: node.pace_of(&call),
-                aim_ms: call.route.aim_ms,
+                time_factor: node.pace_of(&call),
+                target_latency_ms: call.route.target_latency_ms,
             };
-            node.with_demand(&call.service, |demand| demand.arrived(model, &arrival));
+            node.with_demand(&call.service, |demand| {
+                demand.record_arrival(model, &arrival);
+            });
         }
         Self {
             node,
@@ -127,7 +132,10 @@
             let ended =
                 try_once(&self.node, &self.call, &picked, last_event.as_deref()).await;
             self.trying = false;
-            self.set_rate_used(!matches!(ended, TryEnd::Fault(Outcome::NotSent, _)));
+            self.set_rate_used(!matches!(
+                ended,
+                TryEnd::Fault(AttemptOutcome::NotSent, _)
+            ));
             self.rate_charge = None;
             self.note_try(&picked, begun_at, &ended);
             match ended {
@@ -152,56 +160,59 @@
 
     /// A stream broke at this upstream: the end if it can't be continued.
     pub(crate) fn after_break(&mut self, upstream: &Arc<str>) -> Option<End> {
-        let picked = Picked {
+        let picked = SelectedUpstream {
             id: Arc::clone(upstream),
             usage: direct::Usage::default(),
-            reading_ms: None,
-            wait_ms: 0.0,
-            own_ms: 0.0,
-            unread_tokens: 0,
+            unqueued_prefill_ms: None,
+            first_answer_ms: 0.0,
+            own_prefill_ms: 0.0,
+            uncached_tokens: 0,
         };
         self.tries
             .push(json!({ "upstream": &**upstream, "outcome": "broke_off",
                 "after_event": self.last_event }));
-        self.after_fault(&picked, Outcome::Unknown, None)
+        self.after_fault(&picked, AttemptOutcome::Unknown, None)
     }
 
     fn after_fault(
         &mut self,
-        picked: &Picked,
-        outcome: Outcome,
+        picked: &SelectedUpstream,
+        outcome: AttemptOutcome,
         own: Option<Whole>,
     ) -> Option<End> {
         if own.is_some() {
             self.failure = own;
         }
-        if outcome == Outcome::NotSent {
+        if outcome == AttemptOutcome::NotSent {
             self.unreached.push(Arc::clone(&picked.id));
         } else if !self.sent_to.contains(&picked.id) {
             self.sent_to.push(Arc::clone(&picked.id));
         }
-        let tried = Tried {
+        let tried = AttemptHistory {
             upstreams: u32::try_from(self.sent_to.len()).unwrap_or(u32::MAX),
             upstreams_max: self.call.route.upstreams_max,
             may_have_run: self.may_have_run,
         };
-        let next = after(self.call.route.kind, tried, outcome);
-        self.may_have_run |= matches!(outcome, Outcome::Unknown | Outcome::Failed);
+        let next = decide_retry(self.call.route.kind, tried, outcome);
+        self.may_have_run |=
+            matches!(outcome, AttemptOutcome::Unknown | AttemptOutcome::Failed);
         self.call.set_used(self.may_have_run);
         let now = self.node.now();
         match next {
             _ if self.call.is_over(self.node.clock) => {
                 Some(self.end_without(Code::DeadlineBeforeRun))
             }
-            Next::Other => None,
-            Next::Repeat => {
+            RetryDecision::Resend => None,
+            RetryDecision::Retry => {
                 let mut repeats = self.node.repeats.lock();
                 let taken = repeats.try_take(now, &self.call.service);
                 drop(repeats);
                 (!taken).then(|| self.end_without(Code::Overloaded))
             }
-            Next::EndNotRun => Some(self.end_without(Code::Overloaded)),
-            Next::EndMayHaveRun => Some(self.end_without(Code::OutcomeUnknown)),
+            RetryDecision::FailNotRun => Some(self.end_without(Code::Overloaded)),
+            RetryDecision::FailMayHaveRun => {
+                Some(self.end_without(Code::OutcomeUnknown))
+            }
         }
     }
 
@@ -260,7 +271,12 @@
         })
     }
 
-    fn note_try(&mut self, picked: &Picked, begun_at: Instant, ended: &TryEnd) {
+    fn note_try(
+        &mut self,
+        picked: &SelectedUpstream,
+        begun_at: Instant,
+        ended: &TryEnd,
+    ) {
         self.learn_pace(picked, begun_at, ended);
         let outcome = match ended {
             TryEnd::Live(_) => "begun",
@@ -271,14 +287,14 @@
         self.node.meters.tries.with_label_values(&labels).inc();
         self.tries
             .push(json!({ "upstream": &*picked.id, "outcome": outcome,
-            "expected_ms": picked.wait_ms as u64,
+            "expected_ms": picked.first_answer_ms as u64,
             "ms": self.node.now().ms_since(begun_at) }));
     }
 
-    fn learn_pace(&self, picked: &Picked, begun_at: Instant, ended: &TryEnd) {
+    fn learn_pace(&self, picked: &SelectedUpstream, begun_at: Instant, ended: &TryEnd) {
         let model = self.call.ask.model.as_ref();
         if let (TryEnd::Live(_), Some(reading_ms), Some((model, _))) =
-            (ended, picked.reading_ms, model)
+            (ended, picked.unqueued_prefill_ms, model)
         {
             let took_ms = self.node.now().since(begun_at).as_secs_f64() * 1_000.0;
             let mut paces = self.node.paces.lock();
--- a/crates/front/src/seek.rs
+++ b/crates/front/src/seek.rs
@@ -2,7 +2,10 @@
 //! time.
 
 use base::prelude::*;
-use direct::{Admission, Pick, Picked, Unpicked, admit, pick};
+use direct::{
+    AdmissionInput, SelectedUpstream, SelectionError, SelectionInput, admit,
+    select_upstream,
+};
 use serde_json::json;
 use std::sync::Arc;
 use std::time::Duration;
@@ -40,7 +43,7 @@
 
 impl Run {
     /// An upstream for the next try; waits for one while that can be in time.
-    pub(crate) async fn picked(&mut self) -> Result<Picked, Turned> {
+    pub(crate) async fn picked(&mut self) -> Result<SelectedUpstream, Turned> {
         let mut waiting: Option<Waiting> = None;
         let node = Arc::clone(&self.node);
         let began_at = node.now();
@@ -76,7 +79,7 @@
             self.ask_for_adapter(why);
             let look = LOOK_EVERY.min(wait_until.since(now));
             // What wakes it, or nothing: the next look decides.
-            let _ = if why == Unpicked::Full {
+            let _ = if why == SelectionError::Full {
                 timeout(look, room).await
             } else {
                 timeout(look, holdings).await
@@ -87,7 +90,7 @@
 
     /// The rate of the upstream that would be chosen is spent: it is passed over.
     fn note_spent(&mut self) {
-        let outcome = Unpicked::RateSpent.as_str();
+        let outcome = SelectionError::RateSpent.as_str();
         let labels = [&*self.call.service, outcome];
         self.node.meters.tries.with_label_values(&labels).inc();
         self.rate_spent += 1;
@@ -95,28 +98,32 @@
 
     /// Refuses a request that would come too late: it would only keep others
     /// waiting. One that goes on elsewhere is not refused any more.
-    fn in_time(&mut self, picked: Picked) -> Result<Picked, Turned> {
+    fn in_time(
+        &mut self,
+        picked: SelectedUpstream,
+    ) -> Result<SelectedUpstream, Turned> {
         let call = &self.call;
         let at_engine = call.ask.model.is_some();
         if at_engine {
-            let (prompt, unread) = (call.ask.prompt_tokens, picked.unread_tokens);
-            self.node
-                .with_demand(&call.service, |demand| demand.sent(prompt, unread));
+            let (prompt, unread) = (call.ask.prompt_tokens, picked.uncached_tokens);
+            self.node.with_demand(&call.service, |demand| {
+                demand.record_sent(prompt, unread);
+            });
         }
         let mean_reading_ms = if at_engine {
             let mut readings = self.node.readings.lock();
-            readings.observe(&call.route.name, picked.own_ms)
+            readings.observe(&call.route.name, picked.own_prefill_ms)
         } else {
             0.0
         };
-        let admission = Admission {
+        let admission = AdmissionInput {
             now: self.node.now(),
-            arrived: call.arrived,
-            aim_ms: call.route.aim_ms,
-            first_by: call.first_by,
-            queue_ms: (picked.wait_ms - picked.own_ms) as u64,
-            reading_ms: picked.own_ms as u64,
-            mean_reading_ms: mean_reading_ms as u64,
+            arrived_at: call.arrived,
+            target_latency_ms: call.route.target_latency_ms,
+            first_answer_deadline: call.first_by,
+            queue_ms: (picked.first_answer_ms - picked.own_prefill_ms) as u64,
+            prefill_ms: picked.own_prefill_ms as u64,
+            mean_prefill_ms: mean_reading_ms as u64,
             at_engine,
         };
         let late_ms = match admit(&admission) {
@@ -124,8 +131,8 @@
             _ => return Ok(picked),
         };
         self.tries.push(json!({ "unpicked": "too_late",
-            "queue_ms": admission.queue_ms, "reading_ms": admission.reading_ms,
-            "mean_reading_ms": admission.mean_reading_ms, "late_ms": late_ms }));
+            "queue_ms": admission.queue_ms, "reading_ms": admission.prefill_ms,
+            "mean_reading_ms": admission.mean_prefill_ms, "late_ms": late_ms }));
         Err(Turned {
             code: Code::Overloaded,
             retry_after_ms: late_ms.max(RETRY_AFTER_MS),
@@ -136,19 +143,21 @@
     ///
     /// A caller that is told at once can come back when it is of use; one that
     /// is kept until it leaves has nothing.
-    fn wait_until(&self, began_at: Instant, why: Unpicked) -> Instant {
+    fn wait_until(&self, began_at: Instant, why: SelectionError) -> Instant {
         let first_by = self.call.first_by;
         let whole_ms = first_by.ms_since(self.call.arrived);
         let part = self.call.arrived.plus_ms(whole_ms * WAIT_PERCENT / 100);
         match why {
-            Unpicked::Full => part,
-            Unpicked::BackedOff | Unpicked::RateSpent => match self.takes_again_at() {
-                Some(at) if at < part => part,
-                _ => began_at,
-            },
-            Unpicked::NoAdapter => part.min(began_at.plus_ms(ADAPTER_WAIT_MS)),
-            Unpicked::NoUpstream => part.min(began_at.plus_ms(NEWS_WAIT_MS)),
-            Unpicked::NoModel => match self.ready_at() {
+            SelectionError::Full => part,
+            SelectionError::BackedOff | SelectionError::RateSpent => {
+                match self.takes_again_at() {
+                    Some(at) if at < part => part,
+                    _ => began_at,
+                }
+            }
+            SelectionError::NoAdapter => part.min(began_at.plus_ms(ADAPTER_WAIT_MS)),
+            SelectionError::NoUpstream => part.min(began_at.plus_ms(NEWS_WAIT_MS)),
+            SelectionError::NoModel => match self.ready_at() {
                 Some(ready_at) if ready_at.plus_ms(RUN_SPARE_MS) < first_by => first_by,
                 _ => part.min(began_at.plus_ms(NEWS_WAIT_MS)),
             },
@@ -158,7 +167,7 @@
     fn ready_at(&self) -> Option<Instant> {
         let (model, _) = self.call.ask.model.as_ref()?;
         let fleet = self.node.fleet.lock();
-        fleet.ready_at(self.node.now(), &self.call.service, model)
+        fleet.model_ready_at(self.node.now(), &self.call.service, model)
     }
 
     /// When an upstream takes the request that said that it takes nothing now.
@@ -166,14 +175,14 @@
         let model = self.call.ask.model.as_ref();
         let model = model.map(|(model, _)| &**model);
         let fleet = self.node.fleet.lock();
-        fleet.takes_again_at(self.node.now(), &self.call.service, model)
+        fleet.accepts_again_at(self.node.now(), &self.call.service, model)
     }
 
     /// When to come back after tries that did not run: where all upstreams said that they
     /// take nothing now, when the first of them does.
     pub(crate) fn retry_after_ms(&self) -> u64 {
         match self.pick_but(&[]) {
-            Err(why @ (Unpicked::BackedOff | Unpicked::RateSpent)) => {
+            Err(why @ (SelectionError::BackedOff | SelectionError::RateSpent)) => {
                 self.turned(why).retry_after_ms
             }
             _ => RETRY_AFTER_MS,
@@ -181,13 +190,13 @@
     }
 
     /// How a request is turned away for which there is no upstream.
-    fn turned(&self, why: Unpicked) -> Turned {
+    fn turned(&self, why: SelectionError) -> Turned {
         let now = self.node.now();
         let retry_after_ms = match why {
-            Unpicked::NoModel => self
+            SelectionError::NoModel => self
                 .ready_at()
                 .map_or(LOAD_RETRY_MS, |ready_at| ready_at.ms_since(now)),
-            Unpicked::BackedOff | Unpicked::RateSpent => self
+            SelectionError::BackedOff | SelectionError::RateSpent => self
                 .takes_again_at()
                 .map_or(RETRY_AFTER_MS, |at| at.ms_since(now)),
             _ => RETRY_AFTER_MS,
@@ -200,12 +209,12 @@
 
     /// An upstream that was not tried; if there is none, one that was, where the
     /// request may run again.
-    fn pick(&self) -> Result<Picked, Unpicked> {
+    fn pick(&self) -> Result<SelectedUpstream, SelectionError> {
         let tried = self.sent_to.iter().chain(&self.unreached);
         let tried: Vec<Arc<str>> = tried.cloned().collect();
         let other = self.pick_but(&tried);
         let may_repeat =
-            self.call.route.kind.may_repeat() && self.tries.len() < TRIES_MAX;
+            self.call.route.kind.may_rerun() && self.tries.len() < TRIES_MAX;
         if other.is_ok() || tried.is_empty() || !may_repeat {
             return other;
         }
@@ -219,33 +228,36 @@
         self.pick_but(&tried).is_ok()
     }
 
-    fn pick_but(&self, excluded: &[Arc<str>]) -> Result<Picked, Unpicked> {
+    fn pick_but(
+        &self,
+        excluded: &[Arc<str>],
+    ) -> Result<SelectedUpstream, SelectionError> {
         let call = &self.call;
         let answer_tokens = call.ask.answer_tokens_max;
         let model = call.ask.model.as_ref();
-        let input = Pick {
+        let input = SelectionInput {
             now: self.node.now(),
             service: &call.service,
             engine: call.spec.engine.as_ref(),
             model: model.map(|(model, adapter)| (&**model, adapter.as_deref())),
-            parts: &call.parts,
-            rank: call.priority(),
+            prompt_parts: &call.parts,
+            priority: call.priority(),
             prompt_tokens: call.ask.prompt_tokens,
-            pace: self.node.pace_of(call),
-            kept_tokens: call.ask.prompt_tokens + answer_tokens,
+            time_factor: self.node.pace_of(call),
+            kv_tokens: call.ask.prompt_tokens + answer_tokens,
             excluded,
             domain: &self.node.options.domain,
             random: self.node.random(),
         };
-        pick(&self.node.fleet.lock(), &input)
+        select_upstream(&self.node.fleet.lock(), &input)
     }
 
-    fn ask_for_adapter(&self, why: Unpicked) {
+    fn ask_for_adapter(&self, why: SelectionError) {
         let model = self.call.ask.model.as_ref();
         let Some((model, Some(adapter))) = model else {
             return;
         };
-        if why == Unpicked::NoAdapter {
+        if why == SelectionError::NoAdapter {
             let want = Want {
                 service: Arc::clone(&self.call.service),
                 model: Arc::clone(model),
@@ -264,8 +276,12 @@
 }
 
 impl Waiting {
-    fn start(node: &Arc<Node>, call: &Call, why: Unpicked) -> Self {
-        let model = call.ask.model.as_ref().filter(|_| why == Unpicked::NoModel);
+    fn start(node: &Arc<Node>, call: &Call, why: SelectionError) -> Self {
+        let model = call
+            .ask
+            .model
+            .as_ref()
+            .filter(|_| why == SelectionError::NoModel);
         let waiting = Self {
             node: Arc::clone(node),
             model: model
@@ -273,7 +289,7 @@
             since: node.now(),
         };
         if let Some((service, model)) = &waiting.model {
-            node.with_demand(service, |demand| demand.wait(model, waiting.since));
+            node.with_demand(service, |demand| demand.begin_wait(model, waiting.since));
         }
         waiting
     }
@@ -284,17 +300,17 @@
         if let Some((service, model)) = &self.model {
             let since = self.since;
             self.node
-                .with_demand(service, |demand| demand.wait_ended(model, since));
+                .with_demand(service, |demand| demand.end_wait(model, since));
         }
     }
 }
 
-const fn code_of(why: Unpicked) -> Code {
+const fn code_of(why: SelectionError) -> Code {
     match why {
-        Unpicked::NoModel | Unpicked::NoAdapter => Code::ModelUnavailable,
-        Unpicked::NoUpstream
-        | Unpicked::BackedOff
-        | Unpicked::RateSpent
-        | Unpicked::Full => Code::Overloaded,
+        SelectionError::NoModel | SelectionError::NoAdapter => Code::ModelUnavailable,
+        SelectionError::NoUpstream
+        | SelectionError::BackedOff
+        | SelectionError::RateSpent
+        | SelectionError::Full => Code::Overloaded,
     }
 }
--- a/crates/front/src/shared_watch.rs
+++ b/crates/front/src/shared_watch.rs
@@ -2,7 +2,7 @@
 
 use base::prelude::*;
 use base::{PlatformOp, PlatformResult};
-use direct::{Batch, Changed, SharedWatch, WatchRole};
+use direct::{ChangedObject, SharedWatch, WatchBatch, WatchRole};
 use parking_lot::Mutex;
 use schema::peer::{PeerNews, Watched, WatchedBatch, WatchedObject};
 use serde_json::json;
@@ -48,23 +48,23 @@
 
     /// An own list was answered.
     pub(crate) fn listed(&self, now: Instant, followed: Followed, at: u64) {
-        self.of(followed).lock().listed(now, at);
+        self.of(followed).lock().on_listed(now, at);
     }
 
     /// An own call was not answered.
     pub(crate) fn failed(&self, followed: Followed) {
-        self.of(followed).lock().failed();
+        self.of(followed).lock().on_failed();
     }
 
     /// An own watch was answered: others are told of it where they rely on it.
-    pub(crate) fn watched(&self, now: Instant, followed: Followed, batch: Batch) {
-        self.of(followed).lock().watched(now, batch);
+    pub(crate) fn watched(&self, now: Instant, followed: Followed, batch: WatchBatch) {
+        self.of(followed).lock().on_watched(now, batch);
         self.seen.notify_one();
     }
 
     /// Whether others may rely on this entry's watches.
     pub(crate) fn works(&self) -> bool {
-        self.setup.lock().works() && self.upstreams.lock().works()
+        self.setup.lock().is_working() && self.upstreams.lock().is_working()
     }
 }
 
@@ -154,13 +154,13 @@
     let mut shared = node.shared.of(followed).lock();
     let received = shared.receive(confirmed_at, batches);
     drop(shared);
-    for batch in &received.new {
+    for batch in &received.new_batches {
         apply(node, followed, &batch.objects);
     }
-    if let Some(at) = received.known {
+    if let Some(at) = received.known_version {
         followed.confirm(node, at, confirmed_at);
     }
-    if received.is_due {
+    if received.needs_own_watch {
         node.shared.due.notify_waiters();
     }
 }
@@ -180,22 +180,22 @@
     })
 }
 
-fn batch(sent: &WatchedBatch) -> Batch {
+fn batch(sent: &WatchedBatch) -> WatchBatch {
     let objects = sent.objects.iter();
-    let objects = objects.map(|object| Changed {
+    let objects = objects.map(|object| ChangedObject {
         key: object.key.clone(),
         version: object.version,
         value: object.value.clone(),
     });
-    Batch {
-        after: sent.after,
-        at: sent.at,
+    WatchBatch {
+        after_version: sent.after,
+        to_version: sent.at,
         objects: objects.collect(),
         is_partial: sent.is_partial,
     }
 }
 
-fn message(batch: Batch) -> WatchedBatch {
+fn message(batch: WatchBatch) -> WatchedBatch {
     let objects = batch.objects.into_iter();
     let objects = objects.map(|object| WatchedObject {
         key: object.key,
@@ -203,8 +203,8 @@
         value: object.value,
     });
     WatchedBatch {
-        after: batch.after,
-        at: batch.at,
+        after: batch.after_version,
+        at: batch.to_version,
         objects: objects.collect(),
         is_partial: batch.is_partial,
     }
--- a/crates/front/src/start.rs
+++ b/crates/front/src/start.rs
@@ -129,7 +129,7 @@
         let now = node.now();
         node.quota.sweep(now);
         let mut fleet = node.fleet.lock();
-        fleet.sweep(now);
+        fleet.forget_gone(now);
         node.pool.sweep(|id| fleet.get(id).is_some());
         drop(fleet);
         upstream_rate::sweep(&node);
--- a/crates/front/src/state/book.rs
+++ b/crates/front/src/state/book.rs
@@ -2,8 +2,9 @@
 
 use base::prelude::*;
 use direct::{
-    Action, AdapterChoice, AdapterSpot, Engine, Group, LateOrders, Ledger, OrderAnswer,
-    Report, Resident, Sent, Setup, Start, Upstream,
+    EngineSpec, Ledger, OrderAction, OrderAnswer, PlacedModel, PlannedAdapterLoad,
+    ResidentModel, SendOutcome, Setup, UnansweredOrders, Upstream,
+    UpstreamAdapterState, UpstreamIncarnation, UpstreamReport,
 };
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -28,7 +29,7 @@
     pub(crate) asked_at: Option<Instant>,
     pub(crate) intent: Option<Intent>,
     pub(crate) since: HashMap<Arc<str>, Instant>,
-    pub(crate) serving: Vec<Resident>,
+    pub(crate) serving: Vec<ResidentModel>,
     pub(crate) coming: Vec<(Arc<str>, Instant)>,
     pub(crate) changed_at: Instant,
     pub(crate) copies: Vec<Arc<str>>,
@@ -44,13 +45,13 @@
 impl Book {
     /// A book of a start, with the orders to earlier ones that it may still carry
     /// out.
-    pub(crate) fn new(upstream: &Upstream, late: LateOrders) -> Self {
+    pub(crate) fn new(upstream: &Upstream, late: UnansweredOrders) -> Self {
         Self {
-            service: Arc::clone(&upstream.news.service),
-            domain: Arc::clone(&upstream.news.domain),
+            service: Arc::clone(&upstream.record.service),
+            domain: Arc::clone(&upstream.record.domain),
             version: upstream.version,
-            listed_born_ms: upstream.news.born_ms,
-            ledger: Ledger::of_start(upstream.news.born_ms, late),
+            listed_born_ms: upstream.record.started_unix_ms,
+            ledger: Ledger::for_incarnation(upstream.record.started_unix_ms, late),
             doubted: false,
             backed_off: false,
             asked_at: None,
@@ -73,29 +74,30 @@
 
     /// Whether the upstream has started again after the start that this is of.
     pub(crate) fn is_over(&self, upstream: &Upstream) -> bool {
-        self.ledger.born_ms() < upstream.news.born_ms
+        self.ledger.started_unix_ms() < upstream.record.started_unix_ms
     }
 
     /// Whether what entries know of the upstream is of the start that this is of.
     /// A report may have told of a later one first.
     pub(crate) fn is_listed(&self) -> bool {
-        self.listed_born_ms.is_none() || self.listed_born_ms == self.ledger.born_ms()
+        self.listed_born_ms.is_none()
+            || self.listed_born_ms == self.ledger.started_unix_ms()
     }
 
     /// Start that entries know the upstream by.
-    pub(crate) fn start<'a>(&self, id: &'a str) -> Start<'a> {
-        Start {
+    pub(crate) fn start<'a>(&self, id: &'a str) -> UpstreamIncarnation<'a> {
+        UpstreamIncarnation {
             id,
-            born_ms: self.listed_born_ms,
+            started_unix_ms: self.listed_born_ms,
         }
     }
 
     /// Takes over a report; true if the upstream has started again. What waited for
     /// an order to the earlier start then waits no more.
-    pub(crate) fn report(&mut self, now: Instant, report: &Report) -> bool {
-        let born_ms = self.ledger.born_ms();
-        self.ledger.report(now, report);
-        let restarted = self.ledger.born_ms() != born_ms;
+    pub(crate) fn report(&mut self, now: Instant, report: &UpstreamReport) -> bool {
+        let born_ms = self.ledger.started_unix_ms();
+        self.ledger.apply_report(now, report);
+        let restarted = self.ledger.started_unix_ms() != born_ms;
         if restarted {
             self.intent = None;
             self.since.clear();
@@ -104,16 +106,16 @@
     }
 
     pub(crate) fn follow(&mut self, now: Instant, upstream: &Upstream) {
-        self.listed_born_ms = upstream.news.born_ms;
+        self.listed_born_ms = upstream.record.started_unix_ms;
         self.ledger.expire(now);
-        self.doubted = upstream.is_suspected(now);
+        self.doubted = upstream.is_avoided(now);
         self.backed_off = upstream.is_backed_off(now);
         if self.version != upstream.version {
             // Something has changed there, as at the end of an order: ask now.
             self.version = upstream.version;
             self.asked_at = None;
         }
-        let copies = &upstream.news.copies;
+        let copies = &upstream.record.local_weights;
         self.copies = copies
             .in_memory
             .iter()
@@ -142,21 +144,26 @@
     /// A load waits behind its unload. Where the unload was not taken, the load would
     /// wait for the whole of its time, and its model count as on its way for as long:
     /// one that callers waited for was planned nowhere else for ten seconds.
-    pub(crate) fn sent(&mut self, now: Instant, order: &direct::Order, sent: Sent) {
-        self.ledger.sent(now, order, sent);
+    pub(crate) fn sent(
+        &mut self,
+        now: Instant,
+        order: &direct::Order,
+        sent: SendOutcome,
+    ) {
+        self.ledger.apply_outcome(now, order, sent);
         let taken = matches!(
             sent,
-            Sent::Answered(OrderAnswer::Accepted | OrderAnswer::Done)
+            SendOutcome::Answered(OrderAnswer::Accepted | OrderAnswer::Done)
         );
-        let own = order.born_ms == self.ledger.born_ms();
-        if matches!(order.action, Action::Unload(_)) && own && !taken {
+        let own = order.started_unix_ms == self.ledger.started_unix_ms();
+        if matches!(order.action, OrderAction::Unload(_)) && own && !taken {
             self.intent = None;
         }
     }
 
     /// Models on their way, also those that wait for an unload.
     pub(crate) fn coming(&self, setup: &Setup) -> Vec<(Arc<str>, Instant)> {
-        let loading = self.ledger.coming();
+        let loading = self.ledger.loading_models();
         let mut coming: Vec<_> = loading
             .map(|(model, ready_at)| (Arc::clone(model), ready_at))
             .collect();
@@ -171,8 +178,8 @@
 
     /// Models held or on their way, also one that waits for an unload: planned
     /// without it, its load would be started again elsewhere at each plan.
-    pub(crate) fn groups(&self, engine: &Engine) -> Vec<Group> {
-        let group = |model: &Arc<str>, unloading| Group {
+    pub(crate) fn groups(&self, engine: &EngineSpec) -> Vec<PlacedModel> {
+        let group = |model: &Arc<str>, unloading| PlacedModel {
             model: Arc::clone(model),
             size_mb: engine.models.get(model).map_or(0.0, |spec| spec.weights_mb),
             unloading,
@@ -189,19 +196,21 @@
     pub(crate) fn adapter_spot(
         &self,
         id: &Arc<str>,
-        engine: &Engine,
+        engine: &EngineSpec,
         running: u32,
-    ) -> AdapterSpot {
+    ) -> UpstreamAdapterState {
         let takes_orders = self.takes_orders();
-        AdapterSpot {
+        UpstreamAdapterState {
             upstream: Arc::clone(id),
-            takes_orders,
+            accepts_orders: takes_orders,
             // One that leaves orders unanswered would have each of these in the way of
             // an order that callers wait for.
-            takes_ahead: takes_orders
+            accepts_prefetch: takes_orders
                 && self.intent.is_none()
-                && !self.ledger.has_late(),
-            free_places: engine.adapters_max.saturating_sub(self.ledger.adapters()),
+                && !self.ledger.has_unanswered(),
+            free_slots: engine
+                .adapters_max
+                .saturating_sub(self.ledger.adapter_count()),
             free_mb: engine.weights_max_mb - self.ledger.used_mb(engine),
             running,
             models: self.ledger.adapters_held(),
@@ -211,24 +220,24 @@
     /// The order that brings an adapter, or the one that makes room for it.
     pub(crate) fn adapter_order(
         &mut self,
-        engine: &Engine,
-        choice: &AdapterChoice,
+        engine: &EngineSpec,
+        choice: &PlannedAdapterLoad,
     ) -> Option<direct::Order> {
         let action = match &choice.unload {
-            Some(gone) => Action::UnloadAdapter(
+            Some(gone) => OrderAction::UnloadAdapter(
                 Arc::clone(&gone.model),
                 Arc::clone(&gone.adapter),
             ),
-            None => Action::LoadAdapter(
+            None => OrderAction::LoadAdapter(
                 Arc::clone(&choice.load.model),
                 Arc::clone(&choice.load.adapter),
             ),
         };
-        self.ledger.order(engine, action)
+        self.ledger.issue_order(engine, action)
     }
 }
 
 /// The engine that upstreams of a service run.
-pub(crate) fn engine<'a>(setup: &'a Setup, service: &str) -> Option<&'a Engine> {
+pub(crate) fn engine<'a>(setup: &'a Setup, service: &str) -> Option<&'a EngineSpec> {
     setup.services.get(service)?.engine.as_ref()
 }
--- a/crates/front/src/state/giver.rs
+++ b/crates/front/src/state/giver.rs
@@ -1,7 +1,9 @@
 //! What the giver of orders knows.
 
 use base::prelude::*;
-use direct::{LateOrders, Moves, Order, Report, Resident, Sent};
+use direct::{
+    LoadPlanner, Order, ResidentModel, SendOutcome, UnansweredOrders, UpstreamReport,
+};
 use parking_lot::Mutex;
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -34,8 +36,8 @@
     pub(crate) last_token: Option<u64>,
     pub(crate) books: BTreeMap<Arc<str>, Book>,
     /// Orders without an answer to upstreams that are not used now.
-    pub(crate) late: BTreeMap<Arc<str>, LateOrders>,
-    pub(crate) moves: BTreeMap<Arc<str>, Moves>,
+    pub(crate) late: BTreeMap<Arc<str>, UnansweredOrders>,
+    pub(crate) moves: BTreeMap<Arc<str>, LoadPlanner>,
     pub(crate) planned_at: Instant,
     /// When adapters that nobody waits for were last looked at.
     pub(crate) spread_at: Instant,
@@ -48,7 +50,7 @@
     pub(crate) upstream: Arc<str>,
     /// Start that holds this.
     pub(crate) born_ms: Option<u64>,
-    pub(crate) residents: Vec<Resident>,
+    pub(crate) residents: Vec<ResidentModel>,
     /// Models on their way, with when they are expected to serve.
     pub(crate) coming: Vec<(Arc<str>, Instant)>,
 }
@@ -85,7 +87,7 @@
         });
         told.map(|(_, (id, book))| Told {
             upstream: Arc::clone(id),
-            born_ms: book.start(id).born_ms,
+            born_ms: book.start(id).started_unix_ms,
             residents: book.serving.clone(),
             coming: book.coming.clone(),
         })
@@ -93,7 +95,13 @@
     }
 
     /// Books what came of an order, if the upstream is still kept.
-    pub(crate) fn sent(&self, now: Instant, id: &str, order: &Order, sent: Sent) {
+    pub(crate) fn sent(
+        &self,
+        now: Instant,
+        id: &str,
+        order: &Order,
+        sent: SendOutcome,
+    ) {
         if let Some(book) = self.state.lock().books.get_mut(id) {
             book.sent(now, order, sent);
         }
@@ -101,14 +109,14 @@
     }
 
     /// Books a report, if the upstream is still kept.
-    pub(crate) fn reported(&self, now: Instant, id: &str, report: &Report) {
+    pub(crate) fn reported(&self, now: Instant, id: &str, report: &UpstreamReport) {
         let mut state = self.state.lock();
         let State { books, moves, .. } = &mut *state;
         if let Some(book) = books.get_mut(id)
             && book.report(now, report)
             && let Some(moves) = moves.get_mut(&book.service)
         {
-            moves.outlived(now, book.ledger.late_loads());
+            moves.record_surviving_loads(now, book.ledger.unanswered_loads());
         }
         drop(state);
         self.wake.notify_waiters();
@@ -119,13 +127,13 @@
     pub(crate) fn is_current(&self, id: &str, order: &Order) -> bool {
         let state = self.state.lock();
         let book = state.books.get(id);
-        book.is_some_and(|book| book.ledger.born_ms() == order.born_ms)
+        book.is_some_and(|book| book.ledger.started_unix_ms() == order.started_unix_ms)
     }
 
     /// A load from the weight store got no answer.
     pub(crate) fn load_unanswered(&self, now: Instant, service: &str) {
         if let Some(moves) = self.state.lock().moves.get_mut(service) {
-            moves.unanswered(now);
+            moves.record_unanswered_load(now);
         }
     }
 }
--- a/crates/front/src/state/node.rs
+++ b/crates/front/src/state/node.rs
@@ -2,7 +2,8 @@
 
 use base::prelude::*;
 use direct::{
-    Demand, Doubts, Fleet, Lease, Paces, Readings, Repeats, Setup, Watermark,
+    AvoidanceTracker, DemandTracker, Fleet, Lease, MeanPrefillTimes, ModelTimeFactors,
+    RetryBudget, Setup, Watermark,
 };
 use parking_lot::Mutex;
 use plat::ObjectApi;
@@ -59,14 +60,14 @@
     pub(crate) setup: Mutex<(Option<Arc<Setup>>, Watermark)>,
     pub(crate) fleet: Mutex<Fleet>,
     /// Doubts about upstreams that were told of; locked before the fleet.
-    pub(crate) doubts: Mutex<Doubts>,
+    pub(crate) doubts: Mutex<AvoidanceTracker>,
     /// How far the upstreams' entries are known.
     pub(crate) fleet_mark: Mutex<Watermark>,
     /// Demand by service.
-    pub(crate) demand: Mutex<BTreeMap<Arc<str>, Demand>>,
-    pub(crate) repeats: Mutex<Repeats>,
-    pub(crate) paces: Mutex<Paces>,
-    pub(crate) readings: Mutex<Readings>,
+    pub(crate) demand: Mutex<BTreeMap<Arc<str>, DemandTracker>>,
+    pub(crate) repeats: Mutex<RetryBudget>,
+    pub(crate) paces: Mutex<ModelTimeFactors>,
+    pub(crate) readings: Mutex<MeanPrefillTimes>,
     pub(crate) suspects: Mutex<Suspects>,
     pub(crate) wants: Wants,
     /// Tokens of workspaces.
@@ -101,7 +102,7 @@
         let now = SystemTime::now().duration_since(UNIX_EPOCH);
         let start = now.map_or(0, |now| now.as_millis() as u64);
         let bounds = &options.bounds;
-        let repeats = Repeats::new(
+        let repeats = RetryBudget::new(
             BootClock.now(),
             bounds.repeat_ratio,
             bounds.repeat_burst,
@@ -193,14 +194,16 @@
     /// Factor on the time that reading a request's prompt takes.
     pub(crate) fn pace_of(&self, call: &Call) -> f64 {
         let model = call.ask.model.as_ref();
-        model.map_or(1.0, |(model, _)| self.paces.lock().of(&call.service, model))
+        model.map_or(1.0, |(model, _)| {
+            self.paces.lock().factor(&call.service, model)
+        })
     }
 
     /// Counts demand for a model of a service.
     pub(crate) fn with_demand(
         &self,
         service: &Arc<str>,
-        change: impl FnOnce(&mut Demand),
+        change: impl FnOnce(&mut DemandTracker),
     ) {
         let mut demand = self.demand.lock();
         change(demand.entry(Arc::clone(service)).or_default());
--- a/crates/front/src/state/peers.rs
+++ b/crates/front/src/state/peers.rs
@@ -1,7 +1,7 @@
 //! Other entries.
 
 use base::prelude::*;
-use direct::{Load, OtherEntry, has_successor};
+use direct::{DemandEstimate, PeerEntry, has_successor};
 use parking_lot::Mutex;
 use quota::keeper;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -65,7 +65,7 @@
     pub(crate) keeps_tokens: bool,
     /// Whether it is being stopped.
     pub(crate) stopping: bool,
-    pub(crate) loads: Vec<(Arc<str>, Arc<str>, Load)>,
+    pub(crate) loads: Vec<(Arc<str>, Arc<str>, DemandEstimate)>,
 }
 
 /// Name of one start of an entry.
@@ -178,9 +178,9 @@
     pub(crate) fn has_successor(&self, now: Instant, start: u64) -> bool {
         let table = self.table.lock();
         let heard = table.heard(now).map(|(_, peer)| peer);
-        let others: Vec<OtherEntry> = heard
-            .map(|peer| OtherEntry {
-                start_ms: peer.start,
+        let others: Vec<PeerEntry> = heard
+            .map(|peer| PeerEntry {
+                started_unix_ms: peer.start,
                 stopping: peer.stopping,
             })
             .collect();
@@ -199,7 +199,7 @@
         &self,
         now: Instant,
         service: &str,
-        loads: &mut BTreeMap<Arc<str>, Load>,
+        loads: &mut BTreeMap<Arc<str>, DemandEstimate>,
     ) {
         let table = self.table.lock();
         let heard = table.heard(now).map(|(_, peer)| peer);
--- a/crates/front/src/stream.rs
+++ b/crates/front/src/stream.rs
@@ -205,7 +205,7 @@
         {
             return true;
         }
-        if !self.run.call.route.kind.may_repeat() {
+        if !self.run.call.route.kind.may_rerun() {
             return false;
         }
         let live = self.live.as_ref();
--- a/crates/front/src/tries.rs
+++ b/crates/front/src/tries.rs
@@ -2,7 +2,7 @@
 
 use base::prelude::*;
 use bytes::Bytes;
-use direct::{Outcome, Picked};
+use direct::{AttemptOutcome, SelectedUpstream};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use hyper::header::HeaderMap;
@@ -69,7 +69,7 @@
     /// A whole answer that stands.
     Whole(Whole),
     /// No answer that stands; with the upstream's own failure if it gave one.
-    Fault(Outcome, Option<Whole>),
+    Fault(AttemptOutcome, Option<Whole>),
 }
 
 /// Sends a request to an upstream and waits for its answer, or for the head of
@@ -77,21 +77,21 @@
 pub(crate) async fn try_once(
     node: &Arc<Node>,
     call: &Call,
-    picked: &Picked,
+    picked: &SelectedUpstream,
     last_event: Option<&str>,
 ) -> TryEnd {
     let Some(place) = place(node, &picked.id) else {
-        return TryEnd::Fault(Outcome::NotSent, None);
+        return TryEnd::Fault(AttemptOutcome::NotSent, None);
     };
     let in_flight = InFlight::begin(node, call, picked, place.born_ms);
-    let fresh = !call.route.kind.may_repeat();
+    let fresh = !call.route.kind.may_rerun();
     let Ok(line) = node.pool.take(&picked.id, place, fresh).await else {
         unreached(node, &picked.id, place.born_ms);
-        return TryEnd::Fault(Outcome::NotSent, None);
+        return TryEnd::Fault(AttemptOutcome::NotSent, None);
     };
     let left_ms = call.left_ms(node.clock);
     if call.is_over(node.clock) {
-        return TryEnd::Fault(Outcome::NotSent, None);
+        return TryEnd::Fault(AttemptOutcome::NotSent, None);
     }
     let request = request(node, call, &picked.id, left_ms, last_event);
     exchange(node, call, in_flight, line, request).await
@@ -105,12 +105,12 @@
     request: Request<Full<Bytes>>,
 ) -> TryEnd {
     match head(node, call, &in_flight, &mut line, request).await {
-        None => TryEnd::Fault(Outcome::Unknown, None),
-        Some(Err(SendFault::NotSent)) => TryEnd::Fault(Outcome::NotSent, None),
+        None => TryEnd::Fault(AttemptOutcome::Unknown, None),
+        Some(Err(SendFault::NotSent)) => TryEnd::Fault(AttemptOutcome::NotSent, None),
         Some(Err(SendFault::Broken)) => {
             in_flight.observe(false);
             look_for_crash(node, call.fingerprint, in_flight.start());
-            TryEnd::Fault(Outcome::Unknown, None)
+            TryEnd::Fault(AttemptOutcome::Unknown, None)
         }
         Some(Ok(response)) => {
             in_flight.heard();
@@ -150,7 +150,7 @@
     in_flight: &InFlight,
     sent_at: Instant,
 ) -> bool {
-    let gives_up = call.route.kind.may_repeat()
+    let gives_up = call.route.kind.may_rerun()
         && node.now().ms_since(sent_at) > PATIENCE_MS
         && in_flight.is_silent();
     if gives_up {
@@ -173,13 +173,13 @@
     if head.id.as_ref().is_some_and(|id| *id != call.ask.id) {
         // An answer to another request, late on this connection. Dropping the
         // line closes it; whether this request ran, nothing says.
-        return TryEnd::Fault(Outcome::Unknown, None);
+        return TryEnd::Fault(AttemptOutcome::Unknown, None);
     }
     in_flight.answered(&head);
     let good = parts.status.is_success();
     if good && !(head.signed && head.id.is_some()) {
         in_flight.observe(false);
-        return TryEnd::Fault(Outcome::Unknown, None);
+        return TryEnd::Fault(AttemptOutcome::Unknown, None);
     }
     if head.other_upstream {
         in_flight.deny(call);
@@ -202,9 +202,9 @@
         in_flight.observe(false);
         return TryEnd::Fault(
             if head.not_run {
-                Outcome::Refused
+                AttemptOutcome::Refused
             } else {
-                Outcome::Unknown
+                AttemptOutcome::Unknown
             },
             None,
         );
@@ -221,10 +221,10 @@
 
 fn sort(whole: Whole, head: &AnswerHead) -> TryEnd {
     if head.not_run {
-        TryEnd::Fault(Outcome::Refused, None)
+        TryEnd::Fault(AttemptOutcome::Refused, None)
     } else if whole.status.is_server_error() {
         let own = head.signed.then_some(whole);
-        TryEnd::Fault(Outcome::Failed, own)
+        TryEnd::Fault(AttemptOutcome::Failed, own)
     } else {
         TryEnd::Whole(whole)
     }
--- a/crates/front/src/upstream_rate.rs
+++ b/crates/front/src/upstream_rate.rs
@@ -6,7 +6,7 @@
 //! crate, and an entry that is cut off sends less and not more.
 
 use base::prelude::*;
-use direct::{Fleet, RateNotice, Start, Upstream};
+use direct::{Fleet, RateNotice, Upstream, UpstreamIncarnation};
 use quota::{Limit, Take};
 use schema::peer::UpstreamRate;
 use serde_json::json;
@@ -29,7 +29,7 @@
 /// refusal or a spoilt answer may lack the rate while it holds.
 pub(crate) fn learn(
     node: &Node,
-    start: Start<'_>,
+    start: UpstreamIncarnation<'_>,
     head: &AnswerHead,
     asked_at: Instant,
 ) {
@@ -60,9 +60,9 @@
     let now = node.now();
     for told in rates {
         let born_ms = (told.born_ms > 0).then_some(told.born_ms);
-        let start = Start {
+        let start = UpstreamIncarnation {
             id: &told.upstream,
-            born_ms,
+            started_unix_ms: born_ms,
         };
         let per_s = told
             .per_s
@@ -71,7 +71,7 @@
             continue;
         }
         let ago = (told.asked_ms_ago, told.heard_ms_ago);
-        let changed = node.fleet.lock().heard_rate(now, start, per_s, ago);
+        let changed = node.fleet.lock().peer_reported_rate(now, start, per_s, ago);
         if changed {
             changed_by(node, &told.upstream, per_s, entry);
         }
@@ -80,13 +80,15 @@
 
 /// What is told to other entries.
 pub(crate) fn told(fleet: &Fleet, now: Instant) -> Vec<UpstreamRate> {
-    let rates = fleet.rates(now).map(|(upstream, notice)| UpstreamRate {
-        upstream: upstream.news.id.to_string(),
-        born_ms: upstream.news.born_ms.unwrap_or(0),
-        per_s: notice.per_s,
-        asked_ms_ago: now.ms_since(notice.asked_at),
-        heard_ms_ago: now.ms_since(notice.heard_at),
-    });
+    let rates = fleet
+        .rate_notices(now)
+        .map(|(upstream, notice)| UpstreamRate {
+            upstream: upstream.record.id.to_string(),
+            born_ms: upstream.record.started_unix_ms.unwrap_or(0),
+            per_s: notice.per_s,
+            asked_ms_ago: now.ms_since(notice.asked_at),
+            heard_ms_ago: now.ms_since(notice.heard_at),
+        });
     rates.collect()
 }
 
@@ -163,7 +165,7 @@
     };
     let until = node.now().plus_ms(return_ms.max(SPENT_MIN_MS));
     if let Some(upstream) = node.fleet.lock().get_mut(upstream) {
-        upstream.rate_spent_until(until);
+        upstream.set_rate_spent_until(until);
     }
     Err(RateSpent)
 }
