--- a/crates/front/src/crash.rs
+++ b/crates/front/src/crash.rs
@@ -41,7 +41,7 @@
         let agent = witness(&upstream, born_ms);
         let mut suspects = node.suspects.lock();
         let incarnation = born_ms.unwrap_or(0);
-        suspects.on_crash(node.now(), &[fingerprint], &agent, incarnation, false);
+        suspects.record_crash(node.now(), &[fingerprint], &agent, incarnation, false);
     });
 }
 
--- a/crates/front/src/seek.rs
+++ b/crates/front/src/seek.rs
@@ -233,7 +233,7 @@
         excluded: &[Arc<str>],
     ) -> Result<SelectedUpstream, SelectionError> {
         let call = &self.call;
-        let answer_tokens = call.ask.answer_tokens_max;
+        let answer_tokens = call.ask.output_tokens_max;
         let model = call.ask.model.as_ref();
         let input = SelectionInput {
             now: self.node.now(),
@@ -246,7 +246,7 @@
             time_factor: self.node.pace_of(call),
             kv_tokens: call.ask.prompt_tokens + answer_tokens,
             excluded,
-            domain: &self.node.options.domain,
+            domain: &self.node.options.failure_domain,
             random: self.node.random(),
         };
         select_upstream(&self.node.fleet.lock(), &input)
--- a/crates/role/src/entry/requests/answers.rs
+++ b/crates/role/src/entry/requests/answers.rs
@@ -91,7 +91,7 @@
         // The part starts at or before the end of what the caller has, and its
         // units fit 32 bits, so the units to skip do as well.
         let skip_units = u32::try_from(delivered - part.offset).unwrap_or(u32::MAX);
-        out.push(EntryAction::Deliver {
+        out.push(EntryAction::DeliverPart {
             request: id,
             skip_units,
         });
@@ -249,7 +249,10 @@
         ctx.shared.book.lock().served(wanted, ms);
         if attempt.alone {
             let fingerprint = request.resolved.fingerprint;
-            ctx.shared.suspects.lock().completed(fingerprint);
+            ctx.shared
+                .suspects
+                .lock()
+                .record_completed_alone(fingerprint);
         }
     }
 
@@ -263,7 +266,7 @@
             let mut suspects = ctx.shared.suspects.lock();
             charged_by(&mut suspects, ctx.now, fingerprints, |suspects| {
                 let run = frame.upstream_incarnation;
-                suspects.on_crash(ctx.now, fingerprints, agent, run, alone);
+                suspects.record_crash(ctx.now, fingerprints, agent, run, alone);
             })
         };
         let attempt = attempt_of(frame.attempt.as_ref());
