--- a/crates/direct/src/fleet.rs
+++ b/crates/direct/src/fleet.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
-use crate::{ResidentModel, Setup, UpstreamIncarnation, UpstreamRecord};
+use crate::{Config, ResidentModel, UpstreamIncarnation, UpstreamRecord};
 use upstream::{SAID_MAX_MS, SAID_MS, Said};
 
 pub use liveness::Activity;
@@ -408,7 +408,7 @@
     pub fn model_upstreams<'a>(
         &'a self,
         now: Instant,
-        setup: &'a Setup,
+        setup: &'a Config,
     ) -> impl Iterator<Item = &'a Upstream> {
         self.all().filter(move |upstream| {
             let spec = setup.services.get(&upstream.record.service);
--- a/crates/direct/src/lib.rs
+++ b/crates/direct/src/lib.rs
@@ -6,7 +6,7 @@
 //! whether it may be sent again, what each upstream holds, and who orders that.
 //! Everything here is pure: time is an argument and nothing does I/O.
 //!
-//! - [`Setup`] is the operator's configuration as the decisions need it, with
+//! - [`Config`] is the operator's configuration as the decisions need it, with
 //!   routes by host and longest prefix.
 //! - [`Fleet`] is what this entry knows of the upstreams.
 //! - [`AvoidanceTracker`] says when an upstream begins or ceases to be avoided.
@@ -88,7 +88,7 @@
 pub use reading::{PRIORITY_LEVELS, PrefillQueue};
 pub use repeats::RetryBudget;
 pub use setup::{
-    EngineSpec, Limits, ModelSpec, Route, RouteKind, ServiceSpec, Setup,
+    Config, EngineSpec, Limits, ModelSpec, Route, RouteKind, ServiceSpec,
     WeightedService,
 };
 pub use shared_watch::{
--- a/crates/direct/src/setup.rs
+++ b/crates/direct/src/setup.rs
@@ -7,10 +7,10 @@
 
 /// One version of the configuration.
 #[derive(Debug, Clone, Default)]
-pub struct Setup {
+pub struct Config {
     /// Version; a higher one replaces a lower one.
     pub version: u64,
-    /// Routes, longest prefix first within a host; see [`Setup::new`].
+    /// Routes, longest prefix first within a host; see [`Config::new`].
     routes: Vec<Arc<Route>>,
     /// Services by name.
     pub services: BTreeMap<Arc<str>, Arc<ServiceSpec>>,
@@ -147,7 +147,7 @@
     }
 }
 
-impl Setup {
+impl Config {
     /// A version with its routes in the order in which they are tried.
     pub fn new(
         version: u64,
--- a/crates/direct/tests/all/setup.rs
+++ b/crates/direct/tests/all/setup.rs
@@ -1,6 +1,6 @@
 //! Choice of a route and of a service.
 
-use direct::{Limits, Route, RouteKind, Setup, WeightedService};
+use direct::{Config, Limits, Route, RouteKind, WeightedService};
 use std::collections::BTreeMap;
 
 fn route(name: &str, host: &str, prefix: &str, services: &[(&str, u64)]) -> Route {
@@ -25,14 +25,14 @@
     }
 }
 
-fn setup() -> Setup {
+fn setup() -> Config {
     let routes = vec![
         route("a", "x.example", "/a/", &[("one", 1)]),
         route("ab", "x.example", "/a/b/", &[("two", 1)]),
         route("other", "y.example", "/a/", &[("three", 1)]),
         route("all", "x.example", "/", &[("four", 1)]),
     ];
-    Setup::new(1, routes, BTreeMap::new(), Limits::default())
+    Config::new(1, routes, BTreeMap::new(), Limits::default())
 }
 
 fn chosen(host: &str, path: &str) -> Option<String> {
--- a/crates/front/src/follow.rs
+++ b/crates/front/src/follow.rs
@@ -249,7 +249,7 @@
     }
 }
 
-fn take_setup(node: &Node, setup: direct::Setup) {
+fn take_setup(node: &Node, setup: direct::Config) {
     let mut held = node.setup.lock();
     let before = held.0.as_ref().map_or(0, |setup| setup.version);
     if held.0.is_some() && setup.version <= before {
--- a/crates/front/src/giver/adapters.rs
+++ b/crates/front/src/giver/adapters.rs
@@ -2,7 +2,7 @@
 
 use base::prelude::*;
 use direct::{
-    AdapterName, AdapterPlanner, EngineSpec, PlannedAdapterLoad, Setup,
+    AdapterName, AdapterPlanner, Config, EngineSpec, PlannedAdapterLoad,
     UpstreamAdapterState,
 };
 use std::sync::Arc;
@@ -28,7 +28,7 @@
     pub(super) fn adapters(
         &mut self,
         node: &Node,
-        setup: &Setup,
+        setup: &Config,
         now: Instant,
     ) -> Vec<Ordered> {
         for want in node.wants.standing(now) {
--- a/crates/front/src/giver/kept.rs
+++ b/crates/front/src/giver/kept.rs
@@ -1,7 +1,7 @@
 //! Which upstreams the giver of orders keeps books of.
 
 use base::prelude::*;
-use direct::{Setup, UnansweredOrders, Upstream};
+use direct::{Config, UnansweredOrders, Upstream};
 use std::sync::Arc;
 
 use crate::state::Node;
@@ -11,7 +11,7 @@
 impl State {
     /// Ends the books of upstreams that are gone or have started again, and begins
     /// those of new starts.
-    pub(super) fn follow_fleet(&mut self, node: &Node, setup: &Setup, now: Instant) {
+    pub(super) fn follow_fleet(&mut self, node: &Node, setup: &Config, now: Instant) {
         let fleet = node.fleet.lock();
         let gone = self.books.extract_if(.., |id, book| {
             let upstream = fleet.get(id);
--- a/crates/front/src/giver/mod.rs
+++ b/crates/front/src/giver/mod.rs
@@ -6,7 +6,7 @@
 
 use base::prelude::*;
 use direct::{
-    DemandEstimate, EngineSpec, LoadPlanner, OrderAction, PlannedLoad, Setup,
+    Config, DemandEstimate, EngineSpec, LoadPlanner, OrderAction, PlannedLoad,
     UpstreamState,
 };
 use serde_json::json;
@@ -58,7 +58,7 @@
     }
 }
 
-fn tick(node: &Arc<Node>, setup: &Setup, token: u64) {
+fn tick(node: &Arc<Node>, setup: &Config, token: u64) {
     let now = node.now();
     let mut state = node.giver.state.lock();
     if state.token != Some(token) {
@@ -93,7 +93,7 @@
 impl State {
     /// This entry has become the giver: nothing that it knew from before holds, but
     /// that its own orders of before may still be carried out.
-    fn begin(&mut self, node: &Node, setup: &Setup, token: u64, now: Instant) {
+    fn begin(&mut self, node: &Node, setup: &Config, token: u64, now: Instant) {
         self.token = Some(token);
         for (id, book) in std::mem::take(&mut self.books) {
             self.late.insert(id, book.ledger.into_unanswered(now));
@@ -137,7 +137,7 @@
     }
 
     /// Loads whose unload is done.
-    fn continue_moves(&mut self, setup: &Setup, now: Instant) -> Vec<Ordered> {
+    fn continue_moves(&mut self, setup: &Config, now: Instant) -> Vec<Ordered> {
         let mut orders = Vec::new();
         for (id, book) in &mut self.books {
             let Some(engine) = engine(setup, &book.service) else {
@@ -173,7 +173,7 @@
         orders
     }
 
-    fn plan(&mut self, node: &Node, setup: &Setup, now: Instant) -> Vec<Ordered> {
+    fn plan(&mut self, node: &Node, setup: &Config, now: Instant) -> Vec<Ordered> {
         let services: Vec<Arc<str>> = self.moves.keys().cloned().collect();
         let mut orders = Vec::new();
         for service in services {
@@ -248,7 +248,7 @@
     }
 
     /// Tells this entry's own fleet what upstreams hold; whether it changed.
-    fn tell(&mut self, node: &Node, setup: &Setup, now: Instant) -> bool {
+    fn tell(&mut self, node: &Node, setup: &Config, now: Instant) -> bool {
         let mut changed = false;
         let mut fleet = node.fleet.lock();
         for (id, book) in &mut self.books {
--- a/crates/front/src/protocol.rs
+++ b/crates/front/src/protocol.rs
@@ -2,7 +2,7 @@
 
 use access::Credential;
 use bytes::Bytes;
-use direct::{Order, OrderAnswer, Setup, UpstreamRecord, UpstreamReport};
+use direct::{Config, Order, OrderAnswer, UpstreamRecord, UpstreamReport};
 use hyper::header::HeaderMap;
 use hyper::{Method, StatusCode};
 use snafu::Snafu;
@@ -112,7 +112,7 @@
     /// # Errors
     ///
     /// It is not one.
-    fn parse_config(&self, value: &[u8]) -> Result<Setup, DecodeError>;
+    fn parse_config(&self, value: &[u8]) -> Result<Config, DecodeError>;
 
     /// Reads the platform's entry of an upstream.
     ///
--- a/crates/front/src/request.rs
+++ b/crates/front/src/request.rs
@@ -3,7 +3,7 @@
 use access::{Credential, Workspace};
 use base::prelude::*;
 use bytes::Bytes;
-use direct::{Route, Setup};
+use direct::{Config, Route};
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::header::HOST;
@@ -174,7 +174,7 @@
 ///
 /// The request has no key that the configuration knows.
 fn workspace(
-    setup: &Setup,
+    setup: &Config,
     route: &Route,
     ask: &RequestHead,
 ) -> Result<Option<Arc<Workspace>>, Refusal> {
--- a/crates/front/src/state/book.rs
+++ b/crates/front/src/state/book.rs
@@ -2,8 +2,8 @@
 
 use base::prelude::*;
 use direct::{
-    EngineSpec, Ledger, OrderAction, OrderAnswer, PlacedModel, PlannedAdapterLoad,
-    ResidentModel, SendOutcome, Setup, UnansweredOrders, Upstream,
+    Config, EngineSpec, Ledger, OrderAction, OrderAnswer, PlacedModel,
+    PlannedAdapterLoad, ResidentModel, SendOutcome, UnansweredOrders, Upstream,
     UpstreamAdapterState, UpstreamIncarnation, UpstreamReport,
 };
 use std::collections::HashMap;
@@ -162,7 +162,7 @@
     }
 
     /// Models on their way, also those that wait for an unload.
-    pub(crate) fn coming(&self, setup: &Setup) -> Vec<(Arc<str>, Instant)> {
+    pub(crate) fn coming(&self, setup: &Config) -> Vec<(Arc<str>, Instant)> {
         let loading = self.ledger.loading_models();
         let mut coming: Vec<_> = loading
             .map(|(model, ready_at)| (Arc::clone(model), ready_at))
@@ -238,6 +238,6 @@
 }
 
 /// The engine that upstreams of a service run.
-pub(crate) fn engine<'a>(setup: &'a Setup, service: &str) -> Option<&'a EngineSpec> {
+pub(crate) fn engine<'a>(setup: &'a Config, service: &str) -> Option<&'a EngineSpec> {
     setup.services.get(service)?.engine.as_ref()
 }
--- a/crates/front/src/state/node.rs
+++ b/crates/front/src/state/node.rs
@@ -2,8 +2,8 @@
 
 use base::prelude::*;
 use direct::{
-    AvoidanceTracker, DemandTracker, Fleet, Lease, MeanPrefillTimes, ModelTimeFactors,
-    RetryBudget, Setup, Watermark,
+    AvoidanceTracker, Config, DemandTracker, Fleet, Lease, MeanPrefillTimes,
+    ModelTimeFactors, RetryBudget, Watermark,
 };
 use parking_lot::Mutex;
 use plat::ObjectApi;
@@ -57,7 +57,7 @@
     /// The same by the clock that everything here goes by.
     pub(crate) started_at: Instant,
     /// Configuration in force, and how far it is known.
-    pub(crate) setup: Mutex<(Option<Arc<Setup>>, Watermark)>,
+    pub(crate) setup: Mutex<(Option<Arc<Config>>, Watermark)>,
     pub(crate) fleet: Mutex<Fleet>,
     /// Doubts about upstreams that were told of; locked before the fleet.
     pub(crate) doubts: Mutex<AvoidanceTracker>,
@@ -158,7 +158,7 @@
     }
 
     /// The configuration in force.
-    pub(crate) fn setup(&self) -> Option<Arc<Setup>> {
+    pub(crate) fn setup(&self) -> Option<Arc<Config>> {
         self.setup.lock().0.clone()
     }
 
--- a/crates/front/src/state/quota.rs
+++ b/crates/front/src/state/quota.rs
@@ -2,7 +2,7 @@
 //! for them.
 
 use base::prelude::*;
-use direct::Setup;
+use direct::Config;
 use parking_lot::Mutex;
 use quota::{Asked, Limit, Pools, Take};
 use std::collections::HashMap;
@@ -78,7 +78,7 @@
     }
 
     /// Takes over the bounds of a configuration.
-    pub(crate) fn set_limits(&self, now: Instant, setup: &Setup) {
+    pub(crate) fn set_limits(&self, now: Instant, setup: &Config) {
         let workspaces = setup.directory.iter();
         let workspaces = workspaces.flat_map(|directory| directory.workspaces());
         let limits = workspaces.filter_map(|workspace| {
