--- a/crates/front/src/protocol.rs
+++ b/crates/front/src/protocol.rs
@@ -2,7 +2,7 @@
 
 use access::Credential;
 use bytes::Bytes;
-use direct::{Order, OrderAnswer, Report, Setup, UpstreamNews};
+use direct::{Config, Order, OrderAnswer, UpstreamRecord, UpstreamReport};
 use hyper::header::HeaderMap;
 use hyper::{Method, StatusCode};
 use snafu::Snafu;
@@ -112,7 +112,7 @@
     /// # Errors
     ///
     /// It is not one.
-    fn parse_config(&self, value: &[u8]) -> Result<Setup, DecodeError>;
+    fn parse_config(&self, value: &[u8]) -> Result<Config, DecodeError>;
 
     /// Reads the platform's entry of an upstream.
     ///
@@ -123,7 +123,7 @@
         &self,
         key: &str,
         value: &[u8],
-    ) -> Result<UpstreamNews, DecodeError>;
+    ) -> Result<UpstreamRecord, DecodeError>;
 
     /// Reads a caller's headers.
     fn parse_request_head(&self, headers: &HeaderMap) -> RequestHead;
@@ -170,7 +170,7 @@
     /// # Errors
     ///
     /// It is not one.
-    fn parse_report(&self, value: &[u8]) -> Result<Report, DecodeError>;
+    fn parse_report(&self, value: &[u8]) -> Result<UpstreamReport, DecodeError>;
 
     /// Path of the balancer's question whether the entry takes callers.
     fn readiness_path(&self) -> &'static str;
