--- a/crates/direct/src/admit.rs
+++ b/crates/direct/src/admit.rs
@@ -29,7 +29,7 @@
     /// When the request arrived.
     pub arrived_at: Instant,
     /// Time within which its answer earns its full worth.
-    pub target_latency_ms: u64,
+    pub latency_target_ms: u64,
     /// When the first part of its answer is of use at the latest.
     pub first_answer_deadline: Instant,
     /// Time at the upstream until its prompt is read.
@@ -65,7 +65,7 @@
     if own_ms > of_use_ms {
         return Err(own_ms - of_use_ms);
     }
-    let usable_ms = admission.target_latency_ms * AIM_USABLE_PERCENT / 100;
+    let usable_ms = admission.latency_target_ms * AIM_USABLE_PERCENT / 100;
     let in_time_by = admission.arrived_at.plus_ms(usable_ms);
     if !admission.at_engine || admission.now >= in_time_by {
         return Ok(());
--- a/crates/direct/src/demand.rs
+++ b/crates/direct/src/demand.rs
@@ -52,7 +52,7 @@
     /// Factor on the time that its model's engines take.
     pub time_factor: f64,
     /// Time within which its answer earns its full worth.
-    pub target_latency_ms: u64,
+    pub latency_target_ms: u64,
 }
 
 impl Arrival {
@@ -65,7 +65,7 @@
 
     /// Part of its work that counts as demand.
     fn urgency(&self) -> f64 {
-        let aim_ms = self.target_latency_ms.max(1) as f64;
+        let aim_ms = self.latency_target_ms.max(1) as f64;
         (URGENT_AIM_MS / aim_ms).clamp(URGENCY_LEAST, 1.0)
     }
 }
--- a/crates/direct/src/pick.rs
+++ b/crates/direct/src/pick.rs
@@ -68,7 +68,7 @@
     /// Part of that which reading its own prompt takes.
     pub own_prefill_ms: f64,
     /// Prompt tokens that the upstream has to read, as far as this entry knows.
-    pub uncached_tokens: u64,
+    pub prefill_tokens: u64,
 }
 
 /// Why there is no upstream.
@@ -196,7 +196,7 @@
             .then(|| adds.prefill.prefill_ms() / input.time_factor),
         first_answer_ms: wait_ms,
         own_prefill_ms: adds.prefill.prefill_ms(),
-        uncached_tokens: input.prompt_tokens.saturating_sub(known_tokens),
+        prefill_tokens: input.prompt_tokens.saturating_sub(known_tokens),
     };
     Ok((score, picked))
 }
@@ -260,7 +260,7 @@
     let known_tokens = upstream.cached_tokens(input.prompt_parts);
     if let Some(engine) = input.engine {
         let kept = usage.kv_tokens + input.kv_tokens;
-        let room = engine.kv_capacity_tokens as f64 * CACHE_USABLE;
+        let room = engine.cache_capacity_tokens as f64 * CACHE_USABLE;
         if usage.running >= engine.batch_slots || kept as f64 > room {
             return Err(SelectionError::Full);
         }
--- a/crates/direct/src/setup.rs
+++ b/crates/direct/src/setup.rs
@@ -36,7 +36,7 @@
     /// Longest time a caller is kept waiting.
     pub timeout_ms: u64,
     /// Time within which an answer earns its full worth.
-    pub target_latency_ms: u64,
+    pub latency_target_ms: u64,
     /// Rank, 0 the highest.
     pub priority: u32,
     /// Most upstreams one request may be sent to.
@@ -95,7 +95,7 @@
     /// Requests that run at once.
     pub batch_slots: u32,
     /// Tokens kept at once by running requests and cached prompts.
-    pub kv_capacity_tokens: u64,
+    pub cache_capacity_tokens: u64,
     /// Memory for weights of models and adapters.
     pub weights_max_mb: f64,
     /// Most adapters held at once.
