--- a/crates/access/src/credential.rs
+++ b/crates/access/src/credential.rs
@@ -21,7 +21,7 @@
 
 impl Credential {
     /// A key that was not sent in a header.
-    pub fn of(key: &str) -> Self {
+    pub fn from_key(key: &str) -> Self {
         Self::Key(KeyDigest::of(key))
     }
 }
@@ -31,7 +31,7 @@
 /// The scheme is compared without regard to case, as HTTP has it; the key is not.
 /// Of two headers neither counts: what is in front of this process may have judged
 /// the one, and it would judge the other.
-pub fn credential<'a>(
+pub fn parse_credential<'a>(
     values: impl IntoIterator<Item = &'a [u8]>,
     scheme: &str,
 ) -> Credential {
--- a/crates/access/src/directory.rs
+++ b/crates/access/src/directory.rs
@@ -27,14 +27,14 @@
 ///
 /// Its `Debug` form has no key, as it has digests only and these don't show.
 #[derive(Debug, Clone, Default)]
-pub struct Directory {
+pub struct WorkspaceDirectory {
     by_key: HashMap<KeyDigest, Arc<Workspace>>,
     by_name: BTreeMap<Arc<str>, Arc<Workspace>>,
 }
 
 /// Why workspaces can't be taken over. None of them shows a key.
 #[derive(Debug, Snafu, PartialEq, Eq)]
-pub enum DirectoryError {
+pub enum WorkspaceDirectoryError {
     /// Two workspaces have one name.
     #[snafu(display("5005 duplicate_name: workspace {name} stands twice"))]
     DuplicateName {
@@ -73,7 +73,7 @@
     },
 }
 
-impl Directory {
+impl WorkspaceDirectory {
     /// No workspace, so no key is known.
     pub fn new() -> Self {
         Self::default()
@@ -90,7 +90,7 @@
         &mut self,
         workspace: Workspace,
         keys: impl IntoIterator<Item = &'a str>,
-    ) -> Result<(), DirectoryError> {
+    ) -> Result<(), WorkspaceDirectoryError> {
         let name = workspace.name.to_string();
         if !is_name(&name) {
             return BadNameSnafu { name }.fail();
@@ -116,12 +116,12 @@
     }
 
     /// The workspace that holds a key.
-    pub fn workspace(&self, key: &KeyDigest) -> Option<&Arc<Workspace>> {
+    pub fn by_key(&self, key: &KeyDigest) -> Option<&Arc<Workspace>> {
         self.by_key.get(key)
     }
 
     /// The workspace of a name.
-    pub fn named(&self, name: &str) -> Option<&Arc<Workspace>> {
+    pub fn by_name(&self, name: &str) -> Option<&Arc<Workspace>> {
         self.by_name.get(name)
     }
 
--- a/crates/access/src/lib.rs
+++ b/crates/access/src/lib.rs
@@ -4,10 +4,10 @@
 //! `Authorization` header; the entry has to know whose it is, before the request
 //! costs anything, and the upstream must never see it. Everything here is pure.
 //!
-//! - [`credential`] reads the header, strictly.
+//! - [`parse_credential`] reads the header, strictly.
 //! - [`KeyDigest`] is all that is kept of a key, of the configuration's and of the
 //!   request's alike.
-//! - [`Directory`] finds the [`Workspace`] of a digest.
+//! - [`WorkspaceDirectory`] finds the [`Workspace`] of a digest.
 //!
 //! Invariants:
 //!
@@ -21,6 +21,6 @@
 mod digest;
 mod directory;
 
-pub use credential::{CREDENTIAL_MAX_BYTES, Credential, credential};
+pub use credential::{CREDENTIAL_MAX_BYTES, Credential, parse_credential};
 pub use digest::KeyDigest;
-pub use directory::{Directory, DirectoryError, Workspace};
+pub use directory::{Workspace, WorkspaceDirectory, WorkspaceDirectoryError};
--- a/crates/access/tests/all/credential.rs
+++ b/crates/access/tests/all/credential.rs
@@ -1,11 +1,11 @@
 //! The header of a key is read strictly: whatever could be read in two ways is no key.
 
-use access::{CREDENTIAL_MAX_BYTES, Credential, KeyDigest, credential};
+use access::{CREDENTIAL_MAX_BYTES, Credential, KeyDigest, parse_credential};
 
 const KEY: &str = "k7b2ex5wa5xwyhks8nbk";
 
 fn read(values: &[&str]) -> Credential {
-    credential(values.iter().map(|value| value.as_bytes()), "Token")
+    parse_credential(values.iter().map(|value| value.as_bytes()), "Token")
 }
 
 fn key() -> Credential {
@@ -67,7 +67,7 @@
 fn any_bytes_are_read() {
     arbtest::arbtest(|u| {
         let values: Vec<Vec<u8>> = u.arbitrary()?;
-        let read = credential(values.iter().map(Vec::as_slice), "Token");
+        let read = parse_credential(values.iter().map(Vec::as_slice), "Token");
         let well_formed = values.len() == 1 && {
             let value = &values[0];
             let text = std::str::from_utf8(value).unwrap_or_default();
--- a/crates/access/tests/all/directory.rs
+++ b/crates/access/tests/all/directory.rs
@@ -1,6 +1,6 @@
 //! Keys lead to one workspace each, and what a directory says never has a key.
 
-use access::{Directory, DirectoryError, KeyDigest, Workspace};
+use access::{KeyDigest, Workspace, WorkspaceDirectory, WorkspaceDirectoryError};
 
 fn workspace(name: &str) -> Workspace {
     Workspace {
@@ -10,14 +10,14 @@
     }
 }
 
-fn holder<'a>(directory: &'a Directory, key: &str) -> Option<&'a str> {
-    let workspace = directory.workspace(&KeyDigest::of(key));
+fn holder<'a>(directory: &'a WorkspaceDirectory, key: &str) -> Option<&'a str> {
+    let workspace = directory.by_key(&KeyDigest::of(key));
     workspace.map(|workspace| &*workspace.name)
 }
 
 #[test]
-fn each_key_of_a_workspace_leads_to_it() -> Result<(), DirectoryError> {
-    let mut directory = Directory::new();
+fn each_key_of_a_workspace_leads_to_it() -> Result<(), WorkspaceDirectoryError> {
+    let mut directory = WorkspaceDirectory::new();
     directory.add(workspace("desk"), ["one", "two"])?;
     directory.add(workspace("press"), ["three"])?;
     assert_eq!(holder(&directory, "one"), Some("desk"));
@@ -31,22 +31,22 @@
 /// The last keys of a workspace may be taken away while the workspace stays.
 #[test]
 fn a_workspace_without_keys_is_there_and_nobody_calls_in_its_name() {
-    let mut directory = Directory::new();
+    let mut directory = WorkspaceDirectory::new();
     assert_eq!(directory.add(workspace("desk"), []), Ok(()));
-    assert!(directory.named("desk").is_some());
+    assert!(directory.by_name("desk").is_some());
     assert_eq!(holder(&directory, ""), None);
 }
 
 #[test]
 fn a_key_that_a_workspace_lists_twice_counts_once() {
-    let mut directory = Directory::new();
+    let mut directory = WorkspaceDirectory::new();
     assert_eq!(directory.add(workspace("desk"), ["one", "one"]), Ok(()));
     assert_eq!(holder(&directory, "one"), Some("desk"));
 }
 
 #[test]
 fn a_key_of_two_workspaces_is_refused_and_not_shown() {
-    let mut directory = Directory::new();
+    let mut directory = WorkspaceDirectory::new();
     assert_eq!(directory.add(workspace("desk"), ["sEcReT"]), Ok(()));
     let fault = directory.add(workspace("press"), ["other", "sEcReT"]);
     let fault = fault.expect_err("a shared key");
@@ -59,7 +59,7 @@
 
 #[test]
 fn two_workspaces_of_one_name_are_refused() {
-    let mut directory = Directory::new();
+    let mut directory = WorkspaceDirectory::new();
     assert_eq!(directory.add(workspace("desk"), ["one"]), Ok(()));
     let fault = directory.add(workspace("desk"), ["two"]);
     let fault = fault.expect_err("a name that stands twice");
@@ -69,11 +69,11 @@
 #[test]
 fn what_a_header_can_not_carry_is_refused() {
     for name in ["", "two words", "line\nbreak", "caf\u{e9}"] {
-        let fault = Directory::new().add(workspace(name), ["one"]);
+        let fault = WorkspaceDirectory::new().add(workspace(name), ["one"]);
         let fault = fault.expect_err(name);
         assert!(fault.to_string().starts_with("5008 "), "{fault}");
     }
-    let fault = Directory::new().add(workspace("desk"), ["one", "sEc ReT"]);
+    let fault = WorkspaceDirectory::new().add(workspace("desk"), ["one", "sEc ReT"]);
     let fault = fault.expect_err("a key with a space");
     assert!(fault.to_string().starts_with("5008 "), "{fault}");
     assert!(!fault.to_string().contains("sEc"));
@@ -81,7 +81,7 @@
 
 #[test]
 fn debug_shows_no_key() {
-    let mut directory = Directory::new();
+    let mut directory = WorkspaceDirectory::new();
     assert_eq!(directory.add(workspace("desk"), ["sEcReT"]), Ok(()));
     assert!(!format!("{directory:?}").contains("sEcReT"));
 }
--- a/crates/cap/src/measure/claims.rs
+++ b/crates/cap/src/measure/claims.rs
@@ -5,7 +5,7 @@
 use base::prelude::*;
 use base::{PlatformOp, PlatformResult, Version};
 use once::{
-    Answer, ClaimAction, ClaimRequest, Claims, ClaimsOptions, SHARDS, shard_of,
+    ClaimAction, ClaimRequest, Claims, ClaimsOptions, SHARDS, StoredResponse, shard_of,
 };
 use std::hint::black_box;
 
@@ -30,7 +30,7 @@
         let mut claims = Claims::new(ClaimsOptions {
             agent: AgentId::new("deskapp-00001"),
             incarnation: Incarnation(1),
-            first_call: 1,
+            first_call_id: 1,
             unix_ms_at_zero: 1_764_700_000_000,
         });
         claims.configure(24 * 3_600_000, 1_024);
@@ -67,9 +67,9 @@
         };
         let now = Instant::from_ms(1_000);
         let mut out = Vec::new();
-        self.claims.begin(now, request, &mut out);
+        self.claims.request_claim(now, request, &mut out);
         self.serve(now, out);
-        let answer = Answer {
+        let answer = StoredResponse {
             status: 200,
             content_type: "application/json".to_owned(),
             body: vec![b'x'; ANSWER_BYTES],
@@ -81,7 +81,7 @@
 
     fn serve(&mut self, now: Instant, actions: Vec<ClaimAction>) {
         for action in actions {
-            let ClaimAction::Platform(call) = action else {
+            let ClaimAction::CallPlatform(call) = action else {
                 continue;
             };
             let result = match &call.op {
@@ -94,7 +94,8 @@
                 _ => PlatformResult::Object(None),
             };
             let mut out = Vec::new();
-            self.claims.answered(now, call.id, result, &mut out);
+            self.claims
+                .platform_answered(now, call.id, result, &mut out);
             self.serve(now, out);
         }
     }
--- a/crates/cap/src/measure/entry_rig.rs
+++ b/crates/cap/src/measure/entry_rig.rs
@@ -134,7 +134,7 @@
         let request = self.role.next_request_id();
         let arrival = Box::new(IncomingRequest {
             request,
-            credential: Credential::of(messages::KEY),
+            credential: Credential::from_key(messages::KEY),
             profile: Some(ProfileId::new("desk")),
             deadline_ms: None,
             resource: RequestedResource::Model(Some(ModelId::new(model))),
--- a/crates/conf/tests/deploy.rs
+++ b/crates/conf/tests/deploy.rs
@@ -66,7 +66,7 @@
     assert!(!naskhah.services["receipt"].idempotent);
     for fleet in [harbourline, naskhah] {
         let config = Config::new(base::Revision(1), fleet);
-        assert!(config.caller(&Credential::of("demo-key")).is_some());
+        assert!(config.caller(&Credential::from_key("demo-key")).is_some());
     }
 }
 
--- a/crates/direct/src/setup.rs
+++ b/crates/direct/src/setup.rs
@@ -1,6 +1,6 @@
 //! The operator's configuration as the decisions need it.
 
-use access::Directory;
+use access::WorkspaceDirectory;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_64;
@@ -17,7 +17,7 @@
     /// Bounds on what callers send.
     pub limits: Limits,
     /// Workspaces and their keys; `None` where callers need no key.
-    pub directory: Option<Directory>,
+    pub directory: Option<WorkspaceDirectory>,
 }
 
 /// Where requests of one host and path prefix go.
@@ -170,7 +170,7 @@
 
     /// The same version, with the workspaces whose keys callers need.
     #[must_use]
-    pub fn with_directory(self, directory: Option<Directory>) -> Self {
+    pub fn with_directory(self, directory: Option<WorkspaceDirectory>) -> Self {
         Self { directory, ..self }
     }
 
--- a/crates/entry/src/http/head.rs
+++ b/crates/entry/src/http/head.rs
@@ -1,6 +1,6 @@
 //! Paths and headers of a request.
 
-use access::{Credential, credential};
+use access::{Credential, parse_credential};
 use base::Code;
 use hyper::header::{AUTHORIZATION, CONTENT_TYPE, HeaderMap};
 use hyper::{Method, Uri};
@@ -129,7 +129,7 @@
 
 /// A header that stands twice or is not text was refused before.
 fn bearer(authorization: Option<&str>) -> Credential {
-    credential(authorization.map(str::as_bytes), "bearer")
+    parse_credential(authorization.map(str::as_bytes), "bearer")
 }
 
 fn deadline_ms(text: Option<&str>) -> Result<Option<u64>, Fault> {
--- a/crates/front/src/quota/charge.rs
+++ b/crates/front/src/quota/charge.rs
@@ -2,7 +2,7 @@
 
 use access::Workspace;
 use base::prelude::*;
-use quota::Take;
+use quota::TakeOutcome;
 use schema::peer::{TokenAsk, Tokens};
 use serde_json::json;
 use std::net::SocketAddr;
@@ -31,7 +31,7 @@
 /// What became of a request's wish for tokens.
 pub(crate) struct Taken {
     /// Whether it has them; `None` if no keeper answered.
-    pub(crate) take: Option<Take>,
+    pub(crate) take: Option<TakeOutcome>,
     /// Entry that was asked, if one was.
     pub(crate) asked: Option<String>,
 }
@@ -55,18 +55,20 @@
     let scope = Scope::Workspaces;
     let Taken { take, asked } = take(node, scope, name, cost).await;
     let refusal = match take {
-        Some(Take::Unbounded) => return Ok(None),
-        Some(Take::Taken) => {
+        Some(TakeOutcome::Unlimited) => return Ok(None),
+        Some(TakeOutcome::Taken) => {
             let charge = Charge::new(Arc::clone(node), scope, Arc::clone(name), cost);
             return Ok(Some(charge));
         }
-        Some(Take::Short { return_ms }) => {
+        Some(TakeOutcome::Insufficient {
+            retry_after_ms: return_ms,
+        }) => {
             if asked.is_some() {
                 node.quota.note_short(node.now(), name, return_ms);
             }
             Refusal::not_run(Code::QuotaSpent).retry_after_ms(return_ms)
         }
-        Some(Take::Never) => Refusal::not_run(Code::QuotaSpent),
+        Some(TakeOutcome::ExceedsLimit) => Refusal::not_run(Code::QuotaSpent),
         None => Refusal::not_run(Code::QuotaUnknown).retry_after_ms(UNKNOWN_RETRY_MS),
     };
     let labels = [&**name, refusal.code.name()];
@@ -88,8 +90,8 @@
 ) -> Taken {
     let now = node.now();
     let quotas = node.quotas(scope);
-    let own = quotas.pools.lock().take_own(now, pool, cost);
-    if matches!(own, Take::Taken | Take::Unbounded) {
+    let own = quotas.pools.lock().take_local(now, pool, cost);
+    if matches!(own, TakeOutcome::Taken | TakeOutcome::Unlimited) {
         return Taken {
             take: Some(own),
             asked: None,
@@ -98,7 +100,9 @@
     if let Some(short_ms) = quotas.short_ms(now, pool) {
         let return_ms = short_ms + node.random() % RETURN_SPREAD_MS;
         return Taken {
-            take: Some(Take::Short { return_ms }),
+            take: Some(TakeOutcome::Insufficient {
+                retry_after_ms: return_ms,
+            }),
             asked: None,
         };
     }
@@ -151,7 +155,7 @@
 struct Question {
     keeper: String,
     ask: TokenAsk,
-    answer: Receiver<Take>,
+    answer: Receiver<TakeOutcome>,
 }
 
 impl Question {
--- a/crates/front/src/quota/feed.rs
+++ b/crates/front/src/quota/feed.rs
@@ -1,6 +1,6 @@
 //! Hands the tokens that this entry makes to those who keep them.
 
-use quota::feed_every_ms;
+use quota::feed_interval_ms;
 use schema::peer::{TokenFeed, Tokens};
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -34,7 +34,7 @@
         let now = node.now();
         quotas.pools.lock().set_entries(now, entries, makes);
         feed_once(&node, scope).await;
-        sleep(Duration::from_millis(feed_every_ms(entries))).await;
+        sleep(Duration::from_millis(feed_interval_ms(entries))).await;
     }
 }
 
@@ -48,7 +48,7 @@
         let feeds = feeds.into_iter().map(|feed| TokenFeed {
             workspace: feed.workspace.to_string(),
             tokens: feed.tokens,
-            owed: feed.owed.unwrap_or(0.0),
+            owed: feed.previous_keeper_level.unwrap_or(0.0),
         });
         let tokens = Tokens {
             feed: quotas.next_number(),
--- a/crates/front/src/quota/hear.rs
+++ b/crates/front/src/quota/hear.rs
@@ -2,7 +2,7 @@
 
 use base::prelude::*;
 use prost::Message;
-use quota::{Feed, Take};
+use quota::{Feed, TakeOutcome};
 use schema::peer::{
     PeerNews, TokenAnswer, TokenAsk, TokenFeed, TokenLevel, TokenVerdict, Tokens,
 };
@@ -36,7 +36,7 @@
         let mut pools = quotas.pools.lock();
         let keeper = start_name(&news.entry, news.start);
         for level in &tokens.levels {
-            pools.told(&keeper, &level.workspace, level.tokens);
+            pools.set_keeper_level(&keeper, &level.workspace, level.tokens);
         }
     }
     if let Some(ask) = &tokens.ask {
@@ -64,7 +64,7 @@
         let feed = Feed {
             workspace: fed.workspace.as_str().into(),
             tokens: fed.tokens,
-            owed: (fed.owed < 0.0).then_some(fed.owed),
+            previous_keeper_level: (fed.owed < 0.0).then_some(fed.owed),
         };
         let tokens = pools.receive(now, from, &feed)?;
         Some(TokenLevel {
@@ -84,15 +84,17 @@
 ) -> TokenAnswer {
     let question = (Arc::clone(sender), start, ask.id);
     let mut asked = quotas.asked.lock();
-    let take = asked.answer(now, question, || {
+    let take = asked.get_or_decide(now, question, || {
         let mut pools = quotas.pools.lock();
         pools.take(now, &ask.workspace, ask.cost)
     });
     let (verdict, return_ms) = match take {
-        Take::Taken => (TokenVerdict::Taken, 0),
-        Take::Short { return_ms } => (TokenVerdict::Short, return_ms),
-        Take::Never => (TokenVerdict::Never, 0),
-        Take::Unbounded => (TokenVerdict::Unbounded, 0),
+        TakeOutcome::Taken => (TokenVerdict::Taken, 0),
+        TakeOutcome::Insufficient {
+            retry_after_ms: return_ms,
+        } => (TokenVerdict::Short, return_ms),
+        TakeOutcome::ExceedsLimit => (TokenVerdict::Never, 0),
+        TakeOutcome::Unlimited => (TokenVerdict::Unbounded, 0),
     };
     TokenAnswer {
         id: ask.id,
@@ -101,13 +103,13 @@
     }
 }
 
-fn taken(answer: &TokenAnswer) -> Take {
+fn taken(answer: &TokenAnswer) -> TakeOutcome {
     match answer.verdict() {
-        TokenVerdict::Taken => Take::Taken,
-        TokenVerdict::Short => Take::Short {
-            return_ms: answer.return_ms,
+        TokenVerdict::Taken => TakeOutcome::Taken,
+        TokenVerdict::Short => TakeOutcome::Insufficient {
+            retry_after_ms: answer.return_ms,
         },
-        TokenVerdict::Never => Take::Never,
-        TokenVerdict::Unbounded => Take::Unbounded,
+        TokenVerdict::Never => TakeOutcome::ExceedsLimit,
+        TokenVerdict::Unbounded => TakeOutcome::Unlimited,
     }
 }
--- a/crates/front/src/request.rs
+++ b/crates/front/src/request.rs
@@ -182,7 +182,7 @@
         return Ok(None);
     };
     let known = match &ask.credential {
-        Credential::Key(key) => directory.workspace(key).cloned(),
+        Credential::Key(key) => directory.by_key(key).cloned(),
         Credential::Absent | Credential::Malformed => None,
     };
     if known.is_none() && !route.is_public {
--- a/crates/front/src/state/peers.rs
+++ b/crates/front/src/state/peers.rs
@@ -3,7 +3,7 @@
 use base::prelude::*;
 use direct::{DemandEstimate, PeerEntry, has_successor};
 use parking_lot::Mutex;
-use quota::keeper;
+use quota::select_keeper;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -154,7 +154,7 @@
             .heard(now)
             .filter(|(name, peer)| peer.keeps_tokens && !is_away(name));
         let others = others.map(|(name, _)| name.as_str());
-        let kept_by = keeper(workspace, others.chain(own))?;
+        let kept_by = select_keeper(workspace, others.chain(own))?;
         let other = table.peers.get(kept_by)?;
         Some((kept_by.to_owned(), other.address))
     }
--- a/crates/front/src/state/quota.rs
+++ b/crates/front/src/state/quota.rs
@@ -4,7 +4,7 @@
 use base::prelude::*;
 use direct::Config;
 use parking_lot::Mutex;
-use quota::{Asked, Limit, Pools, Take};
+use quota::{RateLimit, RecentAnswers, TakeOutcome, TokenPools};
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -33,9 +33,9 @@
 /// Tokens of one kind of pools at this entry.
 #[derive(Debug)]
 pub(crate) struct Quotas {
-    pub(crate) pools: Mutex<Pools>,
+    pub(crate) pools: Mutex<TokenPools>,
     /// Questions of others that were answered.
-    pub(crate) asked: Mutex<Asked>,
+    pub(crate) asked: Mutex<RecentAnswers>,
     /// Whether the others have known this entry for long enough that it may make
     /// tokens.
     pub(crate) is_settled: AtomicBool,
@@ -59,13 +59,13 @@
     workspace: Arc<str>,
     cost: f64,
     asked_at: Instant,
-    answer: Option<oneshot::Sender<Take>>,
+    answer: Option<oneshot::Sender<TakeOutcome>>,
 }
 
 impl Quotas {
     pub(crate) fn new(overdraft: f64) -> Self {
         Self {
-            pools: Mutex::new(Pools::new(overdraft)),
+            pools: Mutex::new(TokenPools::new(overdraft)),
             asked: Mutex::default(),
             is_settled: AtomicBool::new(false),
             bounded: Notify::new(),
@@ -93,7 +93,7 @@
     pub(crate) fn set_bounds<'a>(
         &self,
         now: Instant,
-        bounds: impl IntoIterator<Item = (&'a Arc<str>, Limit)>,
+        bounds: impl IntoIterator<Item = (&'a Arc<str>, RateLimit)>,
     ) {
         let mut pools = self.pools.lock();
         pools.set_limits(now, bounds);
@@ -113,7 +113,7 @@
         now: Instant,
         workspace: &Arc<str>,
         cost: f64,
-    ) -> (u64, oneshot::Receiver<Take>) {
+    ) -> (u64, oneshot::Receiver<TakeOutcome>) {
         let (sender, receiver) = oneshot::channel();
         let id = self.next_number();
         let open = Open {
@@ -127,13 +127,13 @@
     }
 
     /// A question was answered. Tokens for a request that waits no more are put back.
-    pub(crate) fn answered(&self, id: u64, take: Take) {
+    pub(crate) fn answered(&self, id: u64, take: TakeOutcome) {
         let Some(open) = self.open.lock().remove(&id) else {
             return;
         };
         let unused = open.answer.is_none_or(|answer| answer.send(take).is_err());
-        if unused && take == Take::Taken {
-            self.pools.lock().give_back(&open.workspace, open.cost);
+        if unused && take == TakeOutcome::Taken {
+            self.pools.lock().refund(&open.workspace, open.cost);
         }
     }
 
@@ -187,7 +187,7 @@
 
     /// Forgets what is too old to matter.
     pub(crate) fn sweep(&self, now: Instant) {
-        self.pools.lock().sweep(now);
+        self.pools.lock().remove_stale_feeders(now);
         let mut open = self.open.lock();
         open.retain(|_, open| now.ms_since(open.asked_at) < OPEN_MS);
         drop(open);
@@ -229,7 +229,7 @@
     fn drop(&mut self) {
         if !self.is_used {
             let mut pools = self.node.quotas(self.scope).pools.lock();
-            pools.give_back(&self.pool, self.cost);
+            pools.refund(&self.pool, self.cost);
         }
     }
 }
--- a/crates/front/src/upstream_rate.rs
+++ b/crates/front/src/upstream_rate.rs
@@ -7,7 +7,7 @@
 
 use base::prelude::*;
 use direct::{Fleet, RateNotice, Upstream, UpstreamIncarnation};
-use quota::{Limit, Take};
+use quota::{RateLimit, TakeOutcome};
 use schema::peer::UpstreamRate;
 use serde_json::json;
 use std::sync::Arc;
@@ -103,10 +103,11 @@
 /// Has tokens made for the upstreams that ask for a rate, and for no others.
 pub(crate) fn follow(node: &Node) {
     let quotas = node.quotas(Scope::Upstreams);
-    let limits: Vec<(Arc<str>, Limit)> = {
+    let limits: Vec<(Arc<str>, RateLimit)> = {
         let fleet = node.fleet.lock();
         let limits = fleet.rate_limits();
-        let limits = limits.map(|limit| (limit.key, Limit::smooth(limit.per_s)));
+        let limits =
+            limits.map(|limit| (limit.key, RateLimit::with_min_burst(limit.per_s)));
         limits.collect()
     };
     let limits = limits.iter().map(|(key, limit)| (key, *limit));
@@ -150,18 +151,22 @@
     let scope = Scope::Upstreams;
     let taken = take(node, scope, &limit.key, 1.0).await;
     let return_ms = match taken.take {
-        Some(Take::Taken) => {
+        Some(TakeOutcome::Taken) => {
             let charge = Charge::new(Arc::clone(node), scope, limit.key, 1.0);
             return Ok(Some(charge));
         }
-        Some(Take::Short { return_ms }) => {
+        Some(TakeOutcome::Insufficient {
+            retry_after_ms: return_ms,
+        }) => {
             if taken.asked.is_some() {
                 node.quotas(scope)
                     .note_short(node.now(), &limit.key, return_ms);
             }
             return_ms
         }
-        Some(Take::Never | Take::Unbounded) | None => UNKNOWN_RETRY_MS,
+        Some(TakeOutcome::ExceedsLimit | TakeOutcome::Unlimited) | None => {
+            UNKNOWN_RETRY_MS
+        }
     };
     let until = node.now().plus_ms(return_ms.max(SPENT_MIN_MS));
     if let Some(upstream) = node.fleet.lock().get_mut(upstream) {
--- a/crates/live/src/agent.rs
+++ b/crates/live/src/agent.rs
@@ -4,14 +4,14 @@
 use schema::link::{Heartbeat, Resident, ResidentState};
 use std::collections::BTreeMap;
 
-use crate::{Hint, Timing};
+use crate::{LoadTracker, SilenceLimits};
 
 /// Residents taken from one heartbeat; more than any instance can hold.
 const RESIDENTS_MAX: usize = 512;
 
 /// What the silence of an agent means.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Life {
+pub enum Liveness {
     /// It is heard.
     Up,
     /// It has been silent, or its link is down: it gets no new work.
@@ -67,7 +67,7 @@
     /// Pool of its upstream.
     pub pool: PoolId,
     /// Failure domain.
-    pub domain: DomainId,
+    pub failure_domain: DomainId,
     /// Memory of each accelerator.
     pub accelerators_mib: Vec<u32>,
     /// What is on the accelerators.
@@ -79,17 +79,17 @@
     /// This entry has a connection to it.
     pub connected: bool,
     /// When it was last heard, directly or through another entry.
-    pub heard_at: Instant,
+    pub last_heard_at: Instant,
     /// When it was last heard directly.
-    pub direct_at: Option<Instant>,
+    pub last_heard_directly_at: Option<Instant>,
     /// Load.
-    pub hint: Hint,
+    pub load: LoadTracker,
     /// Planner whose target it follows.
     pub target_planner: String,
     /// The newest heartbeat as it came, for relaying.
-    pub last: Heartbeat,
+    pub last_heartbeat: Heartbeat,
     /// Verdict at the last tick.
-    pub life: Life,
+    pub liveness: Liveness,
     said_leaving: bool,
     pub(crate) platform_leaving: bool,
     silences: BTreeMap<EntryId, SilenceWord>,
@@ -102,18 +102,18 @@
             incarnation: Incarnation(0),
             sequence: 0,
             pool: PoolId::new(""),
-            domain: DomainId::new(""),
+            failure_domain: DomainId::new(""),
             accelerators_mib: Vec::new(),
             residents: Vec::new(),
             upstream_up: false,
             upstream_since: now,
             connected: false,
-            heard_at: now,
-            direct_at: None,
-            hint: Hint::default(),
+            last_heard_at: now,
+            last_heard_directly_at: None,
+            load: LoadTracker::default(),
             target_planner: String::new(),
-            last: Heartbeat::default(),
-            life: Life::Suspected,
+            last_heartbeat: Heartbeat::default(),
+            liveness: Liveness::Suspected,
             said_leaving: false,
             platform_leaving: false,
             silences: BTreeMap::new(),
@@ -127,15 +127,15 @@
 
     /// It may be sent work: its link is up, it is heard over that link, its
     /// upstream answers and it is not stopping.
-    pub fn usable(&self, now: Instant, timing: Timing) -> bool {
+    pub fn usable(&self, now: Instant, timing: SilenceLimits) -> bool {
         let heard = self
-            .direct_at
+            .last_heard_directly_at
             .is_some_and(|at| now.ms_since(at) < timing.suspect_ms());
         self.connected && heard && self.upstream_up && !self.leaving()
     }
 
     /// Version of a model it can serve now, if any; the highest if several.
-    pub fn serves(&self, model: &str) -> Option<u32> {
+    pub fn loaded_version(&self, model: &str) -> Option<u32> {
         self.residents
             .iter()
             .filter(|held| held.model.as_str() == model)
@@ -145,7 +145,7 @@
     }
 
     /// Whether it can serve one version of a model now.
-    pub fn serves_version(&self, model: &str, version: u32) -> bool {
+    pub fn has_loaded_version(&self, model: &str, version: u32) -> bool {
         self.residents.iter().any(|held| {
             held.model.as_str() == model
                 && held.version == version
@@ -163,26 +163,35 @@
     }
 
     /// The verdict at a time, given whether another entry is alive to ask.
-    pub(crate) fn judge(&self, now: Instant, timing: Timing, alone: bool) -> Life {
-        let silent_ms = now.ms_since(self.heard_at);
+    pub(crate) fn judge(
+        &self,
+        now: Instant,
+        timing: SilenceLimits,
+        alone: bool,
+    ) -> Liveness {
+        let silent_ms = now.ms_since(self.last_heard_at);
         if silent_ms >= timing.lost_ms() {
-            return Life::Lost;
+            return Liveness::Lost;
         }
         let silent = silent_ms >= timing.suspect_ms();
         if silent && !self.connected && (alone || self.missed_by_others(now, timing)) {
-            return Life::Lost;
+            return Liveness::Lost;
         }
         if silent || !self.connected {
-            return Life::Suspected;
+            return Liveness::Suspected;
         }
-        Life::Up
+        Liveness::Up
     }
 
     /// When the verdict may change if nothing more is heard.
-    pub(crate) fn next_verdict(&self, now: Instant, timing: Timing) -> Option<Instant> {
+    pub(crate) fn next_verdict(
+        &self,
+        now: Instant,
+        timing: SilenceLimits,
+    ) -> Option<Instant> {
         [timing.suspect_ms(), timing.lost_ms(), timing.forget_ms()]
             .into_iter()
-            .map(|ms| self.heard_at.plus_ms(ms))
+            .map(|ms| self.last_heard_at.plus_ms(ms))
             .find(|at| *at > now)
     }
 
@@ -216,14 +225,14 @@
         self.connected = false;
         self.residents.clear();
         self.silences.clear();
-        self.direct_at = None;
+        self.last_heard_directly_at = None;
     }
 
     /// Takes over a heartbeat that was found newer.
     pub(crate) fn take(&mut self, now: Instant, beat: Heartbeat) {
         self.sequence = beat.sequence;
         self.pool = PoolId::new(&beat.pool);
-        self.domain = DomainId::new(&beat.failure_domain);
+        self.failure_domain = DomainId::new(&beat.failure_domain);
         self.accelerators_mib.clone_from(&beat.accelerators_mib);
         if self.upstream_up != beat.upstream_up {
             self.upstream_up = beat.upstream_up;
@@ -231,17 +240,17 @@
         }
         self.said_leaving |= beat.leaving;
         self.target_planner.clone_from(&beat.target_planner);
-        self.heard_at = now;
+        self.last_heard_at = now;
         self.silences.clear();
         let residents = beat.residents.iter().take(RESIDENTS_MAX);
         self.residents = residents.filter_map(|held| residency(now, held)).collect();
         if let Some(load) = &beat.load {
-            self.hint.note(now, load);
+            self.load.record_report(now, load);
         }
-        self.last = beat;
+        self.last_heartbeat = beat;
     }
 
-    fn missed_by_others(&self, now: Instant, timing: Timing) -> bool {
+    fn missed_by_others(&self, now: Instant, timing: SilenceLimits) -> bool {
         self.silences.values().any(|word| {
             word.incarnation == self.incarnation
                 && now.ms_since(word.said_at) < timing.suspect_ms()
--- a/crates/live/src/directory.rs
+++ b/crates/live/src/directory.rs
@@ -4,20 +4,20 @@
 use schema::link::Heartbeat;
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::{Agent, Life, Residency, Timing};
+use crate::{Agent, Liveness, Residency, SilenceLimits};
 
 /// Agents kept at most, whatever peers relay.
 const AGENTS_MAX: usize = 16_384;
 
 /// Something that changed and matters to work in flight or waiting.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Change {
+pub enum AgentChange {
     /// It is silent or its link is down.
     Suspected(AgentId),
     /// It is given up.
     Lost(AgentId),
     /// It is heard again.
-    Back(AgentId),
+    Recovered(AgentId),
     /// It began to leave.
     Leaving(AgentId),
     /// A new run of the agent took the place of the old one.
@@ -27,14 +27,14 @@
     /// Its upstream does not answer.
     UpstreamDown(AgentId),
     /// What it can serve changed.
-    Residency(AgentId),
+    ResidentsChanged(AgentId),
     /// It was forgotten.
-    Forgotten(AgentId),
+    Removed(AgentId),
 }
 
 /// How a heartbeat came.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Heard {
+pub enum HeartbeatSource {
     /// Over this entry's own link.
     Direct,
     /// Through another entry.
@@ -43,15 +43,15 @@
 
 /// The agents.
 #[derive(Debug)]
-pub struct Directory {
-    timing: Timing,
+pub struct AgentDirectory {
+    timing: SilenceLimits,
     agents: BTreeMap<AgentId, Agent>,
     holders: BTreeMap<ModelId, BTreeSet<AgentId>>,
 }
 
-impl Directory {
+impl AgentDirectory {
     /// An empty directory.
-    pub const fn new(timing: Timing) -> Self {
+    pub const fn new(timing: SilenceLimits) -> Self {
         Self {
             timing,
             agents: BTreeMap::new(),
@@ -60,12 +60,12 @@
     }
 
     /// Bounds on silence in use.
-    pub const fn timing(&self) -> Timing {
+    pub const fn timing(&self) -> SilenceLimits {
         self.timing
     }
 
     /// Changes the bounds on silence, as a new configuration may.
-    pub const fn set_timing(&mut self, timing: Timing) {
+    pub const fn set_timing(&mut self, timing: SilenceLimits) {
         self.timing = timing;
     }
 
@@ -94,12 +94,12 @@
     /// Takes a heartbeat; an old one changes nothing.
     ///
     /// Returns whether it was news.
-    pub fn hear(
+    pub fn record_heartbeat(
         &mut self,
         now: Instant,
         beat: Heartbeat,
-        heard: Heard,
-        changes: &mut Vec<Change>,
+        heard: HeartbeatSource,
+        changes: &mut Vec<AgentChange>,
     ) -> bool {
         let Some(agent) = self.slot(now, &beat.agent) else {
             return false;
@@ -114,15 +114,15 @@
             let known = agent.incarnation.0 > 0;
             agent.restart(incarnation);
             if known {
-                changes.push(Change::Restarted(agent.id.clone()));
+                changes.push(AgentChange::Restarted(agent.id.clone()));
             }
         }
         // The same heartbeat comes both directly and through each peer. The
         // direct copy still shows that the link works.
-        if heard == Heard::Direct && beat.sequence >= agent.sequence {
+        if heard == HeartbeatSource::Direct && beat.sequence >= agent.sequence {
             agent.connected = true;
-            agent.direct_at = Some(now);
-            agent.heard_at = now;
+            agent.last_heard_directly_at = Some(now);
+            agent.last_heard_at = now;
         }
         if !restarted && beat.sequence <= agent.sequence {
             return false;
@@ -141,7 +141,7 @@
         now: Instant,
         id: &AgentId,
         incarnation: Incarnation,
-        changes: &mut Vec<Change>,
+        changes: &mut Vec<AgentChange>,
     ) {
         let Some(agent) = self.slot(now, id.as_str()) else {
             return;
@@ -151,7 +151,7 @@
             let held: Vec<ModelId> = models_of(&agent.residents).cloned().collect();
             agent.restart(incarnation);
             if known {
-                changes.push(Change::Restarted(id.clone()));
+                changes.push(AgentChange::Restarted(id.clone()));
             }
             self.unindex(id, &held);
         }
@@ -164,44 +164,44 @@
     pub fn link_down(&mut self, id: &AgentId) {
         if let Some(agent) = self.agents.get_mut(id) {
             agent.connected = false;
-            agent.direct_at = None;
+            agent.last_heard_directly_at = None;
         }
     }
 
     /// An agent said that it stops.
-    pub fn goodbye(
+    pub fn mark_leaving(
         &mut self,
         id: &AgentId,
         incarnation: Incarnation,
-        changes: &mut Vec<Change>,
+        changes: &mut Vec<AgentChange>,
     ) {
         let Some(agent) = self.agents.get_mut(id) else {
             return;
         };
         if agent.incarnation == incarnation && !agent.leaving() {
             agent.say_leaving();
-            changes.push(Change::Leaving(id.clone()));
+            changes.push(AgentChange::Leaving(id.clone()));
         }
     }
 
     /// Takes the platform's word on which instances are leaving.
-    pub fn platform_leaving(
+    pub fn set_platform_leaving(
         &mut self,
         leaving: &BTreeSet<AgentId>,
-        changes: &mut Vec<Change>,
+        changes: &mut Vec<AgentChange>,
     ) {
         for (id, agent) in &mut self.agents {
             let before = agent.leaving();
             agent.platform_leaving = leaving.contains(id);
             if agent.leaving() && !before {
-                changes.push(Change::Leaving(id.clone()));
+                changes.push(AgentChange::Leaving(id.clone()));
             }
         }
     }
 
     /// Takes all that another entry says about silences, in place of what it
     /// said before.
-    pub fn silences(
+    pub fn record_silences(
         &mut self,
         now: Instant,
         by: &EntryId,
@@ -219,18 +219,18 @@
 
     /// Judges every agent anew. `alone` tells that no other entry is alive, so
     /// this one's word is enough.
-    pub fn tick(&mut self, now: Instant, alone: bool, changes: &mut Vec<Change>) {
+    pub fn tick(&mut self, now: Instant, alone: bool, changes: &mut Vec<AgentChange>) {
         let timing = self.timing;
         let mut forgotten = Vec::new();
         for (id, agent) in &mut self.agents {
             changes.extend(judged(now, timing, alone, id, agent));
-            if now.ms_since(agent.heard_at) >= timing.forget_ms() {
+            if now.ms_since(agent.last_heard_at) >= timing.forget_ms() {
                 forgotten.push(id.clone());
             }
         }
         for id in forgotten {
             self.forget(&id);
-            changes.push(Change::Forgotten(id));
+            changes.push(AgentChange::Removed(id));
         }
     }
 
@@ -238,13 +238,13 @@
     ///
     /// Judging all of them for each heartbeat would cost an entry the square of
     /// the number of its agents; those not heard of are judged by
-    /// [`Directory::tick`].
-    pub fn judge(
+    /// [`AgentDirectory::tick`].
+    pub fn update_liveness(
         &mut self,
         now: Instant,
         id: &AgentId,
         alone: bool,
-        changes: &mut Vec<Change>,
+        changes: &mut Vec<AgentChange>,
     ) {
         let timing = self.timing;
         if let Some(agent) = self.agents.get_mut(id) {
@@ -253,7 +253,7 @@
     }
 
     /// When a verdict may change if nothing more is heard.
-    pub fn due(&self, now: Instant) -> Option<Instant> {
+    pub fn next_deadline(&self, now: Instant) -> Option<Instant> {
         let verdicts = self.agents.values();
         verdicts
             .filter_map(|agent| agent.next_verdict(now, self.timing))
@@ -286,7 +286,9 @@
             return;
         };
         let loaded = models_of(&agent.residents);
-        for model in loaded.filter(|model| agent.serves(model.as_str()).is_some()) {
+        for model in
+            loaded.filter(|model| agent.loaded_version(model.as_str()).is_some())
+        {
             let held = self.holders.entry(model.clone()).or_default();
             held.insert(id.clone());
         }
@@ -322,18 +324,18 @@
         }
     }
 
-    fn compare(&self, agent: &Agent, changes: &mut Vec<Change>) {
+    fn compare(&self, agent: &Agent, changes: &mut Vec<AgentChange>) {
         if agent.leaving() && !self.leaving {
-            changes.push(Change::Leaving(agent.id.clone()));
+            changes.push(AgentChange::Leaving(agent.id.clone()));
         }
         if agent.upstream_up && !self.upstream_up {
-            changes.push(Change::UpstreamUp(agent.id.clone()));
+            changes.push(AgentChange::UpstreamUp(agent.id.clone()));
         }
         if !agent.upstream_up && self.upstream_up {
-            changes.push(Change::UpstreamDown(agent.id.clone()));
+            changes.push(AgentChange::UpstreamDown(agent.id.clone()));
         }
         if loaded(agent) != self.loaded {
-            changes.push(Change::Residency(agent.id.clone()));
+            changes.push(AgentChange::ResidentsChanged(agent.id.clone()));
         }
     }
 
@@ -359,19 +361,19 @@
 /// Judges an agent anew; the change of its life, if there is one.
 fn judged(
     now: Instant,
-    timing: Timing,
+    timing: SilenceLimits,
     alone: bool,
     id: &AgentId,
     agent: &mut Agent,
-) -> Option<Change> {
+) -> Option<AgentChange> {
     let life = agent.judge(now, timing, alone);
-    if life == agent.life {
+    if life == agent.liveness {
         return None;
     }
-    agent.life = life;
+    agent.liveness = life;
     Some(match life {
-        Life::Up => Change::Back(id.clone()),
-        Life::Suspected => Change::Suspected(id.clone()),
-        Life::Lost => Change::Lost(id.clone()),
+        Liveness::Up => AgentChange::Recovered(id.clone()),
+        Liveness::Suspected => AgentChange::Suspected(id.clone()),
+        Liveness::Lost => AgentChange::Lost(id.clone()),
     })
 }
--- a/crates/live/src/entries.rs
+++ b/crates/live/src/entries.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::Timing;
+use crate::SilenceLimits;
 
 /// Entries kept at most, whatever peers send.
 const ENTRIES_MAX: usize = 2_048;
@@ -20,9 +20,9 @@
     /// Sequence of the newest gossip.
     pub sequence: u64,
     /// Failure domain.
-    pub domain: DomainId,
+    pub failure_domain: DomainId,
     /// When it was last heard.
-    pub heard_at: Instant,
+    pub last_heard_at: Instant,
     /// It is stopping.
     pub leaving: bool,
 }
@@ -30,15 +30,15 @@
 /// The other entries that are known.
 #[derive(Debug)]
 pub struct EntryTable {
-    timing: Timing,
+    timing: SilenceLimits,
     entries: BTreeMap<EntryId, EntryInfo>,
 }
 
-/// Rank of a candidate for a key: the greatest is first (rendezvous hashing).
+/// Rank of a candidate for a key: the greatest is first (rendezvous_rank hashing).
 ///
 /// The ranks of the others don't change when one comes or goes, so only what
 /// that one had moves.
-pub fn rendezvous(key: &str, candidate: &str) -> u64 {
+pub fn rendezvous_rank(key: &str, candidate: &str) -> u64 {
     let mut bytes = Vec::with_capacity(key.len() + candidate.len() + 1);
     bytes.extend_from_slice(key.as_bytes());
     bytes.push(0);
@@ -48,7 +48,7 @@
 
 impl EntryTable {
     /// An empty table.
-    pub const fn new(timing: Timing) -> Self {
+    pub const fn new(timing: SilenceLimits) -> Self {
         Self {
             timing,
             entries: BTreeMap::new(),
@@ -56,12 +56,12 @@
     }
 
     /// Changes the bounds on silence, as a new configuration may.
-    pub const fn set_timing(&mut self, timing: Timing) {
+    pub const fn set_timing(&mut self, timing: SilenceLimits) {
         self.timing = timing;
     }
 
     /// Takes gossip; returns whether it is news. Late or doubled gossip is not.
-    pub fn hear(&mut self, now: Instant, gossip: &Gossip) -> bool {
+    pub fn record_gossip(&mut self, now: Instant, gossip: &Gossip) -> bool {
         let known = self.entries.get(gossip.entry.as_str());
         if known.is_none() && self.entries.len() >= ENTRIES_MAX {
             return false;
@@ -75,8 +75,8 @@
             id: id.clone(),
             incarnation: order.0,
             sequence: order.1,
-            domain: DomainId::new(&gossip.failure_domain),
-            heard_at: now,
+            failure_domain: DomainId::new(&gossip.failure_domain),
+            last_heard_at: now,
             leaving: gossip.leaving,
         };
         self.entries.insert(id, info);
@@ -84,7 +84,7 @@
     }
 
     /// An entry said that it stops.
-    pub fn goodbye(&mut self, id: &EntryId, incarnation: Incarnation) {
+    pub fn mark_leaving(&mut self, id: &EntryId, incarnation: Incarnation) {
         if let Some(held) = self.entries.get_mut(id)
             && held.incarnation == incarnation
         {
@@ -96,7 +96,7 @@
     pub fn tick(&mut self, now: Instant) {
         let bound = self.timing.forget_ms();
         self.entries
-            .retain(|_, held| now.ms_since(held.heard_at) < bound);
+            .retain(|_, held| now.ms_since(held.last_heard_at) < bound);
     }
 
     /// Entries in order of name.
@@ -105,28 +105,28 @@
     }
 
     /// Whether an entry was heard lately.
-    pub fn alive(&self, now: Instant, id: &EntryId) -> bool {
+    pub fn is_alive(&self, now: Instant, id: &EntryId) -> bool {
         let held = self.entries.get(id);
-        held.is_some_and(|held| self.is_alive(now, held))
+        held.is_some_and(|held| self.heard_lately(now, held))
     }
 
     /// Whether any entry was heard lately.
     pub fn any_alive(&self, now: Instant) -> bool {
         let mut entries = self.entries.values();
-        entries.any(|held| self.is_alive(now, held))
+        entries.any(|held| self.heard_lately(now, held))
     }
 
     /// Whether `me` ranks first for a key among the entries that are alive and
     /// not stopping.
     pub fn ranks_first(&self, now: Instant, me: &EntryId, key: &str) -> bool {
-        let mine = (rendezvous(key, me.as_str()), me);
+        let mine = (rendezvous_rank(key, me.as_str()), me);
         let others = self.entries.values();
         others
-            .filter(|held| self.is_alive(now, held) && !held.leaving)
-            .all(|held| (rendezvous(key, held.id.as_str()), &held.id) <= mine)
+            .filter(|held| self.heard_lately(now, held) && !held.leaving)
+            .all(|held| (rendezvous_rank(key, held.id.as_str()), &held.id) <= mine)
     }
 
-    fn is_alive(&self, now: Instant, held: &EntryInfo) -> bool {
-        now.ms_since(held.heard_at) < self.timing.entry_ms()
+    fn heard_lately(&self, now: Instant, held: &EntryInfo) -> bool {
+        now.ms_since(held.last_heard_at) < self.timing.entry_ms()
     }
 }
--- a/crates/live/src/hint.rs
+++ b/crates/live/src/hint.rs
@@ -10,7 +10,7 @@
 /// not read as one: a mix of two reports is no worse than a late one, which
 /// routing has to live with anyway.
 #[derive(Debug, Default)]
-pub struct Hint {
+pub struct LoadTracker {
     running: AtomicU32,
     waiting: AtomicU32,
     running_max: AtomicU32,
@@ -19,9 +19,9 @@
     sent_since: AtomicU32,
 }
 
-/// One reading of a [`Hint`].
+/// One reading of a [`LoadTracker`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LoadHint {
+pub struct LoadReport {
     /// Requests in the upstream's batch.
     pub running: u32,
     /// Requests waiting at the agent.
@@ -33,12 +33,12 @@
     /// Age of the hint.
     pub age_ms: u64,
     /// Requests this entry sent since.
-    pub sent_since: u32,
+    pub sent_since_report: u32,
 }
 
-impl Hint {
+impl LoadTracker {
     /// Takes a newer report.
-    pub fn note(&self, now: Instant, load: &Load) {
+    pub fn record_report(&self, now: Instant, load: &Load) {
         let age_us = u64::from(load.report_age_ms) * 1_000;
         self.running.store(load.running, Ordering::Relaxed);
         self.waiting.store(load.waiting, Ordering::Relaxed);
@@ -51,20 +51,20 @@
     }
 
     /// Counts a request sent to the agent.
-    pub fn note_sent(&self) {
+    pub fn record_sent(&self) {
         self.sent_since.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Reads the hint.
-    pub fn read(&self, now: Instant) -> LoadHint {
+    pub fn latest(&self, now: Instant) -> LoadReport {
         let made_at = Instant::from_us(self.made_at_us.load(Ordering::Relaxed));
-        LoadHint {
+        LoadReport {
             running: self.running.load(Ordering::Relaxed),
             waiting: self.waiting.load(Ordering::Relaxed),
             running_max: self.running_max.load(Ordering::Relaxed),
             step_time_us: self.step_time_us.load(Ordering::Relaxed),
             age_ms: now.ms_since(made_at),
-            sent_since: self.sent_since.load(Ordering::Relaxed),
+            sent_since_report: self.sent_since.load(Ordering::Relaxed),
         }
     }
 }
--- a/crates/live/src/lib.rs
+++ b/crates/live/src/lib.rs
@@ -25,9 +25,9 @@
 mod members;
 mod timing;
 
-pub use agent::{Agent, Life, Residency, ResidencyState};
-pub use directory::{Change, Directory, Heard};
-pub use entries::{EntryInfo, EntryTable, rendezvous};
-pub use hint::{Hint, LoadHint};
-pub use members::{MemberKind, Members};
-pub use timing::Timing;
+pub use agent::{Agent, Liveness, Residency, ResidencyState};
+pub use directory::{AgentChange, AgentDirectory, HeartbeatSource};
+pub use entries::{EntryInfo, EntryTable, rendezvous_rank};
+pub use hint::{LoadReport, LoadTracker};
+pub use members::{MemberAddresses, MemberKind};
+pub use timing::SilenceLimits;
--- a/crates/live/src/members.rs
+++ b/crates/live/src/members.rs
@@ -24,29 +24,29 @@
 
 /// Addresses of processes; that of a newer run is never replaced by an older.
 #[derive(Debug, Default)]
-pub struct Members {
+pub struct MemberAddresses {
     places: BTreeMap<(MemberKind, String), Place>,
 }
 
-impl Members {
+impl MemberAddresses {
     /// No addresses.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// Takes a record; returns whether the address to connect to is new.
-    pub fn take(&mut self, member: &Member) -> bool {
+    pub fn record_member(&mut self, member: &Member) -> bool {
         let kind = match member.kind.as_str() {
             "entry" => MemberKind::Entry,
             "agent" => MemberKind::Agent,
             _ => return false,
         };
         let incarnation = Incarnation(member.incarnation);
-        self.note(kind, &member.id, incarnation, &member.link_address)
+        self.record_address(kind, &member.id, incarnation, &member.link_address)
     }
 
     /// Takes an address learnt another way; returns whether it is new.
-    pub fn note(
+    pub fn record_address(
         &mut self,
         kind: MemberKind,
         id: &str,
@@ -85,7 +85,7 @@
     }
 
     /// Forgets a process.
-    pub fn forget(&mut self, kind: MemberKind, id: &str) {
+    pub fn remove(&mut self, kind: MemberKind, id: &str) {
         self.places.remove(&(kind, id.to_owned()));
     }
 }
--- a/crates/live/src/timing.rs
+++ b/crates/live/src/timing.rs
@@ -14,11 +14,11 @@
 
 /// Bounds on silence, all multiples of the heartbeat interval.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Timing {
+pub struct SilenceLimits {
     heartbeat_ms: u64,
 }
 
-impl Timing {
+impl SilenceLimits {
     /// Bounds for an interval; zero counts as one millisecond.
     pub fn new(heartbeat_ms: u32) -> Self {
         Self {
--- a/crates/live/tests/directory.rs
+++ b/crates/live/tests/directory.rs
@@ -1,7 +1,7 @@
 //! The directory: what is believed of agents, and what is not.
 
 use base::prelude::*;
-use live::{Change, Directory, Heard, Life, Timing};
+use live::{AgentChange, AgentDirectory, HeartbeatSource, Liveness, SilenceLimits};
 use schema::link::{Heartbeat, Resident, ResidentState};
 use std::collections::BTreeSet;
 
@@ -29,16 +29,21 @@
     AgentId::new("a1")
 }
 
-fn directory() -> Directory {
-    Directory::new(Timing::new(HEARTBEAT_MS))
+fn directory() -> AgentDirectory {
+    AgentDirectory::new(SilenceLimits::new(HEARTBEAT_MS))
 }
 
-fn hear(directory: &mut Directory, now_ms: u64, beat: Heartbeat, heard: Heard) -> bool {
+fn hear(
+    directory: &mut AgentDirectory,
+    now_ms: u64,
+    beat: Heartbeat,
+    heard: HeartbeatSource,
+) -> bool {
     let now = Instant::from_ms(now_ms);
-    directory.hear(now, beat, heard, &mut Vec::new())
+    directory.record_heartbeat(now, beat, heard, &mut Vec::new())
 }
 
-fn holds(directory: &Directory, model: &str) -> bool {
+fn holds(directory: &AgentDirectory, model: &str) -> bool {
     directory.holders(model).next().is_some()
 }
 
@@ -56,9 +61,14 @@
         ("newer run, no sequence", 3, 0, true),
     ];
     for (name, incarnation, sequence, news) in rows {
-        for heard in [Heard::Direct, Heard::Relayed] {
+        for heard in [HeartbeatSource::Direct, HeartbeatSource::Relayed] {
             let mut directory = directory();
-            hear(&mut directory, 0, beat(2, 5, "new"), Heard::Direct);
+            hear(
+                &mut directory,
+                0,
+                beat(2, 5, "new"),
+                HeartbeatSource::Direct,
+            );
             let late = beat(incarnation, sequence, "other");
             assert_eq!(hear(&mut directory, 10, late, heard), news, "{name}");
             assert_eq!(holds(&directory, "new"), !news, "{name}");
@@ -72,7 +82,7 @@
 /// entry's word, whether this entry is alone, and the verdict.
 #[test]
 fn verdicts_on_silence() {
-    use Life::{Lost, Suspected, Up};
+    use Liveness::{Lost, Suspected, Up};
     let rows = [
         ("heard", 0, true, false, false, Up),
         ("almost suspected", 1_499, true, false, false, Up),
@@ -114,17 +124,17 @@
     ];
     for (name, silent_ms, connected, missed, alone, verdict) in rows {
         let mut directory = directory();
-        hear(&mut directory, 0, beat(1, 1, "m"), Heard::Direct);
+        hear(&mut directory, 0, beat(1, 1, "m"), HeartbeatSource::Direct);
         if !connected {
             directory.link_down(&agent());
         }
         let now = Instant::from_ms(silent_ms);
         if missed {
             let said = [(agent(), Incarnation(1))];
-            directory.silences(now, &EntryId::new("e2"), &said);
+            directory.record_silences(now, &EntryId::new("e2"), &said);
         }
         directory.tick(now, alone, &mut Vec::new());
-        let life = directory.get(&agent()).expect("known").life;
+        let life = directory.get(&agent()).expect("known").liveness;
         assert_eq!(life, verdict, "{name}");
     }
 }
@@ -139,14 +149,14 @@
     ];
     for (name, incarnation, said_ms) in rows {
         let mut directory = directory();
-        hear(&mut directory, 0, beat(2, 1, "m"), Heard::Direct);
+        hear(&mut directory, 0, beat(2, 1, "m"), HeartbeatSource::Direct);
         directory.link_down(&agent());
         let said_at = Instant::from_ms(said_ms);
         let said = [(agent(), incarnation)];
-        directory.silences(said_at, &EntryId::new("e2"), &said);
+        directory.record_silences(said_at, &EntryId::new("e2"), &said);
         directory.tick(Instant::from_ms(1_600), false, &mut Vec::new());
-        let life = directory.get(&agent()).expect("known").life;
-        assert_eq!(life, Life::Suspected, "{name}");
+        let life = directory.get(&agent()).expect("known").liveness;
+        assert_eq!(life, Liveness::Suspected, "{name}");
     }
 }
 
@@ -155,18 +165,23 @@
 #[test]
 fn only_the_own_link_makes_an_agent_usable() {
     let mut directory = directory();
-    hear(&mut directory, 0, beat(1, 1, "m"), Heard::Relayed);
-    let usable = |directory: &Directory, ms| {
+    hear(&mut directory, 0, beat(1, 1, "m"), HeartbeatSource::Relayed);
+    let usable = |directory: &AgentDirectory, ms| {
         let agent = directory.get(&agent()).expect("known");
         directory.usable(Instant::from_ms(ms), agent)
     };
     assert!(!usable(&directory, 0));
     directory.link_up(Instant::ZERO, &agent(), Incarnation(1), &mut Vec::new());
-    hear(&mut directory, 1, beat(1, 1, "m"), Heard::Direct);
+    hear(&mut directory, 1, beat(1, 1, "m"), HeartbeatSource::Direct);
     assert!(usable(&directory, 1));
     for second in 1..=4 {
         let relayed = beat(1, 1 + second, "m");
-        hear(&mut directory, second * 500, relayed, Heard::Relayed);
+        hear(
+            &mut directory,
+            second * 500,
+            relayed,
+            HeartbeatSource::Relayed,
+        );
     }
     assert!(!usable(&directory, 2_000), "silent on its own link");
 }
@@ -176,16 +191,16 @@
 #[test]
 fn a_new_run_begins_with_nothing() {
     let mut directory = directory();
-    hear(&mut directory, 0, beat(1, 1, "m"), Heard::Direct);
+    hear(&mut directory, 0, beat(1, 1, "m"), HeartbeatSource::Direct);
     let mut changes = Vec::new();
-    directory.goodbye(&agent(), Incarnation(1), &mut changes);
-    directory.goodbye(&agent(), Incarnation(1), &mut changes);
-    assert_eq!(changes, [Change::Leaving(agent())], "told once");
+    directory.mark_leaving(&agent(), Incarnation(1), &mut changes);
+    directory.mark_leaving(&agent(), Incarnation(1), &mut changes);
+    assert_eq!(changes, [AgentChange::Leaving(agent())], "told once");
     changes.clear();
     directory.link_up(Instant::ZERO, &agent(), Incarnation(2), &mut changes);
-    assert_eq!(changes, [Change::Restarted(agent())]);
+    assert_eq!(changes, [AgentChange::Restarted(agent())]);
     assert!(!holds(&directory, "m"));
-    directory.goodbye(&agent(), Incarnation(1), &mut changes);
+    directory.mark_leaving(&agent(), Incarnation(1), &mut changes);
     assert!(!directory.get(&agent()).expect("known").leaving());
 }
 
@@ -194,15 +209,15 @@
 #[test]
 fn the_platforms_word_on_leaving() {
     let mut directory = directory();
-    hear(&mut directory, 0, beat(1, 1, "m"), Heard::Direct);
+    hear(&mut directory, 0, beat(1, 1, "m"), HeartbeatSource::Direct);
     let mut changes = Vec::new();
     let leaving = BTreeSet::from([agent()]);
-    directory.platform_leaving(&leaving, &mut changes);
-    assert_eq!(changes, [Change::Leaving(agent())]);
-    directory.platform_leaving(&BTreeSet::new(), &mut changes);
+    directory.set_platform_leaving(&leaving, &mut changes);
+    assert_eq!(changes, [AgentChange::Leaving(agent())]);
+    directory.set_platform_leaving(&BTreeSet::new(), &mut changes);
     assert!(!directory.get(&agent()).expect("known").leaving());
-    directory.goodbye(&agent(), Incarnation(1), &mut changes);
-    directory.platform_leaving(&BTreeSet::new(), &mut changes);
+    directory.mark_leaving(&agent(), Incarnation(1), &mut changes);
+    directory.set_platform_leaving(&BTreeSet::new(), &mut changes);
     assert!(directory.get(&agent()).expect("known").leaving());
 }
 
@@ -214,7 +229,7 @@
     for index in 0..20_000 {
         let mut beat = beat(1, 1, "m");
         beat.agent = format!("x{index}");
-        hear(&mut directory, 0, beat, Heard::Relayed);
+        hear(&mut directory, 0, beat, HeartbeatSource::Relayed);
     }
     assert_eq!(directory.agents().count(), 16_384);
     directory.tick(Instant::from_ms(400_000), true, &mut Vec::new());
--- a/crates/live/tests/entries.rs
+++ b/crates/live/tests/entries.rs
@@ -1,7 +1,7 @@
 //! The other entries, their ranking, and members' addresses.
 
 use base::prelude::*;
-use live::{EntryTable, MemberKind, Members, Timing, rendezvous};
+use live::{EntryTable, MemberAddresses, MemberKind, SilenceLimits, rendezvous_rank};
 use schema::link::Gossip;
 
 fn gossip(entry: &str, incarnation: u64, sequence: u64) -> Gossip {
@@ -21,9 +21,9 @@
     let now = Instant::from_ms(100);
     let first_of = |present: &[&str], key: &str| -> Vec<String> {
         let ranks = present.iter().filter(|me| {
-            let mut table = EntryTable::new(Timing::new(500));
+            let mut table = EntryTable::new(SilenceLimits::new(500));
             for other in present.iter().filter(|other| other != me) {
-                table.hear(now, &gossip(other, 1, 1));
+                table.record_gossip(now, &gossip(other, 1, 1));
             }
             table.ranks_first(now, &EntryId::new(me), key)
         });
@@ -52,29 +52,40 @@
     let me = EntryId::new("e1");
     let key = (0..)
         .map(|index| format!("cell{index}"))
-        .find(|key| rendezvous(key, "e2") > rendezvous(key, "e1"))
+        .find(|key| rendezvous_rank(key, "e2") > rendezvous_rank(key, "e1"))
         .expect("one of them");
-    let mut table = EntryTable::new(Timing::new(500));
+    let mut table = EntryTable::new(SilenceLimits::new(500));
     let at = Instant::from_ms;
-    assert!(table.hear(at(0), &gossip("e2", 1, 5)));
+    assert!(table.record_gossip(at(0), &gossip("e2", 1, 5)));
     assert!(!table.ranks_first(at(0), &me, &key));
-    assert!(!table.hear(at(1_900), &gossip("e2", 1, 5)), "doubled");
-    assert!(!table.hear(at(1_900), &gossip("e2", 1, 4)), "late");
+    assert!(
+        !table.record_gossip(at(1_900), &gossip("e2", 1, 5)),
+        "doubled"
+    );
+    assert!(!table.record_gossip(at(1_900), &gossip("e2", 1, 4)), "late");
     assert!(table.ranks_first(at(2_000), &me, &key), "silent");
-    assert!(table.hear(at(2_100), &gossip("e2", 1, 6)));
+    assert!(table.record_gossip(at(2_100), &gossip("e2", 1, 6)));
     assert!(!table.ranks_first(at(2_100), &me, &key));
-    table.goodbye(&EntryId::new("e2"), Incarnation(1));
+    table.mark_leaving(&EntryId::new("e2"), Incarnation(1));
     assert!(table.ranks_first(at(2_100), &me, &key), "stopping");
-    assert!(table.hear(at(2_200), &gossip("e2", 2, 1)), "a new run");
+    assert!(
+        table.record_gossip(at(2_200), &gossip("e2", 2, 1)),
+        "a new run"
+    );
     assert!(!table.ranks_first(at(2_200), &me, &key));
 }
 
 /// An old member record must not send the process back to an old address.
 #[test]
 fn addresses_never_go_back_to_an_older_run() {
-    let mut members = Members::new();
+    let mut members = MemberAddresses::new();
     let mut note = |incarnation, address| {
-        members.note(MemberKind::Agent, "a1", Incarnation(incarnation), address)
+        members.record_address(
+            MemberKind::Agent,
+            "a1",
+            Incarnation(incarnation),
+            address,
+        )
     };
     assert!(note(2, "10.0.0.1:1"));
     assert!(!note(2, "10.0.0.1:1"));
--- a/crates/mem/src/ledger.rs
+++ b/crates/mem/src/ledger.rs
@@ -1,6 +1,6 @@
 //! Memory in use on each accelerator.
 
-use crate::{Blocked, OrderEnd, Placement, ReportedResident, TrackedOrder};
+use crate::{EndedOrder, Placement, ReportedResident, ReserveError, TrackedOrder};
 use base::{Epoch, Instant, ModelId};
 use schema::store::Intent;
 use std::collections::BTreeMap;
@@ -111,7 +111,7 @@
     /// The record no longer holds what a predecessor saw to its end. A report
     /// made before this moment may not show that either, so no order is
     /// reserved until a later one has come.
-    pub fn adopt(&mut self, now: Instant, intents: &[Intent]) {
+    pub fn adopt_intents(&mut self, now: Instant, intents: &[Intent]) {
         self.adopted_at = now;
         for intent in intents {
             let order = TrackedOrder::adopted(intent, now);
@@ -124,22 +124,22 @@
     ///
     /// Its intents pass to `heir`, the agent that knows it: should that die too,
     /// its successor has only to find out about the heir.
-    pub fn giver_died(&mut self, now: Instant, epoch: Epoch, heir: Epoch) {
+    pub fn issuer_died(&mut self, now: Instant, epoch: Epoch, heir: Epoch) {
         let theirs = |order: &&mut TrackedOrder| order.epoch == epoch;
         for order in self.orders.values_mut().filter(theirs) {
-            order.ends_from = Some(now);
-            order.heir = Some(heir);
+            order.no_send_after = Some(now);
+            order.inherited_by = Some(heir);
         }
     }
 
     /// Predecessors that are not known dead and whose orders count, each with
     /// its link address as far as that is known.
-    pub fn givers(&self) -> BTreeMap<Epoch, &str> {
+    pub fn issuers_not_known_dead(&self) -> BTreeMap<Epoch, &str> {
         let open = self
             .orders
             .values()
-            .filter(|order| order.adopted && order.ends_from.is_none());
-        open.map(|order| (order.epoch, order.giver_address.as_str()))
+            .filter(|order| order.adopted && order.no_send_after.is_none());
+        open.map(|order| (order.epoch, order.issuer_address.as_str()))
             .collect()
     }
 
@@ -156,9 +156,9 @@
         load: bool,
         placement: &Placement,
         size_mib: u32,
-    ) -> Result<(), Blocked> {
-        if !self.is_current() {
-            return Err(Blocked::Unseen);
+    ) -> Result<(), ReserveError> {
+        if !self.has_current_report() {
+            return Err(ReserveError::NoCurrentReport);
         }
         if load {
             self.check_load(placement, size_mib)?;
@@ -172,53 +172,61 @@
             placement: placement.clone(),
             size_mib,
             upstream_incarnation: self.upstream_incarnation.unwrap_or(0),
-            sends: 0,
+            send_count: 0,
             sent_at: Instant::ZERO,
             accepted: false,
             in_progress: false,
             adopted: false,
-            giver_address: String::new(),
-            heir: None,
-            ends_from: None,
+            issuer_address: String::new(),
+            inherited_by: None,
+            no_send_after: None,
         };
         self.orders.insert(id, order);
         Ok(())
     }
 
-    fn check_load(&self, placement: &Placement, size_mib: u32) -> Result<(), Blocked> {
+    fn check_load(
+        &self,
+        placement: &Placement,
+        size_mib: u32,
+    ) -> Result<(), ReserveError> {
         let accelerator = placement.accelerator;
         if accelerator >= self.accelerators() {
-            return Err(Blocked::NoAccelerator);
+            return Err(ReserveError::UnknownAccelerator);
         }
         if self.pending(placement).next().is_some() {
-            return Err(Blocked::Pending);
+            return Err(ReserveError::OrderPending);
         }
         if self.residents.contains_key(placement) {
-            return Err(Blocked::Nothing);
+            return Err(ReserveError::NothingToDo);
         }
         if let Some(base) = self.bases.get(&placement.model)
             && !self.base_stays(accelerator, base)
         {
-            return Err(Blocked::NoBase);
+            return Err(ReserveError::BaseNotLoaded);
         }
         let needed = self.in_use_mib(accelerator) + u64::from(size_mib);
         if needed > self.capacity_mib(accelerator) {
-            return Err(Blocked::NoRoom);
+            return Err(ReserveError::InsufficientMemory);
         }
         Ok(())
     }
 
-    fn check_unload(&self, epoch: Epoch, placement: &Placement) -> Result<(), Blocked> {
+    fn check_unload(
+        &self,
+        epoch: Epoch,
+        placement: &Placement,
+    ) -> Result<(), ReserveError> {
         if !self.residents.contains_key(placement) {
-            return Err(Blocked::Nothing);
+            return Err(ReserveError::NothingToDo);
         }
         // A predecessor's unload need not be waited for: the model leaves once.
         let blocks = |order: &TrackedOrder| order.load || order.epoch == epoch;
         if self.pending(placement).any(blocks) {
-            return Err(Blocked::Pending);
+            return Err(ReserveError::OrderPending);
         }
         if self.adapter_stands_on(placement) {
-            return Err(Blocked::UnderAdapter);
+            return Err(ReserveError::BaseInUse);
         }
         Ok(())
     }
@@ -253,15 +261,15 @@
     }
 
     /// The order was given to the upstream.
-    pub fn given(&mut self, now: Instant, id: u64) {
+    pub fn mark_sent(&mut self, now: Instant, id: u64) {
         if let Some(order) = self.orders.get_mut(&id) {
-            order.sends = order.sends.saturating_add(1);
+            order.send_count = order.send_count.saturating_add(1);
             order.sent_at = now;
         }
     }
 
     /// The upstream will carry the order out.
-    pub fn accepted(&mut self, id: u64) {
+    pub fn mark_accepted(&mut self, id: u64) {
         if let Some(order) = self.orders.get_mut(&id) {
             order.accepted = true;
         }
@@ -271,13 +279,17 @@
     ///
     /// If an earlier copy of a load went unanswered, that copy may be the one
     /// which takes effect; it counts until none can be under way.
-    pub fn refused(&mut self, now: Instant, id: u64) -> Option<OrderEnd> {
+    pub fn mark_refused(&mut self, now: Instant, id: u64) -> Option<EndedOrder> {
         self.end(now, id, false)
     }
 
     /// Forgets an order that was reserved and never given.
-    pub fn withdraw(&mut self, id: u64) {
-        if self.orders.get(&id).is_some_and(|order| order.sends == 0) {
+    pub fn cancel_unsent(&mut self, id: u64) {
+        if self
+            .orders
+            .get(&id)
+            .is_some_and(|order| order.send_count == 0)
+        {
             self.orders.remove(&id);
         }
     }
--- a/crates/mem/src/lib.rs
+++ b/crates/mem/src/lib.rs
@@ -24,5 +24,5 @@
 mod settle;
 
 pub use ledger::Ledger;
-pub use order::{Blocked, OrderEnd, Placement, TrackedOrder};
-pub use report::{ReportedOrder, ReportedOrderState, ReportedResident, UpstreamState};
+pub use order::{EndedOrder, Placement, ReserveError, TrackedOrder};
+pub use report::{MemoryReport, ReportedOrder, ReportedOrderState, ReportedResident};
--- a/crates/mem/src/order.rs
+++ b/crates/mem/src/order.rs
@@ -30,7 +30,7 @@
     /// Upstream incarnation it was made for.
     pub upstream_incarnation: u64,
     /// Times this process gave it; 0 while it is only reserved.
-    pub sends: u32,
+    pub send_count: u32,
     /// When this process last gave it.
     pub sent_at: Instant,
     /// The upstream said that it will carry it out.
@@ -41,12 +41,12 @@
     pub adopted: bool,
     /// Link address of the predecessor that gave it; empty if this agent gave it
     /// or the address is not known.
-    pub giver_address: String,
+    pub issuer_address: String,
     /// Agent to which the intent passed when its giver was known dead.
-    pub heir: Option<Epoch>,
+    pub inherited_by: Option<Epoch>,
     /// When the last copy of it can have been given, once that is known; from
     /// then on it can take effect for the longest order delay.
-    pub ends_from: Option<Instant>,
+    pub no_send_after: Option<Instant>,
 }
 
 impl TrackedOrder {
@@ -55,14 +55,14 @@
     /// The address is that of the agent which has to be found dead before the
     /// order can end by time: the giver, or the one that it passed to.
     pub fn intent(&self, own_address: &str) -> Intent {
-        let is_own = !self.adopted || self.heir.is_some();
+        let is_own = !self.adopted || self.inherited_by.is_some();
         let address = match is_own {
             true => own_address,
-            false => &self.giver_address,
+            false => &self.issuer_address,
         };
         Intent {
             order: self.id,
-            epoch: self.heir.unwrap_or(self.epoch).0,
+            epoch: self.inherited_by.unwrap_or(self.epoch).0,
             load: self.load,
             model: self.placement.model.as_str().to_owned(),
             version: self.placement.version,
@@ -77,7 +77,7 @@
     ///
     /// Before the delay is configured that can't be said.
     pub(crate) fn is_over(&self, made_at: Instant, delay_ms: Option<u64>) -> bool {
-        match (self.ends_from, delay_ms) {
+        match (self.no_send_after, delay_ms) {
             (Some(from), Some(delay_ms)) => from.plus_ms(delay_ms) <= made_at,
             _ => false,
         }
@@ -85,7 +85,7 @@
 
     /// It may have been given more than once.
     pub(crate) const fn may_have_copies(&self) -> bool {
-        self.adopted || self.sends > 1
+        self.adopted || self.send_count > 1
     }
 
     /// An order found in the record of a predecessor.
@@ -103,40 +103,40 @@
             },
             size_mib: intent.size_mib,
             upstream_incarnation: intent.upstream_incarnation,
-            sends: 1,
+            send_count: 1,
             sent_at: now,
             accepted: false,
             in_progress: false,
             adopted: true,
-            giver_address: intent.link_address.clone(),
-            heir: None,
-            ends_from: None,
+            issuer_address: intent.link_address.clone(),
+            inherited_by: None,
+            no_send_after: None,
         }
     }
 }
 
 /// Why an order can't be reserved now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Blocked {
+pub enum ReserveError {
     /// The instance has no such accelerator.
-    NoAccelerator,
+    UnknownAccelerator,
     /// The memory in use leaves no room.
-    NoRoom,
+    InsufficientMemory,
     /// An order on the same placement has not ended.
-    Pending,
+    OrderPending,
     /// The adapter's base is not loaded there, or is being unloaded.
-    NoBase,
+    BaseNotLoaded,
     /// An adapter is, or may come, on top of the base.
-    UnderAdapter,
+    BaseInUse,
     /// No report shows what predecessors have done to their end.
-    Unseen,
+    NoCurrentReport,
     /// The model is already there, or is not there to be unloaded.
-    Nothing,
+    NothingToDo,
 }
 
 /// How a tracked order ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct OrderEnd {
+pub struct EndedOrder {
     /// Number of the order.
     pub id: u64,
     /// True for a load, false for an unload.
@@ -144,5 +144,5 @@
     /// What it concerned.
     pub placement: Placement,
     /// It took effect.
-    pub done: bool,
+    pub took_effect: bool,
 }
--- a/crates/mem/src/report.rs
+++ b/crates/mem/src/report.rs
@@ -5,7 +5,7 @@
 
 /// The upstream's own report, as far as memory is concerned.
 #[derive(Debug, Clone)]
-pub struct UpstreamState {
+pub struct MemoryReport {
     /// Identifies one run of the upstream.
     pub incarnation: u64,
     /// When the upstream made the report.
--- a/crates/mem/src/settle.rs
+++ b/crates/mem/src/settle.rs
@@ -1,12 +1,12 @@
 //! How reports settle what the ledger counts.
 
-use crate::{Ledger, OrderEnd, ReportedOrderState, TrackedOrder, UpstreamState};
+use crate::{EndedOrder, Ledger, MemoryReport, ReportedOrderState, TrackedOrder};
 use base::Instant;
 
 impl Ledger {
     /// A report has come that was made after the record was read, so that it
     /// shows all that predecessors saw to its end.
-    pub fn is_current(&self) -> bool {
+    pub fn has_current_report(&self) -> bool {
         self.reported_at >= self.adopted_at
     }
 
@@ -14,7 +14,11 @@
     ///
     /// A report made before the last one is dropped: it would show memory as
     /// free that has been given away since.
-    pub fn report(&mut self, now: Instant, state: &UpstreamState) -> Vec<OrderEnd> {
+    pub fn apply_report(
+        &mut self,
+        now: Instant,
+        state: &MemoryReport,
+    ) -> Vec<EndedOrder> {
         if self.upstream_incarnation.is_some() && state.made_at < self.reported_at {
             return Vec::new();
         }
@@ -42,16 +46,16 @@
             return;
         }
         self.upstream_incarnation = Some(incarnation);
-        self.orders.retain(|_, order| order.sends > 0);
+        self.orders.retain(|_, order| order.send_count > 0);
         for order in self.orders.values_mut() {
             let earlier = order.upstream_incarnation != incarnation;
-            if earlier && !order.adopted && order.ends_from.is_none() {
-                order.ends_from = Some(now);
+            if earlier && !order.adopted && order.no_send_after.is_none() {
+                order.no_send_after = Some(now);
             }
         }
     }
 
-    fn end_shown(&mut self, now: Instant, state: &UpstreamState) -> Vec<OrderEnd> {
+    fn end_shown(&mut self, now: Instant, state: &MemoryReport) -> Vec<EndedOrder> {
         let mut ends = Vec::new();
         for order in self.orders.values_mut() {
             order.in_progress = false;
@@ -78,7 +82,7 @@
 
     /// Ends orders of our own whose effect a later report shows, though it no
     /// longer lists them.
-    fn end_evident(&mut self, now: Instant, made_at: Instant) -> Vec<OrderEnd> {
+    fn end_evident(&mut self, now: Instant, made_at: Instant) -> Vec<EndedOrder> {
         let evident = |order: &&TrackedOrder| {
             let resident = self.residents.get(&order.placement);
             let effect = if order.load {
@@ -100,19 +104,19 @@
         now: Instant,
         id: u64,
         done: bool,
-    ) -> Option<OrderEnd> {
+    ) -> Option<EndedOrder> {
         let order = self.orders.remove(&id)?;
         if order.load && order.may_have_copies() {
             self.copies.push(TrackedOrder {
-                ends_from: order.ends_from.or(Some(now)),
+                no_send_after: order.no_send_after.or(Some(now)),
                 ..order.clone()
             });
         }
-        Some(OrderEnd {
+        Some(EndedOrder {
             id,
             load: order.load,
             placement: order.placement,
-            done,
+            took_effect: done,
         })
     }
 
@@ -120,7 +124,7 @@
     ///
     /// The report must have been made after the last moment at which they could:
     /// one that is behind does not yet show what they did at that moment.
-    fn end_expired(&mut self, now: Instant, state: &UpstreamState) -> Vec<OrderEnd> {
+    fn end_expired(&mut self, now: Instant, state: &MemoryReport) -> Vec<EndedOrder> {
         let delay_ms = self.order_delay_max_ms;
         let over = |order: &&TrackedOrder| {
             order.is_over(state.made_at, delay_ms) && !order.in_progress
--- a/crates/mem/tests/ledger/counting.rs
+++ b/crates/mem/tests/ledger/counting.rs
@@ -5,7 +5,7 @@
 };
 use crate::steps::{DELAY_MS, apply, ledger};
 use mem::ReportedOrderState::{Done, Failed, InProgress};
-use mem::{Blocked, Ledger};
+use mem::{Ledger, ReserveError};
 use std::collections::BTreeMap;
 
 struct Case {
@@ -13,7 +13,7 @@
     steps: &'static [Step],
     in_use_mib: u64,
     /// What loading 60 MiB of another model meets at the end.
-    then_load: Result<(), Blocked>,
+    then_load: Result<(), ReserveError>,
 }
 
 const CASES: &[Case] = &[
@@ -21,7 +21,7 @@
         name: "a load that got no answer counts",
         steps: &[Report(0, 7, &[], &[]), Load(1, "a", 60), Given(1, 1)],
         in_use_mib: 60,
-        then_load: Err(Blocked::NoRoom),
+        then_load: Err(ReserveError::InsufficientMemory),
     },
     Case {
         name: "a load counts once when its resident shows",
@@ -52,13 +52,13 @@
             Report(2, 7, &[], &[]),
         ],
         in_use_mib: 60,
-        then_load: Err(Blocked::NoRoom),
+        then_load: Err(ReserveError::InsufficientMemory),
     },
     Case {
         name: "an unload that got no answer frees nothing",
         steps: &[Report(0, 7, &[("a", 60)], &[]), Unload(1, "a"), Given(1, 1)],
         in_use_mib: 60,
-        then_load: Err(Blocked::NoRoom),
+        then_load: Err(ReserveError::InsufficientMemory),
     },
     Case {
         name: "an unload that shows is free",
@@ -75,7 +75,7 @@
         name: "an older report does not show a model gone",
         steps: &[Report(5, 7, &[("a", 60)], &[]), Report(4, 7, &[], &[])],
         in_use_mib: 60,
-        then_load: Err(Blocked::NoRoom),
+        then_load: Err(ReserveError::InsufficientMemory),
     },
     Case {
         name: "a refused load is free",
@@ -87,7 +87,7 @@
         name: "a second copy refused leaves the first, which got no answer",
         steps: &[Load(1, "a", 60), Given(1, 1), Given(2, 1), Refused(3, 1)],
         in_use_mib: 60,
-        then_load: Err(Blocked::NoRoom),
+        then_load: Err(ReserveError::InsufficientMemory),
     },
     Case {
         name: "that first copy ends when no order can be under way",
@@ -105,7 +105,7 @@
         name: "a predecessor's load counts",
         steps: &[Adopt(0, 9, true, "a", 60), Report(1, 7, &[], &[])],
         in_use_mib: 60,
-        then_load: Err(Blocked::NoRoom),
+        then_load: Err(ReserveError::InsufficientMemory),
     },
     Case {
         name: "a predecessor's load counts as long as it may live",
@@ -115,7 +115,7 @@
             Report(60_000, 7, &[], &[]),
         ],
         in_use_mib: 60,
-        then_load: Err(Blocked::NoRoom),
+        then_load: Err(ReserveError::InsufficientMemory),
     },
     Case {
         name: "a dead predecessor's load counts for the order delay",
@@ -126,7 +126,7 @@
             Report(3_001, 7, &[], &[]),
         ],
         in_use_mib: 60,
-        then_load: Err(Blocked::NoRoom),
+        then_load: Err(ReserveError::InsufficientMemory),
     },
     Case {
         name: "a dead predecessor's load ends after the order delay",
@@ -148,7 +148,7 @@
             Report(3_002, 7, &[], &[(9, InProgress)]),
         ],
         in_use_mib: 60,
-        then_load: Err(Blocked::NoRoom),
+        then_load: Err(ReserveError::InsufficientMemory),
     },
     Case {
         name: "a predecessor that lives may give its load to the new run",
@@ -159,7 +159,7 @@
             Report(60_000, 8, &[], &[]),
         ],
         in_use_mib: 60,
-        then_load: Err(Blocked::NoRoom),
+        then_load: Err(ReserveError::InsufficientMemory),
     },
     Case {
         name: "a predecessor's load counts on when its model shows by another order",
@@ -170,7 +170,7 @@
             Report(3, 7, &[], &[]),
         ],
         in_use_mib: 60,
-        then_load: Err(Blocked::NoRoom),
+        then_load: Err(ReserveError::InsufficientMemory),
     },
     Case {
         name: "an order under way when the upstream restarts may reach the new run",
@@ -181,7 +181,7 @@
             Report(2, 8, &[], &[]),
         ],
         in_use_mib: 60,
-        then_load: Err(Blocked::NoRoom),
+        then_load: Err(ReserveError::InsufficientMemory),
     },
     Case {
         name: "after a restart and the order delay nothing is under way",
@@ -206,7 +206,7 @@
             Report(1_002, 8, &[], &[]),
         ],
         in_use_mib: 60,
-        then_load: Err(Blocked::NoRoom),
+        then_load: Err(ReserveError::InsufficientMemory),
     },
     Case {
         name: "a second copy counts although the model has gone again",
@@ -219,7 +219,7 @@
             Report(1_002, 7, &[], &[(1, Done)]),
         ],
         in_use_mib: 60,
-        then_load: Err(Blocked::NoRoom),
+        then_load: Err(ReserveError::InsufficientMemory),
     },
     Case {
         name: "a second copy ends when no order can be under way",
@@ -260,13 +260,13 @@
         name: "a report made before the record was read may miss what it left out",
         steps: &[Report(0, 7, &[], &[]), Adopt(1, 9, false, "a", 30)],
         in_use_mib: 0,
-        then_load: Err(Blocked::Unseen),
+        then_load: Err(ReserveError::NoCurrentReport),
     },
     Case {
         name: "a resident of nobody's order counts",
         steps: &[Report(0, 7, &[("x", 70)], &[])],
         in_use_mib: 70,
-        then_load: Err(Blocked::NoRoom),
+        then_load: Err(ReserveError::InsufficientMemory),
     },
 ];
 
--- a/crates/mem/tests/ledger/orders.rs
+++ b/crates/mem/tests/ledger/orders.rs
@@ -2,10 +2,15 @@
 
 use crate::steps::Step::{self, Adopt, Given, Load, Report, Unload};
 use crate::steps::{OWN, apply, at, ledger};
-use mem::{Blocked, Placement};
+use mem::{Placement, ReserveError};
 
 /// Steps, and what the last one meets.
-type Last = (&'static str, &'static [Step], Step, Result<(), Blocked>);
+type Last = (
+    &'static str,
+    &'static [Step],
+    Step,
+    Result<(), ReserveError>,
+);
 
 /// An adapter whose base is missing can't serve, and a base that goes away
 /// under an adapter takes the answers of its callers with it. The orders that
@@ -17,7 +22,7 @@
             "no base",
             &[],
             Load(1, "a-adapter", 10),
-            Err(Blocked::NoBase),
+            Err(ReserveError::BaseNotLoaded),
         ),
         (
             "base loaded",
@@ -29,31 +34,31 @@
             "base only ordered",
             &[Load(1, "a", 60), Given(1, 1)],
             Load(2, "a-adapter", 10),
-            Err(Blocked::NoBase),
+            Err(ReserveError::BaseNotLoaded),
         ),
         (
             "base about to go",
             &[Report(0, 7, &[("a", 60)], &[]), Unload(1, "a")],
             Load(2, "a-adapter", 10),
-            Err(Blocked::NoBase),
+            Err(ReserveError::BaseNotLoaded),
         ),
         (
             "base about to go by a predecessor's order",
             &[Report(0, 7, &[("a", 60)], &[]), Adopt(0, 9, false, "a", 60)],
             Load(2, "a-adapter", 10),
-            Err(Blocked::NoBase),
+            Err(ReserveError::BaseNotLoaded),
         ),
         (
             "adapter on top",
             &[Report(0, 7, &[("a", 60), ("a-adapter", 10)], &[])],
             Unload(1, "a"),
-            Err(Blocked::UnderAdapter),
+            Err(ReserveError::BaseInUse),
         ),
         (
             "adapter on its way",
             &[Report(0, 7, &[("a", 60)], &[]), Load(1, "a-adapter", 10)],
             Unload(2, "a"),
-            Err(Blocked::UnderAdapter),
+            Err(ReserveError::BaseInUse),
         ),
         (
             "the adapter itself may go",
@@ -80,25 +85,25 @@
             "load twice",
             &[Load(1, "a", 30)],
             Load(2, "a", 30),
-            Err(Blocked::Pending),
+            Err(ReserveError::OrderPending),
         ),
         (
             "load of what is there",
             &[Report(0, 7, &[("a", 30)], &[])],
             Load(1, "a", 30),
-            Err(Blocked::Nothing),
+            Err(ReserveError::NothingToDo),
         ),
         (
             "unload twice",
             &[Report(0, 7, &[("a", 30)], &[]), Unload(1, "a")],
             Unload(2, "a"),
-            Err(Blocked::Pending),
+            Err(ReserveError::OrderPending),
         ),
         (
             "unload of what is not there",
             &[],
             Unload(1, "a"),
-            Err(Blocked::Nothing),
+            Err(ReserveError::NothingToDo),
         ),
         (
             "unload besides a predecessor's",
@@ -110,7 +115,7 @@
             "load before a predecessor's unload has ended",
             &[Report(0, 7, &[], &[]), Adopt(0, 9, false, "a", 30)],
             Load(1, "a", 30),
-            Err(Blocked::Pending),
+            Err(ReserveError::OrderPending),
         ),
     ];
     for (name, steps, last, expected) in cases {
@@ -126,5 +131,5 @@
         ..at("a")
     };
     let refused = ledger.reserve(1, OWN, true, &elsewhere, 1);
-    assert_eq!(refused, Err(Blocked::NoAccelerator));
+    assert_eq!(refused, Err(ReserveError::UnknownAccelerator));
 }
--- a/crates/mem/tests/ledger/steps.rs
+++ b/crates/mem/tests/ledger/steps.rs
@@ -2,8 +2,8 @@
 
 use base::{Epoch, Instant, ModelId};
 use mem::{
-    Blocked, Ledger, Placement, ReportedOrder, ReportedOrderState, ReportedResident,
-    UpstreamState,
+    Ledger, MemoryReport, Placement, ReportedOrder, ReportedOrderState,
+    ReportedResident, ReserveError,
 };
 use schema::store::Intent;
 use std::collections::BTreeMap;
@@ -47,15 +47,15 @@
     ledger
 }
 
-pub fn apply(ledger: &mut Ledger, step: &Step) -> Result<(), Blocked> {
+pub fn apply(ledger: &mut Ledger, step: &Step) -> Result<(), ReserveError> {
     match *step {
         Load(id, model, size) => {
             return ledger.reserve(id, OWN, true, &at(model), size);
         }
         Unload(id, model) => return ledger.reserve(id, OWN, false, &at(model), 0),
-        Given(ms, id) => ledger.given(Instant::from_ms(ms), id),
-        Accepted(id) => ledger.accepted(id),
-        Refused(ms, id) => drop(ledger.refused(Instant::from_ms(ms), id)),
+        Given(ms, id) => ledger.mark_sent(Instant::from_ms(ms), id),
+        Accepted(id) => ledger.mark_accepted(id),
+        Refused(ms, id) => drop(ledger.mark_refused(Instant::from_ms(ms), id)),
         Adopt(ms, order, load, model, size_mib) => {
             let intent = Intent {
                 order,
@@ -68,12 +68,12 @@
                 upstream_incarnation: 7,
                 link_address: String::new(),
             };
-            ledger.adopt(Instant::from_ms(ms), &[intent]);
+            ledger.adopt_intents(Instant::from_ms(ms), &[intent]);
         }
-        Died(ms) => ledger.giver_died(Instant::from_ms(ms), PREDECESSOR, OWN),
+        Died(ms) => ledger.issuer_died(Instant::from_ms(ms), PREDECESSOR, OWN),
         Report(ms, incarnation, residents, orders) => {
             let state = state(ms, incarnation, residents, orders);
-            ledger.report(Instant::from_ms(ms), &state);
+            ledger.apply_report(Instant::from_ms(ms), &state);
         }
     }
     Ok(())
@@ -84,7 +84,7 @@
     incarnation: u64,
     residents: &[(&str, u32)],
     orders: &[(u64, ReportedOrderState)],
-) -> UpstreamState {
+) -> MemoryReport {
     let residents = residents.iter().map(|(model, size)| ReportedResident {
         placement: at(model),
         size_mib: *size,
@@ -94,7 +94,7 @@
         id: *id,
         state: *state,
     });
-    UpstreamState {
+    MemoryReport {
         incarnation,
         made_at: Instant::from_ms(ms),
         residents: residents.collect(),
--- a/crates/once/src/calls.rs
+++ b/crates/once/src/calls.rs
@@ -1,7 +1,7 @@
 //! The calls to the platform, and what their answers settle.
 
 use crate::Claims;
-use crate::outcome::{ClaimAction, Outcome};
+use crate::outcome::{ClaimAction, ClaimOutcome};
 use crate::shard::{Busy, Known, Shard, shard_key};
 use crate::work::{Begin, Ending, Held};
 use base::{
@@ -17,7 +17,7 @@
 
 impl Claims {
     /// The platform answered a call.
-    pub fn answered(
+    pub fn platform_answered(
         &mut self,
         now: Instant,
         call: u64,
@@ -81,7 +81,7 @@
         self.shards[index].busy = Busy::Reading;
         let key = shard_key(index);
         let op = PlatformOp::Read { key };
-        out.push(ClaimAction::Platform(PlatformCall { id, op }));
+        out.push(ClaimAction::CallPlatform(PlatformCall { id, op }));
     }
 
     fn write(&mut self, index: usize, content: ClaimShard, out: &mut Vec<ClaimAction>) {
@@ -95,7 +95,7 @@
         };
         let id = self.next_call(index);
         self.shards[index].busy = Busy::Writing(Box::new(content));
-        out.push(ClaimAction::Platform(PlatformCall { id, op }));
+        out.push(ClaimAction::CallPlatform(PlatformCall { id, op }));
     }
 
     fn next_call(&mut self, index: usize) -> u64 {
@@ -167,7 +167,7 @@
                         nonce,
                     },
                 );
-                let outcome = Outcome::Granted;
+                let outcome = ClaimOutcome::Granted;
                 out.push(ClaimAction::Settled { attempt, outcome });
             } else {
                 shard.begins.push(begin);
@@ -232,6 +232,6 @@
 
 pub(crate) fn refuse_away(attempt: AttemptId, retry_ms: u64) -> ClaimAction {
     let refusal = Refusal::not_run(Code::PlatformAway).retry_after_ms(retry_ms);
-    let outcome = Outcome::Refused(refusal);
+    let outcome = ClaimOutcome::Refused(refusal);
     ClaimAction::Settled { attempt, outcome }
 }
--- a/crates/once/src/claims.rs
+++ b/crates/once/src/claims.rs
@@ -1,7 +1,7 @@
 //! The claims of one agent.
 
 use crate::calls::{QUIET_MAX_MS, QUIET_MIN_MS, give_back, refuse_away};
-use crate::outcome::{Answer, ClaimAction, ClaimRequest};
+use crate::outcome::{ClaimAction, ClaimRequest, StoredResponse};
 use crate::shard::{Bounds, SHARDS, Shard, shard_of};
 use crate::work::{Begin, Ending, Held};
 use base::{AgentId, AttemptId, Incarnation, Instant};
@@ -22,7 +22,7 @@
     /// Its incarnation, from which nonces are made.
     pub incarnation: Incarnation,
     /// Number of the first call to the platform; all later ones are greater.
-    pub first_call: u64,
+    pub first_call_id: u64,
     /// Wall clock at the origin of `Instant`, in milliseconds.
     pub unix_ms_at_zero: u64,
 }
@@ -44,7 +44,7 @@
     /// No claims yet.
     pub fn new(options: ClaimsOptions) -> Self {
         Self {
-            next_call: options.first_call,
+            next_call: options.first_call_id,
             options,
             retention_ms: 24 * 3_600_000,
             answer_max_bytes: 16 << 10,
@@ -62,12 +62,12 @@
     }
 
     /// Largest answer that is stored, in bytes.
-    pub const fn answer_max_bytes(&self) -> usize {
+    pub const fn response_max_bytes(&self) -> usize {
         self.answer_max_bytes
     }
 
     /// Claims held by running calls.
-    pub fn held(&self) -> usize {
+    pub fn held_count(&self) -> usize {
         self.held.len()
     }
 
@@ -79,7 +79,7 @@
     }
 
     /// Asks for a claim; the outcome comes as [`ClaimAction::Settled`].
-    pub fn begin(
+    pub fn request_claim(
         &mut self,
         now: Instant,
         request: ClaimRequest,
@@ -109,7 +109,7 @@
         &mut self,
         now: Instant,
         attempt: AttemptId,
-        answer: Option<Answer>,
+        answer: Option<StoredResponse>,
         out: &mut Vec<ClaimAction>,
     ) {
         let Some(held) = self.held.remove(&attempt) else {
@@ -145,17 +145,17 @@
 
     /// Whether the run of a claim can't be told: the claim stays as it is, and
     /// a resend is told so once the service's timeout has passed.
-    pub fn leave(&mut self, attempt: AttemptId) {
+    pub fn abandon(&mut self, attempt: AttemptId) {
         self.held.remove(&attempt);
     }
 
     /// Whether a call to the platform is one of the claims'.
-    pub fn owns(&self, call: u64) -> bool {
+    pub fn owns_call(&self, call: u64) -> bool {
         self.calls.contains_key(&call)
     }
 
     /// When something is due.
-    pub fn due(&self) -> Option<Instant> {
+    pub fn next_deadline(&self) -> Option<Instant> {
         let shards = self.shards.iter().filter(|shard| shard.has_work());
         shards.filter_map(shard_due).min()
     }
--- a/crates/once/src/lib.rs
+++ b/crates/once/src/lib.rs
@@ -10,7 +10,7 @@
 //!
 //! Invariants:
 //!
-//! - A call is [`Outcome::Granted`] only after the platform has shown its nonce
+//! - A call is [`ClaimOutcome::Granted`] only after the platform has shown its nonce
 //!   in the shard: by the answer of the write, or by reading it back.
 //! - A refused call was not run. If its claim may stand all the same, its
 //!   release is kept until the platform shows that it is gone and can't come.
@@ -25,5 +25,5 @@
 mod work;
 
 pub use claims::{Claims, ClaimsOptions};
-pub use outcome::{Answer, ClaimAction, ClaimRequest, Outcome};
+pub use outcome::{ClaimAction, ClaimOutcome, ClaimRequest, StoredResponse};
 pub use shard::{SHARDS, shard_key, shard_of};
--- a/crates/once/src/outcome.rs
+++ b/crates/once/src/outcome.rs
@@ -19,7 +19,7 @@
 
 /// The stored answer of an earlier run.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Answer {
+pub struct StoredResponse {
     /// HTTP status.
     pub status: u16,
     /// Content type.
@@ -30,11 +30,11 @@
 
 /// What came of a request for a claim.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Outcome {
+pub enum ClaimOutcome {
     /// The call is claimed for this attempt and may be run once.
     Granted,
     /// The call ran before; this is its answer.
-    Replay(Answer),
+    Replay(StoredResponse),
     /// The call is not run now; the refusal tells why and what is known.
     Refused(Refusal),
 }
@@ -43,13 +43,13 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimAction {
     /// Call the platform.
-    Platform(PlatformCall),
+    CallPlatform(PlatformCall),
     /// A request for a claim is settled.
     Settled {
         /// Attempt.
         attempt: AttemptId,
         /// What came of it.
-        outcome: Outcome,
+        outcome: ClaimOutcome,
     },
     /// The release of a claim was written, or its bounded wait is over; the
     /// refusal of the attempt may be answered.
--- a/crates/once/src/shard.rs
+++ b/crates/once/src/shard.rs
@@ -6,7 +6,7 @@
 use schema::store::{Claim, ClaimShard, ClaimState};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::{Answer, Outcome};
+use crate::{ClaimOutcome, StoredResponse};
 
 /// Number of shard objects.
 ///
@@ -119,7 +119,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Staged {
     /// Outcomes that need no write.
-    pub settled: Vec<(AttemptId, Outcome)>,
+    pub settled: Vec<(AttemptId, ClaimOutcome)>,
     /// A decision needs the shard to be read first.
     pub read_first: bool,
     /// The value to write, if anything has to be.
@@ -196,7 +196,7 @@
     Claimed,
     ReadFirst,
     NextRound,
-    Settled(Outcome),
+    Settled(ClaimOutcome),
 }
 
 fn stage_begin(
@@ -228,7 +228,7 @@
     };
     if planned_bytes(content, &claim, bounds) > SHARD_MAX_BYTES {
         let refusal = Refusal::not_run(Code::Overloaded).retry_after_ms(FULL_RETRY_MS);
-        return Step::Settled(Outcome::Refused(refusal));
+        return Step::Settled(ClaimOutcome::Refused(refusal));
     }
     content.claims.push(claim);
     Step::Claimed
@@ -260,7 +260,7 @@
             retry_after_ms: Some(IN_PROGRESS_RETRY_MS),
         }
     };
-    Step::Settled(Outcome::Refused(refusal))
+    Step::Settled(ClaimOutcome::Refused(refusal))
 }
 
 fn abandoned(claim: &Claim, begin: &Begin, bounds: Bounds) -> bool {
@@ -270,15 +270,15 @@
 
 /// The answer of a call that is done; one that was too large is known to have
 /// run, and no more.
-fn replay(claim: &Claim) -> Outcome {
+fn replay(claim: &Claim) -> ClaimOutcome {
     let Some(status) = u16::try_from(claim.status).ok().filter(|s| *s != 0) else {
-        return Outcome::Refused(Refusal {
+        return ClaimOutcome::Refused(Refusal {
             code: Code::OutcomeUnknown,
             ran: Ran::Ran,
             retry_after_ms: None,
         });
     };
-    Outcome::Replay(Answer {
+    ClaimOutcome::Replay(StoredResponse {
         status,
         content_type: claim.content_type.clone(),
         body: claim.answer.clone(),
@@ -320,7 +320,11 @@
     changed
 }
 
-fn store_answer(content: &mut ClaimShard, place: usize, answer: Option<&Answer>) {
+fn store_answer(
+    content: &mut ClaimShard,
+    place: usize,
+    answer: Option<&StoredResponse>,
+) {
     content.claims[place].state = ClaimState::Done.into();
     let Some(answer) = answer else { return };
     let added = answer.body.len() + answer.content_type.len() + 32;
--- a/crates/once/src/work.rs
+++ b/crates/once/src/work.rs
@@ -1,6 +1,6 @@
 //! What waits for the next write of a shard.
 
-use crate::{Answer, ClaimRequest};
+use crate::{ClaimRequest, StoredResponse};
 use base::{AttemptId, Instant};
 
 /// A request that waits for its claim.
@@ -33,7 +33,7 @@
         /// Claim.
         nonce: u64,
         /// What to store.
-        answer: Option<Answer>,
+        answer: Option<StoredResponse>,
     },
     /// The call was not run: the key becomes free.
     Release {
--- a/crates/once/tests/claims/agents.rs
+++ b/crates/once/tests/claims/agents.rs
@@ -2,7 +2,7 @@
 
 use crate::stand::{Agent, BODY, Fate, OTHER_BODY, Platform};
 use base::prelude::*;
-use once::Outcome;
+use once::ClaimOutcome;
 
 /// Two resends reach two agents at once. Both read the shard as empty and both
 /// write; the platform takes one write, and the other agent's caller is told
@@ -13,8 +13,8 @@
     let mut platform = Platform::default();
     let mut one = Agent::new("one");
     let mut two = Agent::new("two");
-    one.begin(0, 1, "key", BODY);
-    two.begin(0, 2, "key", BODY);
+    one.request_claim(0, 1, "key", BODY);
+    two.request_claim(0, 2, "key", BODY);
     one.step(0, &mut platform);
     two.step(0, &mut platform);
     one.pump(0, &mut platform);
@@ -29,23 +29,23 @@
         (6, 12_001, OTHER_BODY, (Code::KeyReused, Ran::NotRun)),
     ];
     for (attempt, ms, body, expected) in cases {
-        two.begin(ms, attempt, "key", body);
+        two.request_claim(ms, attempt, "key", body);
         two.pump(ms, &mut platform);
         assert_eq!(two.refused(attempt), Some(expected), "attempt {attempt}");
     }
 
     one.finish(13_000, 1, b"two cylinders");
     one.pump(13_000, &mut platform);
-    two.begin(13_001, 7, "key", BODY);
+    two.request_claim(13_001, 7, "key", BODY);
     two.pump(13_001, &mut platform);
-    let Some(Outcome::Replay(answer)) = two.outcome(7) else {
+    let Some(ClaimOutcome::Replay(answer)) = two.outcome(7) else {
         panic!("no stored answer: {:?}", two.outcome(7));
     };
     assert_eq!(
         (answer.status, answer.body.as_slice()),
         (201, &b"two cylinders"[..])
     );
-    two.begin(13_002, 8, "key", OTHER_BODY);
+    two.request_claim(13_002, 8, "key", OTHER_BODY);
     two.pump(13_002, &mut platform);
     assert_eq!(two.refused(8), Some((Code::KeyReused, Ran::NotRun)));
 }
@@ -57,13 +57,13 @@
 fn of_two_at_one_agent_one_runs_the_call() {
     let mut platform = Platform::default();
     let mut agent = Agent::new("one");
-    agent.begin(0, 1, "key", BODY);
-    agent.begin(0, 2, "key", BODY);
+    agent.request_claim(0, 1, "key", BODY);
+    agent.request_claim(0, 2, "key", BODY);
     agent.pump(0, &mut platform);
     assert!(agent.granted(1));
     assert_eq!(agent.refused(2), Some((Code::KeyInProgress, Ran::Unknown)));
 
-    agent.begin(1, 3, "key", BODY);
+    agent.request_claim(1, 3, "key", BODY);
     agent.release(1, 1);
     agent.pump(1, &mut platform);
     assert_eq!(agent.released, [1]);
@@ -78,18 +78,18 @@
 fn a_claim_of_a_dead_agent_is_not_run_again() {
     let mut platform = Platform::default();
     let mut dead = Agent::new("one");
-    dead.begin(0, 1, "key", BODY);
+    dead.request_claim(0, 1, "key", BODY);
     dead.pump(0, &mut platform);
     assert!(dead.granted(1));
     drop(dead);
     let mut successor = Agent::new("successor");
-    successor.begin(1_000, 2, "key", BODY);
+    successor.request_claim(1_000, 2, "key", BODY);
     successor.pump(1_000, &mut platform);
     assert_eq!(
         successor.refused(2),
         Some((Code::KeyInProgress, Ran::Unknown))
     );
-    successor.begin(60_000, 3, "key", BODY);
+    successor.request_claim(60_000, 3, "key", BODY);
     successor.pump(60_000, &mut platform);
     assert_eq!(
         successor.refused(3),
@@ -104,7 +104,7 @@
 fn a_refused_call_frees_its_key_first() {
     let mut platform = Platform::default();
     let mut agent = Agent::new("one");
-    agent.begin(0, 1, "key", BODY);
+    agent.request_claim(0, 1, "key", BODY);
     agent.pump(0, &mut platform);
     agent.release(10, 1);
     assert!(agent.released.is_empty(), "told before it was written");
@@ -112,7 +112,7 @@
     assert_eq!(agent.released, [1]);
     assert_eq!(platform.claims(), 0);
 
-    agent.begin(20, 2, "key", BODY);
+    agent.request_claim(20, 2, "key", BODY);
     agent.pump(20, &mut platform);
     platform.fates.extend([Fate::Away; 3]);
     agent.release(30, 2);
--- a/crates/once/tests/claims/shards.rs
+++ b/crates/once/tests/claims/shards.rs
@@ -18,7 +18,7 @@
         .take(50)
         .collect();
     for (attempt, key) in (1..).zip(&keys) {
-        agent.begin(0, attempt, key, BODY);
+        agent.request_claim(0, attempt, key, BODY);
     }
     assert_eq!(agent.calls.len(), 1, "one call in flight for a shard");
     agent.pump(0, &mut platform);
@@ -47,7 +47,7 @@
         .collect();
     let body = vec![b'x'; 60 << 10];
     for (attempt, key) in (1..).zip(&keys) {
-        agent.begin(0, attempt, key, BODY);
+        agent.request_claim(0, attempt, key, BODY);
         agent.pump(0, &mut platform);
         if agent.granted(attempt) {
             agent.finish(0, attempt, &body);
@@ -60,7 +60,7 @@
     assert!(platform.largest() < 900_000, "{} bytes", platform.largest());
 
     let later = 3_600_001;
-    agent.begin(later, 101, &keys[0], OTHER_BODY);
+    agent.request_claim(later, 101, &keys[0], OTHER_BODY);
     agent.pump(later, &mut platform);
     assert!(agent.granted(101), "{:?}", agent.outcome(101));
     assert_eq!(platform.claims(), 1, "the old claims are forgotten");
@@ -73,11 +73,11 @@
     let mut platform = Platform::default();
     let mut agent = Agent::new("one");
     agent.claims.configure(3_600_000, 4);
-    agent.begin(0, 1, "key", BODY);
+    agent.request_claim(0, 1, "key", BODY);
     agent.pump(0, &mut platform);
     agent.finish(1, 1, b"too large");
     agent.pump(1, &mut platform);
-    agent.begin(2, 2, "key", BODY);
+    agent.request_claim(2, 2, "key", BODY);
     agent.pump(2, &mut platform);
     assert_eq!(agent.refused(2), Some((Code::OutcomeUnknown, Ran::Ran)));
 }
@@ -90,7 +90,7 @@
     let key = shard_key(shard_of("desk", "key"));
     platform.objects.insert(key.clone(), (1, vec![0xff; 5]));
     let mut agent = Agent::new("one");
-    agent.begin(0, 1, "key", BODY);
+    agent.request_claim(0, 1, "key", BODY);
     agent.pump(0, &mut platform);
     assert_eq!(agent.refused(1), Some((Code::PlatformAway, Ran::NotRun)));
     assert_eq!(platform.objects[&key].1, vec![0xff; 5]);
--- a/crates/once/tests/claims/stand.rs
+++ b/crates/once/tests/claims/stand.rs
@@ -2,7 +2,9 @@
 
 use base::prelude::*;
 use base::{Expect, PlatformCall, PlatformOp, PlatformResult, Version};
-use once::{Answer, ClaimAction, ClaimRequest, Claims, ClaimsOptions, Outcome};
+use once::{
+    ClaimAction, ClaimOutcome, ClaimRequest, Claims, ClaimsOptions, StoredResponse,
+};
 use prost::Message as _;
 use schema::store::ClaimShard;
 use std::collections::{BTreeMap, VecDeque};
@@ -102,7 +104,7 @@
 pub struct Agent {
     pub claims: Claims,
     pub calls: Vec<PlatformCall>,
-    pub settled: Vec<(u64, Outcome)>,
+    pub settled: Vec<(u64, ClaimOutcome)>,
     pub released: Vec<u64>,
 }
 
@@ -111,7 +113,7 @@
         let claims = Claims::new(ClaimsOptions {
             agent: AgentId::new(name),
             incarnation: Incarnation(5),
-            first_call: 100,
+            first_call_id: 100,
             unix_ms_at_zero: 1_000_000,
         });
         Self {
@@ -122,7 +124,7 @@
         }
     }
 
-    pub fn begin(&mut self, ms: u64, attempt: u64, key: &str, body_hash: u64) {
+    pub fn request_claim(&mut self, ms: u64, attempt: u64, key: &str, body_hash: u64) {
         let request = ClaimRequest {
             attempt: id(attempt),
             caller: CallerId::new("desk"),
@@ -131,12 +133,13 @@
             timeout_ms: TIMEOUT_MS,
         };
         let mut out = Vec::new();
-        self.claims.begin(Instant::from_ms(ms), request, &mut out);
+        self.claims
+            .request_claim(Instant::from_ms(ms), request, &mut out);
         self.take(out);
     }
 
     pub fn finish(&mut self, ms: u64, attempt: u64, body: &[u8]) {
-        let answer = Answer {
+        let answer = StoredResponse {
             status: 201,
             content_type: "text/plain".to_owned(),
             body: body.to_vec(),
@@ -163,7 +166,7 @@
     fn take(&mut self, actions: Vec<ClaimAction>) {
         for action in actions {
             match action {
-                ClaimAction::Platform(call) => self.calls.push(call),
+                ClaimAction::CallPlatform(call) => self.calls.push(call),
                 ClaimAction::Settled { attempt, outcome } => {
                     self.settled.push((attempt.sequence, outcome));
                 }
@@ -183,7 +186,8 @@
         let result = platform.answer(&call);
         let mut out = Vec::new();
         let now = Instant::from_ms(ms);
-        self.claims.answered(now, call.id, result, &mut out);
+        self.claims
+            .platform_answered(now, call.id, result, &mut out);
         self.take(out);
         true
     }
@@ -197,7 +201,7 @@
         panic!("the claims never come to rest");
     }
 
-    pub fn outcome(&self, attempt: u64) -> Option<&Outcome> {
+    pub fn outcome(&self, attempt: u64) -> Option<&ClaimOutcome> {
         let mut settled = self.settled.iter();
         settled.find(|(id, _)| *id == attempt).map(|(_, o)| o)
     }
@@ -206,13 +210,13 @@
     /// known about the run.
     pub fn refused(&self, attempt: u64) -> Option<(Code, Ran)> {
         match self.outcome(attempt)? {
-            Outcome::Refused(refusal) => Some((refusal.code, refusal.ran)),
+            ClaimOutcome::Refused(refusal) => Some((refusal.code, refusal.ran)),
             _ => None,
         }
     }
 
     pub fn granted(&self, attempt: u64) -> bool {
-        self.outcome(attempt) == Some(&Outcome::Granted)
+        self.outcome(attempt) == Some(&ClaimOutcome::Granted)
     }
 }
 
--- a/crates/once/tests/claims/writes.rs
+++ b/crates/once/tests/claims/writes.rs
@@ -2,7 +2,7 @@
 
 use crate::stand::{Agent, BODY, Fate, Platform};
 use base::prelude::*;
-use once::Outcome;
+use once::ClaimOutcome;
 use std::collections::VecDeque;
 
 /// A call is run only once its claim stands. The platform's answer to the
@@ -36,7 +36,7 @@
         let mut platform = Platform::default();
         platform.fates.extend(*fates);
         let mut agent = Agent::new("one");
-        agent.begin(0, 1, "key", BODY);
+        agent.request_claim(0, 1, "key", BODY);
         for ms in (0..=20_000).step_by(100) {
             agent.tick(ms);
             agent.pump(ms, &mut platform);
@@ -54,7 +54,7 @@
         );
         assert_eq!(platform.claims(), 0, "{name}: the key is not free");
         assert!(agent.claims.is_flushed(), "{name}");
-        agent.begin(20_000, 2, "key", BODY);
+        agent.request_claim(20_000, 2, "key", BODY);
         agent.pump(20_000, &mut platform);
         assert!(agent.granted(2), "{name}: a resend is not run");
     }
@@ -69,7 +69,7 @@
     platform.fates.extend([Fate::Good, Fate::Late]);
     platform.fates.extend([Fate::Away; 8]);
     let mut agent = Agent::new("one");
-    agent.begin(0, 1, "key", BODY);
+    agent.request_claim(0, 1, "key", BODY);
     for ms in (0..=20_000).step_by(100) {
         agent.tick(ms);
         agent.pump(ms, &mut platform);
@@ -92,7 +92,7 @@
 fn an_old_read_does_not_drop_an_answer() {
     let mut platform = Platform::default();
     let mut agent = Agent::new("p1");
-    agent.begin(0, 1, "k", BODY);
+    agent.request_claim(0, 1, "k", BODY);
     agent.pump(0, &mut platform);
     assert!(agent.granted(1));
     platform.fates = VecDeque::from([Fate::CallLost, Fate::Old]);
@@ -103,8 +103,8 @@
         agent.pump(ms, &mut platform);
     }
     let mut other = Agent::new("p2");
-    other.begin(20_000, 2, "k", BODY);
+    other.request_claim(20_000, 2, "k", BODY);
     other.pump(20_000, &mut platform);
-    let replayed = matches!(other.outcome(2), Some(Outcome::Replay(_)));
+    let replayed = matches!(other.outcome(2), Some(ClaimOutcome::Replay(_)));
     assert!(replayed, "{:?}", other.outcome(2));
 }
--- a/crates/quota/benches/ways/pooled.rs
+++ b/crates/quota/benches/ways/pooled.rs
@@ -1,7 +1,10 @@
 //! The way that is kept: tokens made in parts and brought together at a keeper.
 
 use base::prelude::*;
-use quota::{FEED_ROUNDS, Limit, Pools, Take, feed_every_ms, keeper};
+use quota::{
+    FEEDER_TIMEOUT_INTERVALS, RateLimit, TakeOutcome, TokenPools, feed_interval_ms,
+    select_keeper,
+};
 use std::sync::Arc;
 
 use crate::world::{State, Way, hears};
@@ -12,9 +15,9 @@
 const AWAY_MS: u64 = 350;
 
 pub struct Pooled {
-    limit: Limit,
+    limit: RateLimit,
     names: Vec<Arc<str>>,
-    pools: Vec<Pools>,
+    pools: Vec<TokenPools>,
     /// When each entry was last up, as those that feed it find out.
     up_at: Vec<Instant>,
     messages: u64,
@@ -24,7 +27,7 @@
 
 impl Pooled {
     pub fn new(entries: usize, rate_per_s: f64) -> Self {
-        let limit = Limit {
+        let limit = RateLimit {
             rate_per_s,
             burst: rate_per_s,
         };
@@ -48,14 +51,14 @@
             *other == of || (states[of] == State::Up && lately)
         });
         let names = candidates.map(|other| &*self.names[other]);
-        let name = keeper(WORKSPACE, names);
+        let name = select_keeper(WORKSPACE, names);
         let found = self.names.iter().position(|known| Some(&**known) == name);
         found.unwrap_or(of)
     }
 }
 
-fn pools(now: Instant, limit: Limit, entries: usize) -> Pools {
-    let mut pools = Pools::new(OVERDRAFT);
+fn pools(now: Instant, limit: RateLimit, entries: usize) -> TokenPools {
+    let mut pools = TokenPools::new(OVERDRAFT);
     pools.set_limits(now, [(&WORKSPACE.into(), limit)]);
     pools.set_entries(now, entries, true);
     pools
@@ -72,7 +75,7 @@
                 self.up_at[entry] = now;
             }
         }
-        let every_ms = feed_every_ms(states.len());
+        let every_ms = feed_interval_ms(states.len());
         for entry in 0..states.len() {
             // Each at its own moment.
             let is_turn = (now.as_ms() + entry as u64 * 7).is_multiple_of(every_ms);
@@ -84,7 +87,7 @@
             if to == entry {
                 continue;
             }
-            let away_ms = FEED_ROUNDS * every_ms;
+            let away_ms = FEEDER_TIMEOUT_INTERVALS * every_ms;
             let up_at = &self.up_at;
             let is_gone = |name: &str| {
                 let of = name.trim_start_matches("entry-").parse::<usize>();
@@ -99,7 +102,7 @@
             for feed in feeds {
                 if let Some(level) = self.pools[to].receive(now, &from, &feed) {
                     let keeper = self.names[to].to_string();
-                    self.pools[entry].told(&keeper, WORKSPACE, level);
+                    self.pools[entry].set_keeper_level(&keeper, WORKSPACE, level);
                 }
             }
         }
@@ -112,13 +115,13 @@
         entry: usize,
         cost: f64,
     ) -> bool {
-        if self.pools[entry].take_own(now, WORKSPACE, cost) == Take::Taken {
+        if self.pools[entry].take_local(now, WORKSPACE, cost) == TakeOutcome::Taken {
             return true;
         }
         let to = self.keeper(now, states, entry);
         self.messages += 2 * u64::from(to != entry);
         hears(states, entry, to)
-            && self.pools[to].take(now, WORKSPACE, cost) == Take::Taken
+            && self.pools[to].take(now, WORKSPACE, cost) == TakeOutcome::Taken
     }
 
     fn restart(&mut self, now: Instant, entry: usize) {
@@ -126,7 +129,7 @@
     }
 
     fn relied_on(&self) -> usize {
-        let name = keeper(WORKSPACE, self.names.iter().map(|name| &**name));
+        let name = select_keeper(WORKSPACE, self.names.iter().map(|name| &**name));
         let found = self.names.iter().position(|known| Some(&**known) == name);
         found.unwrap_or(0)
     }
--- a/crates/quota/src/asked.rs
+++ b/crates/quota/src/asked.rs
@@ -4,7 +4,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 
-use crate::Take;
+use crate::TakeOutcome;
 
 /// Time for which an answer is kept. A question is sent again within a fraction of it.
 const KEPT_MS: u64 = 1_000;
@@ -20,24 +20,24 @@
 /// A question whose answer is lost is sent again. Without this, its tokens would be
 /// taken twice and used once.
 #[derive(Debug, Default)]
-pub struct Asked {
-    answers: HashMap<Question, Take>,
+pub struct RecentAnswers {
+    answers: HashMap<Question, TakeOutcome>,
     order: VecDeque<(Instant, Question)>,
 }
 
-impl Asked {
+impl RecentAnswers {
     /// Nothing was asked.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// The answer to a question: the one that was given, or a new one.
-    pub fn answer(
+    pub fn get_or_decide(
         &mut self,
         now: Instant,
         question: (Arc<str>, u64, u64),
-        decide: impl FnOnce() -> Take,
-    ) -> Take {
+        decide: impl FnOnce() -> TakeOutcome,
+    ) -> TakeOutcome {
         self.forget(now);
         if let Some(answer) = self.answers.get(&question) {
             return *answer;
--- a/crates/quota/src/cadence.rs
+++ b/crates/quota/src/cadence.rs
@@ -13,10 +13,10 @@
 const FEEDS_PER_S: u64 = 150;
 
 /// Feeds after which an entry that sent none feeds no longer; one may be lost.
-pub const FEED_ROUNDS: u64 = 3;
+pub const FEEDER_TIMEOUT_INTERVALS: u64 = 3;
 
 /// Time between two feeds of each of so many entries.
-pub fn feed_every_ms(entries: usize) -> u64 {
+pub fn feed_interval_ms(entries: usize) -> u64 {
     let every_ms = entries as u64 * 1_000 / FEEDS_PER_S;
     every_ms.clamp(EVERY_MIN_MS, EVERY_MAX_MS)
 }
--- a/crates/quota/src/keeper.rs
+++ b/crates/quota/src/keeper.rs
@@ -7,7 +7,7 @@
 /// By rendezvous hash: entries that know the same others name the same keeper without
 /// a word, and one that goes or comes moves only the workspaces that it kept or will
 /// keep. Where they differ in whom they know, each of their keepers has what it is fed.
-pub fn keeper<'a>(
+pub fn select_keeper<'a>(
     workspace: &str,
     entries: impl IntoIterator<Item = &'a str>,
 ) -> Option<&'a str> {
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -7,13 +7,13 @@
 //! everywhere, brought together in one place, and moved but never copied:
 //!
 //! - Each entry makes its own part of a workspace's rate, one part out of as many as
-//!   there are entries ([`Pools`]).
+//!   there are entries ([`TokenPools`]).
 //! - A few times a second it hands what it has to the workspace's keeper, which all
-//!   entries find by the same hash ([`keeper`]). A keeper is nothing that must be
+//!   entries find by the same hash ([`select_keeper`]). A keeper is nothing that must be
 //!   agreed upon. Two of them share what there is; a keeper that is gone takes with
 //!   it what it has and nothing else, and the next one is fed at once.
 //! - A request takes its tokens from what its own entry has, or asks the keeper
-//!   ([`Asked`]).
+//!   ([`RecentAnswers`]).
 //!
 //! Invariants:
 //!
@@ -24,7 +24,7 @@
 //! - What lies unused anywhere is bounded by the part of the burst that belongs to
 //!   those who feed the place. Together with the first, no span sees more than rate
 //!   times span and burst, the overdraft, and what is between an entry and its keeper
-//!   (see [`Pools::take`] for each).
+//!   (see [`TokenPools::take`] for each).
 //! - A process that starts has nothing. It makes its part once all others count it.
 //!
 //! Everything here is pure: time is an argument, and nothing does I/O.
@@ -36,8 +36,8 @@
 mod pool;
 mod pools;
 
-pub use asked::Asked;
-pub use cadence::{FEED_ROUNDS, feed_every_ms};
-pub use keeper::keeper;
-pub use limit::{Allowance, Cost, Limit};
-pub use pools::{Feed, Pools, Take};
+pub use asked::RecentAnswers;
+pub use cadence::{FEEDER_TIMEOUT_INTERVALS, feed_interval_ms};
+pub use keeper::select_keeper;
+pub use limit::{Allowance, RateLimit, RequestCost};
+pub use pools::{Feed, TakeOutcome, TokenPools};
--- a/crates/quota/src/limit.rs
+++ b/crates/quota/src/limit.rs
@@ -4,7 +4,7 @@
 
 /// Tokens or requests in any span of time: the rate times its length, and the burst.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Limit {
+pub struct RateLimit {
     /// Units a second.
     pub rate_per_s: f64,
     /// Units at once, after a time without use.
@@ -15,10 +15,10 @@
 /// can still give out one.
 const READY: f64 = 3.0;
 
-impl Limit {
+impl RateLimit {
     /// A rate of requests with the least burst by which all of it can be used, however
     /// many entries make it: what is made between two feeds has to lie somewhere.
-    pub fn smooth(rate_per_s: f64) -> Self {
+    pub fn with_min_burst(rate_per_s: f64) -> Self {
         let fed_every_s = EVERY_MAX_MS as f64 / 1_000.0;
         Self {
             rate_per_s,
@@ -29,23 +29,23 @@
 
 /// What one request counts as.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Cost {
+pub enum RequestCost {
     /// Each counts as one.
     Requests,
     /// Each counts as its tokens.
     Tokens {
         /// Tokens of a request that does not say how many it has.
-        unknown: f64,
+        default_tokens: f64,
     },
 }
 
-impl Cost {
+impl RequestCost {
     /// What a request counts as that says its tokens, or does not.
     pub fn of(&self, tokens: Option<u64>) -> f64 {
         match (self, tokens) {
             (Self::Requests, _) => 1.0,
             (Self::Tokens { .. }, Some(tokens)) => tokens as f64,
-            (Self::Tokens { unknown }, None) => *unknown,
+            (Self::Tokens { default_tokens }, None) => *default_tokens,
         }
     }
 }
@@ -54,7 +54,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Allowance {
     /// The bound.
-    pub limit: Limit,
+    pub limit: RateLimit,
     /// What requests count as.
-    pub cost: Cost,
+    pub cost: RequestCost,
 }
--- a/crates/quota/src/pool.rs
+++ b/crates/quota/src/pool.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use crate::Limit;
+use crate::RateLimit;
 
 /// Longest time that callers are told to come back in, one behind the other. Where
 /// more is refused than can return in it, they are spread over it again.
@@ -17,7 +17,7 @@
 /// Tokens of one workspace at one entry.
 #[derive(Debug)]
 pub(crate) struct Pool {
-    pub(crate) limit: Limit,
+    pub(crate) limit: RateLimit,
     /// Tokens there are; less than none after a request that overdrew.
     pub(crate) level: f64,
     /// Tokens that were taken before and not used. They are on their way to the
@@ -58,7 +58,7 @@
 
 impl Pool {
     /// Nothing is there yet.
-    pub(crate) const fn new(now: Instant, limit: Limit) -> Self {
+    pub(crate) const fn new(now: Instant, limit: RateLimit) -> Self {
         Self {
             limit,
             level: 0.0,
--- a/crates/quota/src/pools.rs
+++ b/crates/quota/src/pools.rs
@@ -5,22 +5,22 @@
 use std::sync::Arc;
 
 use crate::pool::{Pool, Share};
-use crate::{FEED_ROUNDS, Limit, feed_every_ms};
+use crate::{FEEDER_TIMEOUT_INTERVALS, RateLimit, feed_interval_ms};
 
 /// What became of a request that wants tokens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Take {
+pub enum TakeOutcome {
     /// It has them.
     Taken,
     /// There are too few.
-    Short {
+    Insufficient {
         /// When there should be enough again.
-        return_ms: u64,
+        retry_after_ms: u64,
     },
     /// It wants more than the workspace may ever use at once.
-    Never,
+    ExceedsLimit,
     /// The workspace has no bound.
-    Unbounded,
+    Unlimited,
 }
 
 /// Tokens that an entry hands to a keeper.
@@ -31,18 +31,18 @@
     /// Tokens; less than none is a debt.
     pub tokens: f64,
     /// What the keeper before owed when it was last heard, if it did.
-    pub owed: Option<f64>,
+    pub previous_keeper_level: Option<f64>,
 }
 
 /// Tokens of all workspaces at one entry.
 #[derive(Debug)]
-pub struct Pools {
+pub struct TokenPools {
     overdraft: f64,
     share: Share,
     pools: BTreeMap<Arc<str>, Pool>,
 }
 
-impl Pools {
+impl TokenPools {
     /// No workspace has a bound yet.
     ///
     /// A request may take up to `overdraft` more tokens than there are.
@@ -50,7 +50,7 @@
         let share = Share {
             entries: 1,
             makes: false,
-            feeds_for_ms: FEED_ROUNDS * feed_every_ms(1),
+            feeds_for_ms: FEEDER_TIMEOUT_INTERVALS * feed_interval_ms(1),
         };
         Self {
             overdraft,
@@ -69,7 +69,7 @@
     pub fn set_limits<'a>(
         &mut self,
         now: Instant,
-        limits: impl IntoIterator<Item = (&'a Arc<str>, Limit)>,
+        limits: impl IntoIterator<Item = (&'a Arc<str>, RateLimit)>,
     ) {
         let mut before = std::mem::take(&mut self.pools);
         for (workspace, limit) in limits {
@@ -92,7 +92,7 @@
         let share = Share {
             entries: u32::try_from(entries).unwrap_or(u32::MAX).max(1),
             makes,
-            feeds_for_ms: FEED_ROUNDS * feed_every_ms(entries),
+            feeds_for_ms: FEEDER_TIMEOUT_INTERVALS * feed_interval_ms(entries),
         };
         for pool in self.pools.values_mut() {
             pool.make(now, &self.share);
@@ -103,7 +103,7 @@
     /// Takes a request's tokens from what is here.
     ///
     /// A request is let in while there is anything, and may take more than that: up to
-    /// the overdraft, of which this pool has the part that is fed to it. Asked for all
+    /// the overdraft, of which this pool has the part that is fed to it. RecentAnswers for all
     /// of its tokens beforehand, a large request would be refused whenever small ones
     /// use what comes, and one that is larger than the burst for ever. The debt is
     /// paid before the next one is let in, so it is owed once and not by each.
@@ -114,40 +114,47 @@
     /// span, the burst and the overdraft, and besides what was made during one feed's
     /// time and is not yet with a keeper. A keeper that ends with a debt that nobody
     /// heard of adds that debt.
-    pub fn take(&mut self, now: Instant, workspace: &str, cost: f64) -> Take {
+    pub fn take(&mut self, now: Instant, workspace: &str, cost: f64) -> TakeOutcome {
         let Some(pool) = self.pools.get_mut(workspace) else {
-            return Take::Unbounded;
+            return TakeOutcome::Unlimited;
         };
         pool.make(now, &self.share);
         pool.keep_returned(now, &self.share);
         if cost > pool.limit.burst + self.overdraft {
-            return Take::Never;
+            return TakeOutcome::ExceedsLimit;
         }
         let part = pool.part(now, &self.share);
         let left = pool.level - cost;
         if pool.level > 0.0 && left >= -self.overdraft * part {
             pool.level = left;
-            return Take::Taken;
+            return TakeOutcome::Taken;
         }
         let return_ms = pool.return_ms(now, part, cost);
-        Take::Short { return_ms }
+        TakeOutcome::Insufficient {
+            retry_after_ms: return_ms,
+        }
     }
 
     /// Takes a request's tokens if all of them are here; nothing is owed then.
-    pub fn take_own(&mut self, now: Instant, workspace: &str, cost: f64) -> Take {
+    pub fn take_local(
+        &mut self,
+        now: Instant,
+        workspace: &str,
+        cost: f64,
+    ) -> TakeOutcome {
         let Some(pool) = self.pools.get_mut(workspace) else {
-            return Take::Unbounded;
+            return TakeOutcome::Unlimited;
         };
         pool.make(now, &self.share);
         if pool.level + pool.returned < cost {
-            return Take::Short { return_ms: 0 };
+            return TakeOutcome::Insufficient { retry_after_ms: 0 };
         }
         pool.level = pool.drain() - cost;
-        Take::Taken
+        TakeOutcome::Taken
     }
 
     /// Puts back what a request took that did not run.
-    pub fn give_back(&mut self, workspace: &str, cost: f64) {
+    pub fn refund(&mut self, workspace: &str, cost: f64) {
         if let Some(pool) = self.pools.get_mut(workspace) {
             pool.returned += cost;
         }
@@ -171,7 +178,7 @@
             Feed {
                 workspace: Arc::clone(workspace),
                 tokens: pool.drain(),
-                owed,
+                previous_keeper_level: owed,
             }
         });
         feeds.collect()
@@ -186,21 +193,22 @@
     ) -> Option<f64> {
         let share = self.share;
         let pool = self.pools.get_mut(&feed.workspace)?;
-        let level = pool.receive(now, &share, from, (feed.tokens, feed.owed));
+        let level =
+            pool.receive(now, &share, from, (feed.tokens, feed.previous_keeper_level));
         // More was never overdrawn; a debt that was told twice is paid once.
         pool.level = level.max(-self.overdraft);
         Some(pool.level)
     }
 
     /// A keeper told what it has.
-    pub fn told(&mut self, keeper: &str, workspace: &str, level: f64) {
+    pub fn set_keeper_level(&mut self, keeper: &str, workspace: &str, level: f64) {
         if let Some(pool) = self.pools.get_mut(workspace) {
             pool.told = Some((keeper.to_owned(), level));
         }
     }
 
     /// Forgets entries that feed this one no longer.
-    pub fn sweep(&mut self, now: Instant) {
+    pub fn remove_stale_feeders(&mut self, now: Instant) {
         let share = self.share;
         for pool in self.pools.values_mut() {
             pool.sweep(now, &share);
@@ -213,7 +221,7 @@
     }
 
     /// Tokens there are of a workspace, and the part of its rate that comes here.
-    pub fn level(&self, now: Instant, workspace: &str) -> Option<(f64, f64)> {
+    pub fn level_and_share(&self, now: Instant, workspace: &str) -> Option<(f64, f64)> {
         let pool = self.pools.get(workspace)?;
         Some((pool.level, pool.part(now, &self.share)))
     }
--- a/crates/quota/tests/all/hot.rs
+++ b/crates/quota/tests/all/hot.rs
@@ -5,7 +5,7 @@
 //! ten seconds. What it gets is its limit; what the others get does not change at all.
 
 use base::prelude::*;
-use quota::{Limit, Pools, Take, feed_every_ms, keeper};
+use quota::{RateLimit, TakeOutcome, TokenPools, feed_interval_ms, select_keeper};
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::sync::Arc;
@@ -41,7 +41,7 @@
 struct Plant {
     names: Vec<Arc<str>>,
     workspaces: Vec<Arc<str>>,
-    pools: Vec<Pools>,
+    pools: Vec<TokenPools>,
 }
 
 impl Plant {
@@ -50,13 +50,13 @@
         let workspaces: Vec<Arc<str>> = (0..rates.len())
             .map(|of| format!("w-{of}").into())
             .collect();
-        let limits = rates.iter().map(|rate| Limit {
+        let limits = rates.iter().map(|rate| RateLimit {
             rate_per_s: *rate,
             burst: *rate,
         });
         let limits: Vec<_> = workspaces.iter().zip(limits).collect();
         let pools = (0..ENTRIES).map(|_| {
-            let mut pools = Pools::new(OVERDRAFT);
+            let mut pools = TokenPools::new(OVERDRAFT);
             pools.set_limits(Instant::ZERO, limits.iter().copied());
             pools.set_entries(Instant::ZERO, ENTRIES, true);
             pools
@@ -70,7 +70,7 @@
 
     fn keeper(&self, workspace: &str) -> usize {
         let names = self.names.iter().map(|name| &**name);
-        let name = keeper(workspace, names).expect("there are entries");
+        let name = select_keeper(workspace, names).expect("there are entries");
         let found = self.names.iter().position(|known| **known == *name);
         found.expect("it is one of them")
     }
@@ -91,9 +91,10 @@
 
     fn is_let_in(&mut self, now: Instant, entry: usize, of: usize, cost: f64) -> bool {
         let workspace = Arc::clone(&self.workspaces[of]);
-        let own = self.pools[entry].take_own(now, &workspace, cost);
+        let own = self.pools[entry].take_local(now, &workspace, cost);
         let to = self.keeper(&workspace);
-        own == Take::Taken || self.pools[to].take(now, &workspace, cost) == Take::Taken
+        own == TakeOutcome::Taken
+            || self.pools[to].take(now, &workspace, cost) == TakeOutcome::Taken
     }
 }
 
@@ -114,7 +115,7 @@
         .map(|of| Pcg64Mcg::seed_from_u64(of as u64))
         .collect();
     let mut uses = vec![Use::default(); rates.len()];
-    let every_ms = feed_every_ms(ENTRIES);
+    let every_ms = feed_interval_ms(ENTRIES);
     for ms in 0..LEAD_MS + SECONDS * 1_000 {
         let now = Instant::from_ms(ms);
         for entry in 0..ENTRIES {
--- a/crates/quota/tests/all/pools.rs
+++ b/crates/quota/tests/all/pools.rs
@@ -2,10 +2,10 @@
 //! once.
 
 use base::prelude::*;
-use quota::{Feed, Limit, Pools, Take};
+use quota::{Feed, RateLimit, TakeOutcome, TokenPools};
 use std::sync::Arc;
 
-const LIMIT: Limit = Limit {
+const LIMIT: RateLimit = RateLimit {
     rate_per_s: 1_000.0,
     burst: 1_000.0,
 };
@@ -15,15 +15,15 @@
     "desk".into()
 }
 
-fn pools(entries: usize, makes: bool) -> Pools {
-    let mut pools = Pools::new(OVERDRAFT);
+fn pools(entries: usize, makes: bool) -> TokenPools {
+    let mut pools = TokenPools::new(OVERDRAFT);
     pools.set_limits(Instant::ZERO, [(&desk(), LIMIT)]);
     pools.set_entries(Instant::ZERO, entries, makes);
     pools
 }
 
-fn level(pools: &Pools, ms: u64) -> f64 {
-    let level = pools.level(Instant::from_ms(ms), "desk");
+fn level(pools: &TokenPools, ms: u64) -> f64 {
+    let level = pools.level_and_share(Instant::from_ms(ms), "desk");
     level.expect("the workspace has a bound").0
 }
 
@@ -31,14 +31,14 @@
     Feed {
         workspace: desk(),
         tokens,
-        owed,
+        previous_keeper_level: owed,
     }
 }
 
 #[test]
 fn a_workspace_without_a_bound_takes_what_it_wants() {
     let take = pools(1, true).take(Instant::ZERO, "press", 1e9);
-    assert_eq!(take, Take::Unbounded);
+    assert_eq!(take, TakeOutcome::Unlimited);
 }
 
 /// A process that starts has nothing: what came before it may have been used.
@@ -46,7 +46,7 @@
 fn a_start_has_nothing() {
     let mut pools = pools(1, true);
     let take = pools.take(Instant::ZERO, "desk", 1.0);
-    assert!(matches!(take, Take::Short { .. }), "{take:?}");
+    assert!(matches!(take, TakeOutcome::Insufficient { .. }), "{take:?}");
 }
 
 /// The parts that all entries make sum up to the rate, however many there are, and
@@ -93,22 +93,25 @@
 fn a_large_request_overdraws_once() {
     let mut pools = pools(1, true);
     let now = Instant::from_ms(100);
-    assert_eq!(pools.take(now, "desk", 600.0), Take::Taken);
+    assert_eq!(pools.take(now, "desk", 600.0), TakeOutcome::Taken);
     assert_eq!(level(&pools, 100), -500.0);
-    let Take::Short { return_ms } = pools.take(now, "desk", 1.0) else {
+    let TakeOutcome::Insufficient {
+        retry_after_ms: return_ms,
+    } = pools.take(now, "desk", 1.0)
+    else {
         panic!("a debt is paid first");
     };
     assert!((500..=502).contains(&return_ms), "{return_ms}");
     let later = Instant::from_ms(700);
-    assert_eq!(pools.take(later, "desk", 1.0), Take::Taken);
+    assert_eq!(pools.take(later, "desk", 1.0), TakeOutcome::Taken);
 }
 
 #[test]
 fn what_can_never_be_had_is_refused_for_good() {
     let mut pools = pools(1, true);
     let now = Instant::from_ms(60_000);
-    assert_eq!(pools.take(now, "desk", 1_500.5), Take::Never);
-    assert_eq!(pools.take(now, "desk", 1_500.0), Take::Taken);
+    assert_eq!(pools.take(now, "desk", 1_500.5), TakeOutcome::ExceedsLimit);
+    assert_eq!(pools.take(now, "desk", 1_500.0), TakeOutcome::Taken);
 }
 
 /// Callers that are refused together are told moments as far apart as what they want
@@ -118,7 +121,9 @@
     let mut pools = pools(1, true);
     let returns: Vec<u64> = (0..4)
         .map(|_| match pools.take(Instant::ZERO, "desk", 200.0) {
-            Take::Short { return_ms } => return_ms,
+            TakeOutcome::Insufficient {
+                retry_after_ms: return_ms,
+            } => return_ms,
             take => panic!("{take:?}"),
         })
         .collect();
@@ -131,7 +136,10 @@
 fn nobody_is_told_to_stay_away_for_long() {
     let mut pools = pools(1, true);
     for _ in 0..1_000 {
-        let Take::Short { return_ms } = pools.take(Instant::ZERO, "desk", 200.0) else {
+        let TakeOutcome::Insufficient {
+            retry_after_ms: return_ms,
+        } = pools.take(Instant::ZERO, "desk", 200.0)
+        else {
             panic!("nothing is there");
         };
         assert!((1..=5_000).contains(&return_ms), "{return_ms}");
@@ -145,7 +153,10 @@
     let mut pools = pools(1, true);
     let mut told = std::collections::BTreeMap::new();
     for _ in 0..1_000 {
-        let Take::Short { return_ms } = pools.take(Instant::ZERO, "desk", 200.0) else {
+        let TakeOutcome::Insufficient {
+            retry_after_ms: return_ms,
+        } = pools.take(Instant::ZERO, "desk", 200.0)
+        else {
             panic!("nothing is there");
         };
         *told.entry(return_ms).or_insert(0) += 1;
@@ -164,10 +175,15 @@
         let _ = pools.take(Instant::ZERO, "desk", 200.0);
     }
     let now = Instant::from_ms(400);
-    assert_eq!(pools.take(now, "desk", 900.0), Take::Taken);
+    assert_eq!(pools.take(now, "desk", 900.0), TakeOutcome::Taken);
     // A debt of 500, 400 of the 800 that were promised, and its own 200.
     let take = pools.take(now, "desk", 200.0);
-    assert_eq!(take, Take::Short { return_ms: 1_100 });
+    assert_eq!(
+        take,
+        TakeOutcome::Insufficient {
+            retry_after_ms: 1_100
+        }
+    );
 }
 
 /// A limit is lowered far below a debt. Its callers are told to look again in five
@@ -176,14 +192,19 @@
 fn a_debt_under_a_low_limit_keeps_nobody_away_for_long() {
     let mut pools = pools(1, true);
     let now = Instant::from_ms(100);
-    assert_eq!(pools.take(now, "desk", 600.0), Take::Taken);
-    let lower = Limit {
+    assert_eq!(pools.take(now, "desk", 600.0), TakeOutcome::Taken);
+    let lower = RateLimit {
         rate_per_s: 10.0,
         burst: 10.0,
     };
     pools.set_limits(now, [(&desk(), lower)]);
     let take = pools.take(now, "desk", 1.0);
-    assert_eq!(take, Take::Short { return_ms: 5_000 });
+    assert_eq!(
+        take,
+        TakeOutcome::Insufficient {
+            retry_after_ms: 5_000
+        }
+    );
 }
 
 /// An entry that nobody counts yet makes nothing, and refuses its callers for seconds.
@@ -194,21 +215,31 @@
     let mut pools = pools(1, false);
     for ms in 0..1_000 {
         let take = pools.take(Instant::from_ms(ms), "desk", 200.0);
-        assert_eq!(take, Take::Short { return_ms: 300 });
+        assert_eq!(
+            take,
+            TakeOutcome::Insufficient {
+                retry_after_ms: 300
+            }
+        );
     }
     let now = Instant::from_ms(1_000);
     pools.set_entries(now, 1, true);
     let take = pools.take(now, "desk", 200.0);
-    assert_eq!(take, Take::Short { return_ms: 200 });
+    assert_eq!(
+        take,
+        TakeOutcome::Insufficient {
+            retry_after_ms: 200
+        }
+    );
 }
 
 #[test]
 fn what_did_not_run_is_put_back() {
     let mut pools = pools(1, true);
     let now = Instant::from_ms(500);
-    assert_eq!(pools.take(now, "desk", 500.0), Take::Taken);
-    pools.give_back("desk", 500.0);
-    assert_eq!(pools.take(now, "desk", 500.0), Take::Taken);
+    assert_eq!(pools.take(now, "desk", 500.0), TakeOutcome::Taken);
+    pools.refund("desk", 500.0);
+    assert_eq!(pools.take(now, "desk", 500.0), TakeOutcome::Taken);
 }
 
 /// At an entry that keeps nothing for others, what is put back goes to the keeper
@@ -216,7 +247,7 @@
 #[test]
 fn what_is_put_back_goes_to_the_keeper() {
     let mut pools = pools(1_000, true);
-    pools.give_back("desk", 500.0);
+    pools.refund("desk", 500.0);
     let feeds = pools.feed(Instant::ZERO, |_| true, |_| false);
     assert_eq!(feeds[0].tokens, 500.0);
 }
@@ -229,9 +260,9 @@
     let mut next = pools(4, true);
     for name in ["lj-a-2", "lj-a-3"] {
         let mut feeder = pools(4, true);
-        feeder.told("lj-b-1#1", "desk", -400.0);
+        feeder.set_keeper_level("lj-b-1#1", "desk", -400.0);
         let feeds = feeder.feed(now, |_| true, |keeper| keeper == "lj-b-1#1");
-        assert_eq!(feeds[0].owed, Some(-400.0));
+        assert_eq!(feeds[0].previous_keeper_level, Some(-400.0));
         let _ = next.receive(now, &name.into(), &feeds[0]);
     }
     let level = level(&next, 10);
@@ -244,9 +275,9 @@
 #[test]
 fn a_debt_that_is_handed_over_is_not_told_as_well() {
     let mut feeder = pools(4, true);
-    feeder.told("lj-b-1#1", "desk", -400.0);
+    feeder.set_keeper_level("lj-b-1#1", "desk", -400.0);
     let feeds = feeder.feed(Instant::ZERO, |_| true, |_| false);
-    assert_eq!(feeds[0].owed, None);
+    assert_eq!(feeds[0].previous_keeper_level, None);
 }
 
 #[test]
@@ -265,19 +296,19 @@
 fn a_changed_limit_holds_at_once() {
     let mut pools = pools(1, true);
     let now = Instant::from_ms(10_000);
-    let lower = Limit {
+    let lower = RateLimit {
         rate_per_s: 10.0,
         burst: 10.0,
     };
     pools.set_limits(now, [(&desk(), lower)]);
     assert_eq!(level(&pools, 10_000), 10.0);
-    let higher = Limit {
+    let higher = RateLimit {
         rate_per_s: 2_000.0,
         burst: 2_000.0,
     };
     pools.set_limits(now, [(&desk(), higher)]);
     let later = Instant::from_ms(10_100);
-    assert_eq!(pools.take(later, "desk", 210.0), Take::Taken);
+    assert_eq!(pools.take(later, "desk", 210.0), TakeOutcome::Taken);
 }
 
 #[test]
--- a/crates/quota/tests/all/upstreams.rs
+++ b/crates/quota/tests/all/upstreams.rs
@@ -5,7 +5,7 @@
 //! anew, at 4, 24 and 300 of them.
 
 use base::prelude::*;
-use quota::{Limit, Pools, Take, feed_every_ms, keeper};
+use quota::{RateLimit, TakeOutcome, TokenPools, feed_interval_ms, select_keeper};
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::sync::Arc;
@@ -19,7 +19,7 @@
 
 struct Entries {
     names: Vec<Arc<str>>,
-    pools: Vec<Pools>,
+    pools: Vec<TokenPools>,
     /// Entries hear those of their own group.
     groups: Vec<u64>,
 }
@@ -38,7 +38,7 @@
         let group = self.groups[entry];
         let heard = self.names.iter().zip(&self.groups);
         let heard = heard.filter(|(_, of)| **of == group);
-        let name = keeper(KEY, heard.map(|(name, _)| &**name)).expect("itself");
+        let name = select_keeper(KEY, heard.map(|(name, _)| &**name)).expect("itself");
         let found = self.names.iter().position(|known| **known == *name);
         found.expect("it is one of them")
     }
@@ -55,16 +55,17 @@
     }
 
     fn sends(&mut self, now: Instant, entry: usize) -> bool {
-        let own = self.pools[entry].take_own(now, KEY, 1.0);
+        let own = self.pools[entry].take_local(now, KEY, 1.0);
         let to = self.keeper(entry);
-        own == Take::Taken || self.pools[to].take(now, KEY, 1.0) == Take::Taken
+        own == TakeOutcome::Taken
+            || self.pools[to].take(now, KEY, 1.0) == TakeOutcome::Taken
     }
 }
 
-fn pool(count: usize, per_s: f64, ms: u64) -> Pools {
+fn pool(count: usize, per_s: f64, ms: u64) -> TokenPools {
     let now = Instant::from_ms(ms);
-    let mut pools = Pools::new(0.0);
-    pools.set_limits(now, [(&KEY.into(), Limit::smooth(per_s))]);
+    let mut pools = TokenPools::new(0.0);
+    pools.set_limits(now, [(&KEY.into(), RateLimit::with_min_burst(per_s))]);
     pools.set_entries(now, count, true);
     pools
 }
@@ -73,7 +74,7 @@
 fn play(count: usize, per_s: f64, seed: u64, faults: bool) -> Vec<u64> {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let mut entries = Entries::new(count, per_s);
-    let every_ms = feed_every_ms(count);
+    let every_ms = feed_interval_ms(count);
     let mut sent = Vec::new();
     for ms in 0..PLAY_MS {
         let now = Instant::from_ms(ms);
--- a/crates/role/src/agent/claims.rs
+++ b/crates/role/src/agent/claims.rs
@@ -5,7 +5,7 @@
 use super::{AgentAction, AgentRole, timeline};
 use base::PlatformResult;
 use base::prelude::*;
-use once::{Answer, ClaimAction, ClaimRequest, Claims, Outcome};
+use once::{ClaimAction, ClaimOutcome, ClaimRequest, Claims, StoredResponse};
 use schema::link::{self, End, frame};
 use schema::timeline::EventKind;
 
@@ -20,7 +20,7 @@
         act(&mut self.claims, &mut actions);
         for action in actions {
             match action {
-                ClaimAction::Platform(call) => {
+                ClaimAction::CallPlatform(call) => {
                     out.push(AgentAction::CallPlatform(call));
                 }
                 ClaimAction::Settled { attempt, outcome } => {
@@ -41,7 +41,7 @@
         out: &mut Vec<AgentAction>,
     ) {
         self.with_claims(now, out, |claims, actions| {
-            claims.begin(now, request, actions);
+            claims.request_claim(now, request, actions);
         });
     }
 
@@ -49,7 +49,7 @@
         &mut self,
         now: Instant,
         id: AttemptId,
-        answer: Option<Answer>,
+        answer: Option<StoredResponse>,
         out: &mut Vec<AgentAction>,
     ) {
         self.with_claims(now, out, |claims, actions| {
@@ -76,12 +76,12 @@
         out: &mut Vec<AgentAction>,
     ) {
         self.with_claims(now, out, |claims, actions| {
-            claims.answered(now, call, result, actions);
+            claims.platform_answered(now, call, result, actions);
         });
     }
 
     pub(super) fn tick_claims(&mut self, now: Instant, out: &mut Vec<AgentAction>) {
-        if self.claims.due().is_some_and(|due| due <= now) {
+        if self.claims.next_deadline().is_some_and(|due| due <= now) {
             self.with_claims(now, out, |claims, actions| claims.tick(now, actions));
         }
     }
@@ -90,13 +90,17 @@
         &mut self,
         now: Instant,
         id: AttemptId,
-        outcome: Outcome,
+        outcome: ClaimOutcome,
         out: &mut Vec<AgentAction>,
     ) {
         match outcome {
-            Outcome::Granted => self.on_claim_granted(now, id, out),
-            Outcome::Replay(answer) => self.send_stored_answer(now, id, answer, out),
-            Outcome::Refused(refusal) => self.on_claim_refused(now, id, refusal, out),
+            ClaimOutcome::Granted => self.on_claim_granted(now, id, out),
+            ClaimOutcome::Replay(answer) => {
+                self.send_stored_answer(now, id, answer, out);
+            }
+            ClaimOutcome::Refused(refusal) => {
+                self.on_claim_refused(now, id, refusal, out);
+            }
         }
     }
 
@@ -163,7 +167,7 @@
         &mut self,
         now: Instant,
         id: AttemptId,
-        answer: Answer,
+        answer: StoredResponse,
         out: &mut Vec<AgentAction>,
     ) {
         let Some(attempt) = self.attempts.remove(id) else {
--- a/crates/role/src/agent/epoch.rs
+++ b/crates/role/src/agent/epoch.rs
@@ -16,7 +16,7 @@
         match outcome {
             RecordOutcome::Nothing | RecordOutcome::Recorded => {}
             RecordOutcome::EpochTaken => {
-                self.ledger.adopt(now, self.record.intents());
+                self.ledger.adopt_intents(now, self.record.intents());
                 self.start_probing(now);
                 let detail = format!("epoch {}", self.record.epoch().0);
                 timeline::process_event(EventKind::EpochTaken, detail, out);
@@ -44,10 +44,10 @@
     /// Withdraws orders whose intent was certainly not written; they are
     /// planned again when the record can be written.
     pub(super) fn withdraw_unrecorded(&mut self) {
-        let unrecorded = self.ledger.orders().filter(|order| order.sends == 0);
+        let unrecorded = self.ledger.orders().filter(|order| order.send_count == 0);
         let ids: Vec<u64> = unrecorded.map(|order| order.id).collect();
         for id in ids {
-            self.ledger.withdraw(id);
+            self.ledger.cancel_unsent(id);
         }
     }
 }
--- a/crates/role/src/agent/orders.rs
+++ b/crates/role/src/agent/orders.rs
@@ -12,7 +12,7 @@
 
 use super::{AgentAction, AgentRole, Order, OrderAnswer, timeline};
 use base::prelude::*;
-use mem::{Blocked, OrderEnd, Placement, TrackedOrder};
+use mem::{EndedOrder, Placement, ReserveError, TrackedOrder};
 use schema::link::Target;
 use schema::timeline::EventKind;
 use std::collections::{BTreeMap, BTreeSet};
@@ -207,13 +207,13 @@
         load: bool,
         placement: &Placement,
         size_mib: u32,
-    ) -> Result<(), Blocked> {
+    ) -> Result<(), ReserveError> {
         if self
             .orders
             .refused_until
             .contains_key(&(placement.clone(), load))
         {
-            return Err(Blocked::Pending);
+            return Err(ReserveError::OrderPending);
         }
         let epoch = self.record.epoch();
         let id = self.orders.next_id(epoch);
@@ -227,14 +227,13 @@
         if !self.record.is_confirmed() {
             return;
         }
-        let ready = self
-            .ledger
-            .orders()
-            .filter(|order| order.sends == 0 && self.record.contains_intent(order.id));
+        let ready = self.ledger.orders().filter(|order| {
+            order.send_count == 0 && self.record.contains_intent(order.id)
+        });
         let ids: Vec<u64> = ready.map(|order| order.id).collect();
         for id in ids {
             if self.no_longer_fits(id) {
-                self.ledger.withdraw(id);
+                self.ledger.cancel_unsent(id);
             } else {
                 self.send_order(now, id, out);
             }
@@ -261,10 +260,10 @@
             EventKind::ModelUnloadOrdered
         };
         let model = order.placement.model.as_str();
-        let detail = format!("order {id:x}, copy {}", order.sends + 1);
+        let detail = format!("order {id:x}, copy {}", order.send_count + 1);
         timeline::model_event(kind, model, detail, out);
         out.push(AgentAction::SendOrder(self.order_message(order)));
-        self.ledger.given(now, id);
+        self.ledger.mark_sent(now, id);
         self.counters.orders += 1;
         let timeout_ms = self.order_timeout_ms();
         self.orders.resend_at.insert(id, now.plus_ms(timeout_ms));
@@ -299,7 +298,7 @@
         self.orders.resend_at.retain(|id, _| {
             ledger
                 .order(*id)
-                .is_some_and(|order| order.ends_from.is_none())
+                .is_some_and(|order| order.no_send_after.is_none())
         });
         let due = self.orders.resend_at.iter().filter(|(_, at)| **at <= now);
         let ids: Vec<u64> = due.map(|(id, _)| *id).collect();
@@ -357,7 +356,7 @@
         let load = order.load;
         match answer {
             OrderAnswer::Accepted => {
-                self.ledger.accepted(id);
+                self.ledger.mark_accepted(id);
                 let timeout_ms = self.order_timeout_ms();
                 self.orders.resend_at.insert(id, now.plus_ms(timeout_ms));
             }
@@ -374,7 +373,7 @@
                 self.counters.orders_refused += 1;
                 let until = now.plus_ms(REFUSED_RETRY_DELAY_MS);
                 self.orders.refused_until.insert((placement, load), until);
-                self.ledger.refused(now, id);
+                self.ledger.mark_refused(now, id);
                 if answer == OrderAnswer::Fenced {
                     self.record.require_read();
                 }
@@ -384,12 +383,12 @@
 
     pub(super) fn on_orders_ended(
         &mut self,
-        ends: Vec<OrderEnd>,
+        ends: Vec<EndedOrder>,
         out: &mut Vec<AgentAction>,
     ) {
         for end in ends {
             self.orders.resend_at.remove(&end.id);
-            let kind = match (end.done, end.load) {
+            let kind = match (end.took_effect, end.load) {
                 (false, _) => continue,
                 (true, true) => EventKind::ModelLoaded,
                 (true, false) => EventKind::ModelUnloaded,
--- a/crates/role/src/agent/probe.rs
+++ b/crates/role/src/agent/probe.rs
@@ -37,7 +37,7 @@
         {
             return;
         }
-        let mut givers = ledger.givers();
+        let mut givers = ledger.issuers_not_known_dead();
         givers.retain(|_, address| !address.is_empty());
         let after_last = (Bound::Excluded(self.last_probed), Bound::Unbounded);
         let target = givers.range(after_last).next().or(givers.iter().next());
@@ -64,11 +64,11 @@
     /// bound is dead.
     pub(super) fn start_probing(&mut self, now: Instant) {
         let own = self.options.link_address.as_str();
-        let givers = self.ledger.givers();
+        let givers = self.ledger.issuers_not_known_dead();
         let at_own_address = givers.iter().filter(|(_, address)| **address == own);
         let dead: Vec<Epoch> = at_own_address.map(|(epoch, _)| *epoch).collect();
         for epoch in dead {
-            self.ledger.giver_died(now, epoch, self.record.epoch());
+            self.ledger.issuer_died(now, epoch, self.record.epoch());
         }
         self.predecessor_probe.next_at = Some(now);
     }
@@ -78,7 +78,7 @@
             return;
         };
         if dead {
-            self.ledger.giver_died(now, epoch, self.record.epoch());
+            self.ledger.issuer_died(now, epoch, self.record.epoch());
         }
     }
 }
--- a/crates/role/src/agent/role.rs
+++ b/crates/role/src/agent/role.rs
@@ -98,7 +98,7 @@
             claims: Claims::new(ClaimsOptions {
                 agent: options.id.clone(),
                 incarnation: options.incarnation,
-                first_call: FIRST_CLAIM_CALL_ID,
+                first_call_id: FIRST_CLAIM_CALL_ID,
                 unix_ms_at_zero: options.unix_ms_at_zero,
             }),
             attempts: Attempts::default(),
@@ -163,7 +163,7 @@
             self.record.due(),
             self.registration.due(),
             self.predecessor_probe.due(),
-            self.claims.due(),
+            self.claims.next_deadline(),
             self.attempts.due(),
             self.orders.due(),
             self.drain_due(),
@@ -380,7 +380,7 @@
         out: &mut Vec<AgentAction>,
     ) {
         let PlatformAnswer { id, result } = answer;
-        if self.claims.owns(id) {
+        if self.claims.owns_call(id) {
             self.on_claims_answer(now, id, result, out);
         } else if self.config_sync.owns(id) {
             let client = &mut self.client;
--- a/crates/role/src/agent/status.rs
+++ b/crates/role/src/agent/status.rs
@@ -84,7 +84,7 @@
             orders: self.order_status(),
             target_planner: self.targets.planner().to_owned(),
             attempts: self.attempts.len(),
-            claims_held: self.claims.held(),
+            claims_held: self.claims.held_count(),
         }
     }
 
@@ -115,7 +115,7 @@
             model: order.placement.model.as_str().to_owned(),
             version: order.placement.version,
             accelerator: order.placement.accelerator,
-            sends: order.sends,
+            sends: order.send_count,
         });
         orders.collect()
     }
--- a/crates/role/src/agent/upstream.rs
+++ b/crates/role/src/agent/upstream.rs
@@ -3,7 +3,7 @@
 use super::UpstreamReport;
 use base::Instant;
 use mem::{
-    Placement, ReportedOrder, ReportedOrderState, ReportedResident, UpstreamState,
+    MemoryReport, Placement, ReportedOrder, ReportedOrderState, ReportedResident,
 };
 
 use super::UpstreamOrderState;
@@ -100,7 +100,7 @@
 }
 
 /// Extracts the part of a report that the memory ledger needs.
-pub(super) fn memory_state(now: Instant, report: &UpstreamReport) -> UpstreamState {
+pub(super) fn memory_state(now: Instant, report: &UpstreamReport) -> MemoryReport {
     let residents = report.residents.iter().map(|resident| ReportedResident {
         placement: Placement {
             accelerator: resident.accelerator,
@@ -118,7 +118,7 @@
             UpstreamOrderState::Failed => ReportedOrderState::Failed,
         },
     });
-    UpstreamState {
+    MemoryReport {
         incarnation: report.incarnation,
         made_at: made_at(now, report),
         residents: residents.collect(),
--- a/crates/role/src/agent/upstream_events.rs
+++ b/crates/role/src/agent/upstream_events.rs
@@ -5,7 +5,7 @@
 use super::attempts::{Attempt, Phase};
 use super::{AgentAction, AgentRole, UpstreamEvent, timeline};
 use base::prelude::*;
-use once::Answer;
+use once::StoredResponse;
 use schema::link::{End, Started, frame};
 use schema::timeline::EventKind;
 
@@ -74,7 +74,7 @@
         payload: Option<&[u8]>,
         out: &mut Vec<AgentAction>,
     ) {
-        let max_bytes = self.claims.answer_max_bytes();
+        let max_bytes = self.claims.response_max_bytes();
         let Some(attempt) = self.attempts.get_mut(id) else {
             self.counters.upstream_events_dropped += 1;
             return;
@@ -117,7 +117,7 @@
         self.record_ended(now, id, Ran::Ran);
         timeline::attempt_event(EventKind::RequestFinished, id, 0, out);
         if attempt.needs_claim {
-            let answer = attempt.stored_answer.take().map(|body| Answer {
+            let answer = attempt.stored_answer.take().map(|body| StoredResponse {
                 status,
                 content_type: content_type.clone(),
                 body,
@@ -290,7 +290,7 @@
         }
         match ran {
             Ran::Ran => self.finish_claim(now, id, None, out),
-            Ran::Unknown => self.claims.leave(id),
+            Ran::Unknown => self.claims.abandon(id),
             Ran::NotRun => self.release_claim(now, id, out),
         }
     }
--- a/crates/role/src/agent/upstream_health.rs
+++ b/crates/role/src/agent/upstream_health.rs
@@ -36,7 +36,7 @@
         }
         if self.is_engine() || self.config().is_none() {
             let state = memory_state(now, report);
-            let ends = self.ledger.report(now, &state);
+            let ends = self.ledger.apply_report(now, &state);
             self.on_orders_ended(ends, out);
             self.adjust_concurrency_limit(report.step_time_us);
         }
--- a/crates/role/src/entry/circuit_breakers.rs
+++ b/crates/role/src/entry/circuit_breakers.rs
@@ -5,7 +5,7 @@
 //! probes of every entry could overload a failing upstream.
 
 use base::prelude::*;
-use live::Directory;
+use live::AgentDirectory;
 use route::{BreakerState, CircuitBreaker, Permission};
 use schema::link::UpstreamVerdict;
 use schema::timeline::EventKind;
@@ -130,7 +130,7 @@
     }
 
     /// Removes breakers whose agents are no longer in the directory.
-    pub(crate) fn forget_unknown(&mut self, directory: &Directory) {
+    pub(crate) fn forget_unknown(&mut self, directory: &AgentDirectory) {
         self.upstreams.retain(|id, _| directory.get(id).is_some());
         self.recount_open();
     }
--- a/crates/role/src/entry/control/cells.rs
+++ b/crates/role/src/entry/control/cells.rs
@@ -2,7 +2,7 @@
 
 use base::prelude::*;
 use conf::Config;
-use live::{Agent, Directory, Life, ResidencyState};
+use live::{Agent, AgentDirectory, Liveness, ResidencyState};
 use place::{AgentView, ResidentState, ResidentView};
 use std::collections::BTreeMap;
 
@@ -25,18 +25,21 @@
 
 /// All planning cells, in order of pool and region.
 pub(super) fn planning_cells(
-    directory: &Directory,
+    directory: &AgentDirectory,
     config: &Config,
 ) -> Vec<PlanningCell> {
     let mut groups: BTreeMap<(&str, &str), Vec<AgentView>> = BTreeMap::new();
-    for agent in directory.agents().filter(|agent| agent.life != Life::Lost) {
+    for agent in directory
+        .agents()
+        .filter(|agent| agent.liveness != Liveness::Lost)
+    {
         let Some(pool) = config.pool(agent.pool.as_str()) else {
             continue;
         };
         if !pool.engine || !agent.upstream_up {
             continue;
         }
-        let key = (agent.pool.as_str(), region(config, &agent.domain));
+        let key = (agent.pool.as_str(), region(config, &agent.failure_domain));
         groups.entry(key).or_default().push(agent_view(agent));
     }
     let mut cells = Vec::new();
@@ -74,7 +77,7 @@
     });
     AgentView {
         id: agent.id.clone(),
-        domain: agent.domain.clone(),
+        domain: agent.failure_domain.clone(),
         pool: agent.pool.clone(),
         accelerators_mib: agent.accelerators_mib.clone(),
         residents: residents.collect(),
--- a/crates/role/src/entry/control/config.rs
+++ b/crates/role/src/entry/control/config.rs
@@ -3,7 +3,7 @@
 use base::Version;
 use base::prelude::*;
 use conf::REVISION_PREFIX;
-use live::Timing;
+use live::SilenceLimits;
 use prost::Message;
 use schema::link::{ConfigAsk, ConfigChange, ConfigChanges, frame};
 use schema::timeline::EventKind;
@@ -91,7 +91,7 @@
         let Some(config) = self.log.current() else {
             return;
         };
-        let timing = Timing::new(config.limits().heartbeat_ms);
+        let timing = SilenceLimits::new(config.limits().heartbeat_ms);
         self.directory.set_timing(timing);
         self.entries.set_timing(timing);
         let verdict_ms = u64::from(config.limits().verdict_ms);
--- a/crates/role/src/entry/control/demand_shares.rs
+++ b/crates/role/src/entry/control/demand_shares.rs
@@ -8,7 +8,7 @@
 
 use base::prelude::*;
 use conf::Config;
-use live::rendezvous;
+use live::rendezvous_rank;
 use place::{ModelDemand, ResidentState};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashSet};
@@ -154,7 +154,7 @@
             let assigned = counts.get(index).copied().unwrap_or(0);
             let fits = unassigned_mib[*index] >= group.size_mib;
             let already_held = held_by_cell[*index].contains(group.base);
-            let rank = rendezvous(group.base.as_str(), &cells[*index].key);
+            let rank = rendezvous_rank(group.base.as_str(), &cells[*index].key);
             (fits, Reverse(assigned), already_held, rank)
         });
         let Some(index) = best else {
--- a/crates/role/src/entry/control/forecast.rs
+++ b/crates/role/src/entry/control/forecast.rs
@@ -9,7 +9,7 @@
 
 use base::prelude::*;
 use conf::{Config, ModelSpec};
-use live::{Agent, Directory, Life, ResidencyState};
+use live::{Agent, AgentDirectory, Liveness, ResidencyState};
 use schema::link::Demand;
 use std::collections::BTreeMap;
 
@@ -145,7 +145,7 @@
             }
         }
         let gossiped = self.gossip.demands.iter();
-        let gossiped = gossiped.filter(|(id, _)| self.entries.alive(now, id));
+        let gossiped = gossiped.filter(|(id, _)| self.entries.is_alive(now, id));
         let has_waiting = |demand: &&Demand| demand.waiting > 0;
         for demand in gossiped
             .flat_map(|(_, demands)| demands)
@@ -168,7 +168,7 @@
 impl LoadForecast {
     fn new(
         now: Instant,
-        directory: &Directory,
+        directory: &AgentDirectory,
         config: &Config,
         awaited: usize,
     ) -> Self {
@@ -192,7 +192,7 @@
         &mut self,
         now: Instant,
         config: &Config,
-        directory: &Directory,
+        directory: &AgentDirectory,
         model: &ModelId,
     ) -> Option<Instant> {
         if let Some(ready) = self.ready_at.get(model) {
@@ -276,9 +276,9 @@
 /// An agent that has been unavailable for long is not expected back soon, so it is
 /// predicted to stay unavailable for the same time again.
 pub(crate) fn predicted_return_ms(now: Instant, agent: &Agent) -> u64 {
-    let silent_ms = match agent.life {
-        Life::Up => None,
-        _ => Some(now.ms_since(agent.heard_at)),
+    let silent_ms = match agent.liveness {
+        Liveness::Up => None,
+        _ => Some(now.ms_since(agent.last_heard_at)),
     };
     let down_ms = match agent.upstream_up {
         true => None,
@@ -307,10 +307,10 @@
 }
 
 fn can_load(agent: &Agent) -> bool {
-    agent.life != Life::Lost && !agent.leaving()
+    agent.liveness != Liveness::Lost && !agent.leaving()
 }
 
-fn is_held(directory: &Directory, model: &ModelId) -> bool {
+fn is_held(directory: &AgentDirectory, model: &ModelId) -> bool {
     directory.holders(model.as_str()).next().is_some()
 }
 
@@ -318,7 +318,7 @@
 /// predicted to exceed it by as much again.
 fn load_end(
     now: Instant,
-    directory: &Directory,
+    directory: &AgentDirectory,
     config: &Config,
     model: &ModelId,
 ) -> Option<Instant> {
--- a/crates/role/src/entry/control/frames.rs
+++ b/crates/role/src/entry/control/frames.rs
@@ -1,7 +1,7 @@
 //! Handles frames that concern the control state.
 
 use base::prelude::*;
-use live::{Heard, MemberKind};
+use live::{HeartbeatSource, MemberKind};
 use schema::link::{Goodbye, Heartbeat, frame};
 
 use super::super::EntryAction;
@@ -25,7 +25,7 @@
             (frame::Body::Heartbeat(heartbeat), Peer::Agent(id))
                 if heartbeat.agent == id.as_str() =>
             {
-                self.heartbeat(now, heartbeat, Heard::Direct, out, effects);
+                self.heartbeat(now, heartbeat, HeartbeatSource::Direct, out, effects);
             }
             (frame::Body::Gossip(gossip), Peer::Entry(id))
                 if gossip.entry == id.as_str() =>
@@ -49,7 +49,7 @@
         &mut self,
         now: Instant,
         heartbeat: Heartbeat,
-        heard: Heard,
+        heard: HeartbeatSource,
         out: &mut Vec<EntryAction>,
         effects: &mut Effects,
     ) {
@@ -57,12 +57,16 @@
         let id = AgentId::new(&heartbeat.agent);
         let address = heartbeat.link_address.clone();
         let mut changes = Vec::new();
-        if !self.directory.hear(now, heartbeat, heard, &mut changes) {
+        if !self
+            .directory
+            .record_heartbeat(now, heartbeat, heard, &mut changes)
+        {
             return;
         }
         self.connect_if_new(MemberKind::Agent, id.as_str(), incarnation, &address, out);
         let only_entry = !self.entries.any_alive(now);
-        self.directory.judge(now, &id, only_entry, &mut changes);
+        self.directory
+            .update_liveness(now, &id, only_entry, &mut changes);
         self.apply_changes(&changes, out, effects);
         effects.agents_with_capacity.insert(id);
     }
@@ -89,10 +93,10 @@
         match peer {
             Peer::Agent(id) => {
                 let mut changes = Vec::new();
-                self.directory.goodbye(id, incarnation, &mut changes);
+                self.directory.mark_leaving(id, incarnation, &mut changes);
                 self.apply_changes(&changes, out, effects);
             }
-            Peer::Entry(id) => self.entries.goodbye(id, incarnation),
+            Peer::Entry(id) => self.entries.mark_leaving(id, incarnation),
         }
     }
 }
--- a/crates/role/src/entry/control/gossip.rs
+++ b/crates/role/src/entry/control/gossip.rs
@@ -1,7 +1,7 @@
 //! Gossip between entries.
 
 use base::prelude::*;
-use live::{Heard, Life, MemberKind};
+use live::{HeartbeatSource, Liveness, MemberKind};
 use schema::link::{Demand, Gossip, Silence, Suspect, UpstreamVerdict, frame};
 use std::collections::BTreeMap;
 
@@ -120,12 +120,12 @@
         let suspect_ms = self.directory.timing().suspect_ms();
         let mut heartbeats = Vec::new();
         for agent in self.directory.agents() {
-            let direct = agent.direct_at;
+            let direct = agent.last_heard_directly_at;
             let heard = direct.is_some_and(|at| now.ms_since(at) < suspect_ms);
             let newest = (agent.incarnation, agent.sequence);
             if heard && self.gossip.relayed.get(&agent.id) != Some(&newest) {
                 self.gossip.relayed.insert(agent.id.clone(), newest);
-                heartbeats.push(agent.last.clone());
+                heartbeats.push(agent.last_heartbeat.clone());
             }
         }
         let directory = &self.directory;
@@ -139,13 +139,14 @@
         let suspect_ms = self.directory.timing().suspect_ms();
         let agents = self.directory.agents();
         let silent = agents.filter(|agent| {
-            agent.life != Life::Up && now.ms_since(agent.heard_at) >= suspect_ms
+            agent.liveness != Liveness::Up
+                && now.ms_since(agent.last_heard_at) >= suspect_ms
         });
         silent
             .map(|agent| Silence {
                 agent: agent.id.to_string(),
                 incarnation: agent.incarnation.0,
-                silent_ms: now.ms_since(agent.heard_at),
+                silent_ms: now.ms_since(agent.last_heard_at),
             })
             .collect()
     }
@@ -158,7 +159,7 @@
         out: &mut Vec<EntryAction>,
         effects: &mut Effects,
     ) {
-        if !self.entries.hear(now, &gossip) {
+        if !self.entries.record_gossip(now, &gossip) {
             return;
         }
         let from = EntryId::new(&gossip.entry);
@@ -172,7 +173,7 @@
             out,
         );
         for heartbeat in gossip.agents.into_iter().take(ITEMS_MAX) {
-            self.heartbeat(now, heartbeat, Heard::Relayed, out, effects);
+            self.heartbeat(now, heartbeat, HeartbeatSource::Relayed, out, effects);
         }
         let silences: Vec<_> = gossip
             .silences
@@ -185,7 +186,7 @@
                 )
             })
             .collect();
-        self.directory.silences(now, &from, &silences);
+        self.directory.record_silences(now, &from, &silences);
         for suspect in gossip.suspects.iter().take(ITEMS_MAX) {
             merge_suspect(now, suspect, shared, out, effects);
         }
--- a/crates/role/src/entry/control/instances.rs
+++ b/crates/role/src/entry/control/instances.rs
@@ -2,7 +2,7 @@
 
 use base::prelude::*;
 use base::{PlatformOp, Version};
-use live::rendezvous;
+use live::rendezvous_rank;
 use std::collections::BTreeSet;
 
 use super::super::EntryAction;
@@ -37,14 +37,15 @@
     /// While entries see different peers alive, too many or too few of them may watch;
     /// if too few do, polling finds the changes.
     pub(super) fn is_watcher(&self, now: Instant) -> bool {
-        let own_weight = rendezvous(WATCHER_KEY, self.own_id.as_str());
+        let own_weight = rendezvous_rank(WATCHER_KEY, self.own_id.as_str());
         let others = self.entries.all().filter(|entry| {
-            entry.domain == self.failure_domain
+            entry.failure_domain == self.failure_domain
                 && !entry.leaving
-                && self.entries.alive(now, &entry.id)
+                && self.entries.is_alive(now, &entry.id)
+        });
+        let higher_ranked = others.filter(|entry| {
+            rendezvous_rank(WATCHER_KEY, entry.id.as_str()) > own_weight
         });
-        let higher_ranked = others
-            .filter(|entry| rendezvous(WATCHER_KEY, entry.id.as_str()) > own_weight);
         higher_ranked.count() < WATCHERS_PER_DOMAIN
     }
 
@@ -93,7 +94,7 @@
             .map(AgentId::new)
             .collect();
         let mut changes = Vec::new();
-        self.directory.platform_leaving(&leaving, &mut changes);
+        self.directory.set_platform_leaving(&leaving, &mut changes);
         self.apply_changes(&changes, out, effects);
         self.schedule_watch(now, CallKind::InstancesWatch);
     }
--- a/crates/role/src/entry/control/links.rs
+++ b/crates/role/src/entry/control/links.rs
@@ -2,7 +2,7 @@
 //! agent directory.
 
 use base::prelude::*;
-use live::{Change, MemberKind};
+use live::{AgentChange, MemberKind};
 use schema::link::{Goodbye, frame};
 use schema::store::Member;
 use schema::timeline::EventKind;
@@ -55,7 +55,7 @@
         if kind == MemberKind::Entry && id == self.own_id.as_str() {
             return;
         }
-        if !self.members.note(kind, id, incarnation, address) {
+        if !self.members.record_address(kind, id, incarnation, address) {
             return;
         }
         let peer = match kind {
@@ -131,7 +131,7 @@
     /// Applies the effects of changes in the agent directory.
     pub(super) fn apply_changes(
         &mut self,
-        changes: &[Change],
+        changes: &[AgentChange],
         out: &mut Vec<EntryAction>,
         effects: &mut Effects,
     ) {
@@ -142,17 +142,17 @@
 
     fn apply_change(
         &mut self,
-        change: &Change,
+        change: &AgentChange,
         out: &mut Vec<EntryAction>,
         effects: &mut Effects,
     ) {
         let (kind, id, detail) = match change {
-            Change::Suspected(id) => (
+            AgentChange::Suspected(id) => (
                 EventKind::AgentSuspected,
                 id,
                 "silent or its link is down; gets no new requests",
             ),
-            Change::Lost(id) => {
+            AgentChange::Lost(id) => {
                 effects
                     .gone_agents
                     .entry(id.clone())
@@ -163,32 +163,32 @@
                     "silent for too long; its attempts are given up",
                 )
             }
-            Change::Back(id) => {
+            AgentChange::Recovered(id) => {
                 effects.agents_with_capacity.insert(id.clone());
                 (EventKind::AgentBack, id, "heard again")
             }
-            Change::Leaving(id) => (
+            AgentChange::Leaving(id) => (
                 EventKind::AgentLeaving,
                 id,
                 "draining; gets no new requests",
             ),
-            Change::Restarted(id) => {
+            AgentChange::Restarted(id) => {
                 effects
                     .gone_agents
                     .insert(id.clone(), GoneReason::Restarted);
                 (EventKind::AgentBack, id, "restarted")
             }
-            Change::UpstreamUp(id) => {
+            AgentChange::UpstreamUp(id) => {
                 effects.agents_with_capacity.insert(id.clone());
                 (EventKind::UpstreamUp, id, "")
             }
-            Change::UpstreamDown(id) => (EventKind::UpstreamDown, id, ""),
-            Change::Residency(id) => {
+            AgentChange::UpstreamDown(id) => (EventKind::UpstreamDown, id, ""),
+            AgentChange::ResidentsChanged(id) => {
                 effects.agents_with_capacity.insert(id.clone());
                 return;
             }
-            Change::Forgotten(id) => {
-                self.members.forget(MemberKind::Agent, id.as_str());
+            AgentChange::Removed(id) => {
+                self.members.remove(MemberKind::Agent, id.as_str());
                 let peer = Peer::Agent(id.clone());
                 out.push(EntryAction::Disconnect { peer });
                 return;
--- a/crates/role/src/entry/control/mod.rs
+++ b/crates/role/src/entry/control/mod.rs
@@ -20,7 +20,9 @@
 use base::prelude::*;
 use base::{Timers, Version};
 use conf::{Config, ConfigLog};
-use live::{Agent, Directory, EntryTable, Life, Members, Timing};
+use live::{
+    Agent, AgentDirectory, EntryTable, Liveness, MemberAddresses, SilenceLimits,
+};
 use rand_pcg::Pcg64Mcg;
 use schema::timeline::EventKind;
 use std::collections::{BTreeMap, BTreeSet};
@@ -99,7 +101,7 @@
 /// The control state.
 #[derive(Debug)]
 pub(crate) struct Control {
-    pub(crate) directory: Directory,
+    pub(crate) directory: AgentDirectory,
     pub(crate) entries: EntryTable,
     pub(crate) log: ConfigLog,
     pub(crate) leaving: bool,
@@ -115,7 +117,7 @@
     deferred_watches: BTreeSet<platform::CallKind>,
     unix_ms_at_zero: u64,
     started_at: Instant,
-    members: Members,
+    members: MemberAddresses,
     platform: PlatformCalls,
     forecast: LoadForecast,
     freeze: Freeze,
@@ -133,9 +135,9 @@
         now: Instant,
         out: &mut Vec<EntryAction>,
     ) -> Self {
-        let timing = Timing::new(HEARTBEAT_DEFAULT_MS);
+        let timing = SilenceLimits::new(HEARTBEAT_DEFAULT_MS);
         let mut control = Self {
-            directory: Directory::new(timing),
+            directory: AgentDirectory::new(timing),
             entries: EntryTable::new(timing),
             log: ConfigLog::new(),
             leaving: false,
@@ -149,7 +151,7 @@
             deferred_watches: BTreeSet::new(),
             unix_ms_at_zero: options.unix_ms_at_zero,
             started_at: now,
-            members: Members::new(),
+            members: MemberAddresses::new(),
             platform: PlatformCalls::new(),
             forecast: LoadForecast::default(),
             freeze: Freeze::none(now),
@@ -198,13 +200,13 @@
 
     /// Whether an agent may be sent requests.
     pub(crate) fn usable(&self, now: Instant, agent: &Agent) -> bool {
-        agent.life == Life::Up && self.directory.usable(now, agent)
+        agent.liveness == Liveness::Up && self.directory.usable(now, agent)
     }
 
     /// Whether this entry is the one that probes a failing upstream for all entries.
     pub(crate) fn is_prober(&self, now: Instant, agent: &AgentId) -> bool {
         let others = self.entries.all().filter(|entry| !entry.leaving);
-        let alive = others.filter(|entry| self.entries.alive(now, &entry.id));
+        let alive = others.filter(|entry| self.entries.is_alive(now, &entry.id));
         let live_ids = alive.map(|entry| &entry.id).chain([&self.own_id]);
         route::probing_entry(agent, live_ids) == Some(&self.own_id)
     }
@@ -221,7 +223,8 @@
     pub(crate) fn exclusive_turn_wait_ms(&self, now: Instant) -> u64 {
         let others = self.entries.all();
         let silence_clock = self.silence_clock(now);
-        let alive = others.filter(|entry| self.entries.alive(silence_clock, &entry.id));
+        let alive =
+            others.filter(|entry| self.entries.is_alive(silence_clock, &entry.id));
         let (mut count, mut rank) = (1, 0);
         for entry in alive {
             count += 1;
--- a/crates/role/src/entry/control/plan.rs
+++ b/crates/role/src/entry/control/plan.rs
@@ -2,7 +2,7 @@
 
 use base::prelude::*;
 use conf::Config;
-use live::rendezvous;
+use live::rendezvous_rank;
 use place::{
     AgentTarget, ModelDemand, PlacementReason, Plan, PlanInput, PlanNote, Planner,
 };
@@ -276,7 +276,7 @@
             peer: Peer::Agent(target.agent.clone()),
             body: frame::Body::Target(Target {
                 planner: self.own_id.to_string(),
-                rank: rendezvous(&cell.key, self.own_id.as_str()),
+                rank: rendezvous_rank(&cell.key, self.own_id.as_str()),
                 sequence: self.planning.sequence,
                 agent_incarnation: agent.incarnation.0,
                 models: models.collect(),
@@ -295,7 +295,7 @@
         let mut sums: BTreeMap<ModelId, DemandSum> = BTreeMap::new();
         let own = own_demands(now, shared);
         let gossiped = self.gossip.demands.iter();
-        let others = gossiped.filter(|(id, _)| self.entries.alive(now, id));
+        let others = gossiped.filter(|(id, _)| self.entries.is_alive(now, id));
         let others = others.flat_map(|(_, demands)| demands);
         for demand in own.iter().chain(others) {
             if config.model(&demand.model).is_some() {
--- a/crates/role/src/entry/follow_up.rs
+++ b/crates/role/src/entry/follow_up.rs
@@ -132,7 +132,8 @@
             Resource::Service(_) => true,
             Resource::Model(model) => work.agents_with_capacity.iter().any(|id| {
                 let agent = control.directory.get(id);
-                agent.is_some_and(|agent| agent.serves(model.as_str()).is_some())
+                agent
+                    .is_some_and(|agent| agent.loaded_version(model.as_str()).is_some())
             }),
         });
         queues.extend(served);
--- a/crates/role/src/entry/report.rs
+++ b/crates/role/src/entry/report.rs
@@ -1,7 +1,7 @@
 //! Data for the operators' endpoints: counters, status and explanations.
 
 use base::prelude::*;
-use live::{Agent, Life, ResidencyState};
+use live::{Agent, Liveness, ResidencyState};
 
 use super::control::{Control, reason_text};
 use super::resolve::Resource;
@@ -14,7 +14,7 @@
         let (known, up) = {
             let control = self.control.read();
             let up = control.directory.agents();
-            let up = up.filter(|agent| agent.life == Life::Up).count();
+            let up = up.filter(|agent| agent.liveness == Liveness::Up).count();
             (control.directory.agents().count(), up)
         };
         let outcomes = self.shared.outcomes.lock();
@@ -40,7 +40,7 @@
         let agents = control.directory.agents();
         let entries = control.entries.all().map(|entry| PeerEntrySummary {
             id: entry.id.to_string(),
-            alive: control.entries.alive(now, &entry.id),
+            alive: control.entries.is_alive(now, &entry.id),
             leaving: entry.leaving,
         });
         EntryStatus {
@@ -155,14 +155,14 @@
 }
 
 fn agent_summary(now: Instant, agent: &Agent) -> AgentSummary {
-    let hint = agent.hint.read(now);
+    let hint = agent.load.latest(now);
     let loaded = agent.residents.iter();
     let loaded = loaded.filter(|resident| resident.state == ResidencyState::Loaded);
     AgentSummary {
         id: agent.id.to_string(),
         pool: agent.pool.to_string(),
-        failure_domain: agent.domain.to_string(),
-        state: life_name(agent.life),
+        failure_domain: agent.failure_domain.to_string(),
+        state: life_name(agent.liveness),
         leaving: agent.leaving(),
         upstream_up: agent.upstream_up,
         connected: agent.connected,
@@ -170,15 +170,15 @@
         waiting: hint.waiting,
         running_max: hint.running_max,
         models: loaded.map(|demand| demand.model.to_string()).collect(),
-        silent_ms: now.ms_since(agent.heard_at),
+        silent_ms: now.ms_since(agent.last_heard_at),
     }
 }
 
-const fn life_name(life: Life) -> &'static str {
+const fn life_name(life: Liveness) -> &'static str {
     match life {
-        Life::Up => "up",
-        Life::Suspected => "suspected",
-        Life::Lost => "lost",
+        Liveness::Up => "up",
+        Liveness::Suspected => "suspected",
+        Liveness::Lost => "lost",
     }
 }
 
@@ -197,7 +197,7 @@
                 agent.id,
                 resident.version,
                 resident.accelerator,
-                life_name(agent.life),
+                life_name(agent.liveness),
                 if agent.leaving() { " and leaving" } else { "" },
             )
         })
--- a/crates/role/src/entry/requests/answers.rs
+++ b/crates/role/src/entry/requests/answers.rs
@@ -300,7 +300,7 @@
 
 fn record_load_report(ctx: &mut Ctx<'_>, agent: &AgentId, load: Option<&Load>) {
     if let (Some(known), Some(load)) = (ctx.control.directory.get(agent), load) {
-        known.hint.note(ctx.now, load);
+        known.load.record_report(ctx.now, load);
         ctx.follow_ups.agents_with_capacity.insert(agent.clone());
     }
 }
--- a/crates/role/src/entry/requests/candidates.rs
+++ b/crates/role/src/entry/requests/candidates.rs
@@ -1,7 +1,7 @@
 //! Finds the agents that can serve a request, or predicts when one can.
 
 use base::prelude::*;
-use live::{Agent, Life, ResidencyState};
+use live::{Agent, Liveness, ResidencyState};
 use route::{AdmissionInput, Holder};
 
 use super::super::control::{Control, predicted_return_ms};
@@ -119,7 +119,7 @@
     let of_version = |version: u32| -> Vec<(&'a Agent, u32)> {
         let agents = usable.iter();
         agents
-            .filter(|agent| agent.serves_version(model.as_str(), version))
+            .filter(|agent| agent.has_loaded_version(model.as_str(), version))
             .map(|agent| (*agent, version))
             .collect()
     };
@@ -132,7 +132,7 @@
     }
     let highest = usable
         .iter()
-        .filter_map(|agent| agent.serves(model.as_str()));
+        .filter_map(|agent| agent.loaded_version(model.as_str()));
     highest.max().map(of_version).unwrap_or_default()
 }
 
@@ -152,16 +152,16 @@
 }
 
 fn holder(now: Instant, agent: &Agent) -> Holder<'_> {
-    let hint = agent.hint.read(now);
+    let hint = agent.load.latest(now);
     Holder {
         agent: &agent.id,
-        domain: &agent.domain,
+        domain: &agent.failure_domain,
         running: hint.running,
         waiting: hint.waiting,
         running_max: hint.running_max,
         step_time_us: hint.step_time_us,
         report_age_ms: hint.age_ms,
-        sent_since_report: hint.sent_since,
+        sent_since_report: hint.sent_since_report,
         suspected: false,
     }
 }
@@ -227,7 +227,9 @@
     let agents = ctx.control.directory.agents();
     let pool_agents: Vec<&Agent> = agents
         .filter(|agent| agent.pool == *pool && !agent.leaving())
-        .filter(|agent| agent.life != Life::Lost && !crashed_agents.contains(&agent.id))
+        .filter(|agent| {
+            agent.liveness != Liveness::Lost && !crashed_agents.contains(&agent.id)
+        })
         .collect();
     if pool_agents.is_empty() {
         // A process that has just started may not have heard of the agents yet.
@@ -240,8 +242,8 @@
         return Some(soonest.max(AGENT_RETURN_MIN_MS));
     };
     let holds = |agent: &&&Agent| match request.version {
-        Some(version) => agent.serves_version(model.as_str(), version),
-        None => agent.serves(model.as_str()).is_some(),
+        Some(version) => agent.has_loaded_version(model.as_str(), version),
+        None => agent.loaded_version(model.as_str()).is_some(),
     };
     let holder_ms = pool_agents.iter().filter(holds).map(return_ms).min();
     let holder_ms = holder_ms.map(|ms| ms.max(AGENT_RETURN_MIN_MS));
@@ -281,7 +283,7 @@
         && input.holders == 0
         && in_time
         && agents.any(|agent| {
-            agent.life == Life::Up
+            agent.liveness == Liveness::Up
                 && agent.upstream_up
                 && !agent.leaving()
                 && !crashed_agents.contains(&agent.id)
@@ -330,7 +332,7 @@
     };
     let agents = ctx.control.directory.agents();
     let pool_agents =
-        agents.filter(|agent| agent.pool == *pool && agent.life != Life::Lost);
+        agents.filter(|agent| agent.pool == *pool && agent.liveness != Liveness::Lost);
     let mut pool_agents = pool_agents.peekable();
     pool_agents.peek().is_some() && pool_agents.all(|agent| crashed.contains(&agent.id))
 }
--- a/crates/role/src/entry/requests/dispatch.rs
+++ b/crates/role/src/entry/requests/dispatch.rs
@@ -178,7 +178,7 @@
             holder.running_max,
             chosen.reason.as_str(),
         );
-        agent.hint.note_sent();
+        agent.load.record_sent();
         Some(Route {
             agent: agent.id.clone(),
             incarnation: agent.incarnation,
@@ -343,7 +343,7 @@
         breakers.is_failing(&agent.id)
             && breakers.try_probe(ctx.now, &agent.id, is_prober, idempotent)
     })?;
-    agent.hint.note_sent();
+    agent.load.record_sent();
     Some(Route {
         agent: agent.id.clone(),
         incarnation: agent.incarnation,
--- a/crates/role/src/entry/requests/timers.rs
+++ b/crates/role/src/entry/requests/timers.rs
@@ -110,7 +110,7 @@
         return STALL_BATCH_MS;
     }
     let agent = ctx.control.directory.get(&attempt.agent);
-    let step_us = agent.map_or(0, |agent| agent.hint.read(ctx.now).step_time_us);
+    let step_us = agent.map_or(0, |agent| agent.load.latest(ctx.now).step_time_us);
     let by_steps = u64::from(step_us) * STALL_STEPS / 1_000;
     let by_target = match request.delivered {
         0 => u64::from(resolved.first_token_ms) * STALL_FIRST,
--- a/crates/role/tests/agent/random/memory.rs
+++ b/crates/role/tests/agent/random/memory.rs
@@ -296,7 +296,7 @@
             let in_use = agent.in_use_mib();
             let current = self.is_awake(index)
                 && agent.role.status().epoch == epoch
-                && agent.role.ledger().is_current();
+                && agent.role.ledger().has_current_report();
             assert!(!current || in_use <= CAPACITY_MIB, "{in_use} MiB in use");
         }
     }
--- a/crates/role/tests/entry/control.rs
+++ b/crates/role/tests/entry/control.rs
@@ -257,11 +257,11 @@
         assert_eq!(cells, ["gpu/d1/0"], "alone it plans");
         // Some entry ranks before this one.
         let cell = "gpu/d1/0";
-        let mine = live::rendezvous(cell, "e1");
+        let mine = live::rendezvous_rank(cell, "e1");
         let names = (2..).map(|n| format!("e{n}"));
         let before = names
             .into_iter()
-            .find(|name| live::rendezvous(cell, name) > mine);
+            .find(|name| live::rendezvous_rank(cell, name) > mine);
         let before = before.expect("there is always another name");
         let mut gossip = Gossip {
             entry: before.clone(),
--- a/crates/role/tests/entry/retries.rs
+++ b/crates/role/tests/entry/retries.rs
@@ -179,7 +179,7 @@
             |r| {
                 let mut arrival =
                     r.arrival(role::entry::RequestedResource::Model(None));
-                arrival.credential = access::Credential::of("other");
+                arrival.credential = access::Credential::from_key("other");
                 r.arrive(arrival)
             },
             Code::UnknownCaller,
--- a/crates/role/tests/entry/rig/requests.rs
+++ b/crates/role/tests/entry/rig/requests.rs
@@ -10,7 +10,7 @@
         let request = self.role.next_request_id();
         IncomingRequest {
             request,
-            credential: Credential::of(KEY),
+            credential: Credential::from_key(KEY),
             profile: None,
             deadline_ms: None,
             resource,
--- a/crates/role/tests/entry/unmet.rs
+++ b/crates/role/tests/entry/unmet.rs
@@ -253,7 +253,7 @@
     );
     assert!(refusal.retry_after_ms.is_some());
     let mut arrival = rig.arrival(RequestedResource::Model(Some(ModelId::new("m1"))));
-    arrival.credential = access::Credential::of("other");
+    arrival.credential = access::Credential::from_key("other");
     let request = rig.arrive(arrival);
     assert!(rig.refusals(request).is_empty());
     // What was sent has left the queue: the share is free again.
--- a/crates/role/tests/entry/watchers.rs
+++ b/crates/role/tests/entry/watchers.rs
@@ -11,9 +11,10 @@
 
 /// Names of entries that rank before `e1` for waiting.
 fn before_e1(count: usize) -> Vec<String> {
-    let mine = live::rendezvous("platform-watch", "e1");
+    let mine = live::rendezvous_rank("platform-watch", "e1");
     let names = (2..).map(|n| format!("e{n}"));
-    let before = names.filter(|name| live::rendezvous("platform-watch", name) > mine);
+    let before =
+        names.filter(|name| live::rendezvous_rank("platform-watch", name) > mine);
     before.take(count).collect()
 }
 
--- a/crates/scenario/src/world/caller.rs
+++ b/crates/scenario/src/world/caller.rs
@@ -205,7 +205,7 @@
     let hash = u64::from_str_radix(&hash[..16], 16).unwrap_or_default();
     IncomingRequest {
         request,
-        credential: Credential::of(&format!("key-{}", decl.caller)),
+        credential: Credential::from_key(&format!("key-{}", decl.caller)),
         profile: decl.profile.as_deref().map(ProfileId::new),
         deadline_ms: decl.deadline_ms,
         resource,
