--- a/crates/live/src/agent.rs
+++ b/crates/live/src/agent.rs
@@ -50,9 +50,9 @@
 
 /// What another entry said about an agent's silence.
 #[derive(Debug, Clone, Copy)]
-struct SilenceWord {
+struct SilenceReport {
     incarnation: Incarnation,
-    said_at: Instant,
+    reported_at: Instant,
 }
 
 /// One agent.
@@ -90,9 +90,9 @@
     pub last_heartbeat: Heartbeat,
     /// Verdict at the last tick.
     pub liveness: Liveness,
-    said_leaving: bool,
+    announced_leaving: bool,
     pub(crate) platform_leaving: bool,
-    silences: BTreeMap<EntryId, SilenceWord>,
+    silence_reports: BTreeMap<EntryId, SilenceReport>,
 }
 
 impl Agent {
@@ -114,23 +114,23 @@
             target_planner: String::new(),
             last_heartbeat: Heartbeat::default(),
             liveness: Liveness::Suspected,
-            said_leaving: false,
+            announced_leaving: false,
             platform_leaving: false,
-            silences: BTreeMap::new(),
+            silence_reports: BTreeMap::new(),
         }
     }
 
     /// It is stopping, by its own word or the platform's.
     pub const fn leaving(&self) -> bool {
-        self.said_leaving || self.platform_leaving
+        self.announced_leaving || self.platform_leaving
     }
 
     /// It may be sent work: its link is up, it is heard over that link, its
     /// upstream answers and it is not stopping.
-    pub fn usable(&self, now: Instant, timing: SilenceLimits) -> bool {
+    pub fn usable(&self, now: Instant, silence_limits: SilenceLimits) -> bool {
         let heard = self
             .last_heard_directly_at
-            .is_some_and(|at| now.ms_since(at) < timing.suspect_ms());
+            .is_some_and(|at| now.ms_since(at) < silence_limits.suspect_ms());
         self.connected && heard && self.upstream_up && !self.leaving()
     }
 
@@ -138,18 +138,18 @@
     pub fn loaded_version(&self, model: &str) -> Option<u32> {
         self.residents
             .iter()
-            .filter(|held| held.model.as_str() == model)
-            .filter(|held| held.state == ResidencyState::Loaded)
-            .map(|held| held.version)
+            .filter(|resident| resident.model.as_str() == model)
+            .filter(|resident| resident.state == ResidencyState::Loaded)
+            .map(|resident| resident.version)
             .max()
     }
 
     /// Whether it can serve one version of a model now.
     pub fn has_loaded_version(&self, model: &str, version: u32) -> bool {
-        self.residents.iter().any(|held| {
-            held.model.as_str() == model
-                && held.version == version
-                && held.state == ResidencyState::Loaded
+        self.residents.iter().any(|resident| {
+            resident.model.as_str() == model
+                && resident.version == version
+                && resident.state == ResidencyState::Loaded
         })
     }
 
@@ -157,24 +157,27 @@
     pub fn loading_since(&self, model: &str) -> Option<Instant> {
         self.residents
             .iter()
-            .filter(|held| held.state == ResidencyState::Loading)
-            .find(|held| held.model.as_str() == model)
-            .map(|held| held.since)
+            .filter(|resident| resident.state == ResidencyState::Loading)
+            .find(|resident| resident.model.as_str() == model)
+            .map(|resident| resident.since)
     }
 
     /// The verdict at a time, given whether another entry is alive to ask.
-    pub(crate) fn judge(
+    pub(crate) fn assess_liveness(
         &self,
         now: Instant,
-        timing: SilenceLimits,
-        alone: bool,
+        silence_limits: SilenceLimits,
+        only_entry: bool,
     ) -> Liveness {
         let silent_ms = now.ms_since(self.last_heard_at);
-        if silent_ms >= timing.lost_ms() {
+        if silent_ms >= silence_limits.lost_ms() {
             return Liveness::Lost;
         }
-        let silent = silent_ms >= timing.suspect_ms();
-        if silent && !self.connected && (alone || self.missed_by_others(now, timing)) {
+        let silent = silent_ms >= silence_limits.suspect_ms();
+        if silent
+            && !self.connected
+            && (only_entry || self.reported_silent_by_others(now, silence_limits))
+        {
             return Liveness::Lost;
         }
         if silent || !self.connected {
@@ -184,93 +187,104 @@
     }
 
     /// When the verdict may change if nothing more is heard.
-    pub(crate) fn next_verdict(
+    pub(crate) fn next_liveness_change(
         &self,
         now: Instant,
-        timing: SilenceLimits,
+        silence_limits: SilenceLimits,
     ) -> Option<Instant> {
-        [timing.suspect_ms(), timing.lost_ms(), timing.forget_ms()]
-            .into_iter()
-            .map(|ms| self.last_heard_at.plus_ms(ms))
-            .find(|at| *at > now)
+        [
+            silence_limits.suspect_ms(),
+            silence_limits.lost_ms(),
+            silence_limits.forget_ms(),
+        ]
+        .into_iter()
+        .map(|ms| self.last_heard_at.plus_ms(ms))
+        .find(|at| *at > now)
     }
 
-    pub(crate) fn note_silence(
+    pub(crate) fn add_silence_report(
         &mut self,
         now: Instant,
         by: &EntryId,
         incarnation: Incarnation,
     ) {
-        let word = SilenceWord {
+        let report = SilenceReport {
             incarnation,
-            said_at: now,
+            reported_at: now,
         };
-        self.silences.insert(by.clone(), word);
+        self.silence_reports.insert(by.clone(), report);
     }
 
-    pub(crate) fn forget_silences_of(&mut self, by: &EntryId) {
-        self.silences.remove(by);
+    pub(crate) fn remove_silence_report_of(&mut self, by: &EntryId) {
+        self.silence_reports.remove(by);
     }
 
-    pub(crate) const fn say_leaving(&mut self) {
-        self.said_leaving = true;
+    pub(crate) const fn announce_leaving(&mut self) {
+        self.announced_leaving = true;
     }
 
     /// A new run of the agent: nothing of the old one holds any more.
     pub(crate) fn restart(&mut self, incarnation: Incarnation) {
         self.incarnation = incarnation;
         self.sequence = 0;
-        self.said_leaving = false;
+        self.announced_leaving = false;
         self.upstream_up = false;
         self.connected = false;
         self.residents.clear();
-        self.silences.clear();
+        self.silence_reports.clear();
         self.last_heard_directly_at = None;
     }
 
     /// Takes over a heartbeat that was found newer.
-    pub(crate) fn take(&mut self, now: Instant, beat: Heartbeat) {
-        self.sequence = beat.sequence;
-        self.pool = PoolId::new(&beat.pool);
-        self.failure_domain = DomainId::new(&beat.failure_domain);
-        self.accelerators_mib.clone_from(&beat.accelerators_mib);
-        if self.upstream_up != beat.upstream_up {
-            self.upstream_up = beat.upstream_up;
+    pub(crate) fn apply_heartbeat(&mut self, now: Instant, heartbeat: Heartbeat) {
+        self.sequence = heartbeat.sequence;
+        self.pool = PoolId::new(&heartbeat.pool);
+        self.failure_domain = DomainId::new(&heartbeat.failure_domain);
+        self.accelerators_mib
+            .clone_from(&heartbeat.accelerators_mib);
+        if self.upstream_up != heartbeat.upstream_up {
+            self.upstream_up = heartbeat.upstream_up;
             self.upstream_since = now;
         }
-        self.said_leaving |= beat.leaving;
-        self.target_planner.clone_from(&beat.target_planner);
+        self.announced_leaving |= heartbeat.leaving;
+        self.target_planner.clone_from(&heartbeat.target_planner);
         self.last_heard_at = now;
-        self.silences.clear();
-        let residents = beat.residents.iter().take(RESIDENTS_MAX);
-        self.residents = residents.filter_map(|held| residency(now, held)).collect();
-        if let Some(load) = &beat.load {
+        self.silence_reports.clear();
+        let residents = heartbeat.residents.iter().take(RESIDENTS_MAX);
+        self.residents = residents
+            .filter_map(|resident| parse_resident(now, resident))
+            .collect();
+        if let Some(load) = &heartbeat.load {
             self.load.record_report(now, load);
         }
-        self.last_heartbeat = beat;
+        self.last_heartbeat = heartbeat;
     }
 
-    fn missed_by_others(&self, now: Instant, timing: SilenceLimits) -> bool {
-        self.silences.values().any(|word| {
-            word.incarnation == self.incarnation
-                && now.ms_since(word.said_at) < timing.suspect_ms()
+    fn reported_silent_by_others(
+        &self,
+        now: Instant,
+        silence_limits: SilenceLimits,
+    ) -> bool {
+        self.silence_reports.values().any(|report| {
+            report.incarnation == self.incarnation
+                && now.ms_since(report.reported_at) < silence_limits.suspect_ms()
         })
     }
 }
 
-fn residency(now: Instant, held: &Resident) -> Option<Residency> {
-    let state = match ResidentState::try_from(held.state).ok()? {
+fn parse_resident(now: Instant, resident: &Resident) -> Option<Residency> {
+    let state = match ResidentState::try_from(resident.state).ok()? {
         ResidentState::Loading => ResidencyState::Loading,
         ResidentState::Loaded => ResidencyState::Loaded,
         ResidentState::Unloading => ResidencyState::Unloading,
         ResidentState::Unspecified => return None,
     };
     Some(Residency {
-        model: ModelId::new(&held.model),
-        version: held.version,
-        accelerator: held.accelerator,
-        size_mib: held.size_mib,
+        model: ModelId::new(&resident.model),
+        version: resident.version,
+        accelerator: resident.accelerator,
+        size_mib: resident.size_mib,
         state,
-        since: now - Duration::from_millis(held.age_ms),
+        since: now - Duration::from_millis(resident.age_ms),
     })
 }
--- a/crates/live/src/directory.rs
+++ b/crates/live/src/directory.rs
@@ -44,29 +44,29 @@
 /// The agents.
 #[derive(Debug)]
 pub struct AgentDirectory {
-    timing: SilenceLimits,
+    silence_limits: SilenceLimits,
     agents: BTreeMap<AgentId, Agent>,
     holders: BTreeMap<ModelId, BTreeSet<AgentId>>,
 }
 
 impl AgentDirectory {
     /// An empty directory.
-    pub const fn new(timing: SilenceLimits) -> Self {
+    pub const fn new(silence_limits: SilenceLimits) -> Self {
         Self {
-            timing,
+            silence_limits,
             agents: BTreeMap::new(),
             holders: BTreeMap::new(),
         }
     }
 
     /// Bounds on silence in use.
-    pub const fn timing(&self) -> SilenceLimits {
-        self.timing
+    pub const fn silence_limits(&self) -> SilenceLimits {
+        self.silence_limits
     }
 
     /// Changes the bounds on silence, as a new configuration may.
-    pub const fn set_timing(&mut self, timing: SilenceLimits) {
-        self.timing = timing;
+    pub const fn set_silence_limits(&mut self, silence_limits: SilenceLimits) {
+        self.silence_limits = silence_limits;
     }
 
     /// Finds an agent.
@@ -88,7 +88,7 @@
 
     /// Whether an agent may be sent work now.
     pub fn usable(&self, now: Instant, agent: &Agent) -> bool {
-        agent.usable(now, self.timing)
+        agent.usable(now, self.silence_limits)
     }
 
     /// Takes a heartbeat; an old one changes nothing.
@@ -97,41 +97,41 @@
     pub fn record_heartbeat(
         &mut self,
         now: Instant,
-        beat: Heartbeat,
+        heartbeat: Heartbeat,
         heard: HeartbeatSource,
         changes: &mut Vec<AgentChange>,
     ) -> bool {
-        let Some(agent) = self.slot(now, &beat.agent) else {
+        let Some(agent) = self.get_or_insert(now, &heartbeat.agent) else {
             return false;
         };
-        let incarnation = Incarnation(beat.incarnation);
+        let incarnation = Incarnation(heartbeat.incarnation);
         if incarnation < agent.incarnation {
             return false;
         }
-        let before = Shown::of(agent);
+        let before = AgentSnapshot::of(agent);
         let restarted = incarnation > agent.incarnation;
         if restarted {
-            let known = agent.incarnation.0 > 0;
+            let was_known = agent.incarnation.0 > 0;
             agent.restart(incarnation);
-            if known {
+            if was_known {
                 changes.push(AgentChange::Restarted(agent.id.clone()));
             }
         }
         // The same heartbeat comes both directly and through each peer. The
         // direct copy still shows that the link works.
-        if heard == HeartbeatSource::Direct && beat.sequence >= agent.sequence {
+        if heard == HeartbeatSource::Direct && heartbeat.sequence >= agent.sequence {
             agent.connected = true;
             agent.last_heard_directly_at = Some(now);
             agent.last_heard_at = now;
         }
-        if !restarted && beat.sequence <= agent.sequence {
+        if !restarted && heartbeat.sequence <= agent.sequence {
             return false;
         }
-        agent.take(now, beat);
-        before.compare(agent, changes);
+        agent.apply_heartbeat(now, heartbeat);
+        before.push_changes(agent, changes);
         let id = agent.id.clone();
-        let gone = before.models(&self.agents[&id].residents);
-        self.reindex(&id, &gone);
+        let gone = before.affected_models(&self.agents[&id].residents);
+        self.update_index(&id, &gone);
         true
     }
 
@@ -143,17 +143,17 @@
         incarnation: Incarnation,
         changes: &mut Vec<AgentChange>,
     ) {
-        let Some(agent) = self.slot(now, id.as_str()) else {
+        let Some(agent) = self.get_or_insert(now, id.as_str()) else {
             return;
         };
         if incarnation > agent.incarnation {
-            let known = agent.incarnation.0 > 0;
+            let was_known = agent.incarnation.0 > 0;
             let held: Vec<ModelId> = models_of(&agent.residents).cloned().collect();
             agent.restart(incarnation);
-            if known {
+            if was_known {
                 changes.push(AgentChange::Restarted(id.clone()));
             }
-            self.unindex(id, &held);
+            self.remove_from_index(id, &held);
         }
         if let Some(agent) = self.agents.get_mut(id) {
             agent.connected = agent.incarnation == incarnation;
@@ -179,7 +179,7 @@
             return;
         };
         if agent.incarnation == incarnation && !agent.leaving() {
-            agent.say_leaving();
+            agent.announce_leaving();
             changes.push(AgentChange::Leaving(id.clone()));
         }
     }
@@ -208,28 +208,33 @@
         said: &[(AgentId, Incarnation)],
     ) {
         for agent in self.agents.values_mut() {
-            agent.forget_silences_of(by);
+            agent.remove_silence_report_of(by);
         }
         for (id, incarnation) in said {
             if let Some(agent) = self.agents.get_mut(id) {
-                agent.note_silence(now, by, *incarnation);
+                agent.add_silence_report(now, by, *incarnation);
             }
         }
     }
 
     /// Judges every agent anew. `alone` tells that no other entry is alive, so
     /// this one's word is enough.
-    pub fn tick(&mut self, now: Instant, alone: bool, changes: &mut Vec<AgentChange>) {
-        let timing = self.timing;
+    pub fn tick(
+        &mut self,
+        now: Instant,
+        only_entry: bool,
+        changes: &mut Vec<AgentChange>,
+    ) {
+        let silence_limits = self.silence_limits;
         let mut forgotten = Vec::new();
         for (id, agent) in &mut self.agents {
-            changes.extend(judged(now, timing, alone, id, agent));
-            if now.ms_since(agent.last_heard_at) >= timing.forget_ms() {
+            changes.extend(update_agent(now, silence_limits, only_entry, id, agent));
+            if now.ms_since(agent.last_heard_at) >= silence_limits.forget_ms() {
                 forgotten.push(id.clone());
             }
         }
         for id in forgotten {
-            self.forget(&id);
+            self.remove_agent(&id);
             changes.push(AgentChange::Removed(id));
         }
     }
@@ -243,12 +248,12 @@
         &mut self,
         now: Instant,
         id: &AgentId,
-        alone: bool,
+        only_entry: bool,
         changes: &mut Vec<AgentChange>,
     ) {
-        let timing = self.timing;
+        let silence_limits = self.silence_limits;
         if let Some(agent) = self.agents.get_mut(id) {
-            changes.extend(judged(now, timing, alone, id, agent));
+            changes.extend(update_agent(now, silence_limits, only_entry, id, agent));
         }
     }
 
@@ -256,11 +261,11 @@
     pub fn next_deadline(&self, now: Instant) -> Option<Instant> {
         let verdicts = self.agents.values();
         verdicts
-            .filter_map(|agent| agent.next_verdict(now, self.timing))
+            .filter_map(|agent| agent.next_liveness_change(now, self.silence_limits))
             .min()
     }
 
-    fn slot(&mut self, now: Instant, id: &str) -> Option<&mut Agent> {
+    fn get_or_insert(&mut self, now: Instant, id: &str) -> Option<&mut Agent> {
         if id.is_empty() {
             return None;
         }
@@ -272,16 +277,16 @@
         Some(agent.or_insert_with(|| Agent::new(id, now)))
     }
 
-    fn forget(&mut self, id: &AgentId) {
+    fn remove_agent(&mut self, id: &AgentId) {
         let Some(agent) = self.agents.remove(id) else {
             return;
         };
         let held: Vec<ModelId> = models_of(&agent.residents).cloned().collect();
-        self.unindex(id, &held);
+        self.remove_from_index(id, &held);
     }
 
-    fn reindex(&mut self, id: &AgentId, gone: &[ModelId]) {
-        self.unindex(id, gone);
+    fn update_index(&mut self, id: &AgentId, gone: &[ModelId]) {
+        self.remove_from_index(id, gone);
         let Some(agent) = self.agents.get(id) else {
             return;
         };
@@ -294,7 +299,7 @@
         }
     }
 
-    fn unindex(&mut self, id: &AgentId, gone: &[ModelId]) {
+    fn remove_from_index(&mut self, id: &AgentId, gone: &[ModelId]) {
         for model in gone {
             if let Some(held) = self.holders.get_mut(model) {
                 held.remove(id);
@@ -307,24 +312,24 @@
 }
 
 /// What was shown of an agent before a heartbeat.
-struct Shown {
+struct AgentSnapshot {
     leaving: bool,
     upstream_up: bool,
     loaded: BTreeSet<(ModelId, u32)>,
     all: BTreeSet<ModelId>,
 }
 
-impl Shown {
+impl AgentSnapshot {
     fn of(agent: &Agent) -> Self {
         Self {
             leaving: agent.leaving(),
             upstream_up: agent.upstream_up,
-            loaded: loaded(agent),
+            loaded: loaded_versions(agent),
             all: models_of(&agent.residents).cloned().collect(),
         }
     }
 
-    fn compare(&self, agent: &Agent, changes: &mut Vec<AgentChange>) {
+    fn push_changes(&self, agent: &Agent, changes: &mut Vec<AgentChange>) {
         if agent.leaving() && !self.leaving {
             changes.push(AgentChange::Leaving(agent.id.clone()));
         }
@@ -334,19 +339,19 @@
         if !agent.upstream_up && self.upstream_up {
             changes.push(AgentChange::UpstreamDown(agent.id.clone()));
         }
-        if loaded(agent) != self.loaded {
+        if loaded_versions(agent) != self.loaded {
             changes.push(AgentChange::ResidentsChanged(agent.id.clone()));
         }
     }
 
     /// Models whose place in the index has to be looked at.
-    fn models(&self, now: &[Residency]) -> Vec<ModelId> {
+    fn affected_models(&self, now: &[Residency]) -> Vec<ModelId> {
         let both = self.all.iter().chain(models_of(now));
         both.cloned().collect()
     }
 }
 
-fn loaded(agent: &Agent) -> BTreeSet<(ModelId, u32)> {
+fn loaded_versions(agent: &Agent) -> BTreeSet<(ModelId, u32)> {
     let residents = agent.residents.iter();
     residents
         .filter(|held| held.state == crate::ResidencyState::Loaded)
@@ -359,14 +364,14 @@
 }
 
 /// Judges an agent anew; the change of its life, if there is one.
-fn judged(
+fn update_agent(
     now: Instant,
-    timing: SilenceLimits,
-    alone: bool,
+    silence_limits: SilenceLimits,
+    only_entry: bool,
     id: &AgentId,
     agent: &mut Agent,
 ) -> Option<AgentChange> {
-    let life = agent.judge(now, timing, alone);
+    let life = agent.assess_liveness(now, silence_limits, only_entry);
     if life == agent.liveness {
         return None;
     }
--- a/crates/live/src/entries.rs
+++ b/crates/live/src/entries.rs
@@ -30,7 +30,7 @@
 /// The other entries that are known.
 #[derive(Debug)]
 pub struct EntryTable {
-    timing: SilenceLimits,
+    silence_limits: SilenceLimits,
     entries: BTreeMap<EntryId, EntryInfo>,
 }
 
@@ -48,16 +48,16 @@
 
 impl EntryTable {
     /// An empty table.
-    pub const fn new(timing: SilenceLimits) -> Self {
+    pub const fn new(silence_limits: SilenceLimits) -> Self {
         Self {
-            timing,
+            silence_limits,
             entries: BTreeMap::new(),
         }
     }
 
     /// Changes the bounds on silence, as a new configuration may.
-    pub const fn set_timing(&mut self, timing: SilenceLimits) {
-        self.timing = timing;
+    pub const fn set_silence_limits(&mut self, silence_limits: SilenceLimits) {
+        self.silence_limits = silence_limits;
     }
 
     /// Takes gossip; returns whether it is news. Late or doubled gossip is not.
@@ -94,7 +94,7 @@
 
     /// Forgets entries that have long been silent.
     pub fn tick(&mut self, now: Instant) {
-        let bound = self.timing.forget_ms();
+        let bound = self.silence_limits.forget_ms();
         self.entries
             .retain(|_, held| now.ms_since(held.last_heard_at) < bound);
     }
@@ -127,6 +127,6 @@
     }
 
     fn heard_lately(&self, now: Instant, held: &EntryInfo) -> bool {
-        now.ms_since(held.last_heard_at) < self.timing.entry_ms()
+        now.ms_since(held.last_heard_at) < self.silence_limits.entry_ms()
     }
 }
--- a/crates/live/src/lib.rs
+++ b/crates/live/src/lib.rs
@@ -21,13 +21,13 @@
 mod agent;
 mod directory;
 mod entries;
-mod hint;
-mod members;
-mod timing;
+mod load;
+mod member_addresses;
+mod silence_limits;
 
 pub use agent::{Agent, Liveness, Residency, ResidencyState};
 pub use directory::{AgentChange, AgentDirectory, HeartbeatSource};
 pub use entries::{EntryInfo, EntryTable, rendezvous_rank};
-pub use hint::{LoadReport, LoadTracker};
-pub use members::{MemberAddresses, MemberKind};
-pub use timing::SilenceLimits;
+pub use load::{LoadReport, LoadTracker};
+pub use member_addresses::{MemberAddresses, MemberKind};
+pub use silence_limits::SilenceLimits;
--- a/crates/live/src/members.rs
+++ b/crates/live/src/member_addresses.rs
@@ -17,7 +17,7 @@
 }
 
 #[derive(Debug)]
-struct Place {
+struct AddressRecord {
     incarnation: Incarnation,
     link_address: String,
 }
@@ -25,7 +25,7 @@
 /// Addresses of processes; that of a newer run is never replaced by an older.
 #[derive(Debug, Default)]
 pub struct MemberAddresses {
-    places: BTreeMap<(MemberKind, String), Place>,
+    records: BTreeMap<(MemberKind, String), AddressRecord>,
 }
 
 impl MemberAddresses {
@@ -57,8 +57,8 @@
             return false;
         }
         let key = (kind, id.to_owned());
-        let full = self.places.len() >= MEMBERS_MAX;
-        match self.places.get_mut(&key) {
+        let full = self.records.len() >= MEMBERS_MAX;
+        match self.records.get_mut(&key) {
             None if full => false,
             Some(held) if incarnation < held.incarnation => false,
             Some(held) => {
@@ -68,11 +68,11 @@
                 changed
             }
             None => {
-                let place = Place {
+                let record = AddressRecord {
                     incarnation,
                     link_address: link_address.to_owned(),
                 };
-                self.places.insert(key, place);
+                self.records.insert(key, record);
                 true
             }
         }
@@ -80,12 +80,12 @@
 
     /// Address of a process.
     pub fn address(&self, kind: MemberKind, id: &str) -> Option<&str> {
-        let place = self.places.get(&(kind, id.to_owned()));
-        place.map(|place| place.link_address.as_str())
+        let record = self.records.get(&(kind, id.to_owned()));
+        record.map(|record| record.link_address.as_str())
     }
 
     /// Forgets a process.
     pub fn remove(&mut self, kind: MemberKind, id: &str) {
-        self.places.remove(&(kind, id.to_owned()));
+        self.records.remove(&(kind, id.to_owned()));
     }
 }
--- a/crates/mem/src/ledger.rs
+++ b/crates/mem/src/ledger.rs
@@ -1,44 +1,45 @@
-//! Memory in use on each accelerator.
+//! Memory that is, or may come to be, in use on each accelerator.
 
 use crate::{EndedOrder, Placement, ReportedResident, ReserveError, TrackedOrder};
 use base::{Epoch, Instant, ModelId};
 use schema::store::Intent;
 use std::collections::BTreeMap;
 
-/// The memory ledger of one upstream.
+/// Memory ledger of one upstream, kept by the agent that issues its orders.
 #[derive(Debug, Default)]
 pub struct Ledger {
     pub(crate) capacities_mib: Vec<u32>,
-    pub(crate) bases: BTreeMap<ModelId, ModelId>,
+    pub(crate) base_by_adapter: BTreeMap<ModelId, ModelId>,
     pub(crate) order_delay_max_ms: Option<u64>,
     pub(crate) upstream_incarnation: Option<u64>,
-    pub(crate) reported_at: Instant,
-    /// When the intents of predecessors were taken in.
-    pub(crate) adopted_at: Instant,
+    pub(crate) last_report_made_at: Instant,
+    /// When this agent adopted the intents of its predecessors.
+    pub(crate) intents_adopted_at: Instant,
     pub(crate) residents: BTreeMap<Placement, ReportedResident>,
     pub(crate) orders: BTreeMap<u64, TrackedOrder>,
-    /// Loads that have ended, of which further copies may be under way. The
-    /// upstream drops those by their number, but a restart makes it forget the
-    /// numbers; so they count until none can be under way.
-    pub(crate) copies: Vec<TrackedOrder>,
+    /// Loads that have ended but of which another copy may still be in flight.
+    /// The upstream ignores a copy by its order number until a restart makes it
+    /// forget the numbers, so these loads count until no copy can be in flight.
+    pub(crate) copies_in_flight: Vec<TrackedOrder>,
 }
 
 impl Ledger {
-    /// A ledger of an upstream of which nothing is known.
+    /// Creates the ledger of an upstream of which nothing is known yet.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Sets the capacities in MiB, the base of each adapter, and the longest
-    /// time after which an order can still take effect.
+    /// Sets the capacity of each accelerator in MiB, the base model of each
+    /// adapter, and the longest time in milliseconds after which an order that
+    /// was sent can still take effect.
     pub fn configure(
         &mut self,
         capacities_mib: &[u32],
-        bases: BTreeMap<ModelId, ModelId>,
+        base_by_adapter: BTreeMap<ModelId, ModelId>,
         order_delay_max_ms: u32,
     ) {
         self.capacities_mib = capacities_mib.to_vec();
-        self.bases = bases;
+        self.base_by_adapter = base_by_adapter;
         self.order_delay_max_ms = Some(u64::from(order_delay_max_ms));
     }
 
@@ -47,45 +48,46 @@
         u32::try_from(self.capacities_mib.len()).unwrap_or(u32::MAX)
     }
 
-    /// Memory of an accelerator in MiB; 0 if there is none.
+    /// Capacity of an accelerator in MiB; 0 if it does not exist.
     pub fn capacity_mib(&self, accelerator: u32) -> u64 {
-        let held = self.capacities_mib.get(accelerator as usize);
-        u64::from(held.copied().unwrap_or(0))
+        let capacity = self.capacities_mib.get(accelerator as usize);
+        u64::from(capacity.copied().unwrap_or(0))
     }
 
-    /// Memory that is or may come to be in use on an accelerator, in MiB.
+    /// Memory on an accelerator that is or may come to be in use, in MiB.
     ///
-    /// It exceeds the capacity only if the upstream itself shows more, or while
-    /// no report is current and an older one still shows what a predecessor had
-    /// unloaded; nothing is reserved then.
+    /// It can exceed the capacity only if the upstream itself reports more, or
+    /// while the last report is older than the adopted intents and still
+    /// contains what a predecessor has since unloaded. Nothing is reserved in
+    /// either case.
     pub fn in_use_mib(&self, accelerator: u32) -> u64 {
         let mut sizes: BTreeMap<&Placement, u32> = BTreeMap::new();
         for resident in self.residents.values() {
-            let held = sizes.entry(&resident.placement).or_default();
-            *held = (*held).max(resident.size_mib);
+            let size = sizes.entry(&resident.placement).or_default();
+            *size = (*size).max(resident.size_mib);
         }
         let loads = self.orders.values().filter(|order| order.load);
-        for order in loads.chain(&self.copies) {
-            let held = sizes.entry(&order.placement).or_default();
-            *held = (*held).max(order.size_mib);
+        for order in loads.chain(&self.copies_in_flight) {
+            let size = sizes.entry(&order.placement).or_default();
+            *size = (*size).max(order.size_mib);
         }
-        let here = sizes
+        let on_accelerator = sizes
             .iter()
             .filter(|(placement, _)| placement.accelerator == accelerator);
-        here.map(|(_, size)| u64::from(*size)).sum()
+        on_accelerator.map(|(_, size)| u64::from(*size)).sum()
     }
 
-    /// Residents that the upstream shows, in order.
+    /// Residents in the upstream's last report, ordered by placement.
     pub fn residents(&self) -> impl Iterator<Item = &ReportedResident> {
         self.residents.values()
     }
 
-    /// Finds a resident that the upstream shows.
+    /// Finds a resident in the upstream's last report.
     pub fn resident(&self, placement: &Placement) -> Option<&ReportedResident> {
         self.residents.get(placement)
     }
 
-    /// Orders that may still take effect, in order of number.
+    /// Orders that may still take effect, ordered by number.
     pub fn orders(&self) -> impl Iterator<Item = &TrackedOrder> {
         self.orders.values()
     }
@@ -95,60 +97,63 @@
         self.orders.get(&id)
     }
 
-    /// The intents that the record of the agent at `own_address` has to hold.
+    /// Intents to store in the record of the agent whose link address is
+    /// `own_address`.
     pub fn intents(&self, own_address: &str) -> Vec<Intent> {
-        let orders = self.orders.values().chain(&self.copies);
+        let orders = self.orders.values().chain(&self.copies_in_flight);
         orders.map(|order| order.intent(own_address)).collect()
     }
 
-    /// Upstream incarnation of the last report.
+    /// Upstream incarnation in the last report.
     pub const fn upstream_incarnation(&self) -> Option<u64> {
         self.upstream_incarnation
     }
 
-    /// Counts the intents of predecessors.
+    /// Tracks the orders that the intents of predecessors describe.
     ///
-    /// The record no longer holds what a predecessor saw to its end. A report
-    /// made before this moment may not show that either, so no order is
-    /// reserved until a later one has come.
+    /// A predecessor removes an intent once its order has ended. A report made
+    /// before `now` may not contain the effect of such an order, so nothing is
+    /// reserved until a later report arrives.
     pub fn adopt_intents(&mut self, now: Instant, intents: &[Intent]) {
-        self.adopted_at = now;
+        self.intents_adopted_at = now;
         for intent in intents {
-            let order = TrackedOrder::adopted(intent, now);
+            let order = TrackedOrder::from_intent(intent, now);
             self.orders.entry(order.id).or_insert(order);
         }
     }
 
-    /// The agent of `epoch` is known dead: what it gave can take effect for the
-    /// longest order delay at most.
+    /// Records that the agent of `epoch` is dead: its orders can take effect
+    /// for the longest order delay from `now` at most.
     ///
-    /// Its intents pass to `heir`, the agent that knows it: should that die too,
-    /// its successor has only to find out about the heir.
-    pub fn issuer_died(&mut self, now: Instant, epoch: Epoch, heir: Epoch) {
-        let theirs = |order: &&mut TrackedOrder| order.epoch == epoch;
-        for order in self.orders.values_mut().filter(theirs) {
+    /// Its intents pass to `inheritor`, the agent that knows of the death. If
+    /// the inheritor dies too, its successor only has to find out whether the
+    /// inheritor is dead.
+    pub fn issuer_died(&mut self, now: Instant, epoch: Epoch, inheritor: Epoch) {
+        let issued_by_epoch = |order: &&mut TrackedOrder| order.epoch == epoch;
+        for order in self.orders.values_mut().filter(issued_by_epoch) {
             order.no_send_after = Some(now);
-            order.inherited_by = Some(heir);
+            order.inherited_by = Some(inheritor);
         }
     }
 
-    /// Predecessors that are not known dead and whose orders count, each with
-    /// its link address as far as that is known.
+    /// Predecessors that may still be alive and whose orders count, with their
+    /// link addresses. An address is empty if it is unknown.
     pub fn issuers_not_known_dead(&self) -> BTreeMap<Epoch, &str> {
-        let open = self
+        let not_known_dead = self
             .orders
             .values()
             .filter(|order| order.adopted && order.no_send_after.is_none());
-        open.map(|order| (order.epoch, order.issuer_address.as_str()))
+        not_known_dead
+            .map(|order| (order.epoch, order.issuer_address.as_str()))
             .collect()
     }
 
-    /// Reserves what an order needs, before it is given.
+    /// Reserves the memory that an order needs, before the order is sent.
     ///
     /// # Errors
     ///
-    /// Nothing is reserved if the order could overcommit the accelerator, or
-    /// leave an adapter without its base.
+    /// Nothing is reserved if the order could overcommit the accelerator or
+    /// leave an adapter without its base model.
     pub fn reserve(
         &mut self,
         id: u64,
@@ -194,14 +199,14 @@
         if accelerator >= self.accelerators() {
             return Err(ReserveError::UnknownAccelerator);
         }
-        if self.pending(placement).next().is_some() {
+        if self.pending_orders(placement).next().is_some() {
             return Err(ReserveError::OrderPending);
         }
         if self.residents.contains_key(placement) {
             return Err(ReserveError::NothingToDo);
         }
-        if let Some(base) = self.bases.get(&placement.model)
-            && !self.base_stays(accelerator, base)
+        if let Some(base) = self.base_by_adapter.get(&placement.model)
+            && !self.base_remains_loaded(accelerator, base)
         {
             return Err(ReserveError::BaseNotLoaded);
         }
@@ -220,18 +225,19 @@
         if !self.residents.contains_key(placement) {
             return Err(ReserveError::NothingToDo);
         }
-        // A predecessor's unload need not be waited for: the model leaves once.
+        // An unload can be sent while one of a predecessor is pending, because
+        // the model is removed only once.
         let blocks = |order: &TrackedOrder| order.load || order.epoch == epoch;
-        if self.pending(placement).any(blocks) {
+        if self.pending_orders(placement).any(blocks) {
             return Err(ReserveError::OrderPending);
         }
-        if self.adapter_stands_on(placement) {
+        if self.adapter_depends_on(placement) {
             return Err(ReserveError::BaseInUse);
         }
         Ok(())
     }
 
-    fn pending<'a>(
+    fn pending_orders<'a>(
         &'a self,
         placement: &'a Placement,
     ) -> impl Iterator<Item = &'a TrackedOrder> {
@@ -239,28 +245,29 @@
         orders.filter(move |order| order.placement == *placement)
     }
 
-    /// A version of the base is loaded there and no unload of it is under way.
-    fn base_stays(&self, accelerator: u32, base: &ModelId) -> bool {
+    /// Whether a version of the base model is loaded on the accelerator and not
+    /// being unloaded.
+    fn base_remains_loaded(&self, accelerator: u32, base: &ModelId) -> bool {
         self.residents.values().any(|resident| {
             let placement = &resident.placement;
             placement.accelerator == accelerator
                 && placement.model == *base
                 && resident.loaded
-                && self.pending(placement).all(|order| order.load)
+                && self.pending_orders(placement).all(|order| order.load)
         })
     }
 
-    fn adapter_stands_on(&self, base: &Placement) -> bool {
+    fn adapter_depends_on(&self, base: &Placement) -> bool {
         let on_base = |placement: &Placement| {
             placement.accelerator == base.accelerator
-                && self.bases.get(&placement.model) == Some(&base.model)
+                && self.base_by_adapter.get(&placement.model) == Some(&base.model)
         };
         let mut loads = self.orders.values().filter(|order| order.load);
         self.residents.keys().any(on_base)
             || loads.any(|order| on_base(&order.placement))
     }
 
-    /// The order was given to the upstream.
+    /// Records that the order was sent to the upstream once more.
     pub fn mark_sent(&mut self, now: Instant, id: u64) {
         if let Some(order) = self.orders.get_mut(&id) {
             order.send_count = order.send_count.saturating_add(1);
@@ -268,22 +275,22 @@
         }
     }
 
-    /// The upstream will carry the order out.
+    /// Records that the upstream has accepted the order and will carry it out.
     pub fn mark_accepted(&mut self, id: u64) {
         if let Some(order) = self.orders.get_mut(&id) {
             order.accepted = true;
         }
     }
 
-    /// The upstream refused the order.
+    /// Ends an order that the upstream refused.
     ///
-    /// If an earlier copy of a load went unanswered, that copy may be the one
-    /// which takes effect; it counts until none can be under way.
+    /// If an earlier copy of a load went unanswered, that copy may still take
+    /// effect, so the load counts until no copy can be in flight.
     pub fn mark_refused(&mut self, now: Instant, id: u64) -> Option<EndedOrder> {
-        self.end(now, id, false)
+        self.end_order(now, id, false)
     }
 
-    /// Forgets an order that was reserved and never given.
+    /// Removes an order that was reserved and never sent.
     pub fn cancel_unsent(&mut self, id: u64) {
         if self
             .orders
--- a/crates/mem/src/order.rs
+++ b/crates/mem/src/order.rs
@@ -1,62 +1,65 @@
-//! Orders as the ledger tracks them.
+//! Orders that the ledger tracks.
 
 use base::{Epoch, Instant, ModelId};
 use schema::store::Intent;
 
-/// One version of one model or adapter on one accelerator.
+/// One version of a model or adapter on one accelerator.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Placement {
     /// Index of the accelerator.
     pub accelerator: u32,
     /// Model or adapter.
     pub model: ModelId,
-    /// Version.
+    /// Version of the model or adapter.
     pub version: u32,
 }
 
-/// An order that may take effect, or may have done so.
+/// An order to load or unload that may take effect or may have done so.
 #[derive(Debug, Clone)]
 pub struct TrackedOrder {
-    /// Number, unique over all epochs.
+    /// Order number, unique over all epochs.
     pub id: u64,
-    /// Epoch of the agent that gave it.
+    /// Epoch of the agent that issued the order.
     pub epoch: Epoch,
     /// True for a load, false for an unload.
     pub load: bool,
-    /// What it concerns.
+    /// The model and accelerator to load to or unload from.
     pub placement: Placement,
-    /// Memory the model takes.
+    /// Memory that the model takes, in MiB.
     pub size_mib: u32,
-    /// Upstream incarnation it was made for.
+    /// Upstream incarnation for which the order was issued.
     pub upstream_incarnation: u64,
-    /// Times this process gave it; 0 while it is only reserved.
+    /// Number of times that this process sent the order; 0 while it is only
+    /// reserved.
     pub send_count: u32,
-    /// When this process last gave it.
+    /// When this process last sent the order.
     pub sent_at: Instant,
-    /// The upstream said that it will carry it out.
+    /// The upstream has accepted the order.
     pub accepted: bool,
-    /// The upstream's last report shows that it is being carried out.
+    /// The upstream's last report lists the order as in progress.
     pub in_progress: bool,
-    /// A predecessor gave it, or may have.
+    /// A predecessor sent the order or may have done so.
     pub adopted: bool,
-    /// Link address of the predecessor that gave it; empty if this agent gave it
-    /// or the address is not known.
+    /// Link address of the predecessor that issued the order; empty if this
+    /// agent issued it or the address is unknown.
     pub issuer_address: String,
-    /// Agent to which the intent passed when its giver was known dead.
+    /// Agent that took over the intent when the issuer was known to be dead.
     pub inherited_by: Option<Epoch>,
-    /// When the last copy of it can have been given, once that is known; from
-    /// then on it can take effect for the longest order delay.
+    /// Time after which no copy of the order is sent any more, if known. From
+    /// then on the order can take effect for the longest order delay.
     pub no_send_after: Option<Instant>,
 }
 
 impl TrackedOrder {
-    /// The order as the record of the agent at `own_address` holds it.
+    /// Converts the order to the intent that the record of the agent at
+    /// `own_address` stores.
     ///
-    /// The address is that of the agent which has to be found dead before the
-    /// order can end by time: the giver, or the one that it passed to.
+    /// The intent contains the address of the agent that must be known to be
+    /// dead before the order can expire: the issuer, or the agent that took the
+    /// intent over.
     pub fn intent(&self, own_address: &str) -> Intent {
-        let is_own = !self.adopted || self.inherited_by.is_some();
-        let address = match is_own {
+        let uses_own_address = !self.adopted || self.inherited_by.is_some();
+        let address = match uses_own_address {
             true => own_address,
             false => &self.issuer_address,
         };
@@ -73,25 +76,24 @@
         }
     }
 
-    /// No copy of it can be under way any more when a report was made.
-    ///
-    /// Before the delay is configured that can't be said.
-    pub(crate) fn is_over(&self, made_at: Instant, delay_ms: Option<u64>) -> bool {
+    /// Whether no copy of the order could be in flight when a report was made.
+    /// False as long as the longest order delay is not configured.
+    pub(crate) fn has_expired(&self, made_at: Instant, delay_ms: Option<u64>) -> bool {
         match (self.no_send_after, delay_ms) {
             (Some(from), Some(delay_ms)) => from.plus_ms(delay_ms) <= made_at,
             _ => false,
         }
     }
 
-    /// It may have been given more than once.
+    /// Whether the order may have been sent more than once.
     pub(crate) const fn may_have_copies(&self) -> bool {
         self.adopted || self.send_count > 1
     }
 
-    /// An order found in the record of a predecessor.
+    /// Creates the tracked order for an intent in a predecessor's record.
     ///
-    /// Whether the predecessor gave it can't be known, so it counts as given.
-    pub(crate) fn adopted(intent: &Intent, now: Instant) -> Self {
+    /// Whether the predecessor sent the order is unknown, so it counts as sent.
+    pub(crate) fn from_intent(intent: &Intent, now: Instant) -> Self {
         Self {
             id: intent.order,
             epoch: Epoch(intent.epoch),
@@ -120,29 +122,32 @@
 pub enum ReserveError {
     /// The instance has no such accelerator.
     UnknownAccelerator,
-    /// The memory in use leaves no room.
+    /// The accelerator has too little free memory.
     InsufficientMemory,
-    /// An order on the same placement has not ended.
+    /// An order for the same placement has not ended.
     OrderPending,
-    /// The adapter's base is not loaded there, or is being unloaded.
+    /// The adapter's base model is not loaded on the accelerator or is being
+    /// unloaded.
     BaseNotLoaded,
-    /// An adapter is, or may come, on top of the base.
+    /// An adapter of the base model is on the accelerator or may be loaded
+    /// there.
     BaseInUse,
-    /// No report shows what predecessors have done to their end.
+    /// No report contains the effect of the orders that predecessors saw end.
     NoCurrentReport,
-    /// The model is already there, or is not there to be unloaded.
+    /// The model to load is already present, or the model to unload is not.
     NothingToDo,
 }
 
-/// How a tracked order ended.
+/// A tracked order that has ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EndedOrder {
-    /// Number of the order.
+    /// Order number.
     pub id: u64,
     /// True for a load, false for an unload.
     pub load: bool,
-    /// What it concerned.
+    /// The model and accelerator of the order.
     pub placement: Placement,
-    /// It took effect.
+    /// True if the order took effect, false if it failed, was refused or
+    /// expired.
     pub took_effect: bool,
 }
--- a/crates/mem/src/report.rs
+++ b/crates/mem/src/report.rs
@@ -1,48 +1,48 @@
-//! What the upstream shows of its memory.
+//! The upstream's reports of its accelerator memory.
 
 use crate::Placement;
 use base::Instant;
 
-/// The upstream's own report, as far as memory is concerned.
+/// The part of an upstream's report that concerns accelerator memory.
 #[derive(Debug, Clone)]
 pub struct MemoryReport {
-    /// Identifies one run of the upstream.
+    /// Incarnation of the upstream process.
     pub incarnation: u64,
     /// When the upstream made the report.
     pub made_at: Instant,
-    /// What is on its accelerators, also what is being loaded or unloaded.
+    /// Models on the accelerators, including those being loaded or unloaded.
     pub residents: Vec<ReportedResident>,
-    /// Orders and how they stand.
+    /// Orders that the upstream knows, with their state.
     pub orders: Vec<ReportedOrder>,
 }
 
-/// One resident that the upstream shows.
+/// A model or adapter in accelerator memory.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReportedResident {
-    /// What and where.
+    /// Model, version and accelerator.
     pub placement: Placement,
-    /// Memory it takes.
+    /// Memory that it takes, in MiB.
     pub size_mib: u32,
-    /// It can serve.
+    /// The model is loaded and can serve requests.
     pub loaded: bool,
 }
 
-/// One order that the upstream shows.
+/// An order that the upstream knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReportedOrder {
-    /// Number of the order.
+    /// Order number.
     pub id: u64,
-    /// How it stands.
+    /// State of the order.
     pub state: ReportedOrderState,
 }
 
-/// How an order stands at the upstream.
+/// State of an order at the upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportedOrderState {
-    /// It is being carried out.
+    /// The upstream is carrying the order out.
     InProgress,
-    /// It took effect.
+    /// The order took effect.
     Done,
-    /// It failed and left nothing behind.
+    /// The order failed and left nothing in memory.
     Failed,
 }
--- a/crates/mem/tests/ledger/counting.rs
+++ b/crates/mem/tests/ledger/counting.rs
@@ -1,9 +1,10 @@
-//! Memory counts from an order until the upstream shows its end.
+//! Which memory the ledger counts as in use, from an order until the upstream
+//! reports its end.
 
 use crate::steps::Step::{
-    self, Accepted, Adopt, Died, Given, Load, Refused, Report, Unload,
+    self, Accepted, Adopt, IssuerDied, Load, Refused, Report, Sent, Unload,
 };
-use crate::steps::{DELAY_MS, apply, ledger};
+use crate::steps::{ORDER_DELAY_MAX_MS, apply, configured_ledger};
 use mem::ReportedOrderState::{Done, Failed, InProgress};
 use mem::{Ledger, ReserveError};
 use std::collections::BTreeMap;
@@ -12,146 +13,146 @@
     name: &'static str,
     steps: &'static [Step],
     in_use_mib: u64,
-    /// What loading 60 MiB of another model meets at the end.
-    then_load: Result<(), ReserveError>,
+    /// Result of reserving a load of 60 MiB of another model after the steps.
+    next_load: Result<(), ReserveError>,
 }
 
 const CASES: &[Case] = &[
     Case {
-        name: "a load that got no answer counts",
-        steps: &[Report(0, 7, &[], &[]), Load(1, "a", 60), Given(1, 1)],
+        name: "an unanswered load counts",
+        steps: &[Report(0, 7, &[], &[]), Load(1, "a", 60), Sent(1, 1)],
         in_use_mib: 60,
-        then_load: Err(ReserveError::InsufficientMemory),
+        next_load: Err(ReserveError::InsufficientMemory),
     },
     Case {
-        name: "a load counts once when its resident shows",
+        name: "a load and its reported resident count once",
         steps: &[
             Load(1, "a", 30),
-            Given(1, 1),
+            Sent(1, 1),
             Report(2, 7, &[("a", 30)], &[(1, InProgress)]),
         ],
         in_use_mib: 30,
-        then_load: Ok(()),
+        next_load: Ok(()),
     },
     Case {
-        name: "a load that failed is free",
+        name: "a failed load does not count",
         steps: &[
             Load(1, "a", 60),
-            Given(1, 1),
+            Sent(1, 1),
             Report(2, 7, &[], &[(1, Failed)]),
         ],
         in_use_mib: 0,
-        then_load: Ok(()),
+        next_load: Ok(()),
     },
     Case {
         name: "a load that the report does not list still counts",
         steps: &[
             Load(1, "a", 60),
-            Given(1, 1),
+            Sent(1, 1),
             Accepted(1),
             Report(2, 7, &[], &[]),
         ],
         in_use_mib: 60,
-        then_load: Err(ReserveError::InsufficientMemory),
+        next_load: Err(ReserveError::InsufficientMemory),
     },
     Case {
-        name: "an unload that got no answer frees nothing",
-        steps: &[Report(0, 7, &[("a", 60)], &[]), Unload(1, "a"), Given(1, 1)],
+        name: "an unanswered unload frees nothing",
+        steps: &[Report(0, 7, &[("a", 60)], &[]), Unload(1, "a"), Sent(1, 1)],
         in_use_mib: 60,
-        then_load: Err(ReserveError::InsufficientMemory),
+        next_load: Err(ReserveError::InsufficientMemory),
     },
     Case {
-        name: "an unload that shows is free",
+        name: "an unload frees memory once it is reported",
         steps: &[
             Report(0, 7, &[("a", 60)], &[]),
             Unload(1, "a"),
-            Given(1, 1),
+            Sent(1, 1),
             Report(2, 7, &[], &[(1, Done)]),
         ],
         in_use_mib: 0,
-        then_load: Ok(()),
+        next_load: Ok(()),
     },
     Case {
-        name: "an older report does not show a model gone",
+        name: "an older report that lacks a model is dropped",
         steps: &[Report(5, 7, &[("a", 60)], &[]), Report(4, 7, &[], &[])],
         in_use_mib: 60,
-        then_load: Err(ReserveError::InsufficientMemory),
+        next_load: Err(ReserveError::InsufficientMemory),
     },
     Case {
-        name: "a refused load is free",
-        steps: &[Load(1, "a", 60), Given(1, 1), Refused(2, 1)],
+        name: "a refused load does not count",
+        steps: &[Load(1, "a", 60), Sent(1, 1), Refused(2, 1)],
         in_use_mib: 0,
-        then_load: Ok(()),
+        next_load: Ok(()),
     },
     Case {
-        name: "a second copy refused leaves the first, which got no answer",
-        steps: &[Load(1, "a", 60), Given(1, 1), Given(2, 1), Refused(3, 1)],
+        name: "refusing the second copy leaves the unanswered first one",
+        steps: &[Load(1, "a", 60), Sent(1, 1), Sent(2, 1), Refused(3, 1)],
         in_use_mib: 60,
-        then_load: Err(ReserveError::InsufficientMemory),
+        next_load: Err(ReserveError::InsufficientMemory),
     },
     Case {
-        name: "that first copy ends when no order can be under way",
+        name: "the unanswered first copy expires after the order delay",
         steps: &[
             Load(1, "a", 60),
-            Given(1, 1),
-            Given(2, 1),
+            Sent(1, 1),
+            Sent(2, 1),
             Refused(3, 1),
             Report(3_003, 7, &[], &[]),
         ],
         in_use_mib: 0,
-        then_load: Ok(()),
+        next_load: Ok(()),
     },
     Case {
         name: "a predecessor's load counts",
         steps: &[Adopt(0, 9, true, "a", 60), Report(1, 7, &[], &[])],
         in_use_mib: 60,
-        then_load: Err(ReserveError::InsufficientMemory),
+        next_load: Err(ReserveError::InsufficientMemory),
     },
     Case {
-        name: "a predecessor's load counts as long as it may live",
+        name: "a load counts while its issuer, a predecessor, may be alive",
         steps: &[
             Report(0, 7, &[], &[]),
             Adopt(1, 9, true, "a", 60),
             Report(60_000, 7, &[], &[]),
         ],
         in_use_mib: 60,
-        then_load: Err(ReserveError::InsufficientMemory),
+        next_load: Err(ReserveError::InsufficientMemory),
     },
     Case {
         name: "a dead predecessor's load counts for the order delay",
         steps: &[
             Report(0, 7, &[], &[]),
             Adopt(1, 9, true, "a", 60),
-            Died(2),
+            IssuerDied(2),
             Report(3_001, 7, &[], &[]),
         ],
         in_use_mib: 60,
-        then_load: Err(ReserveError::InsufficientMemory),
+        next_load: Err(ReserveError::InsufficientMemory),
     },
     Case {
-        name: "a dead predecessor's load ends after the order delay",
+        name: "a dead predecessor's load expires after the order delay",
         steps: &[
             Report(0, 7, &[], &[]),
             Adopt(1, 9, true, "a", 60),
-            Died(2),
+            IssuerDied(2),
             Report(3_002, 7, &[], &[]),
         ],
         in_use_mib: 0,
-        then_load: Ok(()),
+        next_load: Ok(()),
     },
     Case {
-        name: "a dead predecessor's load that is under way does not end",
+        name: "a dead predecessor's load does not expire while in progress",
         steps: &[
             Report(0, 7, &[], &[]),
             Adopt(1, 9, true, "a", 60),
-            Died(2),
+            IssuerDied(2),
             Report(3_002, 7, &[], &[(9, InProgress)]),
         ],
         in_use_mib: 60,
-        then_load: Err(ReserveError::InsufficientMemory),
+        next_load: Err(ReserveError::InsufficientMemory),
     },
     Case {
-        name: "a predecessor that lives may give its load to the new run",
+        name: "a live predecessor may send its load to the new incarnation",
         steps: &[
             Report(0, 7, &[], &[]),
             Adopt(1, 9, true, "a", 60),
@@ -159,10 +160,10 @@
             Report(60_000, 8, &[], &[]),
         ],
         in_use_mib: 60,
-        then_load: Err(ReserveError::InsufficientMemory),
+        next_load: Err(ReserveError::InsufficientMemory),
     },
     Case {
-        name: "a predecessor's load counts on when its model shows by another order",
+        name: "a predecessor's load still counts after another order loaded its model",
         steps: &[
             Report(0, 7, &[], &[]),
             Adopt(1, 9, true, "a", 60),
@@ -170,140 +171,142 @@
             Report(3, 7, &[], &[]),
         ],
         in_use_mib: 60,
-        then_load: Err(ReserveError::InsufficientMemory),
+        next_load: Err(ReserveError::InsufficientMemory),
     },
     Case {
-        name: "an order under way when the upstream restarts may reach the new run",
+        name: "an order in flight at a restart may reach the new incarnation",
         steps: &[
             Report(0, 7, &[], &[]),
             Load(1, "a", 60),
-            Given(1, 1),
+            Sent(1, 1),
             Report(2, 8, &[], &[]),
         ],
         in_use_mib: 60,
-        then_load: Err(ReserveError::InsufficientMemory),
+        next_load: Err(ReserveError::InsufficientMemory),
     },
     Case {
-        name: "after a restart and the order delay nothing is under way",
+        name: "an order in flight at a restart expires after the order delay",
         steps: &[
             Report(0, 7, &[], &[]),
             Load(1, "a", 60),
-            Given(1, 1),
+            Sent(1, 1),
             Report(2, 8, &[], &[]),
             Report(3_002, 8, &[], &[]),
         ],
         in_use_mib: 0,
-        then_load: Ok(()),
+        next_load: Ok(()),
     },
     Case {
-        name: "a second copy may reach the new run after the first was carried out",
+        name: "a second copy may reach the new incarnation after the first ended",
         steps: &[
             Report(0, 7, &[], &[]),
             Load(1, "a", 60),
-            Given(1, 1),
-            Given(1_000, 1),
+            Sent(1, 1),
+            Sent(1_000, 1),
             Report(1_001, 7, &[("a", 60)], &[(1, Done)]),
             Report(1_002, 8, &[], &[]),
         ],
         in_use_mib: 60,
-        then_load: Err(ReserveError::InsufficientMemory),
+        next_load: Err(ReserveError::InsufficientMemory),
     },
     Case {
-        name: "a second copy counts although the model has gone again",
+        name: "a second copy counts although the model is no longer loaded",
         steps: &[
             Report(0, 7, &[], &[]),
             Load(1, "a", 60),
-            Given(1, 1),
-            Given(1_000, 1),
+            Sent(1, 1),
+            Sent(1_000, 1),
             Report(1_001, 7, &[("a", 60)], &[(1, Done)]),
             Report(1_002, 7, &[], &[(1, Done)]),
         ],
         in_use_mib: 60,
-        then_load: Err(ReserveError::InsufficientMemory),
+        next_load: Err(ReserveError::InsufficientMemory),
     },
     Case {
-        name: "a second copy ends when no order can be under way",
+        name: "a second copy expires after the order delay",
         steps: &[
             Report(0, 7, &[], &[]),
             Load(1, "a", 60),
-            Given(1, 1),
-            Given(1_000, 1),
+            Sent(1, 1),
+            Sent(1_000, 1),
             Report(1_001, 7, &[("a", 60)], &[(1, Done)]),
             Report(4_001, 7, &[], &[(1, Done)]),
         ],
         in_use_mib: 0,
-        then_load: Ok(()),
+        next_load: Ok(()),
     },
     Case {
-        name: "a load given once and carried out can't reach the new run",
+        name: "a load sent once that ended can't reach the new incarnation",
         steps: &[
             Report(0, 7, &[], &[]),
             Load(1, "a", 60),
-            Given(1, 1),
+            Sent(1, 1),
             Report(1_001, 7, &[("a", 60)], &[(1, Done)]),
             Report(1_002, 8, &[], &[]),
         ],
         in_use_mib: 0,
-        then_load: Ok(()),
+        next_load: Ok(()),
     },
     Case {
-        name: "a reserved order is dropped at a restart",
+        name: "a reserved, unsent order is dropped at a restart",
         steps: &[
             Report(0, 7, &[], &[]),
             Load(1, "a", 60),
             Report(2, 8, &[], &[]),
         ],
         in_use_mib: 0,
-        then_load: Ok(()),
+        next_load: Ok(()),
     },
     Case {
-        name: "a report made before the record was read may miss what it left out",
+        name: "a report older than the adopted intents may lack ended orders",
         steps: &[Report(0, 7, &[], &[]), Adopt(1, 9, false, "a", 30)],
         in_use_mib: 0,
-        then_load: Err(ReserveError::NoCurrentReport),
+        next_load: Err(ReserveError::NoCurrentReport),
     },
     Case {
-        name: "a resident of nobody's order counts",
+        name: "a resident that no agent ordered counts",
         steps: &[Report(0, 7, &[("x", 70)], &[])],
         in_use_mib: 70,
-        then_load: Err(ReserveError::InsufficientMemory),
+        next_load: Err(ReserveError::InsufficientMemory),
     },
 ];
 
-/// The caller sees nothing of this: an order's answer is lost or late, or its
-/// giver is gone, and the ledger must count what may still come. A wrong count
-/// would let the next load overcommit the accelerator.
+/// Guards against overcommitting an accelerator: when the response to an order
+/// is lost or late, or the agent that issued it is dead, the order may still
+/// take effect, and the next load must not be given its memory.
 #[test]
-fn memory_counts_until_the_upstream_shows_its_end() {
+fn memory_is_counted_until_the_upstream_reports_its_end() {
     for case in CASES {
-        let mut ledger = ledger();
+        let mut ledger = configured_ledger();
         for step in case.steps {
             apply(&mut ledger, step).expect(case.name);
         }
         assert_eq!(ledger.in_use_mib(0), case.in_use_mib, "{}", case.name);
-        let then = apply(&mut ledger, &Load(99, "other", 60));
-        assert_eq!(then, case.then_load, "{}", case.name);
+        let next_load = apply(&mut ledger, &Load(99, "other", 60));
+        assert_eq!(next_load, case.next_load, "{}", case.name);
         assert!(ledger.in_use_mib(0) <= 100, "{}", case.name);
     }
 }
 
-/// An agent reads its record before it has a configuration, so it does not know
-/// the order delay yet. A dead predecessor's load must not end by a delay of
-/// zero: it counts until the delay is known and has passed.
+/// An agent reads the record of its predecessor before it has a configuration,
+/// so it does not know the longest order delay yet. A dead predecessor's load
+/// must not expire as if the delay were zero: it counts until the delay is
+/// known and has passed.
 #[test]
-fn nothing_ends_by_a_delay_that_is_not_known() {
+fn no_order_expires_before_the_order_delay_is_known() {
     let mut ledger = Ledger::new();
-    let before = [
+    let steps = [
         Report(0, 7, &[], &[]),
         Adopt(1, 9, true, "a", 60),
-        Died(1),
+        IssuerDied(1),
         Report(10_000, 7, &[], &[]),
     ];
-    for step in &before {
-        apply(&mut ledger, step).expect("no order is reserved");
+    for step in &steps {
+        apply(&mut ledger, step).expect("only reserving can fail");
     }
     assert_eq!(ledger.in_use_mib(0), 60);
-    ledger.configure(&[100], BTreeMap::new(), DELAY_MS);
-    apply(&mut ledger, &Report(10_001, 7, &[], &[])).expect("a report");
+    ledger.configure(&[100], BTreeMap::new(), ORDER_DELAY_MAX_MS);
+    apply(&mut ledger, &Report(10_001, 7, &[], &[]))
+        .expect("applying a report can't fail");
     assert_eq!(ledger.in_use_mib(0), 0);
 }
--- a/crates/mem/tests/ledger/main.rs
+++ b/crates/mem/tests/ledger/main.rs
@@ -1,4 +1,5 @@
-//! The ledger against orders that are lost, late, doubled or a predecessor's.
+//! Tests of the ledger with orders that are lost, late, sent twice or issued by a
+//! predecessor.
 
 mod counting;
 mod orders;
--- a/crates/mem/tests/ledger/orders.rs
+++ b/crates/mem/tests/ledger/orders.rs
@@ -1,23 +1,25 @@
-//! Orders that are not begun: without a base, under an adapter, or doubled.
+//! Orders that can't be reserved: the base model is missing, an adapter depends
+//! on it, or another order is pending.
 
-use crate::steps::Step::{self, Adopt, Given, Load, Report, Unload};
-use crate::steps::{OWN, apply, at, ledger};
+use crate::steps::Step::{self, Adopt, Load, Report, Sent, Unload};
+use crate::steps::{OWN_EPOCH, apply, configured_ledger, placement};
 use mem::{Placement, ReserveError};
 
-/// Steps, and what the last one meets.
-type Last = (
+/// Case name, preparing steps, last step, and the expected result of the last
+/// step.
+type LastStepCase = (
     &'static str,
     &'static [Step],
     Step,
     Result<(), ReserveError>,
 );
 
-/// An adapter whose base is missing can't serve, and a base that goes away
-/// under an adapter takes the answers of its callers with it. The orders that
-/// would bring that about are not begun.
+/// Guards against an adapter without its base model, which can't serve, and
+/// against unloading a base model under an adapter, which would end the
+/// adapter's running requests.
 #[test]
-fn adapters_keep_their_base() {
-    let cases: &[Last] = &[
+fn adapters_require_a_loaded_base() {
+    let cases: &[LastStepCase] = &[
         (
             "no base",
             &[],
@@ -31,44 +33,44 @@
             Ok(()),
         ),
         (
-            "base only ordered",
-            &[Load(1, "a", 60), Given(1, 1)],
+            "base load sent but not reported",
+            &[Load(1, "a", 60), Sent(1, 1)],
             Load(2, "a-adapter", 10),
             Err(ReserveError::BaseNotLoaded),
         ),
         (
-            "base about to go",
+            "base unload reserved",
             &[Report(0, 7, &[("a", 60)], &[]), Unload(1, "a")],
             Load(2, "a-adapter", 10),
             Err(ReserveError::BaseNotLoaded),
         ),
         (
-            "base about to go by a predecessor's order",
+            "base unload by a predecessor",
             &[Report(0, 7, &[("a", 60)], &[]), Adopt(0, 9, false, "a", 60)],
             Load(2, "a-adapter", 10),
             Err(ReserveError::BaseNotLoaded),
         ),
         (
-            "adapter on top",
+            "unload of a base under an adapter",
             &[Report(0, 7, &[("a", 60), ("a-adapter", 10)], &[])],
             Unload(1, "a"),
             Err(ReserveError::BaseInUse),
         ),
         (
-            "adapter on its way",
+            "unload of a base with an adapter load reserved",
             &[Report(0, 7, &[("a", 60)], &[]), Load(1, "a-adapter", 10)],
             Unload(2, "a"),
             Err(ReserveError::BaseInUse),
         ),
         (
-            "the adapter itself may go",
+            "unload of the adapter",
             &[Report(0, 7, &[("a", 60), ("a-adapter", 10)], &[])],
             Unload(1, "a-adapter"),
             Ok(()),
         ),
     ];
     for (name, steps, last, expected) in cases {
-        let mut ledger = ledger();
+        let mut ledger = configured_ledger();
         for step in *steps {
             apply(&mut ledger, step).expect(name);
         }
@@ -76,11 +78,11 @@
     }
 }
 
-/// A planner that repeats itself must not make a second order of the same
-/// change: the first may still take effect.
+/// A planner that repeats a decision must not cause a second order for the same
+/// change, because the first may still take effect.
 #[test]
-fn one_order_at_a_time_on_a_placement() {
-    let cases: &[Last] = &[
+fn only_one_order_at_a_time_per_placement() {
+    let cases: &[LastStepCase] = &[
         (
             "load twice",
             &[Load(1, "a", 30)],
@@ -88,7 +90,7 @@
             Err(ReserveError::OrderPending),
         ),
         (
-            "load of what is there",
+            "load of a loaded model",
             &[Report(0, 7, &[("a", 30)], &[])],
             Load(1, "a", 30),
             Err(ReserveError::NothingToDo),
@@ -100,36 +102,36 @@
             Err(ReserveError::OrderPending),
         ),
         (
-            "unload of what is not there",
+            "unload of a model that is not loaded",
             &[],
             Unload(1, "a"),
             Err(ReserveError::NothingToDo),
         ),
         (
-            "unload besides a predecessor's",
+            "unload while a predecessor's unload is pending",
             &[Report(0, 7, &[("a", 30)], &[]), Adopt(0, 9, false, "a", 30)],
             Unload(1, "a"),
             Ok(()),
         ),
         (
-            "load before a predecessor's unload has ended",
+            "load while a predecessor's unload is pending",
             &[Report(0, 7, &[], &[]), Adopt(0, 9, false, "a", 30)],
             Load(1, "a", 30),
             Err(ReserveError::OrderPending),
         ),
     ];
     for (name, steps, last, expected) in cases {
-        let mut ledger = ledger();
+        let mut ledger = configured_ledger();
         for step in *steps {
             apply(&mut ledger, step).expect(name);
         }
         assert_eq!(apply(&mut ledger, last), *expected, "{name}");
     }
-    let mut ledger = ledger();
-    let elsewhere = Placement {
+    let mut ledger = configured_ledger();
+    let other_accelerator = Placement {
         accelerator: 1,
-        ..at("a")
+        ..placement("a")
     };
-    let refused = ledger.reserve(1, OWN, true, &elsewhere, 1);
+    let refused = ledger.reserve(1, OWN_EPOCH, true, &other_accelerator, 1);
     assert_eq!(refused, Err(ReserveError::UnknownAccelerator));
 }
--- a/crates/mem/tests/ledger/steps.rs
+++ b/crates/mem/tests/ledger/steps.rs
@@ -1,4 +1,4 @@
-//! What happens to a ledger, one step after the other.
+//! Steps that the test cases apply to a ledger.
 
 use base::{Epoch, Instant, ModelId};
 use mem::{
@@ -8,20 +8,28 @@
 use schema::store::Intent;
 use std::collections::BTreeMap;
 
-pub const DELAY_MS: u32 = 3_000;
-pub const OWN: Epoch = Epoch(2);
-pub const PREDECESSOR: Epoch = Epoch(1);
+pub const ORDER_DELAY_MAX_MS: u32 = 3_000;
+pub const OWN_EPOCH: Epoch = Epoch(2);
+pub const PREDECESSOR_EPOCH: Epoch = Epoch(1);
 
-/// One thing that happens, at a time in milliseconds where that matters.
+/// One step. Times are in milliseconds, sizes in MiB.
 pub enum Step {
+    /// Reserves a load: order number, model, size.
     Load(u64, &'static str, u32),
+    /// Reserves an unload: order number, model.
     Unload(u64, &'static str),
-    Given(u64, u64),
+    /// Time, order number.
+    Sent(u64, u64),
+    /// Order number.
     Accepted(u64),
+    /// Time, order number.
     Refused(u64, u64),
+    /// Adopts an intent of a predecessor: time, order number, whether it is a
+    /// load, model, size.
     Adopt(u64, u64, bool, &'static str, u32),
-    Died(u64),
-    /// Time made, incarnation, residents, orders.
+    /// Time at which the predecessor is known to be dead.
+    IssuerDied(u64),
+    /// Time made, incarnation, residents with their sizes, and order states.
     Report(
         u64,
         u64,
@@ -30,9 +38,9 @@
     ),
 }
 
-use Step::{Accepted, Adopt, Died, Given, Load, Refused, Report, Unload};
+use Step::{Accepted, Adopt, IssuerDied, Load, Refused, Report, Sent, Unload};
 
-pub fn at(name: &str) -> Placement {
+pub fn placement(name: &str) -> Placement {
     Placement {
         accelerator: 0,
         model: ModelId::new(name),
@@ -40,26 +48,29 @@
     }
 }
 
-pub fn ledger() -> Ledger {
+pub fn configured_ledger() -> Ledger {
     let mut ledger = Ledger::new();
-    let bases = BTreeMap::from([(ModelId::new("a-adapter"), ModelId::new("a"))]);
-    ledger.configure(&[100], bases, DELAY_MS);
+    let base_by_adapter =
+        BTreeMap::from([(ModelId::new("a-adapter"), ModelId::new("a"))]);
+    ledger.configure(&[100], base_by_adapter, ORDER_DELAY_MAX_MS);
     ledger
 }
 
 pub fn apply(ledger: &mut Ledger, step: &Step) -> Result<(), ReserveError> {
     match *step {
         Load(id, model, size) => {
-            return ledger.reserve(id, OWN, true, &at(model), size);
+            return ledger.reserve(id, OWN_EPOCH, true, &placement(model), size);
         }
-        Unload(id, model) => return ledger.reserve(id, OWN, false, &at(model), 0),
-        Given(ms, id) => ledger.mark_sent(Instant::from_ms(ms), id),
+        Unload(id, model) => {
+            return ledger.reserve(id, OWN_EPOCH, false, &placement(model), 0);
+        }
+        Sent(ms, id) => ledger.mark_sent(Instant::from_ms(ms), id),
         Accepted(id) => ledger.mark_accepted(id),
         Refused(ms, id) => drop(ledger.mark_refused(Instant::from_ms(ms), id)),
         Adopt(ms, order, load, model, size_mib) => {
             let intent = Intent {
                 order,
-                epoch: PREDECESSOR.0,
+                epoch: PREDECESSOR_EPOCH.0,
                 load,
                 model: model.to_owned(),
                 version: 1,
@@ -70,23 +81,25 @@
             };
             ledger.adopt_intents(Instant::from_ms(ms), &[intent]);
         }
-        Died(ms) => ledger.issuer_died(Instant::from_ms(ms), PREDECESSOR, OWN),
+        IssuerDied(ms) => {
+            ledger.issuer_died(Instant::from_ms(ms), PREDECESSOR_EPOCH, OWN_EPOCH)
+        }
         Report(ms, incarnation, residents, orders) => {
-            let state = state(ms, incarnation, residents, orders);
-            ledger.apply_report(Instant::from_ms(ms), &state);
+            let report = memory_report(ms, incarnation, residents, orders);
+            ledger.apply_report(Instant::from_ms(ms), &report);
         }
     }
     Ok(())
 }
 
-fn state(
+fn memory_report(
     ms: u64,
     incarnation: u64,
     residents: &[(&str, u32)],
     orders: &[(u64, ReportedOrderState)],
 ) -> MemoryReport {
     let residents = residents.iter().map(|(model, size)| ReportedResident {
-        placement: at(model),
+        placement: placement(model),
         size_mib: *size,
         loaded: true,
     });
--- a/crates/once/src/claims.rs
+++ b/crates/once/src/claims.rs
@@ -1,18 +1,20 @@
 //! The claims of one agent.
 
-use crate::calls::{QUIET_MAX_MS, QUIET_MIN_MS, give_back, refuse_away};
 use crate::outcome::{ClaimAction, ClaimRequest, StoredResponse};
-use crate::shard::{Bounds, SHARDS, Shard, shard_of};
-use crate::work::{Begin, Ending, Held};
+use crate::pending::{ClaimEnd, GrantedClaim, PendingClaim};
+use crate::platform_calls::{
+    BACKOFF_MAX_MS, BACKOFF_MIN_MS, refuse_platform_away, release_if_staged,
+};
+use crate::shard::{SHARDS, Shard, StagingLimits, shard_of};
 use base::{AgentId, AttemptId, Incarnation, Instant};
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// How long a call waits for its claim before it is refused.
-const BEGIN_MAX_MS: u64 = 5_000;
+const CLAIM_WAIT_MAX_MS: u64 = 5_000;
 
 /// How long the refusal of a call waits until its claim's release is written.
-const RELEASE_WAIT_MS: u64 = 1_000;
+const RELEASE_WAIT_MAX_MS: u64 = 1_000;
 
 /// What the claims of an agent need to know.
 #[derive(Debug, Clone)]
@@ -32,43 +34,43 @@
 pub struct Claims {
     pub(crate) options: ClaimsOptions,
     retention_ms: u64,
-    answer_max_bytes: usize,
+    response_max_bytes: usize,
     pub(crate) shards: Vec<Shard>,
-    pub(crate) held: BTreeMap<AttemptId, Held>,
-    pub(crate) calls: BTreeMap<u64, usize>,
-    pub(crate) next_call: u64,
-    nonces: u64,
+    pub(crate) granted: BTreeMap<AttemptId, GrantedClaim>,
+    pub(crate) shard_by_call: BTreeMap<u64, usize>,
+    pub(crate) next_call_id: u64,
+    nonce_count: u64,
 }
 
 impl Claims {
     /// No claims yet.
     pub fn new(options: ClaimsOptions) -> Self {
         Self {
-            next_call: options.first_call_id,
+            next_call_id: options.first_call_id,
             options,
             retention_ms: 24 * 3_600_000,
-            answer_max_bytes: 16 << 10,
+            response_max_bytes: 16 << 10,
             shards: (0..SHARDS).map(|_| Shard::new()).collect(),
-            held: BTreeMap::new(),
-            calls: BTreeMap::new(),
-            nonces: 0,
+            granted: BTreeMap::new(),
+            shard_by_call: BTreeMap::new(),
+            nonce_count: 0,
         }
     }
 
     /// Sets the retention and the largest answer that is stored.
     pub fn configure(&mut self, retention_ms: u32, stored_answer_max_bytes: u32) {
         self.retention_ms = u64::from(retention_ms);
-        self.answer_max_bytes = stored_answer_max_bytes as usize;
+        self.response_max_bytes = stored_answer_max_bytes as usize;
     }
 
     /// Largest answer that is stored, in bytes.
     pub const fn response_max_bytes(&self) -> usize {
-        self.answer_max_bytes
+        self.response_max_bytes
     }
 
     /// Claims held by running calls.
     pub fn held_count(&self) -> usize {
-        self.held.len()
+        self.granted.len()
     }
 
     /// Nothing waits for the platform.
@@ -86,21 +88,24 @@
         out: &mut Vec<ClaimAction>,
     ) {
         let index = shard_of(request.caller.as_str(), &request.key);
-        let begin = Begin {
+        let pending_claim = PendingClaim {
             nonce: self.next_nonce(),
             request,
             staged: false,
-            fresh: false,
-            until: now.plus_ms(BEGIN_MAX_MS),
+            read_since_request: false,
+            until: now.plus_ms(CLAIM_WAIT_MAX_MS),
         };
         let shard = &mut self.shards[index];
-        if let Some(until) = shard.quiet_until.filter(|until| *until > now) {
-            let retry_ms = until.ms_since(now).max(QUIET_MIN_MS);
-            out.push(refuse_away(begin.request.attempt, retry_ms));
+        if let Some(until) = shard.backoff_until.filter(|until| *until > now) {
+            let retry_ms = until.ms_since(now).max(BACKOFF_MIN_MS);
+            out.push(refuse_platform_away(
+                pending_claim.request.attempt,
+                retry_ms,
+            ));
             return;
         }
-        shard.begins.push(begin);
-        self.advance(now, index, out);
+        shard.pending_claims.push(pending_claim);
+        self.start_next_call(now, index, out);
     }
 
     /// The call ran and was answered; a call whose answer is not known is
@@ -112,15 +117,15 @@
         answer: Option<StoredResponse>,
         out: &mut Vec<ClaimAction>,
     ) {
-        let Some(held) = self.held.remove(&attempt) else {
+        let Some(held) = self.granted.remove(&attempt) else {
             return;
         };
-        let max = self.answer_max_bytes;
+        let max = self.response_max_bytes;
         let answer = answer.filter(|answer| answer.body.len() <= max);
         let nonce = held.nonce;
-        let ending = Ending::Finish { nonce, answer };
-        self.shards[held.shard].endings.push(ending);
-        self.advance(now, held.shard, out);
+        let end = ClaimEnd::Finish { nonce, answer };
+        self.shards[held.shard].pending_ends.push(end);
+        self.start_next_call(now, held.shard, out);
     }
 
     /// The call was not run: its key becomes free. [`ClaimAction::Released`]
@@ -131,33 +136,33 @@
         attempt: AttemptId,
         out: &mut Vec<ClaimAction>,
     ) {
-        let Some(held) = self.held.remove(&attempt) else {
+        let Some(held) = self.granted.remove(&attempt) else {
             out.push(ClaimAction::Released { attempt });
             return;
         };
-        let ending = Ending::Release {
+        let end = ClaimEnd::Release {
             nonce: held.nonce,
-            waiter: Some((attempt, now.plus_ms(RELEASE_WAIT_MS))),
+            waiter: Some((attempt, now.plus_ms(RELEASE_WAIT_MAX_MS))),
         };
-        self.shards[held.shard].endings.push(ending);
-        self.advance(now, held.shard, out);
+        self.shards[held.shard].pending_ends.push(end);
+        self.start_next_call(now, held.shard, out);
     }
 
     /// Whether the run of a claim can't be told: the claim stays as it is, and
     /// a resend is told so once the service's timeout has passed.
     pub fn abandon(&mut self, attempt: AttemptId) {
-        self.held.remove(&attempt);
+        self.granted.remove(&attempt);
     }
 
     /// Whether a call to the platform is one of the claims'.
     pub fn owns_call(&self, call: u64) -> bool {
-        self.calls.contains_key(&call)
+        self.shard_by_call.contains_key(&call)
     }
 
     /// When something is due.
     pub fn next_deadline(&self) -> Option<Instant> {
         let shards = self.shards.iter().filter(|shard| shard.has_work());
-        shards.filter_map(shard_due).min()
+        shards.filter_map(shard_deadline).min()
     }
 
     /// Gives up what has waited for too long and tries again what may be.
@@ -166,39 +171,42 @@
             if !self.shards[index].has_work() {
                 continue;
             }
-            self.give_up(now, index, out);
-            self.advance(now, index, out);
+            self.expire_waits(now, index, out);
+            self.start_next_call(now, index, out);
         }
     }
 
     fn next_nonce(&mut self) -> u64 {
-        self.nonces += 1;
+        self.nonce_count += 1;
         let mut bytes = self.options.agent.as_str().as_bytes().to_vec();
-        bytes.extend_from_slice(&self.nonces.to_le_bytes());
+        bytes.extend_from_slice(&self.nonce_count.to_le_bytes());
         xxh3_64_with_seed(&bytes, self.options.incarnation.0)
     }
 
-    pub(crate) fn bounds(&self, now: Instant) -> Bounds {
-        Bounds {
+    pub(crate) fn staging_limits(&self, now: Instant) -> StagingLimits {
+        StagingLimits {
             unix_ms: self.options.unix_ms_at_zero.saturating_add(now.as_ms()),
             retention_ms: self.retention_ms,
-            answer_max_bytes: self.answer_max_bytes,
+            response_max_bytes: self.response_max_bytes,
         }
     }
 
-    fn give_up(&mut self, now: Instant, index: usize, out: &mut Vec<ClaimAction>) {
+    fn expire_waits(&mut self, now: Instant, index: usize, out: &mut Vec<ClaimAction>) {
         let shard = &mut self.shards[index];
-        let begins = std::mem::take(&mut shard.begins);
-        for begin in begins {
-            if begin.until > now {
-                shard.begins.push(begin);
+        let pending_claims = std::mem::take(&mut shard.pending_claims);
+        for pending_claim in pending_claims {
+            if pending_claim.until > now {
+                shard.pending_claims.push(pending_claim);
                 continue;
             }
-            out.push(refuse_away(begin.request.attempt, QUIET_MAX_MS));
-            give_back(shard, &begin);
+            out.push(refuse_platform_away(
+                pending_claim.request.attempt,
+                BACKOFF_MAX_MS,
+            ));
+            release_if_staged(shard, &pending_claim);
         }
-        for ending in &mut shard.endings {
-            if let Ending::Release { waiter, .. } = ending
+        for end in &mut shard.pending_ends {
+            if let ClaimEnd::Release { waiter, .. } = end
                 && let Some((attempt, until)) = *waiter
                 && until <= now
             {
@@ -210,12 +218,15 @@
 }
 
 /// When a shard that has work wants to be looked at.
-fn shard_due(shard: &Shard) -> Option<Instant> {
-    let begins = shard.begins.iter().map(|begin| begin.until);
-    let waiters = shard.endings.iter().filter_map(|ending| match ending {
-        Ending::Release { waiter, .. } => waiter.map(|(_, until)| until),
-        Ending::Finish { .. } => None,
+fn shard_deadline(shard: &Shard) -> Option<Instant> {
+    let pending_claims = shard
+        .pending_claims
+        .iter()
+        .map(|pending_claim| pending_claim.until);
+    let waiters = shard.pending_ends.iter().filter_map(|end| match end {
+        ClaimEnd::Release { waiter, .. } => waiter.map(|(_, until)| until),
+        ClaimEnd::Finish { .. } => None,
     });
-    let quiet = shard.quiet_until.filter(|_| shard.is_idle());
-    begins.chain(waiters).chain(quiet).min()
+    let backoff = shard.backoff_until.filter(|_| shard.is_idle());
+    pending_claims.chain(waiters).chain(backoff).min()
 }
--- a/crates/once/src/lib.rs
+++ b/crates/once/src/lib.rs
@@ -18,11 +18,11 @@
 //!   waits is compared with the shard's content, so that a lost answer and a
 //!   received one end the same way.
 
-mod calls;
 mod claims;
 mod outcome;
+mod pending;
+mod platform_calls;
 mod shard;
-mod work;
 
 pub use claims::{Claims, ClaimsOptions};
 pub use outcome::{ClaimAction, ClaimOutcome, ClaimRequest, StoredResponse};
--- a/crates/once/src/work.rs
+++ b/crates/once/src/pending.rs
@@ -5,7 +5,7 @@
 
 /// A request that waits for its claim.
 #[derive(Debug)]
-pub(crate) struct Begin {
+pub(crate) struct PendingClaim {
     pub request: ClaimRequest,
     /// Identifies the claim in the shard.
     pub nonce: u64,
@@ -13,21 +13,21 @@
     pub staged: bool,
     /// The shard was read since the request came, so a claim found there is not
     /// one that has ended meanwhile.
-    pub fresh: bool,
+    pub read_since_request: bool,
     /// When it is given up.
     pub until: Instant,
 }
 
 /// A granted claim whose call is running.
 #[derive(Debug, Clone)]
-pub(crate) struct Held {
+pub(crate) struct GrantedClaim {
     pub shard: usize,
     pub nonce: u64,
 }
 
 /// The end of a claim's run.
 #[derive(Debug)]
-pub(crate) enum Ending {
+pub(crate) enum ClaimEnd {
     /// The call ran; its answer, if it is small enough to be kept.
     Finish {
         /// Claim.
@@ -44,7 +44,7 @@
     },
 }
 
-impl Ending {
+impl ClaimEnd {
     pub(crate) const fn nonce(&self) -> u64 {
         match self {
             Self::Finish { nonce, .. } | Self::Release { nonce, .. } => *nonce,
--- a/crates/once/src/calls.rs
+++ b/crates/once/src/platform_calls.rs
@@ -2,8 +2,8 @@
 
 use crate::Claims;
 use crate::outcome::{ClaimAction, ClaimOutcome};
-use crate::shard::{Busy, Known, Shard, shard_key};
-use crate::work::{Begin, Ending, Held};
+use crate::pending::{ClaimEnd, GrantedClaim, PendingClaim};
+use crate::shard::{CallState, Shard, ShardSnapshot, shard_key};
 use base::{
     AttemptId, Code, Instant, PlatformCall, PlatformOp, PlatformResult, Refusal,
     Version,
@@ -12,8 +12,8 @@
 use schema::store::{ClaimShard, ClaimState};
 
 /// Waits after the platform was away: the first, and the longest.
-pub(crate) const QUIET_MIN_MS: u64 = 250;
-pub(crate) const QUIET_MAX_MS: u64 = 4_000;
+pub(crate) const BACKOFF_MIN_MS: u64 = 250;
+pub(crate) const BACKOFF_MAX_MS: u64 = 4_000;
 
 impl Claims {
     /// The platform answered a call.
@@ -24,44 +24,46 @@
         result: PlatformResult,
         out: &mut Vec<ClaimAction>,
     ) {
-        let Some(index) = self.calls.remove(&call) else {
+        let Some(index) = self.shard_by_call.remove(&call) else {
             return;
         };
-        let busy = std::mem::replace(&mut self.shards[index].busy, Busy::Idle);
-        match (busy, result) {
-            (Busy::Reading, PlatformResult::Object(object)) => {
-                self.was_read(now, index, object, out);
+        let call_state =
+            std::mem::replace(&mut self.shards[index].call_state, CallState::Idle);
+        match (call_state, result) {
+            (CallState::Reading, PlatformResult::Object(object)) => {
+                self.on_read(now, index, object, out);
             }
-            (Busy::Writing(content), PlatformResult::Written(version)) => {
-                self.shards[index].maybe_written_over = None;
-                self.learn(index, Some(version), *content, out);
+            (CallState::Writing(content), PlatformResult::Written(version)) => {
+                self.shards[index].unanswered_write_expects = None;
+                self.apply_content(index, Some(version), *content, out);
             }
-            (Busy::Writing(..), PlatformResult::Conflict) => {
-                self.shards[index].known = None;
+            (CallState::Writing(..), PlatformResult::Conflict) => {
+                self.shards[index].snapshot = None;
             }
-            (Busy::Writing(..), PlatformResult::Away) | (Busy::Reading, _) => {
-                self.was_away(now, index, out);
+            (CallState::Writing(..), PlatformResult::Away)
+            | (CallState::Reading, _) => {
+                self.on_platform_away(now, index, out);
             }
-            (Busy::Writing(..), _) => self.write_was_lost(index),
-            (Busy::Idle, _) => {}
+            (CallState::Writing(..), _) => self.on_write_unanswered(index),
+            (CallState::Idle, _) => {}
         }
-        self.advance(now, index, out);
+        self.start_next_call(now, index, out);
     }
 
     /// Starts the shard's next call if it has none in flight.
-    pub(crate) fn advance(
+    pub(crate) fn start_next_call(
         &mut self,
         now: Instant,
         index: usize,
         out: &mut Vec<ClaimAction>,
     ) {
-        let bounds = self.bounds(now);
+        let limits = self.staging_limits(now);
         let shard = &mut self.shards[index];
-        let quiet = shard.quiet_until.is_some_and(|until| until > now);
-        if !shard.is_idle() || !shard.has_work() || quiet {
+        let backoff = shard.backoff_until.is_some_and(|until| until > now);
+        if !shard.is_idle() || !shard.has_work() || backoff {
             return;
         }
-        let staged = shard.stage(self.options.agent.as_str(), bounds);
+        let staged = shard.stage_next_write(self.options.agent.as_str(), limits);
         for (attempt, outcome) in staged.settled {
             out.push(ClaimAction::Settled { attempt, outcome });
         }
@@ -70,42 +72,42 @@
         } else if let Some(content) = staged.write {
             self.write(index, content, out);
         } else {
-            for attempt in self.shards[index].drop_moot() {
+            for attempt in self.shards[index].remove_obsolete_ends() {
                 out.push(ClaimAction::Released { attempt });
             }
         }
     }
 
     fn read(&mut self, index: usize, out: &mut Vec<ClaimAction>) {
-        let id = self.next_call(index);
-        self.shards[index].busy = Busy::Reading;
+        let id = self.allocate_call_id(index);
+        self.shards[index].call_state = CallState::Reading;
         let key = shard_key(index);
         let op = PlatformOp::Read { key };
         out.push(ClaimAction::CallPlatform(PlatformCall { id, op }));
     }
 
     fn write(&mut self, index: usize, content: ClaimShard, out: &mut Vec<ClaimAction>) {
-        let Some(known) = &self.shards[index].known else {
+        let Some(snapshot) = &self.shards[index].snapshot else {
             return;
         };
         let op = PlatformOp::Write {
             key: shard_key(index),
-            expect: known.expect(),
+            expect: snapshot.expect(),
             value: content.encode_to_vec(),
         };
-        let id = self.next_call(index);
-        self.shards[index].busy = Busy::Writing(Box::new(content));
+        let id = self.allocate_call_id(index);
+        self.shards[index].call_state = CallState::Writing(Box::new(content));
         out.push(ClaimAction::CallPlatform(PlatformCall { id, op }));
     }
 
-    fn next_call(&mut self, index: usize) -> u64 {
-        let id = self.next_call;
-        self.next_call += 1;
-        self.calls.insert(id, index);
+    fn allocate_call_id(&mut self, index: usize) -> u64 {
+        let id = self.next_call_id;
+        self.next_call_id += 1;
+        self.shard_by_call.insert(id, index);
         id
     }
 
-    fn was_read(
+    fn on_read(
         &mut self,
         now: Instant,
         index: usize,
@@ -120,27 +122,27 @@
         // would end a finish whose write had no answer: the stored answer would
         // be gone, and a resend be told that the outcome is unknown. Versions
         // come from one counter, so a lower one is older.
-        if version < self.shards[index].newest {
-            self.was_away(now, index, out);
+        if version < self.shards[index].highest_version {
+            self.on_platform_away(now, index, out);
             return;
         }
         // A shard that can't be read must not be written over: it holds claims.
         let Ok(content) = ClaimShard::decode(value.as_slice()) else {
-            self.was_away(now, index, out);
+            self.on_platform_away(now, index, out);
             return;
         };
         let shard = &mut self.shards[index];
-        if shard.maybe_written_over != Some(version) {
-            shard.maybe_written_over = None;
+        if shard.unanswered_write_expects != Some(version) {
+            shard.unanswered_write_expects = None;
         }
-        for begin in &mut shard.begins {
-            begin.fresh = true;
+        for pending_claim in &mut shard.pending_claims {
+            pending_claim.read_since_request = true;
         }
-        self.learn(index, version, content, out);
+        self.apply_content(index, version, content, out);
     }
 
     /// Settles whatever the shard's content shows to be settled.
-    fn learn(
+    fn apply_content(
         &mut self,
         index: usize,
         version: Option<Version>,
@@ -148,21 +150,21 @@
         out: &mut Vec<ClaimAction>,
     ) {
         let shard = &mut self.shards[index];
-        shard.quiet_until = None;
-        shard.failures = 0;
-        shard.newest = shard.newest.max(version);
+        shard.backoff_until = None;
+        shard.consecutive_failures = 0;
+        shard.highest_version = shard.highest_version.max(version);
         let state_of = |nonce: u64| {
             let mut claims = content.claims.iter();
             claims.find(|claim| claim.nonce == nonce).map(|c| c.state)
         };
-        let begins = std::mem::take(&mut shard.begins);
-        for begin in begins {
-            if begin.staged && state_of(begin.nonce).is_some() {
-                let attempt = begin.request.attempt;
-                let nonce = begin.nonce;
-                self.held.insert(
+        let pending_claims = std::mem::take(&mut shard.pending_claims);
+        for pending_claim in pending_claims {
+            if pending_claim.staged && state_of(pending_claim.nonce).is_some() {
+                let attempt = pending_claim.request.attempt;
+                let nonce = pending_claim.nonce;
+                self.granted.insert(
                     attempt,
-                    Held {
+                    GrantedClaim {
                         shard: index,
                         nonce,
                     },
@@ -170,18 +172,18 @@
                 let outcome = ClaimOutcome::Granted;
                 out.push(ClaimAction::Settled { attempt, outcome });
             } else {
-                shard.begins.push(begin);
+                shard.pending_claims.push(pending_claim);
             }
         }
         // A release is over when the claim is gone and no write that is still
         // under way can bring it back.
-        let settled = shard.maybe_written_over.is_none();
+        let settled = shard.unanswered_write_expects.is_none();
         let done = i32::from(ClaimState::Done);
-        shard.endings.retain(|ending| match ending {
-            Ending::Finish { nonce, .. } => {
+        shard.pending_ends.retain(|end| match end {
+            ClaimEnd::Finish { nonce, .. } => {
                 state_of(*nonce).is_some_and(|state| state != done)
             }
-            Ending::Release { nonce, waiter } => {
+            ClaimEnd::Release { nonce, waiter } => {
                 let over = settled && state_of(*nonce).is_none();
                 if over && let Some((attempt, _)) = waiter {
                     out.push(ClaimAction::Released { attempt: *attempt });
@@ -189,48 +191,57 @@
                 !over
             }
         });
-        shard.known = Some(Known { version, content });
+        shard.snapshot = Some(ShardSnapshot { version, content });
     }
 
     /// The effect of a write is not known: read back.
-    fn write_was_lost(&mut self, index: usize) {
+    fn on_write_unanswered(&mut self, index: usize) {
         let shard = &mut self.shards[index];
-        let expected = shard.known.take().map(|known| known.version);
-        shard.maybe_written_over = expected;
+        let expected = shard.snapshot.take().map(|snapshot| snapshot.version);
+        shard.unanswered_write_expects = expected;
     }
 
     /// The call had no effect. Requests that wait are refused at once, but for
     /// those whose lost write is still to be read back; what must be written
     /// later stays, and is tried again after a while.
-    fn was_away(&mut self, now: Instant, index: usize, out: &mut Vec<ClaimAction>) {
+    fn on_platform_away(
+        &mut self,
+        now: Instant,
+        index: usize,
+        out: &mut Vec<ClaimAction>,
+    ) {
         let shard = &mut self.shards[index];
-        let quiet_ms = (QUIET_MIN_MS << shard.failures.min(8)).min(QUIET_MAX_MS);
-        shard.failures = shard.failures.saturating_add(1);
-        shard.quiet_until = Some(now.plus_ms(quiet_ms));
-        let unsettled = shard.maybe_written_over.is_some();
-        for begin in std::mem::take(&mut shard.begins) {
-            if unsettled && begin.staged {
-                shard.begins.push(begin);
+        let backoff_ms =
+            (BACKOFF_MIN_MS << shard.consecutive_failures.min(8)).min(BACKOFF_MAX_MS);
+        shard.consecutive_failures = shard.consecutive_failures.saturating_add(1);
+        shard.backoff_until = Some(now.plus_ms(backoff_ms));
+        let unsettled = shard.unanswered_write_expects.is_some();
+        for pending_claim in std::mem::take(&mut shard.pending_claims) {
+            if unsettled && pending_claim.staged {
+                shard.pending_claims.push(pending_claim);
                 continue;
             }
-            out.push(refuse_away(begin.request.attempt, quiet_ms));
-            give_back(shard, &begin);
+            out.push(refuse_platform_away(
+                pending_claim.request.attempt,
+                backoff_ms,
+            ));
+            release_if_staged(shard, &pending_claim);
         }
     }
 }
 
 /// The claim of a refused call may stand, or come to stand: it is released in
 /// the background, else the key would look in progress though nothing ran.
-pub(crate) fn give_back(shard: &mut Shard, begin: &Begin) {
-    if begin.staged {
-        shard.endings.push(Ending::Release {
-            nonce: begin.nonce,
+pub(crate) fn release_if_staged(shard: &mut Shard, pending_claim: &PendingClaim) {
+    if pending_claim.staged {
+        shard.pending_ends.push(ClaimEnd::Release {
+            nonce: pending_claim.nonce,
             waiter: None,
         });
     }
 }
 
-pub(crate) fn refuse_away(attempt: AttemptId, retry_ms: u64) -> ClaimAction {
+pub(crate) fn refuse_platform_away(attempt: AttemptId, retry_ms: u64) -> ClaimAction {
     let refusal = Refusal::not_run(Code::PlatformAway).retry_after_ms(retry_ms);
     let outcome = ClaimOutcome::Refused(refusal);
     ClaimAction::Settled { attempt, outcome }
--- a/crates/once/src/shard.rs
+++ b/crates/once/src/shard.rs
@@ -1,6 +1,6 @@
 //! One shard object and what waits for it.
 
-use crate::work::{Begin, Ending};
+use crate::pending::{ClaimEnd, PendingClaim};
 use base::{AttemptId, Code, Expect, Instant, Ran, Refusal, Version};
 use prost::Message as _;
 use schema::store::{Claim, ClaimShard, ClaimState};
@@ -18,7 +18,7 @@
 pub(crate) const SHARD_MAX_BYTES: usize = 900_000;
 
 /// Largest share of a shard set aside for the answer of one running call.
-pub(crate) const ANSWER_ROOM_MAX_BYTES: usize = 64 << 10;
+pub(crate) const RESERVED_RESPONSE_MAX_BYTES: usize = 64 << 10;
 
 /// Added to the service's timeout before a claim without an answer counts as
 /// abandoned; covers the difference between two instances' wall clocks.
@@ -47,7 +47,7 @@
 
 /// The platform's call in flight for a shard.
 #[derive(Debug)]
-pub(crate) enum Busy {
+pub(crate) enum CallState {
     /// Nothing is in flight.
     Idle,
     /// The shard is being read.
@@ -58,13 +58,13 @@
 
 /// The shard's content as last seen.
 #[derive(Debug)]
-pub(crate) struct Known {
+pub(crate) struct ShardSnapshot {
     /// `None` if there was no object.
     pub version: Option<Version>,
     pub content: ClaimShard,
 }
 
-impl Known {
+impl ShardSnapshot {
     pub(crate) fn expect(&self) -> Expect {
         self.version.map_or(Expect::Absent, Expect::Version)
     }
@@ -73,32 +73,33 @@
 /// One shard.
 #[derive(Debug)]
 pub(crate) struct Shard {
-    pub busy: Busy,
-    pub known: Option<Known>,
+    pub call_state: CallState,
+    pub snapshot: Option<ShardSnapshot>,
     /// Highest version seen; a read below it shows the past.
-    pub newest: Option<Version>,
-    pub begins: Vec<Begin>,
-    pub endings: Vec<Ending>,
+    pub highest_version: Option<Version>,
+    pub pending_claims: Vec<PendingClaim>,
+    pub pending_ends: Vec<ClaimEnd>,
     /// Version which a write without an answer expected: as long as the object
     /// has it, that write may still take effect.
-    pub maybe_written_over: Option<Option<Version>>,
+    pub unanswered_write_expects: Option<Option<Version>>,
     /// No call before this, after the platform was away.
-    pub quiet_until: Option<Instant>,
-    pub failures: u32,
+    pub backoff_until: Option<Instant>,
+    pub consecutive_failures: u32,
 }
 
 impl Shard {
     /// Drops endings of claims that no longer stand, as those do which another
     /// agent pruned; returns who waits for one of them.
-    pub(crate) fn drop_moot(&mut self) -> Vec<AttemptId> {
-        let Some(known) = &self.known else {
+    pub(crate) fn remove_obsolete_ends(&mut self) -> Vec<AttemptId> {
+        let Some(snapshot) = &self.snapshot else {
             return Vec::new();
         };
-        let stands = |nonce: u64| known.content.claims.iter().any(|c| c.nonce == nonce);
+        let is_claimed =
+            |nonce: u64| snapshot.content.claims.iter().any(|c| c.nonce == nonce);
         let mut waiters = Vec::new();
-        self.endings.retain(|ending| {
-            let keep = stands(ending.nonce());
-            if !keep && let Ending::Release { waiter, .. } = ending {
+        self.pending_ends.retain(|end| {
+            let keep = is_claimed(end.nonce());
+            if !keep && let ClaimEnd::Release { waiter, .. } = end {
                 waiters.extend(waiter.map(|(attempt, _)| attempt));
             }
             keep
@@ -109,15 +110,15 @@
 
 /// Bounds that one staging follows.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Bounds {
+pub(crate) struct StagingLimits {
     pub unix_ms: u64,
     pub retention_ms: u64,
-    pub answer_max_bytes: usize,
+    pub response_max_bytes: usize,
 }
 
 /// What staging has decided.
 #[derive(Debug, Default)]
-pub(crate) struct Staged {
+pub(crate) struct StagingResult {
     /// Outcomes that need no write.
     pub settled: Vec<(AttemptId, ClaimOutcome)>,
     /// A decision needs the shard to be read first.
@@ -129,61 +130,73 @@
 impl Shard {
     pub(crate) const fn new() -> Self {
         Self {
-            busy: Busy::Idle,
-            known: None,
-            newest: None,
-            begins: Vec::new(),
-            endings: Vec::new(),
-            maybe_written_over: None,
-            quiet_until: None,
-            failures: 0,
+            call_state: CallState::Idle,
+            snapshot: None,
+            highest_version: None,
+            pending_claims: Vec::new(),
+            pending_ends: Vec::new(),
+            unanswered_write_expects: None,
+            backoff_until: None,
+            consecutive_failures: 0,
         }
     }
 
     pub(crate) const fn is_idle(&self) -> bool {
-        matches!(self.busy, Busy::Idle)
+        matches!(self.call_state, CallState::Idle)
     }
 
     pub(crate) fn has_work(&self) -> bool {
-        !self.begins.is_empty() || !self.endings.is_empty()
+        !self.pending_claims.is_empty() || !self.pending_ends.is_empty()
     }
 
     /// Works out the next write from the known content and all that waits.
-    pub(crate) fn stage(&mut self, agent: &str, bounds: Bounds) -> Staged {
-        let mut staged = Staged::default();
-        let Some(known) = &self.known else {
+    pub(crate) fn stage_next_write(
+        &mut self,
+        agent: &str,
+        limits: StagingLimits,
+    ) -> StagingResult {
+        let mut staged = StagingResult::default();
+        let Some(snapshot) = &self.snapshot else {
             staged.read_first = true;
             return staged;
         };
-        let mut content = known.content.clone();
-        let mut changed = self.maybe_written_over.is_some();
-        changed |= stage_endings(&mut content, &self.endings);
+        let mut content = snapshot.content.clone();
+        let mut changed = self.unanswered_write_expects.is_some();
+        changed |= stage_ends(&mut content, &self.pending_ends);
         // Before the begins, so that a full shard takes new claims again.
-        prune(&mut content, bounds, &self.begins);
-        let standing = content.claims.len();
-        let begins = std::mem::take(&mut self.begins);
+        prune(&mut content, limits, &self.pending_claims);
+        let existing_count = content.claims.len();
+        let pending_claims = std::mem::take(&mut self.pending_claims);
         let mut claimed = Vec::new();
-        for begin in begins {
-            match stage_begin(&mut content, standing, &begin, agent, bounds) {
-                Step::Claimed => {
-                    claimed.push(self.begins.len());
-                    self.begins.push(begin);
+        for pending_claim in pending_claims {
+            match stage_claim(
+                &mut content,
+                existing_count,
+                &pending_claim,
+                agent,
+                limits,
+            ) {
+                ClaimDecision::Claimed => {
+                    claimed.push(self.pending_claims.len());
+                    self.pending_claims.push(pending_claim);
                 }
-                Step::ReadFirst => {
+                ClaimDecision::ReadFirst => {
                     staged.read_first = true;
-                    self.begins.push(begin);
+                    self.pending_claims.push(pending_claim);
                 }
-                Step::NextRound => self.begins.push(begin),
-                Step::Settled(outcome) => {
-                    staged.settled.push((begin.request.attempt, outcome));
+                ClaimDecision::NextRound => self.pending_claims.push(pending_claim),
+                ClaimDecision::Settled(outcome) => {
+                    staged
+                        .settled
+                        .push((pending_claim.request.attempt, outcome));
                 }
             }
         }
         if staged.read_first {
             return staged;
         }
-        for place in &claimed {
-            self.begins[*place].staged = true;
+        for position in &claimed {
+            self.pending_claims[*position].staged = true;
         }
         if changed || !claimed.is_empty() {
             staged.write = Some(content);
@@ -192,62 +205,74 @@
     }
 }
 
-enum Step {
+enum ClaimDecision {
     Claimed,
     ReadFirst,
     NextRound,
     Settled(ClaimOutcome),
 }
 
-fn stage_begin(
+fn stage_claim(
     content: &mut ClaimShard,
-    standing: usize,
-    begin: &Begin,
+    existing_count: usize,
+    pending_claim: &PendingClaim,
     agent: &str,
-    bounds: Bounds,
-) -> Step {
-    let request = &begin.request;
+    limits: StagingLimits,
+) -> ClaimDecision {
+    let request = &pending_claim.request;
     let found = content.claims.iter().position(|claim| {
         claim.caller == request.caller.as_str() && claim.key == request.key
     });
     match found {
         // The same write makes that claim; whether it stands is seen after it.
-        Some(place) if place >= standing => return Step::NextRound,
-        Some(place) => return judge(&content.claims[place], begin, bounds),
+        Some(position) if position >= existing_count => {
+            return ClaimDecision::NextRound;
+        }
+        Some(position) => {
+            return decide_existing_claim(
+                &content.claims[position],
+                pending_claim,
+                limits,
+            );
+        }
         None => {}
     }
     let claim = Claim {
         caller: request.caller.as_str().to_owned(),
         key: request.key.clone(),
         body_hash: request.body_hash,
-        nonce: begin.nonce,
+        nonce: pending_claim.nonce,
         state: ClaimState::Claimed.into(),
-        claimed_unix_ms: bounds.unix_ms,
+        claimed_unix_ms: limits.unix_ms,
         agent: agent.to_owned(),
         ..Claim::default()
     };
-    if planned_bytes(content, &claim, bounds) > SHARD_MAX_BYTES {
+    if planned_bytes(content, &claim, limits) > SHARD_MAX_BYTES {
         let refusal = Refusal::not_run(Code::Overloaded).retry_after_ms(FULL_RETRY_MS);
-        return Step::Settled(ClaimOutcome::Refused(refusal));
+        return ClaimDecision::Settled(ClaimOutcome::Refused(refusal));
     }
     content.claims.push(claim);
-    Step::Claimed
+    ClaimDecision::Claimed
 }
 
 /// Decides about a key that is claimed already.
-fn judge(claim: &Claim, begin: &Begin, bounds: Bounds) -> Step {
-    let other_body = claim.body_hash != begin.request.body_hash;
+fn decide_existing_claim(
+    claim: &Claim,
+    pending_claim: &PendingClaim,
+    limits: StagingLimits,
+) -> ClaimDecision {
+    let other_body = claim.body_hash != pending_claim.request.body_hash;
     let done = claim.state == i32::from(ClaimState::Done);
     if done && !other_body {
-        return Step::Settled(replay(claim));
+        return ClaimDecision::Settled(stored_outcome(claim));
     }
     // A claim seen earlier may have been released or finished since.
-    if !begin.fresh {
-        return Step::ReadFirst;
+    if !pending_claim.read_since_request {
+        return ClaimDecision::ReadFirst;
     }
     let refusal = if other_body {
         Refusal::not_run(Code::KeyReused)
-    } else if abandoned(claim, begin, bounds) {
+    } else if is_abandoned(claim, pending_claim, limits) {
         Refusal {
             code: Code::OutcomeUnknown,
             ran: Ran::Unknown,
@@ -260,17 +285,22 @@
             retry_after_ms: Some(IN_PROGRESS_RETRY_MS),
         }
     };
-    Step::Settled(ClaimOutcome::Refused(refusal))
+    ClaimDecision::Settled(ClaimOutcome::Refused(refusal))
 }
 
-fn abandoned(claim: &Claim, begin: &Begin, bounds: Bounds) -> bool {
-    let patience_ms = u64::from(begin.request.timeout_ms) + ABANDONED_MARGIN_MS;
-    bounds.unix_ms.saturating_sub(claim.claimed_unix_ms) > patience_ms
+fn is_abandoned(
+    claim: &Claim,
+    pending_claim: &PendingClaim,
+    limits: StagingLimits,
+) -> bool {
+    let claim_timeout_ms =
+        u64::from(pending_claim.request.timeout_ms) + ABANDONED_MARGIN_MS;
+    limits.unix_ms.saturating_sub(claim.claimed_unix_ms) > claim_timeout_ms
 }
 
 /// The answer of a call that is done; one that was too large is known to have
 /// run, and no more.
-fn replay(claim: &Claim) -> ClaimOutcome {
+fn stored_outcome(claim: &Claim) -> ClaimOutcome {
     let Some(status) = u16::try_from(claim.status).ok().filter(|s| *s != 0) else {
         return ClaimOutcome::Refused(Refusal {
             code: Code::OutcomeUnknown,
@@ -286,62 +316,72 @@
 }
 
 /// Size of the shard once all running calls have stored their answers.
-fn planned_bytes(content: &ClaimShard, added: &Claim, bounds: Bounds) -> usize {
+fn planned_bytes(content: &ClaimShard, added: &Claim, limits: StagingLimits) -> usize {
     let running = content
         .claims
         .iter()
         .filter(|claim| claim.state == i32::from(ClaimState::Claimed))
         .count();
-    let room = bounds.answer_max_bytes.min(ANSWER_ROOM_MAX_BYTES);
+    let reserved_bytes = limits.response_max_bytes.min(RESERVED_RESPONSE_MAX_BYTES);
     // Length prefixes of the added claim and of the answers.
     let prefixes = 16 * (running + 1);
-    content.encoded_len() + added.encoded_len() + (running + 1) * room + prefixes
+    content.encoded_len()
+        + added.encoded_len()
+        + (running + 1) * reserved_bytes
+        + prefixes
 }
 
 /// Applies finishes and releases; says whether anything changed.
-fn stage_endings(content: &mut ClaimShard, endings: &[Ending]) -> bool {
+fn stage_ends(content: &mut ClaimShard, pending_ends: &[ClaimEnd]) -> bool {
     let mut changed = false;
-    for ending in endings {
-        let place = content
+    for end in pending_ends {
+        let position = content
             .claims
             .iter()
-            .position(|claim| claim.nonce == ending.nonce());
-        let Some(place) = place else { continue };
+            .position(|claim| claim.nonce == end.nonce());
+        let Some(position) = position else { continue };
         changed = true;
-        match ending {
-            Ending::Release { .. } => {
-                content.claims.remove(place);
+        match end {
+            ClaimEnd::Release { .. } => {
+                content.claims.remove(position);
             }
-            Ending::Finish { answer, .. } => {
-                store_answer(content, place, answer.as_ref());
+            ClaimEnd::Finish { answer, .. } => {
+                store_response(content, position, answer.as_ref());
             }
         }
     }
     changed
 }
 
-fn store_answer(
+fn store_response(
     content: &mut ClaimShard,
-    place: usize,
+    position: usize,
     answer: Option<&StoredResponse>,
 ) {
-    content.claims[place].state = ClaimState::Done.into();
+    content.claims[position].state = ClaimState::Done.into();
     let Some(answer) = answer else { return };
     let added = answer.body.len() + answer.content_type.len() + 32;
     if content.encoded_len() + added > SHARD_MAX_BYTES {
         return;
     }
-    let claim = &mut content.claims[place];
+    let claim = &mut content.claims[position];
     claim.status = u32::from(answer.status);
     claim.content_type.clone_from(&answer.content_type);
     claim.answer.clone_from(&answer.body);
 }
 
 /// Drops claims past their retention, but for those being made right now.
-fn prune(content: &mut ClaimShard, bounds: Bounds, begins: &[Begin]) {
+fn prune(
+    content: &mut ClaimShard,
+    limits: StagingLimits,
+    pending_claims: &[PendingClaim],
+) {
     let keep = |claim: &Claim| {
-        let end = claim.claimed_unix_ms.saturating_add(bounds.retention_ms);
-        end > bounds.unix_ms || begins.iter().any(|begin| begin.nonce == claim.nonce)
+        let end = claim.claimed_unix_ms.saturating_add(limits.retention_ms);
+        end > limits.unix_ms
+            || pending_claims
+                .iter()
+                .any(|pending_claim| pending_claim.nonce == claim.nonce)
     };
     content.claims.retain(keep);
 }
--- a/crates/once/tests/claims/agents.rs
+++ b/crates/once/tests/claims/agents.rs
@@ -1,6 +1,6 @@
 //! One key at several agents, one after the other or at once.
 
-use crate::stand::{Agent, BODY, Fate, OTHER_BODY, Platform};
+use crate::stand::{Agent, BODY, OTHER_BODY, Platform, PlatformBehavior};
 use base::prelude::*;
 use once::ClaimOutcome;
 
@@ -9,16 +9,16 @@
 /// that the call is in progress, later that its outcome is not known, or gets
 /// the answer.
 #[test]
-fn of_two_agents_one_runs_the_call() {
+fn only_one_of_two_agents_is_granted_a_key() {
     let mut platform = Platform::default();
     let mut one = Agent::new("one");
     let mut two = Agent::new("two");
     one.request_claim(0, 1, "key", BODY);
     two.request_claim(0, 2, "key", BODY);
-    one.step(0, &mut platform);
-    two.step(0, &mut platform);
-    one.pump(0, &mut platform);
-    two.pump(0, &mut platform);
+    one.answer_one(0, &mut platform);
+    two.answer_one(0, &mut platform);
+    one.answer_all(0, &mut platform);
+    two.answer_all(0, &mut platform);
     assert!(one.granted(1));
     assert_eq!(two.refused(2), Some((Code::KeyInProgress, Ran::Unknown)));
 
@@ -30,14 +30,14 @@
     ];
     for (attempt, ms, body, expected) in cases {
         two.request_claim(ms, attempt, "key", body);
-        two.pump(ms, &mut platform);
+        two.answer_all(ms, &mut platform);
         assert_eq!(two.refused(attempt), Some(expected), "attempt {attempt}");
     }
 
     one.finish(13_000, 1, b"two cylinders");
-    one.pump(13_000, &mut platform);
+    one.answer_all(13_000, &mut platform);
     two.request_claim(13_001, 7, "key", BODY);
-    two.pump(13_001, &mut platform);
+    two.answer_all(13_001, &mut platform);
     let Some(ClaimOutcome::Replay(answer)) = two.outcome(7) else {
         panic!("no stored answer: {:?}", two.outcome(7));
     };
@@ -46,7 +46,7 @@
         (201, &b"two cylinders"[..])
     );
     two.request_claim(13_002, 8, "key", OTHER_BODY);
-    two.pump(13_002, &mut platform);
+    two.answer_all(13_002, &mut platform);
     assert_eq!(two.refused(8), Some((Code::KeyReused, Ran::NotRun)));
 }
 
@@ -54,43 +54,43 @@
 /// The second must not be run, whatever becomes of the first: it is judged
 /// after the write, and gets the key if the first gave it back.
 #[test]
-fn of_two_at_one_agent_one_runs_the_call() {
+fn only_one_of_two_requests_at_an_agent_is_granted_a_key() {
     let mut platform = Platform::default();
     let mut agent = Agent::new("one");
     agent.request_claim(0, 1, "key", BODY);
     agent.request_claim(0, 2, "key", BODY);
-    agent.pump(0, &mut platform);
+    agent.answer_all(0, &mut platform);
     assert!(agent.granted(1));
     assert_eq!(agent.refused(2), Some((Code::KeyInProgress, Ran::Unknown)));
 
     agent.request_claim(1, 3, "key", BODY);
     agent.release(1, 1);
-    agent.pump(1, &mut platform);
+    agent.answer_all(1, &mut platform);
     assert_eq!(agent.released, [1]);
     assert!(agent.granted(3), "{:?}", agent.outcome(3));
-    assert_eq!(platform.claims(), 1);
+    assert_eq!(platform.claim_count(), 1);
 }
 
 /// An agent dies with a claim written: between claim and run, or between run
 /// and answer. Its successor can't tell which, so the call is not run again;
 /// the caller is told that it is in progress and then that nobody knows.
 #[test]
-fn a_claim_of_a_dead_agent_is_not_run_again() {
+fn dead_agents_claim_is_not_run_again() {
     let mut platform = Platform::default();
     let mut dead = Agent::new("one");
     dead.request_claim(0, 1, "key", BODY);
-    dead.pump(0, &mut platform);
+    dead.answer_all(0, &mut platform);
     assert!(dead.granted(1));
     drop(dead);
     let mut successor = Agent::new("successor");
     successor.request_claim(1_000, 2, "key", BODY);
-    successor.pump(1_000, &mut platform);
+    successor.answer_all(1_000, &mut platform);
     assert_eq!(
         successor.refused(2),
         Some((Code::KeyInProgress, Ran::Unknown))
     );
     successor.request_claim(60_000, 3, "key", BODY);
-    successor.pump(60_000, &mut platform);
+    successor.answer_all(60_000, &mut platform);
     assert_eq!(
         successor.refused(3),
         Some((Code::OutcomeUnknown, Ran::Unknown))
@@ -101,30 +101,30 @@
 /// the caller sends the call again at once and must not meet its own claim. If
 /// the platform is away the refusal waits for a second and no longer.
 #[test]
-fn a_refused_call_frees_its_key_first() {
+fn key_is_released_before_a_refusal_is_sent() {
     let mut platform = Platform::default();
     let mut agent = Agent::new("one");
     agent.request_claim(0, 1, "key", BODY);
-    agent.pump(0, &mut platform);
+    agent.answer_all(0, &mut platform);
     agent.release(10, 1);
     assert!(agent.released.is_empty(), "told before it was written");
-    agent.pump(10, &mut platform);
+    agent.answer_all(10, &mut platform);
     assert_eq!(agent.released, [1]);
-    assert_eq!(platform.claims(), 0);
+    assert_eq!(platform.claim_count(), 0);
 
     agent.request_claim(20, 2, "key", BODY);
-    agent.pump(20, &mut platform);
-    platform.fates.extend([Fate::Away; 3]);
+    agent.answer_all(20, &mut platform);
+    platform.behaviors.extend([PlatformBehavior::Away; 3]);
     agent.release(30, 2);
     for ms in (30..1_030).step_by(100) {
         agent.tick(ms);
-        agent.pump(ms, &mut platform);
+        agent.answer_all(ms, &mut platform);
     }
     agent.tick(1_030);
     assert_eq!(agent.released, [1, 2]);
     for ms in (1_030..20_000).step_by(100) {
         agent.tick(ms);
-        agent.pump(ms, &mut platform);
+        agent.answer_all(ms, &mut platform);
     }
-    assert_eq!(platform.claims(), 0, "released later");
+    assert_eq!(platform.claim_count(), 0, "released later");
 }
--- a/crates/once/tests/claims/shards.rs
+++ b/crates/once/tests/claims/shards.rs
@@ -8,7 +8,7 @@
 /// the platform is asked as often as it answers and not as often as callers
 /// call.
 #[test]
-fn claims_share_a_write() {
+fn concurrent_claims_share_a_write() {
     let mut platform = Platform::default();
     let mut agent = Agent::new("one");
     let shard = shard_of("desk", "key-0");
@@ -21,14 +21,14 @@
         agent.request_claim(0, attempt, key, BODY);
     }
     assert_eq!(agent.calls.len(), 1, "one call in flight for a shard");
-    agent.pump(0, &mut platform);
+    agent.answer_all(0, &mut platform);
     assert_eq!(agent.settled.len(), 50);
     assert!((1..=50).all(|attempt| agent.granted(attempt)));
     assert_eq!(platform.writes, 1);
     for attempt in 1..=50 {
         agent.finish(1, attempt, b"done");
     }
-    agent.pump(1, &mut platform);
+    agent.answer_all(1, &mut platform);
     assert_eq!(platform.writes, 3, "one under way, and one for all others");
     assert!(agent.claims.is_flushed());
 }
@@ -36,7 +36,7 @@
 /// A shard is an object of less than a megabyte. New keys are refused before it
 /// is full, as `not_run`, and claims past their retention make room.
 #[test]
-fn a_full_shard_refuses_and_old_claims_make_room() {
+fn full_shard_refuses_claims_until_old_ones_expire() {
     let mut platform = Platform::default();
     let mut agent = Agent::new("one");
     agent.claims.configure(3_600_000, 64 << 10);
@@ -48,50 +48,54 @@
     let body = vec![b'x'; 60 << 10];
     for (attempt, key) in (1..).zip(&keys) {
         agent.request_claim(0, attempt, key, BODY);
-        agent.pump(0, &mut platform);
+        agent.answer_all(0, &mut platform);
         if agent.granted(attempt) {
             agent.finish(0, attempt, &body);
-            agent.pump(0, &mut platform);
+            agent.answer_all(0, &mut platform);
         }
     }
     let granted = (1..=100).filter(|attempt| agent.granted(*attempt)).count();
     assert!((10..20).contains(&granted), "{granted} claims fit");
     assert_eq!(agent.refused(100), Some((Code::Overloaded, Ran::NotRun)));
-    assert!(platform.largest() < 900_000, "{} bytes", platform.largest());
+    assert!(
+        platform.largest_object_bytes() < 900_000,
+        "{} bytes",
+        platform.largest_object_bytes()
+    );
 
     let later = 3_600_001;
     agent.request_claim(later, 101, &keys[0], OTHER_BODY);
-    agent.pump(later, &mut platform);
+    agent.answer_all(later, &mut platform);
     assert!(agent.granted(101), "{:?}", agent.outcome(101));
-    assert_eq!(platform.claims(), 1, "the old claims are forgotten");
+    assert_eq!(platform.claim_count(), 1, "the old claims are forgotten");
 }
 
 /// An answer too large to be kept is lost for a resend. The resend is told that
 /// the call ran, and is not run.
 #[test]
-fn an_answer_too_large_is_known_to_have_run() {
+fn oversized_response_is_recorded_as_run() {
     let mut platform = Platform::default();
     let mut agent = Agent::new("one");
     agent.claims.configure(3_600_000, 4);
     agent.request_claim(0, 1, "key", BODY);
-    agent.pump(0, &mut platform);
+    agent.answer_all(0, &mut platform);
     agent.finish(1, 1, b"too large");
-    agent.pump(1, &mut platform);
+    agent.answer_all(1, &mut platform);
     agent.request_claim(2, 2, "key", BODY);
-    agent.pump(2, &mut platform);
+    agent.answer_all(2, &mut platform);
     assert_eq!(agent.refused(2), Some((Code::OutcomeUnknown, Ran::Ran)));
 }
 
 /// A shard that can't be decoded holds claims that must not be written over:
 /// calls are refused as `not_run` and the object stays as it is.
 #[test]
-fn a_shard_that_cant_be_read_is_left_alone() {
+fn undecodable_shard_is_not_overwritten() {
     let mut platform = Platform::default();
     let key = shard_key(shard_of("desk", "key"));
     platform.objects.insert(key.clone(), (1, vec![0xff; 5]));
     let mut agent = Agent::new("one");
     agent.request_claim(0, 1, "key", BODY);
-    agent.pump(0, &mut platform);
+    agent.answer_all(0, &mut platform);
     assert_eq!(agent.refused(1), Some((Code::PlatformAway, Ran::NotRun)));
     assert_eq!(platform.objects[&key].1, vec![0xff; 5]);
 }
--- a/crates/once/tests/claims/stand.rs
+++ b/crates/once/tests/claims/stand.rs
@@ -15,8 +15,8 @@
 
 /// How the platform treats one call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
-    Good,
+pub enum PlatformBehavior {
+    Normal,
     Away,
     /// The call has its effect, its answer is lost.
     AnswerLost,
@@ -25,31 +25,35 @@
     /// The answer is lost, and the call has its effect later.
     Late,
     /// A read gives what stood before the first write.
-    Old,
+    Stale,
 }
 
 #[derive(Debug, Default)]
 pub struct Platform {
     pub objects: BTreeMap<String, (u64, Vec<u8>)>,
-    last: u64,
-    pub fates: VecDeque<Fate>,
-    late: Vec<PlatformOp>,
+    last_version: u64,
+    pub behaviors: VecDeque<PlatformBehavior>,
+    late_ops: Vec<PlatformOp>,
     pub writes: usize,
 }
 
 impl Platform {
     pub fn answer(&mut self, call: &PlatformCall) -> PlatformResult {
-        match self.fates.pop_front().unwrap_or(Fate::Good) {
-            Fate::Good => self.apply(&call.op),
-            Fate::Away => PlatformResult::Away,
-            Fate::CallLost => PlatformResult::Unanswered,
-            Fate::AnswerLost => {
+        match self
+            .behaviors
+            .pop_front()
+            .unwrap_or(PlatformBehavior::Normal)
+        {
+            PlatformBehavior::Normal => self.apply(&call.op),
+            PlatformBehavior::Away => PlatformResult::Away,
+            PlatformBehavior::CallLost => PlatformResult::Unanswered,
+            PlatformBehavior::AnswerLost => {
                 self.apply(&call.op);
                 PlatformResult::Unanswered
             }
-            Fate::Old => PlatformResult::Object(None),
-            Fate::Late => {
-                self.late.push(call.op.clone());
+            PlatformBehavior::Stale => PlatformResult::Object(None),
+            PlatformBehavior::Late => {
+                self.late_ops.push(call.op.clone());
                 PlatformResult::Unanswered
             }
         }
@@ -66,36 +70,37 @@
             PlatformOp::Write { key, expect, value } => {
                 self.writes += 1;
                 let held = self.objects.get(key).map(|(version, _)| Version(*version));
-                let fits = match expect {
+                let version_matches = match expect {
                     Expect::Any => true,
                     Expect::Absent => held.is_none(),
                     Expect::Version(version) => held == Some(*version),
                 };
-                if !fits {
+                if !version_matches {
                     return PlatformResult::Conflict;
                 }
-                self.last += 1;
-                self.objects.insert(key.clone(), (self.last, value.clone()));
-                PlatformResult::Written(Version(self.last))
+                self.last_version += 1;
+                self.objects
+                    .insert(key.clone(), (self.last_version, value.clone()));
+                PlatformResult::Written(Version(self.last_version))
             }
             other => panic!("claims make no such call: {other:?}"),
         }
     }
 
     pub fn deliver_late(&mut self) {
-        for op in std::mem::take(&mut self.late) {
+        for op in std::mem::take(&mut self.late_ops) {
             self.apply(&op);
         }
     }
 
-    pub fn claims(&self) -> usize {
+    pub fn claim_count(&self) -> usize {
         let shards = self.objects.values();
         let held = shards.map(|(_, value)| ClaimShard::decode(value.as_slice()));
         held.map(|shard| shard.expect("shards are well formed").claims.len())
             .sum()
     }
 
-    pub fn largest(&self) -> usize {
+    pub fn largest_object_bytes(&self) -> usize {
         let sizes = self.objects.values().map(|(_, value)| value.len());
         sizes.max().unwrap_or(0)
     }
@@ -135,7 +140,7 @@
         let mut out = Vec::new();
         self.claims
             .request_claim(Instant::from_ms(ms), request, &mut out);
-        self.take(out);
+        self.collect(out);
     }
 
     pub fn finish(&mut self, ms: u64, attempt: u64, body: &[u8]) {
@@ -147,23 +152,23 @@
         let mut out = Vec::new();
         let now = Instant::from_ms(ms);
         self.claims.finish(now, id(attempt), Some(answer), &mut out);
-        self.take(out);
+        self.collect(out);
     }
 
     pub fn release(&mut self, ms: u64, attempt: u64) {
         let mut out = Vec::new();
         self.claims
             .release(Instant::from_ms(ms), id(attempt), &mut out);
-        self.take(out);
+        self.collect(out);
     }
 
     pub fn tick(&mut self, ms: u64) {
         let mut out = Vec::new();
         self.claims.tick(Instant::from_ms(ms), &mut out);
-        self.take(out);
+        self.collect(out);
     }
 
-    fn take(&mut self, actions: Vec<ClaimAction>) {
+    fn collect(&mut self, actions: Vec<ClaimAction>) {
         for action in actions {
             match action {
                 ClaimAction::CallPlatform(call) => self.calls.push(call),
@@ -178,7 +183,7 @@
     }
 
     /// Lets the platform answer one call.
-    pub fn step(&mut self, ms: u64, platform: &mut Platform) -> bool {
+    pub fn answer_one(&mut self, ms: u64, platform: &mut Platform) -> bool {
         if self.calls.is_empty() {
             return false;
         }
@@ -188,13 +193,13 @@
         let now = Instant::from_ms(ms);
         self.claims
             .platform_answered(now, call.id, result, &mut out);
-        self.take(out);
+        self.collect(out);
         true
     }
 
-    pub fn pump(&mut self, ms: u64, platform: &mut Platform) {
+    pub fn answer_all(&mut self, ms: u64, platform: &mut Platform) {
         for _ in 0..100 {
-            if !self.step(ms, platform) {
+            if !self.answer_one(ms, platform) {
                 return;
             }
         }
--- a/crates/once/tests/claims/writes.rs
+++ b/crates/once/tests/claims/writes.rs
@@ -1,6 +1,6 @@
 //! Writes and reads of claims that are lost, late or old.
 
-use crate::stand::{Agent, BODY, Fate, Platform};
+use crate::stand::{Agent, BODY, Platform, PlatformBehavior};
 use base::prelude::*;
 use once::ClaimOutcome;
 use std::collections::VecDeque;
@@ -10,41 +10,41 @@
 /// or a refusal as `not_run`, and in the second case the key is free again as
 /// soon as the platform can be reached.
 #[test]
-fn lost_writes_are_settled_or_given_back() {
-    use Fate::{AnswerLost, Away, CallLost, Good, Late};
-    let cases: &[(&str, &[Fate], bool)] = &[
+fn unanswered_writes_are_granted_or_released() {
+    use PlatformBehavior::{AnswerLost, Away, CallLost, Late, Normal};
+    let cases: &[(&str, &[PlatformBehavior], bool)] = &[
         ("good", &[], true),
         ("the first read is away", &[Away], false),
         ("the first read gets no answer", &[CallLost], false),
-        ("the write is away", &[Good, Away], false),
-        ("the write's answer is lost", &[Good, AnswerLost], true),
-        ("the write is lost", &[Good, CallLost], true),
-        ("the write is late", &[Good, Late], true),
-        ("lost twice", &[Good, CallLost, Good, CallLost], true),
+        ("the write is away", &[Normal, Away], false),
+        ("the write's answer is lost", &[Normal, AnswerLost], true),
+        ("the write is lost", &[Normal, CallLost], true),
+        ("the write is late", &[Normal, Late], true),
+        ("lost twice", &[Normal, CallLost, Normal, CallLost], true),
         (
             "lost, and away at the first reading back",
-            &[Good, AnswerLost, Away],
+            &[Normal, AnswerLost, Away],
             true,
         ),
         (
             "lost, and away for long",
-            &[Good, AnswerLost, Away, Away, Away, Away, Away, Away, Away],
+            &[Normal, AnswerLost, Away, Away, Away, Away, Away, Away, Away],
             false,
         ),
     ];
-    for (name, fates, granted) in cases {
+    for (name, behaviors, granted) in cases {
         let mut platform = Platform::default();
-        platform.fates.extend(*fates);
+        platform.behaviors.extend(*behaviors);
         let mut agent = Agent::new("one");
         agent.request_claim(0, 1, "key", BODY);
         for ms in (0..=20_000).step_by(100) {
             agent.tick(ms);
-            agent.pump(ms, &mut platform);
+            agent.answer_all(ms, &mut platform);
             platform.deliver_late();
         }
         assert_eq!(agent.granted(1), *granted, "{name}: {:?}", agent.settled);
         if *granted {
-            assert_eq!(platform.claims(), 1, "{name}");
+            assert_eq!(platform.claim_count(), 1, "{name}");
             continue;
         }
         assert_eq!(
@@ -52,10 +52,10 @@
             Some((Code::PlatformAway, Ran::NotRun)),
             "{name}"
         );
-        assert_eq!(platform.claims(), 0, "{name}: the key is not free");
+        assert_eq!(platform.claim_count(), 0, "{name}: the key is not free");
         assert!(agent.claims.is_flushed(), "{name}");
         agent.request_claim(20_000, 2, "key", BODY);
-        agent.pump(20_000, &mut platform);
+        agent.answer_all(20_000, &mut platform);
         assert!(agent.granted(2), "{name}: a resend is not run");
     }
 }
@@ -64,21 +64,23 @@
 /// `not_run`, so the claim has to go again: the release is not over while the
 /// write may still come.
 #[test]
-fn a_write_that_comes_after_its_refusal_is_released() {
+fn write_applied_after_its_refusal_is_released() {
     let mut platform = Platform::default();
-    platform.fates.extend([Fate::Good, Fate::Late]);
-    platform.fates.extend([Fate::Away; 8]);
+    platform
+        .behaviors
+        .extend([PlatformBehavior::Normal, PlatformBehavior::Late]);
+    platform.behaviors.extend([PlatformBehavior::Away; 8]);
     let mut agent = Agent::new("one");
     agent.request_claim(0, 1, "key", BODY);
     for ms in (0..=20_000).step_by(100) {
         agent.tick(ms);
-        agent.pump(ms, &mut platform);
+        agent.answer_all(ms, &mut platform);
     }
     assert_eq!(agent.refused(1), Some((Code::PlatformAway, Ran::NotRun)));
     assert!(agent.claims.is_flushed());
     platform.deliver_late();
     assert_eq!(
-        platform.claims(),
+        platform.claim_count(),
         0,
         "the late write made a claim of nobody"
     );
@@ -89,22 +91,23 @@
 /// not believe it: a resend gets the stored answer, not that the outcome is
 /// unknown.
 #[test]
-fn an_old_read_does_not_drop_an_answer() {
+fn stale_read_does_not_lose_a_stored_response() {
     let mut platform = Platform::default();
     let mut agent = Agent::new("p1");
     agent.request_claim(0, 1, "k", BODY);
-    agent.pump(0, &mut platform);
+    agent.answer_all(0, &mut platform);
     assert!(agent.granted(1));
-    platform.fates = VecDeque::from([Fate::CallLost, Fate::Old]);
+    platform.behaviors =
+        VecDeque::from([PlatformBehavior::CallLost, PlatformBehavior::Stale]);
     agent.finish(100, 1, b"done");
-    agent.pump(100, &mut platform);
+    agent.answer_all(100, &mut platform);
     for ms in (200..20_000).step_by(100) {
         agent.tick(ms);
-        agent.pump(ms, &mut platform);
+        agent.answer_all(ms, &mut platform);
     }
     let mut other = Agent::new("p2");
     other.request_claim(20_000, 2, "k", BODY);
-    other.pump(20_000, &mut platform);
+    other.answer_all(20_000, &mut platform);
     let replayed = matches!(other.outcome(2), Some(ClaimOutcome::Replay(_)));
     assert!(replayed, "{:?}", other.outcome(2));
 }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -29,15 +29,15 @@
 //!
 //! Everything here is pure: time is an argument, and nothing does I/O.
 
-mod asked;
-mod cadence;
+mod feed_interval;
 mod keeper;
-mod limit;
 mod pool;
-mod pools;
+mod rate_limit;
+mod recent_answers;
+mod token_pools;
 
-pub use asked::RecentAnswers;
-pub use cadence::{FEEDER_TIMEOUT_INTERVALS, feed_interval_ms};
+pub use feed_interval::{FEEDER_TIMEOUT_INTERVALS, feed_interval_ms};
 pub use keeper::select_keeper;
-pub use limit::{Allowance, RateLimit, RequestCost};
-pub use pools::{Feed, TakeOutcome, TokenPools};
+pub use rate_limit::{Allowance, RateLimit, RequestCost};
+pub use recent_answers::RecentAnswers;
+pub use token_pools::{Feed, TakeOutcome, TokenPools};
--- a/crates/quota/src/limit.rs
+++ b/crates/quota/src/rate_limit.rs
@@ -1,6 +1,6 @@
 //! What a workspace may use, or an upstream takes.
 
-use crate::cadence::EVERY_MAX_MS;
+use crate::feed_interval::FEED_INTERVAL_MAX_MS;
 
 /// Tokens or requests in any span of time: the rate times its length, and the burst.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -13,16 +13,16 @@
 
 /// Requests of a rate that lie ready at most. A place that a third of the entries feeds
 /// can still give out one.
-const READY: f64 = 3.0;
+const MIN_BURST: f64 = 3.0;
 
 impl RateLimit {
     /// A rate of requests with the least burst by which all of it can be used, however
     /// many entries make it: what is made between two feeds has to lie somewhere.
     pub fn with_min_burst(rate_per_s: f64) -> Self {
-        let fed_every_s = EVERY_MAX_MS as f64 / 1_000.0;
+        let feed_interval_s = FEED_INTERVAL_MAX_MS as f64 / 1_000.0;
         Self {
             rate_per_s,
-            burst: READY + rate_per_s * fed_every_s,
+            burst: MIN_BURST + rate_per_s * feed_interval_s,
         }
     }
 }
--- a/crates/quota/src/asked.rs
+++ b/crates/quota/src/recent_answers.rs
@@ -7,13 +7,13 @@
 use crate::TakeOutcome;
 
 /// Time for which an answer is kept. A question is sent again within a fraction of it.
-const KEPT_MS: u64 = 1_000;
+const RETENTION_MS: u64 = 1_000;
 
 /// Answers kept at most, over all entries.
-const KEPT_MAX: usize = 4_096;
+const ANSWERS_MAX: usize = 4_096;
 
 /// Who asked, the start of its process, and the number of its question.
-type Question = (Arc<str>, u64, u64);
+type RequestKey = (Arc<str>, u64, u64);
 
 /// Answers that were given lately.
 ///
@@ -21,8 +21,8 @@
 /// taken twice and used once.
 #[derive(Debug, Default)]
 pub struct RecentAnswers {
-    answers: HashMap<Question, TakeOutcome>,
-    order: VecDeque<(Instant, Question)>,
+    answers: HashMap<RequestKey, TakeOutcome>,
+    order: VecDeque<(Instant, RequestKey)>,
 }
 
 impl RecentAnswers {
@@ -35,26 +35,26 @@
     pub fn get_or_decide(
         &mut self,
         now: Instant,
-        question: (Arc<str>, u64, u64),
+        request: (Arc<str>, u64, u64),
         decide: impl FnOnce() -> TakeOutcome,
     ) -> TakeOutcome {
-        self.forget(now);
-        if let Some(answer) = self.answers.get(&question) {
+        self.remove_old(now);
+        if let Some(answer) = self.answers.get(&request) {
             return *answer;
         }
         let answer = decide();
-        self.order.push_back((now, question.clone()));
-        self.answers.insert(question, answer);
+        self.order.push_back((now, request.clone()));
+        self.answers.insert(request, answer);
         answer
     }
 
-    fn forget(&mut self, now: Instant) {
+    fn remove_old(&mut self, now: Instant) {
         while let Some((at, _)) = self.order.front() {
-            if now.ms_since(*at) < KEPT_MS && self.order.len() < KEPT_MAX {
+            if now.ms_since(*at) < RETENTION_MS && self.order.len() < ANSWERS_MAX {
                 return;
             }
-            if let Some((_, question)) = self.order.pop_front() {
-                self.answers.remove(&question);
+            if let Some((_, request)) = self.order.pop_front() {
+                self.answers.remove(&request);
             }
         }
     }
--- a/crates/quota/src/pools.rs
+++ b/crates/quota/src/token_pools.rs
@@ -49,8 +49,8 @@
     pub fn new(overdraft: f64) -> Self {
         let share = Share {
             entries: 1,
-            makes: false,
-            feeds_for_ms: FEEDER_TIMEOUT_INTERVALS * feed_interval_ms(1),
+            produces: false,
+            feeder_timeout_ms: FEEDER_TIMEOUT_INTERVALS * feed_interval_ms(1),
         };
         Self {
             overdraft,
@@ -71,13 +71,13 @@
         now: Instant,
         limits: impl IntoIterator<Item = (&'a Arc<str>, RateLimit)>,
     ) {
-        let mut before = std::mem::take(&mut self.pools);
+        let mut old_pools = std::mem::take(&mut self.pools);
         for (workspace, limit) in limits {
-            let known = before.remove(workspace);
+            let known = old_pools.remove(workspace);
             let mut pool = known.unwrap_or_else(|| Pool::new(now, limit));
-            pool.make(now, &self.share);
+            pool.refill(now, &self.share);
             pool.limit = limit;
-            pool.make(now, &self.share);
+            pool.refill(now, &self.share);
             self.pools.insert(Arc::clone(workspace), pool);
         }
     }
@@ -88,14 +88,14 @@
     /// All who may make tokens have to count all who do, or their parts are too large
     /// in sum. So an entry counts each one that it has ever heard or read of, and
     /// takes part itself only when it has been known for long enough to the others.
-    pub fn set_entries(&mut self, now: Instant, entries: usize, makes: bool) {
+    pub fn set_entries(&mut self, now: Instant, entries: usize, produces: bool) {
         let share = Share {
             entries: u32::try_from(entries).unwrap_or(u32::MAX).max(1),
-            makes,
-            feeds_for_ms: FEEDER_TIMEOUT_INTERVALS * feed_interval_ms(entries),
+            produces,
+            feeder_timeout_ms: FEEDER_TIMEOUT_INTERVALS * feed_interval_ms(entries),
         };
         for pool in self.pools.values_mut() {
-            pool.make(now, &self.share);
+            pool.refill(now, &self.share);
         }
         self.share = share;
     }
@@ -118,21 +118,19 @@
         let Some(pool) = self.pools.get_mut(workspace) else {
             return TakeOutcome::Unlimited;
         };
-        pool.make(now, &self.share);
-        pool.keep_returned(now, &self.share);
+        pool.refill(now, &self.share);
+        pool.keep_refunded(now, &self.share);
         if cost > pool.limit.burst + self.overdraft {
             return TakeOutcome::ExceedsLimit;
         }
-        let part = pool.part(now, &self.share);
-        let left = pool.level - cost;
-        if pool.level > 0.0 && left >= -self.overdraft * part {
-            pool.level = left;
+        let share_here = pool.total_share(now, &self.share);
+        let level_after = pool.level - cost;
+        if pool.level > 0.0 && level_after >= -self.overdraft * share_here {
+            pool.level = level_after;
             return TakeOutcome::Taken;
         }
-        let return_ms = pool.return_ms(now, part, cost);
-        TakeOutcome::Insufficient {
-            retry_after_ms: return_ms,
-        }
+        let retry_after_ms = pool.retry_after_ms(now, share_here, cost);
+        TakeOutcome::Insufficient { retry_after_ms }
     }
 
     /// Takes a request's tokens if all of them are here; nothing is owed then.
@@ -145,8 +143,8 @@
         let Some(pool) = self.pools.get_mut(workspace) else {
             return TakeOutcome::Unlimited;
         };
-        pool.make(now, &self.share);
-        if pool.level + pool.returned < cost {
+        pool.refill(now, &self.share);
+        if pool.level + pool.refunded < cost {
             return TakeOutcome::Insufficient { retry_after_ms: 0 };
         }
         pool.level = pool.drain() - cost;
@@ -156,7 +154,7 @@
     /// Puts back what a request took that did not run.
     pub fn refund(&mut self, workspace: &str, cost: f64) {
         if let Some(pool) = self.pools.get_mut(workspace) {
-            pool.returned += cost;
+            pool.refunded += cost;
         }
     }
 
@@ -172,13 +170,17 @@
         let share = self.share;
         let kept = self.pools.iter_mut().filter(|(name, _)| keeps(name));
         let feeds = kept.map(|(workspace, pool)| {
-            pool.make(now, &share);
-            let gone = pool.told.as_ref().filter(|(keeper, _)| is_gone(keeper));
-            let owed = gone.map(|(_, level)| *level).filter(|level| *level < 0.0);
+            pool.refill(now, &share);
+            let gone = pool
+                .last_keeper_level
+                .as_ref()
+                .filter(|(keeper, _)| is_gone(keeper));
+            let previous_keeper_level =
+                gone.map(|(_, level)| *level).filter(|level| *level < 0.0);
             Feed {
                 workspace: Arc::clone(workspace),
                 tokens: pool.drain(),
-                previous_keeper_level: owed,
+                previous_keeper_level,
             }
         });
         feeds.collect()
@@ -203,7 +205,7 @@
     /// A keeper told what it has.
     pub fn set_keeper_level(&mut self, keeper: &str, workspace: &str, level: f64) {
         if let Some(pool) = self.pools.get_mut(workspace) {
-            pool.told = Some((keeper.to_owned(), level));
+            pool.last_keeper_level = Some((keeper.to_owned(), level));
         }
     }
 
@@ -211,7 +213,7 @@
     pub fn remove_stale_feeders(&mut self, now: Instant) {
         let share = self.share;
         for pool in self.pools.values_mut() {
-            pool.sweep(now, &share);
+            pool.remove_stale_feeders(now, &share);
         }
     }
 
@@ -223,6 +225,6 @@
     /// Tokens there are of a workspace, and the part of its rate that comes here.
     pub fn level_and_share(&self, now: Instant, workspace: &str) -> Option<(f64, f64)> {
         let pool = self.pools.get(workspace)?;
-        Some((pool.level, pool.part(now, &self.share)))
+        Some((pool.level, pool.total_share(now, &self.share)))
     }
 }
--- a/crates/role/src/entry/control/config.rs
+++ b/crates/role/src/entry/control/config.rs
@@ -92,8 +92,8 @@
             return;
         };
         let timing = SilenceLimits::new(config.limits().heartbeat_ms);
-        self.directory.set_timing(timing);
-        self.entries.set_timing(timing);
+        self.directory.set_silence_limits(timing);
+        self.entries.set_silence_limits(timing);
         let verdict_ms = u64::from(config.limits().verdict_ms);
         shared.suspects.lock().set_verdict_ms(verdict_ms);
         let detail = format!("revision {} replaces {before}", self.log.revision());
--- a/crates/role/src/entry/control/freeze.rs
+++ b/crates/role/src/entry/control/freeze.rs
@@ -40,7 +40,7 @@
     /// Time from which an event shows that the process was frozen. Some timer is due
     /// several times in each heartbeat interval, so only a freeze delays one by more.
     pub(crate) fn freeze_threshold(&self) -> Option<Instant> {
-        let late_ms = self.directory.timing().heartbeat_ms() * FREEZE_HEARTBEATS;
+        let late_ms = self.directory.silence_limits().heartbeat_ms() * FREEZE_HEARTBEATS;
         self.due().map(|due| due.plus_ms(late_ms))
     }
 
@@ -52,7 +52,7 @@
         if now < bound {
             return;
         }
-        let timing = self.directory.timing();
+        let timing = self.directory.silence_limits();
         let before_ms = match due < self.freeze.discount_until {
             true => self.freeze.gap_ms,
             false => 0,
--- a/crates/role/src/entry/control/gossip.rs
+++ b/crates/role/src/entry/control/gossip.rs
@@ -117,7 +117,7 @@
     /// not passed on: two entries that relay to each other would keep a dead agent
     /// alive.
     fn heartbeats_to_relay(&mut self, now: Instant) -> Vec<schema::link::Heartbeat> {
-        let suspect_ms = self.directory.timing().suspect_ms();
+        let suspect_ms = self.directory.silence_limits().suspect_ms();
         let mut heartbeats = Vec::new();
         for agent in self.directory.agents() {
             let direct = agent.last_heard_directly_at;
@@ -136,7 +136,7 @@
     }
 
     fn silences(&self, now: Instant) -> Vec<Silence> {
-        let suspect_ms = self.directory.timing().suspect_ms();
+        let suspect_ms = self.directory.silence_limits().suspect_ms();
         let agents = self.directory.agents();
         let silent = agents.filter(|agent| {
             agent.liveness != Liveness::Up
--- a/crates/role/src/entry/control/mod.rs
+++ b/crates/role/src/entry/control/mod.rs
@@ -195,7 +195,7 @@
 
     /// Whether this process started so recently that it may not know all agents.
     pub(crate) fn just_started(&self, now: Instant) -> bool {
-        now.ms_since(self.started_at) < self.directory.timing().lost_ms()
+        now.ms_since(self.started_at) < self.directory.silence_limits().lost_ms()
     }
 
     /// Whether an agent may be sent requests.
@@ -281,7 +281,7 @@
         self.update_forecast(now, shared);
         shared.breakers.lock().forget_unknown(&self.directory);
         self.send_gossip(now, shared, out);
-        let interval = self.directory.timing().heartbeat_ms();
+        let interval = self.directory.silence_limits().heartbeat_ms();
         self.timers.set(now.plus_ms(interval), Timer::Heartbeat);
         effects.wake_all = true;
     }
@@ -299,7 +299,7 @@
     ) {
         self.check_liveness(now, out, effects);
         let interval =
-            self.directory.timing().heartbeat_ms() / LIVENESS_CHECKS_PER_HEARTBEAT;
+            self.directory.silence_limits().heartbeat_ms() / LIVENESS_CHECKS_PER_HEARTBEAT;
         self.timers
             .set(now.plus_ms(interval.max(1)), Timer::Liveness);
     }
--- a/crates/role/src/entry/requests/candidates.rs
+++ b/crates/role/src/entry/requests/candidates.rs
@@ -276,7 +276,7 @@
         return false;
     };
     let waits = matches!(request.state, State::Waiting(_));
-    let scan_ms = ctx.control.directory.timing().heartbeat_ms();
+    let scan_ms = ctx.control.directory.silence_limits().heartbeat_ms();
     let in_time = input.answer_time_ms.saturating_add(scan_ms) < input.remaining_ms;
     let mut agents = ctx.control.directory.agents();
     waits
