--- a/crates/once/src/claims.rs
+++ b/crates/once/src/claims.rs
@@ -1,4 +1,4 @@
-//! The claims of one agent.
+//! Claims of one agent.
 
 use crate::outcome::{ClaimAction, ClaimRequest, StoredResponse};
 use crate::pending::{ClaimEnd, GrantedClaim, PendingClaim};
@@ -10,26 +10,28 @@
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// How long a call waits for its claim before it is refused.
+/// Longest time that a request waits for its claim before it is refused.
 const CLAIM_WAIT_MAX_MS: u64 = 5_000;
 
-/// How long the refusal of a call waits until its claim's release is written.
+/// Longest time that the refusal of a request waits for the write that releases
+/// its claim.
 const RELEASE_WAIT_MAX_MS: u64 = 1_000;
 
-/// What the claims of an agent need to know.
+/// Options of [`Claims`].
 #[derive(Debug, Clone)]
 pub struct ClaimsOptions {
-    /// Agent.
+    /// Agent that makes the claims.
     pub agent: AgentId,
-    /// Its incarnation, from which nonces are made.
+    /// Incarnation of the agent. Seeds the nonces.
     pub incarnation: Incarnation,
-    /// Number of the first call to the platform; all later ones are greater.
+    /// Id of the first platform call. Ids of later calls are greater.
     pub first_call_id: u64,
-    /// Wall clock at the origin of `Instant`, in milliseconds.
+    /// Wall-clock time at the origin of `Instant`, in milliseconds since the
+    /// Unix epoch.
     pub unix_ms_at_zero: u64,
 }
 
-/// The claims of one agent.
+/// State machine for the claims of one agent.
 #[derive(Debug)]
 pub struct Claims {
     pub(crate) options: ClaimsOptions,
@@ -43,7 +45,7 @@
 }
 
 impl Claims {
-    /// No claims yet.
+    /// Creates the state machine without claims.
     pub fn new(options: ClaimsOptions) -> Self {
         Self {
             next_call_id: options.first_call_id,
@@ -57,30 +59,30 @@
         }
     }
 
-    /// Sets the retention and the largest answer that is stored.
-    pub fn configure(&mut self, retention_ms: u32, stored_answer_max_bytes: u32) {
+    /// Sets how long claims are kept and the largest response that is stored.
+    pub fn configure(&mut self, retention_ms: u32, response_max_bytes: u32) {
         self.retention_ms = u64::from(retention_ms);
-        self.response_max_bytes = stored_answer_max_bytes as usize;
+        self.response_max_bytes = response_max_bytes as usize;
     }
 
-    /// Largest answer that is stored, in bytes.
+    /// Largest response that is stored, in bytes.
     pub const fn response_max_bytes(&self) -> usize {
         self.response_max_bytes
     }
 
-    /// Claims held by running calls.
+    /// Number of granted claims whose requests have not ended.
     pub fn held_count(&self) -> usize {
         self.granted.len()
     }
 
-    /// Nothing waits for the platform.
+    /// Whether no platform call is in flight and nothing is pending.
     pub fn is_flushed(&self) -> bool {
         self.shards
             .iter()
             .all(|shard| shard.is_idle() && !shard.has_work())
     }
 
-    /// Asks for a claim; the outcome comes as [`ClaimAction::Settled`].
+    /// Requests a claim. The outcome is reported by [`ClaimAction::Settled`].
     pub fn request_claim(
         &mut self,
         now: Instant,
@@ -93,7 +95,7 @@
             request,
             staged: false,
             read_since_request: false,
-            until: now.plus_ms(CLAIM_WAIT_MAX_MS),
+            expires_at: now.plus_ms(CLAIM_WAIT_MAX_MS),
         };
         let shard = &mut self.shards[index];
         if let Some(until) = shard.backoff_until.filter(|until| *until > now) {
@@ -108,64 +110,67 @@
         self.start_next_call(now, index, out);
     }
 
-    /// The call ran and was answered; a call whose answer is not known is
-    /// stored as run without an answer.
+    /// Records that a request ran, with its response. `None` if the response is
+    /// unknown: the request is then stored as run without a response.
     pub fn finish(
         &mut self,
         now: Instant,
         attempt: AttemptId,
-        answer: Option<StoredResponse>,
+        response: Option<StoredResponse>,
         out: &mut Vec<ClaimAction>,
     ) {
-        let Some(held) = self.granted.remove(&attempt) else {
+        let Some(claim) = self.granted.remove(&attempt) else {
             return;
         };
-        let max = self.response_max_bytes;
-        let answer = answer.filter(|answer| answer.body.len() <= max);
-        let nonce = held.nonce;
-        let end = ClaimEnd::Finish { nonce, answer };
-        self.shards[held.shard].pending_ends.push(end);
-        self.start_next_call(now, held.shard, out);
+        let max_bytes = self.response_max_bytes;
+        let response = response.filter(|response| response.body.len() <= max_bytes);
+        let nonce = claim.nonce;
+        let end = ClaimEnd::Finish { nonce, response };
+        self.shards[claim.shard].pending_ends.push(end);
+        self.start_next_call(now, claim.shard, out);
     }
 
-    /// The call was not run: its key becomes free. [`ClaimAction::Released`]
-    /// tells when its refusal may be answered.
+    /// Releases the claim of a request that was not run, so that its key
+    /// becomes free. [`ClaimAction::Released`] says when the refusal may be
+    /// sent.
     pub fn release(
         &mut self,
         now: Instant,
         attempt: AttemptId,
         out: &mut Vec<ClaimAction>,
     ) {
-        let Some(held) = self.granted.remove(&attempt) else {
+        let Some(claim) = self.granted.remove(&attempt) else {
             out.push(ClaimAction::Released { attempt });
             return;
         };
         let end = ClaimEnd::Release {
-            nonce: held.nonce,
+            nonce: claim.nonce,
             waiter: Some((attempt, now.plus_ms(RELEASE_WAIT_MAX_MS))),
         };
-        self.shards[held.shard].pending_ends.push(end);
-        self.start_next_call(now, held.shard, out);
+        self.shards[claim.shard].pending_ends.push(end);
+        self.start_next_call(now, claim.shard, out);
     }
 
-    /// Whether the run of a claim can't be told: the claim stays as it is, and
-    /// a resend is told so once the service's timeout has passed.
+    /// Forgets a claim of which it is unknown whether its request ran. The
+    /// claim stays in the shard, and a resend is told that the outcome is
+    /// unknown once the service's timeout has passed.
     pub fn abandon(&mut self, attempt: AttemptId) {
         self.granted.remove(&attempt);
     }
 
-    /// Whether a call to the platform is one of the claims'.
+    /// Whether a platform call was made by this state machine.
     pub fn owns_call(&self, call: u64) -> bool {
         self.shard_by_call.contains_key(&call)
     }
 
-    /// When something is due.
+    /// Time at which [`Claims::tick`] should be called next.
     pub fn next_deadline(&self) -> Option<Instant> {
         let shards = self.shards.iter().filter(|shard| shard.has_work());
         shards.filter_map(shard_deadline).min()
     }
 
-    /// Gives up what has waited for too long and tries again what may be.
+    /// Ends waits that have timed out and starts the calls whose backoff is
+    /// over.
     pub fn tick(&mut self, now: Instant, out: &mut Vec<ClaimAction>) {
         for index in 0..self.shards.len() {
             if !self.shards[index].has_work() {
@@ -195,7 +200,7 @@
         let shard = &mut self.shards[index];
         let pending_claims = std::mem::take(&mut shard.pending_claims);
         for pending_claim in pending_claims {
-            if pending_claim.until > now {
+            if pending_claim.expires_at > now {
                 shard.pending_claims.push(pending_claim);
                 continue;
             }
@@ -217,16 +222,16 @@
     }
 }
 
-/// When a shard that has work wants to be looked at.
+/// Time at which something in a shard with pending work times out.
 fn shard_deadline(shard: &Shard) -> Option<Instant> {
     let pending_claims = shard
         .pending_claims
         .iter()
-        .map(|pending_claim| pending_claim.until);
+        .map(|pending_claim| pending_claim.expires_at);
     let waiters = shard.pending_ends.iter().filter_map(|end| match end {
         ClaimEnd::Release { waiter, .. } => waiter.map(|(_, until)| until),
         ClaimEnd::Finish { .. } => None,
     });
-    let backoff = shard.backoff_until.filter(|_| shard.is_idle());
-    pending_claims.chain(waiters).chain(backoff).min()
+    let backoff_end = shard.backoff_until.filter(|_| shard.is_idle());
+    pending_claims.chain(waiters).chain(backoff_end).min()
 }
--- a/crates/once/src/lib.rs
+++ b/crates/once/src/lib.rs
@@ -1,22 +1,24 @@
-//! Claims: a non-idempotent call with a key runs at most once.
+//! Claims: a non-idempotent request with an idempotency key runs at most once.
 //!
-//! Before such a call is handed to an upstream, its (caller, key, body) is
-//! *claimed* in the platform by a conditional update, so that of two agents
-//! which get the same key only one wins. Claims live in [`SHARDS`] objects,
-//! named by the hash of caller and key. For each of them [`Claims`] has at most
-//! one call to the platform in flight; whatever comes meanwhile joins the next
-//! write, so the number of writes follows the platform's answer time and not
-//! the number of calls.
+//! Before such a request is handed to an upstream, its caller, key and body are
+//! *claimed* in the platform's object store by a conditional write, so that
+//! only one of two agents that receive the same key wins. Claims are stored in
+//! [`SHARDS`] objects, chosen by a hash of caller and key. For each of them
+//! [`Claims`] has at most one platform call in flight. Changes that arrive in
+//! the meantime share the next write, so the rate of writes depends on the
+//! platform's response time and not on the rate of requests.
 //!
 //! Invariants:
 //!
-//! - A call is [`ClaimOutcome::Granted`] only after the platform has shown its nonce
-//!   in the shard: by the answer of the write, or by reading it back.
-//! - A refused call was not run. If its claim may stand all the same, its
-//!   release is kept until the platform shows that it is gone and can't come.
-//! - What the platform holds decides. After each read and each write, all that
-//!   waits is compared with the shard's content, so that a lost answer and a
-//!   received one end the same way.
+//! - A claim is [`ClaimOutcome::Granted`] only after the platform has confirmed
+//!   that the shard contains its nonce: by the response to the write or by a
+//!   later read.
+//! - A refused request was not run. If its claim may nevertheless be in the
+//!   shard, or may still be written, the release stays pending until the
+//!   platform shows that the claim is gone and can't appear again.
+//! - The platform's content decides. After each read and each write, everything
+//!   that is pending is compared with the shard's content, so that a lost
+//!   response and a received one have the same result.
 
 mod claims;
 mod outcome;
--- a/crates/once/src/outcome.rs
+++ b/crates/once/src/outcome.rs
@@ -1,60 +1,63 @@
-//! What is asked of the claims and what they answer.
+//! Requests for claims, their outcomes, and actions.
 
 use base::{AttemptId, CallerId, PlatformCall, Refusal};
 
-/// Asks for the claim of one call.
+/// Request for a claim.
 #[derive(Debug, Clone)]
 pub struct ClaimRequest {
-    /// Attempt that is to run the call.
+    /// Attempt that is to run the request.
     pub attempt: AttemptId,
-    /// Caller whose key it is.
+    /// Caller that sent the idempotency key.
     pub caller: CallerId,
     /// Idempotency key.
     pub key: String,
-    /// Hash of the body, by which a reused key is found.
+    /// Hash of the request body, which detects a key that is reused for another
+    /// request.
     pub body_hash: u64,
-    /// Longest time the service is expected to take for one call.
+    /// Longest time that the service is expected to take for one request, in
+    /// milliseconds.
     pub timeout_ms: u32,
 }
 
-/// The stored answer of an earlier run.
+/// Stored response of an earlier run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredResponse {
     /// HTTP status.
     pub status: u16,
     /// Content type.
     pub content_type: String,
-    /// Body.
+    /// Response body.
     pub body: Vec<u8>,
 }
 
-/// What came of a request for a claim.
+/// Outcome of a request for a claim.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimOutcome {
-    /// The call is claimed for this attempt and may be run once.
+    /// The claim is granted: this attempt may run the request once.
     Granted,
-    /// The call ran before; this is its answer.
+    /// The request ran before and this is its response.
     Replay(StoredResponse),
-    /// The call is not run now; the refusal tells why and what is known.
+    /// The request is not run now. The refusal says why, and what is known
+    /// about an earlier run.
     Refused(Refusal),
 }
 
-/// Something the claims ask of their owner.
+/// An action that the owner of [`Claims`](crate::Claims) has to perform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClaimAction {
-    /// Call the platform.
+    /// Make a platform call.
     CallPlatform(PlatformCall),
-    /// A request for a claim is settled.
+    /// The outcome of a request for a claim is known.
     Settled {
-        /// Attempt.
+        /// Attempt of the request.
         attempt: AttemptId,
-        /// What came of it.
+        /// Outcome of the request.
         outcome: ClaimOutcome,
     },
-    /// The release of a claim was written, or its bounded wait is over; the
-    /// refusal of the attempt may be answered.
+    /// The release of a claim was written, or the longest wait for it is over.
+    /// The refusal of the attempt may be sent.
     Released {
-        /// Attempt.
+        /// Attempt of the request.
         attempt: AttemptId,
     },
 }
--- a/crates/once/src/pending.rs
+++ b/crates/once/src/pending.rs
@@ -1,4 +1,4 @@
-//! What waits for the next write of a shard.
+//! Changes that wait for the next write of a shard.
 
 use crate::{ClaimRequest, StoredResponse};
 use base::{AttemptId, Instant};
@@ -9,37 +9,37 @@
     pub request: ClaimRequest,
     /// Identifies the claim in the shard.
     pub nonce: u64,
-    /// A write with the claim was sent, so the claim may stand.
+    /// A write with the claim was sent, so the claim may be in the shard.
     pub staged: bool,
-    /// The shard was read since the request came, so a claim found there is not
-    /// one that has ended meanwhile.
+    /// The shard was read after the request arrived, so a claim found in it has
+    /// not ended before that.
     pub read_since_request: bool,
-    /// When it is given up.
-    pub until: Instant,
+    /// When the request is refused if it still has no claim.
+    pub expires_at: Instant,
 }
 
-/// A granted claim whose call is running.
+/// A granted claim whose request is running.
 #[derive(Debug, Clone)]
 pub(crate) struct GrantedClaim {
     pub shard: usize,
     pub nonce: u64,
 }
 
-/// The end of a claim's run.
+/// The end of a claim.
 #[derive(Debug)]
 pub(crate) enum ClaimEnd {
-    /// The call ran; its answer, if it is small enough to be kept.
+    /// The request ran; its response, unless unknown or too large to store.
     Finish {
-        /// Claim.
+        /// Nonce of the claim.
         nonce: u64,
-        /// What to store.
-        answer: Option<StoredResponse>,
+        /// Response to store.
+        response: Option<StoredResponse>,
     },
-    /// The call was not run: the key becomes free.
+    /// The request was not run, and its key becomes free.
     Release {
-        /// Claim.
+        /// Nonce of the claim.
         nonce: u64,
-        /// Who waits for it, and until when.
+        /// The attempt that waits for the release, and until when.
         waiter: Option<(AttemptId, Instant)>,
     },
 }
--- a/crates/once/src/platform_calls.rs
+++ b/crates/once/src/platform_calls.rs
@@ -1,4 +1,4 @@
-//! The calls to the platform, and what their answers settle.
+//! Platform calls, and the state changes that their results cause.
 
 use crate::Claims;
 use crate::outcome::{ClaimAction, ClaimOutcome};
@@ -11,12 +11,13 @@
 use prost::Message as _;
 use schema::store::{ClaimShard, ClaimState};
 
-/// Waits after the platform was away: the first, and the longest.
+/// Shortest and longest backoff after the platform was unavailable. It doubles
+/// with each consecutive failure.
 pub(crate) const BACKOFF_MIN_MS: u64 = 250;
 pub(crate) const BACKOFF_MAX_MS: u64 = 4_000;
 
 impl Claims {
-    /// The platform answered a call.
+    /// Handles the result of the platform call with id `call`.
     pub fn platform_answered(
         &mut self,
         now: Instant,
@@ -50,7 +51,8 @@
         self.start_next_call(now, index, out);
     }
 
-    /// Starts the shard's next call if it has none in flight.
+    /// Starts the shard's next platform call, unless one is in flight, nothing
+    /// is pending or the shard is in backoff.
     pub(crate) fn start_next_call(
         &mut self,
         now: Instant,
@@ -59,8 +61,8 @@
     ) {
         let limits = self.staging_limits(now);
         let shard = &mut self.shards[index];
-        let backoff = shard.backoff_until.is_some_and(|until| until > now);
-        if !shard.is_idle() || !shard.has_work() || backoff {
+        let in_backoff = shard.backoff_until.is_some_and(|until| until > now);
+        if !shard.is_idle() || !shard.has_work() || in_backoff {
             return;
         }
         let staged = shard.stage_next_write(self.options.agent.as_str(), limits);
@@ -118,15 +120,16 @@
             Some((version, value)) => (Some(version), value),
             None => (None, Vec::new()),
         };
-        // An old read may lack a claim that stands. Taken for the present, it
-        // would end a finish whose write had no answer: the stored answer would
-        // be gone, and a resend be told that the outcome is unknown. Versions
-        // come from one counter, so a lower one is older.
+        // A stale read may lack an existing claim. If it were applied, a finish
+        // whose write was unanswered would be dropped: the stored response
+        // would be lost, and a resend would be told that the outcome is
+        // unknown. Versions come from one counter, so a lower version is older.
         if version < self.shards[index].highest_version {
             self.on_platform_away(now, index, out);
             return;
         }
-        // A shard that can't be read must not be written over: it holds claims.
+        // A shard that can't be decoded must not be overwritten: it contains
+        // claims.
         let Ok(content) = ClaimShard::decode(value.as_slice()) else {
             self.on_platform_away(now, index, out);
             return;
@@ -141,7 +144,8 @@
         self.apply_content(index, version, content, out);
     }
 
-    /// Settles whatever the shard's content shows to be settled.
+    /// Applies the shard's content: grants the claims and completes the ends
+    /// that it confirms.
     fn apply_content(
         &mut self,
         index: usize,
@@ -175,35 +179,37 @@
                 shard.pending_claims.push(pending_claim);
             }
         }
-        // A release is over when the claim is gone and no write that is still
-        // under way can bring it back.
-        let settled = shard.unanswered_write_expects.is_none();
+        // A release is complete when the claim is absent and no write that may
+        // still be applied can bring it back.
+        let no_unanswered_write = shard.unanswered_write_expects.is_none();
         let done = i32::from(ClaimState::Done);
         shard.pending_ends.retain(|end| match end {
             ClaimEnd::Finish { nonce, .. } => {
                 state_of(*nonce).is_some_and(|state| state != done)
             }
             ClaimEnd::Release { nonce, waiter } => {
-                let over = settled && state_of(*nonce).is_none();
-                if over && let Some((attempt, _)) = waiter {
+                let is_released = no_unanswered_write && state_of(*nonce).is_none();
+                if is_released && let Some((attempt, _)) = waiter {
                     out.push(ClaimAction::Released { attempt: *attempt });
                 }
-                !over
+                !is_released
             }
         });
         shard.snapshot = Some(ShardSnapshot { version, content });
     }
 
-    /// The effect of a write is not known: read back.
+    /// Handles a write of unknown effect: the shard is read back next.
     fn on_write_unanswered(&mut self, index: usize) {
         let shard = &mut self.shards[index];
         let expected = shard.snapshot.take().map(|snapshot| snapshot.version);
         shard.unanswered_write_expects = expected;
     }
 
-    /// The call had no effect. Requests that wait are refused at once, but for
-    /// those whose lost write is still to be read back; what must be written
-    /// later stays, and is tried again after a while.
+    /// Handles a call that had no effect because the platform is unavailable.
+    ///
+    /// Pending requests are refused at once, except those whose unanswered
+    /// write has yet to be read back. Finishes and releases stay pending and
+    /// are retried after the backoff.
     fn on_platform_away(
         &mut self,
         now: Instant,
@@ -215,9 +221,9 @@
             (BACKOFF_MIN_MS << shard.consecutive_failures.min(8)).min(BACKOFF_MAX_MS);
         shard.consecutive_failures = shard.consecutive_failures.saturating_add(1);
         shard.backoff_until = Some(now.plus_ms(backoff_ms));
-        let unsettled = shard.unanswered_write_expects.is_some();
+        let write_unanswered = shard.unanswered_write_expects.is_some();
         for pending_claim in std::mem::take(&mut shard.pending_claims) {
-            if unsettled && pending_claim.staged {
+            if write_unanswered && pending_claim.staged {
                 shard.pending_claims.push(pending_claim);
                 continue;
             }
@@ -230,8 +236,9 @@
     }
 }
 
-/// The claim of a refused call may stand, or come to stand: it is released in
-/// the background, else the key would look in progress though nothing ran.
+/// Releases the claim of a refused request in the background if a write with it
+/// was sent. The claim may be in the shard or appear there later, and its key
+/// would look in progress although nothing ran.
 pub(crate) fn release_if_staged(shard: &mut Shard, pending_claim: &PendingClaim) {
     if pending_claim.staged {
         shard.pending_ends.push(ClaimEnd::Release {
--- a/crates/once/src/shard.rs
+++ b/crates/once/src/shard.rs
@@ -1,4 +1,4 @@
-//! One shard object and what waits for it.
+//! One shard object of claims, and what is pending for it.
 
 use crate::pending::{ClaimEnd, PendingClaim};
 use base::{AttemptId, Code, Expect, Instant, Ran, Refusal, Version};
@@ -10,56 +10,60 @@
 
 /// Number of shard objects.
 ///
-/// More shards mean more writes in parallel and more objects to keep; with 64
-/// and an answer time of a few milliseconds thousands of claims a second fit.
+/// More shards allow more parallel writes but mean more objects to keep. 64
+/// shards and a platform response time of a few milliseconds allow thousands of
+/// claims a second.
 pub const SHARDS: usize = 64;
 
-/// Largest value of a shard; the platform holds values up to a megabyte.
+/// Largest size of a shard object. The platform accepts objects of up to one
+/// megabyte.
 pub(crate) const SHARD_MAX_BYTES: usize = 900_000;
 
-/// Largest share of a shard set aside for the answer of one running call.
+/// Largest part of a shard that is reserved for the response of one running
+/// request.
 pub(crate) const RESERVED_RESPONSE_MAX_BYTES: usize = 64 << 10;
 
-/// Added to the service's timeout before a claim without an answer counts as
-/// abandoned; covers the difference between two instances' wall clocks.
+/// Time added to the service's timeout before a claim without a response counts
+/// as abandoned. Covers the difference between the wall clocks of two
+/// instances.
 pub(crate) const ABANDONED_MARGIN_MS: u64 = 10_000;
 
-/// When to come back while the same key is in progress.
+/// Retry time told to a caller whose key is in progress.
 const IN_PROGRESS_RETRY_MS: u64 = 1_000;
 
-/// When to come back to a full shard.
+/// Retry time told to a caller whose shard is full.
 const FULL_RETRY_MS: u64 = 60_000;
 
-/// Key of a shard's object.
+/// Key of a shard's object in the platform's store.
 pub fn shard_key(shard: usize) -> String {
     format!("claims/{shard:03}")
 }
 
-/// The shard that holds a caller's key.
+/// Index of the shard that holds a caller's idempotency key.
 pub fn shard_of(caller: &str, key: &str) -> usize {
     let mut bytes = Vec::with_capacity(caller.len() + key.len() + 1);
     bytes.extend_from_slice(caller.as_bytes());
     bytes.push(0);
     bytes.extend_from_slice(key.as_bytes());
-    // The remainder is below `SHARDS`, so it fits.
+    // The remainder is less than `SHARDS`, so it fits into `usize`.
     (xxh3_64(&bytes) % SHARDS as u64) as usize
 }
 
-/// The platform's call in flight for a shard.
+/// The platform call that is in flight for a shard.
 #[derive(Debug)]
 pub(crate) enum CallState {
-    /// Nothing is in flight.
+    /// No call is in flight.
     Idle,
     /// The shard is being read.
     Reading,
-    /// The shard is being written.
+    /// The shard is being written with this content.
     Writing(Box<ClaimShard>),
 }
 
-/// The shard's content as last seen.
+/// Content of a shard as last read or written.
 #[derive(Debug)]
 pub(crate) struct ShardSnapshot {
-    /// `None` if there was no object.
+    /// `None` if the object does not exist.
     pub version: Option<Version>,
     pub content: ClaimShard,
 }
@@ -70,26 +74,28 @@
     }
 }
 
-/// One shard.
+/// State of one shard.
 #[derive(Debug)]
 pub(crate) struct Shard {
     pub call_state: CallState,
     pub snapshot: Option<ShardSnapshot>,
-    /// Highest version seen; a read below it shows the past.
+    /// Highest version seen. A read of a lower version is stale.
     pub highest_version: Option<Version>,
     pub pending_claims: Vec<PendingClaim>,
     pub pending_ends: Vec<ClaimEnd>,
-    /// Version which a write without an answer expected: as long as the object
-    /// has it, that write may still take effect.
+    /// Version that an unanswered write expected. As long as the object has
+    /// this version, the write may still take effect.
     pub unanswered_write_expects: Option<Option<Version>>,
-    /// No call before this, after the platform was away.
+    /// No platform call is made before this time, because the platform was
+    /// unavailable.
     pub backoff_until: Option<Instant>,
     pub consecutive_failures: u32,
 }
 
 impl Shard {
-    /// Drops endings of claims that no longer stand, as those do which another
-    /// agent pruned; returns who waits for one of them.
+    /// Drops the ends of claims that are no longer in the shard, for example
+    /// because another agent pruned them. Returns the attempts that wait for
+    /// such a release.
     pub(crate) fn remove_obsolete_ends(&mut self) -> Vec<AttemptId> {
         let Some(snapshot) = &self.snapshot else {
             return Vec::new();
@@ -108,22 +114,24 @@
     }
 }
 
-/// Bounds that one staging follows.
+/// Inputs that limit what the next write may contain.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct StagingLimits {
+    /// Current wall-clock time.
     pub unix_ms: u64,
     pub retention_ms: u64,
+    /// Largest response that is stored.
     pub response_max_bytes: usize,
 }
 
-/// What staging has decided.
+/// Result of staging.
 #[derive(Debug, Default)]
 pub(crate) struct StagingResult {
-    /// Outcomes that need no write.
+    /// Outcomes of requests that need no write.
     pub settled: Vec<(AttemptId, ClaimOutcome)>,
-    /// A decision needs the shard to be read first.
+    /// The shard must be read before a decision can be made.
     pub read_first: bool,
-    /// The value to write, if anything has to be.
+    /// Content to write, if anything changed.
     pub write: Option<ClaimShard>,
 }
 
@@ -149,7 +157,8 @@
         !self.pending_claims.is_empty() || !self.pending_ends.is_empty()
     }
 
-    /// Works out the next write from the known content and all that waits.
+    /// Computes the next write from the last known content and everything
+    /// pending.
     pub(crate) fn stage_next_write(
         &mut self,
         agent: &str,
@@ -163,7 +172,7 @@
         let mut content = snapshot.content.clone();
         let mut changed = self.unanswered_write_expects.is_some();
         changed |= stage_ends(&mut content, &self.pending_ends);
-        // Before the begins, so that a full shard takes new claims again.
+        // Prune first, so that a full shard accepts new claims again.
         prune(&mut content, limits, &self.pending_claims);
         let existing_count = content.claims.len();
         let pending_claims = std::mem::take(&mut self.pending_claims);
@@ -184,7 +193,7 @@
                     staged.read_first = true;
                     self.pending_claims.push(pending_claim);
                 }
-                ClaimDecision::NextRound => self.pending_claims.push(pending_claim),
+                ClaimDecision::AfterWrite => self.pending_claims.push(pending_claim),
                 ClaimDecision::Settled(outcome) => {
                     staged
                         .settled
@@ -205,10 +214,15 @@
     }
 }
 
+/// Decision on a request for a claim.
 enum ClaimDecision {
+    /// The claim was added to the staged content.
     Claimed,
+    /// The shard must be read before the request can be decided.
     ReadFirst,
-    NextRound,
+    /// The request is decided after the staged write.
+    AfterWrite,
+    /// The request is decided without a write.
     Settled(ClaimOutcome),
 }
 
@@ -220,13 +234,14 @@
     limits: StagingLimits,
 ) -> ClaimDecision {
     let request = &pending_claim.request;
-    let found = content.claims.iter().position(|claim| {
+    let existing = content.claims.iter().position(|claim| {
         claim.caller == request.caller.as_str() && claim.key == request.key
     });
-    match found {
-        // The same write makes that claim; whether it stands is seen after it.
+    match existing {
+        // The claim is part of the same write. Whether it was made is known
+        // only after the write.
         Some(position) if position >= existing_count => {
-            return ClaimDecision::NextRound;
+            return ClaimDecision::AfterWrite;
         }
         Some(position) => {
             return decide_existing_claim(
@@ -255,22 +270,22 @@
     ClaimDecision::Claimed
 }
 
-/// Decides about a key that is claimed already.
+/// Decides on a request whose key is already claimed.
 fn decide_existing_claim(
     claim: &Claim,
     pending_claim: &PendingClaim,
     limits: StagingLimits,
 ) -> ClaimDecision {
-    let other_body = claim.body_hash != pending_claim.request.body_hash;
+    let differs_in_body = claim.body_hash != pending_claim.request.body_hash;
     let done = claim.state == i32::from(ClaimState::Done);
-    if done && !other_body {
+    if done && !differs_in_body {
         return ClaimDecision::Settled(stored_outcome(claim));
     }
-    // A claim seen earlier may have been released or finished since.
+    // The claim in an older snapshot may have been released or finished since.
     if !pending_claim.read_since_request {
         return ClaimDecision::ReadFirst;
     }
-    let refusal = if other_body {
+    let refusal = if differs_in_body {
         Refusal::not_run(Code::KeyReused)
     } else if is_abandoned(claim, pending_claim, limits) {
         Refusal {
@@ -298,8 +313,8 @@
     limits.unix_ms.saturating_sub(claim.claimed_unix_ms) > claim_timeout_ms
 }
 
-/// The answer of a call that is done; one that was too large is known to have
-/// run, and no more.
+/// Outcome of a request that has run: its stored response, or a refusal that
+/// says only that it ran if the response was too large to store.
 fn stored_outcome(claim: &Claim) -> ClaimOutcome {
     let Some(status) = u16::try_from(claim.status).ok().filter(|s| *s != 0) else {
         return ClaimOutcome::Refused(Refusal {
@@ -315,7 +330,7 @@
     })
 }
 
-/// Size of the shard once all running calls have stored their answers.
+/// Size of the shard after all running requests have stored their responses.
 fn planned_bytes(content: &ClaimShard, added: &Claim, limits: StagingLimits) -> usize {
     let running = content
         .claims
@@ -323,7 +338,7 @@
         .filter(|claim| claim.state == i32::from(ClaimState::Claimed))
         .count();
     let reserved_bytes = limits.response_max_bytes.min(RESERVED_RESPONSE_MAX_BYTES);
-    // Length prefixes of the added claim and of the answers.
+    // Allow 16 bytes per claim for length prefixes.
     let prefixes = 16 * (running + 1);
     content.encoded_len()
         + added.encoded_len()
@@ -331,7 +346,7 @@
         + prefixes
 }
 
-/// Applies finishes and releases; says whether anything changed.
+/// Applies finishes and releases. Returns whether the content changed.
 fn stage_ends(content: &mut ClaimShard, pending_ends: &[ClaimEnd]) -> bool {
     let mut changed = false;
     for end in pending_ends {
@@ -345,8 +360,8 @@
             ClaimEnd::Release { .. } => {
                 content.claims.remove(position);
             }
-            ClaimEnd::Finish { answer, .. } => {
-                store_response(content, position, answer.as_ref());
+            ClaimEnd::Finish { response, .. } => {
+                store_response(content, position, response.as_ref());
             }
         }
     }
@@ -356,21 +371,21 @@
 fn store_response(
     content: &mut ClaimShard,
     position: usize,
-    answer: Option<&StoredResponse>,
+    response: Option<&StoredResponse>,
 ) {
     content.claims[position].state = ClaimState::Done.into();
-    let Some(answer) = answer else { return };
-    let added = answer.body.len() + answer.content_type.len() + 32;
+    let Some(response) = response else { return };
+    let added = response.body.len() + response.content_type.len() + 32;
     if content.encoded_len() + added > SHARD_MAX_BYTES {
         return;
     }
     let claim = &mut content.claims[position];
-    claim.status = u32::from(answer.status);
-    claim.content_type.clone_from(&answer.content_type);
-    claim.answer.clone_from(&answer.body);
+    claim.status = u32::from(response.status);
+    claim.content_type.clone_from(&response.content_type);
+    claim.answer.clone_from(&response.body);
 }
 
-/// Drops claims past their retention, but for those being made right now.
+/// Drops claims past their retention, except those that are being requested now.
 fn prune(
     content: &mut ClaimShard,
     limits: StagingLimits,
--- a/crates/once/tests/claims/agents.rs
+++ b/crates/once/tests/claims/agents.rs
@@ -1,13 +1,13 @@
-//! One key at several agents, one after the other or at once.
+//! One key at several agents, one after the other or at the same time.
 
 use crate::stand::{Agent, BODY, OTHER_BODY, Platform, PlatformBehavior};
 use base::prelude::*;
 use once::ClaimOutcome;
 
-/// Two resends reach two agents at once. Both read the shard as empty and both
-/// write; the platform takes one write, and the other agent's caller is told
-/// that the call is in progress, later that its outcome is not known, or gets
-/// the answer.
+/// Two resends reach two agents at the same time. Both agents read an empty
+/// shard and both write a claim. The platform accepts one write; the other
+/// agent's caller is told that the request is in progress and, after a timeout,
+/// that its outcome is unknown, or gets the stored response.
 #[test]
 fn only_one_of_two_agents_is_granted_a_key() {
     let mut platform = Platform::default();
@@ -39,7 +39,7 @@
     two.request_claim(13_001, 7, "key", BODY);
     two.answer_all(13_001, &mut platform);
     let Some(ClaimOutcome::Replay(answer)) = two.outcome(7) else {
-        panic!("no stored answer: {:?}", two.outcome(7));
+        panic!("no stored response: {:?}", two.outcome(7));
     };
     assert_eq!(
         (answer.status, answer.body.as_slice()),
@@ -50,9 +50,9 @@
     assert_eq!(two.refused(8), Some((Code::KeyReused, Ran::NotRun)));
 }
 
-/// The same key comes twice to one agent before the first claim is written.
-/// The second must not be run, whatever becomes of the first: it is judged
-/// after the write, and gets the key if the first gave it back.
+/// Two requests with the same key reach one agent before the first claim is
+/// written. The second must not run as well: it is decided after the write, and
+/// is granted the key if the first released it.
 #[test]
 fn only_one_of_two_requests_at_an_agent_is_granted_a_key() {
     let mut platform = Platform::default();
@@ -71,9 +71,9 @@
     assert_eq!(platform.claim_count(), 1);
 }
 
-/// An agent dies with a claim written: between claim and run, or between run
-/// and answer. Its successor can't tell which, so the call is not run again;
-/// the caller is told that it is in progress and then that nobody knows.
+/// An agent dies after its claim was written, before or after the request ran.
+/// Its successor can't tell which, so the request is not run again: the caller
+/// is told that it is in progress and later that the outcome is unknown.
 #[test]
 fn dead_agents_claim_is_not_run_again() {
     let mut platform = Platform::default();
@@ -97,9 +97,9 @@
     );
 }
 
-/// A call is refused after its claim was taken. The refusal says `not_run`, so
-/// the caller sends the call again at once and must not meet its own claim. If
-/// the platform is away the refusal waits for a second and no longer.
+/// A request is refused after its claim was granted. The refusal says
+/// `not_run`, so the caller resends at once and must not meet its own claim. If
+/// the platform is unavailable, the refusal waits for one second at most.
 #[test]
 fn key_is_released_before_a_refusal_is_sent() {
     let mut platform = Platform::default();
@@ -107,7 +107,10 @@
     agent.request_claim(0, 1, "key", BODY);
     agent.answer_all(0, &mut platform);
     agent.release(10, 1);
-    assert!(agent.released.is_empty(), "told before it was written");
+    assert!(
+        agent.released.is_empty(),
+        "the refusal was sent before the release was written"
+    );
     agent.answer_all(10, &mut platform);
     assert_eq!(agent.released, [1]);
     assert_eq!(platform.claim_count(), 0);
@@ -126,5 +129,9 @@
         agent.tick(ms);
         agent.answer_all(ms, &mut platform);
     }
-    assert_eq!(platform.claim_count(), 0, "released later");
+    assert_eq!(
+        platform.claim_count(),
+        0,
+        "the claim is still there after the platform came back"
+    );
 }
--- a/crates/once/tests/claims/main.rs
+++ b/crates/once/tests/claims/main.rs
@@ -1,5 +1,5 @@
-//! Claims against a platform that is away, loses answers, and serves another
-//! agent meanwhile.
+//! Tests of claims with a platform that is unavailable, loses calls and
+//! responses, and serves a second agent at the same time.
 
 mod agents;
 mod shards;
--- a/crates/once/tests/claims/shards.rs
+++ b/crates/once/tests/claims/shards.rs
@@ -1,12 +1,12 @@
-//! Shards: shared writes, their size, and what can't be kept or read.
+//! Shards: shared writes, limited size, and content that can't be stored or
+//! decoded.
 
 use crate::stand::{Agent, BODY, OTHER_BODY, Platform};
 use base::prelude::*;
 use once::{shard_key, shard_of};
 
-/// Many calls come while a write is under way. They share the next write, so
-/// the platform is asked as often as it answers and not as often as callers
-/// call.
+/// Requests that arrive while a write is in flight share the next write, so the
+/// number of platform calls does not grow with the number of requests.
 #[test]
 fn concurrent_claims_share_a_write() {
     let mut platform = Platform::default();
@@ -20,7 +20,11 @@
     for (attempt, key) in (1..).zip(&keys) {
         agent.request_claim(0, attempt, key, BODY);
     }
-    assert_eq!(agent.calls.len(), 1, "one call in flight for a shard");
+    assert_eq!(
+        agent.calls.len(),
+        1,
+        "more than one call in flight for a shard"
+    );
     agent.answer_all(0, &mut platform);
     assert_eq!(agent.settled.len(), 50);
     assert!((1..=50).all(|attempt| agent.granted(attempt)));
@@ -29,12 +33,16 @@
         agent.finish(1, attempt, b"done");
     }
     agent.answer_all(1, &mut platform);
-    assert_eq!(platform.writes, 3, "one under way, and one for all others");
+    assert_eq!(
+        platform.writes, 3,
+        "finishes took more than the write in flight and one more"
+    );
     assert!(agent.claims.is_flushed());
 }
 
-/// A shard is an object of less than a megabyte. New keys are refused before it
-/// is full, as `not_run`, and claims past their retention make room.
+/// A shard is an object of less than a megabyte. New keys are refused as
+/// `not_run` before it is full, and claims past their retention are dropped to
+/// make space.
 #[test]
 fn full_shard_refuses_claims_until_old_ones_expire() {
     let mut platform = Platform::default();
@@ -67,11 +75,11 @@
     agent.request_claim(later, 101, &keys[0], OTHER_BODY);
     agent.answer_all(later, &mut platform);
     assert!(agent.granted(101), "{:?}", agent.outcome(101));
-    assert_eq!(platform.claim_count(), 1, "the old claims are forgotten");
+    assert_eq!(platform.claim_count(), 1, "old claims were not dropped");
 }
 
-/// An answer too large to be kept is lost for a resend. The resend is told that
-/// the call ran, and is not run.
+/// A response that is too large to store is lost for a resend. The resend is
+/// told that the request ran, and is not run.
 #[test]
 fn oversized_response_is_recorded_as_run() {
     let mut platform = Platform::default();
@@ -86,8 +94,8 @@
     assert_eq!(agent.refused(2), Some((Code::OutcomeUnknown, Ran::Ran)));
 }
 
-/// A shard that can't be decoded holds claims that must not be written over:
-/// calls are refused as `not_run` and the object stays as it is.
+/// A shard that can't be decoded contains claims that must not be overwritten:
+/// requests are refused as `not_run` and the object is left unchanged.
 #[test]
 fn undecodable_shard_is_not_overwritten() {
     let mut platform = Platform::default();
--- a/crates/once/tests/claims/stand.rs
+++ b/crates/once/tests/claims/stand.rs
@@ -1,4 +1,4 @@
-//! Stand-ins: a platform that errs, and an agent with claims.
+//! Test doubles: a platform with faults, and an agent that makes claims.
 
 use base::prelude::*;
 use base::{Expect, PlatformCall, PlatformOp, PlatformResult, Version};
@@ -13,18 +13,18 @@
 pub const BODY: u64 = 11;
 pub const OTHER_BODY: u64 = 12;
 
-/// How the platform treats one call.
+/// How the platform handles one call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlatformBehavior {
     Normal,
     Away,
-    /// The call has its effect, its answer is lost.
+    /// The call takes effect, but its response is lost.
     AnswerLost,
-    /// The call is lost on its way.
+    /// The call is lost and has no effect.
     CallLost,
-    /// The answer is lost, and the call has its effect later.
+    /// The response is lost, and the call takes effect later.
     Late,
-    /// A read gives what stood before the first write.
+    /// A read returns the state before the first write.
     Stale,
 }
 
@@ -62,18 +62,19 @@
     fn apply(&mut self, op: &PlatformOp) -> PlatformResult {
         match op {
             PlatformOp::Read { key } => {
-                let held = self.objects.get(key);
+                let object = self.objects.get(key);
                 PlatformResult::Object(
-                    held.map(|(v, value)| (Version(*v), value.clone())),
+                    object.map(|(v, value)| (Version(*v), value.clone())),
                 )
             }
             PlatformOp::Write { key, expect, value } => {
                 self.writes += 1;
-                let held = self.objects.get(key).map(|(version, _)| Version(*version));
+                let current =
+                    self.objects.get(key).map(|(version, _)| Version(*version));
                 let version_matches = match expect {
                     Expect::Any => true,
-                    Expect::Absent => held.is_none(),
-                    Expect::Version(version) => held == Some(*version),
+                    Expect::Absent => current.is_none(),
+                    Expect::Version(version) => current == Some(*version),
                 };
                 if !version_matches {
                     return PlatformResult::Conflict;
@@ -83,7 +84,7 @@
                     .insert(key.clone(), (self.last_version, value.clone()));
                 PlatformResult::Written(Version(self.last_version))
             }
-            other => panic!("claims make no such call: {other:?}"),
+            other => panic!("unexpected platform call: {other:?}"),
         }
     }
 
@@ -95,8 +96,9 @@
 
     pub fn claim_count(&self) -> usize {
         let shards = self.objects.values();
-        let held = shards.map(|(_, value)| ClaimShard::decode(value.as_slice()));
-        held.map(|shard| shard.expect("shards are well formed").claims.len())
+        let decoded = shards.map(|(_, value)| ClaimShard::decode(value.as_slice()));
+        decoded
+            .map(|shard| shard.expect("the test writes valid shards").claims.len())
             .sum()
     }
 
@@ -182,7 +184,8 @@
         }
     }
 
-    /// Lets the platform answer one call.
+    /// Lets the platform respond to the oldest call. Returns false if there is
+    /// none.
     pub fn answer_one(&mut self, ms: u64, platform: &mut Platform) -> bool {
         if self.calls.is_empty() {
             return false;
@@ -203,7 +206,7 @@
                 return;
             }
         }
-        panic!("the claims never come to rest");
+        panic!("more than 100 platform calls in a row");
     }
 
     pub fn outcome(&self, attempt: u64) -> Option<&ClaimOutcome> {
@@ -211,8 +214,8 @@
         settled.find(|(id, _)| *id == attempt).map(|(_, o)| o)
     }
 
-    /// The code with which an attempt was refused, and what was said to be
-    /// known about the run.
+    /// The code with which an attempt was refused, and what the refusal says
+    /// about the run.
     pub fn refused(&self, attempt: u64) -> Option<(Code, Ran)> {
         match self.outcome(attempt)? {
             ClaimOutcome::Refused(refusal) => Some((refusal.code, refusal.ran)),
--- a/crates/once/tests/claims/writes.rs
+++ b/crates/once/tests/claims/writes.rs
@@ -1,33 +1,37 @@
-//! Writes and reads of claims that are lost, late or old.
+//! Writes and reads of claims that are lost, late or stale.
 
 use crate::stand::{Agent, BODY, Platform, PlatformBehavior};
 use base::prelude::*;
 use once::ClaimOutcome;
 use std::collections::VecDeque;
 
-/// A call is run only once its claim stands. The platform's answer to the
-/// write is lost in every way there is; what the caller sees is either the run
-/// or a refusal as `not_run`, and in the second case the key is free again as
-/// soon as the platform can be reached.
+/// A request runs only once the platform has confirmed its claim. For every way
+/// in which the response to the write is lost, the caller sees either a run or
+/// a refusal as `not_run`; after a refusal, the key is free again as soon as
+/// the platform is available.
 #[test]
 fn unanswered_writes_are_granted_or_released() {
     use PlatformBehavior::{AnswerLost, Away, CallLost, Late, Normal};
     let cases: &[(&str, &[PlatformBehavior], bool)] = &[
-        ("good", &[], true),
-        ("the first read is away", &[Away], false),
-        ("the first read gets no answer", &[CallLost], false),
-        ("the write is away", &[Normal, Away], false),
-        ("the write's answer is lost", &[Normal, AnswerLost], true),
-        ("the write is lost", &[Normal, CallLost], true),
-        ("the write is late", &[Normal, Late], true),
-        ("lost twice", &[Normal, CallLost, Normal, CallLost], true),
+        ("no fault", &[], true),
+        ("platform unavailable at the first read", &[Away], false),
+        ("first read unanswered", &[CallLost], false),
+        ("platform unavailable at the write", &[Normal, Away], false),
+        ("write applied, response lost", &[Normal, AnswerLost], true),
+        ("write lost", &[Normal, CallLost], true),
+        ("write applied late", &[Normal, Late], true),
         (
-            "lost, and away at the first reading back",
+            "write lost twice",
+            &[Normal, CallLost, Normal, CallLost],
+            true,
+        ),
+        (
+            "response lost, platform unavailable at the first read back",
             &[Normal, AnswerLost, Away],
             true,
         ),
         (
-            "lost, and away for long",
+            "response lost, platform unavailable for long",
             &[Normal, AnswerLost, Away, Away, Away, Away, Away, Away, Away],
             false,
         ),
@@ -56,13 +60,13 @@
         assert!(agent.claims.is_flushed(), "{name}");
         agent.request_claim(20_000, 2, "key", BODY);
         agent.answer_all(20_000, &mut platform);
-        assert!(agent.granted(2), "{name}: a resend is not run");
+        assert!(agent.granted(2), "{name}: a resend was not granted");
     }
 }
 
-/// The write is given up, and only then does it take effect. The refusal said
-/// `not_run`, so the claim has to go again: the release is not over while the
-/// write may still come.
+/// A write takes effect after its request was refused as `not_run`, so the
+/// claim has to be removed again: the release stays pending as long as the
+/// write may be applied.
 #[test]
 fn write_applied_after_its_refusal_is_released() {
     let mut platform = Platform::default();
@@ -82,14 +86,13 @@
     assert_eq!(
         platform.claim_count(),
         0,
-        "the late write made a claim of nobody"
+        "the late write left a claim behind"
     );
 }
 
-/// The answer of the write that stores an answer is lost, and the platform then
-/// gives an old read of the shard, in which the claim is missing. The agent does
-/// not believe it: a resend gets the stored answer, not that the outcome is
-/// unknown.
+/// The write that stores a response is lost, and the next read of the shard is
+/// stale and lacks the claim. The agent must not apply that read: a resend gets
+/// the stored response and is not told that the outcome is unknown.
 #[test]
 fn stale_read_does_not_lose_a_stored_response() {
     let mut platform = Platform::default();
