--- a/crates/quota/benches/ways/faults.rs
+++ b/crates/quota/benches/ways/faults.rs
@@ -1,24 +1,24 @@
-//! What goes wrong while a workspace is served.
+//! Faults during a simulated run.
 
-/// A day's fault, from second 10 on.
+/// A fault, or an uneven or high load, from second 10 of a run on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing; nine in ten of the requests reach one entry, at half of the quota.
+    /// No fault. Nine in ten requests reach one entry; load of half the quota.
     Skewed,
-    /// Nothing; four times the quota, evenly.
+    /// No fault. Evenly distributed load of four times the quota.
     Hot,
-    /// A third of the entries hears nobody and is not heard, for 6 s, at four times
-    /// the quota.
+    /// A third of the entries can't exchange messages for 6 s; load of four times the
+    /// quota.
     Cut,
-    /// A third is suspended for 3 s and goes on, at four times the quota.
+    /// A third of the entries is suspended for 3 s; load of four times the quota.
     Frozen,
-    /// Half are killed at one moment and start again 2 s later, twice, at four times
-    /// the quota.
+    /// Half of the entries are killed at the same time and restart 2 s later, repeated
+    /// every 5 s; load of four times the quota.
     Herds,
-    /// One after the other is stopped and starts again after a second, at half of the
+    /// The entries are stopped one after the other, each for a second; load of half the
     /// quota.
     Rolling,
-    /// The entry that the others rely on most is killed for 4 s, at half of the quota.
+    /// The entry on which the others rely most is down for 4 s; load of half the quota.
     Keeper,
 }
 
@@ -45,7 +45,7 @@
         }
     }
 
-    /// What is asked for, as a multiple of the quota.
+    /// Load, as a multiple of the quota.
     pub const fn demand(self) -> f64 {
         match self {
             Self::Skewed | Self::Rolling | Self::Keeper => 0.5,
--- a/crates/quota/benches/ways/pooled.rs
+++ b/crates/quota/benches/ways/pooled.rs
@@ -1,4 +1,5 @@
-//! The way that is kept: tokens made in parts and brought together at a keeper.
+//! The scheme that is in use: entries refill shares of the tokens and feed them to a
+//! keeper.
 
 use base::prelude::*;
 use quota::{
@@ -7,25 +8,25 @@
 };
 use std::sync::Arc;
 
-use crate::world::{State, Way, hears};
+use crate::simulation::{EntryState, QuotaScheme, can_reach};
 
 const OVERDRAFT: f64 = 8_500.0;
 
-/// Time without a word after which an entry is not thought of as a keeper.
-const AWAY_MS: u64 = 350;
+/// Time without a response after which an entry is no longer considered as the keeper.
+const UNREACHABLE_AFTER_MS: u64 = 350;
 
-pub struct Pooled {
+pub struct PooledTokens {
     limit: RateLimit,
     names: Vec<Arc<str>>,
     pools: Vec<TokenPools>,
-    /// When each entry was last up, as those that feed it find out.
-    up_at: Vec<Instant>,
+    /// When each entry was last up.
+    last_up_at: Vec<Instant>,
     messages: u64,
 }
 
 const WORKSPACE: &str = "desk";
 
-impl Pooled {
+impl PooledTokens {
     pub fn new(entries: usize, rate_per_s: f64) -> Self {
         let limit = RateLimit {
             rate_per_s,
@@ -37,65 +38,66 @@
                 .map(|entry| format!("entry-{entry}").into())
                 .collect(),
             pools: (0..entries)
-                .map(|_| pools(Instant::ZERO, limit, entries))
+                .map(|_| new_pools(Instant::ZERO, limit, entries))
                 .collect(),
-            up_at: vec![Instant::ZERO; entries],
+            last_up_at: vec![Instant::ZERO; entries],
             messages: 0,
         }
     }
 
-    /// The keeper as an entry sees it.
-    fn keeper(&self, now: Instant, states: &[State], of: usize) -> usize {
+    /// The keeper as seen by entry `of`.
+    fn keeper_of(&self, now: Instant, states: &[EntryState], of: usize) -> usize {
         let candidates = (0..self.names.len()).filter(|other| {
-            let lately = now.ms_since(self.up_at[*other]) < AWAY_MS;
-            *other == of || (states[of] == State::Up && lately)
+            let was_up_recently =
+                now.ms_since(self.last_up_at[*other]) < UNREACHABLE_AFTER_MS;
+            *other == of || (states[of] == EntryState::Up && was_up_recently)
         });
         let names = candidates.map(|other| &*self.names[other]);
         let name = select_keeper(WORKSPACE, names);
-        let found = self.names.iter().position(|known| Some(&**known) == name);
-        found.unwrap_or(of)
+        let index = self.names.iter().position(|known| Some(&**known) == name);
+        index.unwrap_or(of)
     }
 }
 
-fn pools(now: Instant, limit: RateLimit, entries: usize) -> TokenPools {
+fn new_pools(now: Instant, limit: RateLimit, entries: usize) -> TokenPools {
     let mut pools = TokenPools::new(OVERDRAFT);
     pools.set_limits(now, [(&WORKSPACE.into(), limit)]);
     pools.set_entries(now, entries, true);
     pools
 }
 
-impl Way for Pooled {
+impl QuotaScheme for PooledTokens {
     fn name(&self) -> &'static str {
         "pooled"
     }
 
-    fn tick(&mut self, now: Instant, states: &[State]) {
+    fn tick(&mut self, now: Instant, states: &[EntryState]) {
         for (entry, state) in states.iter().enumerate() {
-            if *state == State::Up {
-                self.up_at[entry] = now;
+            if *state == EntryState::Up {
+                self.last_up_at[entry] = now;
             }
         }
-        let every_ms = feed_interval_ms(states.len());
+        let interval_ms = feed_interval_ms(states.len());
         for entry in 0..states.len() {
-            // Each at its own moment.
-            let is_turn = (now.as_ms() + entry as u64 * 7).is_multiple_of(every_ms);
-            let runs = matches!(states[entry], State::Up | State::Cut);
-            if !is_turn || !runs {
+            // Each entry feeds at a different time.
+            let is_due = (now.as_ms() + entry as u64 * 7).is_multiple_of(interval_ms);
+            let is_running = matches!(states[entry], EntryState::Up | EntryState::Cut);
+            if !is_due || !is_running {
                 continue;
             }
-            let to = self.keeper(now, states, entry);
+            let to = self.keeper_of(now, states, entry);
             if to == entry {
                 continue;
             }
-            let away_ms = FEEDER_TIMEOUT_INTERVALS * every_ms;
-            let up_at = &self.up_at;
+            let gone_after_ms = FEEDER_TIMEOUT_INTERVALS * interval_ms;
+            let last_up_at = &self.last_up_at;
             let is_gone = |name: &str| {
                 let of = name.trim_start_matches("entry-").parse::<usize>();
-                of.is_ok_and(|of| now.ms_since(up_at[of]) > away_ms)
+                of.is_ok_and(|of| now.ms_since(last_up_at[of]) > gone_after_ms)
             };
             let feeds = self.pools[entry].feed(now, |_| true, is_gone);
             self.messages += 2;
-            if !hears(states, entry, to) {
+            if !can_reach(states, entry, to) {
                 continue;
             }
             let from = Arc::clone(&self.names[entry]);
@@ -111,27 +113,27 @@
     fn take(
         &mut self,
         now: Instant,
-        states: &[State],
+        states: &[EntryState],
         entry: usize,
         cost: f64,
     ) -> bool {
         if self.pools[entry].take_local(now, WORKSPACE, cost) == TakeOutcome::Taken {
             return true;
         }
-        let to = self.keeper(now, states, entry);
+        let to = self.keeper_of(now, states, entry);
         self.messages += 2 * u64::from(to != entry);
-        hears(states, entry, to)
+        can_reach(states, entry, to)
             && self.pools[to].take(now, WORKSPACE, cost) == TakeOutcome::Taken
     }
 
     fn restart(&mut self, now: Instant, entry: usize) {
-        self.pools[entry] = pools(now, self.limit, self.names.len());
+        self.pools[entry] = new_pools(now, self.limit, self.names.len());
     }
 
-    fn relied_on(&self) -> usize {
+    fn most_relied_on_entry(&self) -> usize {
         let name = select_keeper(WORKSPACE, self.names.iter().map(|name| &**name));
-        let found = self.names.iter().position(|known| Some(&**known) == name);
-        found.unwrap_or(0)
+        let index = self.names.iter().position(|known| Some(&**known) == name);
+        index.unwrap_or(0)
     }
 
     fn messages(&self) -> u64 {
--- a/crates/quota/src/keeper.rs
+++ b/crates/quota/src/keeper.rs
@@ -1,12 +1,13 @@
-//! Which entry keeps a workspace's tokens.
+//! Choice of the entry that keeps a workspace's tokens.
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The entry of these that keeps a workspace's tokens; `None` without entries.
+/// Selects the keeper of a workspace's tokens from `entries`; `None` without entries.
 ///
-/// By rendezvous hash: entries that know the same others name the same keeper without
-/// a word, and one that goes or comes moves only the workspaces that it kept or will
-/// keep. Where they differ in whom they know, each of their keepers has what it is fed.
+/// Uses rendezvous hashing: entries that know the same set of entries choose the same
+/// keeper without any messages, and an entry that joins or leaves moves only the
+/// workspaces that it keeps. Entries that know different sets may choose different
+/// keepers; each keeper then has the tokens that it was fed.
 pub fn select_keeper<'a>(
     workspace: &str,
     entries: impl IntoIterator<Item = &'a str>,
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,39 +1,42 @@
-//! Quotas of workspaces and rates of upstreams, over all entries together.
+//! Quotas of workspaces and request rates of upstreams, enforced over all entries
+//! together.
 //!
-//! A workspace may use a rate and a burst, whichever entries its requests reach. A
-//! bound that each entry kept by itself would be right in sum only if each had a
-//! fixed part, and the part of a small workspace at one of hundreds of entries is less
-//! than one request. So the parts are tokens, which are made in small parts
-//! everywhere, brought together in one place, and moved but never copied:
+//! A workspace may use a rate and a burst, whichever entries its requests reach. If
+//! each entry enforced a fixed part of the limit by itself, the part of a small
+//! workspace at one of hundreds of entries would be less than one request. Instead,
+//! every entry refills its share of a workspace's token bucket and moves the tokens to
+//! one entry, the workspace's keeper. Tokens are moved but never copied:
 //!
-//! - Each entry makes its own part of a workspace's rate, one part out of as many as
+//! - Each entry refills an equal share of a workspace's rate: one part in as many as
 //!   there are entries ([`TokenPools`]).
-//! - A few times a second it hands what it has to the workspace's keeper, which all
-//!   entries find by the same hash ([`select_keeper`]). A keeper is nothing that must be
-//!   agreed upon. Two of them share what there is; a keeper that is gone takes with
-//!   it what it has and nothing else, and the next one is fed at once.
-//! - A request takes its tokens from what its own entry has, or asks the keeper
+//! - A few times a second it sends its tokens to the workspace's keeper, which is
+//!   called a feed. All entries choose the keeper by the same hash ([`select_keeper`])
+//!   and need not agree on it: two keepers share the tokens, and a keeper that fails
+//!   takes only the tokens it has with it. Its successor is fed at once.
+//! - A request takes its tokens from the pool of its own entry or asks the keeper. The
+//!   keeper remembers its recent answers, so that a repeated request is charged once
 //!   ([`RecentAnswers`]).
 //!
 //! Invariants:
 //!
-//! - Tokens come from time alone: what all entries make of a limit in a span is its
-//!   rate times the span at most, as their parts sum up to one whatever they know of
-//!   one another. A message moves tokens and is counted once; one that is lost takes
-//!   its tokens with it.
-//! - What lies unused anywhere is bounded by the part of the burst that belongs to
-//!   those who feed the place. Together with the first, no span sees more than rate
-//!   times span and burst, the overdraft, and what is between an entry and its keeper
-//!   (see [`TokenPools::take`] for each).
-//! - A process that starts has nothing. It makes its part once all others count it.
+//! - Only time creates tokens. In any time span, all entries together refill a limit by
+//!   at most its rate times the span, because their shares sum to at most one whatever
+//!   they know of each other. A message moves tokens and is counted once; a lost
+//!   message loses its tokens.
+//! - The unused tokens in a pool are bounded by the part of the burst that belongs to
+//!   the entries that feed it. With the first invariant, the use in any time span is at
+//!   most the rate times the span, the burst, the overdraft, and the tokens not yet fed
+//!   to a keeper (see [`TokenPools::take`]).
+//! - A process starts without tokens. It refills its share once all others count it.
 //!
-//! Everything here is pure: time is an argument, and nothing does I/O.
+//! Everything in this crate is deterministic: time is an argument, and nothing does
+//! I/O.
 
 mod feed_interval;
 mod keeper;
-mod pool;
 mod rate_limit;
 mod recent_answers;
+mod token_pool;
 mod token_pools;
 
 pub use feed_interval::{FEEDER_TIMEOUT_INTERVALS, feed_interval_ms};
--- a/crates/quota/src/rate_limit.rs
+++ b/crates/quota/src/rate_limit.rs
@@ -1,46 +1,48 @@
-//! What a workspace may use, or an upstream takes.
+//! Limits on what a workspace may use or an upstream accepts.
 
 use crate::feed_interval::FEED_INTERVAL_MAX_MS;
 
-/// Tokens or requests in any span of time: the rate times its length, and the burst.
+/// Limit on tokens or requests: in any time span, at most the rate times the span, and
+/// the burst.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RateLimit {
     /// Units a second.
     pub rate_per_s: f64,
-    /// Units at once, after a time without use.
+    /// Units that may be used at once after a time without use.
     pub burst: f64,
 }
 
-/// Requests of a rate that lie ready at most. A place that a third of the entries feeds
-/// can still give out one.
-const MIN_BURST: f64 = 3.0;
+/// Part of a minimal burst that does not depend on the rate, in requests. With 3, a
+/// pool that a third of the entries feed can still hold one request.
+const BASE_BURST: f64 = 3.0;
 
 impl RateLimit {
-    /// A rate of requests with the least burst by which all of it can be used, however
-    /// many entries make it: what is made between two feeds has to lie somewhere.
+    /// Limits a rate of requests with the smallest burst that allows all of the rate to
+    /// be used, however many entries refill it: the tokens refilled between two feeds
+    /// need a place.
     pub fn with_min_burst(rate_per_s: f64) -> Self {
         let feed_interval_s = FEED_INTERVAL_MAX_MS as f64 / 1_000.0;
         Self {
             rate_per_s,
-            burst: MIN_BURST + rate_per_s * feed_interval_s,
+            burst: BASE_BURST + rate_per_s * feed_interval_s,
         }
     }
 }
 
-/// What one request counts as.
+/// How the cost of a request is determined.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum RequestCost {
-    /// Each counts as one.
+    /// Each request costs 1.
     Requests,
-    /// Each counts as its tokens.
+    /// Each request costs its number of tokens.
     Tokens {
-        /// Tokens of a request that does not say how many it has.
+        /// Cost of a request that does not state its number of tokens.
         default_tokens: f64,
     },
 }
 
 impl RequestCost {
-    /// What a request counts as that says its tokens, or does not.
+    /// Cost of a request, given the number of tokens that it states, if any.
     pub fn of(&self, tokens: Option<u64>) -> f64 {
         match (self, tokens) {
             (Self::Requests, _) => 1.0,
@@ -50,11 +52,11 @@
     }
 }
 
-/// A bound on what a workspace uses over all entries.
+/// Limit on what a workspace may use over all entries.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Allowance {
-    /// The bound.
+    /// The limit.
     pub limit: RateLimit,
-    /// What requests count as.
+    /// How the cost of a request is determined.
     pub cost: RequestCost,
 }
--- a/crates/quota/src/recent_answers.rs
+++ b/crates/quota/src/recent_answers.rs
@@ -1,4 +1,4 @@
-//! What was asked of a keeper lately.
+//! Recent answers of a keeper to requests for tokens.
 
 use base::prelude::*;
 use std::collections::{HashMap, VecDeque};
@@ -6,19 +6,20 @@
 
 use crate::TakeOutcome;
 
-/// Time for which an answer is kept. A question is sent again within a fraction of it.
+/// Time for which an answer is kept. An unanswered request is resent within a fraction
+/// of it.
 const RETENTION_MS: u64 = 1_000;
 
-/// Answers kept at most, over all entries.
+/// Most answers kept, over all requesting entries.
 const ANSWERS_MAX: usize = 4_096;
 
-/// Who asked, the start of its process, and the number of its question.
+/// Requesting entry, incarnation of its process, and number of the request.
 type RequestKey = (Arc<str>, u64, u64);
 
-/// Answers that were given lately.
+/// Recent answers of a keeper, by request.
 ///
-/// A question whose answer is lost is sent again. Without this, its tokens would be
-/// taken twice and used once.
+/// A request whose answer is lost is resent. Without the stored answer, its tokens
+/// would be taken twice and used once.
 #[derive(Debug, Default)]
 pub struct RecentAnswers {
     answers: HashMap<RequestKey, TakeOutcome>,
@@ -26,12 +27,13 @@
 }
 
 impl RecentAnswers {
-    /// Nothing was asked.
+    /// Creates an empty store.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The answer to a question: the one that was given, or a new one.
+    /// Returns the answer that was given to a request, or decides on a new one and
+    /// stores it.
     pub fn get_or_decide(
         &mut self,
         now: Instant,
--- a/crates/quota/src/token_pools.rs
+++ b/crates/quota/src/token_pools.rs
@@ -1,55 +1,56 @@
-//! What one entry has of all workspaces' tokens.
+//! Tokens of all workspaces at one entry.
 
 use base::prelude::*;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use crate::pool::{Pool, Share};
+use crate::token_pool::{RefillShare, TokenPool};
 use crate::{FEEDER_TIMEOUT_INTERVALS, RateLimit, feed_interval_ms};
 
-/// What became of a request that wants tokens.
+/// Outcome of taking a request's tokens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TakeOutcome {
-    /// It has them.
+    /// The tokens were taken.
     Taken,
-    /// There are too few.
+    /// There are too few tokens.
     Insufficient {
-        /// When there should be enough again.
+        /// When there should be enough again, in milliseconds.
         retry_after_ms: u64,
     },
-    /// It wants more than the workspace may ever use at once.
+    /// The request costs more than the workspace may ever use at once.
     ExceedsLimit,
-    /// The workspace has no bound.
+    /// The workspace has no limit.
     Unlimited,
 }
 
-/// Tokens that an entry hands to a keeper.
+/// Tokens of one workspace that an entry sends to its keeper.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Feed {
-    /// Workspace.
+    /// Name of the workspace.
     pub workspace: Arc<str>,
-    /// Tokens; less than none is a debt.
+    /// Tokens; negative if the sender's pool is overdrawn.
     pub tokens: f64,
-    /// What the keeper before owed when it was last heard, if it did.
+    /// Last reported level of the previous keeper, if that keeper is gone and the level
+    /// was negative.
     pub previous_keeper_level: Option<f64>,
 }
 
-/// Tokens of all workspaces at one entry.
+/// Token pools of all workspaces at one entry.
 #[derive(Debug)]
 pub struct TokenPools {
     overdraft: f64,
-    share: Share,
-    pools: BTreeMap<Arc<str>, Pool>,
+    share: RefillShare,
+    pools: BTreeMap<Arc<str>, TokenPool>,
 }
 
 impl TokenPools {
-    /// No workspace has a bound yet.
+    /// Creates the pools of an entry, without any limits.
     ///
-    /// A request may take up to `overdraft` more tokens than there are.
+    /// A request may overdraw a pool by up to `overdraft` tokens.
     pub fn new(overdraft: f64) -> Self {
-        let share = Share {
+        let share = RefillShare {
             entries: 1,
-            produces: false,
+            refills: false,
             feeder_timeout_ms: FEEDER_TIMEOUT_INTERVALS * feed_interval_ms(1),
         };
         Self {
@@ -59,13 +60,13 @@
         }
     }
 
-    /// Whether no workspace has a bound.
+    /// Whether no workspace has a limit.
     pub fn is_empty(&self) -> bool {
         self.pools.is_empty()
     }
 
-    /// Takes over the bounds of a configuration. A lower one holds at once; of a
-    /// higher one, what time gives from now on can be used.
+    /// Applies the limits of a configuration. A lowered limit applies at once, also to
+    /// unused tokens; a raised one to the refill from now on.
     pub fn set_limits<'a>(
         &mut self,
         now: Instant,
@@ -73,8 +74,8 @@
     ) {
         let mut old_pools = std::mem::take(&mut self.pools);
         for (workspace, limit) in limits {
-            let known = old_pools.remove(workspace);
-            let mut pool = known.unwrap_or_else(|| Pool::new(now, limit));
+            let existing = old_pools.remove(workspace);
+            let mut pool = existing.unwrap_or_else(|| TokenPool::new(now, limit));
             pool.refill(now, &self.share);
             pool.limit = limit;
             pool.refill(now, &self.share);
@@ -82,16 +83,17 @@
         }
     }
 
-    /// Sets among how many entries the making is shared out, and whether this one
-    /// takes part.
+    /// Sets the number of entries that share the refill, and whether this entry takes
+    /// part.
     ///
-    /// All who may make tokens have to count all who do, or their parts are too large
-    /// in sum. So an entry counts each one that it has ever heard or read of, and
-    /// takes part itself only when it has been known for long enough to the others.
-    pub fn set_entries(&mut self, now: Instant, entries: usize, produces: bool) {
-        let share = Share {
+    /// Every entry that refills a share must count all others that do, or the shares
+    /// sum to more than one. An entry therefore counts every entry that it has ever
+    /// heard of, and takes part itself only once the others have known it for long
+    /// enough.
+    pub fn set_entries(&mut self, now: Instant, entries: usize, refills: bool) {
+        let share = RefillShare {
             entries: u32::try_from(entries).unwrap_or(u32::MAX).max(1),
-            produces,
+            refills,
             feeder_timeout_ms: FEEDER_TIMEOUT_INTERVALS * feed_interval_ms(entries),
         };
         for pool in self.pools.values_mut() {
@@ -100,20 +102,20 @@
         self.share = share;
     }
 
-    /// Takes a request's tokens from what is here.
+    /// Takes a request's tokens from the pool at this entry.
     ///
-    /// A request is let in while there is anything, and may take more than that: up to
-    /// the overdraft, of which this pool has the part that is fed to it. RecentAnswers for all
-    /// of its tokens beforehand, a large request would be refused whenever small ones
-    /// use what comes, and one that is larger than the burst for ever. The debt is
-    /// paid before the next one is let in, so it is owed once and not by each.
+    /// A request is admitted while the level is positive and may overdraw it, by up to
+    /// this pool's share of the overdraft. If a request needed all of its tokens in
+    /// advance, a large one would be refused whenever small ones use up the refill, and
+    /// one larger than the burst forever. The debt is repaid before the next request is
+    /// admitted, so the overdraft is used once and not by each request.
     ///
     /// # Bound
     ///
-    /// Over all entries and in any span, what is taken is at most the rate times the
-    /// span, the burst and the overdraft, and besides what was made during one feed's
-    /// time and is not yet with a keeper. A keeper that ends with a debt that nobody
-    /// heard of adds that debt.
+    /// Over all entries and in any time span, the tokens taken are at most the rate
+    /// times the span, the burst, the overdraft, and the tokens that were refilled
+    /// during one feed interval and have not reached a keeper. If a keeper fails with a
+    /// debt that it reported to nobody, that debt is added.
     pub fn take(&mut self, now: Instant, workspace: &str, cost: f64) -> TakeOutcome {
         let Some(pool) = self.pools.get_mut(workspace) else {
             return TakeOutcome::Unlimited;
@@ -133,7 +135,8 @@
         TakeOutcome::Insufficient { retry_after_ms }
     }
 
-    /// Takes a request's tokens if all of them are here; nothing is owed then.
+    /// Takes a request's tokens only if all of them are in the pool at this entry, so
+    /// that it is not overdrawn.
     pub fn take_local(
         &mut self,
         now: Instant,
@@ -151,32 +154,36 @@
         TakeOutcome::Taken
     }
 
-    /// Puts back what a request took that did not run.
+    /// Returns the tokens of a request that did not run.
     pub fn refund(&mut self, workspace: &str, cost: f64) {
         if let Some(pool) = self.pools.get_mut(workspace) {
             pool.refunded += cost;
         }
     }
 
-    /// Hands over all that is here of the workspaces that a keeper keeps, a debt as
-    /// well, and tells what a keeper owed that is gone. One that is there hands its
-    /// debt over by itself, and told as well it would count twice.
+    /// Removes the tokens of the pools for which `is_kept` is true, debts included, in
+    /// order to send them to their keeper.
+    ///
+    /// If `is_gone` is true for the keeper that a pool last fed, the feed contains the
+    /// debt which that keeper last reported. A live keeper hands over its debt itself,
+    /// and the debt would count twice.
     pub fn feed(
         &mut self,
         now: Instant,
-        keeps: impl Fn(&str) -> bool,
+        is_kept: impl Fn(&str) -> bool,
         is_gone: impl Fn(&str) -> bool,
     ) -> Vec<Feed> {
         let share = self.share;
-        let kept = self.pools.iter_mut().filter(|(name, _)| keeps(name));
-        let feeds = kept.map(|(workspace, pool)| {
+        let kept_pools = self.pools.iter_mut().filter(|(name, _)| is_kept(name));
+        let feeds = kept_pools.map(|(workspace, pool)| {
             pool.refill(now, &share);
-            let gone = pool
+            let gone_keeper = pool
                 .last_keeper_level
                 .as_ref()
                 .filter(|(keeper, _)| is_gone(keeper));
-            let previous_keeper_level =
-                gone.map(|(_, level)| *level).filter(|level| *level < 0.0);
+            let previous_keeper_level = gone_keeper
+                .map(|(_, level)| *level)
+                .filter(|level| *level < 0.0);
             Feed {
                 workspace: Arc::clone(workspace),
                 tokens: pool.drain(),
@@ -186,7 +193,8 @@
         feeds.collect()
     }
 
-    /// Takes over what another entry hands here; the level then, of which it is told.
+    /// Adds the tokens of a feed from another entry. Returns the new level, which is
+    /// reported to that entry; `None` if the workspace has no limit here.
     pub fn receive(
         &mut self,
         now: Instant,
@@ -197,19 +205,20 @@
         let pool = self.pools.get_mut(&feed.workspace)?;
         let level =
             pool.receive(now, &share, from, (feed.tokens, feed.previous_keeper_level));
-        // More was never overdrawn; a debt that was told twice is paid once.
+        // No pool is overdrawn by more than the overdraft, so a debt that is reported
+        // twice is repaid once.
         pool.level = level.max(-self.overdraft);
         Some(pool.level)
     }
 
-    /// A keeper told what it has.
+    /// Records the level that a keeper reported.
     pub fn set_keeper_level(&mut self, keeper: &str, workspace: &str, level: f64) {
         if let Some(pool) = self.pools.get_mut(workspace) {
             pool.last_keeper_level = Some((keeper.to_owned(), level));
         }
     }
 
-    /// Forgets entries that feed this one no longer.
+    /// Removes entries that no longer feed this one.
     pub fn remove_stale_feeders(&mut self, now: Instant) {
         let share = self.share;
         for pool in self.pools.values_mut() {
@@ -217,12 +226,12 @@
         }
     }
 
-    /// Workspaces with a bound.
+    /// Workspaces with a limit.
     pub fn workspaces(&self) -> impl Iterator<Item = &Arc<str>> {
         self.pools.keys()
     }
 
-    /// Tokens there are of a workspace, and the part of its rate that comes here.
+    /// Level of a workspace's pool, and the share of its rate that reaches the pool.
     pub fn level_and_share(&self, now: Instant, workspace: &str) -> Option<(f64, f64)> {
         let pool = self.pools.get(workspace)?;
         Some((pool.level, pool.total_share(now, &self.share)))
--- a/crates/quota/tests/all/main.rs
+++ b/crates/quota/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of quotas.
+//! Tests of token pools, feeds and rate limits.
 
 mod asked;
 mod hot;
