--- a/crates/live/src/agent.rs
+++ b/crates/live/src/agent.rs
@@ -1,4 +1,4 @@
-//! One agent as the directory knows it.
+//! What the directory knows about one agent.
 
 use base::prelude::*;
 use schema::link::{Heartbeat, Resident, ResidentState};
@@ -6,89 +6,89 @@
 
 use crate::{LoadTracker, SilenceLimits};
 
-/// Residents taken from one heartbeat; more than any instance can hold.
+/// Most residents read from one heartbeat; no instance can hold this many.
 const RESIDENTS_MAX: usize = 512;
 
-/// What the silence of an agent means.
+/// Liveness of an agent, judged by its silence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Liveness {
-    /// It is heard.
+    /// Its heartbeats arrive.
     Up,
-    /// It has been silent, or its link is down: it gets no new work.
+    /// It is silent or its link is down. It gets no new work.
     Suspected,
-    /// It is given up: what it ran has to be run elsewhere.
+    /// It is considered dead. Its requests have to be retried elsewhere.
     Lost,
 }
 
-/// Where a resident is in its life.
+/// State of a resident.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ResidencyState {
     /// Being loaded.
     Loading,
-    /// Able to serve.
+    /// Loaded and able to serve.
     Loaded,
     /// Being unloaded.
     Unloading,
 }
 
-/// One model or adapter on one accelerator of an agent.
+/// A model or adapter on one accelerator of an agent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Residency {
     /// Model or adapter.
     pub model: ModelId,
-    /// Version.
+    /// Version of the model or adapter.
     pub version: u32,
     /// Index of the accelerator.
     pub accelerator: u32,
-    /// Memory it takes.
+    /// Memory that it takes, in MiB.
     pub size_mib: u32,
-    /// Where it is in its life.
+    /// State of the resident.
     pub state: ResidencyState,
     /// When the state was entered.
     pub since: Instant,
 }
 
-/// What another entry said about an agent's silence.
+/// Another entry's report that an incarnation of an agent is silent.
 #[derive(Debug, Clone, Copy)]
 struct SilenceReport {
     incarnation: Incarnation,
     reported_at: Instant,
 }
 
-/// One agent.
+/// State of an agent as seen by this entry.
 #[derive(Debug)]
 pub struct Agent {
-    /// Name.
+    /// Name of the agent.
     pub id: AgentId,
-    /// Its run, by heartbeat or hello.
+    /// Incarnation of its process, from a heartbeat or a hello.
     pub incarnation: Incarnation,
-    /// Sequence of the newest heartbeat.
+    /// Sequence number of its newest heartbeat.
     pub sequence: u64,
     /// Pool of its upstream.
     pub pool: PoolId,
-    /// Failure domain.
+    /// Failure domain of its instance.
     pub failure_domain: DomainId,
-    /// Memory of each accelerator.
+    /// Memory of each accelerator, in MiB.
     pub accelerators_mib: Vec<u32>,
-    /// What is on the accelerators.
+    /// Models and adapters on its accelerators.
     pub residents: Vec<Residency>,
-    /// Its upstream answers.
+    /// Whether its upstream responds.
     pub upstream_up: bool,
-    /// Since when it does, or does not.
+    /// When `upstream_up` last changed.
     pub upstream_since: Instant,
-    /// This entry has a connection to it.
+    /// Whether this entry has a link to it.
     pub connected: bool,
     /// When it was last heard, directly or through another entry.
     pub last_heard_at: Instant,
-    /// When it was last heard directly.
+    /// When it was last heard over this entry's own link.
     pub last_heard_directly_at: Option<Instant>,
-    /// Load.
+    /// Its last reported load.
     pub load: LoadTracker,
     /// Planner whose target it follows.
     pub target_planner: String,
-    /// The newest heartbeat as it came, for relaying.
+    /// Its newest heartbeat as received, for relaying.
     pub last_heartbeat: Heartbeat,
-    /// Verdict at the last tick.
+    /// Liveness at the last update.
     pub liveness: Liveness,
     announced_leaving: bool,
     pub(crate) platform_leaving: bool,
@@ -120,21 +120,21 @@
         }
     }
 
-    /// It is stopping, by its own word or the platform's.
+    /// Whether it is stopping, according to itself or the platform.
     pub const fn leaving(&self) -> bool {
         self.announced_leaving || self.platform_leaving
     }
 
-    /// It may be sent work: its link is up, it is heard over that link, its
-    /// upstream answers and it is not stopping.
+    /// Whether it may be sent work: its link is up, its heartbeats arrive over
+    /// that link, its upstream responds, and it is not stopping.
     pub fn usable(&self, now: Instant, silence_limits: SilenceLimits) -> bool {
-        let heard = self
+        let is_heard = self
             .last_heard_directly_at
             .is_some_and(|at| now.ms_since(at) < silence_limits.suspect_ms());
-        self.connected && heard && self.upstream_up && !self.leaving()
+        self.connected && is_heard && self.upstream_up && !self.leaving()
     }
 
-    /// Version of a model it can serve now, if any; the highest if several.
+    /// Highest version of a model that it has loaded, if any.
     pub fn loaded_version(&self, model: &str) -> Option<u32> {
         self.residents
             .iter()
@@ -144,7 +144,7 @@
             .max()
     }
 
-    /// Whether it can serve one version of a model now.
+    /// Whether it has loaded one version of a model.
     pub fn has_loaded_version(&self, model: &str, version: u32) -> bool {
         self.residents.iter().any(|resident| {
             resident.model.as_str() == model
@@ -153,7 +153,7 @@
         })
     }
 
-    /// Since when it has been loading a model, if it is.
+    /// When it began to load a model that it is loading now.
     pub fn loading_since(&self, model: &str) -> Option<Instant> {
         self.residents
             .iter()
@@ -162,7 +162,8 @@
             .map(|resident| resident.since)
     }
 
-    /// The verdict at a time, given whether another entry is alive to ask.
+    /// Liveness at `now`. `only_entry` is true if no other entry is alive that
+    /// could report on the agent.
     pub(crate) fn assess_liveness(
         &self,
         now: Instant,
@@ -173,20 +174,20 @@
         if silent_ms >= silence_limits.lost_ms() {
             return Liveness::Lost;
         }
-        let silent = silent_ms >= silence_limits.suspect_ms();
-        if silent
+        let is_silent = silent_ms >= silence_limits.suspect_ms();
+        if is_silent
             && !self.connected
             && (only_entry || self.reported_silent_by_others(now, silence_limits))
         {
             return Liveness::Lost;
         }
-        if silent || !self.connected {
+        if is_silent || !self.connected {
             return Liveness::Suspected;
         }
         Liveness::Up
     }
 
-    /// When the verdict may change if nothing more is heard.
+    /// When the liveness may change if nothing more is heard.
     pub(crate) fn next_liveness_change(
         &self,
         now: Instant,
@@ -215,7 +216,7 @@
         self.silence_reports.insert(by.clone(), report);
     }
 
-    pub(crate) fn remove_silence_report_of(&mut self, by: &EntryId) {
+    pub(crate) fn remove_silence_report_by(&mut self, by: &EntryId) {
         self.silence_reports.remove(by);
     }
 
@@ -223,7 +224,7 @@
         self.announced_leaving = true;
     }
 
-    /// A new run of the agent: nothing of the old one holds any more.
+    /// Resets the state for a new incarnation of the agent.
     pub(crate) fn restart(&mut self, incarnation: Incarnation) {
         self.incarnation = incarnation;
         self.sequence = 0;
@@ -235,7 +236,7 @@
         self.last_heard_directly_at = None;
     }
 
-    /// Takes over a heartbeat that was found newer.
+    /// Applies a heartbeat that is newer than the last one.
     pub(crate) fn apply_heartbeat(&mut self, now: Instant, heartbeat: Heartbeat) {
         self.sequence = heartbeat.sequence;
         self.pool = PoolId::new(&heartbeat.pool);
--- a/crates/live/src/directory.rs
+++ b/crates/live/src/directory.rs
@@ -1,4 +1,4 @@
-//! All agents that are known, and which of them hold what.
+//! All known agents, and which models they hold.
 
 use base::prelude::*;
 use schema::link::Heartbeat;
@@ -6,42 +6,42 @@
 
 use crate::{Agent, Liveness, Residency, SilenceLimits};
 
-/// Agents kept at most, whatever peers relay.
+/// Most agents kept, however many other entries relay.
 const AGENTS_MAX: usize = 16_384;
 
-/// Something that changed and matters to work in flight or waiting.
+/// A change of an agent that affects running or waiting requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AgentChange {
-    /// It is silent or its link is down.
+    /// The agent is silent or its link is down.
     Suspected(AgentId),
-    /// It is given up.
+    /// The agent is considered dead.
     Lost(AgentId),
-    /// It is heard again.
+    /// The agent is heard again over a link that is up.
     Recovered(AgentId),
-    /// It began to leave.
+    /// The agent has begun to stop.
     Leaving(AgentId),
-    /// A new run of the agent took the place of the old one.
+    /// A new incarnation of the agent has replaced the old one.
     Restarted(AgentId),
-    /// Its upstream answers again.
+    /// The agent's upstream responds again.
     UpstreamUp(AgentId),
-    /// Its upstream does not answer.
+    /// The agent's upstream does not respond.
     UpstreamDown(AgentId),
-    /// What it can serve changed.
+    /// The models that the agent has loaded changed.
     ResidentsChanged(AgentId),
-    /// It was forgotten.
+    /// The agent was removed from the directory.
     Removed(AgentId),
 }
 
-/// How a heartbeat came.
+/// How a heartbeat was received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeartbeatSource {
-    /// Over this entry's own link.
+    /// Over this entry's own link to the agent.
     Direct,
-    /// Through another entry.
+    /// Relayed by another entry.
     Relayed,
 }
 
-/// The agents.
+/// All known agents, indexed by name and by the models that they have loaded.
 #[derive(Debug)]
 pub struct AgentDirectory {
     silence_limits: SilenceLimits,
@@ -50,7 +50,7 @@
 }
 
 impl AgentDirectory {
-    /// An empty directory.
+    /// Creates an empty directory.
     pub const fn new(silence_limits: SilenceLimits) -> Self {
         Self {
             silence_limits,
@@ -59,12 +59,12 @@
         }
     }
 
-    /// Bounds on silence in use.
+    /// The silence limits in use.
     pub const fn silence_limits(&self) -> SilenceLimits {
         self.silence_limits
     }
 
-    /// Changes the bounds on silence, as a new configuration may.
+    /// Sets the silence limits, after a change of configuration.
     pub const fn set_silence_limits(&mut self, silence_limits: SilenceLimits) {
         self.silence_limits = silence_limits;
     }
@@ -74,16 +74,16 @@
         self.agents.get(id)
     }
 
-    /// Agents in order of name.
+    /// All agents, ordered by name.
     pub fn agents(&self) -> impl Iterator<Item = &Agent> {
         self.agents.values()
     }
 
-    /// Agents that have a model or adapter loaded, in order of name, whether
-    /// they may be sent work or not.
+    /// Agents that have a model or adapter loaded, ordered by name, including
+    /// those that may not be sent work.
     pub fn holders<'a>(&'a self, model: &str) -> impl Iterator<Item = &'a Agent> {
-        let held = self.holders.get(model).into_iter().flatten();
-        held.filter_map(|id| self.agents.get(id))
+        let holders = self.holders.get(model).into_iter().flatten();
+        holders.filter_map(|id| self.agents.get(id))
     }
 
     /// Whether an agent may be sent work now.
@@ -91,14 +91,14 @@
         agent.usable(now, self.silence_limits)
     }
 
-    /// Takes a heartbeat; an old one changes nothing.
-    ///
-    /// Returns whether it was news.
+    /// Applies a heartbeat. Returns false if it is not newer than the last one, in
+    /// which case at most the state of the link and the time when the agent was
+    /// last heard change, or if the directory is full.
     pub fn record_heartbeat(
         &mut self,
         now: Instant,
         heartbeat: Heartbeat,
-        heard: HeartbeatSource,
+        source: HeartbeatSource,
         changes: &mut Vec<AgentChange>,
     ) -> bool {
         let Some(agent) = self.get_or_insert(now, &heartbeat.agent) else {
@@ -117,9 +117,10 @@
                 changes.push(AgentChange::Restarted(agent.id.clone()));
             }
         }
-        // The same heartbeat comes both directly and through each peer. The
-        // direct copy still shows that the link works.
-        if heard == HeartbeatSource::Direct && heartbeat.sequence >= agent.sequence {
+        // The same heartbeat arrives both directly and through each peer. The
+        // direct copy shows that the link works even if a relayed one was
+        // faster.
+        if source == HeartbeatSource::Direct && heartbeat.sequence >= agent.sequence {
             agent.connected = true;
             agent.last_heard_directly_at = Some(now);
             agent.last_heard_at = now;
@@ -130,12 +131,12 @@
         agent.apply_heartbeat(now, heartbeat);
         before.push_changes(agent, changes);
         let id = agent.id.clone();
-        let gone = before.affected_models(&self.agents[&id].residents);
-        self.update_index(&id, &gone);
+        let affected = before.affected_models(&self.agents[&id].residents);
+        self.update_index(&id, &affected);
         true
     }
 
-    /// Notes that the far end of a link said hello.
+    /// Records that the agent at the other end of a link sent its hello.
     pub fn link_up(
         &mut self,
         now: Instant,
@@ -148,19 +149,19 @@
         };
         if incarnation > agent.incarnation {
             let was_known = agent.incarnation.0 > 0;
-            let held: Vec<ModelId> = models_of(&agent.residents).cloned().collect();
+            let models: Vec<ModelId> = models_of(&agent.residents).cloned().collect();
             agent.restart(incarnation);
             if was_known {
                 changes.push(AgentChange::Restarted(id.clone()));
             }
-            self.remove_from_index(id, &held);
+            self.remove_from_index(id, &models);
         }
         if let Some(agent) = self.agents.get_mut(id) {
             agent.connected = agent.incarnation == incarnation;
         }
     }
 
-    /// Notes that a link ended.
+    /// Records that the link to an agent ended.
     pub fn link_down(&mut self, id: &AgentId) {
         if let Some(agent) = self.agents.get_mut(id) {
             agent.connected = false;
@@ -168,7 +169,7 @@
         }
     }
 
-    /// An agent said that it stops.
+    /// Records that an agent announced its shutdown.
     pub fn mark_leaving(
         &mut self,
         id: &AgentId,
@@ -184,7 +185,7 @@
         }
     }
 
-    /// Takes the platform's word on which instances are leaving.
+    /// Applies the platform's list of instances that are leaving.
     pub fn set_platform_leaving(
         &mut self,
         leaving: &BTreeSet<AgentId>,
@@ -199,26 +200,27 @@
         }
     }
 
-    /// Takes all that another entry says about silences, in place of what it
-    /// said before.
+    /// Records which agents another entry reports as silent. Replaces its
+    /// earlier reports.
     pub fn record_silences(
         &mut self,
         now: Instant,
         by: &EntryId,
-        said: &[(AgentId, Incarnation)],
+        reports: &[(AgentId, Incarnation)],
     ) {
         for agent in self.agents.values_mut() {
-            agent.remove_silence_report_of(by);
+            agent.remove_silence_report_by(by);
         }
-        for (id, incarnation) in said {
+        for (id, incarnation) in reports {
             if let Some(agent) = self.agents.get_mut(id) {
                 agent.add_silence_report(now, by, *incarnation);
             }
         }
     }
 
-    /// Judges every agent anew. `alone` tells that no other entry is alive, so
-    /// this one's word is enough.
+    /// Updates the liveness of all agents and removes those that have been
+    /// silent for very long. `only_entry` is true if no other entry is alive,
+    /// so that no report of another entry is needed to consider an agent lost.
     pub fn tick(
         &mut self,
         now: Instant,
@@ -239,11 +241,11 @@
         }
     }
 
-    /// Judges one agent anew, after something was heard of it.
+    /// Updates the liveness of one agent, after a message of it or about it.
     ///
-    /// Judging all of them for each heartbeat would cost an entry the square of
-    /// the number of its agents; those not heard of are judged by
-    /// [`AgentDirectory::tick`].
+    /// Updating all agents for each heartbeat would cost time proportional to
+    /// the square of their number. [`AgentDirectory::tick`] updates those that
+    /// send nothing.
     pub fn update_liveness(
         &mut self,
         now: Instant,
@@ -257,10 +259,10 @@
         }
     }
 
-    /// When a verdict may change if nothing more is heard.
+    /// When the liveness of an agent may change if nothing more is heard.
     pub fn next_deadline(&self, now: Instant) -> Option<Instant> {
-        let verdicts = self.agents.values();
-        verdicts
+        let agents = self.agents.values();
+        agents
             .filter_map(|agent| agent.next_liveness_change(now, self.silence_limits))
             .min()
     }
@@ -281,12 +283,12 @@
         let Some(agent) = self.agents.remove(id) else {
             return;
         };
-        let held: Vec<ModelId> = models_of(&agent.residents).cloned().collect();
-        self.remove_from_index(id, &held);
+        let models: Vec<ModelId> = models_of(&agent.residents).cloned().collect();
+        self.remove_from_index(id, &models);
     }
 
-    fn update_index(&mut self, id: &AgentId, gone: &[ModelId]) {
-        self.remove_from_index(id, gone);
+    fn update_index(&mut self, id: &AgentId, models: &[ModelId]) {
+        self.remove_from_index(id, models);
         let Some(agent) = self.agents.get(id) else {
             return;
         };
@@ -294,16 +296,16 @@
         for model in
             loaded.filter(|model| agent.loaded_version(model.as_str()).is_some())
         {
-            let held = self.holders.entry(model.clone()).or_default();
-            held.insert(id.clone());
+            let holders = self.holders.entry(model.clone()).or_default();
+            holders.insert(id.clone());
         }
     }
 
-    fn remove_from_index(&mut self, id: &AgentId, gone: &[ModelId]) {
-        for model in gone {
-            if let Some(held) = self.holders.get_mut(model) {
-                held.remove(id);
-                if held.is_empty() {
+    fn remove_from_index(&mut self, id: &AgentId, models: &[ModelId]) {
+        for model in models {
+            if let Some(holders) = self.holders.get_mut(model) {
+                holders.remove(id);
+                if holders.is_empty() {
                     self.holders.remove(model);
                 }
             }
@@ -311,12 +313,12 @@
     }
 }
 
-/// What was shown of an agent before a heartbeat.
+/// State of an agent before a heartbeat is applied.
 struct AgentSnapshot {
     leaving: bool,
     upstream_up: bool,
     loaded: BTreeSet<(ModelId, u32)>,
-    all: BTreeSet<ModelId>,
+    all_models: BTreeSet<ModelId>,
 }
 
 impl AgentSnapshot {
@@ -325,7 +327,7 @@
             leaving: agent.leaving(),
             upstream_up: agent.upstream_up,
             loaded: loaded_versions(agent),
-            all: models_of(&agent.residents).cloned().collect(),
+            all_models: models_of(&agent.residents).cloned().collect(),
         }
     }
 
@@ -344,26 +346,26 @@
         }
     }
 
-    /// Models whose place in the index has to be looked at.
-    fn affected_models(&self, now: &[Residency]) -> Vec<ModelId> {
-        let both = self.all.iter().chain(models_of(now));
-        both.cloned().collect()
+    /// Models whose index entries may have to change.
+    fn affected_models(&self, current: &[Residency]) -> Vec<ModelId> {
+        let models = self.all_models.iter().chain(models_of(current));
+        models.cloned().collect()
     }
 }
 
 fn loaded_versions(agent: &Agent) -> BTreeSet<(ModelId, u32)> {
     let residents = agent.residents.iter();
     residents
-        .filter(|held| held.state == crate::ResidencyState::Loaded)
-        .map(|held| (held.model.clone(), held.version))
+        .filter(|resident| resident.state == crate::ResidencyState::Loaded)
+        .map(|resident| (resident.model.clone(), resident.version))
         .collect()
 }
 
 fn models_of(residents: &[Residency]) -> impl Iterator<Item = &ModelId> {
-    residents.iter().map(|held| &held.model)
+    residents.iter().map(|resident| &resident.model)
 }
 
-/// Judges an agent anew; the change of its life, if there is one.
+/// Updates the liveness of an agent and returns the change, if any.
 fn update_agent(
     now: Instant,
     silence_limits: SilenceLimits,
@@ -371,12 +373,12 @@
     id: &AgentId,
     agent: &mut Agent,
 ) -> Option<AgentChange> {
-    let life = agent.assess_liveness(now, silence_limits, only_entry);
-    if life == agent.liveness {
+    let liveness = agent.assess_liveness(now, silence_limits, only_entry);
+    if liveness == agent.liveness {
         return None;
     }
-    agent.liveness = life;
-    Some(match life {
+    agent.liveness = liveness;
+    Some(match liveness {
         Liveness::Up => AgentChange::Recovered(id.clone()),
         Liveness::Suspected => AgentChange::Suspected(id.clone()),
         Liveness::Lost => AgentChange::Lost(id.clone()),
--- a/crates/live/src/entries.rs
+++ b/crates/live/src/entries.rs
@@ -1,4 +1,4 @@
-//! The other entries, and which entry plans what.
+//! Other known entries, and the ranking that assigns keys to entries.
 
 use base::prelude::*;
 use schema::link::Gossip;
@@ -7,19 +7,19 @@
 
 use crate::SilenceLimits;
 
-/// Entries kept at most, whatever peers send.
+/// Most entries kept, however many others relay.
 const ENTRIES_MAX: usize = 2_048;
 
-/// One other entry.
+/// State of another entry.
 #[derive(Debug, Clone)]
 pub struct EntryInfo {
-    /// Name.
+    /// Name of the entry.
     pub id: EntryId,
-    /// Its run.
+    /// Incarnation of its process.
     pub incarnation: Incarnation,
-    /// Sequence of the newest gossip.
+    /// Sequence number of its newest gossip message.
     pub sequence: u64,
-    /// Failure domain.
+    /// Failure domain of its instance.
     pub failure_domain: DomainId,
     /// When it was last heard.
     pub last_heard_at: Instant,
@@ -27,17 +27,18 @@
     pub leaving: bool,
 }
 
-/// The other entries that are known.
+/// The other known entries.
 #[derive(Debug)]
 pub struct EntryTable {
     silence_limits: SilenceLimits,
     entries: BTreeMap<EntryId, EntryInfo>,
 }
 
-/// Rank of a candidate for a key: the greatest is first (rendezvous_rank hashing).
+/// Rank of a candidate for a key in rendezvous hashing; the candidate with the
+/// greatest rank is chosen.
 ///
-/// The ranks of the others don't change when one comes or goes, so only what
-/// that one had moves.
+/// The ranks of the other candidates don't change when one joins or leaves, so
+/// only the keys of that one move.
 pub fn rendezvous_rank(key: &str, candidate: &str) -> u64 {
     let mut bytes = Vec::with_capacity(key.len() + candidate.len() + 1);
     bytes.extend_from_slice(key.as_bytes());
@@ -47,7 +48,7 @@
 }
 
 impl EntryTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub const fn new(silence_limits: SilenceLimits) -> Self {
         Self {
             silence_limits,
@@ -55,19 +56,21 @@
         }
     }
 
-    /// Changes the bounds on silence, as a new configuration may.
+    /// Sets the silence limits, after a change of configuration.
     pub const fn set_silence_limits(&mut self, silence_limits: SilenceLimits) {
         self.silence_limits = silence_limits;
     }
 
-    /// Takes gossip; returns whether it is news. Late or doubled gossip is not.
+    /// Applies a gossip message. Returns false if it is not newer than the last
+    /// one of that entry, or the table is full.
     pub fn record_gossip(&mut self, now: Instant, gossip: &Gossip) -> bool {
-        let known = self.entries.get(gossip.entry.as_str());
-        if known.is_none() && self.entries.len() >= ENTRIES_MAX {
+        let known_entry = self.entries.get(gossip.entry.as_str());
+        if known_entry.is_none() && self.entries.len() >= ENTRIES_MAX {
             return false;
         }
         let order = (Incarnation(gossip.incarnation), gossip.sequence);
-        if known.is_some_and(|held| order <= (held.incarnation, held.sequence)) {
+        if known_entry.is_some_and(|entry| order <= (entry.incarnation, entry.sequence))
+        {
             return false;
         }
         let id = EntryId::new(&gossip.entry);
@@ -83,50 +86,52 @@
         true
     }
 
-    /// An entry said that it stops.
+    /// Records that an entry announced its shutdown.
     pub fn mark_leaving(&mut self, id: &EntryId, incarnation: Incarnation) {
-        if let Some(held) = self.entries.get_mut(id)
-            && held.incarnation == incarnation
+        if let Some(entry) = self.entries.get_mut(id)
+            && entry.incarnation == incarnation
         {
-            held.leaving = true;
+            entry.leaving = true;
         }
     }
 
-    /// Forgets entries that have long been silent.
+    /// Removes entries that have been silent for very long.
     pub fn tick(&mut self, now: Instant) {
-        let bound = self.silence_limits.forget_ms();
+        let forget_ms = self.silence_limits.forget_ms();
         self.entries
-            .retain(|_, held| now.ms_since(held.last_heard_at) < bound);
+            .retain(|_, entry| now.ms_since(entry.last_heard_at) < forget_ms);
     }
 
-    /// Entries in order of name.
+    /// All entries, ordered by name.
     pub fn all(&self) -> impl Iterator<Item = &EntryInfo> {
         self.entries.values()
     }
 
-    /// Whether an entry was heard lately.
+    /// Whether an entry is known and was heard recently.
     pub fn is_alive(&self, now: Instant, id: &EntryId) -> bool {
-        let held = self.entries.get(id);
-        held.is_some_and(|held| self.heard_lately(now, held))
+        let entry = self.entries.get(id);
+        entry.is_some_and(|entry| self.is_recently_heard(now, entry))
     }
 
-    /// Whether any entry was heard lately.
+    /// Whether any other entry was heard recently.
     pub fn any_alive(&self, now: Instant) -> bool {
         let mut entries = self.entries.values();
-        entries.any(|held| self.heard_lately(now, held))
+        entries.any(|entry| self.is_recently_heard(now, entry))
     }
 
-    /// Whether `me` ranks first for a key among the entries that are alive and
-    /// not stopping.
+    /// Whether `me` has the greatest rank for a key among the entries that are
+    /// alive and not stopping.
     pub fn ranks_first(&self, now: Instant, me: &EntryId, key: &str) -> bool {
-        let mine = (rendezvous_rank(key, me.as_str()), me);
+        let own_rank = (rendezvous_rank(key, me.as_str()), me);
         let others = self.entries.values();
         others
-            .filter(|held| self.heard_lately(now, held) && !held.leaving)
-            .all(|held| (rendezvous_rank(key, held.id.as_str()), &held.id) <= mine)
+            .filter(|entry| self.is_recently_heard(now, entry) && !entry.leaving)
+            .all(|entry| {
+                (rendezvous_rank(key, entry.id.as_str()), &entry.id) <= own_rank
+            })
     }
 
-    fn heard_lately(&self, now: Instant, held: &EntryInfo) -> bool {
-        now.ms_since(held.last_heard_at) < self.silence_limits.entry_ms()
+    fn is_recently_heard(&self, now: Instant, entry: &EntryInfo) -> bool {
+        now.ms_since(entry.last_heard_at) < self.silence_limits.entry_down_ms()
     }
 }
--- a/crates/live/src/lib.rs
+++ b/crates/live/src/lib.rs
@@ -1,22 +1,24 @@
-//! Who is there: agents, entries, and what is known of each.
+//! Membership: the agents and entries that are alive, and what is known of
+//! each.
 //!
-//! An entry learns of agents by their heartbeats, directly over its own links
-//! and relayed by other entries, and of addresses by member records. All of it
-//! is opinion: it says where work is *sent*, and the gate beside each upstream
-//! says what is *run*. A wrong verdict here costs a refusal or a retry.
+//! An entry learns of agents from their heartbeats, received over its own links
+//! or relayed by other entries, and of addresses from member records. All of
+//! this is a local view: it decides where requests are *sent*, while the
+//! admission control of each upstream's agent decides what is *run*. A wrong
+//! view costs a refusal or a retry.
 //!
 //! Invariants:
 //!
-//! - What is known of an agent never steps back: a heartbeat of an older
-//!   incarnation, or with a sequence already seen, is dropped, however late it
-//!   comes and whoever relays it.
+//! - The state of an agent never goes back: a heartbeat of an older
+//!   incarnation, or with a sequence number already seen, is dropped, however
+//!   late it arrives and whoever relays it.
 //! - An agent is sent work only while this entry's own link to it is up and its
-//!   heartbeats come. Being heard by others keeps it from being given up, but
-//!   doesn't make it reachable.
-//! - One entry's broken link is not the end of an agent: it is lost after a
-//!   long silence, or when the link is down and a second entry does not hear it
-//!   either.
-//! - The tables are bounded, whatever peers send.
+//!   heartbeats arrive over that link. Heartbeats relayed by others keep the
+//!   agent from being considered lost but don't make it reachable.
+//! - A broken link of one entry is not enough to consider an agent lost. It is
+//!   lost after a long silence, or when the link is down and another entry
+//!   reports it as silent too.
+//! - The tables are bounded, whatever other processes send.
 
 mod agent;
 mod directory;
--- a/crates/live/src/member_addresses.rs
+++ b/crates/live/src/member_addresses.rs
@@ -1,10 +1,10 @@
-//! Where processes can be reached, as the platform's member records say.
+//! Addresses of processes, from the platform's member records.
 
 use base::prelude::*;
 use schema::store::Member;
 use std::collections::BTreeMap;
 
-/// Records kept at most.
+/// Most records kept.
 const MEMBERS_MAX: usize = 32_768;
 
 /// Kind of a process.
@@ -22,19 +22,21 @@
     link_address: String,
 }
 
-/// Addresses of processes; that of a newer run is never replaced by an older.
+/// Addresses of processes. The address of a newer incarnation is never replaced
+/// by that of an older one.
 #[derive(Debug, Default)]
 pub struct MemberAddresses {
     records: BTreeMap<(MemberKind, String), AddressRecord>,
 }
 
 impl MemberAddresses {
-    /// No addresses.
+    /// Creates an empty table.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes a record; returns whether the address to connect to is new.
+    /// Records the address in a member record. Returns whether it differs from
+    /// the known one.
     pub fn record_member(&mut self, member: &Member) -> bool {
         let kind = match member.kind.as_str() {
             "entry" => MemberKind::Entry,
@@ -45,7 +47,8 @@
         self.record_address(kind, &member.id, incarnation, &member.link_address)
     }
 
-    /// Takes an address learnt another way; returns whether it is new.
+    /// Records an address from another source. Returns whether it differs from
+    /// the known one.
     pub fn record_address(
         &mut self,
         kind: MemberKind,
@@ -57,14 +60,14 @@
             return false;
         }
         let key = (kind, id.to_owned());
-        let full = self.records.len() >= MEMBERS_MAX;
+        let is_full = self.records.len() >= MEMBERS_MAX;
         match self.records.get_mut(&key) {
-            None if full => false,
-            Some(held) if incarnation < held.incarnation => false,
-            Some(held) => {
-                held.incarnation = incarnation;
-                let changed = held.link_address != link_address;
-                held.link_address = link_address.to_owned();
+            None if is_full => false,
+            Some(known) if incarnation < known.incarnation => false,
+            Some(known) => {
+                known.incarnation = incarnation;
+                let changed = known.link_address != link_address;
+                known.link_address = link_address.to_owned();
                 changed
             }
             None => {
@@ -84,7 +87,7 @@
         record.map(|record| record.link_address.as_str())
     }
 
-    /// Forgets a process.
+    /// Removes a process.
     pub fn remove(&mut self, kind: MemberKind, id: &str) {
         self.records.remove(&(kind, id.to_owned()));
     }
