--- a/crates/access/src/credential.rs
+++ b/crates/access/src/credential.rs
@@ -1,36 +1,36 @@
-//! The header that carries a caller's key.
+//! The request header that carries a caller's key.
 
 use crate::KeyDigest;
 
-/// Longest value of the header that is read. Keys are some tens of characters; a
-/// longer value is no key, and hashing it would be work for nothing.
+/// Longest header value that is parsed. Keys have some tens of characters; a longer
+/// value is not a key and is not worth hashing.
 pub const CREDENTIAL_MAX_BYTES: usize = 512;
 
-/// What a request says of who sent it.
+/// What a request says about its sender.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Credential {
-    /// Nothing.
+    /// There is no header.
     #[default]
     Absent,
-    /// Something that is no credential of this system: two headers, another scheme,
-    /// no key, a value that is too long or has characters that no key has.
+    /// The header is not a valid credential: it occurs twice, has another scheme or no
+    /// key, is too long, or contains characters that a key can't have.
     Malformed,
     /// A key.
     Key(KeyDigest),
 }
 
 impl Credential {
-    /// A key that was not sent in a header.
+    /// Creates the credential of a key that was not sent in a header.
     pub fn from_key(key: &str) -> Self {
         Self::Key(KeyDigest::of(key))
     }
 }
 
-/// Reads all values of the header, of which there has to be one: `SCHEME KEY`.
+/// Parses the values of the header, of which there must be exactly one: `SCHEME KEY`.
 ///
-/// The scheme is compared without regard to case, as HTTP has it; the key is not.
-/// Of two headers neither counts: what is in front of this process may have judged
-/// the one, and it would judge the other.
+/// The scheme is compared case-insensitively, as HTTP requires; the key is
+/// case-sensitive. If the header occurs twice, neither value is used: a proxy in front
+/// of this process may have checked one of them, and this process would use the other.
 pub fn parse_credential<'a>(
     values: impl IntoIterator<Item = &'a [u8]>,
     scheme: &str,
@@ -45,7 +45,7 @@
     let key = std::str::from_utf8(value)
         .ok()
         .and_then(|value| value.split_once(' '))
-        .filter(|(named, _)| named.eq_ignore_ascii_case(scheme))
+        .filter(|(sent_scheme, _)| sent_scheme.eq_ignore_ascii_case(scheme))
         .map(|(_, key)| key);
     match key {
         Some(key) if is_key(key) => Credential::Key(KeyDigest::of(key)),
@@ -53,9 +53,11 @@
     }
 }
 
-/// Whether a text can be a key: visible ASCII without a space or a comma, which
-/// some proxies put between two headers that they join.
+/// Whether a text can be a key: visible ASCII without spaces and commas, because some
+/// proxies join two headers with a comma.
 pub(crate) fn is_key(text: &str) -> bool {
-    let fits = |byte: u8| byte.is_ascii_graphic() && byte != b',';
-    !text.is_empty() && text.len() <= CREDENTIAL_MAX_BYTES && text.bytes().all(fits)
+    let is_allowed = |byte: u8| byte.is_ascii_graphic() && byte != b',';
+    !text.is_empty()
+        && text.len() <= CREDENTIAL_MAX_BYTES
+        && text.bytes().all(is_allowed)
 }
--- a/crates/access/src/digest.rs
+++ b/crates/access/src/digest.rs
@@ -1,19 +1,19 @@
-//! What is kept of a key.
+//! Digests of keys.
 
 use sha2::{Digest, Sha256};
 use std::fmt;
 
-/// SHA-256 of a key. It finds the key's workspace and can't be turned back.
+/// SHA-256 digest of a key, which identifies the key's workspace.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyDigest([u8; 32]);
 
 impl KeyDigest {
-    /// Digest of a key.
+    /// Computes the digest of a key.
     pub fn of(key: &str) -> Self {
         Self(Sha256::digest(key.as_bytes()).into())
     }
 
-    /// A digest as configurations hold it: 64 hexadecimal digits. `None` for another
+    /// Parses a digest in a configuration: 64 hexadecimal digits. `None` for any other
     /// text.
     pub fn from_hex(text: &str) -> Option<Self> {
         let digits = text.as_bytes();
@@ -30,7 +30,7 @@
 }
 
 impl fmt::Debug for KeyDigest {
-    // Keys may be short enough to be found from their digest by trying all.
+    // The digest is not printed: a short key could be found from it by trying all keys.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("KeyDigest(..)")
     }
--- a/crates/access/src/directory.rs
+++ b/crates/access/src/directory.rs
@@ -8,84 +8,86 @@
 use crate::KeyDigest;
 use crate::credential::is_key;
 
-/// Longest name of a workspace: it is a header's value, a metric's label and a part
-/// of datagrams.
+/// Longest name of a workspace. The name is sent in a header, used as a metric label
+/// and contained in datagrams.
 const NAME_MAX_BYTES: usize = 128;
 
-/// Callers who are known by their keys and judged together.
+/// A group of callers, identified by their keys, that share a priority and a quota.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Workspace {
-    /// Name, which upstreams are told.
+    /// Name, which is sent to upstreams.
     pub name: Arc<str>,
-    /// Rank of its requests, 0 the highest; it goes before the rank of a route.
+    /// Priority of its requests, 0 is the highest. Takes precedence over the priority
+    /// of a route.
     pub priority: Option<u32>,
-    /// What it may use over all entries; `None` without a bound.
+    /// What it may use over all entries; `None` if unlimited.
     pub allowance: Option<Allowance>,
 }
 
-/// Workspaces by key.
+/// Workspaces by key and by name.
 ///
-/// Its `Debug` form has no key, as it has digests only and these don't show.
+/// Its `Debug` output contains no key: it stores digests only, and these are not
+/// printed.
 #[derive(Debug, Clone, Default)]
 pub struct WorkspaceDirectory {
     by_key: HashMap<KeyDigest, Arc<Workspace>>,
     by_name: BTreeMap<Arc<str>, Arc<Workspace>>,
 }
 
-/// Why workspaces can't be taken over. None of them shows a key.
+/// Why a configuration's workspaces are rejected. No variant contains a key.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 pub enum WorkspaceDirectoryError {
-    /// Two workspaces have one name.
-    #[snafu(display("5005 duplicate_name: workspace {name} stands twice"))]
+    /// Two workspaces have the same name.
+    #[snafu(display("5005 duplicate_name: workspace {name} is listed twice"))]
     DuplicateName {
-        /// Name.
+        /// Name of the workspace.
         name: String,
     },
-    /// A header can't carry a name.
+    /// The name can't be sent in a header.
     #[snafu(display(
         "5008 out_of_range: workspace {name:?}: a name has 1 to {NAME_MAX_BYTES} visible ASCII characters"
     ))]
     BadName {
-        /// Name.
+        /// Name of the workspace.
         name: String,
     },
-    /// A header can't carry a key.
+    /// A key can't be sent in a header.
     #[snafu(display(
         "5008 out_of_range: workspace {name}: key {index} can't be sent in a header"
     ))]
     BadKey {
-        /// Workspace.
+        /// Name of the workspace.
         name: String,
-        /// Place of the key in its list, from 0.
+        /// Index of the key in the workspace's list, from 0.
         index: usize,
     },
-    /// Two workspaces have one key.
+    /// Two workspaces have the same key.
     #[snafu(display(
-        "5005 duplicate_name: workspace {name}: key {index} is one of workspace {other} as well"
+        "5005 duplicate_name: workspace {name}: key {index} also belongs to workspace {other}"
     ))]
     SharedKey {
-        /// Workspace.
+        /// Name of the workspace.
         name: String,
-        /// Place of the key in its list, from 0.
+        /// Index of the key in the workspace's list, from 0.
         index: usize,
-        /// The other workspace.
+        /// Name of the other workspace.
         other: String,
     },
 }
 
 impl WorkspaceDirectory {
-    /// No workspace, so no key is known.
+    /// Creates a directory without workspaces.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Adds a workspace with its keys. One without keys is there, and nobody can call
-    /// in its name; a key that its own list has twice counts once.
+    /// Adds a workspace with its keys. A workspace without keys can be found by name,
+    /// but no caller belongs to it. A key that the list contains twice counts once.
     ///
     /// # Errors
     ///
-    /// Its name stands already or can't be a header's value, or a key belongs to
-    /// another workspace or can't be sent.
+    /// Fails if the name is already in use or can't be sent in a header, or if a key
+    /// belongs to another workspace or can't be sent in a header.
     pub fn add<'a>(
         &mut self,
         workspace: Workspace,
@@ -103,10 +105,10 @@
             if !is_key(key) {
                 return BadKeySnafu { name, index }.fail();
             }
-            let before = self
+            let previous = self
                 .by_key
                 .insert(KeyDigest::of(key), Arc::clone(&workspace));
-            if let Some(other) = before.filter(|other| other.name != workspace.name) {
+            if let Some(other) = previous.filter(|other| other.name != workspace.name) {
                 let other = other.name.to_string();
                 return SharedKeySnafu { name, index, other }.fail();
             }
@@ -115,23 +117,23 @@
         Ok(())
     }
 
-    /// The workspace that holds a key.
+    /// Finds the workspace of a key.
     pub fn by_key(&self, key: &KeyDigest) -> Option<&Arc<Workspace>> {
         self.by_key.get(key)
     }
 
-    /// The workspace of a name.
+    /// Finds a workspace by name.
     pub fn by_name(&self, name: &str) -> Option<&Arc<Workspace>> {
         self.by_name.get(name)
     }
 
-    /// All workspaces, by name.
+    /// All workspaces, ordered by name.
     pub fn workspaces(&self) -> impl Iterator<Item = &Arc<Workspace>> {
         self.by_name.values()
     }
 }
 
 fn is_name(name: &str) -> bool {
-    let fits = name.bytes().all(|byte| byte.is_ascii_graphic());
-    fits && !name.is_empty() && name.len() <= NAME_MAX_BYTES
+    let is_allowed = name.bytes().all(|byte| byte.is_ascii_graphic());
+    is_allowed && !name.is_empty() && name.len() <= NAME_MAX_BYTES
 }
--- a/crates/access/src/lib.rs
+++ b/crates/access/src/lib.rs
@@ -1,21 +1,22 @@
-//! Who a caller is: keys, and the workspaces that hold them.
+//! Authentication of callers: keys, and the workspaces to which they belong.
 //!
 //! A configuration lists workspaces with their keys. A request carries a key in its
-//! `Authorization` header; the entry has to know whose it is, before the request
-//! costs anything, and the upstream must never see it. Everything here is pure.
+//! `Authorization` header. The entry identifies the workspace before the request causes
+//! any cost, and the upstream must never see the key. Everything in this crate is
+//! deterministic and does no I/O.
 //!
-//! - [`parse_credential`] reads the header, strictly.
-//! - [`KeyDigest`] is all that is kept of a key, of the configuration's and of the
-//!   request's alike.
+//! - [`parse_credential`] parses the header strictly.
+//! - [`KeyDigest`] is all that is kept of a key, both of configured keys and of those
+//!   in requests.
 //! - [`WorkspaceDirectory`] finds the [`Workspace`] of a digest.
 //!
 //! Invariants:
 //!
-//! - A key stands nowhere behind the parser: neither `Debug` nor an error shows one,
-//!   and what is looked up is a digest. Two keys are compared by their digests only,
-//!   so how long a comparison takes says nothing of a key.
-//! - A key belongs to one workspace. A configuration that gives one to two is
-//!   refused as a whole, for it would be chance who pays.
+//! - No key is stored after parsing: neither `Debug` output nor errors contain keys,
+//!   and lookups use digests. Keys are compared by their digests only, so the time of a
+//!   comparison reveals nothing about a key.
+//! - A key belongs to one workspace. A configuration that gives a key to two workspaces
+//!   is rejected as a whole, because it would be arbitrary which of them is charged.
 
 mod credential;
 mod digest;
--- a/crates/access/tests/all/credential.rs
+++ b/crates/access/tests/all/credential.rs
@@ -1,10 +1,10 @@
-//! The header of a key is read strictly: whatever could be read in two ways is no key.
+//! The header is parsed strictly: a value that could be read in two ways is not a key.
 
 use access::{CREDENTIAL_MAX_BYTES, Credential, KeyDigest, parse_credential};
 
 const KEY: &str = "k7b2ex5wa5xwyhks8nbk";
 
-fn read(values: &[&str]) -> Credential {
+fn parse(values: &[&str]) -> Credential {
     parse_credential(values.iter().map(|value| value.as_bytes()), "Token")
 }
 
@@ -13,30 +13,30 @@
 }
 
 #[test]
-fn one_header_with_the_scheme_and_a_key_is_a_key() {
-    assert_eq!(read(&[&format!("Token {KEY}")]), key());
+fn single_header_with_scheme_and_key_is_a_key() {
+    assert_eq!(parse(&[&format!("Token {KEY}")]), key());
     assert_eq!(
-        read(&[&format!("token {KEY}")]),
+        parse(&[&format!("token {KEY}")]),
         key(),
-        "schemes have no case"
+        "schemes are case-insensitive"
     );
 }
 
 #[test]
-fn no_header_is_no_credential() {
-    assert_eq!(read(&[]), Credential::Absent);
+fn missing_header_is_absent() {
+    assert_eq!(parse(&[]), Credential::Absent);
 }
 
-/// A proxy in front may have judged the one header and this process would judge the
-/// other, so a caller could show two names.
+/// A proxy in front of this process may have checked one of two headers while this
+/// process uses the other, so that a caller could use two identities.
 #[test]
-fn two_headers_are_none() {
+fn two_headers_are_malformed() {
     let value = format!("Token {KEY}");
-    assert_eq!(read(&[&value, &value]), Credential::Malformed);
+    assert_eq!(parse(&[&value, &value]), Credential::Malformed);
 }
 
 #[test]
-fn anything_else_is_malformed() {
+fn any_other_value_is_malformed() {
     let values = [
         String::new(),
         KEY.to_owned(),
@@ -52,35 +52,35 @@
         format!("Token {}", "k".repeat(CREDENTIAL_MAX_BYTES)),
     ];
     for value in &values {
-        assert_eq!(read(&[value]), Credential::Malformed, "{value:?}");
+        assert_eq!(parse(&[value]), Credential::Malformed, "{value:?}");
     }
 }
 
 #[test]
-fn a_key_has_a_case() {
+fn keys_are_case_sensitive() {
     let upper = KEY.to_uppercase();
-    assert_ne!(read(&[&format!("Token {upper}")]), key());
+    assert_ne!(parse(&[&format!("Token {upper}")]), key());
 }
 
-/// Whatever bytes come, reading ends, and only a well-formed value gives a key.
+/// Parsing terminates for any bytes, and only a well-formed value gives a key.
 #[test]
-fn any_bytes_are_read() {
+fn any_bytes_are_parsed() {
     arbtest::arbtest(|u| {
         let values: Vec<Vec<u8>> = u.arbitrary()?;
-        let read = parse_credential(values.iter().map(Vec::as_slice), "Token");
+        let parsed = parse_credential(values.iter().map(Vec::as_slice), "Token");
         let well_formed = values.len() == 1 && {
             let value = &values[0];
             let text = std::str::from_utf8(value).unwrap_or_default();
             text.to_ascii_lowercase().starts_with("token ")
         };
-        assert!(well_formed || !matches!(read, Credential::Key(_)));
+        assert!(well_formed || !matches!(parsed, Credential::Key(_)));
         Ok(())
     });
 }
 
 #[test]
-fn debug_shows_no_key() {
-    let shown = format!("{:?}", read(&[&format!("Token {KEY}")]));
-    assert!(!shown.contains(KEY));
-    assert_eq!(shown, "Key(KeyDigest(..))");
+fn debug_output_contains_no_key() {
+    let output = format!("{:?}", parse(&[&format!("Token {KEY}")]));
+    assert!(!output.contains(KEY));
+    assert_eq!(output, "Key(KeyDigest(..))");
 }
--- a/crates/access/tests/all/main.rs
+++ b/crates/access/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of keys and workspaces.
+//! Tests of credentials and of the workspace directory.
 
 mod credential;
 mod directory;
