--- a/crates/role/src/agent/admission.rs
+++ b/crates/role/src/agent/admission.rs
@@ -105,13 +105,13 @@
     /// Adjusts the concurrency limit to the engine's step time.
     pub(super) fn adjust_concurrency_limit(&mut self, step_us: u32) {
         let full = self.attempts.in_flight() >= self.max_in_flight();
-        let expected_us = self.expected_between_tokens_us();
-        self.concurrency_limit.observe(step_us, expected_us, full);
+        let target_us = self.target_between_tokens_us();
+        self.concurrency_limit.observe(step_us, target_us, full);
     }
 
     /// Shortest target time between tokens, in microseconds, of the interactive
     /// profiles whose models the engine has loaded; 0 if there is none.
-    fn expected_between_tokens_us(&self) -> u64 {
+    fn target_between_tokens_us(&self) -> u64 {
         let Some(config) = self.config() else {
             return 0;
         };
@@ -120,13 +120,13 @@
             residents
                 .any(|resident| resident.loaded && resident.placement.model == *model)
         };
-        let expected = config
+        let targets_us = config
             .profiles()
             .filter(|profile| profile.kind == ProfileKind::Interactive)
             .filter(|profile| profile.between_tokens_ms > 0)
             .filter(|profile| profile.models.iter().any(holds))
             .map(|profile| u64::from(profile.between_tokens_ms) * 1_000);
-        expected.min().unwrap_or(0)
+        targets_us.min().unwrap_or(0)
     }
 
     fn check_slot_available(&self, now: Instant, run: &Run) -> Result<(), Refusal> {
--- a/crates/role/src/agent/attempts.rs
+++ b/crates/role/src/agent/attempts.rs
@@ -14,7 +14,7 @@
     },
     /// It waits for the claim of its idempotency key.
     Claiming,
-    /// It was given to the driver, which has not sent any of it yet.
+    /// It was given to the driver; whether any of it was sent is not known yet.
     Starting,
     /// Its first bytes were sent to the upstream.
     Running,
@@ -45,13 +45,18 @@
     pub(super) model: ModelId,
     pub(super) version: u32,
     pub(super) idempotent: bool,
+    /// It is not idempotent and has an idempotency key, which must be claimed
+    /// before it starts.
     pub(super) needs_claim: bool,
+    /// It must have the upstream to itself.
     pub(super) exclusive: bool,
+    /// Hash that identifies the request in crash reports.
     pub(super) fingerprint: u64,
     /// Incarnation of the upstream that it was handed to; 0 before that.
     pub(super) upstream_incarnation: u64,
     /// Units of the answer before the next part.
     pub(super) offset: u64,
+    /// When it was admitted or, once it was given to the driver, when that was.
     pub(super) began_at: Instant,
     pub(super) deadline: Instant,
     /// The entry was told that the deadline has passed.
@@ -145,7 +150,7 @@
         table.find(|(_, a)| is_waiting(a)).map(|(id, _)| *id)
     }
 
-    /// When the attempt that started last among those in progress started.
+    /// Latest `began_at` of the attempts that occupy a slot.
     pub(super) fn latest_began_at(&self) -> Option<Instant> {
         let occupying = self
             .table
--- a/crates/role/src/agent/concurrency_limit.rs
+++ b/crates/role/src/agent/concurrency_limit.rs
@@ -55,12 +55,12 @@
 
     /// Adjusts the limit to the duration of a step.
     ///
-    /// `expected_us` is the target time between tokens in microseconds; 0 means
+    /// `target_us` is the target time between tokens in microseconds; 0 means
     /// no target, and the limit is then the configured maximum. `saturated`
     /// says that all slots are occupied: only then does a short step show that
     /// more slots would fit.
-    pub fn observe(&mut self, step_us: u32, expected_us: u64, saturated: bool) {
-        if expected_us == 0 {
+    pub fn observe(&mut self, step_us: u32, target_us: u64, saturated: bool) {
+        if target_us == 0 {
             self.limit = self.configured_max;
             return;
         }
@@ -74,7 +74,7 @@
         };
         self.reports = self.reports.wrapping_add(1);
         if self.reports.is_multiple_of(REPORTS_PER_ADJUSTMENT) {
-            self.adjust(expected_us, saturated);
+            self.adjust(target_us, saturated);
         }
     }
 
@@ -83,20 +83,20 @@
         self.limit
     }
 
-    fn adjust(&mut self, expected_us: u64, saturated: bool) {
+    fn adjust(&mut self, target_us: u64, saturated: bool) {
         if self.paused_adjustments > 0 {
             self.paused_adjustments -= 1;
             return;
         }
         let min_limit = (self.configured_max / MIN_LIMIT_DIVISOR).max(1);
-        if self.smoothed_step_us > expected_us && self.limit <= min_limit {
+        if self.smoothed_step_us > target_us && self.limit <= min_limit {
             self.limit = self.configured_max;
             self.paused_adjustments = PAUSED_ADJUSTMENTS;
-        } else if self.smoothed_step_us > expected_us {
+        } else if self.smoothed_step_us > target_us {
             let decrease = (self.limit * DECREASE_PERCENT / 100).max(1);
             self.limit = self.limit.saturating_sub(decrease);
         } else if saturated
-            && self.smoothed_step_us * 100 < expected_us * INCREASE_BELOW_PERCENT
+            && self.smoothed_step_us * 100 < target_us * INCREASE_BELOW_PERCENT
         {
             self.limit = (self.limit + 1).min(self.configured_max);
         }
--- a/crates/role/src/agent/heartbeat.rs
+++ b/crates/role/src/agent/heartbeat.rs
@@ -14,6 +14,7 @@
 /// interval.
 #[derive(Debug, Default, PartialEq, Eq)]
 struct AdvertisedState {
+    /// State and size in MiB of each resident.
     residents: BTreeMap<Placement, (ResidentState, u32)>,
     upstream_up: bool,
     leaving: bool,
@@ -28,6 +29,7 @@
     next_at: Instant,
     sequence: u64,
     advertised: AdvertisedState,
+    /// State of each resident and when it entered that state.
     state_since: BTreeMap<Placement, (ResidentState, Instant)>,
 }
 
--- a/crates/role/src/agent/orders.rs
+++ b/crates/role/src/agent/orders.rs
@@ -185,7 +185,7 @@
         if wanted.contains(placement) {
             return true;
         }
-        let here = wanted
+        let on_same_accelerator = wanted
             .iter()
             .filter(|other| other.accelerator == placement.accelerator);
         let is_base = |other: &Placement| {
@@ -198,7 +198,8 @@
                     .orders()
                     .any(|order| order.load && order.placement == *other)
         };
-        here.into_iter()
+        on_same_accelerator
+            .into_iter()
             .any(|other| is_base(other) || is_being_replaced(other))
     }
 
--- a/crates/role/src/agent/probe.rs
+++ b/crates/role/src/agent/probe.rs
@@ -37,10 +37,13 @@
         {
             return;
         }
-        let mut givers = ledger.givers();
-        givers.retain(|_, address| !address.is_empty());
+        let mut predecessors = ledger.givers();
+        predecessors.retain(|_, address| !address.is_empty());
         let after_last = (Bound::Excluded(self.last_probed), Bound::Unbounded);
-        let target = givers.range(after_last).next().or(givers.iter().next());
+        let target = predecessors
+            .range(after_last)
+            .next()
+            .or(predecessors.iter().next());
         let Some((epoch, address)) = target else {
             self.next_at = None;
             return;
@@ -64,8 +67,9 @@
     /// bound is dead.
     pub(super) fn start_probing(&mut self, now: Instant) {
         let own = self.options.link_address.as_str();
-        let givers = self.ledger.givers();
-        let at_own_address = givers.iter().filter(|(_, address)| **address == own);
+        let predecessors = self.ledger.givers();
+        let at_own_address =
+            predecessors.iter().filter(|(_, address)| **address == own);
         let dead: Vec<Epoch> = at_own_address.map(|(epoch, _)| *epoch).collect();
         for epoch in dead {
             self.ledger.giver_died(now, epoch, self.record.epoch());
--- a/crates/role/src/agent/registration.rs
+++ b/crates/role/src/agent/registration.rs
@@ -134,9 +134,11 @@
     }
 
     fn on_read(&mut self, object: Option<&(Version, Vec<u8>)>) {
-        let holder =
+        let registered_member =
             object.and_then(|(_, value)| Member::decode(value.as_slice()).ok());
-        if holder.is_some_and(|held| held.incarnation > self.member.incarnation) {
+        if registered_member
+            .is_some_and(|registered| registered.incarnation > self.member.incarnation)
+        {
             self.superseded = true;
             return;
         }
--- a/crates/role/src/agent/status.rs
+++ b/crates/role/src/agent/status.rs
@@ -90,16 +90,19 @@
 
     fn accelerator_status(&self) -> Vec<AcceleratorStatus> {
         let status = |accelerator: u32| {
-            let here = self
+            let on_accelerator = self
                 .ledger
                 .residents()
                 .filter(|resident| resident.placement.accelerator == accelerator);
             AcceleratorStatus {
                 capacity_mib: self.ledger.capacity_mib(accelerator),
                 in_use_mib: self.ledger.in_use_mib(accelerator),
-                residents: here
-                    .map(|held| {
-                        format!("{}@{}", held.placement.model, held.placement.version)
+                residents: on_accelerator
+                    .map(|resident| {
+                        format!(
+                            "{}@{}",
+                            resident.placement.model, resident.placement.version
+                        )
                     })
                     .collect(),
             }
--- a/crates/role/src/agent/targets.rs
+++ b/crates/role/src/agent/targets.rs
@@ -14,6 +14,7 @@
 
 #[derive(Debug)]
 struct PlannerTarget {
+    /// Rank of the planner; the highest is followed.
     rank: u64,
     sequence: u64,
     received_at: Instant,
@@ -32,13 +33,14 @@
 }
 
 impl Targets {
-    /// Stores a target, unless a newer one of the same planner is known.
+    /// Stores a target, unless a newer one of the same planner is known or the
+    /// maximum number of planners is reached.
     pub(super) fn accept(&mut self, now: Instant, target: &Target, heartbeat_ms: u64) {
         self.drop_expired(now, heartbeat_ms);
         if self
             .by_planner
             .get(&target.planner)
-            .is_some_and(|held| held.sequence > target.sequence)
+            .is_some_and(|last| last.sequence > target.sequence)
         {
             return;
         }
@@ -51,13 +53,14 @@
             model: ModelId::new(&model.model),
             version: model.version,
         });
-        let by_planner = PlannerTarget {
+        let planner_target = PlannerTarget {
             rank: target.rank,
             sequence: target.sequence,
             received_at: now,
             wanted: wanted.collect(),
         };
-        self.by_planner.insert(target.planner.clone(), by_planner);
+        self.by_planner
+            .insert(target.planner.clone(), planner_target);
         self.select_planner();
     }
 
@@ -81,18 +84,18 @@
     /// Sequence number of the followed target; 0 for none.
     pub(super) fn sequence(&self) -> u64 {
         let followed = self.by_planner.get(&self.followed);
-        followed.map_or(0, |by_planner| by_planner.sequence)
+        followed.map_or(0, |target| target.sequence)
     }
 
     fn drop_expired(&mut self, now: Instant, heartbeat_ms: u64) {
-        let life_ms = heartbeat_ms * TARGET_LIFETIME_HEARTBEATS;
+        let lifetime_ms = heartbeat_ms * TARGET_LIFETIME_HEARTBEATS;
         self.by_planner
-            .retain(|_, held| now.ms_since(held.received_at) <= life_ms);
+            .retain(|_, last| now.ms_since(last.received_at) <= lifetime_ms);
         self.select_planner();
     }
 
     fn select_planner(&mut self) {
-        let best = self.by_planner.iter().max_by_key(|(_, held)| held.rank);
+        let best = self.by_planner.iter().max_by_key(|(_, last)| last.rank);
         self.followed = best.map_or_else(String::new, |(name, _)| name.clone());
     }
 }
--- a/crates/role/tests/agent.rs
+++ b/crates/role/tests/agent.rs
@@ -1,18 +1,18 @@
 //! Tests of the agent's state machine against simulated upstreams and a
 //! simulated platform.
 
-#[path = "agent/alone.rs"]
-mod alone;
+#[path = "agent/admission.rs"]
+mod admission;
+#[path = "agent/concurrency_limit.rs"]
+mod concurrency_limit;
+#[path = "agent/exclusive.rs"]
+mod exclusive;
 #[path = "agent/fixtures/mod.rs"]
 mod fixtures;
-#[path = "agent/gate.rs"]
-mod gate;
-#[path = "agent/keyed.rs"]
-mod keyed;
-#[path = "agent/life.rs"]
-mod life;
-#[path = "agent/limit.rs"]
-mod limit;
+#[path = "agent/idempotency_keys.rs"]
+mod idempotency_keys;
+#[path = "agent/lifecycle.rs"]
+mod lifecycle;
 #[path = "agent/orders.rs"]
 mod orders;
 #[path = "agent/predecessors.rs"]
--- a/crates/role/tests/agent/gate.rs
+++ b/crates/role/tests/agent/admission.rs
@@ -46,69 +46,74 @@
     let cases: &[Case] = &[
         (
             "leaving",
-            |n| n.handle(AgentEvent::Drain),
+            |agent| agent.handle(AgentEvent::Drain),
             |_| {},
             Code::Leaving,
         ),
         (
             "wrong incarnation",
             |_| {},
-            |r| r.agent_incarnation = 9,
+            |run| run.agent_incarnation = 9,
             Code::WrongIncarnation,
         ),
         (
             "model not held",
             |_| {},
-            |r| r.model = "b".into(),
+            |run| run.model = "b".into(),
+            Code::NotHeld,
+        ),
+        (
+            "version not held",
+            |_| {},
+            |run| run.version = 2,
             Code::NotHeld,
         ),
-        ("version not held", |_| {}, |r| r.version = 2, Code::NotHeld),
         (
             "no such service",
             |_| {},
-            |r| r.service = "parts".into(),
+            |run| run.service = "parts".into(),
             Code::UnknownService,
         ),
         (
             "upstream down",
-            |n| n.upstream_event(UpstreamEvent::Down),
+            |agent| agent.upstream_event(UpstreamEvent::Down),
             |_| {},
             Code::NotReady,
         ),
         (
             "no time left",
             |_| {},
-            |r| r.remaining_ms = 0,
+            |run| run.remaining_ms = 0,
             Code::DeadlineBeforeRun,
         ),
         (
             "queue longer than the remaining time",
             queue_requests,
-            |r| r.remaining_ms = 900,
+            |run| run.remaining_ms = 900,
             Code::DeadlineBeforeRun,
         ),
         ("full", fill_slots, |_| {}, Code::GateFull),
         (
             "exclusive, beside a long attempt",
-            |n| run_long(n, 12_000),
-            |r| (r.alone, r.remaining_ms) = (true, 60_000),
+            |agent| run_long(agent, 12_000),
+            |run| (run.alone, run.remaining_ms) = (true, 60_000),
             Code::GateFull,
         ),
         (
             "exclusive, with less time than the running attempt",
-            |n| run_long(n, 1_000),
-            |r| (r.alone, r.remaining_ms) = (true, 900),
+            |agent| run_long(agent, 1_000),
+            |run| (run.alone, run.remaining_ms) = (true, 900),
             Code::GateFull,
         ),
         (
             "exclusive, with another waiting",
-            |n| {
-                start_attempt(n, 1);
+            |agent| {
+                start_attempt(agent, 1);
                 let mut waiting = model_run(2, 10, "a");
                 waiting.alone = true;
-                send_run(n, waiting);
+                send_run(agent, waiting);
             },
-            |r| r.alone = true,
+            |run| run.alone = true,
             Code::GateFull,
         ),
         (
@@ -117,7 +122,12 @@
             |_| {},
             Code::GateFull,
         ),
-        ("revoked", |n| send_revoke(n, 99, 10), |_| {}, Code::Revoked),
+        (
+            "revoked",
+            |agent| send_revoke(agent, 99, 10),
+            |_| {},
+            Code::Revoked,
+        ),
         ("woken from a freeze", freeze, |_| {}, Code::NotReady),
     ];
     for (name, arrange, alter, code) in cases {
@@ -204,10 +214,10 @@
     let cases: &[RevocationCase] = &[
         ("never seen", |_| {}, 10, Ran::NotRun),
         ("of another incarnation", |_| {}, 9, Ran::Unknown),
-        ("running", |n| start_attempt(n, 99), 10, Ran::Ran),
+        ("running", |agent| start_attempt(agent, 99), 10, Ran::Ran),
         (
             "given to the driver",
-            |n| send_run(n, model_run(99, 10, "a")),
+            |agent| send_run(agent, model_run(99, 10, "a")),
             10,
             Ran::Unknown,
         ),
--- a/crates/role/tests/agent/limit.rs
+++ b/crates/role/tests/agent/concurrency_limit.rs
@@ -1,7 +1,7 @@
 //! The concurrency limit of an engine follows the target time between tokens.
 
+use crate::admission::{agent_with_model_a, send_run, start_attempt};
 use crate::fixtures::*;
-use crate::gate::{agent_with_model_a, send_run, start_attempt};
 use base::prelude::*;
 use role::agent::{ConcurrencyLimit, UpstreamEvent, UpstreamReport};
 use schema::link::frame;
--- a/crates/role/tests/agent/alone.rs
+++ b/crates/role/tests/agent/exclusive.rs
@@ -1,7 +1,7 @@
 //! Exclusive runs, which must have the upstream to themselves.
 
+use crate::admission::{agent_with_model_a, send_revoke, send_run, start_attempt};
 use crate::fixtures::*;
-use crate::gate::{agent_with_model_a, send_revoke, send_run, start_attempt};
 use base::prelude::*;
 use role::agent::{AgentEvent, UpstreamEvent};
 use schema::link::{Cancel, Load, frame};
@@ -72,31 +72,31 @@
         (
             "waited too long",
             60_000,
-            |n| n.advance_time(10_000),
+            |agent| agent.advance_time(10_000),
             Some(Code::GateFull),
         ),
         (
             "deadline",
             900,
-            |n| n.advance_time(900),
+            |agent| agent.advance_time(900),
             Some(Code::DeadlineBeforeRun),
         ),
         (
             "drain",
             9_000,
-            |n| n.handle(AgentEvent::Drain),
+            |agent| agent.handle(AgentEvent::Drain),
             Some(Code::Leaving),
         ),
         (
             "down",
             9_000,
-            |n| n.upstream_event(UpstreamEvent::Down),
+            |agent| agent.upstream_event(UpstreamEvent::Down),
             Some(Code::NotReady),
         ),
         ("unloaded", 9_000, restart_empty, Some(Code::NotHeld)),
-        ("link lost", 9_000, |n| n.link_down(ENTRY), None),
+        ("link lost", 9_000, |agent| agent.link_down(ENTRY), None),
         ("cancelled", 9_000, cancel, None),
-        ("revoked", 9_000, |n| send_revoke(n, 99, 10), None),
+        ("revoked", 9_000, |agent| send_revoke(agent, 99, 10), None),
     ];
     for (name, remaining_ms, disturb, code) in cases {
         let (mut platform, mut engine, mut agent) = agent_with_model_a();
--- a/crates/role/tests/agent/random/keys.rs
+++ b/crates/role/tests/agent/random/keys.rs
@@ -49,8 +49,8 @@
     fn new() -> Self {
         let mut platform = Platform::new();
         let now = Instant::from_ms(1_000);
-        let agents =
-            (0..2).map(|n| TestAgent::beside_service(10 + n, now, &mut platform));
+        let agents = (0..2)
+            .map(|index| TestAgent::beside_service(10 + index, now, &mut platform));
         let agents = agents.collect();
         Self {
             platform,
--- a/crates/role/tests/agent/random/memory.rs
+++ b/crates/role/tests/agent/random/memory.rs
@@ -15,7 +15,7 @@
 
 /// An order in flight from an agent to the engine.
 struct InFlightOrder {
-    index: usize,
+    agent: usize,
     order: Order,
     age_ms: u64,
 }
@@ -72,16 +72,16 @@
     /// Advances time for all processes that are not frozen. A sent order
     /// arrives within the configured delay or never; an order of a frozen
     /// sender may not have been sent yet, so it does not age.
-    fn pass(&mut self, ms: u64) {
+    fn advance_time(&mut self, ms: u64) {
         self.now = self.now.plus_ms(ms);
         for index in 0..self.agents.len() {
             if self.is_awake(index) {
-                let behind = self.now.ms_since(self.agents[index].now);
-                self.agents[index].advance_time(behind);
+                let elapsed_ms = self.now.ms_since(self.agents[index].now);
+                self.agents[index].advance_time(elapsed_ms);
             }
         }
         for in_flight in &mut self.in_flight_orders {
-            if !self.frozen[in_flight.index] {
+            if !self.frozen[in_flight.agent] {
                 in_flight.age_ms += ms;
             }
         }
@@ -130,7 +130,7 @@
             let orders = agent.orders.drain(..);
             self.in_flight_orders
                 .extend(orders.map(|order| InFlightOrder {
-                    index,
+                    agent: index,
                     order,
                     age_ms: 0,
                 }));
@@ -144,7 +144,7 @@
         }
         let chosen = u.choose_index(self.in_flight_orders.len())?;
         let in_flight = self.in_flight_orders.remove(chosen);
-        let index = in_flight.index;
+        let index = in_flight.agent;
         let order = in_flight.order.id;
         let answer = match u.int_in_range(0..=4)? {
             0 => OrderAnswer::Unanswered,
@@ -170,7 +170,7 @@
     /// an agent may see reports late and out of order.
     fn report(&mut self, index: usize, u: &mut Unstructured<'_>) -> Result<()> {
         // No two reports are made in the same millisecond.
-        self.pass(1);
+        self.advance_time(1);
         self.reports.push_back((self.now, self.engine.report()));
         if self.reports.len() > 4 {
             self.reports.pop_front();
@@ -203,7 +203,7 @@
                 self.send_target(index);
             }
             13 if awake => self.send_target(index),
-            14 | 15 => self.pass(u.int_in_range(1..=1_500)?),
+            14 | 15 => self.advance_time(u.int_in_range(1..=1_500)?),
             16 => {
                 self.frozen[index] = u.int_in_range(0..=2)? == 0;
                 self.catch_up(index);
@@ -233,7 +233,7 @@
                 // are lost.
                 let frozen = &self.frozen;
                 self.in_flight_orders
-                    .retain(|in_flight| !frozen[in_flight.index]);
+                    .retain(|in_flight| !frozen[in_flight.agent]);
             }
             1 | 2 if index + 1 < self.agents.len() => self.dead[index] = true,
             _ => {}
@@ -319,7 +319,7 @@
             loads += world
                 .agents
                 .iter()
-                .map(|n| n.role.counters().loads)
+                .map(|agent| agent.role.counters().loads)
                 .sum::<u64>();
             Ok(())
         })
--- a/crates/role/tests/agent/replaced.rs
+++ b/crates/role/tests/agent/replaced.rs
@@ -1,8 +1,8 @@
 //! Agents that were replaced, or that might mistake a stale read for a
 //! replacement.
 
+use crate::admission::start_attempt;
 use crate::fixtures::*;
-use crate::gate::start_attempt;
 use crate::orders::{agent_with_empty_engine, agent_with_model_a};
 use base::{PlatformOp, PlatformResult};
 use prost::Message as _;
