--- a/crates/front/src/request.rs
+++ b/crates/front/src/request.rs
@@ -3,7 +3,7 @@
 use access::{Credential, Workspace};
 use base::prelude::*;
 use bytes::Bytes;
-use direct::{Route, Setup};
+use direct::{Config, Route};
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::header::HOST;
@@ -174,7 +174,7 @@
 ///
 /// The request has no key that the configuration knows.
 fn workspace(
-    setup: &Setup,
+    setup: &Config,
     route: &Route,
     ask: &RequestHead,
 ) -> Result<Option<Arc<Workspace>>, Refusal> {
@@ -197,7 +197,7 @@
     if !route.kind.is_stream() {
         return route.timeout_ms;
     }
-    let aims = (4 * route.aim_ms).max(8 * route.pause_max_ms);
+    let aims = (4 * route.target_latency_ms).max(8 * route.pause_max_ms);
     aims.max(STREAM_PATIENCE_MS)
 }
 
--- a/crates/front/src/state/node.rs
+++ b/crates/front/src/state/node.rs
@@ -2,7 +2,8 @@
 
 use base::prelude::*;
 use direct::{
-    Demand, Doubts, Fleet, Lease, Paces, Readings, Repeats, Setup, Watermark,
+    AvoidanceTracker, Config, DemandTracker, Fleet, Lease, MeanPrefillTimes,
+    ModelTimeFactors, RetryBudget, Watermark,
 };
 use parking_lot::Mutex;
 use plat::ObjectApi;
@@ -56,17 +57,17 @@
     /// The same by the clock that everything here goes by.
     pub(crate) started_at: Instant,
     /// Configuration in force, and how far it is known.
-    pub(crate) setup: Mutex<(Option<Arc<Setup>>, Watermark)>,
+    pub(crate) setup: Mutex<(Option<Arc<Config>>, Watermark)>,
     pub(crate) fleet: Mutex<Fleet>,
     /// Doubts about upstreams that were told of; locked before the fleet.
-    pub(crate) doubts: Mutex<Doubts>,
+    pub(crate) doubts: Mutex<AvoidanceTracker>,
     /// How far the upstreams' entries are known.
     pub(crate) fleet_mark: Mutex<Watermark>,
     /// Demand by service.
-    pub(crate) demand: Mutex<BTreeMap<Arc<str>, Demand>>,
-    pub(crate) repeats: Mutex<Repeats>,
-    pub(crate) paces: Mutex<Paces>,
-    pub(crate) readings: Mutex<Readings>,
+    pub(crate) demand: Mutex<BTreeMap<Arc<str>, DemandTracker>>,
+    pub(crate) repeats: Mutex<RetryBudget>,
+    pub(crate) paces: Mutex<ModelTimeFactors>,
+    pub(crate) readings: Mutex<MeanPrefillTimes>,
     pub(crate) suspects: Mutex<SuspectRequests>,
     pub(crate) wants: Wants,
     /// Tokens of workspaces.
@@ -101,7 +102,7 @@
         let now = SystemTime::now().duration_since(UNIX_EPOCH);
         let start = now.map_or(0, |now| now.as_millis() as u64);
         let bounds = &options.deployment;
-        let repeats = Repeats::new(
+        let repeats = RetryBudget::new(
             BootClock.now(),
             bounds.retry_ratio,
             bounds.retry_burst,
@@ -157,7 +158,7 @@
     }
 
     /// The configuration in force.
-    pub(crate) fn setup(&self) -> Option<Arc<Setup>> {
+    pub(crate) fn setup(&self) -> Option<Arc<Config>> {
         self.setup.lock().0.clone()
     }
 
@@ -197,14 +198,16 @@
     /// Factor on the time that reading a request's prompt takes.
     pub(crate) fn pace_of(&self, call: &Call) -> f64 {
         let model = call.ask.model.as_ref();
-        model.map_or(1.0, |(model, _)| self.paces.lock().of(&call.service, model))
+        model.map_or(1.0, |(model, _)| {
+            self.paces.lock().factor(&call.service, model)
+        })
     }
 
     /// Counts demand for a model of a service.
     pub(crate) fn with_demand(
         &self,
         service: &Arc<str>,
-        change: impl FnOnce(&mut Demand),
+        change: impl FnOnce(&mut DemandTracker),
     ) {
         let mut demand = self.demand.lock();
         change(demand.entry(Arc::clone(service)).or_default());
--- a/crates/role/src/entry/control/platform.rs
+++ b/crates/role/src/entry/control/platform.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform: configuration, members and leaving instances.
+//! Calls to the platform: configuration, member records and instance states.
 
 use base::prelude::*;
 use base::{Expect, PlatformAnswer, PlatformCall, PlatformOp, PlatformResult, Version};
@@ -11,67 +11,68 @@
 
 use super::super::counters::Counts;
 use super::super::shared::Shared;
-use super::super::trace::Note;
+use super::super::timeline::TimelineEvent;
 use super::super::{EntryAction, EntryOptions};
 use super::{Control, Effects, Timer};
 
-/// Start of the keys of all member records.
-const LIVE_PREFIX: &str = "live/";
+/// Key prefix of the member records.
+const MEMBERS_PREFIX: &str = "live/";
 
-/// First and longest wait before a failed call is made again.
+/// Bounds of the backoff before a failed call is repeated.
 const BACKOFF_MIN_MS: u64 = 100;
 const BACKOFF_MAX_MS: u64 = 5_000;
 
-/// Longest time between two reads of the next revision; the least is half of it.
+/// Maximum interval between two polls for the next revision; the minimum is half of
+/// it.
 ///
-/// A watch that misses a change is never made up for: the platform believes it
-/// told, and nothing else would ever look. So each entry reads the next
-/// revision's key, a call of one small object, at 0.1 to 0.2 calls a second.
-const LOOK_EVERY_MS: u64 = 10_000;
+/// A change missed by a watch is not reported again: the platform considers it
+/// delivered. So each entry also polls the next revision's key, which reads one small
+/// object, 0.1 to 0.2 times per second.
+const CONFIG_POLL_MAX_MS: u64 = 10_000;
 
-/// Looks between two reads of the snapshot, from which a process catches up
-/// whose next revision was dropped from the log in the meantime, and of the list
-/// of members, whose watch may miss an address as well.
-const LOOKS_PER_LIST: u32 = 6;
+/// Polls between two reads of the snapshot and of the list of members. The snapshot
+/// serves a process whose next revision has been dropped from the log meanwhile; the
+/// list finds addresses that the watch missed.
+const POLLS_PER_LIST: u32 = 6;
 
-/// Least time between two waits on a prefix, in case the platform ends them at
-/// once: it has a bound on calls a second.
-const WATCH_PAUSE_MS: u64 = 50;
+/// Minimum interval between two watches of a prefix, in case the platform ends them at
+/// once: it limits the call rate.
+const WATCH_MIN_INTERVAL_MS: u64 = 50;
 
-/// Longest wait for the member record's deletion at the end.
+/// Maximum wait for the deletion of the member record at shutdown.
 pub(super) const UNREGISTER_WAIT_MS: u64 = 2_000;
 
-/// What a call is for.
+/// Purpose of a platform call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Call {
+pub(super) enum CallKind {
     Snapshot,
     ConfigList,
     ConfigWatch,
-    ConfigLook,
-    LiveList,
-    LiveWatch,
-    Instances,
-    InstancesNews,
+    ConfigPoll,
+    MembersList,
+    MembersWatch,
+    InstancesList,
+    InstancesChangedList,
     InstancesWatch,
     Register,
     Unregister,
 }
 
-/// Calls that wait for an answer.
+/// State of the calls to the platform.
 #[derive(Debug)]
-pub(crate) struct Platform {
+pub(crate) struct PlatformCalls {
     next: u64,
-    pending: BTreeMap<u64, Call>,
-    failures: BTreeMap<Call, u32>,
+    pending: BTreeMap<u64, CallKind>,
+    failures: BTreeMap<CallKind, u32>,
     away: bool,
     config_version: Version,
-    looks: u32,
-    /// Revision that the look in flight is for. The answer does not name it, and
-    /// by then another one may be the next.
-    look_for: Revision,
+    polls: u32,
+    /// Revision requested by the poll in flight. The answer does not name it, and by
+    /// then another revision may be the next.
+    polled_revision: Revision,
 }
 
-impl Platform {
+impl PlatformCalls {
     pub(super) const fn new() -> Self {
         Self {
             next: 1,
@@ -79,8 +80,8 @@
             failures: BTreeMap::new(),
             away: false,
             config_version: Version(0),
-            looks: 0,
-            look_for: Revision(0),
+            polls: 0,
+            polled_revision: Revision(0),
         }
     }
 
@@ -89,89 +90,106 @@
     }
 
     pub(super) fn unregistering(&self) -> bool {
-        self.pending.values().any(|call| *call == Call::Unregister)
+        self.pending
+            .values()
+            .any(|call| *call == CallKind::Unregister)
     }
 }
 
 impl Control {
-    /// The first calls of a process.
-    pub(super) fn start_platform(
+    /// Makes the first calls of the process.
+    pub(super) fn start_platform_calls(
         &mut self,
         options: &EntryOptions,
         out: &mut Vec<EntryAction>,
     ) {
-        for call in [Call::Snapshot, Call::LiveList, Call::Instances] {
+        for call in [
+            CallKind::Snapshot,
+            CallKind::MembersList,
+            CallKind::InstancesList,
+        ] {
             self.call(call, options, out);
         }
-        self.call(Call::Register, options, out);
+        self.call(CallKind::Register, options, out);
     }
 
-    /// Writes the process's member record.
+    /// Writes this process's member record.
     pub(super) fn register(&mut self, shared: &Shared, out: &mut Vec<EntryAction>) {
-        self.call(Call::Register, &shared.options, out);
+        self.call(CallKind::Register, &shared.options, out);
     }
 
-    /// Deletes the process's member record.
+    /// Deletes this process's member record.
     pub(super) fn unregister(&mut self, shared: &Shared, out: &mut Vec<EntryAction>) {
-        self.call(Call::Unregister, &shared.options, out);
+        self.call(CallKind::Unregister, &shared.options, out);
     }
 
     pub(super) fn call_due(
         &mut self,
-        call: Call,
+        call: CallKind,
         shared: &Shared,
         out: &mut Vec<EntryAction>,
     ) {
-        self.put_off.remove(&call);
+        self.deferred_watches.remove(&call);
         self.call(call, &shared.options, out);
     }
 
-    fn call(&mut self, call: Call, options: &EntryOptions, out: &mut Vec<EntryAction>) {
-        // One call of each kind at a time; only the newest record counts.
-        if call != Call::Register && self.platform.pending.values().any(|c| *c == call)
+    fn call(
+        &mut self,
+        call: CallKind,
+        options: &EntryOptions,
+        out: &mut Vec<EntryAction>,
+    ) {
+        // At most one call of each kind, except that a new member record is written
+        // without waiting for the previous write.
+        if call != CallKind::Register
+            && self
+                .platform
+                .pending
+                .values()
+                .any(|pending| *pending == call)
         {
             return;
         }
-        if self.leaves_watch(call) {
+        if self.defer_watch(call) {
             return;
         }
         let id = self.platform.next;
         self.platform.next += 1;
         self.platform.pending.insert(id, call);
-        if call == Call::ConfigLook {
-            self.platform.look_for = Revision(self.log.revision().0 + 1);
+        if call == CallKind::ConfigPoll {
+            self.platform.polled_revision = Revision(self.log.revision().0 + 1);
         }
         let op = self.operation(call, options);
         out.push(EntryAction::CallPlatform(PlatformCall { id, op }));
     }
 
-    fn operation(&self, call: Call, options: &EntryOptions) -> PlatformOp {
+    fn operation(&self, call: CallKind, options: &EntryOptions) -> PlatformOp {
         match call {
-            Call::Snapshot => PlatformOp::Read {
+            CallKind::Snapshot => PlatformOp::Read {
                 key: SNAPSHOT_KEY.to_owned(),
             },
-            Call::ConfigList => list(REVISION_PREFIX),
-            Call::LiveList => list(LIVE_PREFIX),
-            Call::Instances | Call::InstancesNews | Call::InstancesWatch => {
-                self.instances_operation(call)
-            }
-            Call::ConfigWatch => PlatformOp::Watch {
+            CallKind::ConfigList => list(REVISION_PREFIX),
+            CallKind::MembersList => list(MEMBERS_PREFIX),
+            CallKind::InstancesList
+            | CallKind::InstancesChangedList
+            | CallKind::InstancesWatch => self.instances_operation(call),
+            CallKind::ConfigWatch => PlatformOp::Watch {
                 prefix: REVISION_PREFIX.to_owned(),
                 after: self.platform.config_version,
             },
-            Call::ConfigLook => PlatformOp::Read {
-                key: revision_key(self.platform.look_for),
+            CallKind::ConfigPoll => PlatformOp::Read {
+                key: revision_key(self.platform.polled_revision),
             },
-            Call::LiveWatch => PlatformOp::Watch {
-                prefix: LIVE_PREFIX.to_owned(),
-                after: self.live_version,
+            CallKind::MembersWatch => PlatformOp::Watch {
+                prefix: MEMBERS_PREFIX.to_owned(),
+                after: self.members_version,
             },
-            Call::Register => PlatformOp::Write {
+            CallKind::Register => PlatformOp::Write {
                 key: member_key(options),
                 expect: Expect::Any,
                 value: self.member(options).encode_to_vec(),
             },
-            Call::Unregister => PlatformOp::Delete {
+            CallKind::Unregister => PlatformOp::Delete {
                 key: member_key(options),
                 expect: Expect::Any,
             },
@@ -191,7 +209,7 @@
         }
     }
 
-    /// Takes the platform's answer; one that no call waits for is dropped.
+    /// Handles the result of a call; one without a pending call is dropped.
     pub(crate) fn answered(
         &mut self,
         now: Instant,
@@ -205,111 +223,112 @@
         };
         match answer.result {
             PlatformResult::Away | PlatformResult::Unanswered => {
-                self.failed(now, call, shared, out);
+                self.call_failed(now, call, shared, out);
             }
             result => {
-                self.back(out);
+                self.platform_answered(out);
                 self.platform.failures.remove(&call);
-                self.take(now, call, result, shared, out, effects);
+                self.apply_result(now, call, result, shared, out, effects);
             }
         }
     }
 
-    fn failed(
+    fn call_failed(
         &mut self,
         now: Instant,
-        call: Call,
+        call: CallKind,
         shared: &Shared,
         out: &mut Vec<EntryAction>,
     ) {
         Counts::add(&shared.counts.platform_away);
         if !self.platform.away {
             self.platform.away = true;
-            let detail = "goes on with what it knows";
-            Note::new(EventKind::PlatformAway, detail).put(out);
+            let detail = "continues with the state known so far";
+            TimelineEvent::new(EventKind::PlatformAway, detail).record(out);
         }
-        if call == Call::Unregister {
+        if call == CallKind::Unregister {
             self.exit(out);
             return;
         }
         let failures = self.platform.failures.entry(call).or_default();
         *failures = failures.saturating_add(1);
         let wait_ms = (BACKOFF_MIN_MS << (*failures).min(6)).min(BACKOFF_MAX_MS);
-        // Jitter keeps processes that lost the platform at the same moment from
-        // coming back to it at the same moment.
+        // Jitter keeps processes that lost the platform at the same time from
+        // retrying at the same time.
         let jitter_ms = u64::from(self.rng.next_u32()) % wait_ms;
         let at = now.plus_ms(wait_ms / 2 + jitter_ms / 2);
         self.timers.set(at, Timer::Call(call));
     }
 
-    fn back(&mut self, out: &mut Vec<EntryAction>) {
+    fn platform_answered(&mut self, out: &mut Vec<EntryAction>) {
         if self.platform.away {
             self.platform.away = false;
-            Note::new(EventKind::PlatformBack, "answers again").put(out);
+            TimelineEvent::new(EventKind::PlatformBack, "answers again").record(out);
         }
     }
 
-    fn take(
+    fn apply_result(
         &mut self,
         now: Instant,
-        call: Call,
+        call: CallKind,
         result: PlatformResult,
         shared: &Shared,
         out: &mut Vec<EntryAction>,
         effects: &mut Effects,
     ) {
         match (call, result) {
-            (Call::Snapshot, PlatformResult::Object(object)) => {
+            (CallKind::Snapshot, PlatformResult::Object(object)) => {
                 if let Some((_, value)) = object {
-                    self.take_snapshot(&value, shared, out, effects);
+                    self.apply_snapshot(&value, shared, out, effects);
                 }
-                self.call(Call::ConfigList, &shared.options, out);
+                self.call(CallKind::ConfigList, &shared.options, out);
             }
-            (Call::ConfigLook, PlatformResult::Object(object)) => {
-                self.looked(now, object, shared, out, effects);
+            (CallKind::ConfigPoll, PlatformResult::Object(object)) => {
+                self.config_polled(now, object, shared, out, effects);
             }
             (
-                Call::ConfigList | Call::ConfigWatch,
+                CallKind::ConfigList | CallKind::ConfigWatch,
                 PlatformResult::Objects(objects, version),
             ) => {
                 self.note_config_version(version);
-                let gap = self.take_changes(&objects, shared, out, effects);
+                let gap = self.apply_config_changes(&objects, shared, out, effects);
                 if gap {
-                    // Old changes were dropped from the log after a snapshot.
+                    // The missing changes were dropped from the log after a snapshot
+                    // was written, so the snapshot is read.
                     let at = now.plus_ms(BACKOFF_MIN_MS);
-                    self.timers.set(at, Timer::Call(Call::Snapshot));
+                    self.timers.set(at, Timer::Call(CallKind::Snapshot));
                 } else {
-                    self.again(now, Call::ConfigWatch);
+                    self.schedule_watch(now, CallKind::ConfigWatch);
                 }
             }
             (
-                Call::LiveList | Call::LiveWatch,
+                CallKind::MembersList | CallKind::MembersWatch,
                 PlatformResult::Objects(objects, version),
             ) => {
-                self.live_version = self.live_version.max(version);
-                self.take_members(&objects, out);
-                self.again(now, Call::LiveWatch);
+                self.members_version = self.members_version.max(version);
+                self.apply_members(&objects, out);
+                self.schedule_watch(now, CallKind::MembersWatch);
             }
             (
-                Call::Instances | Call::InstancesNews,
+                CallKind::InstancesList | CallKind::InstancesChangedList,
                 PlatformResult::Objects(objects, version),
             ) => {
-                self.listed_instances(now, &objects, version, out, effects);
-                if call == Call::Instances {
-                    self.list_instances_later(now);
+                self.instances_listed(now, &objects, version, out, effects);
+                if call == CallKind::InstancesList {
+                    self.schedule_instances_list(now);
                 }
             }
-            (Call::InstancesWatch, PlatformResult::Objects(objects, version)) => {
-                self.watched_instances(now, &objects, version);
+            (CallKind::InstancesWatch, PlatformResult::Objects(objects, version)) => {
+                self.instances_watch_ended(now, &objects, version);
             }
-            (Call::Unregister, _) => self.exit(out),
+            (CallKind::Unregister, _) => self.exit(out),
             _ => {}
         }
     }
 
-    /// The next revision was there, or not yet. One that was there is put in
-    /// force, and the one after it is looked for at once.
-    fn looked(
+    /// Handles the result of a poll. If the next revision exists, it is applied and the
+    /// one after it is polled at once.
+    fn config_polled(
         &mut self,
         now: Instant,
         object: Option<(Version, Vec<u8>)>,
@@ -319,51 +338,51 @@
     ) {
         let before = self.log.revision();
         if let Some((version, value)) = object {
-            let key = revision_key(self.platform.look_for);
-            self.take_changes(&[(key, version, value)], shared, out, effects);
+            let key = revision_key(self.platform.polled_revision);
+            self.apply_config_changes(&[(key, version, value)], shared, out, effects);
         }
         if self.log.revision() > before {
-            self.call(Call::ConfigLook, &shared.options, out);
+            self.call(CallKind::ConfigPoll, &shared.options, out);
             return;
         }
-        self.platform.looks += 1;
-        if self.platform.looks.is_multiple_of(LOOKS_PER_LIST) {
-            self.call(Call::Snapshot, &shared.options, out);
-            self.call(Call::LiveList, &shared.options, out);
+        self.platform.polls += 1;
+        if self.platform.polls.is_multiple_of(POLLS_PER_LIST) {
+            self.call(CallKind::Snapshot, &shared.options, out);
+            self.call(CallKind::MembersList, &shared.options, out);
         }
-        self.look_later(now);
+        self.schedule_config_poll(now);
     }
 
-    /// Sets the next look, at a time drawn anew so that processes which started
-    /// together don't look together.
-    pub(super) fn look_later(&mut self, now: Instant) {
-        let half_ms = LOOK_EVERY_MS / 2;
+    /// Schedules the next poll at a random time, so that processes which started
+    /// together don't poll together.
+    pub(super) fn schedule_config_poll(&mut self, now: Instant) {
+        let half_ms = CONFIG_POLL_MAX_MS / 2;
         let jitter_ms = u64::from(self.rng.next_u32()) % half_ms;
         let at = now.plus_ms(half_ms + jitter_ms);
-        self.timers.set(at, Timer::Call(Call::ConfigLook));
+        self.timers.set(at, Timer::Call(CallKind::ConfigPoll));
     }
 
-    /// Versions never step back either: a watch behind an old one would give
+    /// Keeps the version from decreasing: a watch after an older version would report
     /// the same objects again and again.
     fn note_config_version(&mut self, version: Version) {
-        let held = &mut self.platform.config_version;
-        *held = (*held).max(version);
+        let newest = &mut self.platform.config_version;
+        *newest = (*newest).max(version);
     }
 
-    pub(super) fn again(&mut self, now: Instant, call: Call) {
-        let at = now.plus_ms(WATCH_PAUSE_MS);
+    pub(super) fn schedule_watch(&mut self, now: Instant, call: CallKind) {
+        let at = now.plus_ms(WATCH_MIN_INTERVAL_MS);
         self.timers.set(at, Timer::Call(call));
     }
 
-    fn take_members(
+    fn apply_members(
         &mut self,
         objects: &[(String, Version, Vec<u8>)],
         out: &mut Vec<EntryAction>,
     ) {
         for (_, _, value) in objects {
-            // A record that can't be read only hides one process's address.
+            // A record that can't be decoded affects the address of one process only.
             if let Ok(member) = Member::decode(value.as_slice()) {
-                self.take_member(&member, out);
+                self.apply_member(&member, out);
             }
         }
     }
@@ -376,5 +395,5 @@
 }
 
 fn member_key(options: &EntryOptions) -> String {
-    format!("{LIVE_PREFIX}entry/{}", options.id)
+    format!("{MEMBERS_PREFIX}entry/{}", options.id)
 }
--- a/crates/role/src/entry/requests/answers.rs
+++ b/crates/role/src/entry/requests/answers.rs
@@ -1,4 +1,4 @@
-//! Frames about attempts: started, parts, the end, refused, revoked.
+//! Handles agents' frames about attempts: start, answer parts, end and refusal.
 
 use base::prelude::*;
 use schema::link::{End, Load, Refused};
@@ -7,28 +7,28 @@
 use super::super::EntryAction;
 use super::super::counters::Counts;
 use super::super::shared::{Ctx, Shared};
-use super::super::suspicion::charged_by;
-use super::super::trace::Note;
+use super::super::suspect_events::apply_and_diff;
+use super::super::timeline::TimelineEvent;
 use super::Requests;
-use super::failures::{Charge, Failure};
+use super::failures::{Failure, RetryCharge};
 
-/// Wait before a request that no agent took is sent again.
-const REFUSED_PAUSE_MS: u64 = 100;
+/// Backoff before a request that was refused is dispatched again.
+const REFUSAL_BACKOFF_MS: u64 = 100;
 
-/// Growth of that wait, with each refusal, at most to this multiple.
-const REFUSED_PAUSES_MAX: u64 = 10;
+/// The backoff grows with each refusal, up to this multiple.
+const REFUSAL_BACKOFF_STEPS_MAX: u64 = 10;
 
-/// What came of a part of an answer.
+/// Result of handling an answer part.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum PartOutcome {
-    /// It was given to the caller, or dropped.
+    /// The part was delivered to the caller or dropped.
     Done,
-    /// Units before it are missing.
+    /// Units before the part are missing.
     Gap,
 }
 
-/// An attempt as the link carries it.
-pub(crate) fn attempt_of(wire: Option<&schema::link::Attempt>) -> AttemptId {
+/// Decodes an attempt id of a frame. A missing one becomes an id that no attempt has.
+pub(crate) fn decode_attempt_id(wire: Option<&schema::link::Attempt>) -> AttemptId {
     wire.map_or(
         AttemptId {
             origin: 0,
@@ -42,21 +42,20 @@
 }
 
 impl Requests {
-    /// Takes a part of an answer.
+    /// Handles a part of an answer.
     ///
-    /// A part of another attempt must not reach the caller: it may be another
-    /// request's, or the same units again from an upstream thought dead. So
-    /// only the attempt in flight counts, and of it only what goes on where the
-    /// caller's answer ends.
-    pub(crate) fn part(
+    /// Only parts of the attempt in flight are delivered. A part of another attempt may
+    /// belong to another request, or repeat units from an upstream that was considered
+    /// dead. Units that the caller already has are skipped.
+    pub(crate) fn answer_part(
         &mut self,
         now: Instant,
         shared: &Shared,
-        part: &Part<'_>,
+        part: &AnswerPart<'_>,
         out: &mut Vec<EntryAction>,
     ) -> PartOutcome {
-        let held = self.current(part.agent, part.attempt);
-        let request = held.and_then(|sequence| self.live.get_mut(&sequence));
+        let sequence = self.current(part.agent, part.attempt);
+        let request = sequence.and_then(|sequence| self.requests.get_mut(&sequence));
         let Some(request) = request else {
             Counts::add(&shared.counts.stray_frames);
             return PartOutcome::Done;
@@ -81,15 +80,15 @@
         if delivered == 0 {
             request.first_unit_at = Some(now);
             let ms = now.ms_since(request.arrived_at);
-            Note::new(EventKind::RequestFirstUnit, format!("after {ms} ms"))
+            TimelineEvent::new(EventKind::RequestFirstUnit, format!("after {ms} ms"))
                 .request(id)
                 .peer(part.agent)
-                .put(out);
+                .record(out);
         }
         request.delivered = end;
         request.version = Some(version);
-        // The part starts at or before the end of what the caller has, and its
-        // units fit 32 bits, so the units to skip do as well.
+        // The units to skip lie within the part, so their number fits in 32 bits like
+        // the part's own.
         let skip_units = u32::try_from(delivered - part.offset).unwrap_or(u32::MAX);
         out.push(EntryAction::DeliverPart {
             request: id,
@@ -98,46 +97,47 @@
         PartOutcome::Done
     }
 
-    /// The attempt was handed to the upstream.
-    pub(crate) fn started(
+    /// Handles `Started`: the agent passed the attempt to the upstream.
+    pub(crate) fn attempt_started(
         &mut self,
         ctx: &mut Ctx<'_>,
         agent: &AgentId,
         attempt: AttemptId,
         load: Option<&Load>,
     ) {
-        note_load(ctx, agent, load);
+        record_load_report(ctx, agent, load);
         let Some(sequence) = self.current(agent, attempt) else {
             Counts::add(&ctx.shared.counts.stray_frames);
             return;
         };
-        let Some(request) = self.live.get_mut(&sequence) else {
+        let Some(request) = self.requests.get_mut(&sequence) else {
             return;
         };
         let id = request.id();
-        if let Some(held) = request.attempt_mut() {
-            held.started = true;
-            held.heard_at = ctx.now;
-            let ms = ctx.now.ms_since(held.sent_at);
-            Note::new(
+        if let Some(current) = request.attempt_mut() {
+            current.started = true;
+            current.heard_at = ctx.now;
+            let ms = ctx.now.ms_since(current.sent_at);
+            TimelineEvent::new(
                 EventKind::RequestStarted,
                 format!("{ms} ms after it was sent"),
             )
             .request(id)
             .peer(agent)
-            .put(ctx.out);
+            .record(ctx.out);
         }
     }
 
-    /// The gate refused the attempt: it was not run and never will be.
-    pub(crate) fn refused(
+    /// Handles `Refused`: the agent's admission control refused the attempt, which has
+    /// not run and never will.
+    pub(crate) fn attempt_refused(
         &mut self,
         ctx: &mut Ctx<'_>,
         agent: &AgentId,
         frame: &Refused,
     ) {
-        note_load(ctx, agent, frame.load.as_ref());
-        let attempt = attempt_of(frame.attempt.as_ref());
+        record_load_report(ctx, agent, frame.load.as_ref());
+        let attempt = decode_attempt_id(frame.attempt.as_ref());
         let Some(sequence) = self.current(agent, attempt) else {
             Counts::add(&ctx.shared.counts.stray_frames);
             return;
@@ -145,89 +145,97 @@
         Counts::add(&ctx.shared.counts.refused_by_gate);
         let code = Code::from_number(frame.code).unwrap_or(Code::Overloaded);
         let retry_after_ms = u64::from(frame.retry_after_ms);
-        if let Some(request) = self.live.get(&sequence) {
-            Note::new(
+        if let Some(request) = self.requests.get(&sequence) {
+            TimelineEvent::new(
                 EventKind::RequestRefusedByGate,
-                format!("by {agent}: {code}"),
+                format!("refused by {agent}: {code}"),
             )
             .request(request.id())
-            .model(request.resolved.wanted.as_str())
+            .model(request.resolved.resource.as_str())
             .peer(agent)
             .code(code)
-            .put(ctx.out);
+            .record(ctx.out);
         }
-        self.not_run(ctx, sequence, code, retry_after_ms);
+        self.attempt_not_run(ctx, sequence, code, retry_after_ms);
     }
 
-    /// An attempt was provably not run.
-    pub(super) fn not_run(
+    /// Ends an attempt that provably did not run, and dispatches the request again if
+    /// another agent may accept it.
+    pub(super) fn attempt_not_run(
         &mut self,
         ctx: &mut Ctx<'_>,
         sequence: u64,
         code: Code,
         retry_after_ms: u64,
     ) {
-        let Some(attempt) = self.settle(ctx, sequence, Some(Ran::NotRun)) else {
+        let Some(attempt) = self.settle_attempt(ctx, sequence, Some(Ran::NotRun))
+        else {
             return;
         };
-        if !goes_elsewhere(code) {
+        if !retryable_elsewhere(code) {
             let retry_after = (retry_after_ms > 0).then_some(retry_after_ms);
             self.refuse(ctx, sequence, code, retry_after);
             return;
         }
-        if let Some(request) = self.live.get_mut(&sequence) {
-            request.refused += 1;
-            request.excluded.push(attempt.agent);
+        if let Some(request) = self.requests.get_mut(&sequence) {
+            request.admission_refusals += 1;
+            request.excluded_agents.push(attempt.agent);
             request.not_before = ctx.now;
         }
-        self.place_elsewhere(ctx, sequence);
+        self.dispatch_elsewhere(ctx, sequence);
     }
 
-    /// Sends a request to another agent at once, or lets it wait a moment.
-    pub(super) fn place_elsewhere(&mut self, ctx: &mut Ctx<'_>, sequence: u64) {
-        self.place(ctx, sequence);
-        if let Some(request) = self.live.get_mut(&sequence)
+    /// Dispatches a request to another agent now, or after a backoff.
+    pub(super) fn dispatch_elsewhere(&mut self, ctx: &mut Ctx<'_>, sequence: u64) {
+        self.dispatch(ctx, sequence);
+        if let Some(request) = self.requests.get_mut(&sequence)
             && request.attempt().is_none()
         {
-            let times = u64::from(request.refused).clamp(1, REFUSED_PAUSES_MAX);
-            let pause = ctx.now.plus_ms(REFUSED_PAUSE_MS * times);
-            request.not_before = pause;
+            let steps = u64::from(request.admission_refusals)
+                .clamp(1, REFUSAL_BACKOFF_STEPS_MAX);
+            let retry_at = ctx.now.plus_ms(REFUSAL_BACKOFF_MS * steps);
+            request.not_before = retry_at;
             self.timers
-                .set(pause, super::timers::Timer::Wake { sequence });
+                .set(retry_at, super::timers::Timer::Retry { sequence });
         }
     }
 
-    /// The attempt ended.
-    pub(crate) fn ended(&mut self, ctx: &mut Ctx<'_>, agent: &AgentId, frame: End) {
-        note_load(ctx, agent, frame.load.as_ref());
+    /// Handles `End`: the attempt ended.
+    pub(crate) fn attempt_ended(
+        &mut self,
+        ctx: &mut Ctx<'_>,
+        agent: &AgentId,
+        frame: End,
+    ) {
+        record_load_report(ctx, agent, frame.load.as_ref());
         if frame.upstream_crashed {
-            self.crashed(ctx, agent, &frame);
+            self.upstream_crashed(ctx, agent, &frame);
         }
-        let attempt = attempt_of(frame.attempt.as_ref());
+        let attempt = decode_attempt_id(frame.attempt.as_ref());
         let Some(sequence) = self.current(agent, attempt) else {
             Counts::add(&ctx.shared.counts.stray_frames);
             return;
         };
         if frame.code != 0 {
-            self.ended_badly(ctx, sequence, &frame);
+            self.attempt_ended_with_error(ctx, sequence, &frame);
             return;
         }
-        // An end whose total differs from what was delivered is not the end of
-        // this answer: the caller would take a cut answer for a whole one.
-        let Some(request) = self.live.get(&sequence) else {
+        // If the total differs from the delivered units, the answer is incomplete and
+        // must not be presented to the caller as complete.
+        let Some(request) = self.requests.get(&sequence) else {
             return;
         };
         if frame.total_units != request.delivered {
             let broken = Failure {
                 code: Code::AnswerBroken,
                 ran: Some(Ran::Ran),
-                charge: Charge::Yes,
+                charge: RetryCharge::Charged,
             };
-            self.failed(ctx, sequence, broken);
+            self.attempt_failed(ctx, sequence, broken);
             return;
         }
-        self.note_served(ctx, sequence);
-        self.judge_upstream(ctx, sequence, true);
+        self.record_service_time(ctx, sequence);
+        self.record_upstream_outcome(ctx, sequence, true);
         self.finish(
             ctx,
             sequence,
@@ -237,68 +245,68 @@
         );
     }
 
-    fn note_served(&mut self, ctx: &mut Ctx<'_>, sequence: u64) {
-        let Some(request) = self.live.get(&sequence) else {
+    fn record_service_time(&mut self, ctx: &mut Ctx<'_>, sequence: u64) {
+        let Some(request) = self.requests.get(&sequence) else {
             return;
         };
         let Some(attempt) = request.attempt() else {
             return;
         };
         let ms = ctx.now.ms_since(attempt.sent_at);
-        let wanted = &request.resolved.wanted;
-        ctx.shared.book.lock().served(wanted, ms);
-        if attempt.alone {
+        let resource = &request.resolved.resource;
+        ctx.shared.workload.lock().record_service_time(resource, ms);
+        if attempt.exclusive {
             let fingerprint = request.resolved.fingerprint;
             ctx.shared
                 .suspects
                 .lock()
-                .record_completed_alone(fingerprint);
+                .record_completed_exclusive_run(fingerprint);
         }
     }
 
-    /// Takes note of a crash. The run of the upstream tells two crashes of one
-    /// upstream apart: by the agent's run, which goes on, the second would pass
-    /// for another report of the first.
-    fn crashed(&mut self, ctx: &mut Ctx<'_>, agent: &AgentId, frame: &End) {
+    /// Records the crash of an upstream. Crashes are told apart by the incarnation of
+    /// the upstream. The agent's own incarnation stays the same, so by that a second
+    /// crash would be taken for another report of the first.
+    fn upstream_crashed(&mut self, ctx: &mut Ctx<'_>, agent: &AgentId, frame: &End) {
         let fingerprints = &frame.crash_fingerprints;
         let alone = fingerprints.len() == 1;
-        let charged = {
+        let worsened = {
             let mut suspects = ctx.shared.suspects.lock();
-            charged_by(&mut suspects, ctx.now, fingerprints, |suspects| {
+            apply_and_diff(&mut suspects, ctx.now, fingerprints, |suspects| {
                 let run = frame.upstream_incarnation;
                 suspects.record_crash(ctx.now, fingerprints, agent, run, alone);
             })
         };
-        let attempt = attempt_of(frame.attempt.as_ref());
+        let attempt = decode_attempt_id(frame.attempt.as_ref());
         let request = self.current(agent, attempt);
-        let request = request.and_then(|sequence| self.live.get(&sequence));
-        for held in charged {
+        let request = request.and_then(|sequence| self.requests.get(&sequence));
+        for change in worsened {
             let own =
-                request.filter(|own| own.resolved.fingerprint == held.fingerprint);
-            held.trace(own.map(super::Request::id), ctx.out);
+                request.filter(|own| own.resolved.fingerprint == change.fingerprint);
+            change.record(own.map(super::Request::id), ctx.out);
         }
-        ctx.later.gossip = true;
+        ctx.follow_ups.gossip = true;
     }
 }
 
-/// One part of an answer, without its payload.
+/// A part of an answer, without its payload.
 #[derive(Debug)]
-pub(crate) struct Part<'a> {
+pub(crate) struct AnswerPart<'a> {
     pub(crate) agent: &'a AgentId,
     pub(crate) attempt: AttemptId,
     pub(crate) offset: u64,
     pub(crate) units: u32,
 }
 
-fn note_load(ctx: &mut Ctx<'_>, agent: &AgentId, load: Option<&Load>) {
-    if let (Some(held), Some(load)) = (ctx.control.directory.get(agent), load) {
-        held.hint.note(ctx.now, load);
-        ctx.later.room.insert(agent.clone());
+fn record_load_report(ctx: &mut Ctx<'_>, agent: &AgentId, load: Option<&Load>) {
+    if let (Some(known), Some(load)) = (ctx.control.directory.get(agent), load) {
+        known.hint.note(ctx.now, load);
+        ctx.follow_ups.agents_with_capacity.insert(agent.clone());
     }
 }
 
-/// Whether another agent may take what one refused with this code.
-const fn goes_elsewhere(code: Code) -> bool {
+/// Whether another agent may accept a request that one refused with this code.
+const fn retryable_elsewhere(code: Code) -> bool {
     matches!(
         code,
         Code::Leaving
