--- a/crates/role/src/agent/event.rs
+++ b/crates/role/src/agent/event.rs
@@ -120,7 +120,7 @@
     Accepted,
     /// The order was refused; it has had no effect and will have none.
     Refused,
-    /// The order was refused because its fencing token is too old.
+    /// The order was refused because its fencing epoch is too old.
     Fenced,
     /// No answer came; the order may still take effect.
     Unanswered,
@@ -137,8 +137,8 @@
     pub residents: Vec<UpstreamResident>,
     /// Orders in progress and finished, with their state.
     pub orders: Vec<UpstreamOrder>,
-    /// Highest fencing token that the upstream has seen.
-    pub highest_fencing_token: u64,
+    /// Highest fencing epoch that the upstream has seen.
+    pub highest_fencing_epoch: u64,
     /// Requests in the current batch.
     pub running: u32,
     /// Requests waiting to join the batch.
@@ -169,8 +169,8 @@
 pub struct UpstreamOrder {
     /// Number of the order.
     pub order: u64,
-    /// Fencing token that the order carried.
-    pub fencing_token: u64,
+    /// Fencing epoch that the order carried.
+    pub fencing_epoch: u64,
     /// Progress of the order.
     pub state: UpstreamOrderState,
 }
@@ -191,9 +191,9 @@
 pub struct Order {
     /// Number, unique over all epochs of the agent.
     pub id: u64,
-    /// Fencing token: the epoch of the agent that sends the order. An upstream
-    /// that checks fencing refuses tokens lower than the highest it has seen.
-    pub fencing_token: Epoch,
+    /// Fencing epoch: the epoch of the agent that sends the order. An upstream
+    /// that checks fencing refuses epochs lower than the highest it has seen.
+    pub fencing_epoch: Epoch,
     /// True for a load, false for an unload.
     pub load: bool,
     /// Model or adapter.
--- a/crates/role/src/agent/orders.rs
+++ b/crates/role/src/agent/orders.rs
@@ -6,7 +6,7 @@
 //! 1. The ledger reserves memory; a load that could overcommit is not started.
 //! 2. Its intent is written into the agent's record, conditional on the version
 //!    last seen; an agent that was replaced gets no further.
-//! 3. It is sent to the upstream with the agent's epoch as fencing token.
+//! 3. It is sent to the upstream with the agent's epoch as fencing epoch.
 //! 4. It stays counted until the upstream shows its end, and is resent under
 //!    the same number while no answer comes.
 
@@ -117,7 +117,7 @@
         // Plan nothing that could not be carried out: while the platform is
         // away, all models stay loaded and keep serving.
         if !self.record.is_writable(now)
-            || self.upstream.highest_fencing_token() > self.record.epoch().0
+            || self.upstream.highest_fencing_epoch() > self.record.epoch().0
         {
             return;
         }
@@ -274,7 +274,7 @@
     fn order_message(&self, order: &TrackedOrder) -> Order {
         Order {
             id: order.id,
-            fencing_token: self.record.epoch(),
+            fencing_epoch: self.record.epoch(),
             load: order.load,
             model: order.placement.model.clone(),
             version: order.placement.version,
--- a/crates/role/src/agent/status.rs
+++ b/crates/role/src/agent/status.rs
@@ -10,7 +10,7 @@
     pub id: String,
     /// Incarnation of this process.
     pub incarnation: u64,
-    /// Epoch, which is also the fencing token of its orders; 0 before it is
+    /// Epoch, which is also the fencing epoch of its orders; 0 before it is
     /// taken.
     pub epoch: u64,
     /// A successor has taken over.
