--- a/crates/role/tests/entry/answers.rs
+++ b/crates/role/tests/entry/answers.rs
@@ -1,17 +1,17 @@
-//! Which frames reach a caller, and how an answer ends.
+//! Which frames are delivered to a caller, and how an answer ends.
 
-use crate::rig::{Rig, Sent};
+use crate::rig::{Rig, SentRun};
 use base::prelude::*;
 use schema::link::{self, frame};
 
-/// Callers see another request's tokens, or the same tokens twice, if a frame
-/// is taken for more than it is. Each row sends a stream of frames about two
-/// attempts of one request (`old` was refused by its agent and replaced by
-/// `new`); only the parts of `new` that go on where the answer ends count.
+/// A caller would receive another request's tokens, or tokens twice, if a stale frame
+/// were accepted. Each row sends frames about two attempts of one request: `old` was
+/// refused by its agent and replaced by `new`. Only units of `new` that follow the
+/// delivered ones are delivered.
 #[test]
 fn only_frames_of_the_current_attempt_count() {
-    type Play = fn(&mut Rig, &Sent, &Sent);
-    let rows: &[(&str, Play, &[u32], u64)] = &[
+    type Steps = fn(&mut Rig, &SentRun, &SentRun);
+    let rows: &[(&str, Steps, &[u32], u64)] = &[
         (
             "in order",
             |r, _, new| {
@@ -54,7 +54,7 @@
             |r, old, new| {
                 let agent = old.agent.clone();
                 r.part(
-                    &Sent {
+                    &SentRun {
                         agent,
                         ..new.clone()
                     },
@@ -116,31 +116,31 @@
             5,
         ),
     ];
-    for (name, play, skips, total) in rows {
+    for (name, steps, skips, total) in rows {
         let mut rig = Rig::new();
         rig.agent("a1", &["m1"]);
         rig.agent("a2", &["m1"]);
-        let request = rig.ask("m1");
+        let request = rig.request_model("m1");
         let old = rig.run(request);
         rig.refuse(&old, Code::GateFull);
         let new = rig.run(request);
         assert_ne!(old.agent, new.agent, "{name}");
         rig.started(&new);
-        play(&mut rig, &old, &new);
+        steps(&mut rig, &old, &new);
         rig.end(&new, *total);
-        assert_eq!(rig.skips(request), *skips, "{name}");
+        assert_eq!(rig.skipped_units(request), *skips, "{name}");
         assert_eq!(rig.finished(request), Some(*total), "{name}");
         assert!(rig.refusals(request).is_empty(), "{name}");
     }
 }
 
-/// The caller must never take a cut answer for a whole one. An upstream dies or
-/// lies in mid stream; the answer goes on from the delivered offset at another
-/// holder, and ends with an error only if nobody can go on.
+/// A truncated answer must never be presented as complete. If an upstream is lost or
+/// misreports in the middle of an answer, the answer continues from the delivered offset
+/// at another holder, and ends with an error only if no agent can continue it.
 #[test]
 fn a_broken_answer_is_resumed_or_ends_with_an_error() {
-    type Break = fn(&mut Rig, &Sent);
-    let rows: &[(&str, Break)] = &[
+    type Fault = fn(&mut Rig, &SentRun);
+    let rows: &[(&str, Fault)] = &[
         ("upstream lost", |r, run| {
             r.fail(run, Code::UpstreamLost, Ran::Ran);
         }),
@@ -158,7 +158,7 @@
             let agent = r.agents.get_mut(&run.agent).expect("known");
             agent.incarnation = 2;
             agent.sequence = 0;
-            r.beat(&run.agent.clone());
+            r.send_heartbeat(&run.agent.clone());
         }),
         ("silence within the answer", |r, run| {
             let id = run.agent.clone();
@@ -166,15 +166,15 @@
             r.advance(6_000);
         }),
     ];
-    for (name, break_off) in rows {
+    for (name, fault) in rows {
         let mut rig = Rig::new();
         rig.agent("a1", &["m1"]);
         rig.agent("a2", &["m1"]);
-        let request = rig.ask("m1");
+        let request = rig.request_model("m1");
         let first = rig.run(request);
         rig.started(&first);
         rig.part(&first, 0, 3);
-        break_off(&mut rig, &first);
+        fault(&mut rig, &first);
         assert_eq!(rig.finished(request), None, "{name}");
         let second = rig.run(request);
         assert_ne!(first.id(), second.id(), "{name}");
@@ -183,13 +183,13 @@
         rig.part(&first, 3, 9);
         rig.part(&second, 3, 2);
         rig.end(&second, 5);
-        assert_eq!(rig.skips(request), [0, 0], "{name}");
+        assert_eq!(rig.skipped_units(request), [0, 0], "{name}");
         assert_eq!(rig.finished(request), Some(5), "{name}");
 
-        // Nobody else holds the model, nor will: the version has changed.
+        // No other agent holds that version of the model or will: it has changed.
         let mut rig = Rig::new();
         rig.agent("a1", &["m1"]);
-        let request = rig.ask("m1");
+        let request = rig.request_model("m1");
         let only = rig.run(request);
         rig.part(&only, 0, 3);
         let change = serde_json::json!({"models": {"m1": {"version": 2}}});
@@ -204,8 +204,8 @@
             }),
         );
         rig.agents.get_mut("a1").expect("known").models = vec![("m1".into(), 2)];
-        rig.beat("a1");
-        break_off(&mut rig, &only);
+        rig.send_heartbeat("a1");
+        fault(&mut rig, &only);
         rig.advance(100);
         let refusal = rig.refusal(request);
         assert_eq!(refusal.code, Code::AnswerBroken, "{name}");
@@ -214,17 +214,17 @@
     }
 }
 
-/// A plain service's bytes differ from run to run, so its broken answer is
-/// never patched together from two runs.
+/// A plain service's bytes may differ from run to run, so an answer must not be combined
+/// from two runs.
 #[test]
 fn a_broken_answer_of_a_service_is_not_continued() {
     let mut rig = Rig::new();
     rig.agent_in("s1", "desk", "d1", &[]);
     rig.agent_in("s2", "desk", "d1", &[]);
-    let arrival = rig.arrival(role::entry::RequestedResource::Service(ServiceId::new(
-        "parts",
-    )));
-    let request = rig.arrive(arrival);
+    let arrival = rig.incoming(role::entry::RequestedResource::Service(
+        ServiceId::new("parts"),
+    ));
+    let request = rig.submit(arrival);
     let run = rig.run(request);
     rig.part(&run, 0, 10);
     rig.fail(&run, Code::UpstreamLost, Ran::Ran);
@@ -232,20 +232,20 @@
     assert_eq!(rig.runs(request).len(), 1);
 }
 
-/// The caller went away: the engine's place is freed at once, and what still
-/// comes reaches nobody.
+/// When a caller disconnects, its attempt is cancelled at once, and later frames about it
+/// are dropped.
 #[test]
-fn a_caller_who_goes_frees_the_place() {
+fn a_disconnected_caller_frees_the_slot() {
     let mut rig = Rig::new();
     rig.agent("a1", &["m1"]);
-    let request = rig.ask("m1");
+    let request = rig.request_model("m1");
     let run = rig.run(request);
     rig.started(&run);
     rig.handle(role::entry::EntryEvent::CallerDisconnected { request });
     assert_eq!(rig.cancels(&run), 1);
     rig.part(&run, 0, 1);
     rig.end(&run, 1);
-    assert!(rig.skips(request).is_empty());
+    assert!(rig.skipped_units(request).is_empty());
     assert!(rig.finished(request).is_none() && rig.refusals(request).is_empty());
     assert_eq!(rig.role.counters().running, 0);
 }
--- a/crates/role/tests/entry/control.rs
+++ b/crates/role/tests/entry/control.rs
@@ -31,11 +31,10 @@
     rig.role.config().expect("in force").weights().move_cost
 }
 
-/// An operator's accepted change must not be undone by what comes late: an old
-/// read, a doubled frame, an older snapshot. A broken change leaves all as it
-/// was, and the revision never falls.
+/// An accepted change must not be undone by late data: an old read, a duplicated frame or
+/// an older snapshot. An invalid change has no effect, and the revision never decreases.
 #[test]
-fn the_configuration_never_steps_back() {
+fn the_configuration_revision_never_decreases() {
     let patch = |cost: f64| json!({"weights": {"attainment": 1.0, "move_cost": cost}});
     let broken = ConfigChange {
         revision: 3,
@@ -71,10 +70,10 @@
         assert_eq!(rig.role.revision(), Revision(*revision), "{name}");
         assert!((weight(&rig) - cost).abs() < f64::EPSILON, "{name}");
     }
-    // The platform's own old reads: a watch and a snapshot from before.
+    // An old read of the platform: a watch reports an earlier revision.
     let mut rig = Rig::new();
     offer(&mut rig, vec![change(2, &patch(2.0))]);
-    let id = rig.log.iter().rev().find_map(|action| match action {
+    let id = rig.actions.iter().rev().find_map(|action| match action {
         EntryAction::CallPlatform(call) => match &call.op {
             PlatformOp::Watch { prefix, .. } if prefix == "config/" => Some(call.id),
             _ => None,
@@ -89,53 +88,53 @@
     assert_eq!(rig.role.revision(), Revision(2));
 }
 
-/// The platform is away when the process starts. It takes the configuration
-/// from a peer it knows by its settings, is not ready before, and says once
-/// that the platform is away however often it tries.
+/// If the platform is unavailable at startup, the entry gets the configuration from a
+/// peer in its settings. It is not ready before that, and records the outage only once
+/// despite repeated calls.
 #[test]
 fn a_start_during_an_outage_takes_the_configuration_from_a_peer() {
     let mut options = options("e1", 7);
     options.peers = vec![(EntryId::new("e2"), "10.0.0.2:1".to_owned())];
-    let mut rig = Rig::unready(options);
+    let mut rig = Rig::without_config(options);
     rig.platform_away = true;
-    let dialled = rig.log.iter().any(|action| {
+    let connected = rig.actions.iter().any(|action| {
         matches!(action, EntryAction::Connect { peer, .. } if *peer == entry_peer("e2"))
     });
-    assert!(dialled);
+    assert!(connected);
     rig.start();
     rig.advance(3_000);
-    let request = rig.ask("m1");
+    let request = rig.request_model("m1");
     assert_eq!(rig.refusal(request).code, Code::NotReady);
     rig.handle(EntryEvent::LinkUp {
         peer: entry_peer("e2"),
         incarnation: Incarnation(9),
     });
-    let asked = rig.sent(|_, body| match body {
+    let asked = rig.sent_frames(|_, body| match body {
         frame::Body::ConfigAsk(ask) => Some(ask.after_revision),
         _ => None,
     });
     assert_eq!(asked, [0]);
     let ready = |rig: &Rig| {
-        let log = rig.log.iter();
+        let log = rig.actions.iter();
         log.filter(|action| matches!(action, EntryAction::SetReady(true)))
             .count()
     };
     assert_eq!(ready(&rig), 0);
     offer(&mut rig, vec![change(1, &document())]);
     assert_eq!(ready(&rig), 1);
-    assert_eq!(rig.traced(EventKind::PlatformAway), 1);
+    assert_eq!(rig.events_recorded(EventKind::PlatformAway), 1);
     rig.agent("a1", &["m1"]);
-    let request = rig.ask("m1");
+    let request = rig.request_model("m1");
     assert_eq!(rig.runs(request).len(), 1);
     rig.platform_away = false;
     rig.advance(6_000);
-    assert_eq!(rig.traced(EventKind::PlatformBack), 1);
+    assert_eq!(rig.events_recorded(EventKind::PlatformBack), 1);
 }
 
-/// An agent that is silent, cut off, leaving or without its upstream gets no
-/// new work, though it holds the model and nobody else does.
+/// An agent that is silent, disconnected, draining or without its upstream gets no new
+/// requests, even if it is the only holder of the model.
 #[test]
-fn no_new_work_for_an_agent_that_can_not_take_it() {
+fn unavailable_agents_get_no_new_requests() {
     type Fault = fn(&mut Rig);
     let rows: &[(&str, Fault)] = &[
         ("link down", |r| r.link_down("a1")),
@@ -152,7 +151,7 @@
         }),
         ("leaving by heartbeat", |r| {
             r.agents.get_mut("a1").expect("known").leaving = true;
-            r.beat("a1");
+            r.send_heartbeat("a1");
         }),
         ("goodbye", |r| {
             let goodbye = Goodbye {
@@ -161,31 +160,34 @@
             };
             r.frame("a1", frame::Body::Goodbye(goodbye));
         }),
-        ("leaving by the platform's word", |r| {
-            r.put("instances/a1", br#"{"state":"leaving"}"#);
+        ("leaving according to the platform", |r| {
+            r.write_object("instances/a1", br#"{"state":"leaving"}"#);
             r.advance(200);
         }),
-        ("leaving by the platform's word, missed by the watch", |r| {
-            let word = br#"{"state":"leaving"}"#.to_vec();
-            r.objects.insert("instances/a1".to_owned(), word);
-            r.advance(30_100);
-        }),
+        (
+            "leaving according to the platform, missed by the watch",
+            |r| {
+                let state = br#"{"state":"leaving"}"#.to_vec();
+                r.objects.insert("instances/a1".to_owned(), state);
+                r.advance(30_100);
+            },
+        ),
         ("upstream down", |r| {
             r.agents.get_mut("a1").expect("known").upstream_up = false;
-            r.beat("a1");
+            r.send_heartbeat("a1");
         }),
         ("model gone", |r| {
             r.agents.get_mut("a1").expect("known").models.clear();
-            r.beat("a1");
+            r.send_heartbeat("a1");
         }),
     ];
     for (name, fault) in rows {
         let mut rig = Rig::new();
         rig.agent("a1", &["m1"]);
-        let before = rig.ask("m1");
+        let before = rig.request_model("m1");
         assert_eq!(rig.runs(before).len(), 1, "{name}");
         fault(&mut rig);
-        let after = rig.ask("m1");
+        let after = rig.request_model("m1");
         assert!(rig.runs(after).is_empty(), "{name}");
     }
 }
@@ -204,22 +206,22 @@
     });
 }
 
-/// A planned stop: what runs is answered whole, what waits is served, new work
-/// is refused as not run, and the process ends once, when it is empty.
+/// In a drain, running requests are completed and waiting ones are served. New ones are
+/// refused as not run. The process exits once, after the last request has ended.
 #[test]
-fn a_drain_cuts_nothing_off() {
+fn a_drain_completes_all_requests() {
     let mut rig = Rig::new();
     rig.agent("a1", &["m1"]);
-    let running = rig.ask("m1");
+    let running = rig.request_model("m1");
     let run = rig.run(running);
     rig.started(&run);
     rig.part(&run, 0, 2);
     rig.agents.get_mut("a1").expect("known").running = 9;
-    rig.beat("a1");
-    let waiting = rig.ask("m1");
+    rig.send_heartbeat("a1");
+    let waiting = rig.request_model("m1");
     rig.handle(EntryEvent::Drain);
     rig.handle(EntryEvent::Drain);
-    let new = rig.ask("m1");
+    let new = rig.request_model("m1");
     let refusal = rig.refusal(new);
     assert_eq!((refusal.code, refusal.ran), (Code::Leaving, Ran::NotRun));
     assert!(refusal.retry_after_ms.is_some());
@@ -229,14 +231,14 @@
     rig.end(&run, 3);
     assert_eq!(rig.finished(running), Some(3));
     rig.agents.get_mut("a1").expect("known").running = 0;
-    rig.beat("a1");
+    rig.send_heartbeat("a1");
     let run = rig.run(waiting);
     rig.started(&run);
     assert_eq!(rig.exits(), 0);
     rig.part(&run, 0, 1);
     rig.end(&run, 1);
     assert_eq!(rig.finished(waiting), Some(1));
-    let goodbyes = rig.sent(|peer, body| match body {
+    let goodbyes = rig.sent_frames(|peer, body| match body {
         frame::Body::Goodbye(_) => Some(peer.clone()),
         _ => None,
     });
@@ -245,23 +247,23 @@
     assert_eq!(rig.exits(), 1);
 }
 
-/// Of two entries one plans a cell. When it stops, or is silent, the other
-/// takes over within seconds.
+/// Only one entry plans a cell. When it drains or falls silent, the other one takes over
+/// within seconds.
 #[test]
-fn planning_is_handed_over() {
+fn planning_fails_over_to_another_entry() {
     for stops in [true, false] {
         let mut rig = Rig::new();
         rig.agent("a1", &[]);
         rig.advance(600);
         let cells = rig.role.status().planned_cells;
-        assert_eq!(cells, ["gpu/d1/0"], "alone it plans");
-        // Some entry ranks before this one.
+        assert_eq!(cells, ["gpu/d1/0"], "the only entry plans");
+        // An entry that ranks before this one.
         let cell = "gpu/d1/0";
-        let mine = live::rendezvous(cell, "e1");
+        let own_weight = live::rendezvous(cell, "e1");
         let names = (2..).map(|n| format!("e{n}"));
         let before = names
             .into_iter()
-            .find(|name| live::rendezvous(cell, name) > mine);
+            .find(|name| live::rendezvous(cell, name) > own_weight);
         let before = before.expect("there is always another name");
         let mut gossip = Gossip {
             entry: before.clone(),
@@ -269,30 +271,30 @@
             sequence: 1,
             ..Gossip::default()
         };
-        let hear = |rig: &mut Rig, gossip: &Gossip| {
+        let send_gossip = |rig: &mut Rig, gossip: &Gossip| {
             rig.handle(EntryEvent::Frame {
                 peer: entry_peer(&before),
                 revision: Revision(0),
                 body: frame::Body::Gossip(gossip.clone()),
             });
         };
-        hear(&mut rig, &gossip);
+        send_gossip(&mut rig, &gossip);
         rig.advance(600);
         assert!(rig.role.status().planned_cells.is_empty());
         gossip.sequence += 1;
         gossip.leaving = stops;
-        hear(&mut rig, &gossip);
+        send_gossip(&mut rig, &gossip);
         rig.advance(if stops { 600 } else { 2_600 });
         assert_eq!(rig.role.status().planned_cells, [cell]);
     }
 }
 
-/// An operator asks where a model is and why.
+/// `/explain` reports where a model is held, and the requests that wait for one.
 #[test]
 fn a_model_is_explained() {
     let mut rig = Rig::new();
     rig.agent("a1", &["m1"]);
-    rig.ask("m2");
+    rig.request_model("m2");
     rig.advance(600);
     let held = rig.role.explain_model("m1").join("\n");
     assert!(held.contains("a1 holds version 1"), "{held}");
--- a/crates/role/tests/entry/unmet.rs
+++ b/crates/role/tests/entry/early_refusals.rs
@@ -1,4 +1,4 @@
-//! Requests that wait and can't be run in time: they are told at once.
+//! Requests that can't be served in time are refused early.
 
 use crate::rig::{Rig, document, entry_peer, options};
 use base::prelude::*;
@@ -7,20 +7,20 @@
 use serde_json::json;
 
 fn configured(config: &serde_json::Value) -> Rig {
-    let mut rig = Rig::unready(options("e1", 7));
+    let mut rig = Rig::without_config(options("e1", 7));
     rig.publish(1, config);
     rig.start();
     rig
 }
 
-fn ask_with(rig: &mut Rig, model: &str, deadline_ms: u64, body: u64) -> RequestId {
-    let mut arrival = rig.arrival(RequestedResource::Model(Some(ModelId::new(model))));
+fn request_with(rig: &mut Rig, model: &str, deadline_ms: u64, body: u64) -> RequestId {
+    let mut arrival = rig.incoming(RequestedResource::Model(Some(ModelId::new(model))));
     arrival.deadline_ms = Some(deadline_ms);
     arrival.body_hash = body;
-    rig.arrive(arrival)
+    rig.submit(arrival)
 }
 
-fn hear(rig: &mut Rig, demands: Vec<Demand>) {
+fn receive_demands(rig: &mut Rig, demands: Vec<Demand>) {
     rig.handle(EntryEvent::Frame {
         peer: entry_peer("e2"),
         revision: Revision(0),
@@ -34,24 +34,24 @@
     });
 }
 
-fn full(rig: &mut Rig, id: &str) {
+fn fill(rig: &mut Rig, id: &str) {
     rig.agents.get_mut(id).expect("known").running = 9;
-    rig.beat(id);
+    rig.send_heartbeat(id);
 }
 
-/// One way in which a request can't be run before its deadline.
+/// One reason why a request can't be served before its deadline.
 struct Case {
     name: &'static str,
-    /// Brings it about and returns the request.
-    bring: fn(&mut Rig) -> RequestId,
-    /// Time within which the caller has to be told.
+    /// Sets up the situation and returns the request.
+    set_up: fn(&mut Rig) -> RequestId,
+    /// Time within which the request has to be refused.
     within_ms: u64,
     code: Code,
     ran: Ran,
 }
 
-fn suspect(rig: &mut Rig) -> RequestId {
-    let request = ask_with(rig, "m1", 30_000, 666);
+fn make_suspect(rig: &mut Rig) -> RequestId {
+    let request = request_with(rig, "m1", 30_000, 666);
     let run = rig.run(request);
     rig.started(&run);
     rig.crash(&run, &[run.run.fingerprint]);
@@ -61,50 +61,50 @@
 fn cases() -> Vec<Case> {
     vec![
         Case {
-            name: "a suspect that crashed the only upstream",
-            bring: |rig| {
+            name: "a suspect request that crashed the only upstream",
+            set_up: |rig| {
                 rig.agent("a1", &["m1"]);
-                suspect(rig)
+                make_suspect(rig)
             },
             within_ms: 0,
             code: Code::UpstreamLost,
             ran: Ran::Ran,
         },
         Case {
-            name: "the same sent again",
-            bring: |rig| {
+            name: "the same request sent again",
+            set_up: |rig| {
                 rig.agent("a1", &["m1"]);
-                suspect(rig);
-                ask_with(rig, "m1", 30_000, 666)
+                make_suspect(rig);
+                request_with(rig, "m1", 30_000, 666)
             },
             within_ms: 0,
             code: Code::ModelUnavailable,
             ran: Ran::NotRun,
         },
         Case {
-            name: "a suspect whose model is held only where it crashed",
-            bring: |rig| {
+            name: "a suspect request whose model is held only by the upstream it crashed",
+            set_up: |rig| {
                 rig.agent("a1", &["m1"]);
                 rig.agent("a2", &["m2"]);
-                suspect(rig)
+                make_suspect(rig)
             },
             within_ms: 600,
             code: Code::UpstreamLost,
             ran: Ran::Ran,
         },
         Case {
-            name: "a suspect whose turn comes too late",
-            bring: |rig| {
+            name: "a suspect request whose entry's turn comes too late",
+            set_up: |rig| {
                 rig.agent("a1", &["m1"]);
                 rig.agent("a2", &["m1"]);
-                hear(rig, Vec::new());
-                suspect(rig);
-                // The turn is e1's until 3 s after the start, then e2's.
+                receive_demands(rig, Vec::new());
+                make_suspect(rig);
+                // e1's turn for exclusive runs lasts until 3 s, then e2's begins.
                 while rig.now < Instant::from_ms(3_000) {
                     rig.advance(100);
-                    hear(rig, Vec::new());
+                    receive_demands(rig, Vec::new());
                 }
-                ask_with(rig, "m1", 2_500, 666)
+                request_with(rig, "m1", 2_500, 666)
             },
             within_ms: 0,
             code: Code::Overloaded,
@@ -112,14 +112,14 @@
         },
         Case {
             name: "a call of a service that has been down for long",
-            bring: |rig| {
+            set_up: |rig| {
                 rig.agent_in("s1", "desk", "d1", &[]);
                 rig.agents.get_mut("s1").expect("known").upstream_up = false;
                 rig.advance(6_000);
                 let mut arrival =
-                    rig.arrival(RequestedResource::Service(ServiceId::new("parts")));
+                    rig.incoming(RequestedResource::Service(ServiceId::new("parts")));
                 arrival.deadline_ms = Some(5_000);
-                rig.arrive(arrival)
+                rig.submit(arrival)
             },
             within_ms: 0,
             code: Code::ModelUnavailable,
@@ -127,17 +127,17 @@
         },
         Case {
             name: "a model that fits on no accelerator",
-            bring: |rig| {
+            set_up: |rig| {
                 rig.agent("a1", &[]);
-                rig.ask("huge")
+                rig.request_model("huge")
             },
             within_ms: 0,
             code: Code::ModelUnavailable,
             ran: Ran::NotRun,
         },
         Case {
-            name: "a load behind many that others wait for",
-            bring: |rig| {
+            name: "a load behind many loads awaited at another entry",
+            set_up: |rig| {
                 rig.agent("a1", &[]);
                 let demands = (0..40).map(|n| Demand {
                     model: format!("x{n:02}"),
@@ -145,27 +145,27 @@
                     oldest_wait_ms: 100,
                     ..Demand::default()
                 });
-                hear(rig, demands.collect());
+                receive_demands(rig, demands.collect());
                 rig.advance(600);
-                ask_with(rig, "m1", 20_000, 1)
+                request_with(rig, "m1", 20_000, 1)
             },
             within_ms: 0,
             code: Code::ModelUnavailable,
             ran: Ran::NotRun,
         },
         Case {
-            name: "urgent work that came later stands before it",
-            bring: |rig| {
+            name: "a batch request behind later interactive ones",
+            set_up: |rig| {
                 rig.agent("a1", &["m1"]);
-                full(rig, "a1");
+                fill(rig, "a1");
                 let mut arrival =
-                    rig.arrival(RequestedResource::Model(Some(ModelId::new("m1"))));
+                    rig.incoming(RequestedResource::Model(Some(ModelId::new("m1"))));
                 arrival.profile = Some(ProfileId::new("night"));
                 arrival.deadline_ms = Some(8_000);
-                let request = rig.arrive(arrival);
+                let request = rig.submit(arrival);
                 assert!(rig.refusals(request).is_empty());
                 for _ in 0..40 {
-                    rig.ask("m1");
+                    rig.request_model("m1");
                 }
                 request
             },
@@ -176,10 +176,10 @@
     ]
 }
 
-/// A request that can't be run before its deadline is not held to it: its caller
-/// hears at once when to come back, and can go elsewhere. Rows: why it can't.
+/// A request that can't be served before its deadline is refused early with a retry
+/// delay, and does not wait until the deadline. Each case is a reason why it can't.
 #[test]
-fn what_can_not_be_run_is_refused_at_once() {
+fn unservable_requests_are_refused_at_once() {
     for case in cases() {
         let mut config = document();
         let huge = json!({"size_mib": 90, "version": 1, "pool": "gpu"});
@@ -191,7 +191,7 @@
         let models = config["models"].as_object().expect("a map").clone();
         config["profiles"]["desk"]["models"] = json!(models.keys().collect::<Vec<_>>());
         let mut rig = configured(&config);
-        let request = (case.bring)(&mut rig);
+        let request = (case.set_up)(&mut rig);
         rig.advance(case.within_ms);
         let refusals = rig.refusals(request);
         assert_eq!(refusals.len(), 1, "{}: {refusals:?}", case.name);
@@ -210,31 +210,39 @@
     }
 }
 
-/// Technicians wait for a model's load and so are later than the first token was
-/// expected. When the load is done the holder is full for a moment. They go on
-/// waiting: refused now they would have waited in vain.
+/// Requests that waited for a model's load have missed their first-token target. If the
+/// holder has no capacity when the load ends, they keep waiting, while a new request is
+/// refused for that target.
 #[test]
-fn one_that_waited_for_a_load_is_not_refused_for_its_first_token() {
+fn requests_that_waited_for_a_load_are_exempt_from_the_first_token_target() {
     let mut config = document();
     config["profiles"]["desk"]["first_token_ms"] = json!(1_400);
     let mut rig = configured(&config);
     rig.agent("a1", &[]);
-    let waited: Vec<RequestId> = (0..8).map(|_| rig.ask("m1")).collect();
+    let waited: Vec<RequestId> = (0..8).map(|_| rig.request_model("m1")).collect();
     rig.advance(2_000);
     rig.agents.get_mut("a1").expect("known").models = vec![("m1".to_owned(), 1)];
-    full(&mut rig, "a1");
-    let new = rig.ask("m1");
+    fill(&mut rig, "a1");
+    let new = rig.request_model("m1");
     let refusal = rig.refusal(new);
-    assert_eq!(refusal.code, Code::Overloaded, "a new one would be late");
+    assert_eq!(
+        refusal.code,
+        Code::Overloaded,
+        "a new request would miss its target"
+    );
     rig.advance(600);
-    assert!(waited.iter().all(|held| rig.refusals(*held).is_empty()));
+    assert!(
+        waited
+            .iter()
+            .all(|request| rig.refusals(*request).is_empty())
+    );
     rig.agents.get_mut("a1").expect("known").running = 0;
-    rig.beat("a1");
+    rig.send_heartbeat("a1");
     assert_eq!(rig.runs(waited[0]).len(), 1);
 }
 
-/// One caller's burst waits for a model. It takes two thirds of the queue and
-/// is told so beyond that; another caller still finds room.
+/// The waiting requests of one caller may take up two thirds of the queue. Those beyond
+/// are refused, so that another caller's request still finds room.
 #[test]
 fn one_caller_does_not_fill_the_queue() {
     let mut config = document();
@@ -243,8 +251,10 @@
     config["callers"]["c2"] = other;
     let mut rig = configured(&config);
     rig.agent("a1", &[]);
-    let burst: Vec<RequestId> = (0..12).map(|_| rig.ask("m1")).collect();
-    let refused = burst.iter().filter(|held| !rig.refusals(**held).is_empty());
+    let burst: Vec<RequestId> = (0..12).map(|_| rig.request_model("m1")).collect();
+    let refused = burst
+        .iter()
+        .filter(|request| !rig.refusals(**request).is_empty());
     assert_eq!(refused.count(), 4);
     let refusal = rig.refusal(burst[11]);
     assert_eq!(
@@ -252,32 +262,32 @@
         (Code::CallerLimit, Ran::NotRun)
     );
     assert!(refusal.retry_after_ms.is_some());
-    let mut arrival = rig.arrival(RequestedResource::Model(Some(ModelId::new("m1"))));
+    let mut arrival = rig.incoming(RequestedResource::Model(Some(ModelId::new("m1"))));
     arrival.credential = access::Credential::of("other");
-    let request = rig.arrive(arrival);
+    let request = rig.submit(arrival);
     assert!(rig.refusals(request).is_empty());
-    // What was sent has left the queue: the share is free again.
+    // Requests that were sent no longer count towards the limit.
     rig.agents.get_mut("a1").expect("known").models = vec![("m1".to_owned(), 1)];
-    rig.beat("a1");
+    rig.send_heartbeat("a1");
     assert!(rig.role.counters().waiting < 9);
-    full(&mut rig, "a1");
-    let again = rig.ask("m1");
+    fill(&mut rig, "a1");
+    let again = rig.request_model("m1");
     assert!(rig.refusals(again).is_empty());
 }
 
-/// The deadline passes while the request runs, or while it waits. The caller is
-/// told when to come back, unless a call without a key may have run.
+/// When the deadline passes while a request runs, the refusal has a retry delay, unless
+/// the call is not idempotent and has no idempotency key.
 #[test]
-fn a_deadline_says_when_to_come_back() {
+fn a_missed_deadline_comes_with_a_retry_delay() {
     for (idempotent, key) in [(true, false), (false, true), (false, false)] {
         let mut rig = Rig::new();
         rig.agent_in("s1", "desk", "d1", &[]);
         let service = if idempotent { "parts" } else { "orders" };
         let mut arrival =
-            rig.arrival(RequestedResource::Service(ServiceId::new(service)));
+            rig.incoming(RequestedResource::Service(ServiceId::new(service)));
         arrival.deadline_ms = Some(1_000);
         arrival.idempotency_key = key.then(|| "k1".to_owned());
-        let request = rig.arrive(arrival);
+        let request = rig.submit(arrival);
         let run = rig.run(request);
         rig.started(&run);
         rig.advance(1_100);
--- a/crates/role/tests/entry/failing.rs
+++ b/crates/role/tests/entry/failing.rs
@@ -1,28 +1,28 @@
-//! Upstreams that answer heartbeats and fail the work given to them.
+//! Circuit breakers of upstreams that are reported up but fail their requests.
 
-use crate::rig::{Rig, Sent, entry_peer};
+use crate::rig::{Rig, SentRun, entry_peer};
 use base::prelude::*;
 use role::entry::{EntryEvent, RequestedResource};
 use schema::link::{Gossip, UpstreamVerdict, frame};
 use schema::timeline::EventKind;
 
-fn ask(rig: &mut Rig, service: &str) -> RequestId {
-    let arrival = rig.arrival(RequestedResource::Service(ServiceId::new(service)));
-    rig.arrive(arrival)
+fn submit_call(rig: &mut Rig, service: &str) -> RequestId {
+    let arrival = rig.incoming(RequestedResource::Service(ServiceId::new(service)));
+    rig.submit(arrival)
 }
 
-fn call(rig: &mut Rig, service: &str) -> Sent {
-    let request = ask(rig, service);
+fn call(rig: &mut Rig, service: &str) -> SentRun {
+    let request = submit_call(rig, service);
     rig.run(request)
 }
 
-fn answer(rig: &mut Rig, run: &Sent) {
+fn answer(rig: &mut Rig, run: &SentRun) {
     rig.started(run);
     rig.part(run, 0, 1);
     rig.end(run, 1);
 }
 
-fn hear(rig: &mut Rig, verdicts: Vec<UpstreamVerdict>) {
+fn receive_verdicts(rig: &mut Rig, verdicts: Vec<UpstreamVerdict>) {
     rig.handle(EntryEvent::Frame {
         peer: entry_peer("e2"),
         revision: Revision(0),
@@ -36,14 +36,14 @@
     });
 }
 
-/// Two plain services; the first fails until it is given up.
-fn failing(names: [&str; 2]) -> Rig {
+/// Two upstreams of plain services; the first fails until its breaker opens.
+fn rig_with_failing(names: [&str; 2]) -> Rig {
     let mut rig = Rig::new();
     for name in names {
         rig.agent_in(name, "desk", "d1", &[]);
     }
     for _ in 0..60 {
-        let request = ask(&mut rig, "parts");
+        let request = submit_call(&mut rig, "parts");
         let run = rig.run(request);
         if run.agent == names[0] {
             rig.started(&run);
@@ -55,16 +55,16 @@
         }
         rig.advance(1);
     }
-    assert_eq!(rig.traced(EventKind::UpstreamFailing), 1);
+    assert_eq!(rig.events_recorded(EventKind::UpstreamFailing), 1);
     rig
 }
 
-/// Agents that calls go to over a time, one call each 100 ms, all answered.
-fn answered(rig: &mut Rig, service: &str, ms: u64, gossip: bool) -> Vec<String> {
+/// Agents that calls are sent to during `ms`, one call every 100 ms, all answered.
+fn answer_calls(rig: &mut Rig, service: &str, ms: u64, gossip: bool) -> Vec<String> {
     let mut agents = Vec::new();
     for _ in 0..ms / 100 {
         if gossip {
-            hear(rig, Vec::new());
+            receive_verdicts(rig, Vec::new());
         }
         let run = call(rig, service);
         answer(rig, &run);
@@ -74,10 +74,10 @@
     agents
 }
 
-/// Gates refuse, and an upstream crashes again and again. Neither says that the
-/// upstream fails its work, so it goes on getting work.
+/// Refusals by agents and crashes of the upstream do not count as failures for the circuit
+/// breaker, so the upstream keeps getting requests.
 #[test]
-fn refusals_and_crashes_are_no_failures() {
+fn refusals_and_crashes_do_not_open_the_breaker() {
     let mut rig = Rig::new();
     rig.agent_in("s1", "desk", "d1", &[]);
     rig.agent_in("s2", "desk", "d1", &[]);
@@ -89,34 +89,34 @@
         rig.crash(&run, &[run.run.fingerprint]);
         rig.advance(10);
     }
-    assert_eq!(rig.traced(EventKind::UpstreamFailing), 0);
+    assert_eq!(rig.events_recorded(EventKind::UpstreamFailing), 0);
 }
 
-/// A failing service gets one call a second, and the rest goes elsewhere. Once a
-/// probe ends well it gets its part again.
+/// A failing upstream gets one probe per second, and the other calls go to the other one.
+/// After a successful probe it gets its share again.
 #[test]
-fn one_probe_a_second_until_it_works() {
-    let mut rig = failing(["s1", "s2"]);
-    let first = answered(&mut rig, "parts", 900, false);
+fn one_probe_per_second_until_recovery() {
+    let mut rig = rig_with_failing(["s1", "s2"]);
+    let first = answer_calls(&mut rig, "parts", 900, false);
     assert!(first.iter().all(|agent| agent == "s2"), "{first:?}");
     rig.advance(200);
     let run = call(&mut rig, "parts");
     assert_eq!(run.agent, "s1");
     rig.started(&run);
-    // While its outcome is open there is no second.
-    let meanwhile = answered(&mut rig, "parts", 2_000, false);
+    // No second probe is sent while the outcome of this one is unknown.
+    let meanwhile = answer_calls(&mut rig, "parts", 2_000, false);
     assert!(meanwhile.iter().all(|agent| agent == "s2"), "{meanwhile:?}");
     answer(&mut rig, &run);
-    assert_eq!(rig.traced(EventKind::UpstreamRecovered), 1);
-    let after = answered(&mut rig, "parts", 3_000, false);
+    assert_eq!(rig.events_recorded(EventKind::UpstreamRecovered), 1);
+    let after = answer_calls(&mut rig, "parts", 3_000, false);
     assert!(after.iter().filter(|agent| *agent == "s1").count() > 5);
 }
 
-/// The link breaks under a probe, so its outcome is never known. The next one is
-/// sent all the same, or the service would be out for good.
+/// If the link breaks during a probe, its outcome never becomes known. The next probe must
+/// still be sent, or the upstream would stay excluded forever.
 #[test]
 fn a_lost_probe_is_followed_by_another() {
-    let mut rig = failing(["s1", "s2"]);
+    let mut rig = rig_with_failing(["s1", "s2"]);
     rig.advance(1_100);
     let run = call(&mut rig, "parts");
     assert_eq!(run.agent, "s1");
@@ -127,11 +127,11 @@
     assert_eq!(next.agent, "s1");
 }
 
-/// Another entry is the one to probe. This one sends nothing to the failing
-/// service, until for ten seconds no word of a probe has come: the other may get
+/// If another entry is the one to probe, this one sends nothing to the failing upstream
+/// until ten seconds have passed without a change of the breaker: the other entry may get
 /// no calls to probe with.
 #[test]
-fn the_prober_probes_and_others_stand_in_for_it() {
+fn other_entries_probe_if_the_prober_does_not() {
     let entries = ["e1", "e2"].map(EntryId::new);
     let of_other = |name: &String| {
         let agent = AgentId::new(name);
@@ -139,47 +139,45 @@
     };
     let name = (0..).map(|n| format!("s{n}")).find(of_other);
     let name = name.expect("one of many");
-    let mut rig = failing([&name, "other"]);
-    let agents = answered(&mut rig, "parts", 9_000, true);
+    let mut rig = rig_with_failing([&name, "other"]);
+    let agents = answer_calls(&mut rig, "parts", 9_000, true);
     assert!(!agents.contains(&name), "{agents:?}");
-    let agents = answered(&mut rig, "parts", 2_000, true);
+    let agents = answer_calls(&mut rig, "parts", 2_000, true);
     assert!(agents.contains(&name), "{agents:?}");
-    assert_eq!(rig.traced(EventKind::UpstreamRecovered), 1);
+    assert_eq!(rig.events_recorded(EventKind::UpstreamRecovered), 1);
 }
 
-/// A call that must not run twice is not used to probe as long as others can be:
-/// its outcome would be unknown. Where there are no others it is, after ten
-/// seconds.
+/// A call that is not idempotent is not used as a probe, since its outcome would be unknown
+/// if it failed. If no other calls come, it is used after ten seconds.
 #[test]
-fn orders_are_the_last_to_probe() {
-    let mut rig = failing(["s1", "s2"]);
-    let agents = answered(&mut rig, "orders", 9_000, false);
+fn non_idempotent_calls_probe_last() {
+    let mut rig = rig_with_failing(["s1", "s2"]);
+    let agents = answer_calls(&mut rig, "orders", 9_000, false);
     assert!(agents.iter().all(|agent| agent == "s2"), "{agents:?}");
-    let agents = answered(&mut rig, "orders", 2_000, false);
+    let agents = answer_calls(&mut rig, "orders", 2_000, false);
     assert!(agents.iter().any(|agent| agent == "s1"), "{agents:?}");
 }
 
-/// The retry budget is used up, and a probe fails. The caller whose request was
-/// taken for it gets the answer from elsewhere: it was a probe for the fleet's
-/// sake, and there is one a second.
+/// A request whose probe failed is retried elsewhere even if the retry budget is
+/// exhausted: it probed on behalf of all entries, at most once per second.
 #[test]
-fn a_failed_probe_costs_its_caller_nothing() {
-    let mut rig = failing(["s1", "s2"]);
+fn a_failed_probe_is_retried_outside_the_budget() {
+    let mut rig = rig_with_failing(["s1", "s2"]);
     loop {
-        let request = ask(&mut rig, "parts");
+        let request = submit_call(&mut rig, "parts");
         let run = rig.run(request);
         rig.started(&run);
         rig.fail(&run, Code::AnswerBroken, Ran::Ran);
         if !rig.refusals(request).is_empty() {
             break;
         }
-        // The only other service is tried again after a moment.
+        // The only other upstream is tried again after a backoff.
         rig.advance(200);
         let run = rig.run(request);
         answer(&mut rig, &run);
     }
     rig.advance(1_100);
-    let request = ask(&mut rig, "parts");
+    let request = submit_call(&mut rig, "parts");
     let run = rig.run(request);
     assert_eq!(run.agent, "s1");
     rig.started(&run);
@@ -190,32 +188,32 @@
     assert_eq!(rig.finished(request), Some(1));
 }
 
-/// Another entry's verdict counts here at once, and so does its end; an older
-/// word that comes late does not bring it back.
+/// A breaker opened or closed by another entry takes effect here at once. An older state
+/// that arrives late is ignored.
 #[test]
-fn a_verdict_is_shared() {
+fn breaker_state_is_shared() {
     let mut rig = Rig::new();
     rig.agent_in("s1", "desk", "d1", &[]);
     rig.agent_in("s2", "desk", "d1", &[]);
-    let word = |version, open| UpstreamVerdict {
+    let verdict = |version, open| UpstreamVerdict {
         agent: "s1".to_owned(),
         version,
         open,
     };
-    hear(&mut rig, vec![word(1, true)]);
-    let agents = answered(&mut rig, "parts", 900, false);
+    receive_verdicts(&mut rig, vec![verdict(1, true)]);
+    let agents = answer_calls(&mut rig, "parts", 900, false);
     assert!(agents.iter().all(|agent| agent == "s2"), "{agents:?}");
-    hear(&mut rig, vec![word(2, false)]);
+    receive_verdicts(&mut rig, vec![verdict(2, false)]);
     rig.advance(1);
-    hear(&mut rig, vec![word(1, true)]);
-    let agents = answered(&mut rig, "parts", 3_000, false);
+    receive_verdicts(&mut rig, vec![verdict(1, true)]);
+    let agents = answer_calls(&mut rig, "parts", 3_000, false);
     assert!(agents.iter().filter(|agent| *agent == "s1").count() > 5);
-    assert_eq!(rig.traced(EventKind::UpstreamFailing), 1);
-    assert_eq!(rig.traced(EventKind::UpstreamRecovered), 1);
+    assert_eq!(rig.events_recorded(EventKind::UpstreamFailing), 1);
+    assert_eq!(rig.events_recorded(EventKind::UpstreamRecovered), 1);
 }
 
-/// A service takes calls and never answers, while its agent's heartbeats go on.
-/// Five calls that stall are as good a reason as five errors.
+/// A service accepts calls and never answers, while its agent's heartbeats continue. Five
+/// stalled calls open the breaker, like five errors.
 #[test]
 fn stalls_count_as_failures() {
     let mut rig = Rig::new();
@@ -225,5 +223,5 @@
         rig.started(&run);
     }
     rig.advance(5_300);
-    assert_eq!(rig.traced(EventKind::UpstreamFailing), 1);
+    assert_eq!(rig.events_recorded(EventKind::UpstreamFailing), 1);
 }
--- a/crates/role/tests/entry/main.rs
+++ b/crates/role/tests/entry/main.rs
@@ -1,17 +1,17 @@
-//! Tests of the entry's machine against hand-made agents and platform.
+//! Tests of the entry's state machine with simulated agents and platform.
 
 mod answers;
 mod control;
 mod crashes;
+mod early_refusals;
 mod failing;
 mod forecast;
 mod freeze;
-mod looks;
+mod missed_changes;
+mod outcome_counts;
 mod random;
 mod retries;
 mod rig;
 mod suspects;
-mod tally;
-mod unmet;
 mod waiting;
 mod watchers;
--- a/crates/role/tests/entry/tally.rs
+++ b/crates/role/tests/entry/outcome_counts.rs
@@ -1,15 +1,15 @@
-//! What operators read as attainment, and why decisions fell.
+//! Counters of attainment by profile, and of decisions by reason.
 
 use crate::rig::{Rig, document, options};
 use role::entry::ProfileOutcomes;
 use serde_json::json;
 
-/// Expectation of the profile under test: first unit and between units.
+/// Latency targets of the profile under test: first unit, and between units.
 const FIRST_MS: u32 = 1_000;
 const BETWEEN_MS: u32 = 50;
 
-/// An answer counts as attained only if it is whole, its first unit came in
-/// time and its units came close enough; each way to miss is counted apart.
+/// An answer counts as attained only if it is complete and both latency targets are met.
+/// Each missed target has its own counter.
 #[test]
 fn attainment_is_counted_by_profile() {
     let cases = [
@@ -22,11 +22,11 @@
         let mut config = document();
         config["profiles"]["desk"]["first_token_ms"] = json!(FIRST_MS);
         config["profiles"]["desk"]["between_tokens_ms"] = json!(BETWEEN_MS);
-        let mut rig = Rig::unready(options("e1", 1));
+        let mut rig = Rig::without_config(options("e1", 1));
         rig.publish(1, &config);
         rig.start();
         rig.agent("a1", &["m1"]);
-        let request = rig.ask("m1");
+        let request = rig.request_model("m1");
         let run = rig.run(request);
         rig.started(&run);
         rig.advance(first_ms);
@@ -50,17 +50,17 @@
         let routed = counters
             .decisions
             .iter()
-            .find(|held| held.decision == "route");
-        assert_eq!(routed.map(|held| held.count), Some(1), "{name}");
+            .find(|count| count.decision == "route");
+        assert_eq!(routed.map(|count| count.count), Some(1), "{name}");
     }
 }
 
-/// A call whose outcome is unknown counts as refused and is not attained.
+/// A call with an unknown outcome counts as refused and not as attained.
 #[test]
 fn refusals_count_against_the_profile() {
     let mut rig = Rig::new();
     rig.agent_in("s1", "desk", "d1", &[]);
-    let request = rig.order();
+    let request = rig.call_orders();
     let run = rig.run(request);
     rig.started(&run);
     rig.fail(&run, base::Code::UpstreamLost, base::Ran::Unknown);
--- a/crates/role/tests/entry/retries.rs
+++ b/crates/role/tests/entry/retries.rs
@@ -1,6 +1,6 @@
-//! What runs again, what must not, and what is said of it.
+//! Retries: which requests are sent again, and what refusals report about the rest.
 
-use crate::rig::{Rig, Sent};
+use crate::rig::{Rig, SentRun};
 use base::prelude::*;
 use schema::link::{End, frame};
 
@@ -8,11 +8,11 @@
 enum Outcome {
     Retried,
     Refused(Code, Ran),
-    /// The agent was asked, and nothing more was done yet.
-    Asked,
+    /// The agent was queried by `Revoke`, and the entry waits for the reply.
+    Queried,
 }
 
-type Fault = fn(&mut Rig, &Sent);
+type Fault = fn(&mut Rig, &SentRun);
 
 fn fault_table() -> Vec<(&'static str, bool, Fault)> {
     vec![
@@ -21,7 +21,7 @@
             let agent = r.agents.get_mut(&run.agent).expect("known");
             agent.incarnation = 2;
             agent.sequence = 0;
-            r.beat(&run.agent.clone());
+            r.send_heartbeat(&run.agent.clone());
         }),
         ("no answer", true, |r, _| r.advance(3_200)),
         ("agent silent", true, |r, run| {
@@ -31,18 +31,18 @@
     ]
 }
 
-/// A technician's question runs again at once; a parts order that may have run
-/// must not, and its caller hears at once that nobody knows. Only where the
-/// agent can still be asked is it asked first. Rows: fault, and whether the
-/// agent can be asked; each before and after the start was announced.
+/// An idempotent request is retried at once. A call that is not idempotent and may have
+/// run is not; its caller is told at once that the outcome is unknown, unless the agent
+/// can still be queried. Rows: fault, and whether the agent can be queried; each before
+/// and after the start was reported.
 #[test]
-fn a_lost_attempt_by_kind_of_work() {
+fn lost_attempts_are_retried_only_if_idempotent() {
     use Outcome::*;
-    for (name, can_ask, fault) in fault_table() {
+    for (name, can_query, fault) in fault_table() {
         for idempotent in [true, false] {
             for started in [false, true] {
-                if started && can_ask && name == "no answer" {
-                    continue; // That is a stall, tested with the answers.
+                if started && can_query && name == "no answer" {
+                    continue; // This is a stall, which the tests of answers cover.
                 }
                 let mut rig = Rig::new();
                 for id in ["s1", "s2"] {
@@ -50,9 +50,9 @@
                     rig.agent(&format!("a{id}"), &["m1"]);
                 }
                 let request = if idempotent {
-                    rig.ask("m1")
+                    rig.request_model("m1")
                 } else {
-                    rig.order()
+                    rig.call_orders()
                 };
                 let run = rig.run(request);
                 if started {
@@ -60,30 +60,30 @@
                 }
                 fault(&mut rig, &run);
                 let outcome = match (rig.runs(request).len(), rig.refusals(request)) {
-                    (1, refusals) if refusals.is_empty() => Asked,
+                    (1, refusals) if refusals.is_empty() => Queried,
                     (1, refusals) => Refused(refusals[0].code, refusals[0].ran),
                     (2, _) => Retried,
                     other => panic!("{name}: {other:?}"),
                 };
-                let expected = match (idempotent, started, can_ask) {
+                let expected = match (idempotent, started, can_query) {
                     (true, ..) => Retried,
-                    // It was asked when the answer was missing, in vain.
+                    // It was queried when its answer was missing, without reply.
                     (false, false, _) if name == "agent silent" => {
                         assert_eq!(rig.revokes(&run), 1);
                         Refused(Code::OutcomeUnknown, Ran::Unknown)
                     }
-                    (false, false, true) => Asked,
+                    (false, false, true) => Queried,
                     (false, false, false) => {
                         Refused(Code::OutcomeUnknown, Ran::Unknown)
                     }
                     (false, true, _) => Refused(Code::OutcomeUnknown, Ran::Ran),
                 };
                 let row = format!("{name}, idempotent {idempotent}, started {started}");
-                if expected == Asked {
+                if expected == Queried {
                     assert_eq!(rig.revokes(&run), 1, "{row}");
                 }
-                if outcome == Asked {
-                    // The agent's word never comes: the caller isn't kept.
+                if outcome == Queried {
+                    // Without a reply of the agent the request still ends.
                     rig.advance(1_200);
                     let refusal = rig.refusal(request);
                     assert_eq!(refusal.ran, Ran::Unknown, "{row}");
@@ -94,15 +94,15 @@
     }
 }
 
-/// An order's `Run` or its answer is lost. The agent is asked; its answer and
-/// the late frames race. Only the agent's `not_run` lets the order be sent
-/// again, and what it says is final.
+/// The `Run` of a call that is not idempotent, or the answer to it, is lost. The agent is
+/// queried by `Revoke`, and its reply races with late frames. The call is sent again only
+/// if the agent reports that it did not run.
 #[test]
-fn the_answer_to_revoke_decides() {
-    type Play = fn(&mut Rig, &Sent);
-    type Check = fn(&Rig, RequestId, &Sent);
+fn the_reply_to_revoke_decides_about_a_retry() {
+    type Steps = fn(&mut Rig, &SentRun);
+    type Check = fn(&Rig, RequestId, &SentRun);
     let resent: Check = |rig, request, _| assert_eq!(rig.runs(request).len(), 2);
-    let rows: &[(&str, Play, Check)] = &[
+    let rows: &[(&str, Steps, Check)] = &[
         ("not run", |r, run| r.revoked(run, Ran::NotRun), resent),
         (
             "the late run is refused",
@@ -130,7 +130,7 @@
             },
         ),
         (
-            "started before the word not run",
+            "started before the reply not run",
             |r, run| {
                 r.started(run);
                 r.revoked(run, Ran::NotRun);
@@ -142,7 +142,7 @@
             },
         ),
         (
-            "the word comes after the end",
+            "the reply comes after the end",
             |r, run| {
                 r.started(run);
                 r.end(run, 0);
@@ -154,33 +154,32 @@
             },
         ),
     ];
-    for (name, play, check) in rows {
+    for (name, steps, check) in rows {
         let mut rig = Rig::new();
         rig.agent_in("s1", "desk", "d1", &[]);
         rig.agent_in("s2", "desk", "d1", &[]);
-        let request = rig.order();
+        let request = rig.call_orders();
         let run = rig.run(request);
         rig.advance(3_100);
         assert_eq!(rig.revokes(&run), 1, "{name}");
-        play(&mut rig, &run);
+        steps(&mut rig, &run);
         check(&rig, request, &run);
     }
 }
 
-/// `not_run` towards the caller is a promise. Whatever path refuses a request,
-/// it says `not_run` only if every attempt was refused by its gate or never
-/// sent, and then nothing is in flight.
+/// Callers rely on `not_run`. On every path that refuses a request, it is reported only if
+/// each attempt was refused by its agent or none was sent, and none is in flight.
 #[test]
-fn not_run_is_only_said_without_an_open_attempt() {
-    type Play = fn(&mut Rig) -> RequestId;
-    let rows: &[(&str, Play, Code, Ran)] = &[
+fn not_run_is_reported_only_without_open_attempts() {
+    type Steps = fn(&mut Rig) -> RequestId;
+    let rows: &[(&str, Steps, Code, Ran)] = &[
         (
             "unknown caller",
             |r| {
                 let mut arrival =
-                    r.arrival(role::entry::RequestedResource::Model(None));
+                    r.incoming(role::entry::RequestedResource::Model(None));
                 arrival.credential = access::Credential::of("other");
-                r.arrive(arrival)
+                r.submit(arrival)
             },
             Code::UnknownCaller,
             Ran::NotRun,
@@ -188,22 +187,22 @@
         (
             "no default profile",
             |r| {
-                let arrival = r.arrival(role::entry::RequestedResource::Model(None));
-                r.arrive(arrival)
+                let arrival = r.incoming(role::entry::RequestedResource::Model(None));
+                r.submit(arrival)
             },
             Code::UnknownProfile,
             Ran::NotRun,
         ),
         (
             "unknown model",
-            |r| r.ask("m9"),
+            |r| r.request_model("m9"),
             Code::UnknownModel,
             Ran::NotRun,
         ),
         (
-            "final word of the gate",
+            "final refusal by the agent",
             |r| {
-                let request = r.order();
+                let request = r.call_orders();
                 let run = r.run(request);
                 r.refuse(&run, Code::KeyInProgress);
                 request
@@ -212,11 +211,11 @@
             Ran::NotRun,
         ),
         (
-            "it waits until it can't be in time any more",
+            "it waits until it can no longer meet its deadline",
             |r| {
                 r.agents.get_mut("a1").expect("known").running = 9;
-                r.beat("a1");
-                let request = r.ask("m1");
+                r.send_heartbeat("a1");
+                let request = r.request_model("m1");
                 r.advance(31_000);
                 request
             },
@@ -224,13 +223,13 @@
             Ran::NotRun,
         ),
         (
-            "deadline before the agent's word",
+            "deadline before the agent reported a start",
             |r| {
-                let mut arrival = r.arrival(role::entry::RequestedResource::Model(
+                let mut arrival = r.incoming(role::entry::RequestedResource::Model(
                     Some(ModelId::new("m1")),
                 ));
                 arrival.deadline_ms = Some(1_500);
-                let request = r.arrive(arrival);
+                let request = r.submit(arrival);
                 r.advance(1_600);
                 let run = r.run(request);
                 assert_eq!((r.revokes(&run), r.cancels(&run)), (1, 1));
@@ -242,11 +241,11 @@
         (
             "deadline while it runs",
             |r| {
-                let mut arrival = r.arrival(role::entry::RequestedResource::Model(
+                let mut arrival = r.incoming(role::entry::RequestedResource::Model(
                     Some(ModelId::new("m1")),
                 ));
                 arrival.deadline_ms = Some(1_500);
-                let request = r.arrive(arrival);
+                let request = r.submit(arrival);
                 let run = r.run(request);
                 r.started(&run);
                 r.advance(1_600);
@@ -258,11 +257,11 @@
         (
             "it waits again after it ran",
             |r| {
-                let request = r.ask("m1");
+                let request = r.request_model("m1");
                 let run = r.run(request);
                 r.started(&run);
                 r.agents.get_mut("a1").expect("known").running = 9;
-                r.beat("a1");
+                r.send_heartbeat("a1");
                 r.fail(&run, Code::UpstreamLost, Ran::Ran);
                 r.advance(31_000);
                 request
@@ -271,11 +270,11 @@
             Ran::Ran,
         ),
     ];
-    for (name, play, code, ran) in rows {
+    for (name, steps, code, ran) in rows {
         let mut rig = Rig::new();
         rig.agent("a1", &["m1"]);
         rig.agent_in("s1", "desk", "d1", &[]);
-        let request = play(&mut rig);
+        let request = steps(&mut rig);
         let refusal = rig.refusal(request);
         assert_eq!((refusal.code, refusal.ran), (*code, *ran), "{name}");
         assert_eq!(rig.role.counters().running, 0, "{name}");
@@ -283,9 +282,8 @@
     }
 }
 
-/// A pool fails every request. Without a budget each would be tried over and
-/// over and the pool would get several times its load. Refusals by gates are
-/// not failures and don't use the budget up.
+/// A pool fails every request. Without a budget the retries would multiply its load.
+/// Refusals by agents are not failures and are not charged to the budget.
 #[test]
 fn retries_stay_within_the_budget() {
     let mut rig = Rig::new();
@@ -294,7 +292,7 @@
     }
     let mut refused_by_gate = 0;
     for index in 0..100 {
-        let request = rig.ask("m1");
+        let request = rig.request_model("m1");
         if index % 2 == 0 {
             let run = rig.run(request);
             rig.refuse(&run, Code::GateFull);
@@ -310,7 +308,7 @@
             }
         }
         assert_eq!(rig.refusals(request).len(), 1);
-        rig.beat_all();
+        rig.send_heartbeats();
     }
     let counters = rig.role.counters();
     assert_eq!(counters.refused_by_gate, refused_by_gate);
@@ -318,14 +316,14 @@
     assert!(counters.retries_denied > 0);
 }
 
-/// Two callers, or one caller twice, send the same key: the entry passes both
-/// on, each as its own attempt, and the gate's word reaches the right one.
+/// If two requests have the same idempotency key, the entry sends both to agents, which
+/// detect the duplicate. The refusal reaches the right one of the two.
 #[test]
-fn the_same_key_twice_is_the_gates_decision() {
+fn duplicate_keys_are_decided_by_the_agent() {
     let mut rig = Rig::new();
     rig.agent_in("s1", "desk", "d1", &[]);
-    let first = rig.order();
-    let second = rig.order();
+    let first = rig.call_orders();
+    let second = rig.call_orders();
     let (run1, run2) = (rig.run(first), rig.run(second));
     assert_eq!(run1.run.idempotency_key, run2.run.idempotency_key);
     rig.refuse(&run2, Code::KeyInProgress);
@@ -336,17 +334,16 @@
     assert_eq!(rig.refusal(second).code, Code::KeyInProgress);
 }
 
-/// The first call with a key is in progress at an agent that froze; its caller
-/// is gone, and comes back through this entry. The gate says that the key is
-/// taken, and not what became of the call. The caller hears just that, with when
-/// to come back: of an unknown outcome it would take care by hand, though the
-/// answer may be there in a second.
+/// The first call with a key is in progress at a frozen agent, and its caller retries
+/// through this entry. The agent reports that the key is in use, but not the outcome of
+/// that call. The caller gets this code with a retry delay: an unknown outcome would have
+/// to be handled by hand, though the answer may be available a second later.
 #[test]
-fn a_key_in_progress_is_said_as_such() {
+fn a_key_in_progress_is_reported_as_such() {
     for started in [false, true] {
         let mut rig = Rig::new();
         rig.agent_in("s1", "desk", "d1", &[]);
-        let request = rig.order();
+        let request = rig.call_orders();
         let run = rig.run(request);
         if started {
             rig.started(&run);
@@ -360,14 +357,14 @@
         });
         rig.frame(&run.agent, body);
         let refusal = rig.refusal(request);
-        let told = (refusal.code, refusal.ran, refusal.retry_after_ms);
-        assert_eq!(told, (Code::KeyInProgress, Ran::Unknown, Some(1_000)));
+        let reported = (refusal.code, refusal.ran, refusal.retry_after_ms);
+        assert_eq!(reported, (Code::KeyInProgress, Ran::Unknown, Some(1_000)));
         assert_eq!(rig.runs(request).len(), 1);
     }
 }
 
-/// The operators forbid retries while requests come in. From the next arrival on
-/// only the two that any model may have in ten seconds are made.
+/// When the configuration lowers the retry percentage, the next arrival applies it: only
+/// the minimum of two retries in ten seconds remains.
 #[test]
 fn the_retry_budget_follows_the_configuration() {
     let mut rig = Rig::new();
@@ -383,7 +380,7 @@
         assert_eq!(rig.role.revision(), Revision(revision));
         let mut again = 0;
         for _ in 0..20 {
-            let request = rig.ask("m1");
+            let request = rig.request_model("m1");
             let run = rig.run(request);
             rig.started(&run);
             rig.fail(&run, Code::AnswerBroken, Ran::Ran);
--- a/crates/role/tests/entry/rig/agents.rs
+++ b/crates/role/tests/entry/rig/agents.rs
@@ -1,12 +1,12 @@
-//! The rig's agents: what they say by themselves and about a run.
+//! The rig's simulated agents: their heartbeats and their frames about attempts.
 
-use super::{Rig, Sent};
+use super::{Rig, SentRun};
 use base::prelude::*;
 use role::Peer;
 use role::entry::EntryEvent;
 use schema::link::{self, Heartbeat, Load, Resident, frame};
 
-/// What the rig says for one agent.
+/// State of a simulated agent.
 #[derive(Debug, Clone)]
 pub struct FakeAgent {
     pub incarnation: u64,
@@ -21,16 +21,16 @@
 }
 
 impl Rig {
-    pub fn beat_all(&mut self) {
+    pub fn send_heartbeats(&mut self) {
         let ids: Vec<String> = self.agents.keys().cloned().collect();
         for id in ids {
             if !self.agents[&id].silent {
-                self.beat(&id);
+                self.send_heartbeat(&id);
             }
         }
     }
 
-    /// An agent with models, connected and heard.
+    /// Adds an agent with loaded models, a link and a first heartbeat.
     pub fn agent(&mut self, id: &str, models: &[&str]) {
         self.agent_in(id, "gpu", "d1", models);
     }
@@ -59,7 +59,7 @@
         };
         self.agents.insert(id.to_owned(), agent);
         self.link_up(id);
-        self.beat(id);
+        self.send_heartbeat(id);
     }
 
     pub fn link_up(&mut self, id: &str) {
@@ -74,11 +74,11 @@
         });
     }
 
-    pub fn beat(&mut self, id: &str) {
+    pub fn send_heartbeat(&mut self, id: &str) {
         let agent = self.agents.get_mut(id).expect("a known agent");
         agent.sequence += 1;
-        let beat = heartbeat(id, agent);
-        self.frame(id, frame::Body::Heartbeat(beat));
+        let frame = heartbeat(id, agent);
+        self.frame(id, frame::Body::Heartbeat(frame));
     }
 
     pub fn frame(&mut self, agent: &str, body: frame::Body) {
@@ -89,7 +89,7 @@
         });
     }
 
-    pub fn started(&mut self, run: &Sent) {
+    pub fn started(&mut self, run: &SentRun) {
         let attempt = run.run.attempt;
         let body = frame::Body::Started(link::Started {
             attempt,
@@ -98,7 +98,7 @@
         self.frame(&run.agent, body);
     }
 
-    pub fn refuse(&mut self, run: &Sent, code: Code) {
+    pub fn refuse(&mut self, run: &SentRun, code: Code) {
         let body = frame::Body::Refused(link::Refused {
             attempt: run.run.attempt,
             code: code.number(),
@@ -108,7 +108,7 @@
         self.frame(&run.agent, body);
     }
 
-    pub fn part(&mut self, run: &Sent, offset: u64, units: u32) {
+    pub fn part(&mut self, run: &SentRun, offset: u64, units: u32) {
         self.handle(EntryEvent::AnswerPart {
             agent: AgentId::new(&run.agent),
             attempt: run.id(),
@@ -117,7 +117,7 @@
         });
     }
 
-    pub fn end(&mut self, run: &Sent, total_units: u64) {
+    pub fn end(&mut self, run: &SentRun, total_units: u64) {
         let body = frame::Body::End(link::End {
             attempt: run.run.attempt,
             ran: Ran::Ran.number(),
@@ -127,7 +127,7 @@
         self.frame(&run.agent, body);
     }
 
-    pub fn fail(&mut self, run: &Sent, code: Code, ran: Ran) {
+    pub fn fail(&mut self, run: &SentRun, code: Code, ran: Ran) {
         let body = frame::Body::End(link::End {
             attempt: run.run.attempt,
             code: code.number(),
@@ -137,7 +137,7 @@
         self.frame(&run.agent, body);
     }
 
-    pub fn crash(&mut self, run: &Sent, fingerprints: &[u64]) {
+    pub fn crash(&mut self, run: &SentRun, fingerprints: &[u64]) {
         let body = frame::Body::End(link::End {
             attempt: run.run.attempt,
             code: Code::UpstreamLost.number(),
@@ -149,7 +149,7 @@
         self.frame(&run.agent, body);
     }
 
-    pub fn revoked(&mut self, run: &Sent, ran: Ran) {
+    pub fn revoked(&mut self, run: &SentRun, ran: Ran) {
         let body = frame::Body::Revoked(link::Revoked {
             attempt: run.run.attempt,
             ran: ran.number(),
--- a/crates/role/tests/entry/rig/mod.rs
+++ b/crates/role/tests/entry/rig/mod.rs
@@ -1,12 +1,12 @@
-//! An entry's machine with hand-made agents around it.
+//! Test rig: an entry's state machine with simulated agents and platform.
 
 mod agents;
+mod observed;
 mod requests;
-mod seen;
 mod settings;
 
 pub use agents::{FakeAgent, agent_peer, entry_peer, heartbeat};
-pub use seen::Sent;
+pub use observed::SentRun;
 pub use settings::{document, options};
 
 use base::prelude::*;
@@ -23,41 +23,41 @@
     pub now: Instant,
     pub agents: BTreeMap<String, FakeAgent>,
     pub platform_away: bool,
-    /// Reads are not answered.
-    pub held_reads: bool,
+    /// Reads at the platform are not answered.
+    pub hold_reads: bool,
     pub objects: BTreeMap<String, Vec<u8>>,
-    /// All actions since the last `clear`.
-    pub log: Vec<EntryAction>,
+    /// Actions of the state machine since the last `clear`.
+    pub actions: Vec<EntryAction>,
 }
 
 impl Rig {
-    /// A ready entry with a configuration and no agents.
+    /// A ready entry with a configuration and without agents.
     pub fn new() -> Self {
-        let mut rig = Self::unready(options("e1", ME));
+        let mut rig = Self::without_config(options("e1", ME));
         rig.publish(1, &document());
         rig.start();
         assert!(rig.role.config().is_some());
         rig
     }
 
-    pub fn unready(options: EntryOptions) -> Self {
+    pub fn without_config(options: EntryOptions) -> Self {
         let now = Instant::from_ms(1_000);
-        let mut log = Vec::new();
+        let mut actions = Vec::new();
         Self {
-            role: EntryRole::new(options, now, &mut log),
+            role: EntryRole::new(options, now, &mut actions),
             now,
             agents: BTreeMap::new(),
             platform_away: false,
-            held_reads: false,
+            hold_reads: false,
             objects: BTreeMap::new(),
-            log,
+            actions,
         }
     }
 
     pub fn start(&mut self) {
-        let first = std::mem::take(&mut self.log);
+        let first = std::mem::take(&mut self.actions);
         self.answer(&first);
-        self.log.extend(first);
+        self.actions.extend(first);
         self.advance(150);
     }
 
@@ -66,20 +66,20 @@
         self.objects.insert(key, patch.to_string().into_bytes());
     }
 
-    /// Writes an object and tells of it whoever waits for its prefix.
-    pub fn put(&mut self, key: &str, value: &[u8]) {
+    /// Writes an object at the platform and answers the watches of its prefix.
+    pub fn write_object(&mut self, key: &str, value: &[u8]) {
         self.objects.insert(key.to_owned(), value.to_vec());
-        let calls = self.log.iter().filter_map(|action| match action {
+        let calls = self.actions.iter().filter_map(|action| match action {
             EntryAction::CallPlatform(call) => Some(call),
             _ => None,
         });
-        let told = calls.filter(|call| match &call.op {
+        let watches = calls.filter(|call| match &call.op {
             PlatformOp::Watch { prefix, .. } => key.starts_with(prefix.as_str()),
             _ => false,
         });
-        for id in told.map(|call| call.id).collect::<Vec<_>>() {
-            let news = vec![(key.to_owned(), Version(2), value.to_vec())];
-            let result = PlatformResult::Objects(news, Version(2));
+        for id in watches.map(|call| call.id).collect::<Vec<_>>() {
+            let changes = vec![(key.to_owned(), Version(2), value.to_vec())];
+            let result = PlatformResult::Objects(changes, Version(2));
             self.handle(EntryEvent::PlatformAnswered(PlatformAnswer { id, result }));
         }
     }
@@ -88,7 +88,7 @@
         let mut out = Vec::new();
         self.role.handle(self.now, event, &mut out);
         self.answer(&out);
-        self.log.extend(out);
+        self.actions.extend(out);
     }
 
     fn answer(&mut self, actions: &[EntryAction]) {
@@ -97,10 +97,10 @@
                 let id = call.id;
                 let result = match (&call.op, self.platform_away) {
                     (_, true) => PlatformResult::Away,
-                    (PlatformOp::Read { .. }, _) if self.held_reads => continue,
+                    (PlatformOp::Read { .. }, _) if self.hold_reads => continue,
                     (PlatformOp::Read { key }, _) => {
-                        let held = self.objects.get(key);
-                        PlatformResult::Object(held.map(|v| (Version(1), v.clone())))
+                        let object = self.objects.get(key);
+                        PlatformResult::Object(object.map(|v| (Version(1), v.clone())))
                     }
                     (PlatformOp::List { prefix }, _) => self.list(prefix),
                     (PlatformOp::Write { .. }, _) => {
@@ -120,28 +120,29 @@
     }
 
     fn list(&self, prefix: &str) -> PlatformResult {
-        let held = self
+        let objects = self
             .objects
             .iter()
             .filter(|(key, _)| key.starts_with(prefix));
-        let held = held.map(|(key, value)| (key.clone(), Version(1), value.clone()));
-        PlatformResult::Objects(held.collect(), Version(1))
+        let objects =
+            objects.map(|(key, value)| (key.clone(), Version(1), value.clone()));
+        PlatformResult::Objects(objects.collect(), Version(1))
     }
 
-    /// Lets time pass, with ticks as they are due and heartbeats of all agents
-    /// that are not silent.
+    /// Advances the time, with ticks when they are due and heartbeats of all agents that
+    /// are not silent.
     pub fn advance(&mut self, ms: u64) {
         let end = self.now.plus_ms(ms);
         while self.now < end {
             let due = self.role.due().unwrap_or(end).max(self.now);
             let next = due.min(end).min(self.now.plus_ms(250));
             self.now = next.max(Instant::from_us(self.now.as_us() + 1));
-            self.beat_all();
+            self.send_heartbeats();
             self.handle(EntryEvent::Tick);
         }
     }
 
     pub fn clear(&mut self) {
-        self.log.clear();
+        self.actions.clear();
     }
 }
--- a/crates/role/tests/entry/rig/seen.rs
+++ b/crates/role/tests/entry/rig/observed.rs
@@ -1,4 +1,4 @@
-//! What the entry was seen to do.
+//! Queries on the entry's actions.
 
 use super::Rig;
 use base::prelude::*;
@@ -8,14 +8,14 @@
 use schema::timeline::EventKind;
 
 impl Rig {
-    /// Runs sent for a request.
-    pub fn runs(&self, request: RequestId) -> Vec<Sent> {
-        let sent = self.log.iter().filter_map(|action| match action {
+    /// `Run` frames sent for a request.
+    pub fn runs(&self, request: RequestId) -> Vec<SentRun> {
+        let sent = self.actions.iter().filter_map(|action| match action {
             EntryAction::SendRun {
                 request: of,
                 agent,
                 run,
-            } if *of == request => Some(Sent {
+            } if *of == request => Some(SentRun {
                 agent: agent.to_string(),
                 run: (**run).clone(),
             }),
@@ -24,13 +24,13 @@
         sent.collect()
     }
 
-    /// The newest run of a request.
-    pub fn run(&self, request: RequestId) -> Sent {
+    /// The latest `Run` sent for a request.
+    pub fn run(&self, request: RequestId) -> SentRun {
         self.runs(request).pop().expect("the request was sent")
     }
 
     pub fn refusals(&self, request: RequestId) -> Vec<Refusal> {
-        let refused = self.log.iter().filter_map(|action| match action {
+        let refused = self.actions.iter().filter_map(|action| match action {
             EntryAction::Refuse {
                 request: of,
                 refusal,
@@ -47,7 +47,7 @@
     }
 
     pub fn finished(&self, request: RequestId) -> Option<u64> {
-        self.log.iter().find_map(|action| match action {
+        self.actions.iter().find_map(|action| match action {
             EntryAction::Finish {
                 request: of,
                 total_units,
@@ -57,8 +57,8 @@
         })
     }
 
-    pub fn skips(&self, request: RequestId) -> Vec<u32> {
-        let delivered = self.log.iter().filter_map(|action| match action {
+    pub fn skipped_units(&self, request: RequestId) -> Vec<u32> {
+        let delivered = self.actions.iter().filter_map(|action| match action {
             EntryAction::DeliverPart {
                 request: of,
                 skip_units,
@@ -68,17 +68,20 @@
         delivered.collect()
     }
 
-    /// Frames sent to a process that `pick` wants.
-    pub fn sent<T>(&self, pick: impl Fn(&Peer, &frame::Body) -> Option<T>) -> Vec<T> {
-        let sent = self.log.iter().filter_map(|action| match action {
+    /// Results of `pick` for the frames sent.
+    pub fn sent_frames<T>(
+        &self,
+        pick: impl Fn(&Peer, &frame::Body) -> Option<T>,
+    ) -> Vec<T> {
+        let sent = self.actions.iter().filter_map(|action| match action {
             EntryAction::SendFrame { peer, body } => pick(peer, body),
             _ => None,
         });
         sent.collect()
     }
 
-    pub fn cancels(&self, run: &Sent) -> usize {
-        self.sent(|_, body| match body {
+    pub fn cancels(&self, run: &SentRun) -> usize {
+        self.sent_frames(|_, body| match body {
             frame::Body::Cancel(cancel) if cancel.attempt == run.run.attempt => {
                 Some(())
             }
@@ -87,8 +90,8 @@
         .len()
     }
 
-    pub fn revokes(&self, run: &Sent) -> usize {
-        self.sent(|_, body| match body {
+    pub fn revokes(&self, run: &SentRun) -> usize {
+        self.sent_frames(|_, body| match body {
             frame::Body::Revoke(revoke) if revoke.attempt == run.run.attempt => {
                 Some(())
             }
@@ -97,29 +100,29 @@
         .len()
     }
 
-    pub fn traced(&self, kind: EventKind) -> usize {
-        let traced = self.log.iter().filter(|action| {
+    pub fn events_recorded(&self, kind: EventKind) -> usize {
+        let recorded = self.actions.iter().filter(|action| {
             matches!(action, EntryAction::RecordEvent(event) if event.kind == kind as i32)
         });
-        traced.count()
+        recorded.count()
     }
 
     pub fn exits(&self) -> usize {
-        let exits = self.log.iter();
+        let exits = self.actions.iter();
         exits
             .filter(|action| matches!(action, EntryAction::Exit))
             .count()
     }
 }
 
-/// A run as the rig's agents get it.
+/// A `Run` frame and the agent it was sent to.
 #[derive(Debug, Clone)]
-pub struct Sent {
+pub struct SentRun {
     pub agent: String,
     pub run: Run,
 }
 
-impl Sent {
+impl SentRun {
     pub fn id(&self) -> AttemptId {
         let attempt = self.run.attempt.expect("each run names its attempt");
         AttemptId {
--- a/crates/role/tests/entry/rig/requests.rs
+++ b/crates/role/tests/entry/rig/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of the rig's callers.
+//! Requests of simulated callers.
 
 use super::{KEY, Rig};
 use access::Credential;
@@ -6,7 +6,7 @@
 use role::entry::{EntryEvent, IncomingRequest, RequestedResource};
 
 impl Rig {
-    pub fn arrival(&self, resource: RequestedResource) -> IncomingRequest {
+    pub fn incoming(&self, resource: RequestedResource) -> IncomingRequest {
         let request = self.role.next_request_id();
         IncomingRequest {
             request,
@@ -25,22 +25,23 @@
         }
     }
 
-    pub fn arrive(&mut self, arrival: IncomingRequest) -> RequestId {
+    pub fn submit(&mut self, arrival: IncomingRequest) -> RequestId {
         let request = arrival.request;
         self.handle(EntryEvent::RequestReceived(Box::new(arrival)));
         request
     }
 
-    pub fn ask(&mut self, model: &str) -> RequestId {
-        let arrival = self.arrival(RequestedResource::Model(Some(ModelId::new(model))));
-        self.arrive(arrival)
+    pub fn request_model(&mut self, model: &str) -> RequestId {
+        let arrival =
+            self.incoming(RequestedResource::Model(Some(ModelId::new(model))));
+        self.submit(arrival)
     }
 
-    /// A call that must not run twice.
-    pub fn order(&mut self) -> RequestId {
+    /// Submits a call of a service that is not idempotent, with an idempotency key.
+    pub fn call_orders(&mut self) -> RequestId {
         let mut arrival =
-            self.arrival(RequestedResource::Service(ServiceId::new("orders")));
+            self.incoming(RequestedResource::Service(ServiceId::new("orders")));
         arrival.idempotency_key = Some("k1".to_owned());
-        self.arrive(arrival)
+        self.submit(arrival)
     }
 }
--- a/crates/role/tests/entry/rig/settings.rs
+++ b/crates/role/tests/entry/rig/settings.rs
@@ -1,4 +1,4 @@
-//! The rig's configuration and its entry's options.
+//! The rig's configuration document and the entry's options.
 
 use super::KEY;
 use base::prelude::*;
--- a/crates/role/tests/entry/suspects.rs
+++ b/crates/role/tests/entry/suspects.rs
@@ -1,4 +1,4 @@
-//! What an entry holds against requests, and what it tells of it.
+//! Suspect and convicted requests: timeline events, gossip and refusals.
 
 use crate::rig::{Rig, document, entry_peer, options};
 use base::prelude::*;
@@ -8,15 +8,16 @@
 use schema::timeline::{Event, EventKind};
 use serde_json::json;
 
-const DEADLY: u64 = 666;
+const POISON_BODY_HASH: u64 = 666;
 
-fn ask(rig: &mut Rig) -> RequestId {
-    let mut arrival = rig.arrival(RequestedResource::Model(Some(ModelId::new("m1"))));
-    arrival.body_hash = DEADLY;
-    rig.arrive(arrival)
+fn send_poison(rig: &mut Rig) -> RequestId {
+    let mut arrival = rig.incoming(RequestedResource::Model(Some(ModelId::new("m1"))));
+    arrival.body_hash = POISON_BODY_HASH;
+    rig.submit(arrival)
 }
 
-/// The newest attempt of a request ends with a crash of one run of its upstream.
+/// Ends the latest attempt of a request with a crash of the given upstream incarnation.
+/// Returns the agent.
 fn crash(rig: &mut Rig, request: RequestId, upstream_incarnation: u64) -> String {
     let run = rig.run(request);
     rig.started(&run);
@@ -34,24 +35,24 @@
 }
 
 fn events(rig: &Rig, kind: EventKind) -> Vec<Event> {
-    let traced = rig.log.iter().filter_map(|action| match action {
+    let recorded = rig.actions.iter().filter_map(|action| match action {
         EntryAction::RecordEvent(event) if event.kind == kind as i32 => {
             Some(event.clone())
         }
         _ => None,
     });
-    traced.collect()
+    recorded.collect()
 }
 
-/// Suspects told to the other entry, by gossip.
-fn told(rig: &Rig) -> Vec<Vec<Suspect>> {
-    rig.sent(|peer, body| match (peer, body) {
+/// Suspects in each gossip message sent.
+fn gossiped_suspects(rig: &Rig) -> Vec<Vec<Suspect>> {
+    rig.sent_frames(|peer, body| match (peer, body) {
         (Peer::Entry(_), frame::Body::Gossip(gossip)) => Some(gossip.suspects.clone()),
         _ => None,
     })
 }
 
-fn with_peer() -> Rig {
+fn rig_with_peer() -> Rig {
     let mut rig = Rig::new();
     for agent in ["a1", "a2", "a3"] {
         rig.agent(agent, &["m1"]);
@@ -63,12 +64,12 @@
     rig
 }
 
-/// A request crashes two upstreams. Operators find each of the two steps as an
-/// event, with the request, the upstream and the code that callers get.
+/// When a request crashes two upstreams, the timeline has an event for each step, with
+/// the request, the agent and the code that callers get.
 #[test]
-fn suspicion_and_conviction_are_traced() {
-    let mut rig = with_peer();
-    let request = ask(&mut rig);
+fn suspicion_and_conviction_are_recorded() {
+    let mut rig = rig_with_peer();
+    let request = send_poison(&mut rig);
     let first = crash(&mut rig, request, 1);
     let suspected = events(&rig, EventKind::RequestSuspected);
     assert_eq!(suspected.len(), 1);
@@ -85,23 +86,23 @@
     assert_eq!(rig.refusal(request).code, Code::Convicted);
 }
 
-/// Another entry's word makes a suspect a convict. What waits here is refused
-/// by that word, not by the next heartbeat, and the event is recorded once.
+/// When gossip of another entry convicts a suspect request, a waiting copy is refused at
+/// once and not at the next heartbeat. The event is recorded once.
 #[test]
-fn a_word_from_a_peer_ends_the_wait() {
-    let mut rig = with_peer();
-    let (request, before) = (ask(&mut rig), rig.ask("m1"));
-    // Another suspect of the model runs alone, so this one waits.
+fn a_conviction_by_a_peer_ends_the_wait() {
+    let mut rig = rig_with_peer();
+    let (request, before) = (send_poison(&mut rig), rig.request_model("m1"));
+    // Another suspect request has the model's exclusive run, so this one waits.
     crash(&mut rig, before, 1);
     assert!(rig.run(before).run.alone);
     let first = crash(&mut rig, request, 2);
     assert!(rig.refusals(request).is_empty() && rig.runs(request).len() == 1);
     rig.advance(20);
-    let word = told(&rig).pop().expect("told at once");
+    let gossip = gossiped_suspects(&rig).pop().expect("gossiped at once");
     let fingerprint = rig.run(request).run.fingerprint;
-    let mut suspects = word.into_iter();
-    let suspect = suspects.find(|held| held.fingerprint == fingerprint);
-    let mut suspect = suspect.expect("both are told");
+    let mut suspects = gossip.into_iter();
+    let suspect = suspects.find(|suspect| suspect.fingerprint == fingerprint);
+    let mut suspect = suspect.expect("both are in the gossip");
     let other = if first == "a1" { "a2" } else { "a1" };
     suspect.crashes[0].agent = other.to_owned();
     for sequence in 1..=2 {
@@ -121,46 +122,45 @@
     assert_eq!((refusal.code, refusal.ran), (Code::Convicted, Ran::Ran));
     assert!(refusal.retry_after_ms.is_some());
     assert_eq!(events(&rig, EventKind::RequestConvicted).len(), 1);
-    let later = ask(&mut rig);
+    let later = send_poison(&mut rig);
     let refusal = rig.refusal(later);
     assert_eq!((refusal.code, refusal.ran), (Code::Convicted, Ran::NotRun));
 }
 
-/// A crash happens a millisecond after gossip was sent. The other entries hear
-/// of it within 20 ms all the same: until then they would start copies of the
-/// request among others.
+/// A crash right after a gossip message is still gossiped within 20 ms. Until then the
+/// other entries would run copies of the request next to other requests.
 #[test]
-fn a_crash_is_told_at_once() {
-    let mut rig = with_peer();
-    let (first, second) = (ask(&mut rig), rig.ask("m1"));
+fn a_crash_is_gossiped_at_once() {
+    let mut rig = rig_with_peer();
+    let (first, second) = (send_poison(&mut rig), rig.request_model("m1"));
     crash(&mut rig, first, 1);
     rig.advance(1);
-    let before = told(&rig).len();
+    let before = gossiped_suspects(&rig).len();
     crash(&mut rig, second, 2);
     rig.advance(20);
-    let since = &told(&rig)[before..];
+    let since = &gossiped_suspects(&rig)[before..];
     assert!(
         since.iter().any(|suspects| suspects.len() == 2),
         "{since:?}"
     );
 }
 
-/// One upstream dies twice, in two of its runs; the agent beside it goes on.
-/// Entries tell both crashes, and the second is no repeated report of the first.
+/// Crashes of two incarnations of one upstream, with the same agent incarnation, are both
+/// gossiped: the second is not taken for a repeated report of the first.
 #[test]
-fn two_crashes_of_one_upstream_are_two() {
+fn two_crashes_of_one_upstream_are_distinguished() {
     let mut rig = Rig::new();
     rig.agent("a1", &["m1"]);
     rig.handle(EntryEvent::LinkUp {
         peer: entry_peer("e2"),
         incarnation: Incarnation(9),
     });
-    // A copy was on its way when the first died, so both ran there.
-    let (first, second) = (ask(&mut rig), ask(&mut rig));
+    // A copy was in transit at the first crash, so both ran there.
+    let (first, second) = (send_poison(&mut rig), send_poison(&mut rig));
     crash(&mut rig, first, 41);
     crash(&mut rig, second, 42);
     rig.advance(30);
-    let last = told(&rig).pop().expect("told");
+    let last = gossiped_suspects(&rig).pop().expect("gossiped");
     let runs: Vec<u64> = last[0]
         .crashes
         .iter()
@@ -170,36 +170,35 @@
     assert!(!last[0].convicted, "the upstream may be broken itself");
 }
 
-/// An operator shortens the time for which verdicts hold. The next verdict ends
-/// after the new time.
+/// A change of `verdict_ms` applies to the next verdict.
 #[test]
 fn the_length_of_a_verdict_follows_the_configuration() {
     for (patch, expected_ms) in
         [(json!({}), 600_000), (json!({"verdict_ms": 9_000}), 9_000)]
     {
-        let mut rig = Rig::unready(options("e1", 7));
+        let mut rig = Rig::without_config(options("e1", 7));
         rig.publish(1, &document());
         rig.start();
         rig.publish(2, &json!({"limits": patch}));
         rig.advance(10_500);
         assert_eq!(rig.role.revision(), Revision(2));
         rig.agent("a1", &["m1"]);
-        let request = ask(&mut rig);
+        let request = send_poison(&mut rig);
         crash(&mut rig, request, 1);
         let refusal = rig.refusal(request);
         assert_eq!(refusal.retry_after_ms, Some(expected_ms));
     }
 }
 
-/// A change that can't be read is shown as rejected and not as applied.
+/// A change that can't be decoded is recorded as rejected and not as applied.
 #[test]
-fn a_rejected_change_is_traced_as_such() {
+fn a_rejected_change_is_recorded_as_rejected() {
     let mut rig = Rig::new();
     rig.clear();
     let key = conf::revision_key(Revision(2));
     rig.objects.insert(key, b"{ not json".to_vec());
     rig.advance(10_500);
-    assert_eq!(rig.traced(EventKind::ConfigApplied), 0);
-    assert!(rig.traced(EventKind::ConfigRejected) > 0);
+    assert_eq!(rig.events_recorded(EventKind::ConfigApplied), 0);
+    assert!(rig.events_recorded(EventKind::ConfigRejected) > 0);
     assert_eq!(rig.role.revision(), Revision(1));
 }
--- a/crates/role/tests/entry/waiting.rs
+++ b/crates/role/tests/entry/waiting.rs
@@ -1,4 +1,4 @@
-//! Requests that wait: order, bounds, and planning for them.
+//! Waiting requests: order, limits, and the plans made for them.
 
 use crate::rig::{Rig, document};
 use base::prelude::*;
@@ -7,50 +7,54 @@
 use serde_json::json;
 use std::collections::BTreeSet;
 
-fn full(rig: &mut Rig, id: &str, running: u32) {
+fn set_running(rig: &mut Rig, id: &str, running: u32) {
     rig.agents.get_mut(id).expect("known").running = running;
-    rig.beat(id);
+    rig.send_heartbeat(id);
 }
 
-fn night(rig: &mut Rig) -> RequestId {
-    let mut arrival = rig.arrival(RequestedResource::Model(Some(ModelId::new("m1"))));
+fn batch_request(rig: &mut Rig) -> RequestId {
+    let mut arrival = rig.incoming(RequestedResource::Model(Some(ModelId::new("m1"))));
     arrival.profile = Some(ProfileId::new("night"));
-    rig.arrive(arrival)
+    rig.submit(arrival)
 }
 
-/// Overnight work came first, then a technician asks. When a place is free the
-/// technician is served before it.
+/// An interactive request is sent before a batch request that has waited longer, as soon
+/// as a slot is free.
 #[test]
-fn the_more_urgent_goes_first() {
+fn higher_priority_is_served_first() {
     let mut rig = Rig::new();
     rig.agent("a1", &["m1"]);
-    full(&mut rig, "a1", 9);
-    let late = night(&mut rig);
-    let urgent = rig.ask("m1");
+    set_running(&mut rig, "a1", 9);
+    let batch = batch_request(&mut rig);
+    let urgent = rig.request_model("m1");
     assert_eq!(rig.role.counters().waiting, 2);
-    full(&mut rig, "a1", 4);
+    set_running(&mut rig, "a1", 4);
     assert_eq!(rig.runs(urgent).len(), 1);
-    assert!(rig.runs(late).is_empty());
+    assert!(rig.runs(batch).is_empty());
     let run = rig.run(urgent);
     rig.started(&run);
-    full(&mut rig, "a1", 3);
-    assert_eq!(rig.runs(late).len(), 1);
+    set_running(&mut rig, "a1", 3);
+    assert_eq!(rig.runs(batch).len(), 1);
 }
 
-/// The queue is full of overnight work. Desk work takes the place of the last
-/// of it, which is refused at once as not run; more overnight work is refused.
+/// If the queue is full of batch requests, an interactive request evicts the last of
+/// them, which is refused at once as not run. Further batch requests are refused.
 #[test]
-fn a_full_queue_gives_way_to_urgent_work() {
-    let mut rig = Rig::unready(crate::rig::options("e1", 7));
+fn a_full_queue_evicts_lower_priority() {
+    let mut rig = Rig::without_config(crate::rig::options("e1", 7));
     let mut config = document();
     config["limits"] = json!({"heartbeat_ms": 500, "waiting_max": 2});
     rig.publish(1, &config);
     rig.start();
     rig.agent("a1", &["m1"]);
-    full(&mut rig, "a1", 9);
-    let (first, second, third) = (night(&mut rig), night(&mut rig), night(&mut rig));
+    set_running(&mut rig, "a1", 9);
+    let (first, second, third) = (
+        batch_request(&mut rig),
+        batch_request(&mut rig),
+        batch_request(&mut rig),
+    );
     assert_eq!(rig.refusal(third).code, Code::QueueFull);
-    let urgent = rig.ask("m1");
+    let urgent = rig.request_model("m1");
     assert!(rig.refusals(urgent).is_empty() && rig.refusals(first).is_empty());
     let refusal = rig.refusal(second);
     assert_eq!((refusal.code, refusal.ran), (Code::QueueFull, Ran::NotRun));
@@ -58,12 +62,12 @@
     assert_eq!(rig.role.counters().waiting, 2);
 }
 
-/// Forty models are asked for at once while none is loaded. Each request either
-/// waits, with its model wanted somewhere, or is told at once when to come
-/// back; none is left without a word, and no target overfills an accelerator.
+/// Forty models are requested at once while none is loaded. Each request either waits or
+/// is refused with a retry delay, none outlives its deadline, and no target exceeds the
+/// memory of an accelerator.
 #[test]
-fn forty_models_asked_at_once() {
-    let mut rig = Rig::unready(crate::rig::options("e1", 7));
+fn forty_models_requested_at_once() {
+    let mut rig = Rig::without_config(crate::rig::options("e1", 7));
     let mut config = document();
     let names: Vec<String> = (0..40).map(|n| format!("x{n:02}")).collect();
     for name in &names {
@@ -78,10 +82,11 @@
         rig.agent_in(&format!("a{index}"), "gpu", domain, &[]);
     }
     rig.clear();
-    let requests: Vec<RequestId> = names.iter().map(|name| rig.ask(name)).collect();
+    let requests: Vec<RequestId> =
+        names.iter().map(|name| rig.request_model(name)).collect();
     rig.advance(600);
-    let mut wanted = BTreeSet::new();
-    for target in rig.sent(|_, body| match body {
+    let mut planned = BTreeSet::new();
+    for target in rig.sent_frames(|_, body| match body {
         frame::Body::Target(target) => Some(target.clone()),
         _ => None,
     }) {
@@ -89,9 +94,9 @@
             target.models.len() <= 1,
             "70 MiB twice on one of 80: {target:?}"
         );
-        wanted.extend(target.models.into_iter().map(|held| held.model));
+        planned.extend(target.models.into_iter().map(|model| model.model));
     }
-    assert!(!wanted.is_empty(), "work that waits brings loads about");
+    assert!(!planned.is_empty(), "waiting requests cause loads");
     for request in &requests {
         match rig.refusals(*request).as_slice() {
             [] => {}
@@ -102,29 +107,29 @@
             more => panic!("refused {} times", more.len()),
         }
     }
-    // A load ends: those who waited for it are served at once.
-    let model = wanted.first().expect("not empty").clone();
+    // When a load ends, the requests that waited for it are sent at once.
+    let model = planned.first().expect("not empty").clone();
     let request = requests[names.iter().position(|n| *n == model).expect("asked")];
     rig.agents.get_mut("a0").expect("known").models = vec![(model, 1)];
-    rig.beat("a0");
+    rig.send_heartbeat("a0");
     assert_eq!(rig.runs(request).len(), 1);
     rig.advance(31_000);
     let waiting = rig.role.counters().waiting;
-    assert_eq!(waiting, 0, "nobody waits beyond the deadline");
+    assert_eq!(waiting, 0, "no request waits beyond its deadline");
 }
 
-/// Each failure domain would load every model if each planned for the whole
-/// demand. A model with little demand is wanted in one domain only.
+/// If each planning cell planned for the whole demand, each would load every model. A
+/// model with little demand is planned on one agent only.
 #[test]
-fn one_model_has_one_home() {
+fn a_model_is_assigned_to_one_cell() {
     let mut rig = Rig::new();
     rig.agent_in("a1", "gpu", "d1", &[]);
     rig.agent_in("a2", "gpu", "d2", &[]);
     rig.clear();
-    rig.ask("m1");
+    rig.request_model("m1");
     rig.advance(8_000);
-    let homes: BTreeSet<String> = rig
-        .sent(|peer, body| match body {
+    let holders: BTreeSet<String> = rig
+        .sent_frames(|peer, body| match body {
             frame::Body::Target(target) if !target.models.is_empty() => {
                 Some(peer.to_string())
             }
@@ -132,17 +137,17 @@
         })
         .into_iter()
         .collect();
-    assert_eq!(homes.len(), 1, "{homes:?}");
+    assert_eq!(holders.len(), 1, "{holders:?}");
 }
 
-/// What can't be in time is refused when it comes, not when its time is over.
+/// A request that can't meet its deadline is refused on arrival, not at the deadline.
 #[test]
-fn what_cannot_be_in_time_is_refused_at_once() {
+fn requests_that_would_miss_their_deadline_are_refused_at_once() {
     let mut rig = Rig::new();
     rig.agent("a1", &["m2"]);
-    let mut arrival = rig.arrival(RequestedResource::Model(Some(ModelId::new("m1"))));
+    let mut arrival = rig.incoming(RequestedResource::Model(Some(ModelId::new("m1"))));
     arrival.deadline_ms = Some(300);
-    let request = rig.arrive(arrival);
+    let request = rig.submit(arrival);
     let refusal = rig.refusal(request);
     assert_eq!(refusal.code, Code::ModelUnavailable);
     assert!(refusal.retry_after_ms.is_some_and(|ms| ms > 0));
--- a/crates/role/tests/entry/watchers.rs
+++ b/crates/role/tests/entry/watchers.rs
@@ -1,4 +1,4 @@
-//! Which entries wait for the platform's news.
+//! Which entries keep watches open at the platform.
 
 use crate::rig::{Rig, entry_peer};
 use base::prelude::*;
@@ -6,20 +6,21 @@
 use role::entry::{EntryAction, EntryEvent};
 use schema::link::{Gossip, frame};
 
-/// Longer than an entry leaves a watch to others before it asks itself again.
+/// Longer than the interval at which an entry checks its deferred watches.
 const CHECK_MS: u64 = 5_500;
 
-/// Names of entries that rank before `e1` for waiting.
-fn before_e1(count: usize) -> Vec<String> {
-    let mine = live::rendezvous("platform-watch", "e1");
+/// Names of entries that rank before `e1` as watchers.
+fn ranked_before_e1(count: usize) -> Vec<String> {
+    let own_weight = live::rendezvous("platform-watch", "e1");
     let names = (2..).map(|n| format!("e{n}"));
-    let before = names.filter(|name| live::rendezvous("platform-watch", name) > mine);
+    let before =
+        names.filter(|name| live::rendezvous("platform-watch", name) > own_weight);
     before.take(count).collect()
 }
 
-/// Watches that wait, by the call's number.
-fn waiting(rig: &Rig) -> Vec<u64> {
-    let calls = rig.log.iter().filter_map(|action| match action {
+/// Ids of the calls that opened watches.
+fn open_watches(rig: &Rig) -> Vec<u64> {
+    let calls = rig.actions.iter().filter_map(|action| match action {
         EntryAction::CallPlatform(call) => Some(call),
         _ => None,
     });
@@ -30,7 +31,7 @@
 }
 
 fn end_watches(rig: &mut Rig) {
-    let ids = waiting(rig);
+    let ids = open_watches(rig);
     rig.clear();
     for id in ids {
         let result = PlatformResult::Objects(Vec::new(), Version(1));
@@ -55,43 +56,46 @@
     }
 }
 
-/// A change of the configuration is in force everywhere though only two entries
-/// of a failure domain wait for it: the platform counts each that waits. When
-/// the two are silent, the next waits in their place.
+/// Open watches count against the platform's call rate limit, so only two entries of a
+/// failure domain keep them open. When those two fall silent, the next entry takes over.
 #[test]
-fn two_entries_of_a_domain_wait_for_news() {
+fn two_entries_of_a_domain_keep_watches_open() {
     let cases = [
         ("nobody else", 0, "d1", true),
         ("one ranks before", 1, "d1", true),
         ("two rank before", 2, "d1", false),
         ("two rank before in another domain", 2, "d2", true),
     ];
-    for (name, count, domain, waits) in cases {
+    for (name, count, domain, watches) in cases {
         let mut rig = Rig::new();
-        let others = before_e1(count);
+        let others = ranked_before_e1(count);
         gossip(&mut rig, &others, domain, 1);
         end_watches(&mut rig);
         rig.advance(500);
         gossip(&mut rig, &others, domain, 2);
-        assert_eq!(waiting(&rig).len(), if waits { 3 } else { 0 }, "{name}");
+        assert_eq!(
+            open_watches(&rig).len(),
+            if watches { 3 } else { 0 },
+            "{name}"
+        );
         rig.advance(CHECK_MS);
-        assert_eq!(waiting(&rig).len(), 3, "{name}: the others are silent");
+        assert_eq!(open_watches(&rig).len(), 3, "{name}: the others are silent");
     }
 }
 
-/// After a minute in which others waited, the entry waits again with one call of
-/// each kind and no more.
+/// An entry that left the watches to others for a minute opens each of them once, and not
+/// once for each check in that time.
 #[test]
-fn waits_left_to_others_begin_again_once() {
+fn deferred_watches_resume_once() {
     let mut rig = Rig::new();
-    let others = before_e1(2);
+    let others = ranked_before_e1(2);
     gossip(&mut rig, &others, "d1", 1);
     end_watches(&mut rig);
     for sequence in 2..150 {
         gossip(&mut rig, &others, "d1", sequence);
         rig.advance(500);
     }
-    assert_eq!(waiting(&rig).len(), 0);
+    assert_eq!(open_watches(&rig).len(), 0);
     rig.advance(2 * CHECK_MS);
-    assert_eq!(waiting(&rig).len(), 3);
+    assert_eq!(open_watches(&rig).len(), 3);
 }
