--- a/crates/front/src/giver/kept.rs
+++ b/crates/front/src/giver/kept.rs
@@ -1,7 +1,7 @@
 //! Which upstreams the giver of orders keeps books of.
 
 use base::prelude::*;
-use direct::{LateOrders, Setup, Upstream};
+use direct::{Config, UnansweredOrders, Upstream};
 use std::sync::Arc;
 
 use crate::state::Node;
@@ -11,7 +11,7 @@
 impl State {
     /// Ends the books of upstreams that are gone or have started again, and begins
     /// those of new starts.
-    pub(super) fn follow_fleet(&mut self, node: &Node, setup: &Setup, now: Instant) {
+    pub(super) fn follow_fleet(&mut self, node: &Node, setup: &Config, now: Instant) {
         let fleet = node.fleet.lock();
         let gone = self.books.extract_if(.., |id, book| {
             let upstream = fleet.get(id);
@@ -20,10 +20,10 @@
             })
         });
         for (id, book) in gone {
-            self.late.insert(id, book.ledger.into_late(now));
+            self.late.insert(id, book.ledger.into_unanswered(now));
         }
-        for upstream in fleet.engines(now, setup) {
-            let id = &upstream.news.id;
+        for upstream in fleet.model_upstreams(now, setup) {
+            let id = &upstream.record.id;
             if !self.books.contains_key(id) {
                 let late = self.take_late(now, upstream);
                 let book = Book::new(upstream, late);
@@ -40,11 +40,11 @@
     }
 
     /// Orders to an upstream's earlier starts that may still be carried out.
-    fn take_late(&mut self, now: Instant, upstream: &Upstream) -> LateOrders {
-        let mut late = self.late.remove(&upstream.news.id).unwrap_or_default();
+    fn take_late(&mut self, now: Instant, upstream: &Upstream) -> UnansweredOrders {
+        let mut late = self.late.remove(&upstream.record.id).unwrap_or_default();
         late.expire(now);
-        if let Some(moves) = self.moves.get_mut(&upstream.news.service) {
-            moves.outlived(now, late.loads());
+        if let Some(moves) = self.moves.get_mut(&upstream.record.service) {
+            moves.record_surviving_loads(now, late.load_count());
         }
         late
     }
--- a/crates/role/src/agent/drain.rs
+++ b/crates/role/src/agent/drain.rs
@@ -1,26 +1,27 @@
-//! Stopping: no new work, finish what runs, leave nothing behind.
+//! Graceful shutdown: accept no new work, finish running attempts, then flush
+//! claims and deregister.
 
-use super::{AgentAction, AgentRole, trace};
+use super::{AgentAction, AgentRole, timeline};
 use base::Instant;
 use schema::timeline::EventKind;
 
-/// Longest wait for the claims' last writes once no attempt runs.
+/// Longest wait for the last writes of the claims, once no attempt runs.
 const FLUSH_MAX_MS: u64 = 10_000;
 
 /// Longest wait for the removal of the registration.
-const FAREWELL_MAX_MS: u64 = 2_000;
+const DEREGISTRATION_MAX_MS: u64 = 2_000;
 
-/// How far the stop has come.
+/// Stage of the shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Drain {
-    /// Attempts in progress are finished.
-    Finishing,
-    /// The claims' last writes are waited for.
-    Flushing { until: Instant },
-    /// The registration is being removed.
-    Leaving { until: Instant },
-    /// All is done.
-    Gone,
+    /// Waiting for attempts in progress to finish.
+    FinishingAttempts,
+    /// Waiting for the last writes of the claims.
+    FlushingClaims { until: Instant },
+    /// Waiting for the removal of the registration.
+    Deregistering { until: Instant },
+    /// The driver was told to exit.
+    Complete,
 }
 
 impl AgentRole {
@@ -28,43 +29,45 @@
         if self.drain.is_some() {
             return;
         }
-        self.drain = Some(Drain::Finishing);
-        self.registration.leave();
-        self.registration.advance(now, &mut self.caller, out);
-        trace::note(EventKind::ProcessDraining, String::new(), out);
+        self.drain = Some(Drain::FinishingAttempts);
+        self.registration.mark_leaving();
+        self.registration.advance(now, &mut self.client, out);
+        timeline::process_event(EventKind::ProcessDraining, String::new(), out);
     }
 
     pub(super) fn drain_due(&self) -> Option<Instant> {
         match self.drain? {
-            Drain::Flushing { until } | Drain::Leaving { until } => Some(until),
-            Drain::Finishing | Drain::Gone => None,
+            Drain::FlushingClaims { until } | Drain::Deregistering { until } => {
+                Some(until)
+            }
+            Drain::FinishingAttempts | Drain::Complete => None,
         }
     }
 
-    /// Takes the stop as far as it can go.
+    /// Moves the shutdown through every stage that is complete.
     ///
-    /// Each wait but the first is bounded: the platform may be away, and what
-    /// is left undone then is only untidy. The first is bounded by the
-    /// attempts' deadlines.
+    /// Attempts are waited for until their deadlines. The other waits have a
+    /// fixed limit because the platform may be away; leaving those steps undone
+    /// is safe.
     pub(super) fn advance_drain(&mut self, now: Instant, out: &mut Vec<AgentAction>) {
-        if self.drain == Some(Drain::Finishing) && self.attempts.is_empty() {
+        if self.drain == Some(Drain::FinishingAttempts) && self.attempts.is_empty() {
             let until = now.plus_ms(FLUSH_MAX_MS);
-            self.drain = Some(Drain::Flushing { until });
+            self.drain = Some(Drain::FlushingClaims { until });
         }
-        if let Some(Drain::Flushing { until }) = self.drain
+        if let Some(Drain::FlushingClaims { until }) = self.drain
             && (self.claims.is_flushed() || until <= now)
         {
-            let until = now.plus_ms(FAREWELL_MAX_MS);
-            self.drain = Some(Drain::Leaving { until });
-            self.say_goodbye(out);
+            let until = now.plus_ms(DEREGISTRATION_MAX_MS);
+            self.drain = Some(Drain::Deregistering { until });
+            self.send_goodbyes(out);
             self.registration.remove();
-            self.registration.advance(now, &mut self.caller, out);
+            self.registration.advance(now, &mut self.client, out);
         }
-        if let Some(Drain::Leaving { until }) = self.drain
+        if let Some(Drain::Deregistering { until }) = self.drain
             && (self.registration.is_settled() || until <= now)
         {
-            self.drain = Some(Drain::Gone);
-            trace::note(EventKind::ProcessStopped, String::new(), out);
+            self.drain = Some(Drain::Complete);
+            timeline::process_event(EventKind::ProcessStopped, String::new(), out);
             out.push(AgentAction::Exit);
         }
     }
--- a/crates/role/src/entry/suspect_events.rs
+++ b/crates/role/src/entry/suspect_events.rs
@@ -47,7 +47,7 @@
             fingerprint: *fingerprint,
             convicted: after != CrashVerdict::Suspect,
             agents: suspects.crashed_agents(*fingerprint).collect(),
-            alone: suspects.crashed_alone(*fingerprint),
+            alone: suspects.crashed_as_sole_request(*fingerprint),
             remaining_ms: suspects.remaining_ms(now, *fingerprint),
         });
     }
