--- a/crates/agent/src/upstream/orders.rs
+++ b/crates/agent/src/upstream/orders.rs
@@ -57,7 +57,7 @@
 async fn give(node: &Node, order: &Order, decided: Instant) -> Option<OrderAnswer> {
     let json = OrderJson {
         order: order.id,
-        fence: order.fencing_token.0,
+        fence: order.fencing_epoch.0,
         kind: if order.load { "load" } else { "unload" },
         model: order.model.as_str(),
         version: order.version,
--- a/crates/agent/src/upstream/state.rs
+++ b/crates/agent/src/upstream/state.rs
@@ -190,7 +190,7 @@
     });
     let orders = state.orders.into_iter().map(|held| UpstreamOrder {
         order: held.order,
-        fencing_token: held.fence,
+        fencing_epoch: held.fence,
         state: match held.state {
             OrderState::InProgress => UpstreamOrderState::InProgress,
             OrderState::Done => UpstreamOrderState::Done,
@@ -201,7 +201,7 @@
         incarnation: state.incarnation,
         residents: residents.collect(),
         orders: orders.collect(),
-        highest_fencing_token: state.fence,
+        highest_fencing_epoch: state.fence,
         running: state.running,
         waiting: state.waiting,
         step_time_us: state.step_time_us,
--- a/crates/cap/src/measure/agent_rig.rs
+++ b/crates/cap/src/measure/agent_rig.rs
@@ -92,7 +92,7 @@
     fn carry_out(&mut self, order: &role::agent::Order) {
         self.report.orders.push(UpstreamOrder {
             order: order.id,
-            fencing_token: order.fencing_token.0,
+            fencing_epoch: order.fencing_epoch.0,
             state: UpstreamOrderState::Done,
         });
         if order.load {
--- a/crates/role/src/agent/event.rs
+++ b/crates/role/src/agent/event.rs
@@ -138,7 +138,7 @@
     /// Orders in progress and finished, with their state.
     pub orders: Vec<UpstreamOrder>,
     /// Highest fencing token that the upstream has seen.
-    pub highest_fencing_token: u64,
+    pub highest_fencing_epoch: u64,
     /// Requests in the current batch.
     pub running: u32,
     /// Requests waiting to join the batch.
@@ -170,7 +170,7 @@
     /// Number of the order.
     pub order: u64,
     /// Fencing token that the order carried.
-    pub fencing_token: u64,
+    pub fencing_epoch: u64,
     /// Progress of the order.
     pub state: UpstreamOrderState,
 }
@@ -193,7 +193,7 @@
     pub id: u64,
     /// Fencing token: the epoch of the agent that sends the order. An upstream
     /// that checks fencing refuses tokens lower than the highest it has seen.
-    pub fencing_token: Epoch,
+    pub fencing_epoch: Epoch,
     /// True for a load, false for an unload.
     pub load: bool,
     /// Model or adapter.
--- a/crates/role/src/agent/orders.rs
+++ b/crates/role/src/agent/orders.rs
@@ -117,7 +117,7 @@
         // Plan nothing that could not be carried out: while the platform is
         // away, all models stay loaded and keep serving.
         if !self.record.is_writable(now)
-            || self.upstream.highest_fencing_token() > self.record.epoch().0
+            || self.upstream.highest_fencing_epoch() > self.record.epoch().0
         {
             return;
         }
@@ -273,7 +273,7 @@
     fn order_message(&self, order: &TrackedOrder) -> Order {
         Order {
             id: order.id,
-            fencing_token: self.record.epoch(),
+            fencing_epoch: self.record.epoch(),
             load: order.load,
             model: order.placement.model.clone(),
             version: order.placement.version,
--- a/crates/role/src/agent/upstream.rs
+++ b/crates/role/src/agent/upstream.rs
@@ -20,7 +20,7 @@
     waiting: u32,
     step_time_us: u64,
     service_ms: u64,
-    highest_fencing_token: u64,
+    highest_fencing_epoch: u64,
 }
 
 impl Upstream {
@@ -42,8 +42,8 @@
     }
 
     /// Highest fencing token that the upstream has seen.
-    pub(super) const fn highest_fencing_token(&self) -> u64 {
-        self.highest_fencing_token
+    pub(super) const fn highest_fencing_epoch(&self) -> u64 {
+        self.highest_fencing_epoch
     }
 
     /// Smoothed duration of a decoding step, in microseconds.
@@ -78,7 +78,7 @@
         self.incarnation = Some(report.incarnation);
         self.made_at = made_at(now, report);
         self.waiting = report.waiting;
-        self.highest_fencing_token = report.highest_fencing_token;
+        self.highest_fencing_epoch = report.highest_fencing_epoch;
         let step_us = u64::from(report.step_time_us);
         if step_us > 0 {
             self.step_time_us = smooth(self.step_time_us, step_us);
--- a/crates/role/src/agent/upstream_health.rs
+++ b/crates/role/src/agent/upstream_health.rs
@@ -16,13 +16,13 @@
         out: &mut Vec<AgentAction>,
     ) {
         let was_up = self.upstream.is_up();
-        let token_before = self.upstream.highest_fencing_token();
+        let token_before = self.upstream.highest_fencing_epoch();
         let restarted = self.upstream.apply_report(now, report);
         // A fencing token higher than this agent's epoch shows that a successor
         // sends orders.
-        let raised = report.highest_fencing_token > token_before;
+        let raised = report.highest_fencing_epoch > token_before;
         if raised
-            && report.highest_fencing_token > self.record.epoch().0
+            && report.highest_fencing_epoch > self.record.epoch().0
             && self.record.is_confirmed()
         {
             self.record.require_read();
--- a/crates/role/tests/agent/orders.rs
+++ b/crates/role/tests/agent/orders.rs
@@ -41,7 +41,7 @@
     let record = platform.agent_record();
     assert_eq!(record.intents.len(), 1);
     assert_eq!(record.intents[0].order, order.id);
-    assert_eq!(order.fencing_token.0, record.epoch);
+    assert_eq!(order.fencing_epoch.0, record.epoch);
 }
 
 /// Which message is lost between agent and engine.
@@ -230,7 +230,7 @@
     agent.receive_target("p", 1, &[("a", 1)]);
     engine.accept_order(&Order {
         id: 1,
-        fencing_token: Epoch(1),
+        fencing_epoch: Epoch(1),
         load: true,
         model: ModelId::new("b"),
         version: 1,
--- a/crates/scenario/src/world/upstream/mod.rs
+++ b/crates/scenario/src/world/upstream/mod.rs
@@ -109,7 +109,7 @@
             incarnation: self.run,
             residents: self.residents.iter().map(|r| r.shown.clone()).collect(),
             orders: self.orders.values().copied().collect(),
-            highest_fencing_token: self.fence,
+            highest_fencing_epoch: self.fence,
             running: running as u32,
             waiting: (self.attempts.len() - running) as u32,
             step_time_us: (self.step_us * self.slow) as u32,
@@ -147,16 +147,16 @@
 
     /// Takes an order; `None` if it refuses or already has it.
     fn accept(&mut self, order: &Order) -> (OrderAnswer, bool) {
-        if self.checks_fencing && order.fencing_token.0 < self.fence {
+        if self.checks_fencing && order.fencing_epoch.0 < self.fence {
             return (OrderAnswer::Fenced, false);
         }
-        self.fence = self.fence.max(order.fencing_token.0);
+        self.fence = self.fence.max(order.fencing_epoch.0);
         if self.orders.contains_key(&order.id) {
             return (OrderAnswer::Accepted, false);
         }
         let state = UpstreamOrder {
             order: order.id,
-            fencing_token: order.fencing_token.0,
+            fencing_epoch: order.fencing_epoch.0,
             state: UpstreamOrderState::InProgress,
         };
         self.orders.insert(order.id, state);
