--- a/crates/role/src/entry/accept.rs
+++ b/crates/role/src/entry/accept.rs
@@ -10,11 +10,11 @@
 use super::shared::Ctx;
 use super::timeline::TimelineEvent;
 
-/// Retry delay told to the caller by an entry that is draining or not ready. Short,
+/// Retry delay sent to the caller by an entry that is draining or not ready. Short,
 /// since another entry can take the request.
 const RETRY_ELSEWHERE_MS: u64 = 500;
 
-/// Retry delay told to a caller that exceeds its limit of concurrent requests.
+/// Retry delay sent to a caller that exceeds its limit of concurrent requests.
 const CALLER_LIMIT_RETRY_MS: u64 = 1_000;
 
 /// Authenticates the caller, resolves the model or service and checks the caller's
--- a/crates/role/src/entry/control/config.rs
+++ b/crates/role/src/entry/control/config.rs
@@ -48,7 +48,7 @@
             .filter_map(|(key, _, value)| parse_change(key, value))
             .collect();
         changes.sort_by_key(|change| change.revision);
-        let next = self.log.revision().0 + 1;
+        let next = self.config_log.revision().0 + 1;
         let first_new = changes.iter().map(|change| change.revision);
         let gap = first_new
             .filter(|revision| *revision >= next)
@@ -71,11 +71,11 @@
         out: &mut Vec<EntryAction>,
         effects: &mut Effects,
     ) {
-        let before = self.log.revision();
-        if let Err(error) = self.log.offer(offered) {
+        let before = self.config_log.revision();
+        if let Err(error) = self.config_log.offer(offered) {
             record_rejected(shared, &error, out);
         }
-        if self.log.revision() == before {
+        if self.config_log.revision() == before {
             return;
         }
         self.config_applied(before, shared, out);
@@ -88,7 +88,7 @@
         shared: &Shared,
         out: &mut Vec<EntryAction>,
     ) {
-        let Some(config) = self.log.current() else {
+        let Some(config) = self.config_log.current() else {
             return;
         };
         let timing = Timing::new(config.limits().heartbeat_ms);
@@ -96,7 +96,8 @@
         self.entries.set_timing(timing);
         let verdict_ms = u64::from(config.limits().verdict_ms);
         shared.suspects.lock().set_verdict_ms(verdict_ms);
-        let detail = format!("revision {} replaces {before}", self.log.revision());
+        let detail =
+            format!("revision {} replaces {before}", self.config_log.revision());
         TimelineEvent::new(EventKind::ConfigApplied, detail).record(out);
         self.set_ready(out);
     }
@@ -112,7 +113,7 @@
         let requested_recently = self
             .config_requested_at
             .is_some_and(|at| now.ms_since(at) < CONFIG_REQUEST_MIN_INTERVAL_MS);
-        if revision <= self.log.revision() || requested_recently {
+        if revision <= self.config_log.revision() || requested_recently {
             return;
         }
         self.config_requested_at = Some(now);
@@ -124,7 +125,7 @@
         out.push(EntryAction::SendFrame {
             peer: peer.clone(),
             body: frame::Body::ConfigAsk(ConfigAsk {
-                after_revision: self.log.revision().0,
+                after_revision: self.config_log.revision().0,
             }),
         });
     }
@@ -136,10 +137,10 @@
         ask: ConfigAsk,
         out: &mut Vec<EntryAction>,
     ) {
-        if self.log.current().is_none() {
+        if self.config_log.current().is_none() {
             return;
         }
-        let missing = self.log.changes_after(Revision(ask.after_revision));
+        let missing = self.config_log.changes_after(Revision(ask.after_revision));
         out.push(EntryAction::SendFrame {
             peer: peer.clone(),
             body: frame::Body::ConfigChanges(missing),
--- a/crates/role/src/entry/control/forecast.rs
+++ b/crates/role/src/entry/control/forecast.rs
@@ -154,14 +154,14 @@
             let wait = Duration::from_millis(demand.oldest_wait_ms);
             note(&ModelId::new(&demand.model), now - wait);
         }
-        let mut awaited_unheld_models: Vec<(Instant, ModelId)> = since
+        let mut models: Vec<(Instant, ModelId)> = since
             .into_iter()
             .filter(|(model, _)| config.model(model.as_str()).is_some())
             .filter(|(model, _)| !is_held(&self.directory, model))
             .map(|(model, at)| (at, model))
             .collect();
-        awaited_unheld_models.sort();
-        awaited_unheld_models
+        models.sort();
+        models
     }
 }
 
@@ -302,8 +302,8 @@
     let left_ms = ready.ms_since(now);
     let again_ms = waited_ms.saturating_sub(left_ms);
     let wait_max_ms = u64::from(config.weights().wait_max_ms);
-    let turn_ms = wait_max_ms.saturating_sub(waited_ms) + forecast.load_ms;
-    now.plus_ms(left_ms.max(again_ms.min(turn_ms)))
+    let precedence_ms = wait_max_ms.saturating_sub(waited_ms) + forecast.load_ms;
+    now.plus_ms(left_ms.max(again_ms.min(precedence_ms)))
 }
 
 fn can_load(agent: &Agent) -> bool {
@@ -324,8 +324,8 @@
 ) -> Option<Instant> {
     let agents = directory.agents().filter(|agent| can_load(agent));
     let since = agents.filter_map(|agent| agent.loading_since(model.as_str()));
-    let passed_ms = now.ms_since(since.min()?);
-    let left_ms = passed_ms.abs_diff(load_time_ms(config));
+    let elapsed_ms = now.ms_since(since.min()?);
+    let left_ms = elapsed_ms.abs_diff(load_time_ms(config));
     Some(now.plus_ms(left_ms.max(LOAD_REMAINING_MIN_MS)))
 }
 
--- a/crates/role/src/entry/control/mod.rs
+++ b/crates/role/src/entry/control/mod.rs
@@ -101,7 +101,7 @@
 pub(crate) struct Control {
     pub(crate) directory: Directory,
     pub(crate) entries: EntryTable,
-    pub(crate) log: ConfigLog,
+    pub(crate) config_log: ConfigLog,
     pub(crate) leaving: bool,
     pub(crate) ready: bool,
     pub(crate) links: BTreeMap<Peer, Incarnation>,
@@ -137,7 +137,7 @@
         let mut control = Self {
             directory: Directory::new(timing),
             entries: EntryTable::new(timing),
-            log: ConfigLog::new(),
+            config_log: ConfigLog::new(),
             leaving: false,
             ready: false,
             links: BTreeMap::new(),
@@ -173,7 +173,7 @@
 
     /// Configuration in force.
     pub(crate) fn config(&self) -> Option<&Arc<Config>> {
-        self.log.current()
+        self.config_log.current()
     }
 
     /// When the next timer of the control state is due.
@@ -328,7 +328,7 @@
         self.ready = ready;
         out.push(EntryAction::SetReady(ready));
         if ready {
-            let detail = format!("revision {}", self.log.revision());
+            let detail = format!("revision {}", self.config_log.revision());
             TimelineEvent::new(EventKind::ProcessReady, detail).record(out);
         }
     }
--- a/crates/role/src/entry/control/plan.rs
+++ b/crates/role/src/entry/control/plan.rs
@@ -73,13 +73,13 @@
 
 /// Result of a round of planning.
 #[derive(Debug)]
-pub(crate) struct PlanDone {
+pub(crate) struct PlanResult {
     cells: Vec<PlannedCell>,
 }
 
 impl PlanJob {
     /// Computes the plans of the cells that this entry plans.
-    pub(crate) fn run(mut self) -> PlanDone {
+    pub(crate) fn run(mut self) -> PlanResult {
         let shares = share_demand(&self.config, &self.cells, &self.demands);
         let mut cells = Vec::new();
         for (cell, share) in self.cells.into_iter().zip(shares) {
@@ -99,7 +99,7 @@
                 plan,
             });
         }
-        PlanDone { cells }
+        PlanResult { cells }
     }
 }
 
@@ -225,7 +225,7 @@
     /// Stores the result of a round of planning, and sends agents their targets.
     pub(crate) fn planned(
         &mut self,
-        done: PlanDone,
+        done: PlanResult,
         shared: &Shared,
         out: &mut Vec<EntryAction>,
     ) {
@@ -280,7 +280,7 @@
                 sequence: self.planning.sequence,
                 agent_incarnation: agent.incarnation.0,
                 models: models.collect(),
-                revision: self.log.revision().0,
+                revision: self.config_log.revision().0,
             }),
         });
     }
--- a/crates/role/src/entry/control/platform.rs
+++ b/crates/role/src/entry/control/platform.rs
@@ -61,7 +61,7 @@
 /// State of the calls to the platform.
 #[derive(Debug)]
 pub(crate) struct PlatformCalls {
-    next: u64,
+    next_id: u64,
     pending: BTreeMap<u64, CallKind>,
     failures: BTreeMap<CallKind, u32>,
     away: bool,
@@ -75,7 +75,7 @@
 impl PlatformCalls {
     pub(super) const fn new() -> Self {
         Self {
-            next: 1,
+            next_id: 1,
             pending: BTreeMap::new(),
             failures: BTreeMap::new(),
             away: false,
@@ -153,11 +153,11 @@
         if self.defer_watch(call) {
             return;
         }
-        let id = self.platform.next;
-        self.platform.next += 1;
+        let id = self.platform.next_id;
+        self.platform.next_id += 1;
         self.platform.pending.insert(id, call);
         if call == CallKind::ConfigPoll {
-            self.platform.polled_revision = Revision(self.log.revision().0 + 1);
+            self.platform.polled_revision = Revision(self.config_log.revision().0 + 1);
         }
         let op = self.operation(call, options);
         out.push(EntryAction::CallPlatform(PlatformCall { id, op }));
@@ -336,12 +336,12 @@
         out: &mut Vec<EntryAction>,
         effects: &mut Effects,
     ) {
-        let before = self.log.revision();
+        let before = self.config_log.revision();
         if let Some((version, value)) = object {
             let key = revision_key(self.platform.polled_revision);
             self.apply_config_changes(&[(key, version, value)], shared, out, effects);
         }
-        if self.log.revision() > before {
+        if self.config_log.revision() > before {
             self.call(CallKind::ConfigPoll, &shared.options, out);
             return;
         }
--- a/crates/role/src/entry/report.rs
+++ b/crates/role/src/entry/report.rs
@@ -50,7 +50,7 @@
             ready: control.ready,
             leaving: control.leaving,
             platform_up: control.platform_up(),
-            revision: control.log.revision().0,
+            revision: control.config_log.revision().0,
             agents: agents.map(|agent| agent_summary(now, agent)).collect(),
             entries: entries.collect(),
             models: self.model_summaries(&control, now),
--- a/crates/role/src/entry/requests/answers.rs
+++ b/crates/role/src/entry/requests/answers.rs
@@ -168,8 +168,7 @@
         code: Code,
         retry_after_ms: u64,
     ) {
-        let Some(attempt) = self.settle_attempt(ctx, sequence, Some(Ran::NotRun))
-        else {
+        let Some(attempt) = self.end_attempt(ctx, sequence, Some(Ran::NotRun)) else {
             return;
         };
         if !retryable_elsewhere(code) {
--- a/crates/role/src/entry/requests/candidates.rs
+++ b/crates/role/src/entry/requests/candidates.rs
@@ -167,7 +167,7 @@
 }
 
 /// Input of admission control for a request.
-pub(super) fn admit_input(
+pub(super) fn admission_input(
     ctx: &Ctx<'_>,
     request: &Request,
     candidates: &Candidates<'_>,
--- a/crates/role/src/entry/requests/dispatch.rs
+++ b/crates/role/src/entry/requests/dispatch.rs
@@ -11,7 +11,9 @@
 use super::super::timeline::TimelineEvent;
 use super::super::wait_queue::{EnqueueResult, QueuePosition};
 use super::Requests;
-use super::candidates::{Candidates, admit_input, crashed_all, keeps_waiting_for_load};
+use super::candidates::{
+    Candidates, admission_input, crashed_all, keeps_waiting_for_load,
+};
 use super::send::Route;
 use super::state::{Request, State};
 use super::timers::Timer;
@@ -20,7 +22,7 @@
 /// request did not run, so the limit only keeps it from circulating forever.
 const ADMISSION_REFUSALS_MAX: u32 = 16;
 
-/// Retry delay told to the caller if none can be predicted.
+/// Retry delay sent to the caller if none can be predicted.
 const DEFAULT_RETRY_AFTER_MS: u64 = 1_000;
 
 /// Result of dispatching a request.
@@ -100,7 +102,7 @@
         };
         let mut candidates = Candidates::of(ctx.control, ctx.now, request);
         let crashed_agents = match exclusive {
-            true => crashed_on(ctx, request),
+            true => crashed_agents_of(ctx, request),
             false => Vec::new(),
         };
         if exclusive {
@@ -111,7 +113,7 @@
         if cannot_resume(ctx, request, &candidates) {
             return self.refuse(ctx, sequence, Code::AnswerBroken, None);
         }
-        let input = admit_input(ctx, request, &candidates, &crashed_agents, ahead);
+        let input = admission_input(ctx, request, &candidates, &crashed_agents, ahead);
         if exclusive
             && let Some((code, ms)) =
                 exclusive_run_refusal(ctx, request, &input, &crashed_agents)
@@ -356,7 +358,7 @@
 }
 
 /// Agents whose upstreams crashed with the request in flight.
-fn crashed_on(ctx: &Ctx<'_>, request: &Request) -> Vec<AgentId> {
+fn crashed_agents_of(ctx: &Ctx<'_>, request: &Request) -> Vec<AgentId> {
     let suspects = ctx.shared.suspects.lock();
     suspects
         .crashed_agents(request.resolved.fingerprint)
--- a/crates/role/src/entry/requests/end.rs
+++ b/crates/role/src/entry/requests/end.rs
@@ -99,7 +99,7 @@
         ctx: &mut Ctx<'_>,
         sequence: u64,
     ) -> Option<Request> {
-        self.settle_attempt(ctx, sequence, None);
+        self.end_attempt(ctx, sequence, None);
         let request = self.requests.remove(&sequence)?;
         if let State::Waiting(position) = request.state {
             ctx.shared.wait_queue.lock().remove(position);
@@ -113,7 +113,7 @@
     ///
     /// `reported` is what the agent finally reported. Without a report, the attempt
     /// counts as run if its start was reported, else as unknown.
-    pub(super) fn settle_attempt(
+    pub(super) fn end_attempt(
         &mut self,
         ctx: &mut Ctx<'_>,
         sequence: u64,
--- a/crates/role/src/entry/requests/failures.rs
+++ b/crates/role/src/entry/requests/failures.rs
@@ -15,10 +15,10 @@
 use super::state::{Attempt, State};
 use crate::Peer;
 
-/// Retry delay told to the caller if the retry budget was exhausted.
+/// Retry delay sent to the caller if the retry budget was exhausted.
 const BUDGET_RETRY_MS: u64 = 2_000;
 
-/// Retry delay told to the caller after a deadline. The slot is freed at once, and a call
+/// Retry delay sent to the caller after a deadline. The slot is freed at once, and a call
 /// that continues may have ended by then.
 const DEADLINE_RETRY_MS: u64 = 1_000;
 
@@ -85,7 +85,7 @@
             return;
         }
         let retry_after = u64::from(frame.retry_after_ms);
-        self.settle_attempt(ctx, sequence, Some(ran));
+        self.end_attempt(ctx, sequence, Some(ran));
         self.refuse(
             ctx,
             sequence,
@@ -122,7 +122,7 @@
         failure: Failure,
     ) {
         let Failure { code, ran, charge } = failure;
-        let Some(attempt) = self.settle_attempt(ctx, sequence, ran) else {
+        let Some(attempt) = self.end_attempt(ctx, sequence, ran) else {
             return;
         };
         let Some(request) = self.requests.get_mut(&sequence) else {
--- a/crates/role/src/entry/requests/send.rs
+++ b/crates/role/src/entry/requests/send.rs
@@ -129,7 +129,7 @@
 }
 
 fn run_frame(ctx: &Ctx<'_>, request: &Request, attempt: &Attempt) -> Run {
-    let arrival = &request.incoming;
+    let incoming = &request.incoming;
     let resolved = &request.resolved;
     let service = match resolved.resource.model() {
         Some(_) => String::new(),
@@ -140,7 +140,7 @@
     Run {
         attempt: Some(encode_attempt_id(attempt.id)),
         agent_incarnation: attempt.incarnation.0,
-        revision: ctx.control.log.revision().0,
+        revision: ctx.control.config_log.revision().0,
         remaining_ms: request.remaining_ms(ctx.now),
         caller: request.caller.to_string(),
         profile: resolved.profile.clone(),
@@ -148,17 +148,17 @@
         version: attempt.version,
         service,
         idempotent: resolved.idempotent,
-        idempotency_key: arrival.idempotency_key.clone().unwrap_or_default(),
-        body_hash: arrival.body_hash,
+        idempotency_key: incoming.idempotency_key.clone().unwrap_or_default(),
+        body_hash: incoming.body_hash,
         fingerprint: resolved.fingerprint,
-        prefix_hash: arrival.prefix_hash,
+        prefix_hash: incoming.prefix_hash,
         priority: resolved.priority,
         resume_offset: request.delivered,
-        prompt_tokens: arrival.prompt_tokens,
-        tokens_max: arrival.tokens_max,
-        method: arrival.method.clone(),
-        path: arrival.path.clone(),
-        content_type: arrival.content_type.clone(),
+        prompt_tokens: incoming.prompt_tokens,
+        tokens_max: incoming.tokens_max,
+        method: incoming.method.clone(),
+        path: incoming.path.clone(),
+        content_type: incoming.content_type.clone(),
         alone: attempt.exclusive,
         // 0 means no target, so an expired one is sent as 1.
         first_token_ms: match resolved.first_token_ms {
--- a/crates/role/src/entry/role.rs
+++ b/crates/role/src/entry/role.rs
@@ -29,7 +29,7 @@
     pub(super) shared: Shared,
     pub(super) control: RwLock<Control>,
     pub(super) shards: Vec<Mutex<Requests>>,
-    next: AtomicU64,
+    next_sequence: AtomicU64,
     /// Next timer of the control state (index 0) and of each shard, in
     /// microseconds.
     ///
@@ -73,7 +73,7 @@
             control: RwLock::new(control),
             shared: Shared::new(options),
             shards,
-            next: AtomicU64::new(1),
+            next_sequence: AtomicU64::new(1),
             due_times,
             freeze_threshold,
         }
@@ -86,8 +86,8 @@
         }
         match event {
             EntryEvent::Tick => self.tick(now, out),
-            EntryEvent::RequestReceived(arrival) => {
-                self.request_received(now, arrival, out);
+            EntryEvent::RequestReceived(incoming) => {
+                self.request_received(now, incoming, out);
             }
             EntryEvent::CallerDisconnected { request } => {
                 self.run_in_shard(now, request.sequence, out, |shard, ctx| {
@@ -146,7 +146,7 @@
     pub fn next_request_id(&self) -> RequestId {
         RequestId {
             origin: self.shared.options.incarnation.0,
-            sequence: self.next.fetch_add(1, Ordering::Relaxed),
+            sequence: self.next_sequence.fetch_add(1, Ordering::Relaxed),
         }
     }
 
@@ -157,7 +157,7 @@
 
     /// Revision of the configuration in force; 0 if there is none.
     pub fn revision(&self) -> Revision {
-        self.control.read().log.revision()
+        self.control.read().config_log.revision()
     }
 
     fn index(&self, sequence: u64) -> usize {
@@ -259,11 +259,11 @@
     fn request_received(
         &self,
         now: Instant,
-        arrival: Box<IncomingRequest>,
+        incoming: Box<IncomingRequest>,
         out: &mut Vec<EntryAction>,
     ) {
         Counts::add(&self.shared.counts.arrived);
-        let id = arrival.request;
+        let id = incoming.request;
         let mut follow_ups = FollowUps::default();
         {
             let control = self.control.read();
@@ -274,7 +274,7 @@
                 out,
                 follow_ups: &mut follow_ups,
             };
-            match super::accept::accept(&mut ctx, arrival) {
+            match super::accept::accept(&mut ctx, incoming) {
                 Ok(request) => {
                     self.with_shard(id.sequence, |shard| {
                         shard.start(&mut ctx, request);
@@ -334,7 +334,7 @@
         body: frame::Body,
         out: &mut Vec<EntryAction>,
     ) {
-        let behind = revision > self.control.read().log.revision();
+        let behind = revision > self.control.read().config_log.revision();
         if behind {
             self.with_control(|control| {
                 control.heard_revision(now, peer, revision, out);
--- a/crates/role/src/entry/shared.rs
+++ b/crates/role/src/entry/shared.rs
@@ -54,8 +54,8 @@
 pub(crate) struct FollowUps {
     /// Wait queues whose first requests may be sendable now.
     pub(crate) wake: BTreeSet<Resource>,
-    /// The queues in `wake` are scanned up to `FULL_SCAN_MAX` requests, not only
-    /// at their head.
+    /// Queues are scanned up to `FULL_SCAN_MAX` requests, and not only until some
+    /// at their head are blocked.
     pub(crate) full_scan: bool,
     /// Agents that may be able to take requests again.
     pub(crate) agents_with_capacity: BTreeSet<AgentId>,
--- a/crates/role/tests/entry/answers.rs
+++ b/crates/role/tests/entry/answers.rs
@@ -221,10 +221,10 @@
     let mut rig = Rig::new();
     rig.agent_in("s1", "desk", "d1", &[]);
     rig.agent_in("s2", "desk", "d1", &[]);
-    let arrival = rig.incoming(role::entry::RequestedResource::Service(
+    let incoming = rig.incoming(role::entry::RequestedResource::Service(
         ServiceId::new("parts"),
     ));
-    let request = rig.submit(arrival);
+    let request = rig.submit(incoming);
     let run = rig.run(request);
     rig.part(&run, 0, 10);
     rig.fail(&run, Code::UpstreamLost, Ran::Ran);
--- a/crates/role/tests/entry/crashes.rs
+++ b/crates/role/tests/entry/crashes.rs
@@ -133,10 +133,10 @@
 
     fn send_poison(&mut self, index: usize) -> RequestId {
         let rig = &mut self.rigs[index];
-        let mut arrival =
+        let mut incoming =
             rig.incoming(RequestedResource::Model(Some(ModelId::new("m1"))));
-        arrival.body_hash = POISON_BODY_HASH;
-        rig.submit(arrival)
+        incoming.body_hash = POISON_BODY_HASH;
+        rig.submit(incoming)
     }
 }
 
@@ -216,10 +216,10 @@
     rig.agent("a1", &["m1"]);
     rig.agent("a2", &["m1"]);
     let send_poison = |rig: &mut Rig| {
-        let mut arrival =
+        let mut incoming =
             rig.incoming(RequestedResource::Model(Some(ModelId::new("m1"))));
-        arrival.body_hash = POISON_BODY_HASH;
-        rig.submit(arrival)
+        incoming.body_hash = POISON_BODY_HASH;
+        rig.submit(incoming)
     };
     let request = send_poison(&mut rig);
     let first = rig.run(request);
--- a/crates/role/tests/entry/early_refusals.rs
+++ b/crates/role/tests/entry/early_refusals.rs
@@ -14,10 +14,11 @@
 }
 
 fn request_with(rig: &mut Rig, model: &str, deadline_ms: u64, body: u64) -> RequestId {
-    let mut arrival = rig.incoming(RequestedResource::Model(Some(ModelId::new(model))));
-    arrival.deadline_ms = Some(deadline_ms);
-    arrival.body_hash = body;
-    rig.submit(arrival)
+    let mut incoming =
+        rig.incoming(RequestedResource::Model(Some(ModelId::new(model))));
+    incoming.deadline_ms = Some(deadline_ms);
+    incoming.body_hash = body;
+    rig.submit(incoming)
 }
 
 fn receive_demands(rig: &mut Rig, demands: Vec<Demand>) {
@@ -116,10 +117,10 @@
                 rig.agent_in("s1", "desk", "d1", &[]);
                 rig.agents.get_mut("s1").expect("known").upstream_up = false;
                 rig.advance(6_000);
-                let mut arrival =
+                let mut incoming =
                     rig.incoming(RequestedResource::Service(ServiceId::new("parts")));
-                arrival.deadline_ms = Some(5_000);
-                rig.submit(arrival)
+                incoming.deadline_ms = Some(5_000);
+                rig.submit(incoming)
             },
             within_ms: 0,
             code: Code::ModelUnavailable,
@@ -158,11 +159,11 @@
             set_up: |rig| {
                 rig.agent("a1", &["m1"]);
                 fill(rig, "a1");
-                let mut arrival =
+                let mut incoming =
                     rig.incoming(RequestedResource::Model(Some(ModelId::new("m1"))));
-                arrival.profile = Some(ProfileId::new("night"));
-                arrival.deadline_ms = Some(8_000);
-                let request = rig.submit(arrival);
+                incoming.profile = Some(ProfileId::new("night"));
+                incoming.deadline_ms = Some(8_000);
+                let request = rig.submit(incoming);
                 assert!(rig.refusals(request).is_empty());
                 for _ in 0..40 {
                     rig.request_model("m1");
@@ -262,9 +263,9 @@
         (Code::CallerLimit, Ran::NotRun)
     );
     assert!(refusal.retry_after_ms.is_some());
-    let mut arrival = rig.incoming(RequestedResource::Model(Some(ModelId::new("m1"))));
-    arrival.credential = access::Credential::of("other");
-    let request = rig.submit(arrival);
+    let mut incoming = rig.incoming(RequestedResource::Model(Some(ModelId::new("m1"))));
+    incoming.credential = access::Credential::of("other");
+    let request = rig.submit(incoming);
     assert!(rig.refusals(request).is_empty());
     // Requests that were sent no longer count towards the limit.
     rig.agents.get_mut("a1").expect("known").models = vec![("m1".to_owned(), 1)];
@@ -283,11 +284,11 @@
         let mut rig = Rig::new();
         rig.agent_in("s1", "desk", "d1", &[]);
         let service = if idempotent { "parts" } else { "orders" };
-        let mut arrival =
+        let mut incoming =
             rig.incoming(RequestedResource::Service(ServiceId::new(service)));
-        arrival.deadline_ms = Some(1_000);
-        arrival.idempotency_key = key.then(|| "k1".to_owned());
-        let request = rig.submit(arrival);
+        incoming.deadline_ms = Some(1_000);
+        incoming.idempotency_key = key.then(|| "k1".to_owned());
+        let request = rig.submit(incoming);
         let run = rig.run(request);
         rig.started(&run);
         rig.advance(1_100);
--- a/crates/role/tests/entry/failing.rs
+++ b/crates/role/tests/entry/failing.rs
@@ -7,8 +7,8 @@
 use schema::timeline::EventKind;
 
 fn submit_call(rig: &mut Rig, service: &str) -> RequestId {
-    let arrival = rig.incoming(RequestedResource::Service(ServiceId::new(service)));
-    rig.submit(arrival)
+    let incoming = rig.incoming(RequestedResource::Service(ServiceId::new(service)));
+    rig.submit(incoming)
 }
 
 fn call(rig: &mut Rig, service: &str) -> SentRun {
--- a/crates/role/tests/entry/forecast.rs
+++ b/crates/role/tests/entry/forecast.rs
@@ -28,9 +28,10 @@
 
 /// Submits a request with a deadline; returns whether it was refused at once.
 fn refused_at_once(rig: &mut Rig, model: &str, deadline_ms: u64) -> bool {
-    let mut arrival = rig.incoming(RequestedResource::Model(Some(ModelId::new(model))));
-    arrival.deadline_ms = Some(deadline_ms);
-    let request = rig.submit(arrival);
+    let mut incoming =
+        rig.incoming(RequestedResource::Model(Some(ModelId::new(model))));
+    incoming.deadline_ms = Some(deadline_ms);
+    let request = rig.submit(incoming);
     let refusals = rig.refusals(request);
     let all_with_retry_delay = refusals
         .iter()
@@ -163,10 +164,10 @@
         let mut rig = rig_with_slow_store();
         rig.agent("a1", &[]);
         rig.agents.get_mut("a1").expect("known").silent = true;
-        let mut arrival =
+        let mut incoming =
             rig.incoming(RequestedResource::Model(Some(ModelId::new("m1"))));
-        arrival.deadline_ms = Some(DEADLINE_MS);
-        let request = rig.submit(arrival);
+        incoming.deadline_ms = Some(DEADLINE_MS);
+        let request = rig.submit(incoming);
         let (mut refused_after_ms, mut later) = (None, None);
         for passed_ms in (250..DEADLINE_MS + 1_000).step_by(250) {
             rig.advance(250);
--- a/crates/role/tests/entry/freeze.rs
+++ b/crates/role/tests/entry/freeze.rs
@@ -59,13 +59,13 @@
             let run = rig.run(request);
             rig.started(&run);
         }
-        let mut arrival =
+        let mut incoming =
             rig.incoming(RequestedResource::Model(Some(ModelId::new("m1"))));
-        arrival.deadline_ms = Some(4_000);
+        incoming.deadline_ms = Some(4_000);
         let runs = [rig.run(running), rig.run(order)];
         freeze(&mut rig);
         first(&mut rig);
-        let request = rig.submit(arrival);
+        let request = rig.submit(incoming);
         assert!(rig.refusals(request).is_empty(), "{name}");
         rig.send_heartbeats();
         assert_eq!(rig.events_recorded(EventKind::AgentLost), 0, "{name}");
--- a/crates/role/tests/entry/retries.rs
+++ b/crates/role/tests/entry/retries.rs
@@ -176,10 +176,10 @@
         (
             "unknown caller",
             |r| {
-                let mut arrival =
+                let mut incoming =
                     r.incoming(role::entry::RequestedResource::Model(None));
-                arrival.credential = access::Credential::of("other");
-                r.submit(arrival)
+                incoming.credential = access::Credential::of("other");
+                r.submit(incoming)
             },
             Code::UnknownCaller,
             Ran::NotRun,
@@ -187,8 +187,8 @@
         (
             "no default profile",
             |r| {
-                let arrival = r.incoming(role::entry::RequestedResource::Model(None));
-                r.submit(arrival)
+                let incoming = r.incoming(role::entry::RequestedResource::Model(None));
+                r.submit(incoming)
             },
             Code::UnknownProfile,
             Ran::NotRun,
@@ -225,11 +225,11 @@
         (
             "deadline before the agent reported a start",
             |r| {
-                let mut arrival = r.incoming(role::entry::RequestedResource::Model(
+                let mut incoming = r.incoming(role::entry::RequestedResource::Model(
                     Some(ModelId::new("m1")),
                 ));
-                arrival.deadline_ms = Some(1_500);
-                let request = r.submit(arrival);
+                incoming.deadline_ms = Some(1_500);
+                let request = r.submit(incoming);
                 r.advance(1_600);
                 let run = r.run(request);
                 assert_eq!((r.revokes(&run), r.cancels(&run)), (1, 1));
@@ -241,11 +241,11 @@
         (
             "deadline while it runs",
             |r| {
-                let mut arrival = r.incoming(role::entry::RequestedResource::Model(
+                let mut incoming = r.incoming(role::entry::RequestedResource::Model(
                     Some(ModelId::new("m1")),
                 ));
-                arrival.deadline_ms = Some(1_500);
-                let request = r.submit(arrival);
+                incoming.deadline_ms = Some(1_500);
+                let request = r.submit(incoming);
                 let run = r.run(request);
                 r.started(&run);
                 r.advance(1_600);
--- a/crates/role/tests/entry/rig/requests.rs
+++ b/crates/role/tests/entry/rig/requests.rs
@@ -25,23 +25,23 @@
         }
     }
 
-    pub fn submit(&mut self, arrival: IncomingRequest) -> RequestId {
-        let request = arrival.request;
-        self.handle(EntryEvent::RequestReceived(Box::new(arrival)));
+    pub fn submit(&mut self, incoming: IncomingRequest) -> RequestId {
+        let request = incoming.request;
+        self.handle(EntryEvent::RequestReceived(Box::new(incoming)));
         request
     }
 
     pub fn request_model(&mut self, model: &str) -> RequestId {
-        let arrival =
+        let incoming =
             self.incoming(RequestedResource::Model(Some(ModelId::new(model))));
-        self.submit(arrival)
+        self.submit(incoming)
     }
 
     /// Submits a call of a service that is not idempotent, with an idempotency key.
     pub fn call_orders(&mut self) -> RequestId {
-        let mut arrival =
+        let mut incoming =
             self.incoming(RequestedResource::Service(ServiceId::new("orders")));
-        arrival.idempotency_key = Some("k1".to_owned());
-        self.submit(arrival)
+        incoming.idempotency_key = Some("k1".to_owned());
+        self.submit(incoming)
     }
 }
--- a/crates/role/tests/entry/suspects.rs
+++ b/crates/role/tests/entry/suspects.rs
@@ -11,9 +11,9 @@
 const POISON_BODY_HASH: u64 = 666;
 
 fn send_poison(rig: &mut Rig) -> RequestId {
-    let mut arrival = rig.incoming(RequestedResource::Model(Some(ModelId::new("m1"))));
-    arrival.body_hash = POISON_BODY_HASH;
-    rig.submit(arrival)
+    let mut incoming = rig.incoming(RequestedResource::Model(Some(ModelId::new("m1"))));
+    incoming.body_hash = POISON_BODY_HASH;
+    rig.submit(incoming)
 }
 
 /// Ends the latest attempt of a request with a crash of the given upstream incarnation.
--- a/crates/role/tests/entry/waiting.rs
+++ b/crates/role/tests/entry/waiting.rs
@@ -13,9 +13,9 @@
 }
 
 fn batch_request(rig: &mut Rig) -> RequestId {
-    let mut arrival = rig.incoming(RequestedResource::Model(Some(ModelId::new("m1"))));
-    arrival.profile = Some(ProfileId::new("night"));
-    rig.submit(arrival)
+    let mut incoming = rig.incoming(RequestedResource::Model(Some(ModelId::new("m1"))));
+    incoming.profile = Some(ProfileId::new("night"));
+    rig.submit(incoming)
 }
 
 /// An interactive request is sent before a batch request that has waited longer, as soon
@@ -145,9 +145,9 @@
 fn requests_that_would_miss_their_deadline_are_refused_at_once() {
     let mut rig = Rig::new();
     rig.agent("a1", &["m2"]);
-    let mut arrival = rig.incoming(RequestedResource::Model(Some(ModelId::new("m1"))));
-    arrival.deadline_ms = Some(300);
-    let request = rig.submit(arrival);
+    let mut incoming = rig.incoming(RequestedResource::Model(Some(ModelId::new("m1"))));
+    incoming.deadline_ms = Some(300);
+    let request = rig.submit(incoming);
     let refusal = rig.refusal(request);
     assert_eq!(refusal.code, Code::ModelUnavailable);
     assert!(refusal.retry_after_ms.is_some_and(|ms| ms > 0));
