--- a/crates/role/src/entry/control/freeze.rs
+++ b/crates/role/src/entry/control/freeze.rs
@@ -46,10 +46,10 @@
 
     /// Notes a freeze, if one has just ended.
     pub(crate) fn detect_freeze(&mut self, now: Instant) {
-        let (Some(due), Some(bound)) = (self.due(), self.freeze_threshold()) else {
+        let (Some(due), Some(threshold)) = (self.due(), self.freeze_threshold()) else {
             return;
         };
-        if now < bound {
+        if now < threshold {
             return;
         }
         let timing = self.directory.timing();
--- a/crates/role/src/entry/requests/failures.rs
+++ b/crates/role/src/entry/requests/failures.rs
@@ -153,7 +153,7 @@
         self.dispatch_elsewhere(ctx, sequence);
     }
 
-    /// Handles the loss of an agent or of the link to it.
+    /// Handles the loss or restart of an agent, or the loss of the link to it.
     pub(crate) fn agent_gone(
         &mut self,
         ctx: &mut Ctx<'_>,
