--- a/crates/route/src/choose.rs
+++ b/crates/route/src/choose.rs
@@ -1,4 +1,4 @@
-//! Choice of the holder that a request is sent to.
+//! Choice of the agent that a request is sent to.
 
 use base::prelude::*;
 use rand_core::Rng;
@@ -6,63 +6,65 @@
 
 use crate::rendezvous::rendezvous_weight;
 
-/// Load bound factor: a holder takes requests of its prefixes up to this
-/// multiple of the mean load per place, in percent.
+/// Load per slot, in percent of the mean, up to which a holder is chosen by prompt
+/// prefix.
 const LOAD_BOUND_PERCENT: u64 = 200;
 
-/// Places below which the load bound does not bite, so that a nearly idle fleet
-/// keeps its prefixes together.
+/// Number of requests below which the load bound does not apply, so that prefixes
+/// stay with their holders when the fleet is nearly idle.
 const LOAD_BOUND_FLOOR: u64 = 2;
 
-/// Age at which a load hint counts half, the mean of all hints the other half.
+/// Age at which a load report and the mean of all reports have equal weight.
 const REPORT_HALF_LIFE_MS: u64 = 100;
 
-/// Requests an agent may hold beyond `running_max`, as a divisor of it; one at
-/// least.
+/// Divisor of `running_max` that gives the number of requests an agent may hold
+/// beyond it; at least one.
 ///
-/// A little queue at the upstream keeps its batch full over the time that the
-/// next request takes to arrive; more would only wait where it can't be moved.
+/// A short queue at the upstream keeps its batch full while the next request is on
+/// its way. Requests in a longer one would wait where they can't be sent elsewhere.
 const QUEUE_DIVISOR: u32 = 8;
 
-/// Ages and places above these count as these, so that no report, however
-/// broken, overflows a product of them.
+/// Upper bounds for report ages and slots, so that out-of-range reports do not
+/// overflow a product.
 const REPORT_AGE_MAX_MS: u64 = 60_000;
-const PLACES_MAX: u32 = 4_096;
+const SLOTS_MAX: u32 = 4_096;
 
-/// Fixed point of loads.
-const ONE: u64 = 1 << 10;
+/// One request in the fixed-point representation of loads.
+const ONE_REQUEST: u64 = 1 << 10;
 
-/// One agent that holds the model, as this entry sees it.
+/// An agent that holds the model, as this entry sees it.
 #[derive(Debug, Clone, Copy)]
 pub struct Holder<'a> {
-    /// Agent beside the upstream.
+    /// Name of the agent.
     pub agent: &'a AgentId,
     /// Failure domain of the agent.
     pub domain: &'a DomainId,
-    /// Requests running when the hint was made.
+    /// Number of requests running at the time of the last load report.
     pub running: u32,
-    /// Requests waiting at the upstream when the hint was made.
+    /// Number of requests waiting at the upstream at the time of the last load
+    /// report.
     pub waiting: u32,
-    /// Requests the upstream runs at once.
+    /// Number of requests that the upstream runs at once.
     pub running_max: u32,
-    /// Smoothed duration of one engine step; 0 when not known.
+    /// Smoothed duration of one engine step; 0 if unknown.
     pub step_time_us: u32,
-    /// Age of the hint.
+    /// Age of the last load report.
     pub report_age_ms: u64,
-    /// This entry's own attempts sent since the hint was made.
+    /// Number of attempts that this entry has sent since the last load report.
     pub sent_since_report: u32,
-    /// Whether the agent has been silent for too long.
+    /// Whether the failure detector suspects the agent, because it has been silent
+    /// for too long.
     pub suspected: bool,
 }
 
-/// What the choice depends on besides the holders.
+/// Input of the choice besides the holders.
 #[derive(Debug, Clone, Copy)]
 pub struct RoutingInput<'a> {
     /// Hash of the prompt's prefix; 0 for none.
     pub prefix_hash: u64,
     /// Failure domain of this entry.
     pub domain: &'a DomainId,
-    /// Agents the request was sent to already.
+    /// Agents that the request has already been sent to.
     pub excluded: &'a [AgentId],
 }
 
@@ -71,16 +73,16 @@
 pub enum RouteReason {
     /// It ranks first for the prompt's prefix.
     Prefix,
-    /// It ranks first for the prefix among those within the load bound.
+    /// It ranks first for the prefix among the holders within the load bound.
     PrefixBounded,
-    /// It is the better of two drawn at random.
+    /// It is the better of two random holders.
     TwoChoices,
-    /// No other holder has room.
+    /// No other holder can accept the request.
     OnlyHolder,
 }
 
 impl RouteReason {
-    /// The number used in events.
+    /// Number used in timeline events.
     pub const fn number(self) -> u32 {
         match self {
             Self::Prefix => 1,
@@ -90,7 +92,7 @@
         }
     }
 
-    /// Finds a reason by its number.
+    /// Returns the reason with this number.
     pub fn from_number(number: u32) -> Option<Self> {
         const ALL: [RouteReason; 4] = [
             RouteReason::Prefix,
@@ -101,7 +103,7 @@
         ALL.into_iter().find(|reason| reason.number() == number)
     }
 
-    /// The word used towards operators.
+    /// Word shown to operators.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Prefix => "prefix",
@@ -112,52 +114,52 @@
     }
 }
 
-/// A chosen holder.
+/// The holder that was chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ChosenHolder {
-    /// Index into the holders given.
+    /// Index into the given holders.
     pub index: usize,
-    /// Why.
+    /// Why it was chosen.
     pub reason: RouteReason,
 }
 
-/// Whether a holder can be sent one more request.
+/// Whether one more request can be sent to a holder.
 pub fn has_capacity(holder: &Holder<'_>) -> bool {
-    let places = places(holder);
-    let margin = (places / u64::from(QUEUE_DIVISOR)).max(1);
-    places > 0 && known_load(holder) < places + margin
+    let slots = slots(holder);
+    let margin = (slots / u64::from(QUEUE_DIVISOR)).max(1);
+    slots > 0 && known_load(holder) < slots + margin
 }
 
-/// Picks the holder that a request is sent to.
+/// Chooses the holder that a request is sent to.
 ///
-/// Returns `None` when no holder that is not excluded has room. A suspected
-/// holder is chosen only when no other has room: it may well be alive, and a
-/// request sent to a dead one is retried. Nothing is allocated.
+/// Returns `None` if no holder that is not excluded has capacity. A suspected
+/// holder is chosen only if no other has capacity: it may be alive after all, and a
+/// request sent to a dead one is retried. Does not allocate.
 pub fn choose_holder(
     holders: &[Holder<'_>],
     input: &RoutingInput<'_>,
     rng: &mut Pcg64Mcg,
 ) -> Option<ChosenHolder> {
-    let view = View::new(holders, input)?;
-    if view.count == 1 {
-        let index = view.nth(0);
+    let eligible = EligibleHolders::new(holders, input)?;
+    if eligible.count == 1 {
+        let index = eligible.nth_eligible(0);
         return Some(ChosenHolder {
             index,
             reason: RouteReason::OnlyHolder,
         });
     }
     if input.prefix_hash != 0 {
-        return Some(view.by_prefix(input.prefix_hash));
+        return Some(eligible.choose_by_prefix(input.prefix_hash));
     }
-    Some(view.by_two_choices(rng))
+    Some(eligible.choose_by_two_choices(rng))
 }
 
-/// Requests the upstream runs at once.
-fn places(holder: &Holder<'_>) -> u64 {
-    u64::from(holder.running_max.min(PLACES_MAX))
+/// Number of requests that the upstream runs at once.
+fn slots(holder: &Holder<'_>) -> u64 {
+    u64::from(holder.running_max.min(SLOTS_MAX))
 }
 
-/// Requests at the holder as far as this entry knows.
+/// Number of requests at the holder as far as this entry knows.
 fn known_load(holder: &Holder<'_>) -> u64 {
     u64::from(holder.running)
         + u64::from(holder.waiting)
@@ -166,97 +168,103 @@
 
 /// The holders that may be chosen, and their mean load.
 #[derive(Debug)]
-struct View<'v, 'a> {
+struct EligibleHolders<'v, 'a> {
     holders: &'v [Holder<'a>],
     input: &'v RoutingInput<'v>,
-    /// Whether only suspected holders are left.
+    /// Whether suspected holders are chosen from, because no other has capacity.
     suspected: bool,
     count: usize,
-    /// Mean load per place, times `ONE`.
-    mean: u64,
-    /// Least step time among the eligible.
-    step_floor_us: u64,
+    /// Mean load per slot, times `ONE_REQUEST`.
+    mean_load: u64,
+    /// Least step time of the eligible holders.
+    min_step_time_us: u64,
 }
 
-impl<'v, 'a> View<'v, 'a> {
+impl<'v, 'a> EligibleHolders<'v, 'a> {
     fn new(holders: &'v [Holder<'a>], input: &'v RoutingInput<'v>) -> Option<Self> {
-        let mut view = Self {
+        let mut eligible = Self {
             holders,
             input,
             suspected: false,
             count: 0,
-            mean: 0,
-            step_floor_us: 1,
+            mean_load: 0,
+            min_step_time_us: 1,
         };
-        view.measure();
-        if view.count == 0 {
-            view.suspected = true;
-            view.measure();
+        eligible.update_totals();
+        if eligible.count == 0 {
+            eligible.suspected = true;
+            eligible.update_totals();
         }
-        (view.count > 0).then_some(view)
+        (eligible.count > 0).then_some(eligible)
     }
 
-    fn eligible(&self, holder: &Holder<'_>) -> bool {
+    fn is_eligible(&self, holder: &Holder<'_>) -> bool {
         holder.suspected == self.suspected
             && has_capacity(holder)
             && !self.input.excluded.contains(holder.agent)
     }
 
-    fn measure(&mut self) {
-        let (mut count, mut load, mut all_places) = (0, 0, 0);
-        let mut step_floor_us = u64::MAX;
-        for holder in self.holders.iter().filter(|holder| self.eligible(holder)) {
+    fn update_totals(&mut self) {
+        let (mut count, mut load, mut all_slots) = (0, 0, 0);
+        let mut min_step_time_us = u64::MAX;
+        for holder in self
+            .holders
+            .iter()
+            .filter(|holder| self.is_eligible(holder))
+        {
             count += 1;
             load += known_load(holder);
-            all_places += places(holder);
-            step_floor_us = step_floor_us.min(step_time_us(holder));
+            all_slots += slots(holder);
+            min_step_time_us = min_step_time_us.min(step_time_us(holder));
         }
         self.count = count;
-        self.mean = load * ONE / all_places.max(1);
-        self.step_floor_us = step_floor_us;
+        self.mean_load = load * ONE_REQUEST / all_slots.max(1);
+        self.min_step_time_us = min_step_time_us;
     }
 
-    /// Index of the `n`th eligible holder.
-    fn nth(&self, n: usize) -> usize {
+    /// Returns the index of the `n`th eligible holder.
+    fn nth_eligible(&self, n: usize) -> usize {
         let mut eligible = self.holders.iter().enumerate();
         let found = eligible
             .by_ref()
-            .filter(|(_, holder)| self.eligible(holder))
+            .filter(|(_, holder)| self.is_eligible(holder))
             .nth(n);
         found.map_or(0, |(index, _)| index)
     }
 
-    /// Load of a holder, times `ONE`, with an old hint drawn to the mean.
+    /// Estimated load of a holder, times `ONE_REQUEST`. The reported load
+    /// approaches the mean with the age of the report.
     ///
-    /// Own attempts since the hint are known and do not age.
-    fn aged_load(&self, holder: &Holder<'_>) -> u64 {
-        let hint = (u64::from(holder.running) + u64::from(holder.waiting)) * ONE;
-        let mean = self.mean * places(holder);
+    /// Attempts that this entry has sent since the report are known and do not age.
+    fn estimated_load(&self, holder: &Holder<'_>) -> u64 {
+        let reported =
+            (u64::from(holder.running) + u64::from(holder.waiting)) * ONE_REQUEST;
+        let mean = self.mean_load * slots(holder);
         let age_ms = holder.report_age_ms.min(REPORT_AGE_MAX_MS);
-        let blended = (hint * REPORT_HALF_LIFE_MS + mean * age_ms)
+        let estimate = (reported * REPORT_HALF_LIFE_MS + mean * age_ms)
             / (REPORT_HALF_LIFE_MS + age_ms).max(1);
-        blended + u64::from(holder.sent_since_report) * ONE
+        estimate + u64::from(holder.sent_since_report) * ONE_REQUEST
     }
 
-    /// Expected slowness: load per place with one more request, weighted by
-    /// step time.
-    fn score(&self, holder: &Holder<'_>) -> u64 {
-        let load = self.aged_load(holder) + ONE;
-        load * step_time_us(holder) / places(holder).max(1)
+    /// Estimated slowness: load per slot including the new request, times the step
+    /// time.
+    fn cost(&self, holder: &Holder<'_>) -> u64 {
+        let load = self.estimated_load(holder) + ONE_REQUEST;
+        load * step_time_us(holder) / slots(holder).max(1)
     }
 
     fn within_bound(&self, holder: &Holder<'_>) -> bool {
         let slowness = step_time_us(holder).max(1);
-        let bound = self.mean * places(holder) * LOAD_BOUND_PERCENT / 100;
-        let bound = bound * self.step_floor_us / slowness;
-        self.aged_load(holder) < bound.max(LOAD_BOUND_FLOOR * ONE)
+        let bound = self.mean_load * slots(holder) * LOAD_BOUND_PERCENT / 100;
+        let bound = bound * self.min_step_time_us / slowness;
+        self.estimated_load(holder) < bound.max(LOAD_BOUND_FLOOR * ONE_REQUEST)
     }
 
-    fn by_prefix(&self, prefix_hash: u64) -> ChosenHolder {
+    fn choose_by_prefix(&self, prefix_hash: u64) -> ChosenHolder {
         let mut first = (0, 0);
         let mut bounded = None;
         for (index, holder) in self.holders.iter().enumerate() {
-            if !self.eligible(holder) {
+            if !self.is_eligible(holder) {
                 continue;
             }
             let weight = rendezvous_weight(prefix_hash, holder.agent.as_str());
@@ -266,7 +274,8 @@
                 bounded = candidate;
             }
         }
-        // All can be over the bound only by aged hints; the first is as good.
+        // All holders can exceed the bound only because of old reports; the first
+        // is then as good as any.
         let chosen = bounded.unwrap_or(first);
         let reason = if chosen == first {
             RouteReason::Prefix
@@ -279,27 +288,28 @@
         }
     }
 
-    fn by_two_choices(&self, rng: &mut Pcg64Mcg) -> ChosenHolder {
-        let first = below(rng, self.count);
-        let second = (first + 1 + below(rng, self.count - 1)) % self.count;
-        let (a, b) = (self.nth(first), self.nth(second));
+    fn choose_by_two_choices(&self, rng: &mut Pcg64Mcg) -> ChosenHolder {
+        let first = random_below(rng, self.count);
+        let second = (first + 1 + random_below(rng, self.count - 1)) % self.count;
+        let (a, b) = (self.nth_eligible(first), self.nth_eligible(second));
         ChosenHolder {
-            index: self.better(a, b),
+            index: self.less_loaded(a, b),
             reason: RouteReason::TwoChoices,
         }
     }
 
-    /// The less loaded of two; at equal load the one in this failure domain.
-    fn better(&self, a: usize, b: usize) -> usize {
+    /// Returns the holder with the lower cost; of equals, the one in this failure
+    /// domain.
+    fn less_loaded(&self, a: usize, b: usize) -> usize {
         let key = |index: usize| {
             let holder = &self.holders[index];
-            (self.score(holder), holder.domain != self.input.domain)
+            (self.cost(holder), holder.domain != self.input.domain)
         };
         if key(b) < key(a) { b } else { a }
     }
 }
 
-/// Step time, with one millisecond for a holder that never reported one.
+/// Step time of a holder; one millisecond if it has never reported one.
 fn step_time_us(holder: &Holder<'_>) -> u64 {
     match holder.step_time_us {
         0 => 1_000,
@@ -307,10 +317,10 @@
     }
 }
 
-/// A number below `bound`, which is above zero.
-fn below(rng: &mut Pcg64Mcg, bound: usize) -> usize {
-    // The product of a 32-bit number with the bound, divided by 2^32, is spread
-    // evenly enough for a choice of holders and needs no division.
+/// Random number below `bound`, which must not be 0.
+fn random_below(rng: &mut Pcg64Mcg, bound: usize) -> usize {
+    // Multiplying by the bound and dividing by 2^32 is uniform enough for this
+    // choice and needs no division instruction.
     let scaled = u64::from(rng.next_u32()) * bound as u64;
     (scaled >> 32) as usize
 }
--- /dev/null
+++ b/crates/route/src/crash_record.rs
@@ -0,0 +1,98 @@
+//! Crashes with one request fingerprint in flight, and the verdict that follows.
+
+use base::prelude::*;
+use schema::link::CrashWitness;
+
+/// Maximum number of crashes kept per fingerprint.
+pub(crate) const CRASHES_MAX: usize = 8;
+
+/// Crashes and verdict of one fingerprint.
+#[derive(Debug)]
+pub(crate) struct CrashRecord {
+    pub(crate) crashes: Vec<CrashWitness>,
+    /// Number of crashes, from the start of `crashes`, that no longer count because
+    /// the request has since completed an exclusive run.
+    pub(crate) cleared: usize,
+    pub(crate) convicted: bool,
+    pub(crate) expires_at: Instant,
+    /// When this entry last learned of a new crash.
+    pub(crate) learned_at: Instant,
+    pub(crate) model: String,
+    pub(crate) running_at: String,
+}
+
+impl CrashRecord {
+    pub(crate) fn new(now: Instant, expires_at: Instant) -> Self {
+        Self {
+            crashes: Vec::new(),
+            cleared: 0,
+            convicted: false,
+            expires_at,
+            learned_at: now,
+            model: String::new(),
+            running_at: String::new(),
+        }
+    }
+
+    pub(crate) fn counted_crashes(&self) -> &[CrashWitness] {
+        &self.crashes[self.cleared..]
+    }
+
+    /// Whether the request has neither a crash that counts nor a conviction.
+    pub(crate) fn is_clear(&self) -> bool {
+        !self.convicted && self.counted_crashes().is_empty()
+    }
+
+    /// Adds a crash unless it is known already, since several entries report each
+    /// crash.
+    pub(crate) fn add(&mut self, crash: &CrashWitness) -> bool {
+        let known = self.crashes.iter().any(|known| same_crash(known, crash));
+        if known || !self.make_room(crash) {
+            return false;
+        }
+        self.crashes.push(crash.clone());
+        true
+    }
+
+    /// Makes room by dropping a crash that no longer counts, or else the newest one
+    /// if the new crash is of another upstream. Only such a crash can still change
+    /// the verdict.
+    fn make_room(&mut self, crash: &CrashWitness) -> bool {
+        if self.crashes.len() < CRASHES_MAX {
+            return true;
+        }
+        if self.cleared > 0 {
+            self.crashes.remove(0);
+            self.cleared -= 1;
+            return true;
+        }
+        if self.crashes.iter().any(|known| known.agent == crash.agent) {
+            return false;
+        }
+        self.crashes.pop();
+        true
+    }
+
+    /// Convicts the request if it was in flight when two different upstreams
+    /// crashed; returns whether the verdict changed.
+    ///
+    /// After its first crash a request runs only exclusively, so that a second
+    /// crash shows that it is the cause. Copies of the request that were in flight
+    /// at the same time may have met two crashes next to other requests, and may
+    /// not be the cause. They are convicted as well, because a further run could
+    /// crash a third upstream, and the bound of two crashes has priority over a
+    /// second chance. The verdict does not depend on the order in which an entry
+    /// learns of the crashes.
+    pub(crate) fn update_verdict(&mut self) -> bool {
+        if self.convicted {
+            return false;
+        }
+        let open = self.counted_crashes();
+        self.convicted = open.iter().any(|crash| crash.agent != open[0].agent);
+        self.convicted
+    }
+}
+
+pub(crate) fn same_crash(a: &CrashWitness, b: &CrashWitness) -> bool {
+    a.agent == b.agent && a.upstream_incarnation == b.upstream_incarnation
+}
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,42 +1,43 @@
-//! Decisions about single requests: where each runs, whether it may wait, run
-//! again, or run at all.
+//! Decisions about single requests: which agent runs a request, and whether it may
+//! wait, be retried, or run at all.
 //!
-//! Everything here is an opinion of one entry over a view that lags. A wrong
-//! opinion costs a refusal by an agent's gate or a slower answer; what must
-//! never break (memory, at-most-once, "not run") is decided at the agent, so no
-//! function here has to be right. They have to be cheap and the same on every
-//! run: time is an argument, randomness a generator seeded by the caller, and
-//! nothing does I/O.
+//! One entry makes these decisions from its own, lagging view of the fleet. A wrong
+//! decision costs a slower response or a refusal by an agent's admission control.
+//! Guarantees (memory limits, at-most-once execution, and the statement that a
+//! refused request was not run) are enforced by the agents and do not depend on
+//! this crate. All functions are cheap and deterministic: time is an argument,
+//! randomness comes from a generator seeded by the caller, and there is no I/O.
 //!
-//! - [`choose_holder`] picks a holder of the model: the same prompt prefix goes to the
-//!   same holder by rendezvous hash with bounded load, anything else to the
-//!   better of two drawn at random.
-//! - [`admit`] predicts whether a request can meet its deadline and refuses at
-//!   once if it can't.
-//! - [`RetryBudget`] bounds the load that retries add; [`CallerLimits`] bounds
-//!   what one caller takes from the others.
-//! - [`AdaptiveConcurrencyLimit`] learns how many requests an upstream runs well at once.
+//! - [`choose_holder`] selects an agent that holds the model. Requests with the
+//!   same prompt prefix go to the same holder by rendezvous hashing with bounded
+//!   load; others go to the better of two random holders.
+//! - [`admit`] predicts whether a request can meet its deadline and refuses it at
+//!   once if not.
+//! - [`RetryBudget`] bounds the load that retries add, and [`CallerLimits`] the
+//!   load of one caller.
+//! - [`AdaptiveConcurrencyLimit`] learns how many requests an upstream can run at
+//!   once without slowing down.
 //! - [`SuspectRequests`] bounds how many upstreams one request may crash.
-//! - [`CircuitBreaker`] stops sending to an upstream that fails, with one
-//!   prober for the whole fleet.
+//! - [`CircuitBreaker`] stops requests to a failing upstream, with one entry that
+//!   probes it for the whole fleet.
 
-mod admit;
-mod budget;
-mod callers;
+mod adaptive_limit;
+mod admission;
+mod caller_limits;
 mod choose;
-mod health;
-mod record;
+mod circuit_breaker;
+mod crash_record;
 mod rendezvous;
-mod step_limit;
+mod retry_budget;
 mod suspects;
 
-pub use admit::{Admission, AdmissionInput, admit};
-pub use budget::RetryBudget;
-pub use callers::CallerLimits;
+pub use adaptive_limit::AdaptiveConcurrencyLimit;
+pub use admission::{Admission, AdmissionInput, admit};
+pub use caller_limits::CallerLimits;
 pub use choose::{
     ChosenHolder, Holder, RouteReason, RoutingInput, choose_holder, has_capacity,
 };
-pub use health::{BreakerState, CircuitBreaker, Permission};
+pub use circuit_breaker::{BreakerState, CircuitBreaker, Permission};
 pub use rendezvous::{exclusive_run_owner, probing_entry, rendezvous_weight};
-pub use step_limit::AdaptiveConcurrencyLimit;
+pub use retry_budget::RetryBudget;
 pub use suspects::{CrashVerdict, EXCLUSIVE_RUN_RETRY_MS, SuspectRequests};
--- a/crates/route/src/rendezvous.rs
+++ b/crates/route/src/rendezvous.rs
@@ -1,7 +1,7 @@
 //! Rendezvous hashing (highest random weight).
 //!
-//! Every process that knows the same names computes the same winner without a
-//! message, and a name that comes or goes moves only the keys it wins or won.
+//! All processes that know the same names compute the same winner without
+//! exchanging messages. Adding or removing a name moves only the keys that it wins.
 
 use base::prelude::*;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -11,22 +11,23 @@
     xxh3_64_with_seed(name.as_bytes(), key)
 }
 
-/// The entry that runs suspects of `model` alone; `None` without entries.
+/// Returns the entry that starts exclusive runs of suspect requests for `model`, or
+/// `None` without entries.
 ///
-/// The key is the model and not the fingerprint, because "one suspect in flight
-/// for each model" then needs no agreement: the owner counts its own.
+/// The key is the model rather than the fingerprint. The owner can then limit
+/// itself to one suspect request in flight per model without coordination.
 pub fn exclusive_run_owner<'a>(
     model: &ModelId,
     entries: impl IntoIterator<Item = &'a EntryId>,
 ) -> Option<&'a EntryId> {
     winner(
-        xxh3_64_with_seed(model.as_str().as_bytes(), ALONE_SEED),
+        xxh3_64_with_seed(model.as_str().as_bytes(), EXCLUSIVE_RUN_SEED),
         entries,
     )
 }
 
-/// The entry that probes a failing upstream for the fleet; `None` without
-/// entries.
+/// Returns the entry that probes a failing upstream for the fleet, or `None`
+/// without entries.
 pub fn probing_entry<'a>(
     agent: &AgentId,
     entries: impl IntoIterator<Item = &'a EntryId>,
@@ -37,16 +38,16 @@
     )
 }
 
-/// Keeps the two uses of rendezvous apart where a model and an agent share a
-/// name.
-const ALONE_SEED: u64 = 0x0061_6c6f_6e65;
+/// Different seeds keep the two uses independent if a model and an agent have the
+/// same name.
+const EXCLUSIVE_RUN_SEED: u64 = 0x0061_6c6f_6e65;
 const PROBE_SEED: u64 = 0x0070_726f_6265;
 
 fn winner<'a>(
     key: u64,
     entries: impl IntoIterator<Item = &'a EntryId>,
 ) -> Option<&'a EntryId> {
-    // The name breaks a tie, so the winner does not depend on the order.
+    // The name breaks ties, so that the winner does not depend on the order.
     entries
         .into_iter()
         .max_by_key(|entry| (rendezvous_weight(key, entry.as_str()), *entry))
--- a/crates/route/src/suspects.rs
+++ b/crates/route/src/suspects.rs
@@ -1,177 +1,184 @@
-//! Verdicts on requests that crash upstreams.
+//! Requests suspected of crashing upstreams.
 
 use base::prelude::*;
 use schema::link::{CrashWitness, Suspect};
 use std::collections::BTreeMap;
 
-use crate::record::{CRASHES_MAX, Record, same_crash};
+use crate::crash_record::{CRASHES_MAX, CrashRecord, same_crash};
 use crate::rendezvous::exclusive_run_owner;
 
-/// Fingerprints kept at most; the verdict that ends first makes room.
+/// Maximum number of fingerprints kept. Beyond it, a record that is not convicted
+/// and expires first is replaced.
 const RECORDS_MAX: usize = 4_096;
 
-/// Fingerprints taken from one crash report.
-///
-/// More than any gate lets run at once; a longer list is a broken report.
+/// Maximum number of fingerprints accepted from one crash report. No agent admits
+/// more requests at once, so a longer report is invalid.
 const FINGERPRINTS_MAX: usize = 1_024;
 
-/// Time for which another entry's word that it runs a suspect is believed.
-const RUNNING_ELSEWHERE_MS: u64 = 5_000;
+/// Time after which another entry's message about its exclusive run is outdated.
+const REMOTE_RUN_TIMEOUT_MS: u64 = 5_000;
 
-/// Remaining time below which another entry's verdict is not taken over.
+/// Remaining time below which another entry's verdict on an unknown fingerprint is
+/// ignored.
 ///
-/// Each takes the rest it was told as counted from the arrival, so two entries
-/// could hand an ending verdict to and fro for ever.
-const MERGE_MIN_MS: u64 = 2_000;
+/// The receiver counts the remaining time from the arrival of the message. Without
+/// this limit two entries could send each other an expiring verdict forever.
+const MERGE_REMAINING_MIN_MS: u64 = 2_000;
 
-/// Age up to which a suspect is told with each message: those that hear it may
+/// Age up to which a suspect is part of each message, because the receivers may
 /// have lost one or two.
-const NEW_MS: u64 = 1_500;
+const RECENT_MS: u64 = 1_500;
 
-/// When to come back with a suspect that can't be run alone now.
+/// Retry delay for a suspect request whose exclusive run can't start now.
 pub const EXCLUSIVE_RUN_RETRY_MS: u64 = 1_000;
 
-/// What is held against a request.
+/// What is known against a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CrashVerdict {
     /// Nothing.
     Clear,
-    /// It was in flight at a crash: it may run only alone.
+    /// An upstream crashed while the request was in flight; it may only run
+    /// exclusively.
     Suspect,
-    /// It was in flight when two upstreams crashed: it is not run again.
+    /// Two upstreams crashed while the request was in flight; it is not run again.
     Convicted {
-        /// Time until the verdict ends.
+        /// Time until the verdict expires.
         remaining_ms: u64,
     },
 }
 
-/// A suspect that another entry says it runs alone.
+/// Exclusive run of a suspect request at another entry.
 #[derive(Debug)]
-struct Elsewhere {
+struct RemoteRun {
     fingerprint: u64,
     entry: String,
-    heard_at: Instant,
+    learned_at: Instant,
 }
 
 /// Requests that were in flight when upstreams crashed, by fingerprint.
 ///
-/// A request that crashes each engine that runs it, retried and sent again by
-/// its caller, takes down a whole pool. After one crash it runs only alone, at
-/// the one entry that owns its model, on an upstream it has not crashed; a crash
-/// of a second upstream convicts it. `docs/design/retries.md` tells what the bound of two
-/// crashes rests on.
+/// A request that crashes every engine that runs it takes down a whole pool when it
+/// is retried or sent again by its caller. After one crash it may therefore only
+/// run exclusively: started by the entry that owns its model, and on an upstream
+/// that it has not crashed. After a crash of a second upstream it is convicted and
+/// refused. `docs/design/retries.md` explains the bound of two crashes.
 #[derive(Debug)]
 pub struct SuspectRequests {
     verdict_ms: u64,
-    records: BTreeMap<u64, Record>,
-    /// Suspect in flight alone at this entry, by model.
-    running: BTreeMap<ModelId, u64>,
-    /// Suspects in flight alone elsewhere, by model.
-    elsewhere: BTreeMap<String, Elsewhere>,
-    /// Live entries, this one included; empty while none are known.
+    records: BTreeMap<u64, CrashRecord>,
+    /// Fingerprint in an exclusive run of this entry, by model.
+    local_runs: BTreeMap<ModelId, u64>,
+    /// Exclusive runs of other entries, by model.
+    remote_runs: BTreeMap<String, RemoteRun>,
+    /// Live entries, including this one; empty while none are known.
     entries: Vec<EntryId>,
-    /// No record ends before this; `None` while there is none.
-    first_end: Option<Instant>,
+    /// Lower bound for the expiry of all records; `None` without records.
+    next_expiry: Option<Instant>,
     now: Instant,
 }
 
 impl SuspectRequests {
-    /// No suspects; a verdict ends after `verdict_ms`.
+    /// Creates an empty registry whose verdicts expire after `verdict_ms`.
     pub fn new(verdict_ms: u64) -> Self {
         Self {
             verdict_ms,
             records: BTreeMap::new(),
-            running: BTreeMap::new(),
-            elsewhere: BTreeMap::new(),
+            local_runs: BTreeMap::new(),
+            remote_runs: BTreeMap::new(),
             entries: Vec::new(),
-            first_end: None,
+            next_expiry: None,
             now: Instant::ZERO,
         }
     }
 
-    /// Sets how long verdicts made from now on last.
+    /// Sets the lifetime of new verdicts.
     pub const fn set_verdict_ms(&mut self, verdict_ms: u64) {
         self.verdict_ms = verdict_ms;
     }
 
-    /// Says which entries are live, this one included. Without them this entry
+    /// Sets the live entries, including this one. With an empty list this entry
     /// owns every model.
     pub fn set_entries(&mut self, entries: Vec<EntryId>) {
         self.entries = entries;
     }
 
-    /// An upstream crashed with these requests in flight; `alone` when there was
-    /// only one. Reports of one crash may come several times.
+    /// Records that an upstream crashed with these requests in flight.
+    /// `sole_request` tells that there was only one. The same crash may be reported
+    /// several times.
     pub fn record_crash(
         &mut self,
         now: Instant,
         fingerprints: &[u64],
         agent: &AgentId,
         upstream_incarnation: u64,
-        alone: bool,
+        sole_request: bool,
     ) {
         self.expire(now);
         let crash = CrashWitness {
             agent: agent.as_str().to_owned(),
             upstream_incarnation,
-            // A report that calls two requests alone must convict neither.
-            alone: alone && fingerprints.len() == 1,
+            // A report that names two sole requests is contradictory and accuses
+            // neither.
+            alone: sole_request && fingerprints.len() == 1,
         };
         for fingerprint in fingerprints.iter().take(FINGERPRINTS_MAX) {
             self.add_crash(now, *fingerprint, &crash);
         }
     }
 
-    /// What is held against a request.
+    /// Returns what is known against a request.
     pub fn verdict(&mut self, now: Instant, fingerprint: u64) -> CrashVerdict {
         self.expire(now);
         let Some(record) = self.records.get(&fingerprint) else {
             return CrashVerdict::Clear;
         };
         if record.convicted {
-            let remaining_ms = record.ends_at.ms_since(now);
+            let remaining_ms = record.expires_at.ms_since(now);
             return CrashVerdict::Convicted { remaining_ms };
         }
-        if record.is_free() {
+        if record.is_clear() {
             return CrashVerdict::Clear;
         }
         CrashVerdict::Suspect
     }
 
-    /// Agents whose upstreams crashed with the request in flight; the run alone
-    /// must go to another, or its crash would show nothing.
+    /// Agents whose upstreams crashed with the request in flight. Its exclusive run
+    /// must go to another agent, since a second crash of the same upstream would
+    /// prove nothing.
     pub fn crashed_agents(
         &self,
         fingerprint: u64,
     ) -> impl Iterator<Item = AgentId> + '_ {
         let record = self.records.get(&fingerprint);
-        let crashes = record.map_or(&[][..], Record::open_crashes);
+        let crashes = record.map_or(&[][..], CrashRecord::counted_crashes);
         crashes.iter().map(|crash| AgentId::new(&crash.agent))
     }
 
-    /// Whether one of the crashes held against the request happened while it
-    /// was the only one in flight, which shows that it was the cause.
+    /// Whether the request was the only one in flight at one of the crashes that
+    /// count, which shows that it was the cause.
     pub fn crashed_as_sole_request(&self, fingerprint: u64) -> bool {
         let record = self.records.get(&fingerprint);
-        let crashes = record.map_or(&[][..], Record::open_crashes);
+        let crashes = record.map_or(&[][..], CrashRecord::counted_crashes);
         crashes.iter().any(|crash| crash.alone)
     }
 
-    /// When a crash was last heard of with the request in flight.
+    /// When this entry last learned of a crash with the request in flight.
     pub fn last_crash_at(&self, fingerprint: u64) -> Option<Instant> {
-        self.records.get(&fingerprint).map(|record| record.heard_at)
+        self.records
+            .get(&fingerprint)
+            .map(|record| record.learned_at)
     }
 
-    /// Time until nothing is held against the request any more, if nothing new
-    /// happens.
+    /// Time until the request's verdict expires if nothing new happens.
     pub fn remaining_ms(&self, now: Instant, fingerprint: u64) -> u64 {
         let record = self.records.get(&fingerprint);
-        record.map_or(0, |record| record.ends_at.ms_since(now))
+        record.map_or(0, |record| record.expires_at.ms_since(now))
     }
 
-    /// Takes the model's place for a suspect that runs alone; `entry` is this
-    /// entry. False when another entry owns the model or another suspect of the
-    /// model runs: the caller is to come back after [`EXCLUSIVE_RUN_RETRY_MS`].
+    /// Reserves the model's exclusive run for a suspect request; `entry` is this
+    /// entry. Returns false if another entry owns the model or another suspect of
+    /// the model runs. The caller should then retry after
+    /// [`EXCLUSIVE_RUN_RETRY_MS`].
     pub fn try_start_exclusive_run(
         &mut self,
         model: &ModelId,
@@ -182,10 +189,10 @@
         if owner.is_some_and(|owner| owner != entry) {
             return false;
         }
-        if self.running.contains_key(model) || self.runs_elsewhere(model, entry) {
+        if self.local_runs.contains_key(model) || self.runs_remotely(model, entry) {
             return false;
         }
-        self.running.insert(model.clone(), fingerprint);
+        self.local_runs.insert(model.clone(), fingerprint);
         if let Some(record) = self.records.get_mut(&fingerprint) {
             record.model = model.as_str().to_owned();
             record.running_at = entry.as_str().to_owned();
@@ -193,77 +200,88 @@
         true
     }
 
-    /// Gives back what [`SuspectRequests::try_start_exclusive_run`] took.
+    /// Releases the reservation of [`SuspectRequests::try_start_exclusive_run`].
     pub fn end_exclusive_run(&mut self, model: &ModelId, fingerprint: u64) {
-        if self.running.get(model) != Some(&fingerprint) {
+        if self.local_runs.get(model) != Some(&fingerprint) {
             return;
         }
-        self.running.remove(model);
+        self.local_runs.remove(model);
         if let Some(record) = self.records.get_mut(&fingerprint) {
             record.running_at.clear();
         }
     }
 
-    /// A suspect ran alone to its end: the crashes known so far are excused.
+    /// Records that a suspect completed its exclusive run. The crashes known so far
+    /// no longer count.
     pub fn record_completed_exclusive_run(&mut self, fingerprint: u64) {
         if let Some(record) = self.records.get_mut(&fingerprint)
             && !record.convicted
         {
-            record.excused = record.crashes.len();
+            record.cleared = record.crashes.len();
         }
     }
 
-    /// Takes over what another entry knows; true when something was new.
+    /// Merges the knowledge of another entry; returns whether anything changed.
     pub fn merge(&mut self, now: Instant, from: &Suspect) -> bool {
         self.expire(now);
-        self.hear_running(now, from);
+        self.update_remote_run(now, from);
         if from.remaining_ms == 0 {
-            return self.excuse(from);
+            return self.clear_known_crashes(from);
         }
         let known = self.records.contains_key(&from.fingerprint);
         let empty = from.crashes.is_empty() && !from.convicted;
-        if !known && (empty || from.remaining_ms < MERGE_MIN_MS) {
+        if !known && (empty || from.remaining_ms < MERGE_REMAINING_MIN_MS) {
             return false;
         }
         self.merge_crashes(now, from)
     }
 
-    /// What to tell other entries.
+    /// Returns all records as messages to other entries.
     ///
-    /// A record whose crashes are excused has no time left: whoever knows the
-    /// same crashes excuses them too.
+    /// A record whose crashes no longer count has no time remaining. Receivers that
+    /// know the same crashes then stop counting them too.
     pub fn export(&self, now: Instant) -> Vec<Suspect> {
-        self.live(now)
-            .map(|(fingerprint, record)| suspect(now, *fingerprint, record))
+        self.unexpired(now)
+            .map(|(fingerprint, record)| to_message(now, *fingerprint, record))
             .collect()
     }
 
-    /// What one of many messages tells: `most` of those that are new, and `most`
-    /// of all in turn, so that each is told again while it stands.
+    /// Returns the records for one of many messages: up to `max` recent ones, and
+    /// up to `max` of the others in rotation by `turn`, so that each is sent
+    /// repeatedly.
     ///
-    /// A crash makes suspects of all that ran there. Told whole each time by every
-    /// entry to every other, the suspects of a few crashes filled their links, and
-    /// what else the messages say was lost with them.
-    pub fn export_batch(&self, now: Instant, turn: u64, most: usize) -> Vec<Suspect> {
-        let is_new =
-            |record: &Record| record.ends_at.ms_since(now) + NEW_MS > self.verdict_ms;
-        let new = self.live(now).filter(|(_, record)| is_new(record));
-        let old = self.live(now).filter(|(_, record)| !is_new(record));
-        let count = old.clone().count().max(1);
-        let first = (turn % count as u64) as usize * most % count;
-        let in_turn = old.clone().cycle().skip(first).take(most.min(old.count()));
-        new.take(most)
-            .chain(in_turn)
-            .map(|(fingerprint, record)| suspect(now, *fingerprint, record))
+    /// Every request in flight at a crash becomes a suspect. When all suspects were
+    /// part of every message between entries, those of a few crashes filled the
+    /// links, and other parts of the messages were lost.
+    pub fn export_batch(&self, now: Instant, turn: u64, max: usize) -> Vec<Suspect> {
+        let is_recent = |record: &CrashRecord| {
+            record.expires_at.ms_since(now) + RECENT_MS > self.verdict_ms
+        };
+        let recent = self.unexpired(now).filter(|(_, record)| is_recent(record));
+        let older = self.unexpired(now).filter(|(_, record)| !is_recent(record));
+        let count = older.clone().count().max(1);
+        let first = (turn % count as u64) as usize * max % count;
+        let rotating = older
+            .clone()
+            .cycle()
+            .skip(first)
+            .take(max.min(older.count()));
+        recent
+            .take(max)
+            .chain(rotating)
+            .map(|(fingerprint, record)| to_message(now, *fingerprint, record))
             .collect()
     }
 
-    fn live(&self, now: Instant) -> impl Iterator<Item = (&u64, &Record)> + Clone {
+    fn unexpired(
+        &self,
+        now: Instant,
+    ) -> impl Iterator<Item = (&u64, &CrashRecord)> + Clone {
         let records = self.records.iter();
-        records.filter(move |(_, record)| record.ends_at > now)
+        records.filter(move |(_, record)| record.expires_at > now)
     }
 
-    /// Number of fingerprints known.
+    /// Number of known fingerprints.
     pub fn len(&self) -> usize {
         self.records.len()
     }
@@ -275,108 +293,113 @@
 
     fn add_crash(&mut self, now: Instant, fingerprint: u64, crash: &CrashWitness) {
         self.make_room(fingerprint);
-        let ends_at = now.plus_ms(self.verdict_ms);
+        let expires_at = now.plus_ms(self.verdict_ms);
         let record = self
             .records
             .entry(fingerprint)
-            .or_insert_with(|| Record::new(now, ends_at));
+            .or_insert_with(|| CrashRecord::new(now, expires_at));
         if record.add(crash) {
-            record.judge();
-            record.ends_at = ends_at;
-            record.heard_at = now;
+            record.update_verdict();
+            record.expires_at = expires_at;
+            record.learned_at = now;
         }
-        self.ends(ends_at);
+        self.note_expiry(expires_at);
     }
 
-    fn ends(&mut self, at: Instant) {
-        self.first_end = Some(self.first_end.map_or(at, |first| first.min(at)));
+    fn note_expiry(&mut self, at: Instant) {
+        self.next_expiry = Some(self.next_expiry.map_or(at, |first| first.min(at)));
     }
 
     fn merge_crashes(&mut self, now: Instant, from: &Suspect) -> bool {
         self.make_room(from.fingerprint);
-        let ends_at = now.plus_ms(from.remaining_ms.min(self.verdict_ms));
+        let expires_at = now.plus_ms(from.remaining_ms.min(self.verdict_ms));
         let record = self
             .records
             .entry(from.fingerprint)
-            .or_insert_with(|| Record::new(now, ends_at));
+            .or_insert_with(|| CrashRecord::new(now, expires_at));
         let mut changed = false;
         for crash in from.crashes.iter().take(CRASHES_MAX) {
             changed |= record.add(crash);
         }
-        changed |= record.judge();
+        changed |= record.update_verdict();
         if from.convicted && !record.convicted {
             record.convicted = true;
             changed = true;
         }
-        // Only news may prolong: else two entries that tell each other the
-        // same verdict prolong it by the delay of each message.
+        // Only new information extends the lifetime. Otherwise two entries that
+        // exchange the same verdict would extend it by the delay of each message.
         if changed {
-            record.ends_at = record.ends_at.max(ends_at);
-            record.heard_at = now;
+            record.expires_at = record.expires_at.max(expires_at);
+            record.learned_at = now;
         }
-        self.ends(ends_at);
+        self.note_expiry(expires_at);
         changed
     }
 
-    /// Another entry ran the request alone to its end.
-    fn excuse(&mut self, from: &Suspect) -> bool {
+    /// Another entry completed an exclusive run of the request: stops counting its
+    /// crashes if that entry knew them all.
+    fn clear_known_crashes(&mut self, from: &Suspect) -> bool {
         let Some(record) = self.records.get_mut(&from.fingerprint) else {
             return false;
         };
         let all_known = record
-            .open_crashes()
+            .counted_crashes()
             .iter()
             .all(|open| from.crashes.iter().any(|crash| same_crash(crash, open)));
         let changes =
-            all_known && !record.convicted && !record.open_crashes().is_empty();
+            all_known && !record.convicted && !record.counted_crashes().is_empty();
         if changes {
-            record.excused = record.crashes.len();
+            record.cleared = record.crashes.len();
         }
         changes
     }
 
-    fn hear_running(&mut self, now: Instant, from: &Suspect) {
+    fn update_remote_run(&mut self, now: Instant, from: &Suspect) {
         if from.model.is_empty() {
             return;
         }
         if from.running_at.is_empty() {
-            self.hear_ended(from);
+            self.remove_remote_run(from);
             return;
         }
-        let elsewhere = Elsewhere {
+        let remote_run = RemoteRun {
             fingerprint: from.fingerprint,
             entry: from.running_at.clone(),
-            heard_at: now,
+            learned_at: now,
         };
-        self.elsewhere.insert(from.model.clone(), elsewhere);
+        self.remote_runs.insert(from.model.clone(), remote_run);
     }
 
-    fn hear_ended(&mut self, from: &Suspect) {
-        let running = self.elsewhere.get(&from.model);
+    fn remove_remote_run(&mut self, from: &Suspect) {
+        let running = self.remote_runs.get(&from.model);
         if running.is_some_and(|running| running.fingerprint == from.fingerprint) {
-            self.elsewhere.remove(&from.model);
+            self.remote_runs.remove(&from.model);
         }
     }
 
-    fn runs_elsewhere(&self, model: &ModelId, entry: &EntryId) -> bool {
-        self.elsewhere.get(model.as_str()).is_some_and(|running| {
+    fn runs_remotely(&self, model: &ModelId, entry: &EntryId) -> bool {
+        self.remote_runs.get(model.as_str()).is_some_and(|running| {
             running.entry != entry.as_str()
-                && self.now.ms_since(running.heard_at) < RUNNING_ELSEWHERE_MS
+                && self.now.ms_since(running.learned_at) < REMOTE_RUN_TIMEOUT_MS
         })
     }
 
     fn expire(&mut self, now: Instant) {
         self.now = self.now.max(now);
-        if self.first_end.is_some_and(|first_end| first_end <= now) {
-            self.records.retain(|_, record| record.ends_at > now);
-            let ends = self.records.values().map(|record| record.ends_at);
-            self.first_end = ends.min();
+        if self
+            .next_expiry
+            .is_some_and(|next_expiry| next_expiry <= now)
+        {
+            self.records.retain(|_, record| record.expires_at > now);
+            let ends = self.records.values().map(|record| record.expires_at);
+            self.next_expiry = ends.min();
         }
-        self.elsewhere
-            .retain(|_, running| now.ms_since(running.heard_at) < RUNNING_ELSEWHERE_MS);
+        self.remote_runs.retain(|_, running| {
+            now.ms_since(running.learned_at) < REMOTE_RUN_TIMEOUT_MS
+        });
     }
 
-    /// Makes room for one more fingerprint.
+    /// Removes a record if there is no room for another fingerprint.
     fn make_room(&mut self, fingerprint: u64) {
         if self.records.len() < RECORDS_MAX || self.records.contains_key(&fingerprint) {
             return;
@@ -384,7 +407,7 @@
         let first = self
             .records
             .iter()
-            .min_by_key(|(key, record)| (record.convicted, record.ends_at, **key))
+            .min_by_key(|(key, record)| (record.convicted, record.expires_at, **key))
             .map(|(key, _)| *key);
         if let Some(first) = first {
             self.records.remove(&first);
@@ -392,12 +415,12 @@
     }
 }
 
-/// What other entries are told of a record.
-fn suspect(now: Instant, fingerprint: u64, record: &Record) -> Suspect {
-    let remaining_ms = if record.is_free() {
+/// Converts a record into a message to other entries.
+fn to_message(now: Instant, fingerprint: u64, record: &CrashRecord) -> Suspect {
+    let remaining_ms = if record.is_clear() {
         0
     } else {
-        record.ends_at.ms_since(now)
+        record.expires_at.ms_since(now)
     };
     Suspect {
         fingerprint,
--- a/crates/route/tests/all/main.rs
+++ b/crates/route/tests/all/main.rs
@@ -3,5 +3,5 @@
 mod admission;
 mod budgets;
 mod choice;
-mod health;
+mod circuit_breaker;
 mod suspects;
