--- a/crates/route/benches/choose.rs
+++ b/crates/route/benches/choose.rs
@@ -1,4 +1,4 @@
-//! Time of one choice, by number of holders.
+//! Measures the time of one choice by number of holders.
 
 use base::prelude::*;
 use criterion::{Criterion, criterion_group, criterion_main};
@@ -9,7 +9,7 @@
 
 const COUNTS: [usize; 4] = [1, 8, 64, 512];
 
-/// Choices of the plain measurement that criterion does not make.
+/// Number of choices in the plain measurement.
 const PLAIN_CHOICES: u32 = 200_000;
 
 fn holders<'a>(agents: &'a [AgentId], domain: &'a DomainId) -> Vec<Holder<'a>> {
@@ -50,7 +50,7 @@
     }
 }
 
-/// A mean over many choices, without criterion's statistics.
+/// Prints the mean time over many choices, measured without criterion.
 fn plain(
     name: &str,
     count: usize,
--- a/crates/route/benches/policy/admission.rs
+++ b/crates/route/benches/policy/admission.rs
@@ -1,30 +1,30 @@
-//! Attained work with and without admission, up to twice the load that fits.
+//! Compares admission policies at up to twice the sustainable load.
 //!
-//! One queue before 64 places; interactive requests go before batch ones, and a
-//! request is cancelled at its deadline. The second way
-//! refuses only what would miss its deadline, the third also interactive
-//! requests whose first token would be late.
+//! Requests wait in one queue for 64 slots. Interactive requests are served before
+//! batch requests, and a request is cancelled at its deadline. The policies are to
+//! admit all requests, to refuse those that would miss their deadline, and to
+//! refuse also interactive ones whose first token would be late.
 
 use route::{Admission, AdmissionInput, admit};
 use std::collections::VecDeque;
 
-use crate::events::{Draw, Events};
+use crate::events::{Events, Random};
 
 const PLACES: u32 = 64;
 const SERVICE_MS: f64 = 2_000.0;
 const REQUESTS: usize = 30_000;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Way {
+enum Policy {
     None,
     Deadline,
     FirstToken,
 }
 
-const WAYS: [(Way, &str); 3] = [
-    (Way::None, "none"),
-    (Way::Deadline, "deadline"),
-    (Way::FirstToken, "first token too"),
+const POLICIES: [(Policy, &str); 3] = [
+    (Policy::None, "none"),
+    (Policy::Deadline, "deadline"),
+    (Policy::FirstToken, "first token too"),
 ];
 
 #[derive(Debug, Clone, Copy)]
@@ -51,11 +51,11 @@
 }
 
 #[derive(Debug, Default)]
-struct Tally {
+struct Counts {
     arrived: u64,
-    /// Whole by the deadline.
+    /// Completed by the deadline.
     in_time: u64,
-    /// Whole by the deadline, and the first token as expected.
+    /// Completed by the deadline, and with the first token in the expected time.
     attained: u64,
     /// Cancelled at the deadline, waiting or running.
     late: u64,
@@ -64,37 +64,37 @@
 }
 
 struct Queue {
-    way: Way,
+    policy: Policy,
     interactive_share: f64,
     running: u32,
     waiting: [VecDeque<Request>; 2],
     events: Events<Event>,
-    tally: Tally,
+    counts: Counts,
 }
 
 impl Queue {
-    fn run(way: Way, load: f64, interactive_share: f64, seed: u64) -> Tally {
+    fn run(policy: Policy, load: f64, interactive_share: f64, seed: u64) -> Counts {
         let mut queue = Self {
-            way,
+            policy,
             interactive_share,
             running: 0,
             waiting: [VecDeque::new(), VecDeque::new()],
             events: Events::new(),
-            tally: Tally::default(),
+            counts: Counts::default(),
         };
-        let mut draw = Draw::new(seed);
+        let mut random = Random::new(seed);
         let gap_us = SERVICE_MS * 1_000.0 / f64::from(PLACES) / load;
-        queue.events.set(0, Event::Arrive);
-        while let Some((now_us, event)) = queue.events.take() {
+        queue.events.schedule(0, Event::Arrive);
+        while let Some((now_us, event)) = queue.events.pop() {
             let now_ms = now_us / 1_000;
             match event {
-                Event::Arrive if queue.tally.arrived < REQUESTS as u64 => {
-                    let at_us = now_us + draw.exponential(gap_us) as u64 + 1;
-                    queue.events.set(at_us, Event::Arrive);
+                Event::Arrive if queue.counts.arrived < REQUESTS as u64 => {
+                    let at_us = now_us + random.exponential(gap_us) as u64 + 1;
+                    queue.events.schedule(at_us, Event::Arrive);
                     let request = Request {
                         arrived_ms: now_ms,
-                        interactive: draw.unit() < queue.interactive_share,
-                        service_ms: draw.exponential(SERVICE_MS) as u64 + 1,
+                        interactive: random.uniform() < queue.interactive_share,
+                        service_ms: random.exponential(SERVICE_MS) as u64 + 1,
                     };
                     queue.arrive(now_ms, request);
                 }
@@ -103,20 +103,20 @@
             }
             queue.start(now_ms);
         }
-        queue.tally
+        queue.counts
     }
 
     fn arrive(&mut self, now_ms: u64, request: Request) {
-        self.tally.arrived += 1;
+        self.counts.arrived += 1;
         if self.refuses(now_ms, &request) {
-            self.tally.refused += 1;
+            self.counts.refused += 1;
             return;
         }
         self.waiting[usize::from(!request.interactive)].push_back(request);
     }
 
     fn refuses(&self, now_ms: u64, request: &Request) -> bool {
-        if self.way == Way::None {
+        if self.policy == Policy::None {
             return false;
         }
         let interactive_ahead = self.waiting[0].len();
@@ -128,8 +128,8 @@
         };
         let input = AdmissionInput {
             remaining_ms: request.deadline_ms() - now_ms,
-            first_token_ms: match self.way {
-                Way::FirstToken => request.first_token_ms(),
+            first_token_ms: match self.policy {
+                Policy::FirstToken => request.first_token_ms(),
                 _ => 0,
             },
             interactive: request.interactive,
@@ -151,7 +151,7 @@
                 .or_else(|| self.waiting[1].pop_front());
             let Some(request) = next else { return };
             if request.deadline_ms() <= now_ms {
-                self.tally.late += 1;
+                self.counts.late += 1;
                 continue;
             }
             self.serve(now_ms, &request);
@@ -161,16 +161,16 @@
     fn serve(&mut self, now_ms: u64, request: &Request) {
         self.running += 1;
         let end_ms = (now_ms + request.service_ms).min(request.deadline_ms());
-        self.events.set(end_ms * 1_000, Event::Finish);
+        self.events.schedule(end_ms * 1_000, Event::Finish);
         if now_ms + request.service_ms > request.deadline_ms() {
-            self.tally.late += 1;
-            self.tally.wasted_ms += end_ms - now_ms;
+            self.counts.late += 1;
+            self.counts.wasted_ms += end_ms - now_ms;
             return;
         }
-        self.tally.in_time += 1;
+        self.counts.in_time += 1;
         let wait_ms = now_ms - request.arrived_ms;
         if !request.interactive || wait_ms <= u64::from(request.first_token_ms()) {
-            self.tally.attained += 1;
+            self.counts.attained += 1;
         }
     }
 }
@@ -199,22 +199,22 @@
         (2.0, 1.0),
         (2.0, 0.0),
     ] {
-        for (way, name) in WAYS {
-            let tally = Queue::run(way, load, interactive_share, 5);
-            row(name, load, interactive_share, &tally);
+        for (policy, name) in POLICIES {
+            let counts = Queue::run(policy, load, interactive_share, 5);
+            row(name, load, interactive_share, &counts);
         }
     }
 }
 
-fn row(name: &str, load: f64, interactive_share: f64, tally: &Tally) {
-    let percent = |count: u64| count as f64 * 100.0 / tally.arrived as f64;
+fn row(name: &str, load: f64, interactive_share: f64, counts: &Counts) {
+    let percent = |count: u64| count as f64 * 100.0 / counts.arrived as f64;
     println!(
         "{load:>5} {:>9} {name:<16} | {:>8.1} {:>9.1} {:>6.1} {:>8.1} {:>9}",
         interactive_share * 100.0,
-        percent(tally.in_time),
-        percent(tally.attained),
-        percent(tally.late),
-        percent(tally.refused),
-        tally.wasted_ms / 1_000,
+        percent(counts.in_time),
+        percent(counts.attained),
+        percent(counts.late),
+        percent(counts.refused),
+        counts.wasted_ms / 1_000,
     );
 }
--- a/crates/route/benches/policy/main.rs
+++ b/crates/route/benches/policy/main.rs
@@ -1,8 +1,9 @@
-//! Measures the decisions against simpler ones on seeded queues.
+//! Compares the decisions of this crate with simpler ones on seeded queueing
+//! models.
 //!
-//! Time is a number that the event queue moves on, so a run takes a second or
-//! two and gives the same table every time. `docs/design/routing.md` and
-//! `docs/design/retries.md` hold the figures and what was changed by them.
+//! Time is simulated, so a run takes a second or two and always gives the same
+//! table. `docs/design/routing.md` and `docs/design/retries.md` contain the figures
+//! and their consequences.
 
 mod admission;
 mod events;
--- a/crates/route/benches/policy/routing.rs
+++ b/crates/route/benches/policy/routing.rs
@@ -1,20 +1,19 @@
-//! `choose` against random, round robin and least loaded.
+//! Compares `choose_holder` with random, round-robin and least-loaded routing.
 //!
-//! Three entries send to 18 engines. An engine prefills one prompt at a time
-//! and decodes up to 16 requests at once; a prompt whose prefix it has cached
-//! prefills in a fraction of the time. Entries see each engine's load only as
-//! often as the hint lag says.
+//! Three entries send to 18 engines. An engine prefills one prompt at a time and
+//! decodes up to 16 requests at once. A cached prompt prefix shortens the prefill.
+//! Entries learn an engine's load at the interval of its reports.
 
 use base::prelude::*;
 use route::{Holder, RoutingInput, choose_holder};
 use std::collections::VecDeque;
 
-use crate::events::{Draw, Events, percentile};
+use crate::events::{Events, Random, percentile};
 
 const ENTRIES: usize = 3;
 const HOLDERS: usize = 18;
 const RUNNING_MAX: u32 = 16;
-const GATE_MAX: u32 = 18;
+const ADMITTED_MAX: u32 = 18;
 const STEP_US: u64 = 10_000;
 const SLOW_FACTOR: u64 = 4;
 const PREFILL_MISS_STEPS: u64 = 15;
@@ -50,7 +49,7 @@
     lag_ms: u64,
     rate_per_s: f64,
     slow: bool,
-    /// Whether a quarter of all requests share one prefix.
+    /// Whether about a quarter of all requests share one prefix.
     hot: bool,
     seed: u64,
 }
@@ -62,7 +61,7 @@
     prefix: u64,
     tokens: u64,
     excluded: Vec<AgentId>,
-    counted: bool,
+    measured: bool,
 }
 
 #[derive(Debug)]
@@ -75,10 +74,10 @@
 }
 
 #[derive(Debug, Clone, Copy, Default)]
-struct Hint {
+struct LoadReport {
     running: u32,
     waiting: u32,
-    made_us: u64,
+    reported_at_us: u64,
     sent: [u32; ENTRIES],
 }
 
@@ -95,7 +94,7 @@
     first_token_us: Vec<u64>,
     hits: u64,
     starts: u64,
-    gate_refusals: u64,
+    agent_refusals: u64,
 }
 
 struct Pool {
@@ -103,11 +102,11 @@
     agents: Vec<AgentId>,
     domains: Vec<DomainId>,
     engines: Vec<Engine>,
-    hints: Vec<Hint>,
+    reports: Vec<LoadReport>,
     events: Events<Event>,
-    draw: Draw,
+    random: Random,
     arrived: usize,
-    turns: [usize; ENTRIES],
+    round_robin_next: [usize; ENTRIES],
     outcome: Outcome,
 }
 
@@ -133,23 +132,23 @@
                 .map(|n| DomainId::new(&format!("d{n}")))
                 .collect(),
             engines: (0..HOLDERS).map(engine).collect(),
-            hints: vec![Hint::default(); HOLDERS],
+            reports: vec![LoadReport::default(); HOLDERS],
             events: Events::new(),
-            draw: Draw::new(setting.seed),
+            random: Random::new(setting.seed),
             arrived: 0,
-            turns: [0, 6, 12],
+            round_robin_next: [0, 6, 12],
             outcome: Outcome::default(),
         };
-        pool.events.set(0, Event::Arrive);
+        pool.events.schedule(0, Event::Arrive);
         for index in 0..HOLDERS {
             let phase_us = setting.lag_ms * 1_000 * index as u64 / HOLDERS as u64;
-            pool.events.set(phase_us, Event::Report(index));
+            pool.events.schedule(phase_us, Event::Report(index));
         }
         pool
     }
 
     fn run(mut self) -> Outcome {
-        while let Some((now, event)) = self.events.take() {
+        while let Some((now, event)) = self.events.pop() {
             if self.arrived >= REQUESTS && self.idle() {
                 break;
             }
@@ -173,44 +172,45 @@
             return;
         }
         self.arrived += 1;
-        let gap_us = self.draw.exponential(1e6 / self.setting.rate_per_s);
-        self.events.set(now + gap_us as u64 + 1, Event::Arrive);
+        let gap_us = self.random.exponential(1e6 / self.setting.rate_per_s);
+        self.events.schedule(now + gap_us as u64 + 1, Event::Arrive);
         let request = Request {
             arrived_us: now,
-            entry: self.draw.below(ENTRIES),
+            entry: self.random.below(ENTRIES),
             prefix: self.prefix(),
-            tokens: self.draw.exponential(TOKENS_MEAN) as u64 + 1,
+            tokens: self.random.exponential(TOKENS_MEAN) as u64 + 1,
             excluded: Vec::new(),
-            counted: self.arrived > WARM_UP,
+            measured: self.arrived > WARM_UP,
         };
         self.route(now, request);
     }
 
-    /// Seven in ten share a prefix; a few prefixes have most of them.
+    /// Draws a prefix for 70 percent of the requests; few prefixes get most of
+    /// them.
     fn prefix(&mut self) -> u64 {
-        if self.draw.unit() < 0.3 {
+        if self.random.uniform() < 0.3 {
             return 0;
         }
-        if self.setting.hot && self.draw.unit() < 0.35 {
+        if self.setting.hot && self.random.uniform() < 0.35 {
             return HOT_PREFIX;
         }
-        let skewed = self.draw.unit() * self.draw.unit();
+        let skewed = self.random.uniform() * self.random.uniform();
         1 + (skewed * PREFIXES as f64) as u64
     }
 
     fn route(&mut self, now: u64, mut request: Request) {
-        let Some(index) = self.pick(now, &request) else {
+        let Some(index) = self.choose_engine(now, &request) else {
             request.excluded.clear();
-            self.events.set(now + WAIT_US, Event::Route(request));
+            self.events.schedule(now + WAIT_US, Event::Route(request));
             return;
         };
-        self.hints[index].sent[request.entry] += 1;
+        self.reports[index].sent[request.entry] += 1;
         let engine = &self.engines[index];
-        if engine.running + engine.queue.len() as u32 >= GATE_MAX {
-            self.outcome.gate_refusals += 1;
+        if engine.running + engine.queue.len() as u32 >= ADMITTED_MAX {
+            self.outcome.agent_refusals += 1;
             request.excluded.push(self.agents[index].clone());
-            self.learn(now, index, request.entry);
-            self.events.set(now + 1_000, Event::Route(request));
+            self.update_report(now, index, request.entry);
+            self.events.schedule(now + 1_000, Event::Route(request));
             return;
         }
         if engine.running < RUNNING_MAX {
@@ -220,14 +220,14 @@
         }
     }
 
-    /// A refusal carries the load of the moment.
-    fn learn(&mut self, now: u64, index: usize, entry: usize) {
+    /// Updates an entry's view of an engine, as a refusal or a report does.
+    fn update_report(&mut self, now: u64, index: usize, entry: usize) {
         let engine = &self.engines[index];
-        let hint = &mut self.hints[index];
-        hint.running = engine.running;
-        hint.waiting = engine.queue.len() as u32;
-        hint.made_us = now;
-        hint.sent[entry] = 0;
+        let load_report = &mut self.reports[index];
+        load_report.running = engine.running;
+        load_report.waiting = engine.queue.len() as u32;
+        load_report.reported_at_us = now;
+        load_report.sent[entry] = 0;
     }
 
     fn start(&mut self, now: u64, index: usize, request: &Request) {
@@ -250,8 +250,8 @@
         engine.prefill_free_us = begin_us + steps * engine.step_us;
         let first_us = engine.prefill_free_us + engine.step_us;
         let end_us = first_us + request.tokens * engine.step_us;
-        self.events.set(end_us, Event::Finish(index));
-        if request.counted {
+        self.events.schedule(end_us, Event::Finish(index));
+        if request.measured {
             self.outcome.starts += 1;
             self.outcome.hits += u64::from(hit);
             self.outcome
@@ -269,45 +269,45 @@
 
     fn report(&mut self, now: u64, index: usize) {
         for entry in 0..ENTRIES {
-            self.learn(now, index, entry);
+            self.update_report(now, index, entry);
         }
         let again_us = self.setting.lag_ms.max(1) * 1_000;
-        self.events.set(now + again_us, Event::Report(index));
+        self.events.schedule(now + again_us, Event::Report(index));
     }
 
     fn holders(&self, now: u64, entry: usize) -> Vec<Holder<'_>> {
         let holder = |index: usize| {
-            let hint = self.hints[index];
+            let load_report = self.reports[index];
             Holder {
                 agent: &self.agents[index],
                 domain: &self.domains[index % ENTRIES],
-                running: hint.running,
-                waiting: hint.waiting,
+                running: load_report.running,
+                waiting: load_report.waiting,
                 running_max: RUNNING_MAX,
                 step_time_us: self.engines[index].step_us as u32,
-                report_age_ms: (now - hint.made_us) / 1_000,
-                sent_since_report: hint.sent[entry],
+                report_age_ms: (now - load_report.reported_at_us) / 1_000,
+                sent_since_report: load_report.sent[entry],
                 suspected: false,
             }
         };
         (0..HOLDERS).map(holder).collect()
     }
 
-    fn pick(&mut self, now: u64, request: &Request) -> Option<usize> {
-        let open: Vec<usize> = (0..HOLDERS)
+    fn choose_engine(&mut self, now: u64, request: &Request) -> Option<usize> {
+        let candidates: Vec<usize> = (0..HOLDERS)
             .filter(|index| !request.excluded.contains(&self.agents[*index]))
             .collect();
-        if open.is_empty() {
+        if candidates.is_empty() {
             return None;
         }
         match self.setting.policy {
-            Policy::Random => Some(open[self.draw.below(open.len())]),
+            Policy::Random => Some(candidates[self.random.below(candidates.len())]),
             Policy::RoundRobin => {
-                let turn = &mut self.turns[request.entry];
-                *turn += 1;
-                Some(open[*turn % open.len()])
+                let next = &mut self.round_robin_next[request.entry];
+                *next += 1;
+                Some(candidates[*next % candidates.len()])
             }
-            Policy::LeastLoaded => self.least_loaded(now, request, &open),
+            Policy::LeastLoaded => self.least_loaded(now, request, &candidates),
             Policy::Choose => self.choose(now, request, request.prefix),
             Policy::ChooseNoPrefix => self.choose(now, request, 0),
         }
@@ -317,18 +317,18 @@
         &self,
         now: u64,
         request: &Request,
-        open: &[usize],
+        candidates: &[usize],
     ) -> Option<usize> {
         let holders = self.holders(now, request.entry);
         let load = |index: &usize| {
             let holder = &holders[*index];
             holder.running + holder.waiting + holder.sent_since_report
         };
-        open.iter().copied().min_by_key(load)
+        candidates.iter().copied().min_by_key(load)
     }
 
     fn choose(&mut self, now: u64, request: &Request, prefix: u64) -> Option<usize> {
-        let mut rng = self.draw.0.clone();
+        let mut rng = self.random.0.clone();
         let holders = self.holders(now, request.entry);
         let input = RoutingInput {
             prefix_hash: prefix,
@@ -337,7 +337,7 @@
         };
         let chosen = choose_holder(&holders, &input, &mut rng);
         let index = chosen.map(|chosen| chosen.index);
-        self.draw.0 = rng;
+        self.random.0 = rng;
         index
     }
 }
@@ -378,7 +378,7 @@
         all.first_token_us.extend(outcome.first_token_us);
         all.hits += outcome.hits;
         all.starts += outcome.starts;
-        all.gate_refusals += outcome.gate_refusals;
+        all.agent_refusals += outcome.agent_refusals;
     }
     all.first_token_us.sort_unstable();
     let ms = |percent| percentile(&all.first_token_us, percent) / 1_000;
@@ -395,6 +395,6 @@
         ms(95),
         ms(99),
         all.hits as f64 * 100.0 / all.starts.max(1) as f64,
-        all.gate_refusals,
+        all.agent_refusals,
     );
 }
--- a/crates/route/benches/verdicts.rs
+++ b/crates/route/benches/verdicts.rs
@@ -1,9 +1,9 @@
-//! Verdicts on a failing upstream: each entry's own against a shared one.
+//! Compares circuit breakers per entry with breakers shared by the entries.
 //!
-//! A fleet of entries sends to three upstreams, one of which goes out for 15 s
-//! or gets slow. With its own verdict each entry finds out by its own failures
-//! and probes on its own clock; with a shared one the entries tell each other
-//! over links with a delay, and one of them probes.
+//! A fleet of entries sends to three upstreams, one of which fails, gets slow or
+//! fails half of its requests for 15 s. With its own breaker each entry detects
+//! this from its own failures and sends its own probes. With a shared one the
+//! entries exchange states at an interval, and one of them probes.
 
 use base::prelude::*;
 use rand_core::{Rng, SeedableRng};
@@ -14,11 +14,12 @@
 const SECONDS: u64 = 40;
 const OUTAGE_MS: std::ops::Range<u64> = 10_000..25_000;
 const GOSSIP_MS: u64 = 500;
-/// Requests of the whole fleet; more entries see fewer each.
+/// Mean interval between requests of the whole fleet, so that each entry of a
+/// larger fleet sees fewer.
 const GAP_US: u64 = 10_000;
 const FAIL_MS: u64 = 20;
 const OK_MS: u64 = 100;
-/// An entry gives up on a slow upstream after this time.
+/// Time after which an entry gives up on a slow upstream.
 const TIMEOUT_MS: u64 = 1_000;
 const UPSTREAMS: u64 = 3;
 const TICK_US: u64 = 1_000;
@@ -32,7 +33,7 @@
 }
 
 #[derive(Debug, Default)]
-struct Tally {
+struct Counts {
     probes_max: usize,
     probes: u64,
     agreeing_ms: u64,
@@ -44,7 +45,7 @@
 }
 
 #[derive(Debug)]
-struct Ending {
+struct PendingOutcome {
     entry: usize,
     ok: bool,
     probe: bool,
@@ -55,34 +56,34 @@
     fault: Fault,
     rng: Pcg64Mcg,
     entries: Vec<CircuitBreaker>,
-    ending: BTreeMap<(u64, u64), Ending>,
+    pending: BTreeMap<(u64, u64), PendingOutcome>,
     sequence: u64,
     probes: usize,
     next_arrival_us: u64,
-    tally: Tally,
+    counts: Counts,
 }
 
 impl Fleet {
-    fn run(count: usize, shared: bool, fault: Fault, seed: u64) -> Tally {
+    fn run(count: usize, shared: bool, fault: Fault, seed: u64) -> Counts {
         let mut fleet = Self {
             shared,
             fault,
             rng: Pcg64Mcg::seed_from_u64(seed),
             entries: (0..count).map(|_| CircuitBreaker::new()).collect(),
-            ending: BTreeMap::new(),
+            pending: BTreeMap::new(),
             sequence: 0,
             probes: 0,
             next_arrival_us: 0,
-            tally: Tally::default(),
+            counts: Counts::default(),
         };
         for now_us in (0..SECONDS * 1_000_000).step_by(TICK_US as usize) {
             fleet.tick(now_us);
         }
-        fleet.tally
+        fleet.counts
     }
 
     fn tick(&mut self, now_us: u64) {
-        self.end(now_us);
+        self.finish_requests(now_us);
         if self.shared && now_us.is_multiple_of(GOSSIP_MS * 1_000) {
             self.gossip(Instant::from_us(now_us));
         }
@@ -91,22 +92,22 @@
             self.next_arrival_us += GAP_US / 2 + jitter;
             self.arrive(now_us);
         }
-        self.compare(now_us);
+        self.record_agreement(now_us);
     }
 
-    fn compare(&mut self, now_us: u64) {
+    fn record_agreement(&mut self, now_us: u64) {
         if !OUTAGE_MS.contains(&(now_us / 1_000)) {
             return;
         }
         let open = self.entries.iter().filter(|entry| entry.is_open()).count();
         if open == 0 || open == self.entries.len() {
-            self.tally.agreeing_ms += 1;
+            self.counts.agreeing_ms += 1;
         } else {
-            self.tally.differing_ms += 1;
+            self.counts.differing_ms += 1;
         }
     }
 
-    /// The newest verdict goes to everybody.
+    /// Merges the newest state into all entries.
     fn gossip(&mut self, now: Instant) {
         let newest = self.entries.iter().map(CircuitBreaker::state).max();
         let Some(newest) = newest else { return };
@@ -118,7 +119,7 @@
     fn arrive(&mut self, now_us: u64) {
         let entry = self.rng.next_u32() as usize % self.entries.len();
         let upstream = u64::from(self.rng.next_u32()) % UPSTREAMS;
-        self.tally.requests += 1;
+        self.counts.requests += 1;
         if upstream != 0 {
             return;
         }
@@ -126,7 +127,7 @@
         let allow =
             self.entries[entry].acquire_permission(Instant::from_us(now_us), prober);
         match allow {
-            Permission::Denied => self.tally.turned_away += 1,
+            Permission::Denied => self.counts.turned_away += 1,
             Permission::Granted => self.send(now_us, entry, false),
             Permission::Probe => self.send(now_us, entry, true),
         }
@@ -142,26 +143,27 @@
         };
         if probe {
             self.probes += 1;
-            self.tally.probes += 1;
-            self.tally.probes_max = self.tally.probes_max.max(self.probes);
+            self.counts.probes += 1;
+            self.counts.probes_max = self.counts.probes_max.max(self.probes);
         }
         self.sequence += 1;
         let key = (now_us + takes_ms * 1_000, self.sequence);
-        self.ending.insert(key, Ending { entry, ok, probe });
+        self.pending
+            .insert(key, PendingOutcome { entry, ok, probe });
     }
 
-    fn end(&mut self, now_us: u64) {
-        while let Some(first) = self.ending.first_entry() {
+    fn finish_requests(&mut self, now_us: u64) {
+        while let Some(first) = self.pending.first_entry() {
             if first.key().0 > now_us {
                 return;
             }
-            let ending = first.remove();
-            self.probes -= usize::from(ending.probe);
-            self.tally.failed += u64::from(!ending.ok);
-            let health = &mut self.entries[ending.entry];
+            let outcome = first.remove();
+            self.probes -= usize::from(outcome.probe);
+            self.counts.failed += u64::from(!outcome.ok);
+            let health = &mut self.entries[outcome.entry];
             let was_open = health.is_open();
-            health.record_outcome(Instant::from_us(now_us), ending.ok, ending.probe);
-            self.tally.opened += u64::from(!was_open && health.is_open());
+            health.record_outcome(Instant::from_us(now_us), outcome.ok, outcome.probe);
+            self.counts.opened += u64::from(!was_open && health.is_open());
         }
     }
 }
@@ -196,16 +198,16 @@
 }
 
 fn row(name: &str, fault: Fault, count: usize, shared: bool) {
-    let tally = Fleet::run(count, shared, fault, 3);
-    let measured_ms = tally.agreeing_ms + tally.differing_ms;
+    let counts = Fleet::run(count, shared, fault, 3);
+    let measured_ms = counts.agreeing_ms + counts.differing_ms;
     println!(
         "{name:<5} {count:>7} {:<7} | {:>6} {:>10} {:>6} {:>6.1} {:>11} {:>7}",
         if shared { "shared" } else { "own" },
-        tally.probes,
-        tally.probes_max,
-        tally.opened,
-        tally.agreeing_ms as f64 * 100.0 / measured_ms as f64,
-        tally.turned_away,
-        tally.failed,
+        counts.probes,
+        counts.probes_max,
+        counts.opened,
+        counts.agreeing_ms as f64 * 100.0 / measured_ms as f64,
+        counts.turned_away,
+        counts.failed,
     );
 }
--- a/crates/route/tests/all/admission.rs
+++ b/crates/route/tests/all/admission.rs
@@ -21,13 +21,13 @@
     Admission::Refuse(Refusal::not_run(code).retry_after_ms(ms))
 }
 
-/// What each state of the fleet means for a new request.
+/// The decision follows from the state of the fleet and the request's deadline.
 #[test]
 fn admits_what_can_be_in_time() {
     let wait = |predicted_ms| Admission::Wait { predicted_ms };
     let cases: [(&str, AdmissionInput, Admission); 14] = [
         (
-            "a place is free",
+            "a slot is free",
             AdmissionInput {
                 free_slots: 10,
                 ..input()
@@ -35,7 +35,7 @@
             Admission::Send,
         ),
         (
-            "the free places go to those ahead",
+            "the free slots go to the requests ahead",
             AdmissionInput {
                 free_slots: 9,
                 ..input()
@@ -43,7 +43,7 @@
             wait(100),
         ),
         (
-            "half a turn of all places",
+            "half of the slots have to become free",
             AdmissionInput {
                 queued_ahead: 4,
                 ..input()
@@ -51,7 +51,7 @@
             wait(500),
         ),
         (
-            "the first token would just be late",
+            "the first token would be slightly late",
             AdmissionInput {
                 queued_ahead: 5,
                 ..input()
@@ -76,7 +76,7 @@
             wait(2_000),
         ),
         (
-            "nobody waits for the first token",
+            "not interactive",
             AdmissionInput {
                 queued_ahead: 19,
                 interactive: false,
@@ -94,7 +94,7 @@
             refused(Code::Overloaded, 2_000),
         ),
         (
-            "too late even when idle",
+            "late even without waiting",
             AdmissionInput {
                 free_slots: 10,
                 answer_time_ms: 9_000,
@@ -103,7 +103,7 @@
             refused(Code::Overloaded, 1_000),
         ),
         (
-            "no holder, and none to be foreseen",
+            "no holder, and no predicted load",
             AdmissionInput {
                 holders: 0,
                 ..input()
@@ -111,7 +111,7 @@
             refused(Code::ModelUnavailable, 5_000),
         ),
         (
-            "a holder in time",
+            "a predicted load in time",
             AdmissionInput {
                 holders: 0,
                 load_wait_ms: Some(4_000),
@@ -120,7 +120,7 @@
             wait(4_000),
         ),
         (
-            "a holder too late",
+            "a predicted load too late",
             AdmissionInput {
                 holders: 0,
                 load_wait_ms: Some(6_001),
@@ -129,7 +129,7 @@
             refused(Code::ModelUnavailable, 6_001),
         ),
         (
-            "a holder never",
+            "a load that never ends",
             AdmissionInput {
                 holders: 0,
                 load_wait_ms: Some(u64::MAX),
@@ -138,7 +138,7 @@
             refused(Code::ModelUnavailable, u64::MAX),
         ),
         (
-            "numbers out of all bounds",
+            "out-of-range numbers",
             AdmissionInput {
                 queued_ahead: u32::MAX,
                 service_time_ms: u32::MAX,
@@ -154,7 +154,7 @@
     }
 }
 
-/// A step time and how often it is observed.
+/// A step time and the number of its observations.
 type Phase = (u32, u32);
 
 /// The limit follows the step time and stays within its bounds.
@@ -167,20 +167,24 @@
             &[(10_000, 50), (30_000, 100)],
             4..=10,
         ),
-        ("without end", &[(10_000, 50), (60_000, 300)], 1..=2),
+        (
+            "far above the floor for long",
+            &[(10_000, 50), (60_000, 300)],
+            1..=2,
+        ),
         (
             "back to the floor",
             &[(10_000, 50), (30_000, 100), (10_000, 300)],
             16..=16,
         ),
         (
-            "a slower model for good",
+            "a slower model from now on",
             &[(10_000, 50), (30_000, 40_000)],
             16..=16,
         ),
         ("no reports", &[(0, 400)], 16..=16),
         (
-            "reports that say nothing",
+            "reports without a step time",
             &[(10_000, 50), (30_000, 100), (0, 400)],
             4..=10,
         ),
--- a/crates/route/tests/all/budgets.rs
+++ b/crates/route/tests/all/budgets.rs
@@ -1,9 +1,9 @@
 use base::prelude::*;
 use route::{CallerLimits, RetryBudget};
 
-/// A pool fails for ten minutes. The caller of each request sees its failure;
-/// the upstreams see hardly more than the first tries, because the retries of
-/// all requests together stay within the budget.
+/// Guards against retries that multiply the load on a failing pool. While all
+/// attempts fail for ten minutes, retries must stay within the budget in each
+/// window.
 #[test]
 fn retries_stay_within_the_budget() {
     let cases = [(10, 100, 60), (10, 1, 2), (0, 100, 2), (50, 100, 260)];
@@ -31,8 +31,8 @@
     }
 }
 
-/// A model with one request an hour can still be retried, and an old failure
-/// does not count against it.
+/// Guards against a rarely used model that can't be retried at all, and against old
+/// retries that still count.
 #[test]
 fn a_rare_model_can_retry() {
     let mut budget = RetryBudget::new(10);
@@ -44,18 +44,18 @@
     }
 }
 
-/// One caller sends a burst that is larger than the queue. Another caller that
-/// comes afterwards still gets a place in it, and so does a third.
+/// Guards against one caller's burst that fills the queue. Other callers must still
+/// get places in it.
 #[test]
 fn a_burst_leaves_room_for_other_callers() {
     let mut limits = CallerLimits::new();
     let callers = ["a", "b", "c"].map(CallerId::new);
-    let got = callers.each_ref().map(|caller| {
+    let accepted = callers.each_ref().map(|caller| {
         (0..1_000)
             .filter(|_| limits.try_enqueue(caller, 90))
             .count()
     });
-    assert_eq!(got, [60, 20, 7]);
+    assert_eq!(accepted, [60, 20, 7]);
     assert_eq!(limits.waiting(), 87);
 
     for _ in 0..60 {
@@ -63,7 +63,7 @@
     }
     assert!(
         limits.try_enqueue(&callers[2], 90),
-        "freed room is given again"
+        "freed capacity can be used again"
     );
     limits.dequeue(&CallerId::new("unknown"));
     let idle = CallerId::new("d");
@@ -72,17 +72,17 @@
     assert_eq!(limits.waiting(), 28);
 }
 
-/// Requests in progress are bounded by caller, and a release that was not taken
-/// frees nothing.
+/// Each caller has its own limit on requests in progress, and releases without a
+/// matching start free nothing.
 #[test]
-fn callers_have_a_limit_of_their_own() {
+fn each_caller_has_its_own_limit() {
     let mut limits = CallerLimits::new();
     let (a, b) = (CallerId::new("a"), CallerId::new("b"));
-    let entered = (0..5).filter(|_| limits.try_start_request(&a, 3)).count();
-    assert_eq!(entered, 3);
+    let started = (0..5).filter(|_| limits.try_start_request(&a, 3)).count();
+    assert_eq!(started, 3);
     assert!(
         limits.try_start_request(&b, 3),
-        "another caller has its own"
+        "another caller has its own limit"
     );
     limits.finish_request(&a);
     assert!(limits.try_start_request(&a, 3));
@@ -93,6 +93,6 @@
     assert_eq!(limits.in_progress(&a), 0);
     assert!(
         !limits.try_start_request(&a, 0),
-        "a limit of zero lets nothing in"
+        "a limit of zero admits nothing"
     );
 }
--- a/crates/route/tests/all/choice.rs
+++ b/crates/route/tests/all/choice.rs
@@ -4,13 +4,13 @@
 use route::{Holder, RouteReason, RoutingInput, choose_holder};
 
 /// Owns the names that holders borrow.
-struct Names {
+struct Ids {
     agents: Vec<AgentId>,
     here: DomainId,
     there: DomainId,
 }
 
-impl Names {
+impl Ids {
     fn new(count: usize) -> Self {
         Self {
             agents: (0..count).map(|n| AgentId::new(&format!("a{n}"))).collect(),
@@ -34,8 +34,9 @@
         self.agents.iter().map(holder).collect()
     }
 
-    /// How often each holder is chosen, and the reason of the last choice.
-    fn tally(
+    /// Counts how often each holder is chosen; also returns the reason of the last
+    /// choice.
+    fn count_choices(
         &self,
         holders: &[Holder<'_>],
         prefix_hash: u64,
@@ -60,23 +61,27 @@
     }
 }
 
-type Change = fn(&mut [Holder<'_>], &Names);
+type Change = fn(&mut [Holder<'_>], &Ids);
 
-/// Which of three holders is never chosen, and which always, after a change.
+/// Without a prefix, loaded, slow, full and suspected holders are avoided.
 #[test]
-fn two_choices_follow_load_and_life() {
-    // For each holder: 0 never, 1 sometimes, 2 always.
+fn two_choices_follow_load_and_suspicion() {
+    // For each holder: 0 = never chosen, 1 = sometimes, 2 = always.
     let cases: [(&str, Change, [u8; 3]); 11] = [
-        ("all alike", |_, _| (), [1, 1, 1]),
+        ("all equal", |_, _| (), [1, 1, 1]),
         ("one busier", |h, _| h[0].running = 9, [0, 1, 1]),
         ("one queueing", |h, _| h[0].waiting = 1, [0, 1, 1]),
-        ("one sent to", |h, _| h[0].sent_since_report = 1, [0, 1, 1]),
+        (
+            "one with a recent attempt",
+            |h, _| h[0].sent_since_report = 1,
+            [0, 1, 1],
+        ),
         ("one slower", |h, _| h[0].step_time_us = 40_000, [0, 1, 1]),
         ("one full", |h, _| h[0].running = 18, [0, 1, 1]),
-        ("one without places", |h, _| h[0].running_max = 0, [0, 1, 1]),
-        ("one silent", |h, _| h[0].suspected = true, [0, 1, 1]),
+        ("one without slots", |h, _| h[0].running_max = 0, [0, 1, 1]),
+        ("one suspected", |h, _| h[0].suspected = true, [0, 1, 1]),
         (
-            "only a silent one has room",
+            "only a suspected one has capacity",
             |h, _| {
                 h[0].suspected = true;
                 h[1].running = 18;
@@ -90,7 +95,7 @@
             [0, 0, 0],
         ),
         (
-            "a number out of all bounds",
+            "out-of-range numbers",
             |h, _| {
                 h[0].running = u32::MAX;
                 h[0].sent_since_report = u32::MAX;
@@ -100,11 +105,11 @@
             [0, 2, 0],
         ),
     ];
-    let names = Names::new(3);
+    let ids = Ids::new(3);
     for (name, change, expected) in cases {
-        let mut holders = names.holders();
-        change(&mut holders, &names);
-        let (counts, _) = names.tally(&holders, 0, &[]);
+        let mut holders = ids.holders();
+        change(&mut holders, &ids);
+        let (counts, _) = ids.count_choices(&holders, 0, &[]);
         let class = |count: &usize| match count {
             0 => 0,
             1_000 => 2,
@@ -115,72 +120,79 @@
     }
 }
 
-/// A holder that was idle a minute ago does not draw everything away from one
-/// that is known to be nearly idle.
+/// Guards against an old report of an idle holder that attracts all requests
+/// although another holder is known to be nearly idle.
 #[test]
-fn an_old_hint_is_worth_less() {
-    let names = Names::new(3);
-    let mut holders = names.holders();
+fn an_old_load_report_counts_less() {
+    let ids = Ids::new(3);
+    let mut holders = ids.holders();
     holders[0].running = 0;
     holders[1].running = 1;
     holders[2].running = 14;
-    let (fresh, _) = names.tally(&holders, 0, &[]);
+    let (fresh, _) = ids.count_choices(&holders, 0, &[]);
     holders[0].report_age_ms = 60_000;
-    let (aged, _) = names.tally(&holders, 0, &[]);
+    let (aged, _) = ids.count_choices(&holders, 0, &[]);
     assert!(fresh[0] > fresh[1], "{fresh:?}");
     assert!(aged[0] < aged[1], "{aged:?}");
 }
 
-/// The own failure domain decides between equals and never against load.
+/// The entry's own failure domain decides between equally loaded holders only.
 #[test]
-fn the_own_domain_decides_between_equals() {
-    let names = Names::new(2);
-    let mut holders = names.holders();
-    holders[1].domain = &names.here;
-    assert_eq!(names.tally(&holders, 0, &[]).0, [0, 1_000]);
+fn the_local_domain_breaks_ties() {
+    let ids = Ids::new(2);
+    let mut holders = ids.holders();
+    holders[1].domain = &ids.here;
+    assert_eq!(ids.count_choices(&holders, 0, &[]).0, [0, 1_000]);
     holders[1].running += 1;
-    assert_eq!(names.tally(&holders, 0, &[]).0, [1_000, 0]);
+    assert_eq!(ids.count_choices(&holders, 0, &[]).0, [1_000, 0]);
 }
 
-/// A prefix stays with its holder until that is over the load bound, and comes
-/// back afterwards; other prefixes are spread over the others.
+/// A prefix leaves its preferred holder while that exceeds the load bound, and
+/// returns afterwards. Prefixes are spread over all holders.
 #[test]
 fn a_prefix_stays_within_the_load_bound() {
-    let names = Names::new(8);
-    let mut holders = names.holders();
-    let (counts, reason) = names.tally(&holders, 42, &[]);
-    let home = counts
+    let ids = Ids::new(8);
+    let mut holders = ids.holders();
+    let (counts, reason) = ids.count_choices(&holders, 42, &[]);
+    let preferred = counts
         .iter()
         .position(|count| *count > 0)
         .expect("one is chosen");
-    assert_eq!((counts[home], reason), (1_000, Some(RouteReason::Prefix)));
+    assert_eq!(
+        (counts[preferred], reason),
+        (1_000, Some(RouteReason::Prefix))
+    );
 
-    holders[home].running = 12;
-    let (counts, reason) = names.tally(&holders, 42, &[]);
+    holders[preferred].running = 12;
+    let (counts, reason) = ids.count_choices(&holders, 42, &[]);
     assert_eq!(
-        (counts[home], reason),
+        (counts[preferred], reason),
         (0, Some(RouteReason::PrefixBounded))
     );
 
-    holders[home].running = 5;
-    let (counts, _) = names.tally(&holders, 42, &[]);
-    assert_eq!(counts[home], 1_000);
+    holders[preferred].running = 5;
+    let (counts, _) = ids.count_choices(&holders, 42, &[]);
+    assert_eq!(counts[preferred], 1_000);
 
-    let used = (1..200u64).map(|prefix| names.tally(&holders, prefix, &[]).0);
-    let homes: std::collections::BTreeSet<_> = used.collect();
-    assert_eq!(homes.len(), 8, "every holder is the home of some prefix");
+    let used = (1..200u64).map(|prefix| ids.count_choices(&holders, prefix, &[]).0);
+    let preferred_holders: std::collections::BTreeSet<_> = used.collect();
+    assert_eq!(
+        preferred_holders.len(),
+        8,
+        "every holder is preferred for some prefix"
+    );
 }
 
-/// A prefix whose home was tried before goes to the next; the last one left is
-/// chosen as such, and when all were tried there is none.
+/// A request is not sent to a holder that was tried before. The last holder left is
+/// reported as the only one, and there is none when all were tried.
 #[test]
 fn tried_holders_are_not_chosen_again() {
-    let names = Names::new(3);
-    let holders = names.holders();
+    let ids = Ids::new(3);
+    let holders = ids.holders();
     for tried in 0..=3 {
         for prefix_hash in [0, 42] {
-            let excluded = &names.agents[..tried];
-            let (counts, reason) = names.tally(&holders, prefix_hash, excluded);
+            let excluded = &ids.agents[..tried];
+            let (counts, reason) = ids.count_choices(&holders, prefix_hash, excluded);
             assert_eq!(counts[..tried].iter().sum::<usize>(), 0);
             assert_eq!(
                 counts.iter().sum::<usize>(),
@@ -192,12 +204,13 @@
     }
 }
 
-/// Whatever the numbers, a choice is a holder with room, or none has room.
+/// For any input the chosen holder has capacity, and none is chosen only if none
+/// has.
 #[test]
-fn any_numbers_give_a_holder_with_room() {
+fn any_input_gives_a_holder_with_capacity() {
     arbtest::arbtest(|u| {
-        let names = Names::new(u.int_in_range(0..=9)?);
-        let mut holders = names.holders();
+        let ids = Ids::new(u.int_in_range(0..=9)?);
+        let mut holders = ids.holders();
         for holder in &mut holders {
             holder.running = u.arbitrary()?;
             holder.waiting = u.arbitrary::<u32>()? % 4;
@@ -209,7 +222,7 @@
         }
         let input = RoutingInput {
             prefix_hash: u.arbitrary()?,
-            domain: &names.here,
+            domain: &ids.here,
             excluded: &[],
         };
         let mut rng = Pcg64Mcg::seed_from_u64(u.arbitrary()?);
--- a/crates/route/tests/all/circuit_breaker.rs
+++ b/crates/route/tests/all/circuit_breaker.rs
@@ -9,8 +9,9 @@
     health
 }
 
-/// One upstream is out. The entry that found out tells the others; only one of
-/// them probes, one request at a time, and its success opens the way for all.
+/// Guards against probes from every entry, which would be load for a failing
+/// upstream. Only the prober sends them, one at a time, and its success closes all
+/// breakers.
 #[test]
 fn one_entry_probes_for_all() {
     let start = Instant::ZERO;
@@ -36,7 +37,7 @@
     assert_eq!(
         first.acquire_permission(later, true),
         Permission::Denied,
-        "not before the interval"
+        "not before the probe interval"
     );
     let later = later.plus_ms(1_000);
     assert_eq!(first.acquire_permission(later, true), Permission::Probe);
@@ -45,15 +46,16 @@
     assert_eq!(second.acquire_permission(later, false), Permission::Granted);
 }
 
-/// What changes a verdict and what does not.
+/// A late success does not close a breaker, scattered failures do not open it, and
+/// only a newer state of another entry is adopted.
 #[test]
-fn only_news_changes_a_verdict() {
+fn stale_information_does_not_change_a_breaker() {
     let now = Instant::ZERO;
     let mut late = failed(now);
     late.record_outcome(now, true, false);
     assert!(
         late.is_open(),
-        "a success of a request sent before the fault"
+        "a request sent before the fault succeeded late"
     );
 
     let mut mixed = CircuitBreaker::new();
@@ -61,10 +63,7 @@
         (0..4).for_each(|_| mixed.record_outcome(now, false, false));
         mixed.record_outcome(now, true, false);
     }
-    assert!(
-        !mixed.is_open(),
-        "failures in a row count, not scattered ones"
-    );
+    assert!(!mixed.is_open(), "only consecutive failures count");
 
     let open = failed(now).state();
     for (from, expected) in [
@@ -104,7 +103,7 @@
     }
 }
 
-/// The prober does not depend on the order in which entries are known.
+/// All entries choose the same prober in whatever order they list the entries.
 #[test]
 fn all_entries_agree_on_the_prober() {
     let entries = ["e1", "e2", "e3"].map(EntryId::new);
--- a/crates/route/tests/all/suspects.rs
+++ b/crates/route/tests/all/suspects.rs
@@ -3,18 +3,19 @@
 use schema::link::Suspect;
 
 const VERDICT_MS: u64 = 600_000;
-const GUILTY: u64 = 7;
+const CRASHING: u64 = 7;
 
-/// One crash: agent, upstream incarnation, fingerprints, alone.
+/// A crash report: agent, upstream incarnation, fingerprints in flight, and whether
+/// the request was the sole one.
 type Crash = (&'static str, u64, &'static [u64], bool);
 
-fn after(crashes: &[Crash]) -> SuspectRequests {
+fn suspects_after(crashes: &[Crash]) -> SuspectRequests {
     let mut suspects = SuspectRequests::new(VERDICT_MS);
-    report(&mut suspects, crashes);
+    report_crashes(&mut suspects, crashes);
     suspects
 }
 
-fn report(suspects: &mut SuspectRequests, crashes: &[Crash]) {
+fn report_crashes(suspects: &mut SuspectRequests, crashes: &[Crash]) {
     for (agent, incarnation, fingerprints, alone) in crashes {
         let agent = AgentId::new(agent);
         suspects.record_crash(
@@ -27,7 +28,7 @@
     }
 }
 
-fn tell(to: &mut SuspectRequests, from: &SuspectRequests, now: Instant) -> bool {
+fn merge_all(to: &mut SuspectRequests, from: &SuspectRequests, now: Instant) -> bool {
     let mut changed = false;
     for suspect in from.export(now) {
         changed |= to.merge(now, &suspect);
@@ -39,38 +40,41 @@
     remaining_ms: VERDICT_MS,
 };
 
-/// A request crashes the upstream that runs it. Its caller sees it retried
-/// alone, and refused after a crash of a second upstream; whoever ran beside it
-/// is not refused for one crash, nor for two of one upstream. Whoever was in
-/// flight at crashes of two upstreams, as copies at once may be, is not run
-/// again: a third run might be a third crash.
+/// Guards against a request that crashes one upstream after another. One crash
+/// makes it a suspect, and crashes of two different upstreams convict it, even if
+/// concurrent copies of it met them. Other requests are not convicted for one
+/// crash, nor for several of one upstream.
 #[test]
 fn crashes_of_two_upstreams_convict() {
     let cases: [(&str, &[Crash], CrashVerdict); 11] = [
-        ("nothing", &[], CrashVerdict::Clear),
+        ("no crash", &[], CrashVerdict::Clear),
         (
-            "of others",
+            "a crash of other requests",
             &[("a", 1, &[8, 9], false)],
             CrashVerdict::Clear,
         ),
         (
-            "one among others",
+            "one crash among other requests",
             &[("a", 1, &[7, 8], false)],
             CrashVerdict::Suspect,
         ),
-        ("one alone", &[("a", 1, &[7], true)], CrashVerdict::Suspect),
         (
-            "twice among others",
+            "one crash as the sole request",
+            &[("a", 1, &[7], true)],
+            CrashVerdict::Suspect,
+        ),
+        (
+            "two crashes among other requests",
             &[("a", 1, &[7, 8], false), ("b", 1, &[7, 9], false)],
             CONVICTED,
         ),
         (
-            "among others, then alone",
+            "among other requests, then as the sole request",
             &[("a", 1, &[7, 8], false), ("b", 1, &[7], true)],
             CONVICTED,
         ),
         (
-            "alone, then among others, as one entry may hear it",
+            "the same in the opposite order, as reports may arrive",
             &[("b", 1, &[7], true), ("a", 1, &[7, 8], false)],
             CONVICTED,
         ),
@@ -80,119 +84,132 @@
             CrashVerdict::Suspect,
         ),
         (
-            "the same upstream twice, which may be broken itself",
+            "the same upstream twice, which may be faulty itself",
             &[("a", 1, &[7, 8], false), ("a", 2, &[7], true)],
             CrashVerdict::Suspect,
         ),
         (
-            "a report that calls two requests alone",
+            "a report that names two sole requests",
             &[("a", 1, &[7, 8], true)],
             CrashVerdict::Suspect,
         ),
         (
-            "the same upstream twice among others",
+            "the same upstream twice among other requests",
             &[("a", 1, &[7, 8], false), ("a", 2, &[7, 9], false)],
             CrashVerdict::Suspect,
         ),
     ];
     for (name, crashes, expected) in cases {
-        let mut suspects = after(crashes);
-        assert_eq!(suspects.verdict(Instant::ZERO, GUILTY), expected, "{name}");
+        let mut suspects = suspects_after(crashes);
+        assert_eq!(
+            suspects.verdict(Instant::ZERO, CRASHING),
+            expected,
+            "{name}"
+        );
     }
 }
 
-/// Bystanders of a crash run alone one after another, and each that ends whole
-/// is free again, here and at entries that hear of it late.
+/// Requests that were merely in flight at a crash are cleared by an exclusive run
+/// that completes, also at entries that learn of it later.
 #[test]
-fn a_run_alone_clears_a_bystander() {
+fn a_completed_exclusive_run_clears_a_suspect() {
     let now = Instant::ZERO;
-    let mut here = after(&[("a", 1, &[7, 8, 9], false)]);
+    let mut here = suspects_after(&[("a", 1, &[7, 8, 9], false)]);
     let mut there = SuspectRequests::new(VERDICT_MS);
-    assert!(tell(&mut there, &here, now));
+    assert!(merge_all(&mut there, &here, now));
     here.record_completed_exclusive_run(8);
     assert_eq!(here.verdict(now, 8), CrashVerdict::Clear);
     assert_eq!(here.verdict(now, 9), CrashVerdict::Suspect);
-    assert!(!tell(&mut here, &there, now), "old news does not undo it");
+    assert!(
+        !merge_all(&mut here, &there, now),
+        "an older state does not undo it"
+    );
     assert_eq!(here.verdict(now, 8), CrashVerdict::Clear);
-    assert!(tell(&mut there, &here, now));
+    assert!(merge_all(&mut there, &here, now));
     assert_eq!(there.verdict(now, 8), CrashVerdict::Clear);
 
-    report(&mut here, &[("b", 1, &[8], true)]);
+    report_crashes(&mut here, &[("b", 1, &[8], true)]);
     assert_eq!(
         here.verdict(now, 8),
         CrashVerdict::Suspect,
-        "it starts anew"
+        "later crashes count again"
     );
     here.record_crash(now, &[7], &AgentId::new("b"), 2, true);
     here.record_completed_exclusive_run(7);
     assert_eq!(
         here.verdict(now, 7),
         CONVICTED,
-        "no way back from a conviction"
+        "a conviction is not undone"
     );
 }
 
-/// Two entries each saw one of the two crashes before they heard each other.
-/// In whatever order they do, both refuse the request afterwards.
+/// Two entries each know one of two crashes. Both must convict the request once
+/// they have exchanged them, in whatever order.
 #[test]
 fn entries_come_to_the_same_verdict() {
     let now = Instant::ZERO;
     let halves: [&[Crash]; 2] = [&[("a", 1, &[7, 8], false)], &[("b", 1, &[7], true)]];
     for (first, second) in [(0, 1), (1, 0)] {
-        let (mut here, mut there) = (after(halves[first]), after(halves[second]));
-        assert!(tell(&mut here, &there, now));
-        assert!(!tell(&mut here, &there, now), "the same again is no news");
-        assert_eq!(here.verdict(now, GUILTY), CONVICTED);
-        assert!(tell(&mut there, &here, now));
-        assert_eq!(there.verdict(now, GUILTY), CONVICTED);
+        let (mut here, mut there) = (
+            suspects_after(halves[first]),
+            suspects_after(halves[second]),
+        );
+        assert!(merge_all(&mut here, &there, now));
+        assert!(
+            !merge_all(&mut here, &there, now),
+            "the same state again changes nothing"
+        );
+        assert_eq!(here.verdict(now, CRASHING), CONVICTED);
+        assert!(merge_all(&mut there, &here, now));
+        assert_eq!(there.verdict(now, CRASHING), CONVICTED);
         let mut third = SuspectRequests::new(VERDICT_MS);
-        assert!(tell(&mut third, &there, now));
-        assert_eq!(third.verdict(now, GUILTY), CONVICTED);
+        assert!(merge_all(&mut third, &there, now));
+        assert_eq!(third.verdict(now, CRASHING), CONVICTED);
         assert_eq!(third.verdict(now, 8), there.verdict(now, 8));
     }
 }
 
-/// A peer may know of a conviction and no longer of its crashes.
+/// A peer may know of a conviction but no longer of its crashes.
 #[test]
-fn a_conviction_is_taken_over_without_its_crashes() {
-    let word = Suspect {
-        fingerprint: GUILTY,
+fn a_conviction_is_merged_without_its_crashes() {
+    let message = Suspect {
+        fingerprint: CRASHING,
         convicted: true,
         remaining_ms: VERDICT_MS,
         ..Suspect::default()
     };
     let mut here = SuspectRequests::new(VERDICT_MS);
     let mut there = SuspectRequests::new(VERDICT_MS);
-    assert!(here.merge(Instant::ZERO, &word));
-    assert!(tell(&mut there, &here, Instant::ZERO));
-    assert_eq!(there.verdict(Instant::ZERO, GUILTY), CONVICTED);
+    assert!(here.merge(Instant::ZERO, &message));
+    assert!(merge_all(&mut there, &here, Instant::ZERO));
+    assert_eq!(there.verdict(Instant::ZERO, CRASHING), CONVICTED);
 }
 
-/// A verdict ends, also when entries go on telling it to one another with a
-/// delay of 300 ms each way.
+/// Guards against verdicts that never expire because entries keep sending them to
+/// each other, here with a delay of 300 ms each way.
 #[test]
-fn a_verdict_ends() {
+fn a_verdict_expires() {
     let crashes: &[Crash] = &[("a", 1, &[7, 8], false), ("b", 1, &[7], true)];
-    let (mut here, mut there) = (after(crashes), SuspectRequests::new(VERDICT_MS));
-    let mut told = here.export(Instant::ZERO);
+    let (mut here, mut there) =
+        (suspects_after(crashes), SuspectRequests::new(VERDICT_MS));
+    let mut messages = here.export(Instant::ZERO);
     let mut now = Instant::ZERO;
     while now < Instant::from_ms(VERDICT_MS + 10_000) {
         now = now.plus_ms(300);
-        for suspect in &told {
+        for suspect in &messages {
             there.merge(now, suspect);
             here.merge(now, suspect);
         }
-        told = there.export(now);
-        told.extend(here.export(now));
+        messages = there.export(now);
+        messages.extend(here.export(now));
     }
-    assert_eq!(here.verdict(now, GUILTY), CrashVerdict::Clear);
-    assert_eq!(there.verdict(now, GUILTY), CrashVerdict::Clear);
+    assert_eq!(here.verdict(now, CRASHING), CrashVerdict::Clear);
+    assert_eq!(there.verdict(now, CRASHING), CrashVerdict::Clear);
     assert!(here.is_empty() && there.is_empty());
 }
 
-/// The same suspect is sent to three entries at once. Only the owner of the
-/// model runs it, one suspect at a time; the others tell their callers when to
-/// come back.
+/// A suspect request reaches three entries at once. Only the owner of the model may
+/// run it, and only one suspect of a model at a time.
 #[test]
 fn one_entry_runs_one_suspect_of_a_model() {
     let entries = ["e1", "e2", "e3"].map(EntryId::new);
@@ -200,7 +217,7 @@
     let owner = exclusive_run_owner(&model, &entries).expect("there are entries");
     let mut started = 0;
     for entry in &entries {
-        let mut suspects = after(&[("a", 1, &[7, 8], false)]);
+        let mut suspects = suspects_after(&[("a", 1, &[7, 8], false)]);
         suspects.set_entries(entries.to_vec());
         let first = suspects.try_start_exclusive_run(&model, 7, entry);
         assert_eq!(first, entry == owner);
@@ -212,7 +229,7 @@
         suspects.end_exclusive_run(&model, 8);
         assert!(
             !suspects.try_start_exclusive_run(&model, 8, entry),
-            "not its to end"
+            "the run of another request is not ended"
         );
         suspects.end_exclusive_run(&model, 7);
         assert_eq!(
@@ -223,21 +240,22 @@
     assert_eq!(started, 1);
 }
 
-/// An entry takes a model over while the old owner still runs a suspect of it.
-/// It waits until it hears of the end, or of nothing for five seconds.
+/// An entry becomes the owner of a model while the previous owner still has an
+/// exclusive run. It must wait until that run ends, or until it has heard nothing
+/// for five seconds.
 #[test]
 fn a_new_owner_waits_for_the_old() {
     let (model, old, new) = (ModelId::new("m"), EntryId::new("e1"), EntryId::new("e2"));
     for heard_end in [true, false] {
-        let mut at_old = after(&[("a", 1, &[7, 8], false)]);
+        let mut at_old = suspects_after(&[("a", 1, &[7, 8], false)]);
         let mut at_new = SuspectRequests::new(VERDICT_MS);
         assert!(at_old.try_start_exclusive_run(&model, 7, &old));
-        tell(&mut at_new, &at_old, Instant::ZERO);
+        merge_all(&mut at_new, &at_old, Instant::ZERO);
         assert!(!at_new.try_start_exclusive_run(&model, 8, &new));
         let mut now = Instant::from_ms(4_999);
         if heard_end {
             at_old.end_exclusive_run(&model, 7);
-            tell(&mut at_new, &at_old, now);
+            merge_all(&mut at_new, &at_old, now);
         } else {
             at_new.verdict(now, 8);
             assert!(!at_new.try_start_exclusive_run(&model, 8, &new));
@@ -251,52 +269,61 @@
     }
 }
 
-/// The run alone must show something new: the agents crashed before are named.
+/// The exclusive run must avoid agents whose upstreams the request has crashed, so
+/// these are listed as long as the crashes count.
 #[test]
 fn crashed_agents_are_named() {
-    let named = |suspects: &SuspectRequests| -> Vec<AgentId> {
+    let listed = |suspects: &SuspectRequests| -> Vec<AgentId> {
         suspects.crashed_agents(7).collect()
     };
-    let mut cleared = after(&[("a", 1, &[7, 8], false)]);
-    assert_eq!(named(&cleared), [AgentId::new("a")]);
+    let mut cleared = suspects_after(&[("a", 1, &[7, 8], false)]);
+    assert_eq!(listed(&cleared), [AgentId::new("a")]);
     cleared.record_completed_exclusive_run(7);
-    assert!(named(&cleared).is_empty());
-    let mut both = after(&[("a", 1, &[7, 8], false), ("b", 1, &[7, 9], false)]);
+    assert!(listed(&cleared).is_empty());
+    let mut both =
+        suspects_after(&[("a", 1, &[7, 8], false), ("b", 1, &[7, 9], false)]);
     assert!(!both.crashed_as_sole_request(7));
     both.record_completed_exclusive_run(7);
-    assert_eq!(named(&both), ["a", "b"].map(AgentId::new));
+    assert_eq!(listed(&both), ["a", "b"].map(AgentId::new));
 }
 
-/// Two copies of a request are in flight, through two entries, when two
-/// upstreams die at once. Each entry saw one crash, so the caller sees no retry
-/// from the moment on that they hear each other. A copy that had ended whole and
-/// alone before the second crash is not held to the first.
+/// Guards against a third run after two copies of a request, sent through two
+/// entries, met crashes of two upstreams. A crash before a completed exclusive run
+/// does not count.
 #[test]
-fn copies_at_once_are_not_run_a_third_time() {
+fn concurrent_copies_are_not_run_a_third_time() {
     let now = Instant::ZERO;
-    let mut here = after(&[("a", 1, &[7, 8], false)]);
-    let mut there = after(&[("b", 1, &[7, 9], false)]);
-    assert!(tell(&mut here, &there, now));
-    assert!(tell(&mut there, &here, now));
+    let mut here = suspects_after(&[("a", 1, &[7, 8], false)]);
+    let mut there = suspects_after(&[("b", 1, &[7, 9], false)]);
+    assert!(merge_all(&mut here, &there, now));
+    assert!(merge_all(&mut there, &here, now));
     for suspects in [&mut here, &mut there] {
-        assert_eq!(suspects.verdict(now, GUILTY), CONVICTED);
+        assert_eq!(suspects.verdict(now, CRASHING), CONVICTED);
         assert_eq!(suspects.verdict(now, 9), CrashVerdict::Suspect);
     }
 
-    let mut cleared = after(&[("a", 1, &[7, 8], false)]);
+    let mut cleared = suspects_after(&[("a", 1, &[7, 8], false)]);
     cleared.record_completed_exclusive_run(7);
-    report(&mut cleared, &[("b", 1, &[7, 9], false)]);
-    assert_eq!(cleared.verdict(now, GUILTY), CrashVerdict::Suspect);
+    report_crashes(&mut cleared, &[("b", 1, &[7, 9], false)]);
+    assert_eq!(cleared.verdict(now, CRASHING), CrashVerdict::Suspect);
 }
 
-/// A flood of crash reports and a peer that sends nonsense cost no more memory
-/// than the bound, and a conviction outlives the suspects of the flood.
+/// Guards against unbounded memory when many crashes are reported and a peer sends
+/// invalid records. A conviction must outlive the many suspects.
 #[test]
 fn memory_is_bounded() {
-    let mut suspects = after(&[("a", 1, &[7, 8], false), ("b", 1, &[7], true)]);
+    let mut suspects =
+        suspects_after(&[("a", 1, &[7, 8], false), ("b", 1, &[7], true)]);
     for round in 0..6u64 {
-        let flood: Vec<u64> = (0..1_000).map(|n| 1_000 + round * 1_000 + n).collect();
-        suspects.record_crash(Instant::ZERO, &flood, &AgentId::new("c"), round, false);
+        let many_fingerprints: Vec<u64> =
+            (0..1_000).map(|n| 1_000 + round * 1_000 + n).collect();
+        suspects.record_crash(
+            Instant::ZERO,
+            &many_fingerprints,
+            &AgentId::new("c"),
+            round,
+            false,
+        );
     }
     for incarnation in 0..1_000 {
         suspects.record_crash(
@@ -309,21 +336,21 @@
     }
     let mut empty = SuspectRequests::new(VERDICT_MS);
     for fingerprint in 0..100 {
-        let nonsense = Suspect {
+        let invalid = Suspect {
             fingerprint: 1 << 40 | fingerprint,
             remaining_ms: u64::MAX,
             ..Suspect::default()
         };
-        assert!(!empty.merge(Instant::ZERO, &nonsense));
+        assert!(!empty.merge(Instant::ZERO, &invalid));
     }
     assert!(empty.is_empty());
     assert!(suspects.len() <= 4_096, "{}", suspects.len());
-    assert_eq!(suspects.verdict(Instant::ZERO, GUILTY), CONVICTED);
-    let told = suspects.export(Instant::ZERO);
-    assert!(told.iter().all(|suspect| suspect.crashes.len() <= 8));
+    assert_eq!(suspects.verdict(Instant::ZERO, CRASHING), CONVICTED);
+    let messages = suspects.export(Instant::ZERO);
+    assert!(messages.iter().all(|suspect| suspect.crashes.len() <= 8));
 }
 
-/// After many crashes of one upstream the crash of another still convicts.
+/// After many crashes of one upstream, a crash of another still convicts.
 #[test]
 fn a_long_list_of_crashes_still_convicts() {
     let mut suspects = SuspectRequests::new(VERDICT_MS);
@@ -331,27 +358,27 @@
         let agent = AgentId::new("a");
         suspects.record_crash(Instant::ZERO, &[7, 8], &agent, incarnation, false);
     }
-    report(&mut suspects, &[("b", 1, &[7], true)]);
-    assert_eq!(suspects.verdict(Instant::ZERO, GUILTY), CONVICTED);
+    report_crashes(&mut suspects, &[("b", 1, &[7], true)]);
+    assert_eq!(suspects.verdict(Instant::ZERO, CRASHING), CONVICTED);
 }
 
-/// Upstreams crash with three hundred requests in flight. No message tells more
-/// than its part, a new suspect is in the first one, and each is told within as
-/// many messages as the parts are.
+/// Guards against messages that exceed the links' capacity after crashes with three
+/// hundred requests in flight. Each message is bounded, contains the newest
+/// suspect, and the rotation covers all suspects.
 #[test]
-fn messages_tell_suspects_in_parts() {
-    const MOST: usize = 16;
+fn messages_carry_suspects_in_batches() {
+    const MAX: usize = 16;
     let mut suspects = SuspectRequests::new(60_000);
     let many: Vec<u64> = (1_000..1_300).collect();
     suspects.record_crash(Instant::ZERO, &many, &AgentId::new("a"), 1, false);
     let now = Instant::ZERO.plus_ms(5_000);
     suspects.record_crash(now, &[7], &AgentId::new("b"), 1, false);
-    let mut told = std::collections::BTreeSet::new();
-    for turn in 0..=(many.len() / MOST) as u64 {
-        let part = suspects.export_batch(now, turn, MOST);
-        assert!(part.len() <= 2 * MOST, "{}", part.len());
-        assert!(part.iter().any(|suspect| suspect.fingerprint == 7));
-        told.extend(part.iter().map(|suspect| suspect.fingerprint));
+    let mut messages = std::collections::BTreeSet::new();
+    for turn in 0..=(many.len() / MAX) as u64 {
+        let batch = suspects.export_batch(now, turn, MAX);
+        assert!(batch.len() <= 2 * MAX, "{}", batch.len());
+        assert!(batch.iter().any(|suspect| suspect.fingerprint == 7));
+        messages.extend(batch.iter().map(|suspect| suspect.fingerprint));
     }
-    assert_eq!(told.len(), many.len() + 1);
+    assert_eq!(messages.len(), many.len() + 1);
 }
