--- a/crates/role/src/agent/attempts.rs
+++ b/crates/role/src/agent/attempts.rs
@@ -1,83 +1,91 @@
-//! The table of attempts.
+//! Table of the attempts in progress.
 
 use base::{AttemptId, EntryId, Instant, ModelId, Refusal};
 use schema::link::Run;
 use std::collections::BTreeMap;
 
-/// Where an attempt is in its life.
+/// Stage of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// It waits until nothing else is in progress.
-    Held {
+    /// An exclusive run waits until nothing else is in progress.
+    WaitingForIdle {
         /// When it is refused instead.
         until: Instant,
     },
-    /// It waits for the claim of its key.
+    /// It waits for the claim of its idempotency key.
     Claiming,
-    /// It was given to the driver.
+    /// It was given to the driver, which has not sent any of it yet.
     Starting,
     /// Its first bytes were sent to the upstream.
     Running,
-    /// Its connection broke. Whether the upstream died with it is not known
-    /// yet; it then counts among those in flight at the crash.
+    /// Its connection broke. It is not known yet whether the upstream died; if
+    /// it did, the attempt counts among those in flight at the crash.
     Broken {
         /// When it ends as if the upstream had not died.
         until: Instant,
     },
-    /// It was refused, and waits for its claim's release.
+    /// It was not run, and waits for its claim to be released.
     Releasing {
         /// What to tell the entry.
         refusal: Refusal,
-        /// It had been handed over, so it ends instead of being refused.
-        started: bool,
+        /// It was handed over before, so it ends with `End` instead of
+        /// `Refused`.
+        handed_over: bool,
     },
 }
 
 /// One attempt.
 #[derive(Debug)]
 pub(super) struct Attempt {
-    /// Entry to answer; `None` once it is gone.
+    /// Entry to answer; `None` once nobody waits for the answer.
     pub(super) entry: Option<EntryId>,
     pub(super) phase: Phase,
-    /// The request; taken when it is given to the driver.
+    /// The request; taken when the attempt is given to the driver.
     pub(super) run: Option<Box<Run>>,
     pub(super) model: ModelId,
     pub(super) version: u32,
     pub(super) idempotent: bool,
-    pub(super) keyed: bool,
-    pub(super) alone: bool,
+    pub(super) needs_claim: bool,
+    pub(super) exclusive: bool,
     pub(super) fingerprint: u64,
-    /// Run of the upstream that it was handed to; 0 before that.
-    pub(super) upstream: u64,
+    /// Incarnation of the upstream that it was handed to; 0 before that.
+    pub(super) upstream_incarnation: u64,
     /// Units of the answer before the next part.
     pub(super) offset: u64,
-    pub(super) began: Instant,
+    pub(super) began_at: Instant,
     pub(super) deadline: Instant,
     /// The entry was told that the deadline has passed.
-    pub(super) overdue: bool,
-    /// Answer of a call with a key; `None` once it is too large to be kept.
-    pub(super) kept: Option<Vec<u8>>,
+    pub(super) deadline_reported: bool,
+    /// Answer of a call with a claim, stored for a resend; `None` if it is
+    /// incomplete or exceeds the size limit.
+    pub(super) stored_answer: Option<Vec<u8>>,
 }
 
 impl Attempt {
-    /// It was handed to the upstream.
+    /// Whether it was handed to the upstream.
     pub(super) const fn is_handed_over(&self) -> bool {
         matches!(self.phase, Phase::Running | Phase::Broken { .. })
     }
 
-    /// It takes a place at the upstream, or may soon.
-    const fn takes_place(&self) -> bool {
-        !matches!(self.phase, Phase::Held { .. } | Phase::Releasing { .. })
+    /// Whether it occupies a slot of the upstream or may soon.
+    const fn occupies_slot(&self) -> bool {
+        !matches!(
+            self.phase,
+            Phase::WaitingForIdle { .. } | Phase::Releasing { .. }
+        )
     }
 
-    /// Keeps a part for a resend, up to `max` bytes in all.
-    pub(super) fn keep(&mut self, payload: &[u8], max: usize) {
-        let Some(kept) = &mut self.kept else { return };
-        if kept.len() + payload.len() > max {
-            self.kept = None;
+    /// Appends a part to the stored answer, which is discarded if it exceeds
+    /// `max` bytes.
+    pub(super) fn store_part(&mut self, payload: &[u8], max: usize) {
+        let Some(stored_answer) = &mut self.stored_answer else {
+            return;
+        };
+        if stored_answer.len() + payload.len() > max {
+            self.stored_answer = None;
             return;
         }
-        kept.extend_from_slice(payload);
+        stored_answer.extend_from_slice(payload);
     }
 }
 
@@ -112,51 +120,67 @@
         self.table.is_empty()
     }
 
-    /// Places taken.
+    /// Number of occupied slots.
     pub(super) fn in_flight(&self) -> u32 {
-        let taken = self.table.values().filter(|attempt| attempt.takes_place());
-        u32::try_from(taken.count()).unwrap_or(u32::MAX)
+        let occupying = self
+            .table
+            .values()
+            .filter(|attempt| attempt.occupies_slot());
+        u32::try_from(occupying.count()).unwrap_or(u32::MAX)
     }
 
-    /// An attempt that must run alone is in progress, or held until it can be.
-    pub(super) fn any_alone(&self) -> bool {
+    /// Whether an exclusive run is in progress or waits for the upstream to be
+    /// idle.
+    pub(super) fn any_exclusive(&self) -> bool {
         self.table.values().any(|attempt| {
-            attempt.alone && !matches!(attempt.phase, Phase::Releasing { .. })
+            attempt.exclusive && !matches!(attempt.phase, Phase::Releasing { .. })
         })
     }
 
-    /// The attempt that is held; the gate lets in one at a time.
-    pub(super) fn held(&self) -> Option<AttemptId> {
+    /// The waiting exclusive run; admission control allows one at a time.
+    pub(super) fn waiting_exclusive(&self) -> Option<AttemptId> {
         let mut table = self.table.iter();
-        let is_held = |attempt: &Attempt| matches!(attempt.phase, Phase::Held { .. });
-        table.find(|(_, a)| is_held(a)).map(|(id, _)| *id)
+        let is_waiting =
+            |attempt: &Attempt| matches!(attempt.phase, Phase::WaitingForIdle { .. });
+        table.find(|(_, a)| is_waiting(a)).map(|(id, _)| *id)
     }
 
-    /// When the youngest of those in progress began.
-    pub(super) fn youngest(&self) -> Option<Instant> {
-        let taken = self.table.values().filter(|attempt| attempt.takes_place());
-        taken.map(|attempt| attempt.began).max()
+    /// When the attempt that started last among those in progress started.
+    pub(super) fn latest_began_at(&self) -> Option<Instant> {
+        let occupying = self
+            .table
+            .values()
+            .filter(|attempt| attempt.occupies_slot());
+        occupying.map(|attempt| attempt.began_at).max()
     }
 
-    /// An attempt on a version of a model is in progress.
-    pub(super) fn any_on(&self, model: &ModelId, version: u32) -> bool {
-        let mut taken = self.table.values().filter(|attempt| attempt.takes_place());
-        taken.any(|attempt| attempt.model == *model && attempt.version == version)
+    /// Whether an attempt for a version of a model is in progress.
+    pub(super) fn any_for_model(&self, model: &ModelId, version: u32) -> bool {
+        let mut occupying = self
+            .table
+            .values()
+            .filter(|attempt| attempt.occupies_slot());
+        occupying.any(|attempt| attempt.model == *model && attempt.version == version)
     }
 
-    /// Attempts for which a condition holds, in order.
-    pub(super) fn ids_where(&self, holds: impl Fn(&Attempt) -> bool) -> Vec<AttemptId> {
-        let found = self.table.iter().filter(|(_, attempt)| holds(attempt));
+    /// Ids of the attempts for which a condition holds, in ascending order.
+    pub(super) fn ids_matching(
+        &self,
+        matches: impl Fn(&Attempt) -> bool,
+    ) -> Vec<AttemptId> {
+        let found = self.table.iter().filter(|(_, attempt)| matches(attempt));
         found.map(|(id, _)| *id).collect()
     }
 
-    /// When an attempt next needs to be looked at.
+    /// When an attempt next needs to be processed.
     pub(super) fn due(&self) -> Option<Instant> {
         let times = self
             .table
             .values()
             .filter_map(|attempt| match attempt.phase {
-                Phase::Held { until } | Phase::Broken { until } => Some(until),
+                Phase::WaitingForIdle { until } | Phase::Broken { until } => {
+                    Some(until)
+                }
                 Phase::Starting | Phase::Running => Some(attempt.deadline),
                 Phase::Claiming | Phase::Releasing { .. } => None,
             });
--- a/crates/role/src/entry/control/cells.rs
+++ b/crates/role/src/entry/control/cells.rs
@@ -1,4 +1,4 @@
-//! Cells: the agents that one planner plans together.
+//! Planning cells: groups of agents that one entry plans together.
 
 use base::prelude::*;
 use conf::Config;
@@ -6,25 +6,28 @@
 use place::{AgentView, ResidentState, ResidentView};
 use std::collections::BTreeMap;
 
-/// Agents in one cell at most.
+/// Limit of agents in one planning cell.
 const CELL_AGENTS_MAX: usize = 64;
 
-/// Engines of one pool in one region that are planned together.
+/// Agents of engines in one pool and region, planned together.
 ///
-/// A cell spans the region's failure domains: one plan then sees all the room
-/// there is for a model, and places its replicas apart.
+/// A cell spans the failure domains of its region, so that one plan considers all
+/// accelerators that can hold a model and spreads the replicas over the domains.
 #[derive(Debug)]
-pub(super) struct Cell {
-    /// Name, the key of its planner's rank.
+pub(super) struct PlanningCell {
+    /// Name; the entry that plans the cell is chosen by rendezvous hashing of it.
     pub(super) key: String,
-    /// Pool.
+    /// Pool of the agents.
     pub(super) pool: PoolId,
     /// Agents in order of name.
     pub(super) agents: Vec<AgentView>,
 }
 
-/// All cells of engines, in order of name.
-pub(super) fn cells(directory: &Directory, config: &Config) -> Vec<Cell> {
+/// All planning cells, in order of pool and region.
+pub(super) fn planning_cells(
+    directory: &Directory,
+    config: &Config,
+) -> Vec<PlanningCell> {
     let mut groups: BTreeMap<(&str, &str), Vec<AgentView>> = BTreeMap::new();
     for agent in directory.agents().filter(|agent| agent.life != Life::Lost) {
         let Some(pool) = config.pool(agent.pool.as_str()) else {
@@ -34,12 +37,12 @@
             continue;
         }
         let key = (agent.pool.as_str(), region(config, &agent.domain));
-        groups.entry(key).or_default().push(view(agent));
+        groups.entry(key).or_default().push(agent_view(agent));
     }
     let mut cells = Vec::new();
     for ((pool, region), agents) in groups {
         for (index, agents) in agents.chunks(CELL_AGENTS_MAX).enumerate() {
-            cells.push(Cell {
+            cells.push(PlanningCell {
                 key: format!("{pool}/{region}/{index}"),
                 pool: PoolId::new(pool),
                 agents: agents.to_vec(),
@@ -49,25 +52,25 @@
     cells
 }
 
-/// Region of a failure domain; a domain without one is a region of its own.
+/// Region of a failure domain; a domain without a configured region forms its own.
 fn region<'a>(config: &'a Config, domain: &'a DomainId) -> &'a str {
-    let known = config.fleet().failure_domains.get(domain.as_str());
-    let named = known.filter(|known| !known.region.is_empty());
-    named.map_or(domain.as_str(), |known| known.region.as_str())
+    let configured = config.fleet().failure_domains.get(domain.as_str());
+    let configured = configured.filter(|domain| !domain.region.is_empty());
+    configured.map_or(domain.as_str(), |domain| domain.region.as_str())
 }
 
-fn view(agent: &Agent) -> AgentView {
-    let residents = agent.residents.iter().map(|held| ResidentView {
-        model: held.model.clone(),
-        version: held.version,
-        accelerator: held.accelerator,
-        size_mib: held.size_mib,
-        state: match held.state {
+fn agent_view(agent: &Agent) -> AgentView {
+    let residents = agent.residents.iter().map(|resident| ResidentView {
+        model: resident.model.clone(),
+        version: resident.version,
+        accelerator: resident.accelerator,
+        size_mib: resident.size_mib,
+        state: match resident.state {
             ResidencyState::Loading => ResidentState::Loading,
             ResidencyState::Loaded => ResidentState::Loaded,
             ResidencyState::Unloading => ResidentState::Unloading,
         },
-        since: held.since,
+        since: resident.since,
     });
     AgentView {
         id: agent.id.clone(),
--- a/crates/role/src/entry/requests/mod.rs
+++ b/crates/role/src/entry/requests/mod.rs
@@ -1,31 +1,31 @@
-//! Requests in progress, one shard of them.
+//! One shard of the requests in progress.
 //!
-//! A request is waiting or has one attempt in flight, never both and never two
-//! attempts, so frames of any other attempt are late or doubled and dropped.
-//! It ends once: whoever ends it takes it out of the shard first.
+//! A request is either waiting or has one attempt in flight, so frames of any other
+//! attempt are late or duplicated and are dropped. It ends exactly once: the code that
+//! ends it removes it from the shard first.
 //!
-//! What is said about whether a request ran is not chosen where it is refused.
-//! It follows from what was seen of all its attempts ([`Trail`]), so that no
-//! path can say `not_run` of a request with an attempt that may have started.
+//! Whether a request ran is not decided where it is refused. It follows from what is
+//! known of all its attempts ([`AttemptHistory`]), so that no code path can report
+//! `not_run` for a request with an attempt that may have started.
 
 mod answers;
+mod candidates;
+mod dispatch;
 mod end;
 mod failures;
-mod holders;
-mod outcome;
-mod place;
 mod send;
 mod state;
 mod timers;
+mod upstream_outcome;
 
 use base::Timers;
 use base::prelude::*;
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
-pub(crate) use answers::{Part, PartOutcome, attempt_of};
-pub(crate) use place::Placed;
-pub(crate) use state::{Request, State, Trail};
+pub(crate) use answers::{AnswerPart, PartOutcome, decode_attempt_id};
+pub(crate) use dispatch::Dispatched;
+pub(crate) use state::{AttemptHistory, Request, State};
 
 use timers::Timer;
 
@@ -37,8 +37,8 @@
     origin: u64,
     next_attempt: u64,
     rng: Pcg64Mcg,
-    live: BTreeMap<u64, Request>,
-    /// Request of each attempt in flight.
+    requests: BTreeMap<u64, Request>,
+    /// Sequence number of the request of each attempt in flight.
     attempts: BTreeMap<u64, u64>,
     timers: Timers<Timer>,
 }
@@ -52,23 +52,23 @@
             origin,
             next_attempt: 1,
             rng: Pcg64Mcg::new(state),
-            live: BTreeMap::new(),
+            requests: BTreeMap::new(),
             attempts: BTreeMap::new(),
             timers: Timers::new(),
         }
     }
 
-    /// When the shard wants its next tick.
+    /// When the next timer of the shard is due.
     pub(crate) fn due(&self) -> Option<Instant> {
         self.timers.due()
     }
 
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub(crate) fn len(&self) -> usize {
-        self.live.len()
+        self.requests.len()
     }
 
-    /// Attempts in flight.
+    /// Number of attempts in flight.
     pub(crate) fn in_flight(&self) -> usize {
         self.attempts.len()
     }
@@ -82,14 +82,14 @@
         }
     }
 
-    /// Request whose current attempt this is, if the frame came from the agent
-    /// that the attempt was sent to.
+    /// Sequence number of the request whose current attempt this is, provided that
+    /// `agent`, the sender of a frame, is the one that the attempt was sent to.
     fn current(&self, agent: &AgentId, attempt: AttemptId) -> Option<u64> {
         if attempt.origin != self.origin {
             return None;
         }
         let sequence = *self.attempts.get(&attempt.sequence)?;
-        let held = self.live.get(&sequence)?.attempt()?;
-        (held.id == attempt && held.agent == *agent).then_some(sequence)
+        let current = self.requests.get(&sequence)?.attempt()?;
+        (current.id == attempt && current.agent == *agent).then_some(sequence)
     }
 }
--- a/crates/role/src/entry/shared.rs
+++ b/crates/role/src/entry/shared.rs
@@ -1,37 +1,37 @@
-//! State that every shard needs, and the order of locks.
+//! State shared by all request shards, and the lock order.
 //!
-//! Locks are taken in this order and never the other way round: the control
-//! part, one shard, one of the locks here. The locks here are held for a few
-//! steps and nothing is called under them that takes another.
+//! Locks are taken in this order only: the control state, one shard, one of the
+//! locks in [`Shared`]. The locks in [`Shared`] are held briefly, and nothing that
+//! takes another lock is called under them.
 
 use base::prelude::*;
 use parking_lot::Mutex;
 use route::{CallerLimits, SuspectRequests};
 use std::collections::BTreeSet;
 
-use super::book::Book;
+use super::circuit_breakers::CircuitBreakers;
 use super::control::Control;
 use super::counters::Counts;
-use super::health::Health;
-use super::tally::Tally;
-use super::waiting::Waiting;
-use super::wanted::Wanted;
+use super::outcome_counts::OutcomeCounts;
+use super::resolve::Resource;
+use super::wait_queue::WaitQueue;
+use super::workload::Workload;
 use super::{EntryAction, EntryOptions};
 
-/// Time for which a verdict on a request holds until a configuration says so.
+/// How long a verdict on a request holds while no configuration is in force.
 const VERDICT_DEFAULT_MS: u64 = 600_000;
 
-/// State that every shard needs.
+/// State shared by all request shards.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) options: EntryOptions,
     pub(crate) counts: Counts,
-    pub(crate) waiting: Mutex<Waiting>,
-    pub(crate) book: Mutex<Book>,
+    pub(crate) wait_queue: Mutex<WaitQueue>,
+    pub(crate) workload: Mutex<Workload>,
     pub(crate) callers: Mutex<CallerLimits>,
     pub(crate) suspects: Mutex<SuspectRequests>,
-    pub(crate) health: Mutex<Health>,
-    pub(crate) tally: Mutex<Tally>,
+    pub(crate) breakers: Mutex<CircuitBreakers>,
+    pub(crate) outcomes: Mutex<OutcomeCounts>,
 }
 
 impl Shared {
@@ -39,46 +39,47 @@
         Self {
             options,
             counts: Counts::new(),
-            waiting: Mutex::new(Waiting::default()),
-            book: Mutex::new(Book::new()),
+            wait_queue: Mutex::new(WaitQueue::default()),
+            workload: Mutex::new(Workload::new()),
             callers: Mutex::new(CallerLimits::new()),
             suspects: Mutex::new(SuspectRequests::new(VERDICT_DEFAULT_MS)),
-            health: Mutex::new(Health::default()),
-            tally: Mutex::new(Tally::default()),
+            breakers: Mutex::new(CircuitBreakers::default()),
+            outcomes: Mutex::new(OutcomeCounts::default()),
         }
     }
 }
 
-/// RequestedResource that can only be done once the shard's lock is given back.
+/// Work deferred until the shard's lock is released.
 #[derive(Debug, Default)]
-pub(crate) struct Later {
-    /// Queues whose head may now be sent.
-    pub(crate) wake: BTreeSet<Wanted>,
-    /// They are looked at as a whole.
-    pub(crate) whole: bool,
-    /// Agents that have room again.
-    pub(crate) room: BTreeSet<AgentId>,
-    /// Requests that lost their place in the queue to a more urgent one.
+pub(crate) struct FollowUps {
+    /// Wait queues whose first requests may be sendable now.
+    pub(crate) wake: BTreeSet<Resource>,
+    /// The queues in `wake` are scanned up to `FULL_SCAN_MAX` requests, not only
+    /// at their head.
+    pub(crate) full_scan: bool,
+    /// Agents that may be able to take requests again.
+    pub(crate) agents_with_capacity: BTreeSet<AgentId>,
+    /// Requests evicted from the full wait queue by more urgent ones.
     pub(crate) evicted: Vec<RequestId>,
-    /// RequestedResource waits for a model that nobody holds.
+    /// A request waits for a model that no agent holds, so a plan is due.
     pub(crate) plan: bool,
-    /// Other entries should hear of a suspect at once.
+    /// Gossip is due before the next heartbeat.
     pub(crate) gossip: bool,
 }
 
-impl Later {
+impl FollowUps {
     pub(crate) fn is_empty(&self) -> bool {
-        let queues = self.wake.is_empty() && self.room.is_empty();
+        let queues = self.wake.is_empty() && self.agents_with_capacity.is_empty();
         queues && self.evicted.is_empty() && !self.plan && !self.gossip
     }
 }
 
-/// What a shard works with while an event is handled.
+/// What the code of a shard has access to while it handles an event.
 #[derive(Debug)]
 pub(crate) struct Ctx<'a> {
     pub(crate) now: Instant,
     pub(crate) shared: &'a Shared,
     pub(crate) control: &'a Control,
     pub(crate) out: &'a mut Vec<EntryAction>,
-    pub(crate) later: &'a mut Later,
+    pub(crate) follow_ups: &'a mut FollowUps,
 }
