--- a/crates/role/src/entry/requests/dispatch.rs
+++ b/crates/role/src/entry/requests/dispatch.rs
@@ -2,7 +2,7 @@
 
 use base::prelude::*;
 use route::{
-    ALONE_RUN_RETRY_MS, Admission, AdmissionInput, CrashVerdict, RouteReason,
+    Admission, AdmissionInput, CrashVerdict, EXCLUSIVE_RUN_RETRY_MS, RouteReason,
     RoutingInput, admit, choose_holder, has_capacity,
 };
 use schema::timeline::EventKind;
@@ -383,7 +383,7 @@
     request.resolved.resource.model()?;
     let turn_ms = ctx.control.exclusive_turn_wait_ms(ctx.now);
     let late = turn_ms.saturating_add(input.answer_time_ms) > input.remaining_ms;
-    late.then_some((Code::Overloaded, turn_ms.max(ALONE_RUN_RETRY_MS)))
+    late.then_some((Code::Overloaded, turn_ms.max(EXCLUSIVE_RUN_RETRY_MS)))
 }
 
 fn try_start_exclusive(ctx: &mut Ctx<'_>, request: &Request) -> bool {
@@ -396,7 +396,7 @@
     let own_id = &ctx.shared.options.id;
     let fingerprint = request.resolved.fingerprint;
     let mut suspects = ctx.shared.suspects.lock();
-    let started = suspects.try_start_alone_run(model, fingerprint, own_id);
+    let started = suspects.try_start_exclusive_run(model, fingerprint, own_id);
     ctx.follow_ups.gossip |= started;
     started
 }
--- a/crates/role/src/entry/requests/end.rs
+++ b/crates/role/src/entry/requests/end.rs
@@ -146,7 +146,9 @@
             let fingerprint = request.resolved.fingerprint;
             let mut suspects = ctx.shared.suspects.lock();
             suspects.end_exclusive_run(model, fingerprint);
-            ctx.follow_ups.wake.insert(request.resolved.resource.clone());
+            ctx.follow_ups
+                .wake
+                .insert(request.resolved.resource.clone());
             ctx.follow_ups.gossip = true;
         }
         ctx.follow_ups
