--- a/crates/place/src/adapters.rs
+++ b/crates/place/src/adapters.rs
@@ -34,10 +34,10 @@
     }
 }
 
-/// Whether an adapter is placed because of its wait alone.
+/// Whether an adapter has waited for a quarter of the wait bound, after which it is
+/// placed whatever its value.
 ///
-/// Its base model is held now. If the adapter waited for the wait bound, both might
-/// have to be loaded.
+/// Its base model is held now. Later, both might have to be loaded.
 fn has_waited_long(builder: &PlanBuilder<'_, '_>, adapter: usize) -> bool {
     let model = &builder.catalog.models[adapter];
     let bound_ms = u64::from(builder.input.config.weights().wait_max_ms);
@@ -68,8 +68,8 @@
         else {
             continue;
         };
-        // The engine refuses to load an adapter whose base model it has not been
-        // ordered to load yet.
+        // The engine refuses to load an adapter before its base model is at least
+        // being loaded.
         if replica.base.state.is_none() {
             continue;
         }
--- a/crates/place/src/costs.rs
+++ b/crates/place/src/costs.rs
@@ -46,9 +46,9 @@
         time_s: f64,
     ) -> f64 {
         let demand = &group.demand;
-        let served = slots.max(0.0) * time_s / demand.service_s;
+        let capacity = slots.max(0.0) * time_s / demand.service_s;
         let offered = demand.waiting + rate_per_s * time_s;
-        demand.value * self.attainment * offered.min(served)
+        demand.value * self.attainment * offered.min(capacity)
     }
 
     /// Value gained by adding slots, which serve only once their model is loaded.
--- a/crates/place/src/history.rs
+++ b/crates/place/src/history.rs
@@ -54,9 +54,11 @@
 #[derive(Debug, Default)]
 pub(crate) struct PlanHistory {
     pending_loads: BTreeMap<PlacementKey, PendingLoad>,
+    /// When each planned removal was decided.
     removals: BTreeMap<PlacementKey, Instant>,
     /// Models with waiting requests and no holder.
     unserved: BTreeMap<ModelId, Unserved>,
+    /// Long-term arrival rate per second of each base model's group.
     long_term_rates: BTreeMap<ModelId, f64>,
     last_plan_at: Option<Instant>,
 }
@@ -180,12 +182,12 @@
             let (Some(accelerator), Some(model)) = (accelerator, model) else {
                 return false;
             };
-            let known = &catalog.models[model];
-            if known.spec.base.is_some() != adapters {
+            let configured = &catalog.models[model];
+            if configured.spec.base.is_some() != adapters {
                 return true;
             }
             let accelerator = &mut cell.accelerators[accelerator];
-            let size_mib = u64::from(known.spec.size_mib);
+            let size_mib = u64::from(configured.spec.size_mib);
             if accelerator.leaving
                 || accelerator.wanted_mib() + size_mib > accelerator.capacity_mib
             {
@@ -198,12 +200,12 @@
             let planned = PlannedModel {
                 model,
                 version: load.version,
-                size_mib: known.spec.size_mib,
+                size_mib: configured.spec.size_mib,
                 state: None,
                 since: now,
                 reason: load.reason,
             };
-            accelerator.add_pending_load(known.group, planned, adapters)
+            accelerator.add_pending_load(configured.group, planned, adapters)
         });
     }
 
--- a/crates/place/src/wait_bound.rs
+++ b/crates/place/src/wait_bound.rs
@@ -81,13 +81,13 @@
     let bound_s = f64::from(builder.input.config.weights().wait_max_ms) / 1_000.0;
     let load_s = f64::from(builder.input.config.store().load_time_ms) / 1_000.0;
     let rate_per_s = builder.allowance.rate_per_s.max(1e-6);
-    let mut loads_before = 0;
+    let mut cumulative_loads = 0;
     let mut due_count = 0;
     for (index, waiting) in queue.iter_mut().enumerate() {
-        loads_before += waiting.loads_needed;
+        cumulative_loads += waiting.loads_needed;
         let wait_s = waiting.wait_ms as f64 / 1_000.0;
         let time_to_serve_s = load_s * f64::from(waiting.loads_needed) + SETTLE_S;
-        if wait_s + f64::from(loads_before) / rate_per_s + time_to_serve_s
+        if wait_s + f64::from(cumulative_loads) / rate_per_s + time_to_serve_s
             >= bound_s * fraction
         {
             due_count = index + 1;
--- a/crates/route/src/adaptive_limit.rs
+++ b/crates/route/src/adaptive_limit.rs
@@ -24,6 +24,7 @@
 pub struct AdaptiveConcurrencyLimit {
     limit: u32,
     limit_max: u32,
+    /// Least smoothed step time, which rises slowly.
     floor_us: u64,
     smoothed_us: u64,
     observations: u32,
--- a/crates/route/src/choose.rs
+++ b/crates/route/src/choose.rs
@@ -7,7 +7,7 @@
 use crate::rendezvous::rendezvous_weight;
 
 /// Load per slot, in percent of the mean, up to which a holder is chosen by prompt
-/// prefix.
+/// prefix. Holders slower than the fastest one get a proportionally lower bound.
 const LOAD_BOUND_PERCENT: u64 = 200;
 
 /// Number of requests below which the load bound does not apply, so that prefixes
--- a/crates/route/src/circuit_breaker.rs
+++ b/crates/route/src/circuit_breaker.rs
@@ -34,10 +34,13 @@
 /// Circuit breaker of one entry for one upstream.
 #[derive(Debug, Default)]
 pub struct CircuitBreaker {
+    /// Consecutive failures while the breaker is closed.
     failures: u32,
     open: bool,
+    /// Earliest time of the next probe.
     probe_at: Instant,
     probe_in_flight: bool,
+    /// Number of state changes so far.
     version: u64,
 }
 
--- a/crates/route/src/crash_record.rs
+++ b/crates/route/src/crash_record.rs
@@ -13,11 +13,14 @@
     /// Number of crashes, from the start of `crashes`, that no longer count because
     /// the request has since completed an exclusive run.
     pub(crate) cleared: usize,
+    /// Whether two different upstreams crashed with the request in flight.
     pub(crate) convicted: bool,
     pub(crate) expires_at: Instant,
     /// When this entry last learned of a new crash.
     pub(crate) learned_at: Instant,
+    /// Model of the last exclusive run; empty if there was none.
     pub(crate) model: String,
+    /// Entry that runs the request exclusively now; empty if none does.
     pub(crate) running_at: String,
 }
 
@@ -87,8 +90,8 @@
         if self.convicted {
             return false;
         }
-        let open = self.counted_crashes();
-        self.convicted = open.iter().any(|crash| crash.agent != open[0].agent);
+        let counted = self.counted_crashes();
+        self.convicted = counted.iter().any(|crash| crash.agent != counted[0].agent);
         self.convicted
     }
 }
--- a/crates/route/src/retry_budget.rs
+++ b/crates/route/src/retry_budget.rs
@@ -15,6 +15,7 @@
 
 #[derive(Debug, Clone, Copy, Default)]
 struct Bucket {
+    /// Time of the bucket, in units of `BUCKET_MS`.
     number: u64,
     first_attempts: u64,
     retries: u64,
--- a/crates/route/src/suspects.rs
+++ b/crates/route/src/suspects.rs
@@ -7,8 +7,8 @@
 use crate::crash_record::{CRASHES_MAX, CrashRecord, same_crash};
 use crate::rendezvous::exclusive_run_owner;
 
-/// Maximum number of fingerprints kept. Beyond it, a record that is not convicted
-/// and expires first is replaced.
+/// Maximum number of fingerprints kept. Beyond it, the record that expires first is
+/// replaced, with convictions last.
 const RECORDS_MAX: usize = 4_096;
 
 /// Maximum number of fingerprints accepted from one crash report. No agent admits
@@ -345,7 +345,7 @@
         let all_known = record
             .counted_crashes()
             .iter()
-            .all(|open| from.crashes.iter().any(|crash| same_crash(crash, open)));
+            .all(|counted| from.crashes.iter().any(|crash| same_crash(crash, counted)));
         let changes =
             all_known && !record.convicted && !record.counted_crashes().is_empty();
         if changes {
--- a/crates/route/tests/all/budgets.rs
+++ b/crates/route/tests/all/budgets.rs
@@ -7,7 +7,7 @@
 #[test]
 fn retries_stay_within_the_budget() {
     let cases = [(10, 100, 60), (10, 1, 2), (0, 100, 2), (50, 100, 260)];
-    for (percent, per_s, within_window_max) in cases {
+    for (percent, per_s, expected_retries) in cases {
         let mut budget = RetryBudget::new(percent);
         let mut window = std::collections::VecDeque::new();
         for ms in (0..600_000u64).step_by(1_000 / per_s) {
@@ -25,7 +25,7 @@
             assert!(window.len() <= bound + bound / 9, "{percent}% at {ms} ms");
         }
         assert!(
-            window.len() >= within_window_max / 2,
+            window.len() >= expected_retries / 2,
             "{percent}%: {window:?}"
         );
     }
--- a/crates/route/tests/all/suspects.rs
+++ b/crates/route/tests/all/suspects.rs
@@ -16,14 +16,14 @@
 }
 
 fn report_crashes(suspects: &mut SuspectRequests, crashes: &[Crash]) {
-    for (agent, incarnation, fingerprints, alone) in crashes {
+    for (agent, incarnation, fingerprints, sole_request) in crashes {
         let agent = AgentId::new(agent);
         suspects.record_crash(
             Instant::ZERO,
             fingerprints,
             &agent,
             *incarnation,
-            *alone,
+            *sole_request,
         );
     }
 }
@@ -373,12 +373,12 @@
     suspects.record_crash(Instant::ZERO, &many, &AgentId::new("a"), 1, false);
     let now = Instant::ZERO.plus_ms(5_000);
     suspects.record_crash(now, &[7], &AgentId::new("b"), 1, false);
-    let mut messages = std::collections::BTreeSet::new();
+    let mut exported = std::collections::BTreeSet::new();
     for turn in 0..=(many.len() / MAX) as u64 {
         let batch = suspects.export_batch(now, turn, MAX);
         assert!(batch.len() <= 2 * MAX, "{}", batch.len());
         assert!(batch.iter().any(|suspect| suspect.fingerprint == 7));
-        messages.extend(batch.iter().map(|suspect| suspect.fingerprint));
+        exported.extend(batch.iter().map(|suspect| suspect.fingerprint));
     }
-    assert_eq!(messages.len(), many.len() + 1);
+    assert_eq!(exported.len(), many.len() + 1);
 }
