--- a/crates/place/src/budget.rs
+++ b/crates/place/src/budget.rs
@@ -91,6 +91,6 @@
     if share <= 0.0 {
         return 0;
     }
-    let whole = (f64::from(full_speed_loads) * share).floor() as u32;
-    whole.max(1)
+    let loads = (f64::from(full_speed_loads) * share).floor() as u32;
+    loads.max(1)
 }
--- a/crates/route/benches/policy/admission.rs
+++ b/crates/route/benches/policy/admission.rs
@@ -10,7 +10,7 @@
 
 use crate::events::{Events, Random};
 
-const PLACES: u32 = 64;
+const SLOTS: u32 = 64;
 const SERVICE_MS: f64 = 2_000.0;
 const REQUESTS: usize = 30_000;
 
@@ -83,7 +83,7 @@
             counts: Counts::default(),
         };
         let mut random = Random::new(seed);
-        let gap_us = SERVICE_MS * 1_000.0 / f64::from(PLACES) / load;
+        let gap_us = SERVICE_MS * 1_000.0 / f64::from(SLOTS) / load;
         queue.events.schedule(0, Event::Arrive);
         while let Some((now_us, event)) = queue.events.pop() {
             let now_ms = now_us / 1_000;
@@ -134,8 +134,8 @@
             },
             interactive: request.interactive,
             holders: 4,
-            free_slots: PLACES - self.running,
-            slots: PLACES,
+            free_slots: SLOTS - self.running,
+            slots: SLOTS,
             queued_ahead: ahead as u32,
             service_time_ms: SERVICE_MS as u32,
             load_wait_ms: None,
@@ -145,7 +145,7 @@
     }
 
     fn start(&mut self, now_ms: u64) {
-        while self.running < PLACES {
+        while self.running < SLOTS {
             let next = self.waiting[0]
                 .pop_front()
                 .or_else(|| self.waiting[1].pop_front());
@@ -177,7 +177,7 @@
 
 pub fn print() {
     println!(
-        "\nadmission: 64 places; interactive 8 s, first token 1 s; batch 30 s; one seed"
+        "\nadmission: 64 slots; interactive 8 s, first token 1 s; batch 30 s; one seed"
     );
     println!(
         "{:>5} {:>9} {:<16} | {:>8} {:>9} {:>6} {:>8} {:>9}",
--- a/crates/route/src/crash_record.rs
+++ b/crates/route/src/crash_record.rs
@@ -18,9 +18,9 @@
     pub(crate) expires_at: Instant,
     /// When this entry last learned of a new crash.
     pub(crate) learned_at: Instant,
-    /// Model of the last exclusive run; empty if there was none.
+    /// Model of this entry's last exclusive run of the request; empty if none.
     pub(crate) model: String,
-    /// Entry that runs the request exclusively now; empty if none does.
+    /// Name of this entry while it runs the request exclusively; empty otherwise.
     pub(crate) running_at: String,
 }
 
--- a/crates/route/src/suspects.rs
+++ b/crates/route/src/suspects.rs
@@ -247,20 +247,20 @@
     }
 
     /// Returns the records for one of many messages: up to `max` recent ones, and
-    /// up to `max` of the others in rotation by `turn`, so that each is sent
+    /// up to `max` of the others in rotation by `round`, so that each is sent
     /// repeatedly.
     ///
     /// Every request in flight at a crash becomes a suspect. When all suspects were
     /// part of every message between entries, those of a few crashes filled the
     /// links, and other parts of the messages were lost.
-    pub fn export_batch(&self, now: Instant, turn: u64, max: usize) -> Vec<Suspect> {
+    pub fn export_batch(&self, now: Instant, round: u64, max: usize) -> Vec<Suspect> {
         let is_recent = |record: &CrashRecord| {
             record.expires_at.ms_since(now) + RECENT_MS > self.verdict_ms
         };
         let recent = self.unexpired(now).filter(|(_, record)| is_recent(record));
         let older = self.unexpired(now).filter(|(_, record)| !is_recent(record));
         let count = older.clone().count().max(1);
-        let first = (turn % count as u64) as usize * max % count;
+        let first = (round % count as u64) as usize * max % count;
         let rotating = older
             .clone()
             .cycle()
--- a/crates/route/tests/all/budgets.rs
+++ b/crates/route/tests/all/budgets.rs
@@ -45,7 +45,7 @@
 }
 
 /// Guards against one caller's burst that fills the queue. Other callers must still
-/// get places in it.
+/// be able to queue requests.
 #[test]
 fn a_burst_leaves_room_for_other_callers() {
     let mut limits = CallerLimits::new();
--- a/crates/route/tests/all/suspects.rs
+++ b/crates/route/tests/all/suspects.rs
@@ -374,8 +374,8 @@
     let now = Instant::ZERO.plus_ms(5_000);
     suspects.record_crash(now, &[7], &AgentId::new("b"), 1, false);
     let mut exported = std::collections::BTreeSet::new();
-    for turn in 0..=(many.len() / MAX) as u64 {
-        let batch = suspects.export_batch(now, turn, MAX);
+    for round in 0..=(many.len() / MAX) as u64 {
+        let batch = suspects.export_batch(now, round, MAX);
         assert!(batch.len() <= 2 * MAX, "{}", batch.len());
         assert!(batch.iter().any(|suspect| suspect.fingerprint == 7));
         exported.extend(batch.iter().map(|suspect| suspect.fingerprint));
