--- a/crates/front/src/connection.rs
+++ b/crates/front/src/connection.rs
@@ -1,4 +1,4 @@
-//! Sockets whose far end may vanish without a word.
+//! TCP connections that detect an unresponsive peer.
 
 use socket2::{SockRef, TcpKeepalive};
 use std::io;
@@ -7,57 +7,59 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Longest wait for a connection. Within a region one takes a few milliseconds;
-/// a full queue of new connections drops the first packet, and it is sent again
-/// only after a second.
+/// Connect timeout. Within a region a connection takes a few milliseconds. If
+/// the listener's backlog is full, the first packet is dropped and only sent
+/// again after a second.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Idle time after which the far end is probed, the time between two probes, and
-/// how many of them may be lost.
-const PROBE_AFTER: Duration = Duration::from_secs(1);
-const PROBE_EVERY: Duration = Duration::from_secs(1);
-const PROBES: u32 = 2;
+/// TCP keepalive: idle time before the first probe, time between probes, and
+/// the number of unanswered probes after which the connection is dropped.
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
+const KEEPALIVE_PROBES: u32 = 2;
 
-/// Time for which bytes sent to an upstream or the platform may be unacknowledged.
-const UNACKNOWLEDGED_MAX: Duration = Duration::from_millis(2_500);
+/// `TCP_USER_TIMEOUT` of connections to upstreams and to the platform: how long
+/// sent data may stay unacknowledged.
+const UPSTREAM_USER_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// The same for callers. The kernel also counts the time in which a caller reads
-/// nothing, though it acknowledges: with the bound for upstreams, an answer was cut
-/// under a caller that paused for three seconds. As long as callers may keep a
-/// connection idle.
-const CALLER_PAUSE_MAX: Duration = Duration::from_secs(15);
+/// `TCP_USER_TIMEOUT` of callers' connections. The kernel also counts the time
+/// for which a caller acknowledges data but doesn't read it. With the limit for
+/// upstreams, a response was cut off for a caller that paused for three
+/// seconds. This is as long as callers may keep a connection idle.
+const CALLER_USER_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Connects, and makes sure that a far end that vanishes is noticed.
+/// Opens a connection that detects an unresponsive peer.
 ///
 /// # Errors
 ///
-/// The far end refuses or does not answer in time.
+/// The peer refuses the connection or doesn't answer in time.
 pub async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
         .await
         .unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))?;
-    watch_far_end(&stream, UNACKNOWLEDGED_MAX);
+    configure_socket(&stream, UPSTREAM_USER_TIMEOUT);
     Ok(stream)
 }
 
-/// Makes sure that a caller that vanishes is noticed.
-pub(crate) fn watch_caller(stream: &TcpStream) {
-    watch_far_end(stream, CALLER_PAUSE_MAX);
+/// Configures an accepted connection so that a caller that disappears is
+/// detected.
+pub(crate) fn configure_caller_socket(stream: &TcpStream) {
+    configure_socket(stream, CALLER_USER_TIMEOUT);
 }
 
-/// Makes the kernel notice a far end that is gone or cut off: it answers
-/// nothing, and without this reads wait for ever and writes for a quarter of an
-/// hour.
-fn watch_far_end(stream: &TcpStream, unacknowledged_max: Duration) {
-    let probes = TcpKeepalive::new()
-        .with_time(PROBE_AFTER)
-        .with_interval(PROBE_EVERY)
-        .with_retries(PROBES);
+/// Makes the kernel detect a peer that is gone or unreachable. Such a peer
+/// answers nothing: without these options, reads would wait forever and writes
+/// for a quarter of an hour.
+fn configure_socket(stream: &TcpStream, user_timeout: Duration) {
+    let keepalive = TcpKeepalive::new()
+        .with_time(KEEPALIVE_IDLE)
+        .with_interval(KEEPALIVE_INTERVAL)
+        .with_retries(KEEPALIVE_PROBES);
     let socket = SockRef::from(stream);
-    // Where an option is not to be had, time-outs of requests still end them.
-    let _ = socket.set_tcp_keepalive(&probes);
-    let _ = socket.set_tcp_user_timeout(Some(unacknowledged_max));
-    // The kernel would hold an event back until the one before it is
+    // If an option isn't available, request timeouts still apply.
+    let _ = socket.set_tcp_keepalive(&keepalive);
+    let _ = socket.set_tcp_user_timeout(Some(user_timeout));
+    // Otherwise the kernel holds an event back until the previous one is
     // acknowledged.
     let _ = stream.set_nodelay(true);
 }
--- a/crates/front/src/crash.rs
+++ b/crates/front/src/crash.rs
@@ -1,36 +1,37 @@
-//! Telling an upstream that crashed from one that lost an answer.
+//! Distinguishes an upstream that crashed from one that only lost a response.
 
 use base::prelude::*;
 use direct::UpstreamIncarnation;
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::reach::place;
 use crate::state::Node;
+use crate::upstream_address::address_of;
 
-/// Time after a broken connection at which the upstream is looked at: one that
-/// crashes takes a moment to be gone.
-const LOOK_AFTER: Duration = Duration::from_millis(30);
+/// Time from a broken connection until the upstream is checked. A crashing
+/// process takes a moment to exit.
+const CRASH_CHECK_DELAY: Duration = Duration::from_millis(30);
 
-/// An upstream broke the connection of a request off. If it can't be reached
-/// either, it has crashed, and the request is suspected of it.
+/// Checks whether an upstream that broke a request's connection has crashed. If
+/// it can't be connected to either, it has, and the request becomes a suspect.
 ///
-/// A lost answer or a cut stream ends its connection just the same. Taken for
-/// crashes, two of them would keep an innocent request, and all that look like
-/// it, from every upstream for a minute.
-pub(crate) fn look_for_crash(
+/// A lost response or a cut stream breaks the connection in the same way. If
+/// two of those counted as crashes, a harmless request, and all that have the
+/// same fingerprint, would be kept from every upstream for a minute.
+pub(crate) fn check_for_crash(
     node: &Arc<Node>,
     fingerprint: u64,
-    start: UpstreamIncarnation<'_>,
+    incarnation: UpstreamIncarnation<'_>,
 ) {
-    let (node, born_ms) = (Arc::clone(node), start.started_unix_ms);
-    let upstream: Arc<str> = start.id.into();
+    let (node, started_unix_ms) = (Arc::clone(node), incarnation.started_unix_ms);
+    let upstream: Arc<str> = incarnation.id.into();
     tokio::spawn(async move {
-        tokio::time::sleep(LOOK_AFTER).await;
-        if let Some(place) = place(&node, &upstream)
-            && let Ok(line) = node.pool.take(&upstream, place, true).await
+        tokio::time::sleep(CRASH_CHECK_DELAY).await;
+        if let Some(address) = address_of(&node, &upstream)
+            && let Ok(connection) =
+                node.connections.take(&upstream, address, true).await
         {
-            node.pool.keep(&upstream, line, None);
+            node.connections.keep(&upstream, connection, None);
             return;
         }
         node.log.line(
@@ -38,19 +39,20 @@
             serde_json::json!({ "upstream": &*upstream,
                 "fingerprint": format!("{fingerprint:016x}") }),
         );
-        let agent = witness(&upstream, born_ms);
+        let source = crash_source(&upstream, started_unix_ms);
         let mut suspects = node.suspects.lock();
-        let incarnation = born_ms.unwrap_or(0);
-        suspects.record_crash(node.now(), &[fingerprint], &agent, incarnation, false);
+        let started_ms = started_unix_ms.unwrap_or(0);
+        suspects.record_crash(node.now(), &[fingerprint], &source, started_ms, false);
     });
 }
 
-/// What a crash is counted by. Crashes of two upstreams convict a request, and two
-/// starts under one name are two: counted as one, the request would go on to crash
-/// each start of the same upstream.
-fn witness(upstream: &str, born_ms: Option<u64>) -> AgentId {
-    match born_ms {
-        Some(born_ms) => AgentId::new(&format!("{upstream}@{born_ms}")),
+/// Returns the name that a crash is counted under. Crashes of two upstreams
+/// convict a request, and two incarnations of one upstream count as two:
+/// otherwise the request would go on to crash each incarnation of the same
+/// upstream.
+fn crash_source(upstream: &str, started_unix_ms: Option<u64>) -> AgentId {
+    match started_unix_ms {
+        Some(started_unix_ms) => AgentId::new(&format!("{upstream}@{started_unix_ms}")),
         None => AgentId::new(upstream),
     }
 }
--- /dev/null
+++ b/crates/front/src/dispatch.rs
@@ -0,0 +1,407 @@
+//! Dispatches a request: attempts it at one upstream after another until one
+//! responds or no further attempt is allowed.
+
+use base::prelude::*;
+use direct::{
+    Arrival, AttemptHistory, AttemptOutcome, RetryDecision, SelectedUpstream,
+    decide_retry,
+};
+use hyper::Response;
+use serde_json::{Value, json};
+use std::sync::Arc;
+
+use crate::attempt::{AttemptResult, UpstreamStream, attempt};
+use crate::response::{BufferedResponse, ResponseBody, refusal_response};
+use crate::state::Node;
+use crate::state::caller_request::CallerRequest;
+use crate::state::quota::Charge;
+
+/// Default for when a refused caller should come back.
+pub(crate) const DEFAULT_RETRY_AFTER_MS: u64 = 250;
+
+/// How the dispatch of a request ended.
+pub(crate) enum DispatchResult {
+    /// An upstream has started a stream.
+    Stream(Box<UpstreamStream>),
+    /// A complete response of an upstream.
+    Response(BufferedResponse),
+    /// No upstream's response can be forwarded.
+    Refused(Refusal),
+}
+
+/// The dispatch of one request.
+#[derive(Debug)]
+pub(crate) struct Dispatch {
+    pub(crate) node: Arc<Node>,
+    pub(crate) request: CallerRequest,
+    /// Upstreams that the request was sent to.
+    pub(crate) sent_to: Vec<Arc<str>>,
+    /// Upstreams that could not be connected to.
+    pub(crate) unreachable: Vec<Arc<str>>,
+    may_have_run: bool,
+    /// What the next attempt takes from its upstream's advertised rate.
+    pub(crate) rate_charge: Option<Charge>,
+    /// Whether an attempt is in progress.
+    attempt_in_progress: bool,
+    /// The last error response that an upstream itself sent.
+    upstream_failure: Option<BufferedResponse>,
+    /// Id of the last stream event that was forwarded.
+    pub(crate) last_event_id: Option<u64>,
+    /// The attempts so far, for the log.
+    pub(crate) attempts: Vec<Value>,
+    pub(crate) waited_ms: u64,
+    /// How often an upstream was passed over because its rate was used up.
+    pub(crate) rate_limited_count: u32,
+    first_response_ms: Option<u64>,
+    end_recorded: bool,
+}
+
+/// Why no upstream is attempted, and when the caller should come back.
+#[derive(Debug)]
+pub(crate) struct Rejection {
+    pub(crate) code: Code,
+    pub(crate) retry_after_ms: u64,
+}
+
+impl Dispatch {
+    /// Starts the dispatch and counts the request as demand.
+    pub(crate) fn start(node: Arc<Node>, request: CallerRequest) -> Self {
+        let now = node.now();
+        node.metrics.in_progress.inc();
+        node.retry_budget
+            .lock()
+            .record_request(now, &request.service);
+        if let Some((model, _)) = &request.head.model {
+            let output_tokens = request.head.output_tokens_hint;
+            let output_tokens =
+                output_tokens.unwrap_or(request.head.output_tokens_max / 2);
+            let arrival = Arrival {
+                prompt_tokens: request.head.prompt_tokens,
+                answer_tokens: output_tokens,
+                time_factor: node.time_factor_of(&request),
+                latency_target_ms: request.route.latency_target_ms,
+            };
+            node.update_demand(&request.service, |demand| {
+                demand.record_arrival(model, &arrival);
+            });
+        }
+        Self {
+            node,
+            request,
+            sent_to: Vec::new(),
+            unreachable: Vec::new(),
+            may_have_run: false,
+            rate_charge: None,
+            attempt_in_progress: false,
+            upstream_failure: None,
+            last_event_id: None,
+            attempts: Vec::new(),
+            waited_ms: 0,
+            rate_limited_count: 0,
+            first_response_ms: None,
+            end_recorded: false,
+        }
+    }
+
+    /// Attempts upstreams until one responds, no further attempt is allowed, or
+    /// the process must exit before the caller got any part of a response.
+    pub(crate) async fn run_until_response(&mut self) -> DispatchResult {
+        if self.must_end_for_shutdown() {
+            return self.end_for_shutdown();
+        }
+        let respond_now = self.node.shutdown.respond_now.clone();
+        let response_started = self.first_response_ms.is_some();
+        tokio::select! {
+            biased;
+            end = self.run_attempts() => end,
+            () = respond_now.cancelled(), if !response_started => self.end_for_shutdown(),
+        }
+    }
+
+    /// Attempts upstreams until one responds or no further attempt is allowed.
+    async fn run_attempts(&mut self) -> DispatchResult {
+        loop {
+            if self.node.is_convicted(self.request.fingerprint) {
+                return self.end_without_response(Code::Convicted);
+            }
+            let selected = match self.next_upstream().await {
+                Ok(selected) => selected,
+                Err(rejection) => return self.end_rejected(&rejection),
+            };
+            let last_event_id = self.last_event_id.map(|id| id.to_string());
+            let started_at = self.node.now();
+            self.attempt_in_progress = true;
+            self.request.set_charge_used(true);
+            self.set_rate_used(true);
+            let result = attempt(
+                &self.node,
+                &self.request,
+                &selected,
+                last_event_id.as_deref(),
+            )
+            .await;
+            self.attempt_in_progress = false;
+            self.set_rate_used(!matches!(
+                result,
+                AttemptResult::Failed(AttemptOutcome::NotSent, _)
+            ));
+            self.rate_charge = None;
+            self.record_attempt(&selected, started_at, &result);
+            match result {
+                AttemptResult::Stream(stream) => return DispatchResult::Stream(stream),
+                AttemptResult::Response(response) => {
+                    return DispatchResult::Response(response);
+                }
+                AttemptResult::Failed(outcome, upstream_response) => {
+                    if let Some(end) =
+                        self.after_failed_attempt(&selected, outcome, upstream_response)
+                    {
+                        return end;
+                    }
+                }
+            }
+        }
+    }
+
+    /// Sets whether the attempt has used what it took from its upstream's rate.
+    /// It has once the request was sent, whatever came of it.
+    fn set_rate_used(&mut self, is_used: bool) {
+        if let Some(charge) = &mut self.rate_charge {
+            charge.is_used = is_used;
+        }
+    }
+
+    /// Handles a stream that broke at an upstream. Returns the result if the
+    /// stream can't be resumed.
+    pub(crate) fn after_stream_break(
+        &mut self,
+        upstream: &Arc<str>,
+    ) -> Option<DispatchResult> {
+        let selected = SelectedUpstream {
+            id: Arc::clone(upstream),
+            usage: direct::Usage::default(),
+            unqueued_prefill_ms: None,
+            first_answer_ms: 0.0,
+            own_prefill_ms: 0.0,
+            prefill_tokens: 0,
+        };
+        self.attempts
+            .push(json!({ "upstream": &**upstream, "outcome": "broke_off",
+                "after_event": self.last_event_id }));
+        self.after_failed_attempt(&selected, AttemptOutcome::Unknown, None)
+    }
+
+    fn after_failed_attempt(
+        &mut self,
+        selected: &SelectedUpstream,
+        outcome: AttemptOutcome,
+        upstream_response: Option<BufferedResponse>,
+    ) -> Option<DispatchResult> {
+        if upstream_response.is_some() {
+            self.upstream_failure = upstream_response;
+        }
+        if outcome == AttemptOutcome::NotSent {
+            self.unreachable.push(Arc::clone(&selected.id));
+        } else if !self.sent_to.contains(&selected.id) {
+            self.sent_to.push(Arc::clone(&selected.id));
+        }
+        let attempted = AttemptHistory {
+            upstreams: u32::try_from(self.sent_to.len()).unwrap_or(u32::MAX),
+            upstreams_max: self.request.route.upstreams_max,
+            may_have_run: self.may_have_run,
+        };
+        let next = decide_retry(self.request.route.kind, attempted, outcome);
+        self.may_have_run |=
+            matches!(outcome, AttemptOutcome::Unknown | AttemptOutcome::Failed);
+        self.request.set_charge_used(self.may_have_run);
+        let now = self.node.now();
+        match next {
+            _ if self.request.is_expired(self.node.clock) => {
+                Some(self.end_without_response(Code::DeadlineBeforeRun))
+            }
+            RetryDecision::Resend => None,
+            RetryDecision::Retry => {
+                let mut retry_budget = self.node.retry_budget.lock();
+                let granted = retry_budget.try_take(now, &self.request.service);
+                drop(retry_budget);
+                (!granted).then(|| self.end_without_response(Code::Overloaded))
+            }
+            RetryDecision::FailNotRun => {
+                Some(self.end_without_response(Code::Overloaded))
+            }
+            RetryDecision::FailMayHaveRun => {
+                Some(self.end_without_response(Code::OutcomeUnknown))
+            }
+        }
+    }
+
+    fn end_rejected(&mut self, rejection: &Rejection) -> DispatchResult {
+        match self.end_without_response(rejection.code) {
+            DispatchResult::Refused(refusal) if refusal.retry_after_ms.is_some() => {
+                DispatchResult::Refused(
+                    refusal.retry_after_ms(rejection.retry_after_ms),
+                )
+            }
+            end => end,
+        }
+    }
+
+    /// Ends a request that has no response when the process exits. If only its
+    /// connection were closed, the caller would get no reply and would not know
+    /// whether it may send the request again.
+    fn end_for_shutdown(&mut self) -> DispatchResult {
+        self.may_have_run |= self.attempt_in_progress;
+        self.end_without_response(Code::Leaving)
+    }
+
+    /// Returns whether the process is about to exit and no part of the response
+    /// was forwarded.
+    pub(crate) fn must_end_for_shutdown(&self) -> bool {
+        self.first_response_ms.is_none()
+            && self.node.shutdown.respond_now.is_cancelled()
+    }
+
+    /// Ends a request whose deadline passed while its stream was running.
+    pub(crate) fn deadline_passed(&mut self) -> DispatchResult {
+        self.may_have_run = true;
+        self.end_without_response(Code::DeadlineWhileRunning)
+    }
+
+    /// Returns the result of a request that got no usable response.
+    fn end_without_response(&mut self, code: Code) -> DispatchResult {
+        if let Some(upstream_failure) = self.upstream_failure.take() {
+            return DispatchResult::Response(upstream_failure);
+        }
+        if !self.may_have_run {
+            let code = match code {
+                Code::DeadlineBeforeRun | Code::Convicted | Code::OutcomeUnknown => {
+                    Code::Overloaded
+                }
+                code => code,
+            };
+            let retry_after_ms = self.retry_after_ms();
+            return DispatchResult::Refused(
+                Refusal::not_run(code).retry_after_ms(retry_after_ms),
+            );
+        }
+        let code = if self.request.is_expired(self.node.clock) {
+            Code::DeadlineWhileRunning
+        } else {
+            Code::OutcomeUnknown
+        };
+        DispatchResult::Refused(Refusal {
+            code,
+            ran: Ran::Unknown,
+            retry_after_ms: None,
+        })
+    }
+
+    fn record_attempt(
+        &mut self,
+        selected: &SelectedUpstream,
+        started_at: Instant,
+        result: &AttemptResult,
+    ) {
+        self.learn_time_factor(selected, started_at, result);
+        let outcome = match result {
+            AttemptResult::Stream(_) => "begun",
+            AttemptResult::Response(_) => "whole",
+            AttemptResult::Failed(outcome, _) => outcome.as_str(),
+        };
+        let labels = [&*self.request.service, outcome];
+        self.node.metrics.attempts.with_label_values(&labels).inc();
+        self.attempts
+            .push(json!({ "upstream": &*selected.id, "outcome": outcome,
+            "expected_ms": selected.first_answer_ms as u64,
+            "ms": self.node.now().ms_since(started_at) }));
+    }
+
+    fn learn_time_factor(
+        &self,
+        selected: &SelectedUpstream,
+        started_at: Instant,
+        result: &AttemptResult,
+    ) {
+        let model = self.request.head.model.as_ref();
+        if let (AttemptResult::Stream(_), Some(reading_ms), Some((model, _))) =
+            (result, selected.unqueued_prefill_ms, model)
+        {
+            let took_ms = self.node.now().since(started_at).as_secs_f64() * 1_000.0;
+            let mut time_factors = self.node.time_factors.lock();
+            time_factors.observe(&self.request.service, model, reading_ms, took_ms);
+        }
+    }
+
+    /// Records that the first part of the response is sent to the caller now.
+    pub(crate) fn record_first_response(&mut self) {
+        let ms = self.node.now().ms_since(self.request.arrived_at);
+        if self.first_response_ms.is_none() {
+            self.first_response_ms = Some(ms);
+            let histogram = &self.node.metrics.first_response_s;
+            let route = [&*self.request.route.name];
+            histogram
+                .with_label_values(&route)
+                .observe(ms as f64 / 1_000.0);
+        }
+    }
+
+    /// Converts the result into the response to the caller.
+    pub(crate) fn finish(&mut self, end: DispatchResult) -> Response<ResponseBody> {
+        match end {
+            DispatchResult::Response(response) => {
+                self.record_first_response();
+                self.record_end("answered", response.status.as_u16());
+                response.into_response()
+            }
+            DispatchResult::Refused(refusal) => {
+                self.record_end(refusal.code.name(), refusal.code.http_status());
+                refusal_response(&*self.node.protocol, &self.request.head.id, &refusal)
+            }
+            DispatchResult::Stream(_) => {
+                let refusal = Refusal::not_run(Code::Overloaded);
+                refusal_response(&*self.node.protocol, &self.request.head.id, &refusal)
+            }
+        }
+    }
+
+    /// Logs and counts the end of the request. Only the first call has an
+    /// effect.
+    pub(crate) fn record_end(&mut self, outcome: &str, status: u16) {
+        if std::mem::replace(&mut self.end_recorded, true) {
+            return;
+        }
+        let node = &self.node;
+        let ms = node.now().ms_since(self.request.arrived_at);
+        let route = &*self.request.route.name;
+        node.metrics
+            .requests_ended
+            .with_label_values(&[route, outcome])
+            .inc();
+        let histogram = node.metrics.full_response_s.with_label_values(&[route]);
+        histogram.observe(ms as f64 / 1_000.0);
+        let fleet_age_ms = node.fleet_watermark.lock().age_ms(node.now());
+        let model = self.request.head.model.as_ref();
+        let model = model.map(|(model, adapter)| match adapter {
+            Some(adapter) => format!("{model}/{adapter}"),
+            None => model.to_string(),
+        });
+        let workspace = self.request.workspace.as_ref();
+        let workspace = workspace.map(|workspace| &*workspace.name);
+        node.log.line(
+            "request",
+            json!({ "id": self.request.head.id, "route": route, "workspace": workspace,
+                "service": &*self.request.service, "model": model, "outcome": outcome,
+                "status": status, "ms": ms, "first_ms": self.first_response_ms,
+                "waited_ms": self.waited_ms, "rate_spent": self.rate_limited_count, "tries": self.attempts,
+                "ran": self.may_have_run, "last_event": self.last_event_id,
+                "setup": self.request.config_version, "fleet_age_ms": fleet_age_ms }),
+        );
+    }
+}
+
+impl Drop for Dispatch {
+    fn drop(&mut self) {
+        self.node.metrics.in_progress.dec();
+        self.record_end("caller_gone", 0);
+    }
+}
--- a/crates/front/src/events.rs
+++ b/crates/front/src/events.rs
@@ -1,74 +1,75 @@
-//! Events of a stream, cut out of its bytes.
+//! Splits the bytes of a stream into server-sent events.
 
 use bytes::{Bytes, BytesMut};
 
-/// Largest event taken; a stream without an end of an event would otherwise
-/// fill the memory.
-const EVENT_MAX_BYTES: usize = 256 << 10;
+/// Largest event that is accepted. A stream that never ends an event would
+/// otherwise fill the memory.
+const MAX_EVENT_BYTES: usize = 256 << 10;
 
-/// A whole event with the empty line that ends it.
+/// A complete event, including the empty line that ends it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
-    /// Its bytes.
+    /// The bytes of the event.
     pub bytes: Bytes,
-    /// Its id, where it has one that is a number.
+    /// The event's id, if it has a numeric one.
     pub id: Option<u64>,
 }
 
-/// Cuts bytes into events. What is not yet a whole event is held back, so that
-/// a stream that breaks in the middle of one can go on at exactly that one.
+/// Splits bytes into events. An incomplete event is held back, so that a stream
+/// that breaks inside an event can resume at exactly that event.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    held: BytesMut,
-    /// Bytes of `held` in which no end of an event was found.
-    searched: usize,
+    buffer: BytesMut,
+    /// Number of bytes at the start of `buffer` that contain no end of an
+    /// event.
+    scanned: usize,
 }
 
-/// A stream whose events can't be told apart.
+/// An event exceeds the size limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EventTooLarge;
 
 impl EventSplitter {
-    /// Takes more bytes.
+    /// Appends bytes.
     ///
     /// # Errors
     ///
-    /// An event is larger than any is.
+    /// The current event is larger than the limit.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), EventTooLarge> {
-        if self.held.len() + bytes.len() > EVENT_MAX_BYTES {
+        if self.buffer.len() + bytes.len() > MAX_EVENT_BYTES {
             return Err(EventTooLarge);
         }
-        self.held.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
         Ok(())
     }
 
-    /// The next whole event.
+    /// Returns the next complete event.
     pub fn next_event(&mut self) -> Option<Event> {
-        let end = self.end()?;
-        let bytes = self.held.split_to(end).freeze();
-        self.searched = 0;
+        let end = self.find_event_end()?;
+        let bytes = self.buffer.split_to(end).freeze();
+        self.scanned = 0;
         let id = event_id(&bytes);
         Some(Event { bytes, id })
     }
 
-    /// Whether a part of an event is held.
-    pub fn is_inside(&self) -> bool {
-        !self.held.is_empty()
+    /// Returns whether a part of an event is held back.
+    pub fn has_partial_event(&self) -> bool {
+        !self.buffer.is_empty()
     }
 
-    /// Index after the empty line that ends the first event.
-    fn end(&mut self) -> Option<usize> {
-        let from = self.searched.saturating_sub(3);
-        for index in from..self.held.len() {
-            if self.held[index] != b'\n' {
+    /// Returns the index after the empty line that ends the first event.
+    fn find_event_end(&mut self) -> Option<usize> {
+        let from = self.scanned.saturating_sub(3);
+        for index in from..self.buffer.len() {
+            if self.buffer[index] != b'\n' {
                 continue;
             }
-            let before = &self.held[..index];
+            let before = &self.buffer[..index];
             if before.ends_with(b"\n") || before.ends_with(b"\n\r") {
                 return Some(index + 1);
             }
         }
-        self.searched = self.held.len();
+        self.scanned = self.buffer.len();
         None
     }
 }
--- a/crates/front/src/framing.rs
+++ b/crates/front/src/framing.rs
@@ -1,14 +1,14 @@
-//! What is seen of requests in a connection's bytes: where its turn is, and
-//! requests with two framings.
+//! Observes the bytes of a caller's connection to know which phase its current
+//! request is in, and to detect requests with ambiguous framing.
 //!
-//! The HTTP library closes a connection that is to end and has no request in its
-//! hands, also if the first bytes of one have come. Whose turn it is tells when
-//! that cuts nobody off.
+//! When told to shut down gracefully, the HTTP library closes a connection on
+//! which no request is being handled, even if the first bytes of one have
+//! arrived. The phase tells when closing cuts no request off.
 //!
-//! The HTTP library reads a request with both a length and chunks by its chunks
-//! and drops the length before anybody sees it. What stands behind the chunks
-//! would then be taken for the next request, while whoever counted the length
-//! took it for a body.
+//! For a request that has both `Content-Length` and chunked encoding, the HTTP
+//! library uses the chunks and drops the length before any handler sees it. The
+//! bytes after the chunks would then be taken for the next request, while a
+//! proxy that used the length took them for the body.
 
 use parking_lot::Mutex;
 use std::io;
@@ -18,30 +18,32 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::sync::watch;
 
-/// Start of a line that is kept: the longer name and its colon.
-const LINE_START_MAX: usize = 18;
+/// Number of bytes kept of the start of a line: the longer of the two header
+/// names and its colon.
+const MAX_LINE_PREFIX: usize = 18;
 
-/// What is seen of the head that is being read.
+/// State of the scan of the current request head.
 #[derive(Debug, Default)]
-struct Head {
-    /// Start of the line that is being read, in lower case.
+struct HeadScanner {
+    /// Start of the current line, in lower case.
     line: Vec<u8>,
-    length: bool,
-    coding: bool,
-    /// The empty line has come; what follows is a body.
-    over: bool,
+    has_content_length: bool,
+    has_transfer_encoding: bool,
+    /// Whether the empty line after the headers was read; what follows is the
+    /// body.
+    complete: bool,
 }
 
-impl Head {
+impl HeadScanner {
     fn read(&mut self, bytes: &[u8]) {
         for byte in bytes {
-            if self.over {
+            if self.complete {
                 return;
             }
             match byte {
                 b'\n' => self.end_line(),
                 b'\r' => {}
-                byte if self.line.len() < LINE_START_MAX => {
+                byte if self.line.len() < MAX_LINE_PREFIX => {
                     self.line.push(byte.to_ascii_lowercase());
                 }
                 _ => {}
@@ -50,95 +52,98 @@
     }
 
     fn end_line(&mut self) {
-        self.length |= self.line.starts_with(b"content-length:");
-        self.coding |= self.line.starts_with(b"transfer-encoding:");
-        // An empty line before the request line ends nothing.
-        self.over = self.line.is_empty() && (self.length || self.coding);
+        self.has_content_length |= self.line.starts_with(b"content-length:");
+        self.has_transfer_encoding |= self.line.starts_with(b"transfer-encoding:");
+        // An empty line before the request line doesn't end the head.
+        self.complete = self.line.is_empty()
+            && (self.has_content_length || self.has_transfer_encoding);
         self.line.clear();
     }
 }
 
-/// Whose turn it is on a connection.
+/// The phase of the current request on a connection.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-enum Turn {
+enum RequestPhase {
     /// The caller has connected and sent nothing yet.
     #[default]
-    Fresh,
-    /// The caller is sending a head.
-    Sending,
-    /// A request is being answered, to the last byte of its answer.
-    Answering,
-    /// All requests so far were answered.
+    AwaitingFirst,
+    /// The caller is sending a request head.
+    ReadingHead,
+    /// A request is being handled, up to the last byte of its response.
+    Responding,
+    /// All requests so far have been responded to.
     Idle,
 }
 
-impl Turn {
-    const fn owes_head(self) -> bool {
-        matches!(self, Self::Fresh | Self::Sending)
+impl RequestPhase {
+    const fn expects_head(self) -> bool {
+        matches!(self, Self::AwaitingFirst | Self::ReadingHead)
     }
 }
 
-/// What is seen of a connection's requests.
+/// Observed state of a connection's requests. Clones share the state.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Framing(Arc<Seen>);
+pub(crate) struct RequestFraming(Arc<FramingState>);
 
 #[derive(Debug, Default)]
-struct Seen {
-    head: Mutex<Head>,
-    turn: watch::Sender<Turn>,
+struct FramingState {
+    head: Mutex<HeadScanner>,
+    phase: watch::Sender<RequestPhase>,
 }
 
-impl Framing {
-    /// A head was read to its end, and its request is being answered.
-    pub(crate) fn answering(&self) {
-        self.0.turn.send_replace(Turn::Answering);
+impl RequestFraming {
+    /// Notes that a complete head was read and its request is being handled.
+    pub(crate) fn response_started(&self) {
+        self.0.phase.send_replace(RequestPhase::Responding);
     }
 
-    /// Whether the head that was read last has both a length and a coding.
-    pub(crate) fn is_double(&self) -> bool {
+    /// Returns whether the last head had both a length and a transfer encoding.
+    pub(crate) fn has_ambiguous_length(&self) -> bool {
         let head = self.0.head.lock();
-        head.length && head.coding
+        head.has_content_length && head.has_transfer_encoding
     }
 
-    /// The request was answered: what is read next is another head.
-    pub(crate) fn next_head(&self) {
-        *self.0.head.lock() = Head::default();
+    /// Resets the scan: the bytes that are read next start a new head.
+    pub(crate) fn reset_head(&self) {
+        *self.0.head.lock() = HeadScanner::default();
     }
 
-    /// All of the answer was handed over.
-    pub(crate) fn answered(&self) {
-        self.0.turn.send_replace(Turn::Idle);
+    /// Notes that the whole response was handed to the HTTP library.
+    pub(crate) fn response_finished(&self) {
+        self.0.phase.send_replace(RequestPhase::Idle);
     }
 
-    /// Waits until the caller has begun to send a head, if its connection is fresh.
-    pub(crate) async fn head_has_begun(&self) {
-        self.wait_for(|turn| turn != Turn::Fresh).await;
+    /// Waits until the caller has sent the first byte of its first request.
+    pub(crate) async fn head_started(&self) {
+        self.wait_for(|phase| phase != RequestPhase::AwaitingFirst)
+            .await;
     }
 
-    /// Waits until no head is due.
-    pub(crate) async fn head_is_whole(&self) {
-        self.wait_for(|turn| !turn.owes_head()).await;
+    /// Waits until no request head is expected.
+    pub(crate) async fn head_complete(&self) {
+        self.wait_for(|phase| !phase.expects_head()).await;
     }
 
-    /// Whether a head is due: of the request for which the connection was opened, or
-    /// of one that has begun.
-    pub(crate) fn owes_head(&self) -> bool {
-        self.0.turn.borrow().owes_head()
+    /// Returns whether a request head is expected: that of the connection's
+    /// first request, or one that has been received in part.
+    pub(crate) fn expects_head(&self) -> bool {
+        self.0.phase.borrow().expects_head()
     }
 
-    async fn wait_for(&self, holds: impl Fn(Turn) -> bool) {
-        let mut turn = self.0.turn.subscribe();
-        // The sender lives as long as this.
-        let _ = turn.wait_for(|turn| holds(*turn)).await;
+    async fn wait_for(&self, holds: impl Fn(RequestPhase) -> bool) {
+        let mut phase = self.0.phase.subscribe();
+        // The sender lives as long as `self`.
+        let _ = phase.wait_for(|phase| holds(*phase)).await;
     }
 
     fn read(&self, bytes: &[u8]) {
         self.0.head.lock().read(bytes);
         if !bytes.is_empty() {
-            self.0.turn.send_if_modified(|turn| {
-                let begins = matches!(turn, Turn::Fresh | Turn::Idle);
+            self.0.phase.send_if_modified(|phase| {
+                let begins =
+                    matches!(phase, RequestPhase::AwaitingFirst | RequestPhase::Idle);
                 if begins {
-                    *turn = Turn::Sending;
+                    *phase = RequestPhase::ReadingHead;
                 }
                 begins
             });
@@ -146,20 +151,20 @@
     }
 }
 
-/// A stream whose heads are looked at while they are read.
+/// A stream whose incoming bytes are scanned for request heads.
 #[derive(Debug)]
-pub(crate) struct Watched<S> {
+pub(crate) struct ObservedStream<S> {
     stream: S,
-    framing: Framing,
+    framing: RequestFraming,
 }
 
-impl<S> Watched<S> {
-    pub(crate) const fn new(stream: S, framing: Framing) -> Self {
+impl<S> ObservedStream<S> {
+    pub(crate) const fn new(stream: S, framing: RequestFraming) -> Self {
         Self { stream, framing }
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Watched<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for ObservedStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -172,7 +177,7 @@
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Watched<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for ObservedStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/front/src/headers.rs
+++ b/crates/front/src/headers.rs
@@ -1,4 +1,4 @@
-//! Headers that concern one connection only.
+//! Hop-by-hop headers.
 
 use hyper::header::{
     CONNECTION, CONTENT_LENGTH, EXPECT, HeaderMap, HeaderName, HeaderValue,
@@ -8,7 +8,7 @@
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-const OF_ONE_CONNECTION: [HeaderName; 11] = [
+const HOP_BY_HOP: [HeaderName; 11] = [
     CONNECTION,
     CONTENT_LENGTH,
     EXPECT,
@@ -22,11 +22,12 @@
     UPGRADE,
 ];
 
-/// Takes out what concerns one connection only, and what `Connection` names.
+/// Removes hop-by-hop headers, including those listed in `Connection`.
 ///
-/// The library frames each message anew from its body; a caller's framing passed
-/// on beside it could hide a second request in the first.
-pub(crate) fn strip_connection(headers: &mut HeaderMap) {
+/// The HTTP library frames each message anew from its body. If a caller's
+/// framing headers were forwarded as well, they could hide a second request
+/// inside the first (request smuggling).
+pub(crate) fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
         .iter()
@@ -34,19 +35,19 @@
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named.iter().chain(&OF_ONE_CONNECTION) {
+    for name in named.iter().chain(&HOP_BY_HOP) {
         headers.remove(name);
     }
 }
 
-/// Whether the framing of a request can be read in two ways.
-pub(crate) fn is_ambiguous(headers: &HeaderMap) -> bool {
+/// Returns whether the framing of a request is ambiguous.
+pub(crate) fn has_ambiguous_framing(headers: &HeaderMap) -> bool {
     let lengths = headers.get_all(CONTENT_LENGTH).iter().count();
     let codings = headers.get_all(TRANSFER_ENCODING).iter().count();
     lengths > 1 || codings > 1 || (lengths > 0 && codings > 0)
 }
 
-/// Asks the far end to close the connection after this message.
-pub(crate) fn ask_close(headers: &mut HeaderMap) {
+/// Asks the peer to close the connection after this message.
+pub(crate) fn set_connection_close(headers: &mut HeaderMap) {
     headers.insert(CONNECTION, HeaderValue::from_static("close"));
 }
--- a/crates/front/src/in_flight.rs
+++ b/crates/front/src/in_flight.rs
@@ -1,96 +1,105 @@
-//! What requests that are running take of their upstreams.
+//! Accounting of the requests that are in flight at upstreams.
 
 use base::prelude::*;
 use direct::{SelectedUpstream, Upstream, UpstreamIncarnation, Usage};
 use std::sync::Arc;
 
 use crate::state::Node;
-use crate::state::call::Call;
-use crate::{ResponseHead, answer_news};
+use crate::state::caller_request::CallerRequest;
+use crate::{ResponseHead, response_feedback};
 
-/// A request's use of an upstream. Dropped, it ends.
+/// A request in flight at an upstream. Dropping it ends the accounting.
 #[derive(Debug)]
 pub(crate) struct InFlight {
     pub(crate) node: Arc<Node>,
     pub(crate) upstream: Arc<str>,
-    /// Start of the upstream that it was sent to.
-    born_ms: Option<u64>,
-    /// When it began, before the request was sent.
-    begun_at: Instant,
+    /// Incarnation of the upstream that the request was sent to.
+    started_unix_ms: Option<u64>,
+    /// When the attempt started, before the request was sent.
+    started_at: Instant,
     usage: Usage,
-    begun: bool,
+    response_started: bool,
 }
 
 impl InFlight {
-    pub(crate) fn begin(
+    pub(crate) fn start(
         node: &Arc<Node>,
-        call: &Call,
-        picked: &SelectedUpstream,
-        born_ms: Option<u64>,
+        request: &CallerRequest,
+        selected: &SelectedUpstream,
+        started_unix_ms: Option<u64>,
     ) -> Self {
         let now = node.now();
         let in_flight = Self {
             node: Arc::clone(node),
-            upstream: Arc::clone(&picked.id),
-            born_ms,
-            begun_at: now,
-            usage: picked.usage,
-            begun: false,
+            upstream: Arc::clone(&selected.id),
+            started_unix_ms,
+            started_at: now,
+            usage: selected.usage,
+            response_started: false,
         };
         in_flight.with_upstream(|upstream| {
-            upstream.request_sent(now, &picked.usage);
-            upstream.remember_prompt_parts(now, &call.parts);
+            upstream.request_sent(now, &selected.usage);
+            upstream.remember_prompt_parts(now, &request.prompt_parts);
         });
         in_flight
     }
 
-    /// Start of the upstream that it was sent to.
-    pub(crate) fn start(&self) -> UpstreamIncarnation<'_> {
+    /// Returns the incarnation of the upstream that the request was sent to.
+    pub(crate) fn incarnation(&self) -> UpstreamIncarnation<'_> {
         UpstreamIncarnation {
             id: &self.upstream,
-            started_unix_ms: self.born_ms,
+            started_unix_ms: self.started_unix_ms,
         }
     }
 
-    /// The upstream's answer began.
-    pub(crate) fn answered(&self, head: &ResponseHead) {
-        answer_news::learn(&self.node, self.start(), head, self.begun_at);
+    /// Records the head of the upstream's response.
+    pub(crate) fn record_head(&self, head: &ResponseHead) {
+        response_feedback::record(
+            &self.node,
+            self.incarnation(),
+            head,
+            self.started_at,
+        );
     }
 
-    /// Books something of the upstream, unless it has started again since.
+    /// Updates the upstream's state, unless the upstream has restarted since.
     fn with_upstream(&self, change: impl FnOnce(&mut Upstream)) {
-        if let Some(upstream) = self.node.fleet.lock().incarnation_mut(self.start()) {
+        if let Some(upstream) =
+            self.node.fleet.lock().incarnation_mut(self.incarnation())
+        {
             change(upstream);
         }
     }
 
-    /// Whether the upstream has started again, and with its earlier start the
-    /// request has ended.
+    /// Returns whether the upstream has restarted, which ended the request
+    /// along with the earlier incarnation.
     ///
-    /// Its connection need not show that: it may have been lost without a word, or
-    /// lead to a process that hangs. Nobody would answer, up to the deadline.
-    pub(crate) fn is_over(&self) -> bool {
-        self.node.fleet.lock().is_superseded(self.start())
+    /// The connection need not show it: its end may have been lost in the
+    /// network, or it may lead to a process that hangs. The request would then
+    /// wait until its deadline.
+    pub(crate) fn is_superseded(&self) -> bool {
+        self.node.fleet.lock().is_superseded(self.incarnation())
     }
 
-    /// Bytes of an answer came.
-    pub(crate) fn heard(&mut self) {
+    /// Records that a part of the response was received.
+    pub(crate) fn record_bytes(&mut self) {
         let now = self.node.now();
         self.with_upstream(|upstream| {
             upstream.bytes_received(now);
-            if !self.begun {
+            if !self.response_started {
                 upstream.first_answer_received(&self.usage.prefill);
             }
         });
-        self.begun = true;
+        self.response_started = true;
     }
 
-    /// Whether the upstream has fallen silent towards all requests here.
+    /// Returns whether the upstream has fallen silent for all requests of this
+    /// entry.
     ///
-    /// Other doubts don't count: a connection that could not be made, or an entry
-    /// that the platform lost, says nothing of an answer that is coming. Given up
-    /// for it, a caller's answer broke off in the middle though its upstream was
-    /// well.
+    /// Other reasons to avoid an upstream, such as a failed connection or a
+    /// record that is gone from the platform, say nothing about a response that
+    /// is already on its way. Giving up for those cut off responses of
+    /// upstreams that were healthy.
     pub(crate) fn is_silent(&self) -> bool {
         let now = self.node.now();
         let fleet = self.node.fleet.lock();
@@ -98,10 +107,11 @@
         upstream.is_none_or(|upstream| upstream.is_silent(now))
     }
 
-    /// The upstream says that it does not hold what the request asks for.
-    pub(crate) fn deny(&self, call: &Call) {
+    /// Records that the upstream doesn't hold the model or adapter of the
+    /// request.
+    pub(crate) fn record_missing(&self, request: &CallerRequest) {
         let now = self.node.now();
-        let Some((model, adapter)) = &call.ask.model else {
+        let Some((model, adapter)) = &request.head.model else {
             return;
         };
         self.with_upstream(|upstream| {
@@ -109,23 +119,24 @@
         });
     }
 
-    /// The upstream refuses what the request asks for; it has not run.
-    pub(crate) fn refused(&self, call: &Call) {
+    /// Records that the upstream refused the model of the request without
+    /// executing it.
+    pub(crate) fn record_refusal(&self, request: &CallerRequest) {
         let now = self.node.now();
-        let Some((model, _)) = &call.ask.model else {
+        let Some((model, _)) = &request.head.model else {
             return;
         };
         self.with_upstream(|upstream| upstream.request_refused(now, model));
     }
 
-    /// The upstream takes what the request asks for.
-    pub(crate) fn took(&self, call: &Call) {
-        if let Some((model, _)) = &call.ask.model {
+    /// Records that the upstream accepted the model of the request.
+    pub(crate) fn record_acceptance(&self, request: &CallerRequest) {
+        if let Some((model, _)) = &request.head.model {
             self.with_upstream(|upstream| upstream.request_accepted(model));
         }
     }
 
-    pub(crate) fn observe(&self, ok: bool) {
+    pub(crate) fn record_result(&self, ok: bool) {
         self.with_upstream(|upstream| upstream.record_answer(ok));
     }
 }
@@ -133,11 +144,11 @@
 impl Drop for InFlight {
     fn drop(&mut self) {
         self.with_upstream(|upstream| {
-            if !self.begun {
+            if !self.response_started {
                 upstream.first_answer_received(&self.usage.prefill);
             }
             upstream.requests_ended(self.usage.running, self.usage.kv_tokens);
         });
-        self.node.room.notify_waiters();
+        self.node.capacity_freed.notify_waiters();
     }
 }
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -1,56 +1,58 @@
-//! The process of an entry that speaks to upstreams itself.
+//! The entry process that talks to upstreams directly, without an agent in
+//! between.
 //!
-//! Callers' HTTP on one side, upstreams' HTTP on the other, and between entries
-//! small datagrams that state what holds now. What a request's headers are
-//! called, how the platform keeps its objects and what an order looks like is
-//! behind two borders: [`PlatformProtocol`] and [`plat::ObjectApi`]. The decisions are
-//! those of the `direct` crate.
+//! It serves callers over HTTP, forwards their requests to upstreams over HTTP,
+//! and exchanges small UDP datagrams with the other entries, each of which
+//! states the sender's current view. Two traits isolate it from the platform:
+//! [`PlatformProtocol`] covers header names and the encoding of objects and
+//! orders, [`plat::ObjectApi`] covers object storage. The decisions (upstream
+//! selection, retries, model placement) are made by the `direct` crate.
 //!
 //! Invariants:
 //!
-//! - An answer looks complete only if the upstream's was, and bears the
-//!   request's own id. Whole answers are held until their end; streams are given
-//!   on event by event, and one that breaks either goes on at the exact next
-//!   event or ends the connection.
-//! - A caller that is gone takes its request with it: everything that a request
-//!   holds hangs on the future that its connection polls.
-//! - An order is sent only while the lease holds by a clock that counts the time
-//!   in which the machine was suspended.
-//! - Nothing waits for standard output, and nothing is held across an await that
-//!   another request needs.
+//! - A response looks complete only if the upstream's response was, and it
+//!   carries the request's own id. Ordinary responses are buffered until they
+//!   are complete; streams are forwarded event by event, and a broken stream is
+//!   either resumed at the exact next event or ends the caller's connection.
+//! - A request is cancelled when its caller disconnects: everything that a
+//!   request holds is owned by the future that the caller's connection polls.
+//! - An order is sent only while the lease is valid by a clock that also counts
+//!   the time for which the machine was suspended.
+//! - Writing to standard output blocks no task, and no lock that another
+//!   request needs is held across an await.
 
-mod answer;
-mod answer_news;
-mod beliefs;
+mod attempt;
 mod clock;
 mod connection;
+mod coordinator;
 mod crash;
-mod ending;
+mod dispatch;
 mod events;
-mod follow;
 mod framing;
-mod giver;
 mod headers;
 mod in_flight;
+mod lease_relay;
 mod log;
-mod operated;
 mod options;
 mod orders;
 mod peers;
+mod platform_watch;
 mod protocol;
 mod quota;
-mod reach;
-mod relay;
+mod readiness;
 mod request;
-mod run;
-mod seek;
+mod response;
+mod response_feedback;
 mod server;
 mod shared_watch;
+mod shutdown;
 mod start;
 mod state;
+mod state_monitor;
 mod stream;
-mod tries;
+mod upstream_address;
 mod upstream_rate;
+mod upstream_selection;
 
 pub use clock::BootClock;
 pub use connection::connect;
--- a/crates/front/src/log.rs
+++ b/crates/front/src/log.rs
@@ -1,4 +1,5 @@
-//! Structured log lines on standard output, bounded and never blocking.
+//! Structured log lines on standard output, with bounded memory and without
+//! blocking.
 
 use parking_lot::Mutex;
 use serde_json::{Map, Value};
@@ -8,35 +9,37 @@
 use std::sync::mpsc::{SyncSender, sync_channel};
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Bytes held while the reader of standard output does not read. Beyond, lines
-/// are dropped and counted.
-const HELD_MAX_BYTES: usize = 128 << 10;
+/// Largest number of bytes buffered while standard output is blocked. Further
+/// lines are dropped and counted.
+const MAX_BUFFERED_BYTES: usize = 128 << 10;
 
-/// Time between two hand-overs to the writer. Each wakes a thread.
-const HAND_OVER_EVERY: Duration = Duration::from_millis(200);
+/// Interval at which lines are handed to the writer thread. Each time wakes
+/// that thread.
+const FLUSH_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Lines written a second at most; a storm of requests would otherwise spend
-/// more on telling of them than on serving them.
-const LINES_PER_S: u32 = 2_000;
+/// Largest number of lines per second. In a burst of requests, logging would
+/// otherwise cost more than serving them.
+const MAX_LINES_PER_SECOND: u32 = 2_000;
 
-/// Bytes of one write, if its lines are not longer: what a pipe takes as a whole
-/// (`PIPE_BUF` of Linux). Larger writes may be split by whatever collects them,
-/// and a reader then sees half a line and misses those behind it.
-const WRITE_MAX_BYTES: usize = 4_096;
+/// Largest size of one write, unless a single line is longer: the size up to
+/// which a pipe writes atomically (`PIPE_BUF` on Linux). Log collectors may
+/// split larger writes; a reader then sees half a line and misses the lines
+/// after it.
+const MAX_WRITE_BYTES: usize = 4_096;
 
-/// The process's log.
+/// The log of the process.
 ///
-/// Lines are put together in memory and handed to a thread that may block on
-/// standard output; if it is still blocked at the next hand-over, lines are held
-/// up to a bound and then dropped and counted.
+/// Lines are buffered in memory and handed to a thread that may block on
+/// standard output. While it is blocked, lines are buffered up to a limit and
+/// then dropped and counted.
 #[derive(Clone)]
 pub struct Log {
-    inner: Arc<Mutex<Held>>,
+    buffer: Arc<Mutex<LogBuffer>>,
     writer: SyncSender<Vec<u8>>,
 }
 
 #[derive(Debug, Default)]
-struct Held {
+struct LogBuffer {
     bytes: Vec<u8>,
     dropped: u64,
     second: u64,
@@ -50,38 +53,38 @@
 }
 
 impl Log {
-    /// Starts the writer on standard output.
+    /// Starts a log that writes to standard output.
     ///
     /// # Panics
     ///
-    /// If the operating system gives no thread.
+    /// Panics if the operating system can't create a thread.
     pub fn start() -> Self {
         Self::to(std::io::stdout())
     }
 
-    /// Starts the writer on something else.
+    /// Starts a log that writes to `out`.
     ///
     /// # Panics
     ///
-    /// If the operating system gives no thread.
+    /// Panics if the operating system can't create a thread.
     pub fn to(mut out: impl Write + Send + 'static) -> Self {
-        let (writer, handed) = sync_channel::<Vec<u8>>(1);
-        let inner: Arc<Mutex<Held>> = Arc::default();
-        let written = Arc::clone(&inner);
+        let (writer, batches) = sync_channel::<Vec<u8>>(1);
+        let buffer: Arc<Mutex<LogBuffer>> = Arc::default();
+        let shared_buffer = Arc::clone(&buffer);
         std::thread::Builder::new()
             .name("log".to_owned())
             .stack_size(64 << 10)
             .spawn(move || {
-                for bytes in handed {
+                for bytes in batches {
                     let lost = write_lines(&mut out, &bytes);
-                    written.lock().dropped += lost;
+                    shared_buffer.lock().dropped += lost;
                 }
             })
-            .expect("a process starts with threads to spare");
-        Self { inner, writer }
+            .expect("the log thread can be created");
+        Self { buffer, writer }
     }
 
-    /// Adds a line: an event and its fields.
+    /// Adds a line with the name of an event and its fields.
     pub fn line(&self, event: &str, fields: Value) {
         let mut line = Map::new();
         let now = SystemTime::now().duration_since(UNIX_EPOCH);
@@ -91,37 +94,38 @@
         if let Value::Object(fields) = fields {
             line.extend(fields);
         }
-        let mut held = self.inner.lock();
-        if !held.admit(ms / 1_000) {
+        let mut buffer = self.buffer.lock();
+        if !buffer.admit(ms / 1_000) {
             return;
         }
-        // Writing to memory can't fail, and the values have string keys.
-        let _ = serde_json::to_writer(&mut held.bytes, &Value::Object(line));
-        held.bytes.push(b'\n');
+        // Writing to memory can't fail, and all maps have string keys.
+        let _ = serde_json::to_writer(&mut buffer.bytes, &Value::Object(line));
+        buffer.bytes.push(b'\n');
     }
 
-    /// Lines dropped since the start.
+    /// Returns the number of lines dropped since the start.
     pub fn dropped(&self) -> u64 {
-        self.inner.lock().dropped
+        self.buffer.lock().dropped
     }
 
-    /// Hands lines to the writer now and then, for ever.
-    pub(crate) async fn hand_over(&self) {
+    /// Flushes the buffer at a fixed interval, forever.
+    pub(crate) async fn flush_periodically(&self) {
         loop {
-            tokio::time::sleep(HAND_OVER_EVERY).await;
+            tokio::time::sleep(FLUSH_INTERVAL).await;
             self.flush();
         }
     }
 
-    /// Hands what is held to the writer unless that is still writing.
+    /// Hands the buffered lines to the writer thread unless it is still
+    /// writing.
     pub fn flush(&self) {
-        let mut held = self.inner.lock();
-        if held.bytes.is_empty() {
+        let mut buffer = self.buffer.lock();
+        if buffer.bytes.is_empty() {
             return;
         }
-        let bytes = std::mem::take(&mut held.bytes);
-        if let Err(full) = self.writer.try_send(bytes) {
-            held.bytes = match full {
+        let bytes = std::mem::take(&mut buffer.bytes);
+        if let Err(error) = self.writer.try_send(bytes) {
+            buffer.bytes = match error {
                 std::sync::mpsc::TrySendError::Full(bytes)
                 | std::sync::mpsc::TrySendError::Disconnected(bytes) => bytes,
             };
@@ -129,12 +133,13 @@
     }
 }
 
-/// Writes lines, each whole within one write; how many could not be written.
-/// A closed standard output leaves nowhere else to say so.
+/// Writes the lines, each entirely within one write. Returns how many could not
+/// be written; if standard output is closed, this count is the only trace of
+/// them.
 fn write_lines(out: &mut impl Write, bytes: &[u8]) -> u64 {
     let mut rest = bytes;
     while !rest.is_empty() {
-        let (now, later) = rest.split_at(whole_lines(rest));
+        let (now, later) = rest.split_at(write_length(rest));
         if out.write_all(now).and_then(|()| out.flush()).is_err() {
             return rest.iter().filter(|byte| **byte == b'\n').count() as u64;
         }
@@ -143,28 +148,29 @@
     0
 }
 
-/// Length of the first lines that fit into one write; of the first line if that
-/// alone is longer.
-fn whole_lines(bytes: &[u8]) -> usize {
+/// Returns the length of the leading lines that fit into one write, or of the
+/// first line if that alone is longer.
+fn write_length(bytes: &[u8]) -> usize {
     let ends = |part: &[u8]| part.iter().rposition(|byte| *byte == b'\n');
-    let first = &bytes[..bytes.len().min(WRITE_MAX_BYTES)];
+    let first = &bytes[..bytes.len().min(MAX_WRITE_BYTES)];
     let end = ends(first).or_else(|| bytes.iter().position(|byte| *byte == b'\n'));
     end.map_or(bytes.len(), |end| end + 1)
 }
 
-impl Held {
-    /// Whether one more line is taken.
+impl LogBuffer {
+    /// Returns whether another line is accepted, and counts it.
     fn admit(&mut self, second: u64) -> bool {
         if second != self.second {
             self.second = second;
             self.lines = 0;
         }
-        let taken = self.lines < LINES_PER_S && self.bytes.len() < HELD_MAX_BYTES;
-        if taken {
+        let admitted =
+            self.lines < MAX_LINES_PER_SECOND && self.bytes.len() < MAX_BUFFERED_BYTES;
+        if admitted {
             self.lines += 1;
         } else {
             self.dropped += 1;
         }
-        taken
+        admitted
     }
 }
--- a/crates/front/src/options.rs
+++ b/crates/front/src/options.rs
@@ -1,66 +1,68 @@
-//! What a process is told at its start.
+//! Options that a process is started with.
 
 use std::net::SocketAddr;
 
-/// What a process is told at its start.
+/// Options that a process is started with.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Name of this entry; a restart keeps it.
+    /// Name of this entry. It stays the same across restarts.
     pub entry: String,
-    /// Failure domain.
+    /// Failure domain of this entry.
     pub failure_domain: String,
-    /// Listener of callers.
+    /// Address of the listener for callers.
     pub caller_address: SocketAddr,
-    /// Listener of the balancer's question whether this entry takes callers,
-    /// and of metrics.
+    /// Address of the listener for the load balancer's readiness check and for
+    /// metrics.
     pub readiness_address: SocketAddr,
-    /// Further listener of metrics, where they are fetched at a port that stays:
-    /// that of `readiness` may be another one at each start.
+    /// Address of an additional metrics listener at a fixed port. The port of
+    /// `readiness_address` may differ at each start.
     pub metrics_address: Option<SocketAddr>,
-    /// Listener of other entries' datagrams.
+    /// Address of the UDP socket for messages between entries.
     pub peer_address: SocketAddr,
-    /// Other entries that may be there, in case the platform can't say.
+    /// Addresses at which other entries may run, for when the platform's list
+    /// of entries is not available.
     pub peer_seeds: Vec<SocketAddr>,
-    /// Bounds of the deployment.
+    /// Settings that are the same for all entries of the deployment.
     pub deployment: DeploymentSettings,
-    /// Where the platform keeps what this process reads and writes.
+    /// Keys of the platform objects that this process reads and writes.
     pub keys: StoreKeys,
 }
 
-/// Bounds of the deployment.
+/// Settings that are the same for all entries of the deployment.
 #[derive(Debug, Clone)]
 pub struct DeploymentSettings {
-    /// Time from the signal to stop to the end of the process.
+    /// Time from the termination signal until the process is killed.
     pub shutdown_ms: u64,
-    /// Repeats for each request, over all entries.
+    /// Retries allowed per request, counted over all entries.
     pub retry_ratio: f64,
-    /// Repeats beyond those, over all entries.
+    /// Retries allowed in addition to the ratio, over all entries.
     pub retry_burst: f64,
-    /// Window in which repeats are counted.
+    /// Window over which requests and retries are counted.
     pub retry_window_ms: u64,
-    /// Time for which a giver of orders has to be silent before the next one.
+    /// Time for which a coordinator must be silent before another entry may
+    /// take its place.
     pub coordinator_takeover_ms: u64,
-    /// Window in which loads from the weight store are counted.
+    /// Window over which loads from the weight store are counted.
     pub store_load_window_ms: u64,
-    /// Most that one request may take of its workspace's quota beyond what there is,
-    /// in tokens or requests.
+    /// Amount by which a single request may exceed the remaining quota of its
+    /// workspace, in tokens or requests.
     pub quota_overdraft: f64,
-    /// Time without the platform after which what it said is not trusted to be
-    /// the newest.
+    /// Time without contact to the platform after which its last known state no
+    /// longer counts as current.
     pub platform_freshness_ms: u64,
 }
 
-/// Where the platform keeps what this process reads and writes.
+/// Keys of the platform objects that this process reads and writes.
 #[derive(Debug, Clone)]
 pub struct StoreKeys {
     /// Key of the configuration.
     pub config: String,
-    /// Start of the keys to watch for the configuration.
+    /// Key prefix to watch for changes of the configuration.
     pub config_prefix: String,
-    /// Start of the upstreams' keys.
+    /// Key prefix of the upstreams' records.
     pub upstream_prefix: String,
-    /// Key of the lease on orders.
+    /// Key of the lease that entitles its holder to send orders.
     pub lease: String,
-    /// Start of the entries' keys.
+    /// Key prefix of the entries' records.
     pub entry_prefix: String,
 }
--- a/crates/front/src/orders.rs
+++ b/crates/front/src/orders.rs
@@ -1,4 +1,5 @@
-//! Orders and reports on the wire, and the lease that allows orders.
+//! Sends orders to upstreams, requests their reports, and maintains the lease
+//! that entitles its holder to send orders.
 
 use base::{Expect, PlatformOp, PlatformResult, Version};
 use bytes::Bytes;
@@ -12,31 +13,31 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-use crate::reach::{place, unreached};
-use crate::relay::ask_renewal;
+use crate::lease_relay::request_renewal;
 use crate::state::Node;
-use crate::state::pool::SendFault;
-use crate::state::unread::Kind;
-use crate::{ControlRequest, answer_news};
+use crate::state::connection_pool::SendError;
+use crate::state::unreadable::ObjectKind;
+use crate::upstream_address::{address_of, record_unreachable};
+use crate::{ControlRequest, response_feedback};
 
-/// Longest wait for the answer to an order. Upstreams answer in milliseconds or
-/// not at all.
+/// Timeout of an order. Upstreams respond within milliseconds or not at all.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Longest wait for a report.
+/// Timeout of a request for a report.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Largest report taken.
+/// Largest report that is accepted.
 const REPORT_MAX_BYTES: usize = 1 << 20;
 
-/// Time between two looks at the lease.
-const LEASE_TICK: Duration = Duration::from_millis(100);
+/// Interval at which the lease is checked.
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Silence of the lease's holder after which the platform is asked for it.
-const HOLDER_SILENT_MS: u64 = 1_500;
+/// Silence of the lease's holder after which this entry reads the lease from
+/// the platform.
+const HOLDER_SILENCE_MS: u64 = 1_500;
 
-/// Sends an order, unless the lease has ended meanwhile, and books what came of
-/// it.
+/// Sends an order unless the lease has expired in the meantime, and records the
+/// result.
 pub(crate) async fn send_order(
     node: Arc<Node>,
     id: Arc<str>,
@@ -45,51 +46,55 @@
     token: u64,
     from_store: bool,
 ) {
-    let call = node
-        .dialect
+    let request = node
+        .protocol
         .order_request(&id, &order, &node.options.entry, token);
     let permit = || {
-        let leased = node.lease.lock().token(node.now()) == Some(token);
-        leased && node.giver.is_current(&id, &order)
+        let holds_lease = node.lease.lock().token(node.now()) == Some(token);
+        holds_lease && node.coordinator.is_current(&id, &order)
     };
-    let answer = send(&node, &id, call, ORDER_TIMEOUT, permit).await;
-    let sent = match &answer {
+    let response = call_upstream(&node, &id, request, ORDER_TIMEOUT, permit).await;
+    let result = match &response {
         Ok((status, _)) => {
-            SendOutcome::Answered(node.dialect.parse_order_status(*status))
+            SendOutcome::Answered(node.protocol.parse_order_status(*status))
         }
-        Err(SendFault::NotSent) => SendOutcome::NotSent,
-        Err(SendFault::Broken) => SendOutcome::Unanswered,
+        Err(SendError::NotSent) => SendOutcome::NotSent,
+        Err(SendError::Broken) => SendOutcome::Unanswered,
     };
-    if sent == SendOutcome::Unanswered && from_store {
-        node.giver.load_unanswered(node.now(), &service);
+    if result == SendOutcome::Unanswered && from_store {
+        node.coordinator
+            .record_unanswered_load(node.now(), &service);
     }
-    let status = answer.map_or(0, |(status, _)| status.as_u16());
+    let status = response.map_or(0, |(status, _)| status.as_u16());
     let action = format!("{:?}", order.action);
     let name = action.split('(').next().unwrap_or_default().to_owned();
-    let outcome = format!("{sent:?}");
+    let outcome = format!("{result:?}");
     let labels = [name.as_str(), outcome.as_str()];
-    node.meters.orders.with_label_values(&labels).inc();
+    node.metrics.orders.with_label_values(&labels).inc();
     node.log.line(
         "order",
         json!({ "upstream": &*id, "action": action, "expect": order.expected_count,
             "token": token, "status": status, "outcome": outcome }),
     );
     let now = node.now();
-    node.giver.sent(now, &id, &order, sent);
+    node.coordinator.record_order(now, &id, &order, result);
 }
 
-/// Asks an upstream for its report and books it.
+/// Requests an upstream's report and records it.
 ///
-/// Some upstreams name their start in the platform's entry and not in reports. Such
-/// a report is taken for one of the start that was known when it was asked for, and
-/// is old news if a later one is known when it comes. If that start was over by then
-/// without this being known, the later start's lower count has the report dropped;
-/// its count equal, orders that follow from it go to the later start and fit there.
-pub(crate) async fn ask_report(node: Arc<Node>, id: Arc<str>) {
-    let asked = place(&node, &id).and_then(|place| place.born_ms);
-    let call = node.dialect.report_request(&id);
-    let answer = send(&node, &id, call, REPORT_TIMEOUT, || true).await;
-    let body = match answer {
+/// Some upstreams state their incarnation in the platform's record but not in
+/// reports. Such a report is attributed to the incarnation that was known when
+/// the report was requested, and is outdated if a later one is known when it
+/// arrives. If that incarnation had ended by then unnoticed, the report is
+/// dropped once the later incarnation reports a lower count of orders; if the
+/// counts are equal, orders based on the report go to the later incarnation and
+/// are valid there.
+pub(crate) async fn request_report(node: Arc<Node>, id: Arc<str>) {
+    let known_started_ms =
+        address_of(&node, &id).and_then(|address| address.started_unix_ms);
+    let request = node.protocol.report_request(&id);
+    let response = call_upstream(&node, &id, request, REPORT_TIMEOUT, || true).await;
+    let body = match response {
         Ok((StatusCode::OK, body)) => body,
         other => {
             let status = other.map(|(status, _)| status.as_u16());
@@ -101,76 +106,79 @@
             return;
         }
     };
-    match node.dialect.parse_report(&body) {
+    match node.protocol.parse_report(&body) {
         Ok(mut report) => {
-            node.unread.forget(Kind::Report, &id);
-            report.started_unix_ms = report.started_unix_ms.or(asked);
-            let start = UpstreamIncarnation {
+            node.unreadable.forget(ObjectKind::Report, &id);
+            report.started_unix_ms = report.started_unix_ms.or(known_started_ms);
+            let incarnation = UpstreamIncarnation {
                 id: &id,
                 started_unix_ms: report.started_unix_ms,
             };
-            node.fleet.lock().observe_report(start);
-            node.giver.reported(node.now(), &id, &report);
+            node.fleet.lock().observe_report(incarnation);
+            node.coordinator.record_report(node.now(), &id, &report);
         }
-        Err(fault) => node.tell_unread(Kind::Report, &id, &body, &fault),
+        Err(error) => node.report_unreadable(ObjectKind::Report, &id, &body, &error),
     }
 }
 
-/// Makes a call to an upstream; `permit` is asked when the connection stands,
-/// right before the first byte.
-async fn send(
+/// Sends a request to an upstream. `permit` is checked once the connection is
+/// open, right before the first byte is sent.
+async fn call_upstream(
     node: &Node,
     id: &Arc<str>,
-    call: ControlRequest,
-    longest: Duration,
+    request: ControlRequest,
+    time_limit: Duration,
     permit: impl Fn() -> bool,
-) -> Result<(StatusCode, Bytes), SendFault> {
-    let place = place(node, id).ok_or(SendFault::NotSent)?;
-    let taken = node.pool.take(id, place, true).await;
-    let mut line = taken.inspect_err(|_| unreached(node, id, place.born_ms))?;
+) -> Result<(StatusCode, Bytes), SendError> {
+    let address = address_of(node, id).ok_or(SendError::NotSent)?;
+    let taken = node.connections.take(id, address, true).await;
+    let mut connection =
+        taken.inspect_err(|_| record_unreachable(node, id, address.started_unix_ms))?;
     if !permit() {
-        return Err(SendFault::NotSent);
+        return Err(SendError::NotSent);
     }
-    let request = request(place.address, call);
+    let request = build_request(address.socket_address, request);
     let sent_at = node.now();
     let exchange = async {
-        let response: Response<_> = line.send(request).await?;
+        let response: Response<_> = connection.send(request).await?;
         let status = response.status();
-        let head = node.dialect.parse_response_head(status, response.headers());
-        let start = UpstreamIncarnation {
+        let head = node
+            .protocol
+            .parse_response_head(status, response.headers());
+        let incarnation = UpstreamIncarnation {
             id,
-            started_unix_ms: place.born_ms,
+            started_unix_ms: address.started_unix_ms,
         };
-        answer_news::learn(node, start, &head, sent_at);
+        response_feedback::record(node, incarnation, &head, sent_at);
         let body = Limited::new(response.into_body(), REPORT_MAX_BYTES)
             .collect()
             .await
-            .map_err(|_| SendFault::Broken)?;
+            .map_err(|_| SendError::Broken)?;
         Ok((status, body.to_bytes()))
     };
-    let answer = timeout(longest, exchange)
+    let response = timeout(time_limit, exchange)
         .await
-        .unwrap_or(Err(SendFault::Broken))?;
-    node.pool.keep(id, line, None);
-    Ok(answer)
+        .unwrap_or(Err(SendError::Broken))?;
+    node.connections.keep(id, connection, None);
+    Ok(response)
 }
 
-fn request(address: SocketAddr, call: ControlRequest) -> Request<Full<Bytes>> {
-    let mut request = Request::new(Full::new(call.body));
-    *request.method_mut() = call.method;
-    *request.uri_mut() = call.path.parse().unwrap_or_default();
-    *request.headers_mut() = call.headers;
+fn build_request(address: SocketAddr, request: ControlRequest) -> Request<Full<Bytes>> {
+    let mut built = Request::new(Full::new(request.body));
+    *built.method_mut() = request.method;
+    *built.uri_mut() = request.path.parse().unwrap_or_default();
+    *built.headers_mut() = request.headers;
     if let Ok(host) = HeaderValue::from_str(&address.to_string()) {
-        request.headers_mut().insert(HOST, host);
+        built.headers_mut().insert(HOST, host);
     }
-    request
+    built
 }
 
-/// Takes and renews the lease, for ever.
-pub(crate) async fn keep_lease(node: Arc<Node>) {
+/// Acquires and renews the lease, forever.
+pub(crate) async fn maintain_lease(node: Arc<Node>) {
     loop {
-        tokio::time::sleep(LEASE_TICK).await;
-        if node.setup().is_none() || !may_hold_lease(&node) {
+        tokio::time::sleep(LEASE_CHECK_INTERVAL).await;
+        if node.config().is_none() || !may_maintain_lease(&node) {
             continue;
         }
         let step = lease_step(&node);
@@ -184,20 +192,20 @@
     }
 }
 
-/// Whether this entry may take or renew the lease: one that is being stopped only
-/// renews what it holds, until it hands it over.
-fn may_hold_lease(node: &Node) -> bool {
-    !node.stop.is_stopping() || node.lease.lock().token(node.now()).is_some()
+/// Returns whether this entry may acquire or renew the lease. During shutdown
+/// it only renews a lease that it holds, until it hands it over.
+fn may_maintain_lease(node: &Node) -> bool {
+    !node.shutdown.is_stopping() || node.lease.lock().token(node.now()).is_some()
 }
 
 fn lease_step(node: &Node) -> LeaseStep {
     let now = node.now();
     let mut lease = node.lease.lock();
-    let heard = lease.holder().is_some_and(|holder| {
-        node.peers.is_heard(now, holder, HOLDER_SILENT_MS)
-            && node.peers.giver_token(now, HOLDER_SILENT_MS) > 0
+    let holder_alive = lease.holder().is_some_and(|holder| {
+        node.peers.is_heard_within(now, holder, HOLDER_SILENCE_MS)
+            && node.peers.latest_coordinator_token(now, HOLDER_SILENCE_MS) > 0
     });
-    lease.next_step(now, heard)
+    lease.next_step(now, holder_alive)
 }
 
 async fn read_lease(node: &Node) {
@@ -208,35 +216,38 @@
     match result {
         PlatformResult::Object(None) => lease.on_read(now, None),
         PlatformResult::Object(Some((version, value))) => {
-            let record = lease_record(node, version.0, &value);
+            let record = decode_lease(node, version.0, &value);
             lease.on_read(now, Some((version.0, record)));
         }
         _ => {
             lease.on_failed(now);
             drop(lease);
-            ask_renewal(node);
+            request_renewal(node);
         }
     }
 }
 
-/// The record of the lease at a version; what stands in for it if it can't be read.
-fn lease_record(node: &Node, version: u64, value: &[u8]) -> LeaseRecord {
+/// Decodes the lease record at a version. A record that can't be decoded is
+/// replaced by a placeholder.
+fn decode_lease(node: &Node, version: u64, value: &[u8]) -> LeaseRecord {
     let key = &node.options.keys.lease;
-    let why = match serde_json::from_slice::<LeaseRecord>(value) {
+    let reason = match serde_json::from_slice::<LeaseRecord>(value) {
         Ok(record) if record.is_plausible(version) => {
-            node.unread.forget(Kind::Lease, key);
+            node.unreadable.forget(ObjectKind::Lease, key);
             return record;
         }
-        Ok(_) => "it counts more holdings than the object has versions".to_owned(),
-        Err(fault) => fault.to_string(),
+        Ok(_) => {
+            "its token or renewal number exceeds the version of the object".to_owned()
+        }
+        Err(error) => error.to_string(),
     };
-    node.tell_unread(Kind::Lease, key, value, why);
+    node.report_unreadable(ObjectKind::Lease, key, value, reason);
     LeaseRecord::unreadable(version)
 }
 
 async fn write_lease(node: &Node, record: LeaseRecord, version: Option<u64>) {
     let sent_at = node.now();
-    // Names and numbers always serialise.
+    // Strings and numbers always serialize.
     let value = serde_json::to_vec(&record).unwrap_or_default();
     let expect =
         version.map_or(Expect::Absent, |version| Expect::Version(Version(version)));
@@ -248,7 +259,7 @@
     let result = node.store.call(&op).await;
     let now = node.now();
     let mut lease = node.lease.lock();
-    let before = lease.token(now);
+    let token_before = lease.token(now);
     let renewed = matches!(result, PlatformResult::Written(_));
     match result {
         PlatformResult::Written(version) => {
@@ -262,54 +273,59 @@
     let token = lease.token(node.now());
     drop(lease);
     if !renewed {
-        ask_renewal(node);
+        request_renewal(node);
     }
-    if token != before {
+    if token != token_before {
         node.log.line(
             "lease",
-            json!({ "token": token, "before": before, "sent_ms": now.ms_since(sent_at) }),
+            json!({ "token": token, "before": token_before, "sent_ms": now.ms_since(sent_at) }),
         );
     }
 }
 
-/// Hands the lease over when the process is being stopped: gives it back as soon as
-/// another entry can lead, when nothing else is left to do here, and at its own end at
-/// the latest.
+/// Hands the lease over during shutdown: releases it as soon as another entry
+/// can take over, when nothing else is left to do, or shortly before the
+/// process exits at the latest.
 ///
-/// The process lives on for seconds, and a successor is quiet for as long as the rule
-/// asks, whenever it begins. Given back while nobody could take it, the lease left
-/// the demand that moved meanwhile without anybody who follows it.
+/// The process keeps running for seconds, and a successor must stay silent for
+/// the takeover time whenever it starts. When the lease was released while no
+/// entry could acquire it, nobody adapted the placement to shifting demand in
+/// the meantime.
 pub(crate) async fn hand_over_lease(node: &Node) {
-    let last_at = node.stop.answer_by();
+    let deadline = node.shutdown.final_response_at();
     loop {
         let now = node.now();
-        let leads = node.lease.lock().token(now).is_some();
-        let is_late = last_at.is_none_or(|last_at| now >= last_at);
-        if !leads || is_late || node.peers.has_successor(now, node.start) {
+        let holds_lease = node.lease.lock().token(now).is_some();
+        let is_last_chance = deadline.is_none_or(|deadline| now >= deadline);
+        if !holds_lease
+            || is_last_chance
+            || node.peers.has_successor(now, node.started_unix_ms)
+        {
             break;
         }
         tokio::select! {
-            () = tokio::time::sleep(LEASE_TICK) => {}
-            () = node.stop.hand_over.cancelled() => break,
+            () = tokio::time::sleep(LEASE_CHECK_INTERVAL) => {}
+            () = node.shutdown.hand_over_now.cancelled() => break,
         }
     }
-    give_back_lease(node).await;
+    release_lease(node).await;
 }
 
-/// Gives the lease back, so that its successor need not wait for as long as for a
-/// giver that fell silent.
-async fn give_back_lease(node: &Node) {
+/// Releases the lease, so that the successor need not wait as long as for a
+/// coordinator that fell silent.
+async fn release_lease(node: &Node) {
     loop {
-        let given = node.lease.lock().release(node.now());
-        let Some((record, version)) = given else {
+        let record = node.lease.lock().release(node.now());
+        let Some((record, version)) = record else {
             return;
         };
         write_lease(node, record, Some(version)).await;
         if node.lease.lock().release(node.now()).is_none() {
             return;
         }
-        // A renewal under way came first, or the platform is away.
-        tokio::time::sleep(LEASE_TICK).await;
+        // A renewal in progress was written first, or the platform is
+        // unavailable.
+        tokio::time::sleep(LEASE_CHECK_INTERVAL).await;
         read_lease(node).await;
     }
 }
--- a/crates/front/src/peers/mod.rs
+++ b/crates/front/src/peers/mod.rs
@@ -1,13 +1,15 @@
-//! What entries tell one another, by datagrams that state what holds now.
+//! UDP messages between entries, each of which states the sender's current
+//! view.
 //!
-//! A lost one is made good by the next, so nothing is acknowledged and no
-//! connection has to be watched. [`tell`] writes them, [`hear`] reads them, and
-//! [`register`] finds the other entries.
+//! A lost message is made up for by the next one, so nothing is acknowledged
+//! and there are no connections to monitor. [`announce_periodically`] sends
+//! messages, [`receive`] handles them, and [`register`] finds the other
+//! entries.
 
-mod hear;
+mod announce;
+mod receive;
 mod register;
-mod tell;
 
-pub(crate) use hear::hear;
+pub(crate) use announce::{announce_changes, announce_periodically};
+pub(crate) use receive::receive;
 pub(crate) use register::register;
-pub(crate) use tell::{tell, tell_when_new};
--- /dev/null
+++ b/crates/front/src/peers/receive.rs
@@ -0,0 +1,207 @@
+//! Receives messages from other entries.
+
+use direct::{
+    Activity, DemandEstimate, LeaseRecord, PrefillQueue, ResidentModel,
+    UpstreamIncarnation, Usage,
+};
+use prost::Message;
+use schema::peer::{HeldModel, PeerNews, Tokens};
+use serde_json::json;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use tokio::net::UdpSocket;
+
+use crate::lease_relay::{receive_confirmation, receive_request};
+use crate::quota::{self, Scope};
+use crate::shared_watch;
+use crate::state::Node;
+use crate::state::peers::{PeerState, Peers};
+use crate::state::wanted_adapters::WantedAdapter;
+use crate::upstream_rate;
+
+/// Largest datagram that is accepted.
+const DATAGRAM_MAX_BYTES: usize = 60 << 10;
+
+/// Receives messages from other entries, forever.
+pub(crate) async fn receive(node: Arc<Node>, socket: Arc<UdpSocket>) {
+    let mut buffer = vec![0; DATAGRAM_MAX_BYTES];
+    loop {
+        let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
+            // An ICMP error because a peer's port is closed; no message was
+            // lost.
+            continue;
+        };
+        match PeerNews::decode(&buffer[..length]) {
+            Ok(message) => match token_message(&message) {
+                Some(tokens) if message.entry != node.peers.own_name => {
+                    quota::receive(&node, &socket, from, &message, tokens).await;
+                }
+                _ => apply_message(&node, from, message),
+            },
+            Err(error) => {
+                let why = error.to_string();
+                node.log
+                    .line("datagram_unread", json!({ "from": from, "why": why }));
+            }
+        }
+    }
+}
+
+/// Returns the tokens that a message carries, if any.
+fn token_message(message: &PeerNews) -> Option<(Scope, &Tokens)> {
+    let of = |scope| move |tokens| (scope, tokens);
+    let workspaces = message.tokens.as_ref().map(of(Scope::Workspaces));
+    let upstreams = message.upstream_tokens.as_ref();
+    workspaces.or(upstreams.map(of(Scope::Upstreams)))
+}
+
+fn apply_message(node: &Arc<Node>, from: SocketAddr, message: PeerNews) {
+    if message.entry == node.peers.own_name
+        || !node.peers.record_sender(node, from, &message)
+    {
+        return;
+    }
+    shared_watch::receive(node, &message);
+    let now = node.now();
+    let uses = message.uses.iter().map(|use_| {
+        let usage = Usage {
+            running: use_.running,
+            prefill: PrefillQueue::from_priorities(&use_.reading_tokens),
+            kv_tokens: use_.kept_tokens,
+        };
+        (incarnation(&use_.upstream, use_.born_ms), usage)
+    });
+    let mut fleet = node.fleet.lock();
+    fleet.set_peer_usage(now, &message.entry, uses);
+    let activity = message.uses.iter().map(|use_| {
+        let activity = Activity {
+            answering: use_.begun,
+            silent_ms: use_.silent_ms,
+        };
+        (incarnation(&use_.upstream, use_.born_ms), activity)
+    });
+    fleet.set_peer_activity(now, &message.entry, activity);
+    for leaving in &message.leaving {
+        let incarnation = incarnation(&leaving.upstream, leaving.born_ms);
+        fleet.peer_reported_leaving(incarnation, leaving.version, leaving.vanished);
+    }
+    for holding in &message.holdings {
+        let residents = holding.models.iter().map(decode_resident).collect();
+        let coming = holding.coming.iter().map(|coming| {
+            let ready_at = now.plus_ms(coming.ready_in_ms);
+            (Arc::from(coming.model.as_str()), ready_at)
+        });
+        let incarnation = incarnation(&holding.upstream, holding.born_ms);
+        fleet.set_coordinator_holdings(now, incarnation, residents, coming.collect());
+    }
+    if message.giver_token > 0 {
+        fleet.coordinator_heard(now, message.giver_token);
+    }
+    drop(fleet);
+    upstream_rate::receive(node, &message.entry, &message.rates);
+    if message.lease_renewal > 0 {
+        let record = LeaseRecord {
+            holder: message.entry.clone(),
+            start: message.start,
+            token: message.giver_token,
+            renewal: message.lease_renewal,
+            idle_ms: 0,
+        };
+        node.lease.lock().on_holder_message(now, record);
+    }
+    if !message.holdings.is_empty() {
+        node.holdings_changed.notify_waiters();
+    }
+    for wanted in message.wants {
+        let wanted = WantedAdapter {
+            service: wanted.service.into(),
+            model: wanted.model.into(),
+            adapter: wanted.adapter.into(),
+        };
+        node.coordinator.request_adapter(now, wanted);
+    }
+    if let Some(ask) = &message.lease_ask {
+        receive_request(node, ask);
+    }
+    if let Some(confirmation) = &message.lease_told {
+        receive_confirmation(node, confirmation);
+    }
+    let mut suspects = node.suspects.lock();
+    for suspect in &message.suspects {
+        suspects.merge(now, suspect);
+    }
+}
+
+const fn incarnation(id: &str, started_unix_ms: u64) -> UpstreamIncarnation<'_> {
+    let started_unix_ms = if started_unix_ms == 0 {
+        None
+    } else {
+        Some(started_unix_ms)
+    };
+    UpstreamIncarnation {
+        id,
+        started_unix_ms,
+    }
+}
+
+fn decode_resident(held: &HeldModel) -> ResidentModel {
+    ResidentModel {
+        model: held.model.as_str().into(),
+        version: held.version,
+        adapters: held
+            .adapters
+            .iter()
+            .map(|name| name.as_str().into())
+            .collect(),
+    }
+}
+
+impl Peers {
+    /// Records the sender of a message. Returns false if the message is older
+    /// than the last one.
+    fn record_sender(&self, node: &Node, from: SocketAddr, message: &PeerNews) -> bool {
+        let now = node.now();
+        let mut table = self.table.lock();
+        table.addresses.insert(from);
+        let known = table.peers.get(&message.entry);
+        let newest = known.map(|peer| (peer.started_unix_ms, peer.sequence));
+        if newest.is_some_and(|newest| (message.start, message.sequence) <= newest) {
+            return false;
+        }
+        if known.is_none_or(|peer| peer.reported_lost) {
+            node.log.line(
+                "peer_heard",
+                json!({ "peer": message.entry, "from": from, "setup": message.setup_version }),
+            );
+        }
+        let loads = message.demands.iter().map(|demand| {
+            let load = DemandEstimate {
+                recent_ms_per_s: demand.newest_us_per_s as f64 / 1_000.0,
+                sustained_ms_per_s: demand.lasting_us_per_s as f64 / 1_000.0,
+                waiting: demand.waiting,
+                oldest_wait_ms: demand.oldest_wait_ms,
+                request_ms: 0.0,
+            };
+            (
+                demand.service.as_str().into(),
+                demand.model.as_str().into(),
+                load,
+            )
+        });
+        let state = PeerState {
+            address: from,
+            started_unix_ms: message.start,
+            sequence: message.sequence,
+            heard_at: now,
+            reported_lost: false,
+            coordinator_token: message.giver_token,
+            domain: message.domain.clone(),
+            watch_works: message.watches,
+            keeps_tokens: message.keeps_tokens,
+            shutting_down: message.stopping,
+            demand: loads.collect(),
+        };
+        table.peers.insert(message.entry.clone(), state);
+        true
+    }
+}
--- a/crates/front/src/peers/register.rs
+++ b/crates/front/src/peers/register.rs
@@ -1,4 +1,4 @@
-//! Finding other entries by the platform's list of them.
+//! Finds other entries through the platform's list of entries.
 
 use base::{Expect, PlatformOp, PlatformResult};
 use serde::{Deserialize, Serialize};
@@ -9,52 +9,59 @@
 
 use crate::state::Node;
 use crate::state::peers::Peers;
-use crate::state::unread::Kind;
+use crate::state::unreadable::ObjectKind;
 
-/// Time between two looks at the platform's list of entries.
-const LIST_EVERY: Duration = Duration::from_secs(8);
+/// Interval at which the list is read.
+const LIST_INTERVAL: Duration = Duration::from_secs(8);
 
-/// Pause before the list is read again after a failed call, and after this entry
-/// was added to it: others that start at the same moment add theirs.
-const LIST_AGAIN: Duration = Duration::from_millis(700);
+/// Delay before the list is read again after a failed call, or after this entry
+/// added itself: other entries that start at the same time add themselves as
+/// well.
+const LIST_RETRY_DELAY: Duration = Duration::from_millis(700);
 
-/// Time after which all others count an entry that has been in the list: they hear of
-/// it within two seconds, and those that it does not reach read the list each eight.
+/// Time after which all other entries count an entry that is in the list. Most
+/// learn of it within two seconds; those that its messages don't reach read the
+/// list every eight seconds.
 const SETTLED_AFTER_MS: u64 = 5_000;
 
-/// An entry's own entry in the platform.
+/// An entry's record in the platform.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct EntryRecord {
     peers: SocketAddr,
-    /// Whether it has been here long enough that all others count it.
+    /// Whether the entry has been listed for long enough that all others count
+    /// it.
     #[serde(default)]
     settled: bool,
 }
 
-/// Keeps this entry's own entry in the platform and reads the others', for
-/// ever.
+/// Keeps this entry's record in the platform up to date and reads those of the
+/// others, forever.
 pub(crate) async fn register(node: Arc<Node>) {
     let key = format!("{}{}", node.options.keys.entry_prefix, node.options.entry);
     let mut written = None;
     let mut known_since = None;
     loop {
         let listed = list_entries(&node).await;
-        let own = listed.as_ref().and_then(|listed| listed.own(&node));
+        let own = listed.as_ref().and_then(|listed| listed.own_record(&node));
         let now = node.now();
         if let Some(own) = &own {
             let since = *known_since.get_or_insert(now);
             if own.settled || now.ms_since(since) >= SETTLED_AFTER_MS {
-                node.quota.is_settled.store(true, Ordering::Relaxed);
+                node.workspace_quotas
+                    .is_settled
+                    .store(true, Ordering::Relaxed);
             }
         }
         let record = EntryRecord {
             peers: node.options.peer_address,
-            settled: node.quota.is_settled.load(Ordering::Relaxed),
+            settled: node.workspace_quotas.is_settled.load(Ordering::Relaxed),
         };
         let known = own.as_ref() == Some(&record);
-        let replaced = listed.as_ref().is_some_and(|listed| listed.unread(&key));
+        let replaced = listed
+            .as_ref()
+            .is_some_and(|listed| listed.is_unreadable(&key));
         if listed.is_some() && !known && (written != Some(record.settled) || replaced) {
-            // An address serialises into any string.
+            // An address and a flag always serialize.
             let value = serde_json::to_vec(&record).unwrap_or_default();
             let op = PlatformOp::Write {
                 key: key.clone(),
@@ -65,84 +72,85 @@
             let is_written = matches!(result, PlatformResult::Written(_));
             written = is_written.then_some(record.settled);
         }
-        tokio::time::sleep(pause(known, record.settled)).await;
+        tokio::time::sleep(list_delay(known, record.settled)).await;
     }
 }
 
-/// Time until the list is read again.
-fn pause(known: bool, settled: bool) -> Duration {
+/// Returns the time until the list is read again.
+fn list_delay(known: bool, settled: bool) -> Duration {
     match (known, settled) {
-        (true, true) => LIST_EVERY,
+        (true, true) => LIST_INTERVAL,
         (true, false) => Duration::from_millis(SETTLED_AFTER_MS),
-        (false, _) => LIST_AGAIN,
+        (false, _) => LIST_RETRY_DELAY,
     }
 }
 
 /// The platform's list of entries.
 #[derive(Debug, Default)]
-struct Listed {
+struct EntryList {
     records: Vec<EntryRecord>,
-    /// Keys of those that can't be read.
-    unread: Vec<String>,
+    /// Keys of the records that can't be decoded.
+    unreadable: Vec<String>,
 }
 
-impl Listed {
-    /// The record at this entry's address.
-    fn own(&self, node: &Node) -> Option<EntryRecord> {
+impl EntryList {
+    /// Returns the record with this entry's address.
+    fn own_record(&self, node: &Node) -> Option<EntryRecord> {
         let mut records = self.records.iter();
         records
             .find(|record| record.peers == node.options.peer_address)
             .cloned()
     }
 
-    /// Whether there is an entry under a key, and can't be read.
-    fn unread(&self, key: &str) -> bool {
-        self.unread.iter().any(|unread| unread == key)
+    /// Returns whether there is a record at a key that can't be decoded.
+    fn is_unreadable(&self, key: &str) -> bool {
+        self.unreadable.iter().any(|unreadable| unreadable == key)
     }
 }
 
-async fn list_entries(node: &Node) -> Option<Listed> {
+async fn list_entries(node: &Node) -> Option<EntryList> {
     let prefix = node.options.keys.entry_prefix.clone();
-    // Entries that came a moment ago say so themselves.
+    // An outdated list will do: new entries announce themselves.
     let result = node.store.list_maybe_old(prefix).await;
     let PlatformResult::Objects(objects, _) = result else {
         return None;
     };
-    let mut listed = Listed::default();
+    let mut listed = EntryList::default();
     for (key, _, value) in objects {
-        match read(&value) {
+        match parse_record(&value) {
             Ok(record) => listed.records.push(record),
-            Err(why) => {
-                node.tell_unread(Kind::Entry, &key, &value, why);
-                listed.unread.push(key);
+            Err(reason) => {
+                node.report_unreadable(ObjectKind::Entry, &key, &value, reason);
+                listed.unreadable.push(key);
             }
         }
     }
-    node.unread.retain(Kind::Entry, |key| listed.unread(key));
-    let entries = node.peers.listed(&listed.records);
+    node.unreadable
+        .retain(ObjectKind::Entry, |key| listed.is_unreadable(key));
+    let entries = node.peers.set_listed(&listed.records);
     let entries = u32::try_from(entries).unwrap_or(u32::MAX);
-    node.repeats.lock().set_entries(entries);
+    node.retry_budget.lock().set_entries(entries);
     Some(listed)
 }
 
-/// Reads an entry's record; one that can't be told anything is none.
-fn read(value: &[u8]) -> Result<EntryRecord, String> {
+/// Decodes an entry's record. A record without a usable address is invalid.
+fn parse_record(value: &[u8]) -> Result<EntryRecord, String> {
     let record: EntryRecord =
-        serde_json::from_slice(value).map_err(|fault| fault.to_string())?;
+        serde_json::from_slice(value).map_err(|error| error.to_string())?;
     let ip = record.peers.ip();
     if record.peers.port() == 0 || ip.is_unspecified() || ip.is_multicast() {
-        return Err("the address is none of an entry".to_owned());
+        return Err("the address can't be that of an entry".to_owned());
     }
     Ok(record)
 }
 
 impl Peers {
-    fn listed(&self, records: &[EntryRecord]) -> usize {
+    fn set_listed(&self, records: &[EntryRecord]) -> usize {
         let mut table = self.table.lock();
         for record in records {
             table.addresses.insert(record.peers);
         }
-        table.registered = records.len().max(1);
-        table.registered
+        table.listed_entries = records.len().max(1);
+        table.listed_entries
     }
 }
--- /dev/null
+++ b/crates/front/src/platform_watch.rs
@@ -0,0 +1,391 @@
+//! Watches the configuration and the upstreams' records in the platform.
+
+use base::prelude::*;
+use base::{PlatformOp, PlatformResult, Version};
+use direct::{ChangedObject, WatchBatch};
+use serde_json::json;
+use std::sync::Arc;
+use std::time::Duration;
+
+use crate::shared_watch::{wait_for_next_watch, watch_platform};
+use crate::state::Node;
+use crate::state::unreadable::ObjectKind;
+
+/// Shortest and longest delay after a failed call. Each call adds load to a
+/// platform in trouble, but the configuration must be in force within seconds
+/// of its recovery.
+const RETRY_DELAY_MIN: Duration = Duration::from_millis(100);
+const RETRY_DELAY_MAX: Duration = Duration::from_millis(400);
+
+/// Longest delay between two lists while lists succeed and watches fail, as on
+/// a platform that drops its history immediately. Without a delay, each entry
+/// listed some hundred times per second; with this one, the configuration is
+/// still in force in time.
+const RELIST_DELAY_MAX: Duration = Duration::from_millis(800);
+
+/// Interval between two watches of the upstreams' records. Each change ends the
+/// watches of all entries, and each new watch is a call. Changes in between
+/// arrive with the next watch; a leaving upstream must be known within two
+/// seconds.
+const UPSTREAM_WATCH_INTERVAL: Duration = Duration::from_millis(800);
+
+/// A collection of platform objects that this entry keeps up to date.
+#[derive(Debug, Clone, Copy)]
+pub(crate) enum Collection {
+    /// The configuration.
+    Config,
+    /// The upstreams' records.
+    Upstreams,
+}
+
+type Object = (String, Version, Vec<u8>);
+
+/// Applies changes, whether from this entry's own watch or from another
+/// entry's.
+pub(crate) fn apply_changes(
+    node: &Node,
+    collection: Collection,
+    changed: &[ChangedObject],
+) {
+    let objects = changed.iter();
+    let objects = objects.map(|object| {
+        (
+            object.key.clone(),
+            Version(object.version),
+            object.value.clone(),
+        )
+    });
+    let objects: Vec<Object> = objects.collect();
+    match collection {
+        Collection::Config => apply_configs(node, &objects),
+        Collection::Upstreams => apply_upstream_changes(node, &objects),
+    }
+}
+
+/// Keeps one collection up to date forever: lists it, then watches for changes.
+///
+/// Any failure of a watch, including one whose history the platform has
+/// dropped, leads to a new list, which needs no history.
+pub(crate) async fn watch_collection(node: Arc<Node>, collection: Collection) {
+    let mut contact = PlatformContact::new(collection);
+    let mut relist_delay = RETRY_DELAY_MIN;
+    loop {
+        let Some(mut after) = list_once(&node, collection, &mut contact).await else {
+            contact.back_off().await;
+            continue;
+        };
+        let mut has_watched = false;
+        let mut started_at = node.now();
+        while let Some(at) = watch_once(&node, collection, after, &mut contact).await {
+            after = at;
+            has_watched = true;
+            wait_for_next_watch(&node, collection, started_at).await;
+            started_at = node.now();
+        }
+        relist_delay = if has_watched {
+            RETRY_DELAY_MIN
+        } else {
+            (relist_delay * 2).min(RELIST_DELAY_MAX)
+        };
+        tokio::time::sleep(relist_delay).await;
+    }
+}
+
+async fn list_once(
+    node: &Node,
+    collection: Collection,
+    contact: &mut PlatformContact,
+) -> Option<Version> {
+    let prefix = collection.prefix(node);
+    let result = node.store.call(&PlatformOp::List { prefix }).await;
+    count_call(node, collection, "list", &result);
+    let PlatformResult::Objects(objects, at) = result else {
+        node.shared_watches.failed(collection);
+        contact.note_failure(node, &result);
+        return None;
+    };
+    contact.note_success(node);
+    match collection {
+        Collection::Config => apply_configs(node, &objects),
+        Collection::Upstreams => replace_upstreams(node, at, &objects),
+    }
+    node.shared_watches.listed(node.now(), collection, at.0);
+    collection.confirm(node, at.0, node.now());
+    Some(at)
+}
+
+async fn watch_once(
+    node: &Node,
+    collection: Collection,
+    after: Version,
+    contact: &mut PlatformContact,
+) -> Option<Version> {
+    let prefix = collection.prefix(node);
+    let watch = PlatformOp::Watch { prefix, after };
+    let result = watch_platform(node, collection, &watch).await;
+    count_call(node, collection, "watch", &result);
+    let PlatformResult::Objects(objects, at) = result else {
+        node.shared_watches.failed(collection);
+        contact.note_failure(node, &result);
+        return None;
+    };
+    contact.note_success(node);
+    let objects = objects.into_iter();
+    let objects = objects.map(|(key, version, value)| ChangedObject {
+        key,
+        version: version.0,
+        value,
+    });
+    let batch = WatchBatch {
+        after_version: after.0,
+        to_version: at.0,
+        objects: objects.collect(),
+        is_partial: false,
+    };
+    apply_changes(node, collection, &batch.objects);
+    node.shared_watches.watched(node.now(), collection, batch);
+    collection.confirm(node, at.0, node.now());
+    Some(at)
+}
+
+impl Collection {
+    fn prefix(self, node: &Node) -> String {
+        match self {
+            Self::Config => node.options.keys.config_prefix.clone(),
+            Self::Upstreams => node.options.keys.upstream_prefix.clone(),
+        }
+    }
+
+    /// Returns the interval between two watches of an entry that watches for
+    /// itself.
+    pub(crate) const fn watch_pause(self) -> Duration {
+        match self {
+            Self::Config => Duration::ZERO,
+            Self::Upstreams => UPSTREAM_WATCH_INTERVAL,
+        }
+    }
+
+    pub(crate) const fn as_str(self) -> &'static str {
+        match self {
+            Self::Config => "setup",
+            Self::Upstreams => "upstreams",
+        }
+    }
+
+    /// Records that the platform confirmed, at a time, that everything up to a
+    /// version is known.
+    pub(crate) fn confirm(self, node: &Node, at: u64, confirmed_at: Instant) {
+        let mut config;
+        let mut fleet;
+        let mark = match self {
+            Self::Config => {
+                config = node.config.lock();
+                &mut config.1
+            }
+            Self::Upstreams => {
+                fleet = node.fleet_watermark.lock();
+                &mut *fleet
+            }
+        };
+        mark.version = mark.version.max(at);
+        mark.confirmed_at = mark.confirmed_at.max(Some(confirmed_at));
+    }
+}
+
+/// Whether the platform responds; each change is logged once.
+struct PlatformContact {
+    collection: Collection,
+    is_lost: bool,
+    delay: Duration,
+}
+
+impl PlatformContact {
+    const fn new(collection: Collection) -> Self {
+        Self {
+            collection,
+            is_lost: false,
+            delay: RETRY_DELAY_MIN,
+        }
+    }
+
+    fn note_failure(&mut self, node: &Node, result: &PlatformResult) {
+        if !std::mem::replace(&mut self.is_lost, true) {
+            let why = outcome_label(result);
+            node.log.line(
+                "platform_lost",
+                json!({ "followed": self.collection.as_str(), "why": why }),
+            );
+        }
+    }
+
+    fn note_success(&mut self, node: &Node) {
+        self.delay = RETRY_DELAY_MIN;
+        if std::mem::replace(&mut self.is_lost, false) {
+            node.fleet.lock().platform_returned(node.now());
+            node.log.line(
+                "platform_regained",
+                json!({ "followed": self.collection.as_str() }),
+            );
+        }
+    }
+
+    async fn back_off(&mut self) {
+        tokio::time::sleep(self.delay).await;
+        self.delay = (self.delay * 2).min(RETRY_DELAY_MAX);
+    }
+}
+
+const fn outcome_label(result: &PlatformResult) -> &'static str {
+    match result {
+        PlatformResult::Away => "away",
+        PlatformResult::Unanswered => "unanswered",
+        PlatformResult::Conflict => "conflict",
+        _ => "answered",
+    }
+}
+
+fn count_call(
+    node: &Node,
+    collection: Collection,
+    call: &str,
+    result: &PlatformResult,
+) {
+    let object = format!("{} {call}", collection.as_str());
+    let labels = [object.as_str(), outcome_label(result)];
+    node.metrics.platform_calls.with_label_values(&labels).inc();
+}
+
+fn apply_configs(node: &Node, objects: &[Object]) {
+    for (key, _, value) in objects {
+        if *key != node.options.keys.config || value.is_empty() {
+            continue;
+        }
+        match node.protocol.parse_config(value) {
+            Ok(config) => {
+                node.unreadable.forget(ObjectKind::Config, key);
+                adopt_config(node, config);
+            }
+            // The previous configuration stays in force.
+            Err(error) => {
+                node.report_unreadable(ObjectKind::Config, key, value, &error);
+            }
+        }
+    }
+}
+
+fn adopt_config(node: &Node, config: direct::Config) {
+    let mut current = node.config.lock();
+    let before = current.0.as_ref().map_or(0, |config| config.version);
+    if current.0.is_some() && config.version <= before {
+        return;
+    }
+    let (version, routes) = (config.version, config.routes().count());
+    node.workspace_quotas
+        .set_workspace_limits(node.now(), &config);
+    current.0 = Some(Arc::new(config));
+    drop(current);
+    node.log.line(
+        "setup_in_force",
+        json!({ "version": version, "before": before, "routes": routes }),
+    );
+    let prefix = &node.options.keys.upstream_prefix;
+    for upstream in node.fleet.lock().all() {
+        let key = format!("{prefix}{}", upstream.record.id);
+        report_unknown_service(node, &key, &upstream.record.service);
+    }
+}
+
+fn replace_upstreams(node: &Node, at: Version, objects: &[Object]) {
+    let mut listed = Vec::new();
+    let mut unreadable = Vec::new();
+    for object in objects {
+        match parse_record(node, object) {
+            Some(record) => listed.push(record),
+            None => unreadable.push(object),
+        }
+    }
+    let mut fleet = node.fleet.lock();
+    fleet.apply_list(node.now(), at.0, listed);
+    for (key, version, _) in unreadable {
+        fleet.mark_unreadable(upstream_id(node, key), version.0);
+    }
+    node.unreadable.retain(ObjectKind::Upstream, |known| {
+        objects.iter().any(|(key, ..)| key == known)
+    });
+    node.unreadable
+        .retain(ObjectKind::Report, |id| fleet.get(id).is_some());
+    drop(fleet);
+    node.holdings_changed.notify_waiters();
+}
+
+fn apply_upstream_changes(node: &Node, objects: &[Object]) {
+    for object in objects {
+        apply_upstream_change(node, object);
+    }
+    if !objects.is_empty() {
+        node.holdings_changed.notify_waiters();
+        node.coordinator.wake.notify_waiters();
+    }
+}
+
+fn apply_upstream_change(node: &Node, object: &Object) {
+    let (key, version, value) = object;
+    let id = upstream_id(node, key);
+    if value.is_empty() {
+        node.fleet.lock().remove(node.now(), id, version.0);
+        node.unreadable.forget(ObjectKind::Upstream, key);
+        node.log.line("upstream_gone", json!({ "upstream": id }));
+        return;
+    }
+    let Some((version, record)) = parse_record(node, object) else {
+        node.fleet.lock().mark_unreadable(id, version.0);
+        return;
+    };
+    if record.leaving {
+        node.log.line(
+            "upstream_leaving",
+            json!({ "upstream": &*record.id, "version": version,
+                "gone_in_ms": record.gone_in_ms }),
+        );
+    }
+    let (id, started_unix_ms) = (Arc::clone(&record.id), record.started_unix_ms);
+    if node.fleet.lock().apply_update(version, record) {
+        node.log.line(
+            "upstream_restarted",
+            json!({ "upstream": &*id, "version": version, "born_ms": started_unix_ms }),
+        );
+    }
+}
+
+fn upstream_id<'a>(node: &Node, key: &'a str) -> &'a str {
+    key.strip_prefix(node.options.keys.upstream_prefix.as_str())
+        .unwrap_or(key)
+}
+
+/// Decodes an upstream's record, and reports one that can't be decoded.
+fn parse_record(node: &Node, object: &Object) -> Option<(u64, direct::UpstreamRecord)> {
+    let (key, version, value) = object;
+    let record = match node.protocol.parse_upstream(key, value) {
+        Ok(record) => record,
+        Err(error) => {
+            node.report_unreadable(ObjectKind::Upstream, key, value, &error);
+            return None;
+        }
+    };
+    report_unknown_service(node, key, &record.service);
+    Some((version.0, record))
+}
+
+/// Reports an upstream whose service the configuration doesn't contain. It gets
+/// no requests unless a later configuration contains the service.
+fn report_unknown_service(node: &Node, key: &str, service: &str) {
+    let Some(config) = node.config() else {
+        return;
+    };
+    if config.knows_service(service) {
+        node.unreadable.forget(ObjectKind::Upstream, key);
+        return;
+    }
+    let why = "the configuration has no such service";
+    node.report_unreadable(ObjectKind::Upstream, key, service.as_bytes(), why);
+}
--- a/crates/front/src/protocol.rs
+++ b/crates/front/src/protocol.rs
@@ -1,4 +1,5 @@
-//! The border to the names that a platform uses on the wire.
+//! The interface to a platform's wire format: header names, object encodings
+//! and the HTTP requests that control upstreams.
 
 use access::Credential;
 use bytes::Bytes;
@@ -9,148 +10,153 @@
 use std::fmt::Debug;
 use std::sync::Arc;
 
-/// What a caller's headers say.
+/// The headers of a caller's request.
 #[derive(Debug, Clone, Default)]
 pub struct RequestHead {
-    /// Id of the caller's attempt.
+    /// Request id. It identifies one attempt of the caller.
     pub id: String,
-    /// Who the caller says it is.
+    /// API key of the caller.
     pub credential: Credential,
-    /// Prompt tokens and the most of the answer together; `None` if not said.
+    /// Prompt tokens plus the largest number of output tokens; `None` if the
+    /// caller doesn't state them.
     pub tokens: Option<u64>,
-    /// Time that the caller will wait.
+    /// Time within which the caller wants its final response, in milliseconds.
     pub deadline_ms: Option<u64>,
-    /// Model, and the adapter if one is asked for.
+    /// Model, and the adapter if the request names one.
     pub model: Option<(Arc<str>, Option<Arc<str>>)>,
-    /// Prompt tokens.
+    /// Number of prompt tokens.
     pub prompt_tokens: u64,
-    /// Most tokens of the answer.
+    /// Largest number of output tokens.
     pub output_tokens_max: u64,
-    /// Tokens of the answer that the caller expects.
+    /// Number of output tokens that the caller expects.
     pub output_tokens_hint: Option<u64>,
-    /// Prompt parts in order: name and tokens.
+    /// Parts of the prompt in order, each as its hash and its number of tokens.
     pub prompt_parts: Vec<(u64, u64)>,
-    /// Last event that the caller has of the stream.
+    /// Id of the last stream event that the caller has received.
     pub last_event_id: Option<String>,
 }
 
-/// What the system sets on a request to an upstream.
+/// The headers that this entry sets on a request to an upstream.
 #[derive(Debug, Clone)]
 pub struct UpstreamRequestHead<'a> {
-    /// Upstream that is meant; another one at the address refuses.
+    /// Id of the intended upstream. Any other upstream at this address refuses
+    /// the request.
     pub upstream: &'a str,
-    /// Time that is left.
+    /// Time that is left until the deadline, in milliseconds.
     pub deadline_ms: u64,
-    /// Urgency, from 0 to 9; 0 is the most urgent.
+    /// Urgency from 0 to 9; 0 is the most urgent.
     pub urgency: u32,
-    /// Last event that was given on, where a stream is continued.
+    /// Id of the last event that was forwarded, if a stream is resumed.
     pub last_event_id: Option<&'a str>,
-    /// Workspace of the caller, where callers have one.
+    /// Workspace of the caller; `None` where callers need no key.
     pub workspace: Option<&'a str>,
 }
 
-/// What an answer says of the rate of requests that its upstream takes.
+/// The request rate that an upstream's response says it accepts.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub enum AdvertisedRate {
-    /// It asks for no bound.
+    /// The upstream sets no limit.
     #[default]
     Unlimited,
-    /// Requests a second from all entries together.
+    /// Requests per second from all entries together.
     PerSecond(f64),
-    /// It asks for what can't be read.
+    /// The header can't be parsed.
     Invalid,
 }
 
-/// What an upstream's answer says by its status and headers.
+/// The status and headers of an upstream's response.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ResponseHead {
-    /// Id of the request that it answers.
+    /// Id of the request that this responds to.
     pub id: Option<String>,
-    /// Whether the upstream did not run the request and never will.
+    /// Whether the upstream did not execute the request and never will.
     pub not_run: bool,
-    /// Whether another upstream has the address.
+    /// Whether a different upstream now has the address.
     pub wrong_upstream: bool,
-    /// Whether it bears the upstream's signature.
+    /// Whether the response has the upstream's signature.
     pub signed: bool,
-    /// Time for which the upstream keeps the connection open.
+    /// Time for which the upstream keeps an idle connection open, in seconds.
     pub keep_alive_s: Option<u64>,
-    /// Rate of requests that it takes.
+    /// Request rate that the upstream accepts.
     pub rate: AdvertisedRate,
-    /// Whether it leaves.
+    /// Whether the upstream is about to leave.
     pub leaving: bool,
-    /// Time for which it asks for no request of this entry, after it turned one away.
+    /// Time for which this entry should send the upstream no request, given
+    /// when it refuses one.
     pub retry_after_ms: Option<u64>,
 }
 
-/// A call to an upstream that is not a caller's.
+/// An HTTP request that this entry itself sends to an upstream: an order, or a
+/// request for a report.
 #[derive(Debug, Clone)]
 pub struct ControlRequest {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path.
+    /// Request path.
     pub path: String,
-    /// Headers.
+    /// Request headers.
     pub headers: HeaderMap,
-    /// Body.
+    /// Request body.
     pub body: Bytes,
 }
 
-/// Something of the platform that can't be read.
+/// An object or a message of the platform that can't be decoded.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub), display("{what}: {reason}"))]
 pub struct DecodeError {
-    /// What was read.
+    /// Name of the object or message.
     pub what: String,
-    /// Why it can't be.
+    /// Why it can't be decoded.
     pub reason: String,
 }
 
-/// The names that a platform uses on the wire.
+/// A platform's wire format.
 pub trait PlatformProtocol: Debug + Send + Sync {
-    /// Reads the configuration.
+    /// Decodes the configuration.
     ///
     /// # Errors
     ///
-    /// It is not one.
+    /// The value is not a valid configuration.
     fn parse_config(&self, value: &[u8]) -> Result<Config, DecodeError>;
 
-    /// Reads the platform's entry of an upstream.
+    /// Decodes the platform's record of an upstream.
     ///
     /// # Errors
     ///
-    /// It is not one.
+    /// The value is not a valid record.
     fn parse_upstream(
         &self,
         key: &str,
         value: &[u8],
     ) -> Result<UpstreamRecord, DecodeError>;
 
-    /// Reads a caller's headers.
+    /// Reads the headers of a caller's request.
     fn parse_request_head(&self, headers: &HeaderMap) -> RequestHead;
 
-    /// Takes a caller's key out of its headers, and what it says of its workspace;
-    /// no upstream may see the one or be told the other by a caller.
+    /// Removes the caller's key and any workspace that the caller names itself.
+    /// No upstream may see the key, and only this entry tells upstreams the
+    /// workspace.
     fn strip_credentials(&self, headers: &mut HeaderMap);
 
-    /// Takes out of a caller's headers what only the system may set, and sets
-    /// it.
+    /// Removes the headers that only this system may set, and sets them to its
+    /// own values.
     fn set_upstream_headers(
         &self,
         headers: &mut HeaderMap,
         head: &UpstreamRequestHead<'_>,
     );
 
-    /// Reads the head of an upstream's answer.
+    /// Reads the status and headers of an upstream's response.
     fn parse_response_head(
         &self,
         status: StatusCode,
         headers: &HeaderMap,
     ) -> ResponseHead;
 
-    /// Writes the id of a request into an answer of the system's own.
+    /// Sets the request id on a response that this entry produces itself.
     fn set_response_id(&self, headers: &mut HeaderMap, id: &str);
 
-    /// The call that gives an order.
+    /// Returns the HTTP request that gives an order to an upstream.
     fn order_request(
         &self,
         upstream: &str,
@@ -159,19 +165,19 @@
         token: u64,
     ) -> ControlRequest;
 
-    /// Reads the answer to an order.
+    /// Interprets the response status of an order.
     fn parse_order_status(&self, status: StatusCode) -> OrderAnswer;
 
-    /// The call that asks for a report.
+    /// Returns the HTTP request that asks an upstream for a report.
     fn report_request(&self, upstream: &str) -> ControlRequest;
 
-    /// Reads a report.
+    /// Decodes an upstream's report.
     ///
     /// # Errors
     ///
-    /// It is not one.
+    /// The value is not a valid report.
     fn parse_report(&self, value: &[u8]) -> Result<UpstreamReport, DecodeError>;
 
-    /// Path of the balancer's question whether the entry takes callers.
+    /// Returns the path of the load balancer's readiness check.
     fn readiness_path(&self) -> &'static str;
 }
--- a/crates/front/src/quota/charge.rs
+++ b/crates/front/src/quota/charge.rs
@@ -1,4 +1,4 @@
-//! Takes what a request costs its workspace.
+//! Takes the tokens that a request costs from its workspace's quota.
 
 use access::Workspace;
 use base::prelude::*;
@@ -15,32 +15,34 @@
 use crate::state::Node;
 use crate::state::quota::Charge;
 
-/// Time for which each question is waited for; each is sent to whoever keeps the
-/// tokens then. Entries answer within a millisecond, and a lost datagram is made good
-/// before callers notice.
-const ASK_WAITS_MS: [u64; 4] = [20, 40, 60, 80];
+/// Timeout of each request to the keeper. Each is sent to whichever entry keeps
+/// the tokens at that time. Entries respond within a millisecond, and a lost
+/// datagram is made up for before callers notice.
+const REQUEST_TIMEOUTS_MS: [u64; 4] = [20, 40, 60, 80];
 
-/// When a caller should come back of whose workspace nobody knows: another entry keeps
-/// its tokens by then.
+/// When a caller should come back if no keeper responded. Another entry keeps
+/// the workspace's tokens by then.
 const UNKNOWN_RETRY_MS: u64 = 300;
 
-/// Time over which callers come back that are refused without asking the keeper, who
-/// tells each another moment.
-const RETURN_SPREAD_MS: u64 = 500;
+/// Interval over which the retry times are spread of requests that are refused
+/// without asking the keeper. The keeper itself gives each request a different
+/// time.
+const RETRY_JITTER_MS: u64 = 500;
 
-/// What became of a request's wish for tokens.
-pub(crate) struct Taken {
-    /// Whether it has them; `None` if no keeper answered.
+/// Result of taking tokens.
+pub(crate) struct TakeResult {
+    /// The decision; `None` if no keeper responded.
     pub(crate) take: Option<Take>,
-    /// Entry that was asked, if one was.
-    pub(crate) asked: Option<String>,
+    /// The entry that was asked, if any.
+    pub(crate) asked_keeper: Option<String>,
 }
 
-/// Takes what a request costs its workspace, before anything waits for it.
+/// Takes the tokens that a request costs its workspace, before the request
+/// waits for anything.
 ///
 /// # Errors
 ///
-/// The workspace has used what it may, or nobody could say.
+/// The workspace's quota is used up, or no keeper could tell.
 pub(crate) async fn charge(
     node: &Arc<Node>,
     id: &str,
@@ -53,7 +55,7 @@
     let name = &workspace.name;
     let cost = allowance.cost.of(tokens);
     let scope = Scope::Workspaces;
-    let Taken { take, asked } = take(node, scope, name, cost).await;
+    let TakeResult { take, asked_keeper } = take(node, scope, name, cost).await;
     let refusal = match take {
         Some(Take::Unbounded) => return Ok(None),
         Some(Take::Taken) => {
@@ -61,8 +63,9 @@
             return Ok(Some(charge));
         }
         Some(Take::Short { return_ms }) => {
-            if asked.is_some() {
-                node.quota.note_short(node.now(), name, return_ms);
+            if asked_keeper.is_some() {
+                node.workspace_quotas
+                    .cache_shortage(node.now(), name, return_ms);
             }
             Refusal::not_run(Code::QuotaSpent).retry_after_ms(return_ms)
         }
@@ -70,91 +73,92 @@
         None => Refusal::not_run(Code::QuotaUnknown).retry_after_ms(UNKNOWN_RETRY_MS),
     };
     let labels = [&**name, refusal.code.name()];
-    node.meters.quota_refused.with_label_values(&labels).inc();
+    node.metrics.quota_refused.with_label_values(&labels).inc();
     node.log.line(
         "quota_refused",
-        json!({ "id": id, "workspace": &**name, "cost": cost, "asked": asked,
+        json!({ "id": id, "workspace": &**name, "cost": cost, "asked": asked_keeper,
             "why": refusal.code.name(), "return_ms": refusal.retry_after_ms }),
     );
     Err(refusal)
 }
 
-/// Takes tokens from what is here, or from their keeper.
+/// Takes tokens from this entry's own or from their keeper.
 pub(crate) async fn take(
     node: &Node,
     scope: Scope,
     pool: &Arc<str>,
     cost: f64,
-) -> Taken {
+) -> TakeResult {
     let now = node.now();
     let quotas = node.quotas(scope);
     let own = quotas.pools.lock().take_own(now, pool, cost);
     if matches!(own, Take::Taken | Take::Unbounded) {
-        return Taken {
+        return TakeResult {
             take: Some(own),
-            asked: None,
+            asked_keeper: None,
         };
     }
-    if let Some(short_ms) = quotas.short_ms(now, pool) {
-        let return_ms = short_ms + node.random() % RETURN_SPREAD_MS;
-        return Taken {
+    if let Some(cached_shortage_ms) = quotas.cached_shortage_ms(now, pool) {
+        let return_ms = cached_shortage_ms + node.random() % RETRY_JITTER_MS;
+        return TakeResult {
             take: Some(Take::Short { return_ms }),
-            asked: None,
+            asked_keeper: None,
         };
     }
     take_from_keeper(node, scope, pool, cost).await
 }
 
-/// Takes tokens from whoever keeps them, which may change while it is asked.
+/// Takes tokens from their keeper, which may change in the meantime.
 async fn take_from_keeper(
     node: &Node,
     scope: Scope,
     pool: &Arc<str>,
     cost: f64,
-) -> Taken {
+) -> TakeResult {
     let quotas = node.quotas(scope);
-    let mut question: Option<Question> = None;
-    for wait_ms in ASK_WAITS_MS {
+    let mut request: Option<KeeperRequest> = None;
+    for wait_ms in REQUEST_TIMEOUTS_MS {
         let now = node.now();
         let (name, address) = match keeper_of(node, scope, pool) {
             Keeper::Other(name, address) => (name, address),
             Keeper::This => {
-                return Taken {
+                return TakeResult {
                     take: Some(quotas.pools.lock().take(now, pool, cost)),
-                    asked: Some(node.options.entry.clone()),
+                    asked_keeper: Some(node.options.entry.clone()),
                 };
             }
         };
-        // The same question to the same keeper: it gives the answer that it gave.
-        let mut asking = question
+        // A repeated request to the same keeper has the same id and gets the
+        // same response.
+        let mut pending = request
             .take()
-            .filter(|question| question.keeper == name)
-            .unwrap_or_else(|| Question::open(node, scope, name, pool, cost));
-        asking.send(node, scope, address).await;
+            .filter(|request| request.keeper == name)
+            .unwrap_or_else(|| KeeperRequest::open(node, scope, name, pool, cost));
+        pending.send(node, scope, address).await;
         let wait = Duration::from_millis(wait_ms);
-        if let Ok(Ok(take)) = timeout(wait, &mut asking.answer).await {
-            return Taken {
+        if let Ok(Ok(take)) = timeout(wait, &mut pending.answer).await {
+            return TakeResult {
                 take: Some(take),
-                asked: Some(asking.keeper),
+                asked_keeper: Some(pending.keeper),
             };
         }
-        question = Some(asking);
+        request = Some(pending);
     }
-    Taken {
+    TakeResult {
         take: None,
-        asked: question.map(|question| question.keeper),
+        asked_keeper: request.map(|request| request.keeper),
     }
 }
 
-/// A question to a keeper. Its answer may come when nobody waits any more; what that
-/// brings is put back.
-struct Question {
+/// A request for tokens to a keeper. Tokens of a response that arrives when
+/// nobody waits for it anymore are returned to the pool.
+struct KeeperRequest {
     keeper: String,
     ask: TokenAsk,
     answer: Receiver<Take>,
 }
 
-impl Question {
+impl KeeperRequest {
     fn open(
         node: &Node,
         scope: Scope,
@@ -162,7 +166,7 @@
         pool: &Arc<str>,
         cost: f64,
     ) -> Self {
-        let (id, answer) = node.quotas(scope).open(node.now(), pool, cost);
+        let (id, answer) = node.quotas(scope).open_request(node.now(), pool, cost);
         let ask = TokenAsk {
             id,
             workspace: pool.to_string(),
@@ -176,7 +180,7 @@
     }
 
     async fn send(&self, node: &Node, scope: Scope, address: SocketAddr) {
-        node.quotas(scope).sent(node.now(), &self.keeper);
+        node.quotas(scope).note_sent(node.now(), &self.keeper);
         let tokens = Tokens {
             ask: Some(self.ask.clone()),
             ..Tokens::default()
--- a/crates/front/src/quota/feed.rs
+++ b/crates/front/src/quota/feed.rs
@@ -1,4 +1,4 @@
-//! Hands the tokens that this entry makes to those who keep them.
+//! Sends the tokens that this entry produces to their keepers.
 
 use quota::feed_every_ms;
 use schema::peer::{TokenFeed, Tokens};
@@ -13,19 +13,19 @@
 use super::{Keeper, Scope, keeper_of, send};
 use crate::state::Node;
 
-/// Hands tokens to those who keep them, for ever.
+/// Sends tokens to their keepers, forever.
 pub(crate) async fn feed_keepers(node: Arc<Node>, scope: Scope) {
-    let mut told = None;
+    let mut logged = None;
     let quotas = node.quotas(scope);
     loop {
         if quotas.pools.lock().is_empty() {
-            // Nothing is made before the first feed.
-            quotas.bounded.notified().await;
+            // No tokens are produced before the first limit is set.
+            quotas.limits_set.notified().await;
             continue;
         }
-        let entries = node.peers.entries();
-        let makes = node.quota.is_settled.load(Ordering::Relaxed);
-        if told.replace((entries, makes)) != Some((entries, makes)) {
+        let entries = node.peers.entry_count();
+        let makes = node.workspace_quotas.is_settled.load(Ordering::Relaxed);
+        if logged.replace((entries, makes)) != Some((entries, makes)) {
             node.log.line(
                 "quota_share",
                 json!({ "of": scope.as_str(), "entries": entries, "makes": makes }),
@@ -33,17 +33,17 @@
         }
         let now = node.now();
         quotas.pools.lock().set_entries(now, entries, makes);
-        feed_once(&node, scope).await;
+        send_feeds(&node, scope).await;
         sleep(Duration::from_millis(feed_every_ms(entries))).await;
     }
 }
 
-async fn feed_once(node: &Node, scope: Scope) {
+async fn send_feeds(node: &Node, scope: Scope) {
     let quotas = node.quotas(scope);
-    for (name, (address, pools)) in by_keeper(node, scope) {
+    for (name, (address, pools)) in pools_by_keeper(node, scope) {
         let now = node.now();
         let kept = |pool: &str| pools.iter().any(|of| **of == *pool);
-        let is_gone = |keeper: &str| !node.peers.is_running(now, keeper);
+        let is_gone = |keeper: &str| !node.peers.is_live_incarnation(now, keeper);
         let feeds = quotas.pools.lock().feed(now, kept, is_gone);
         let feeds = feeds.into_iter().map(|feed| TokenFeed {
             workspace: feed.workspace.to_string(),
@@ -55,13 +55,13 @@
             feeds: feeds.collect(),
             ..Tokens::default()
         };
-        quotas.sent(now, &name);
+        quotas.note_sent(now, &name);
         send(node, scope, address, tokens).await;
     }
 }
 
-/// Pools that other entries keep, by entry.
-fn by_keeper(
+/// Returns the pools that other entries keep, grouped by entry.
+fn pools_by_keeper(
     node: &Node,
     scope: Scope,
 ) -> BTreeMap<String, (SocketAddr, Vec<Arc<str>>)> {
--- a/crates/front/src/quota/mod.rs
+++ b/crates/front/src/quota/mod.rs
@@ -1,13 +1,14 @@
-//! Whether a request's workspace, or an upstream, has something left, and the tokens
-//! that entries hand one another for it.
+//! Quota tokens of workspaces and rate tokens of upstreams, and their exchange
+//! between entries.
 //!
-//! The decisions are those of the `quota` crate; this is their way over the network.
-//! [`charge`] takes a request's tokens, [`feed_keepers`] hands over what this entry
-//! makes, and [`hear`] answers the others.
+//! The `quota` crate makes the decisions; this module sends and receives the
+//! messages. [`charge`] takes a request's tokens, [`feed_keepers`] sends the
+//! tokens that this entry produces to their keepers, and [`receive`] handles
+//! the other entries' messages.
 
 mod charge;
 mod feed;
-mod hear;
+mod receive;
 
 use prost::Message;
 use schema::peer::{PeerNews, Tokens};
@@ -17,19 +18,19 @@
 
 pub(crate) use charge::{charge, take};
 pub(crate) use feed::feed_keepers;
-pub(crate) use hear::hear;
+pub(crate) use receive::receive;
 
-/// Whose tokens they are.
+/// What a set of token pools is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Scope {
-    /// Workspaces', by their quotas.
+    /// Quotas of workspaces.
     Workspaces,
-    /// Upstreams', by the rates that they ask for.
+    /// Rates that upstreams advertise.
     Upstreams,
 }
 
 impl Scope {
-    /// The word used in logs.
+    /// Returns the name used in logs.
     const fn as_str(self) -> &'static str {
         match self {
             Self::Workspaces => "workspaces",
@@ -38,46 +39,50 @@
     }
 }
 
-/// Who keeps a pool of tokens.
+/// The entry that keeps a pool's tokens.
 #[derive(Debug, Clone)]
 enum Keeper {
     This,
     Other(String, SocketAddr),
 }
 
-/// Who keeps a pool of tokens, by whom this entry hears.
+/// Returns the entry that keeps a pool's tokens, chosen among the entries that
+/// this one has contact to.
 fn keeper_of(node: &Node, scope: Scope, pool: &str) -> Keeper {
     let now = node.now();
-    let own = keeps(node).then_some(node.options.entry.as_str());
-    let away = node.quotas(scope).away(now);
-    let is_away = |name: &str| away.iter().any(|away| away == name);
-    let other = node.peers.keeper(now, pool, own, is_away);
+    let this_entry = can_keep_tokens(node).then_some(node.options.entry.as_str());
+    let unresponsive = node.quotas(scope).unresponsive(now);
+    let is_unresponsive =
+        |name: &str| unresponsive.iter().any(|unresponsive| unresponsive == name);
+    let other = node
+        .peers
+        .token_keeper(now, pool, this_entry, is_unresponsive);
     other.map_or(Keeper::This, |(name, address)| Keeper::Other(name, address))
 }
 
-/// Whether others may hand this entry their tokens.
-pub(crate) fn keeps(node: &Node) -> bool {
-    !node.stop.is_stopping() && node.setup().is_some()
+/// Returns whether other entries may send their tokens to this entry.
+pub(crate) fn can_keep_tokens(node: &Node) -> bool {
+    !node.shutdown.is_stopping() && node.config().is_some()
 }
 
-/// Sends tokens, or what concerns them, to an entry.
+/// Sends a message about tokens to an entry.
 async fn send(node: &Node, scope: Scope, address: SocketAddr, tokens: Tokens) {
-    let message = message(node, scope, tokens).encode_to_vec();
+    let message = build_message(node, scope, tokens).encode_to_vec();
     if let Some(socket) = node.peers.socket.get() {
-        // A lost one is sent again, or taken for spent.
+        // Lost tokens are sent again or count as used.
         let _ = socket.send_to(&message, address).await;
     }
 }
 
-/// The message that carries them.
-fn message(node: &Node, scope: Scope, tokens: Tokens) -> PeerNews {
+/// Returns the message that carries the tokens.
+fn build_message(node: &Node, scope: Scope, tokens: Tokens) -> PeerNews {
     let (tokens, upstream_tokens) = match scope {
         Scope::Workspaces => (Some(tokens), None),
         Scope::Upstreams => (None, Some(tokens)),
     };
     PeerNews {
         entry: node.options.entry.clone(),
-        start: node.start,
+        start: node.started_unix_ms,
         tokens,
         upstream_tokens,
         ..PeerNews::default()
--- a/crates/front/src/quota/hear.rs
+++ b/crates/front/src/quota/receive.rs
@@ -1,4 +1,4 @@
-//! Tokens that other entries hand here, ask for, or send as an answer.
+//! Handles tokens that other entries send, request, or return as a response.
 
 use base::prelude::*;
 use prost::Message;
@@ -10,50 +10,51 @@
 use std::sync::Arc;
 use tokio::net::UdpSocket;
 
-use super::{Scope, message};
+use super::{Scope, build_message};
 use crate::state::Node;
-use crate::state::peers::start_name;
+use crate::state::peers::incarnation_name;
 use crate::state::quota::Quotas;
 
-/// Another entry hands tokens here, asks for some, or answers.
-pub(crate) async fn hear(
+/// Handles a message in which another entry sends tokens, requests some, or
+/// responds to a request.
+pub(crate) async fn receive(
     node: &Node,
     socket: &UdpSocket,
     from: SocketAddr,
-    news: &PeerNews,
+    message: &PeerNews,
     (scope, tokens): (Scope, &Tokens),
 ) {
     let now = node.now();
     let quotas = node.quotas(scope);
-    let sender: Arc<str> = news.entry.as_str().into();
+    let sender: Arc<str> = message.entry.as_str().into();
     let mut reply = Tokens::default();
-    if tokens.feed > 0 && quotas.is_new_feed(&sender, news.start, tokens.feed) {
+    if tokens.feed > 0 && quotas.is_new_feed(&sender, message.start, tokens.feed) {
         reply.fed = tokens.feed;
-        reply.levels = receive(quotas, now, &sender, &tokens.feeds);
+        reply.levels = accept_feeds(quotas, now, &sender, &tokens.feeds);
     }
     if tokens.fed > 0 {
-        quotas.heard(&news.entry);
+        quotas.note_answer(&message.entry);
         let mut pools = quotas.pools.lock();
-        let keeper = start_name(&news.entry, news.start);
+        let keeper = incarnation_name(&message.entry, message.start);
         for level in &tokens.levels {
             pools.told(&keeper, &level.workspace, level.tokens);
         }
     }
     if let Some(ask) = &tokens.ask {
-        reply.answer = Some(answer(quotas, now, &sender, news.start, ask));
+        reply.answer = Some(answer_request(quotas, now, &sender, message.start, ask));
     }
     if let Some(answer) = &tokens.answer {
-        quotas.heard(&news.entry);
-        quotas.answered(answer.id, taken(answer));
+        quotas.note_answer(&message.entry);
+        quotas.complete(answer.id, decode_verdict(answer));
     }
     if reply != Tokens::default() {
-        let message = message(node, scope, reply).encode_to_vec();
-        // A lost one is asked for again.
-        let _ = socket.send_to(&message, from).await;
+        let reply = build_message(node, scope, reply).encode_to_vec();
+        // If the reply is lost, the sender asks again.
+        let _ = socket.send_to(&reply, from).await;
     }
 }
 
-fn receive(
+fn accept_feeds(
     quotas: &Quotas,
     now: Instant,
     from: &Arc<str>,
@@ -75,16 +76,16 @@
     levels.collect()
 }
 
-fn answer(
+fn answer_request(
     quotas: &Quotas,
     now: Instant,
     sender: &Arc<str>,
     start: u64,
     ask: &TokenAsk,
 ) -> TokenAnswer {
-    let question = (Arc::clone(sender), start, ask.id);
-    let mut asked = quotas.asked.lock();
-    let take = asked.answer(now, question, || {
+    let request_id = (Arc::clone(sender), start, ask.id);
+    let mut answered = quotas.answered_requests.lock();
+    let take = answered.answer(now, request_id, || {
         let mut pools = quotas.pools.lock();
         pools.take(now, &ask.workspace, ask.cost)
     });
@@ -101,7 +102,7 @@
     }
 }
 
-fn taken(answer: &TokenAnswer) -> Take {
+fn decode_verdict(answer: &TokenAnswer) -> Take {
     match answer.verdict() {
         TokenVerdict::Taken => Take::Taken,
         TokenVerdict::Short => Take::Short {
--- a/crates/front/src/operated.rs
+++ b/crates/front/src/readiness.rs
@@ -1,4 +1,4 @@
-//! The listener of the balancer's question and of metrics.
+//! The HTTP server for the load balancer's readiness check and for metrics.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -12,21 +12,20 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-use crate::connection::watch_caller;
+use crate::connection::configure_caller_socket;
 use crate::state::Node;
 
 /// Path of the metrics.
 const METRICS_PATH: &str = "/metrics";
 
-/// Time for which a connection may idle; the balancer asks once a second.
-const IDLE: Duration = Duration::from_secs(10);
+/// Idle timeout of a connection. The load balancer checks once a second.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Answers at the further address of metrics for ever, if there is one.
+/// Serves metrics at the additional address forever, if one is configured.
 ///
-/// An entry whose further address is taken serves callers all the same, without
-/// that listener: metrics are for those who look on, and have the address of
-/// readiness left.
-pub(crate) async fn answer_elsewhere(node: Arc<Node>) {
+/// If that address is taken, the entry runs without this listener: metrics are
+/// only for monitoring, and remain available at the readiness address.
+pub(crate) async fn serve_extra_metrics(node: Arc<Node>) {
     let Some(address) = node.options.metrics_address else {
         return;
     };
@@ -35,10 +34,10 @@
             let bound = listener.local_addr().unwrap_or(address);
             node.log
                 .line("metrics_bound", serde_json::json!({ "address": bound }));
-            answer(node, listener).await;
+            serve(node, listener).await;
         }
-        Err(fault) => {
-            let why = fault.to_string();
+        Err(error) => {
+            let why = error.to_string();
             node.log.line(
                 "metrics_unbound",
                 serde_json::json!({ "address": address, "why": why }),
@@ -47,37 +46,37 @@
     }
 }
 
-/// Answers for ever.
-pub(crate) async fn answer(node: Arc<Node>, listener: TcpListener) {
+/// Serves requests forever.
+pub(crate) async fn serve(node: Arc<Node>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             tokio::time::sleep(Duration::from_millis(50)).await;
             continue;
         };
-        watch_caller(&stream);
+        configure_caller_socket(&stream);
         let node = Arc::clone(&node);
         tokio::spawn(async move {
             let service = service_fn(move |request| {
-                let answer = one(&node, &request);
-                async move { Ok::<_, Infallible>(answer) }
+                let response = respond(&node, &request);
+                async move { Ok::<_, Infallible>(response) }
             });
             let connection = http1::Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(IDLE)
+                .header_read_timeout(IDLE_TIMEOUT)
                 .serve_connection(TokioIo::new(stream), service);
-            // Whoever asked has gone.
+            // The client has disconnected.
             let _ = connection.await;
         });
     }
 }
 
-fn one(node: &Node, request: &Request<Incoming>) -> Response<Full<Bytes>> {
+fn respond(node: &Node, request: &Request<Incoming>) -> Response<Full<Bytes>> {
     let path = request.uri().path();
     let (status, body) = if path == METRICS_PATH {
         let dropped = i64::try_from(node.log.dropped()).unwrap_or(i64::MAX);
-        node.meters.log_dropped.set(dropped);
-        (StatusCode::OK, node.meters.text())
-    } else if path != node.dialect.readiness_path() {
+        node.metrics.log_dropped.set(dropped);
+        (StatusCode::OK, node.metrics.text())
+    } else if path != node.protocol.readiness_path() {
         (StatusCode::NOT_FOUND, String::new())
     } else if node.is_ready() {
         (StatusCode::OK, String::new())
--- a/crates/front/src/request.rs
+++ b/crates/front/src/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request, from its bytes to its call.
+//! Handles a caller's request, from its bytes to the dispatch.
 
 use access::{Credential, Workspace};
 use base::prelude::*;
@@ -13,147 +13,159 @@
 use xxhash_rust::xxh3::Xxh3;
 
 use crate::RequestHead;
-use crate::answer::{AnswerBody, refusal};
-use crate::headers::{ask_close, is_ambiguous, strip_connection};
+use crate::dispatch::{Dispatch, DispatchResult};
+use crate::headers::{has_ambiguous_framing, set_connection_close, strip_hop_by_hop};
 use crate::quota::charge;
-use crate::run::{End, Run};
+use crate::response::{ResponseBody, refusal_response};
 use crate::state::Node;
-use crate::state::call::Call;
-use crate::state::stop::Phase;
-use crate::stream::{begin, pass_on};
+use crate::state::caller_request::CallerRequest;
+use crate::state::shutdown::ShutdownPhase;
+use crate::stream::{forward, start_stream};
 
-/// Time after which a caller is told to come back to an entry that does not
-/// know its configuration yet.
+/// When a caller should come back to an entry that has no configuration yet.
 const NOT_READY_RETRY_MS: u64 = 300;
 
-/// Least time that callers wait for the first event of a stream; they wait
-/// longer where four times the aim or eight times the longest pause is longer.
-const STREAM_PATIENCE_MS: u64 = 2_000;
+/// Minimum time to wait for the first event of a stream. It is longer if four
+/// times the target latency or eight times the longest pause between events is
+/// more.
+const MIN_FIRST_EVENT_WAIT_MS: u64 = 2_000;
 
-/// Time that a caller without a deadline is given at most.
-const DEADLINE_DEFAULT_MS: u64 = 60_000;
+/// Deadline of requests that state none; the route's timeout may be shorter.
+const DEFAULT_DEADLINE_MS: u64 = 60_000;
 
-/// The process ends before the request could run; another entry may take it at once.
-const LEAVING: Refusal = Refusal::not_run(Code::Leaving).retry_after_ms(0);
+/// The process exits before it could execute the request; another entry can
+/// take it at once.
+const SHUTTING_DOWN: Refusal = Refusal::not_run(Code::Leaving).retry_after_ms(0);
 
-/// Answers one request; one with two framings is refused, and what follows it on
-/// its connection is not read.
+/// Handles one request. A request with ambiguous framing is refused, and the
+/// bytes that follow it on its connection are not read.
 pub(crate) async fn serve(
     node: Arc<Node>,
     request: Request<Incoming>,
-    double_framing: bool,
-) -> Response<AnswerBody> {
-    let arrived = node.now();
-    let phase = node.stop.phase();
+    ambiguous_length: bool,
+) -> Response<ResponseBody> {
+    let arrived_at = node.now();
+    let phase = node.shutdown.phase();
     let (parts, body) = request.into_parts();
-    let ask = node.dialect.parse_request_head(&parts.headers);
-    let id = ask.id.clone();
-    if phase == Phase::Ended {
+    let head = node.protocol.parse_request_head(&parts.headers);
+    let id = head.id.clone();
+    if phase == ShutdownPhase::Ended {
         node.log
             .line("taken_after_end", json!({ "id": id.clone() }));
     }
-    let called = if double_framing || is_ambiguous(&parts.headers) {
+    let built = if ambiguous_length || has_ambiguous_framing(&parts.headers) {
         Err(Refusal::not_run(Code::BadRequest))
     } else {
-        let answer_now = node.stop.answer_now.clone();
+        let respond_now = node.shutdown.respond_now.clone();
         tokio::select! {
             biased;
-            called = call(&node, arrived, parts, body, ask) => called,
-            () = answer_now.cancelled() => Err(LEAVING),
+            built = build_request(&node, arrived_at, parts, body, head) => built,
+            () = respond_now.cancelled() => Err(SHUTTING_DOWN),
         }
     };
-    let mut response = match called {
-        Ok(call) => run(Arc::clone(&node), call).await,
-        Err(why) => {
+    let mut response = match built {
+        Ok(request) => dispatch_request(Arc::clone(&node), request).await,
+        Err(refusal) => {
             node.log.line(
                 "refused",
-                json!({ "id": id, "code": why.code.number(), "why": why.code.name(),
-                    "setup": node.setup().map(|setup| setup.version) }),
+                json!({ "id": id, "code": refusal.code.number(), "why": refusal.code.name(),
+                    "setup": node.config().map(|config| config.version) }),
             );
-            let route = ["", why.code.name()];
-            node.meters.ended.with_label_values(&route).inc();
-            refusal(&*node.dialect, &id, &why)
+            let route = ["", refusal.code.name()];
+            node.metrics.requests_ended.with_label_values(&route).inc();
+            refusal_response(&*node.protocol, &id, &refusal)
         }
     };
-    if phase > Phase::Serving {
+    if phase > ShutdownPhase::Serving {
         let status = response.status();
         let labels = [phase.as_str(), status.as_str()];
-        node.meters.stop_answers.with_label_values(&labels).inc();
+        node.metrics
+            .shutdown_responses
+            .with_label_values(&labels)
+            .inc();
     }
-    if node.stop.is_stopping() || response.status() == StatusCode::BAD_REQUEST {
-        ask_close(response.headers_mut());
+    if node.shutdown.is_stopping() || response.status() == StatusCode::BAD_REQUEST {
+        set_connection_close(response.headers_mut());
     }
     response
 }
 
-/// Answers a call by sending it to upstreams.
-async fn run(node: Arc<Node>, call: Call) -> Response<AnswerBody> {
-    let mut run = Run::begin(node, call);
-    match run.until_answer().await {
-        End::Live(live) => match begin(run, *live).await {
-            Ok((first, pump)) => pass_on(first, pump),
-            Err((mut run, end)) => run.finish(end),
+/// Responds to a request by dispatching it to upstreams.
+async fn dispatch_request(
+    node: Arc<Node>,
+    request: CallerRequest,
+) -> Response<ResponseBody> {
+    let mut dispatch = Dispatch::start(node, request);
+    match dispatch.run_until_response().await {
+        DispatchResult::Stream(stream) => match start_stream(dispatch, *stream).await {
+            Ok((first, forwarder)) => forward(first, forwarder),
+            Err((mut dispatch, end)) => dispatch.finish(end),
         },
-        end => run.finish(end),
+        end => dispatch.finish(end),
     }
 }
 
-async fn call(
+async fn build_request(
     node: &Arc<Node>,
-    arrived: Instant,
+    arrived_at: Instant,
     parts: hyper::http::request::Parts,
     body: Incoming,
-    ask: RequestHead,
-) -> Result<Call, Refusal> {
-    // A refusal that leaves a part of the body unread resets the connection under its
-    // caller, who may then never read why. So the body comes first, and what depends
-    // on the time is asked when it is there.
-    let body_max_bytes = node.setup().unwrap_or_default().limits.body_max_bytes;
+    head: RequestHead,
+) -> Result<CallerRequest, Refusal> {
+    // A refusal that leaves part of the body unread resets the connection, and
+    // the caller may never read the reason. So the body is read first, and
+    // everything that depends on the current time is checked afterwards.
+    let body_max_bytes = node.config().unwrap_or_default().limits.body_max_bytes;
     let body = read_body(body, body_max_bytes).await?;
     let not_ready = Refusal::not_run(Code::NotReady).retry_after_ms(NOT_READY_RETRY_MS);
-    let setup = node.setup().ok_or(not_ready)?;
+    let config = node.config().ok_or(not_ready)?;
     let host = parts.headers.get(HOST).and_then(|host| host.to_str().ok());
     let host = host.or_else(|| parts.uri.host()).unwrap_or_default();
-    let route = setup.route(host, parts.uri.path()).cloned();
+    let route = config.route(host, parts.uri.path()).cloned();
     let Some(route) = route else {
-        // What a configuration that may be old does not name may be there.
-        let known = node.setup_is_fresh();
-        return Err(if known {
+        // A route that a possibly outdated configuration doesn't contain may
+        // exist by now.
+        let is_current = node.config_is_fresh();
+        return Err(if is_current {
             Refusal::not_run(Code::UnknownPath)
         } else {
             not_ready
         });
     };
-    if node.stop.is_too_late(node.now(), route.kind.is_stream()) {
-        return Err(LEAVING);
+    if node
+        .shutdown
+        .is_too_late(node.now(), route.kind.is_stream())
+    {
+        return Err(SHUTTING_DOWN);
     }
-    let workspace = workspace(&setup, &route, &ask).map_err(|unknown| {
-        let known = node.setup_is_fresh();
-        if known { unknown } else { not_ready }
+    let workspace = authenticate(&config, &route, &head).map_err(|refusal| {
+        let is_current = node.config_is_fresh();
+        if is_current { refusal } else { not_ready }
     })?;
-    let service = route.service(&ask.id).cloned().ok_or(not_ready)?;
+    let service = route.service(&head.id).cloned().ok_or(not_ready)?;
     let charge = match &workspace {
-        Some(workspace) => charge(node, &ask.id, workspace, ask.tokens).await?,
+        Some(workspace) => charge(node, &head.id, workspace, head.tokens).await?,
         None => None,
     };
-    let spec = setup.services.get(&service).cloned().unwrap_or_default();
+    let service_spec = config.services.get(&service).cloned().unwrap_or_default();
     let mut headers = parts.headers;
-    strip_connection(&mut headers);
-    if setup.directory.is_some() {
-        node.dialect.strip_credentials(&mut headers);
+    strip_hop_by_hop(&mut headers);
+    if config.directory.is_some() {
+        node.protocol.strip_credentials(&mut headers);
     }
-    let deadline_ms = ask.deadline_ms.unwrap_or(DEADLINE_DEFAULT_MS);
-    let give_up_at = arrived.plus_ms(deadline_ms.min(route.timeout_ms));
-    Ok(Call {
-        arrived,
-        give_up_at,
-        first_by: give_up_at.min(arrived.plus_ms(first_within_ms(&route))),
+    let deadline_ms = head.deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS);
+    let deadline = arrived_at.plus_ms(deadline_ms.min(route.timeout_ms));
+    Ok(CallerRequest {
+        arrived_at,
+        deadline,
+        first_response_by: deadline
+            .min(arrived_at.plus_ms(first_event_timeout_ms(&route))),
         fingerprint: fingerprint(&parts.uri, &body),
-        parts: chain(&ask),
-        ask,
+        prompt_parts: prefix_hashes(&head),
+        head,
         service,
-        spec,
-        setup_version: setup.version,
+        service_spec,
+        config_version: config.version,
         workspace,
         charge,
         route,
@@ -164,52 +176,52 @@
     })
 }
 
-/// The workspace of a caller; none where callers need no key.
+/// Returns the caller's workspace, or `None` where callers need no key.
 ///
-/// Whose key it is is judged once, when the request is taken: one that is taken away
-/// later does not end what runs, its further tries or the continuing of its stream,
-/// which would lose work that was owed when it was begun.
+/// The key is checked once, when the request is accepted. A key that is removed
+/// later doesn't end a running request, its further attempts or the resumption
+/// of its stream: that would discard work that was owed when it started.
 ///
 /// # Errors
 ///
-/// The request has no key that the configuration knows.
-fn workspace(
-    setup: &Config,
+/// The request has no key that the configuration contains.
+fn authenticate(
+    config: &Config,
     route: &Route,
-    ask: &RequestHead,
+    head: &RequestHead,
 ) -> Result<Option<Arc<Workspace>>, Refusal> {
-    let Some(directory) = &setup.directory else {
+    let Some(directory) = &config.directory else {
         return Ok(None);
     };
-    let known = match &ask.credential {
+    let workspace = match &head.credential {
         Credential::Key(key) => directory.workspace(key).cloned(),
         Credential::Absent | Credential::Malformed => None,
     };
-    if known.is_none() && !route.is_public {
+    if workspace.is_none() && !route.is_public {
         return Err(Refusal::not_run(Code::UnknownCaller));
     }
-    Ok(known)
+    Ok(workspace)
 }
 
-/// Time after which a caller leaves a stream that has not begun, or a plain
-/// request's whole time.
-fn first_within_ms(route: &Route) -> u64 {
+/// Returns how long a caller waits for a stream to start or, for other
+/// requests, the whole timeout.
+fn first_event_timeout_ms(route: &Route) -> u64 {
     if !route.kind.is_stream() {
         return route.timeout_ms;
     }
-    let aims = (4 * route.latency_target_ms).max(8 * route.pause_max_ms);
-    aims.max(STREAM_PATIENCE_MS)
+    let scaled_ms = (4 * route.latency_target_ms).max(8 * route.pause_max_ms);
+    scaled_ms.max(MIN_FIRST_EVENT_WAIT_MS)
 }
 
 async fn read_body(body: Incoming, max_bytes: usize) -> Result<Bytes, Refusal> {
     let too_large = Refusal::not_run(Code::BodyTooLarge);
-    // What the caller announces is refused without reading it.
+    // A body that is announced as too large is refused without reading it.
     if body.size_hint().lower() > max_bytes as u64 {
         return Err(too_large);
     }
     match Limited::new(body, max_bytes).collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
-        Err(fault) if fault.is::<LengthLimitError>() => Err(too_large),
+        Err(error) if error.is::<LengthLimitError>() => Err(too_large),
         Err(_) => Err(Refusal::not_run(Code::BadRequest)),
     }
 }
@@ -222,17 +234,18 @@
     hash.digest()
 }
 
-/// Names each prompt part by all parts up to it, for the model and adapter: a
-/// part is kept only behind the parts before it.
-fn chain(ask: &RequestHead) -> Vec<(u64, u64)> {
+/// Returns for each prompt part a hash of all parts up to and including it, for
+/// the model and adapter. An upstream can reuse a cached part only after the
+/// parts before it.
+fn prefix_hashes(head: &RequestHead) -> Vec<(u64, u64)> {
     let mut hash = Xxh3::new();
-    if let Some((model, adapter)) = &ask.model {
+    if let Some((model, adapter)) = &head.model {
         hash.update(model.as_bytes());
         hash.update(&[0]);
         hash.update(adapter.as_deref().unwrap_or_default().as_bytes());
     }
-    let parts = ask.prompt_parts.iter().map(|(name, tokens)| {
-        hash.update(&name.to_le_bytes());
+    let parts = head.prompt_parts.iter().map(|(part_hash, tokens)| {
+        hash.update(&part_hash.to_le_bytes());
         (hash.digest(), *tokens)
     });
     parts.collect()
--- a/crates/front/src/answer.rs
+++ b/crates/front/src/response.rs
@@ -1,4 +1,4 @@
-//! Answers to callers.
+//! Responses to callers.
 
 use base::prelude::*;
 use bytes::Bytes;
@@ -11,34 +11,34 @@
 
 use crate::PlatformProtocol;
 
-/// An answer that can't be completed. The connection ends without the answer's
-/// end, so that it does not look complete.
+/// A response that can't be completed. The connection is closed before the end
+/// of the response, so that it doesn't look complete.
 #[derive(Debug, Snafu)]
-#[snafu(display("the answer broke off"))]
-pub(crate) struct BrokenOff;
+#[snafu(display("the response broke off"))]
+pub(crate) struct ResponseAborted;
 
-/// Body of an answer.
-pub(crate) type AnswerBody = UnsyncBoxBody<Bytes, BrokenOff>;
+/// Body of a response.
+pub(crate) type ResponseBody = UnsyncBoxBody<Bytes, ResponseAborted>;
 
-/// A whole answer of an upstream.
+/// A complete response of an upstream.
 #[derive(Debug, Clone)]
-pub(crate) struct Whole {
+pub(crate) struct BufferedResponse {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
 }
 
-impl Whole {
-    pub(crate) fn into_response(self) -> Response<AnswerBody> {
-        let mut response = Response::new(whole_body(self.body));
+impl BufferedResponse {
+    pub(crate) fn into_response(self) -> Response<ResponseBody> {
+        let mut response = Response::new(full_body(self.body));
         *response.status_mut() = self.status;
         *response.headers_mut() = self.headers;
         response
     }
 }
 
-/// A body that is all there.
-pub(crate) fn whole_body(bytes: Bytes) -> AnswerBody {
+/// Returns a body with known content.
+pub(crate) fn full_body(bytes: Bytes) -> ResponseBody {
     Full::new(bytes)
         .map_err(|never| match never {})
         .boxed_unsync()
@@ -51,20 +51,20 @@
     ran: &'a str,
 }
 
-/// An answer of this system's own.
-pub(crate) fn refusal(
-    dialect: &dyn PlatformProtocol,
+/// Returns a response that this entry produces itself.
+pub(crate) fn refusal_response(
+    protocol: &dyn PlatformProtocol,
     id: &str,
     refusal: &Refusal,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let fault = Fault {
         code: refusal.code.number(),
         name: refusal.code.name(),
         ran: refusal.ran.as_str(),
     };
-    // A structure of numbers and literals always serialises.
+    // A struct of numbers and strings always serializes.
     let body = serde_json::to_vec(&fault).unwrap_or_default();
-    let mut response = Response::new(whole_body(Bytes::from(body)));
+    let mut response = Response::new(full_body(Bytes::from(body)));
     *response.status_mut() = StatusCode::from_u16(refusal.code.http_status())
         .unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let headers = response.headers_mut();
@@ -75,6 +75,6 @@
             headers.insert(RETRY_AFTER, value);
         }
     }
-    dialect.set_response_id(headers, id);
+    protocol.set_response_id(headers, id);
     response
 }
--- a/crates/front/src/server.rs
+++ b/crates/front/src/server.rs
@@ -1,4 +1,4 @@
-//! The callers' listener.
+//! The HTTP server for callers.
 
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -14,155 +14,169 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-use crate::answer::{AnswerBody, BrokenOff};
-use crate::connection::watch_caller;
-use crate::framing::{Framing, Watched};
+use crate::connection::configure_caller_socket;
+use crate::framing::{ObservedStream, RequestFraming};
 use crate::request::serve;
+use crate::response::{ResponseAborted, ResponseBody};
 use crate::state::Node;
 
-/// Room for a head above its limit, and the least buffer that the library takes.
-const HEAD_SPARE_BYTES: usize = 8 << 10;
+/// Buffer space beyond the limit on request heads. It is also the smallest
+/// buffer that the HTTP library accepts.
+const HEAD_BUFFER_MARGIN_BYTES: usize = 8 << 10;
 
-/// Most headers in a request.
-const HEADERS_MAX: usize = 100;
+/// Largest number of headers in a request.
+const MAX_HEADERS: usize = 100;
 
-/// Pause after the operating system could not accept a connection.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Pause after the operating system failed to accept a connection.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Time that a caller is given to begin its request once connections are to close.
-/// One that connected sends it at once; callers leave an entry that has not read
-/// their request after a second. A head that has begun has the configured time.
-const HEAD_WAIT: Duration = Duration::from_secs(1);
+/// Time that a new connection has to start its request once connections are
+/// being closed. Callers send it right after connecting, and give up on an
+/// entry that has not read their request after a second. A request head that
+/// has begun gets the configured time.
+const HEAD_START_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Accepts callers' connections until none is to be taken any more.
+/// Accepts callers' connections until the shutdown stops that.
 pub(crate) async fn accept(node: Arc<Node>, listener: TcpListener) {
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = node.stop.unlisten.cancelled() => break,
+            () = node.shutdown.stop_accepting.cancelled() => break,
         };
         match accepted {
-            Ok((stream, _)) => take(&node, stream),
-            // Out of descriptors: those open now have to end first.
-            Err(fault) => {
-                let why = fault.to_string();
+            Ok((stream, _)) => spawn_connection(&node, stream),
+            // No file descriptors are left; open connections have to end first.
+            Err(error) => {
+                let why = error.to_string();
                 node.log
                     .line("accept_failed", serde_json::json!({ "why": why }));
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
-    take_last(&node, listener);
+    accept_pending(&node, listener);
 }
 
-/// Takes the connections that the operating system holds ready. Closing the
-/// listener would reset them, with requests that their callers have sent.
-fn take_last(node: &Arc<Node>, listener: TcpListener) {
-    // Only a listener that is not registered any more fails here; it holds none.
+/// Accepts the connections that are waiting in the listener's backlog. Closing
+/// the listener would reset them, along with requests that their callers have
+/// already sent.
+fn accept_pending(node: &Arc<Node>, listener: TcpListener) {
+    // This fails only for a listener that the runtime no longer knows, which
+    // has no pending connections.
     let Ok(listener) = listener.into_std() else {
         return;
     };
     while let Ok((stream, _)) = listener.accept() {
         let stream = stream.set_nonblocking(true).map(|()| stream);
         if let Ok(stream) = stream.and_then(TcpStream::from_std) {
-            take(node, stream);
+            spawn_connection(node, stream);
         }
     }
 }
 
-fn take(node: &Arc<Node>, stream: TcpStream) {
-    node.connections.spawn(connection(Arc::clone(node), stream));
+fn spawn_connection(node: &Arc<Node>, stream: TcpStream) {
+    node.caller_connections
+        .spawn(connection(Arc::clone(node), stream));
 }
 
 async fn connection(node: Arc<Node>, stream: TcpStream) {
-    watch_caller(&stream);
-    let limits = node.setup().map(|setup| setup.limits.clone());
+    configure_caller_socket(&stream);
+    let limits = node.config().map(|config| config.limits.clone());
     let limits = limits.unwrap_or_default();
-    let framing = Framing::default();
+    let framing = RequestFraming::default();
     let service = {
         let (node, framing) = (Arc::clone(&node), framing.clone());
-        service_fn(move |request| answer(Arc::clone(&node), framing.clone(), request))
+        service_fn(move |request| handle(Arc::clone(&node), framing.clone(), request))
     };
-    // The library counts the time for a head from the end of the request before,
-    // so the bound has to be the one for idle connections.
+    // The HTTP library measures the time for a head from the end of the
+    // previous request, so this must cover idle connections as well.
     let idle =
         Duration::from_millis(limits.idle_timeout_ms.max(limits.head_timeout_ms));
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(idle)
-        .max_headers(HEADERS_MAX)
-        .max_buf_size(limits.head_max_bytes + HEAD_SPARE_BYTES)
-        .serve_connection(TokioIo::new(Watched::new(stream, framing.clone())), service);
+        .max_headers(MAX_HEADERS)
+        .max_buf_size(limits.head_max_bytes + HEAD_BUFFER_MARGIN_BYTES)
+        .serve_connection(
+            TokioIo::new(ObservedStream::new(stream, framing.clone())),
+            service,
+        );
     let mut connection = pin!(connection);
-    // How a connection ends is its caller's affair; its requests' futures end
-    // with it.
+    // The result of the connection doesn't matter; the futures of its requests
+    // are dropped with it.
     tokio::select! {
         biased;
         _ = connection.as_mut() => return,
-        () = node.stop.close.cancelled() => {}
+        () = node.shutdown.close_connections.cancelled() => {}
     }
     let head_timeout = Duration::from_millis(limits.head_timeout_ms);
     tokio::select! {
         biased;
         _ = connection.as_mut() => return,
-        () = head_due(&framing, head_timeout) => {}
+        () = wait_for_head(&framing, head_timeout) => {}
     }
-    if framing.owes_head() {
-        // The library would wait for it as long as for an idle connection.
+    if framing.expects_head() {
+        // A graceful shutdown would wait for the head as long as for an idle
+        // connection.
         return;
     }
     connection.as_mut().graceful_shutdown();
     let _ = connection.await;
 }
 
-/// Waits until no head is due on a connection that is to close, or its time is over.
-async fn head_due(framing: &Framing, head_timeout: Duration) {
-    if timeout(HEAD_WAIT, framing.head_has_begun()).await.is_ok() {
-        // Whether it came, the connection is asked.
-        let _ = timeout(head_timeout, framing.head_is_whole()).await;
+/// Waits until no request head is expected on a connection that is to be
+/// closed, or its time is up.
+async fn wait_for_head(framing: &RequestFraming, head_timeout: Duration) {
+    if timeout(HEAD_START_TIMEOUT, framing.head_started())
+        .await
+        .is_ok()
+    {
+        // The caller checks whether the head arrived.
+        let _ = timeout(head_timeout, framing.head_complete()).await;
     }
 }
 
-async fn answer(
+async fn handle(
     node: Arc<Node>,
-    framing: Framing,
+    framing: RequestFraming,
     request: Request<Incoming>,
-) -> Result<Response<Answered>, Infallible> {
-    framing.answering();
-    let answered = AnsweredGuard(framing.clone());
-    let response = serve(node, request, framing.is_double()).await;
-    framing.next_head();
-    Ok(response.map(|body| Answered {
+) -> Result<Response<GuardedBody>, Infallible> {
+    framing.response_started();
+    let guard = ResponseGuard(framing.clone());
+    let response = serve(node, request, framing.has_ambiguous_length()).await;
+    framing.reset_head();
+    Ok(response.map(|body| GuardedBody {
         body,
-        _guard: answered,
+        _guard: guard,
     }))
 }
 
-/// Tells the end of an answer, and also the end of one that is given up.
+/// Marks the response as finished when dropped, also if it was aborted.
 #[derive(Debug)]
-struct AnsweredGuard(Framing);
+struct ResponseGuard(RequestFraming);
 
-impl Drop for AnsweredGuard {
+impl Drop for ResponseGuard {
     fn drop(&mut self) {
-        self.0.answered();
+        self.0.response_finished();
     }
 }
 
-/// Body of an answer with its guard: the library drops it when it has all of it.
+/// A response body with its guard. The HTTP library drops it once it has read
+/// all of it.
 #[derive(Debug)]
-struct Answered {
-    body: AnswerBody,
-    _guard: AnsweredGuard,
+struct GuardedBody {
+    body: ResponseBody,
+    _guard: ResponseGuard,
 }
 
-impl Body for Answered {
+impl Body for GuardedBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = ResponseAborted;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, ResponseAborted>>> {
         Pin::new(&mut self.body).poll_frame(cx)
     }
 
--- a/crates/front/src/shared_watch.rs
+++ b/crates/front/src/shared_watch.rs
@@ -1,4 +1,5 @@
-//! The watch of the platform that entries of a failure domain share.
+//! Shares the watches of the platform among the entries of a failure domain: a
+//! leader watches and passes changes on to the others.
 
 use base::prelude::*;
 use base::{PlatformOp, PlatformResult};
@@ -10,171 +11,196 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout};
 
-use crate::follow::{Followed, apply};
+use crate::platform_watch::{Collection, apply_changes};
 use crate::state::Node;
 
-/// Longest time that the platform lets a leader's watch wait. Each answer shows the
-/// entries that are told that the platform was heard, and they watch themselves after
-/// 1.3 s without.
-const LEADER_WAIT: Duration = Duration::from_millis(400);
+/// Time after which the platform ends the leader's watch even without a change.
+/// Each response shows the followers that the platform is reachable; after 1.3
+/// s without one they start a watch of their own.
+const LEADER_WATCH_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Time between the beginnings of two watches of a leader. Each is a call, and what
-/// changes meanwhile comes with the next one.
-const LEADER_EVERY: Duration = Duration::from_millis(800);
+/// Interval between the starts of two watches of the leader. Each watch is a
+/// call; changes in between arrive with the next one.
+const LEADER_WATCH_INTERVAL: Duration = Duration::from_millis(800);
 
-/// Longest time between two looks at whether an own watch is due.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+/// Longest interval between two checks whether a watch of this entry's own is
+/// due.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The shared watch of each kind of objects.
+/// The shared watch of each collection.
 #[derive(Debug, Default)]
 pub(crate) struct SharedWatches {
-    setup: Mutex<SharedWatch>,
+    config: Mutex<SharedWatch>,
     upstreams: Mutex<SharedWatch>,
-    /// Told when there is something to pass on.
-    pub(crate) seen: Notify,
-    /// Told when an own watch is due.
+    /// Notified when there are observations to pass on.
+    pub(crate) observed: Notify,
+    /// Notified when a watch of this entry's own is due.
     due: Notify,
-    /// Roles that were told of.
+    /// The role last logged for each collection.
     roles: Mutex<[Option<WatchRole>; 2]>,
 }
 
 impl SharedWatches {
-    fn of(&self, followed: Followed) -> &Mutex<SharedWatch> {
-        match followed {
-            Followed::Setup => &self.setup,
-            Followed::Upstreams => &self.upstreams,
+    fn watch(&self, collection: Collection) -> &Mutex<SharedWatch> {
+        match collection {
+            Collection::Config => &self.config,
+            Collection::Upstreams => &self.upstreams,
         }
     }
 
-    /// An own list was answered.
-    pub(crate) fn listed(&self, now: Instant, followed: Followed, at: u64) {
-        self.of(followed).lock().on_listed(now, at);
+    /// Records that a list of this entry's own succeeded.
+    pub(crate) fn listed(&self, now: Instant, collection: Collection, at: u64) {
+        self.watch(collection).lock().on_listed(now, at);
     }
 
-    /// An own call was not answered.
-    pub(crate) fn failed(&self, followed: Followed) {
-        self.of(followed).lock().on_failed();
+    /// Records that a call of this entry's own failed.
+    pub(crate) fn failed(&self, collection: Collection) {
+        self.watch(collection).lock().on_failed();
     }
 
-    /// An own watch was answered: others are told of it where they rely on it.
-    pub(crate) fn watched(&self, now: Instant, followed: Followed, batch: WatchBatch) {
-        self.of(followed).lock().on_watched(now, batch);
-        self.seen.notify_one();
+    /// Records that a watch of this entry's own succeeded, to be passed on to
+    /// followers.
+    pub(crate) fn watched(
+        &self,
+        now: Instant,
+        collection: Collection,
+        batch: WatchBatch,
+    ) {
+        self.watch(collection).lock().on_watched(now, batch);
+        self.observed.notify_one();
     }
 
-    /// Whether others may rely on this entry's watches.
+    /// Returns whether other entries may rely on this entry's watches.
     pub(crate) fn works(&self) -> bool {
-        self.setup.lock().is_working() && self.upstreams.lock().is_working()
+        self.config.lock().is_working() && self.upstreams.lock().is_working()
     }
 }
 
-/// What this entry does for the watch of its failure domain.
-pub(crate) fn role(node: &Node, followed: Followed) -> WatchRole {
-    if node.stop.is_stopping() {
+/// Returns this entry's role in the watches of its failure domain.
+pub(crate) fn role(node: &Node, collection: Collection) -> WatchRole {
+    if node.shutdown.is_stopping() {
         return WatchRole::Independent;
     }
     let others = node
         .peers
         .watchers(node.now(), &node.options.failure_domain);
-    let shared = node.shared.of(followed).lock();
+    let shared = node.shared_watches.watch(collection).lock();
     let role = shared.role(&node.options.entry, &others);
     drop(shared);
-    tell_role(node, followed, role, others.len());
+    log_role_change(node, collection, role, others.len());
     role
 }
 
-/// Tells of a role that this entry has taken.
-fn tell_role(node: &Node, followed: Followed, role: WatchRole, others: usize) {
-    let mut roles = node.shared.roles.lock();
-    let before = roles[followed as usize].replace(role);
+/// Logs a change of role.
+fn log_role_change(
+    node: &Node,
+    collection: Collection,
+    role: WatchRole,
+    others: usize,
+) {
+    let mut roles = node.shared_watches.roles.lock();
+    let before = roles[collection as usize].replace(role);
     drop(roles);
     if before != Some(role) {
         node.log.line(
             "watch_role",
-            json!({ "followed": followed.as_str(), "role": role.as_str(),
+            json!({ "followed": collection.as_str(), "role": role.as_str(),
                 "before": before.map(WatchRole::as_str), "others": others }),
         );
     }
 }
 
-/// Calls for a watch, which a leader has answered soon in any case.
-pub(crate) async fn call_watch(
+/// Executes a watch. For a leader it has a short timeout.
+pub(crate) async fn watch_platform(
     node: &Node,
-    followed: Followed,
+    collection: Collection,
     op: &PlatformOp,
 ) -> PlatformResult {
     match op {
         PlatformOp::Watch { prefix, after }
-            if role(node, followed) == WatchRole::Leader =>
+            if role(node, collection) == WatchRole::Leader =>
         {
-            let watch = node.store.watch_within(prefix.clone(), *after, LEADER_WAIT);
+            let watch =
+                node.store
+                    .watch_within(prefix.clone(), *after, LEADER_WATCH_TIMEOUT);
             watch.await
         }
         _ => node.store.call(op).await,
     }
 }
 
-/// Waits until the next own watch is due, where the last one began at a time.
-pub(crate) async fn rest(node: &Node, followed: Followed, began_at: Instant) {
-    if role(node, followed) == WatchRole::Leader {
-        let spent = node.now().since(began_at);
-        sleep(LEADER_EVERY.saturating_sub(spent)).await;
+/// Waits until the next watch of this entry's own is due. The last one started
+/// at `started_at`.
+pub(crate) async fn wait_for_next_watch(
+    node: &Node,
+    collection: Collection,
+    started_at: Instant,
+) {
+    if role(node, collection) == WatchRole::Leader {
+        let elapsed = node.now().since(started_at);
+        sleep(LEADER_WATCH_INTERVAL.saturating_sub(elapsed)).await;
     } else {
-        sleep(followed.pause()).await;
+        sleep(collection.watch_pause()).await;
     }
     loop {
-        let due = node.shared.due.notified();
-        let follows = role(node, followed) == WatchRole::Follower;
-        if !follows || !node.shared.of(followed).lock().may_skip(node.now()) {
+        let due = node.shared_watches.due.notified();
+        let follows = role(node, collection) == WatchRole::Follower;
+        if !follows
+            || !node
+                .shared_watches
+                .watch(collection)
+                .lock()
+                .may_skip(node.now())
+        {
             return;
         }
-        // Whether it was told or the time is over, the next look decides.
-        let _ = timeout(LOOK_EVERY, due).await;
+        // The next iteration checks, whether it was notified or timed out.
+        let _ = timeout(CHECK_INTERVAL, due).await;
     }
 }
 
-/// Another entry passes on what its watches saw.
-pub(crate) fn hear(node: &Node, news: &PeerNews) {
-    if news.domain != node.options.failure_domain {
+/// Handles what another entry's watches observed.
+pub(crate) fn receive(node: &Node, message: &PeerNews) {
+    if message.domain != node.options.failure_domain {
         return;
     }
     let kinds = [
-        (Followed::Setup, &news.setup),
-        (Followed::Upstreams, &news.upstreams),
+        (Collection::Config, &message.setup),
+        (Collection::Upstreams, &message.upstreams),
     ];
-    for (followed, watched) in kinds {
+    for (collection, watched) in kinds {
         if let Some(watched) = watched {
-            hear_watched(node, followed, watched);
+            receive_watched(node, collection, watched);
         }
     }
 }
 
-fn hear_watched(node: &Node, followed: Followed, watched: &Watched) {
+fn receive_watched(node: &Node, collection: Collection, watched: &Watched) {
     let now = node.now();
     let confirmed_at = now - Duration::from_millis(watched.age_ms);
-    let batches = watched.batches.iter().map(batch).collect();
-    let mut shared = node.shared.of(followed).lock();
+    let batches = watched.batches.iter().map(decode_batch).collect();
+    let mut shared = node.shared_watches.watch(collection).lock();
     let received = shared.receive(confirmed_at, batches);
     drop(shared);
     for batch in &received.new_batches {
-        apply(node, followed, &batch.objects);
+        apply_changes(node, collection, &batch.objects);
     }
     if let Some(at) = received.known_version {
-        followed.confirm(node, at, confirmed_at);
+        collection.confirm(node, at, confirmed_at);
     }
     if received.needs_own_watch {
-        node.shared.due.notify_waiters();
+        node.shared_watches.due.notify_waiters();
     }
 }
 
-/// What this entry's watches saw, if it is the one that tells.
-pub(crate) fn to_send(node: &Node, followed: Followed) -> Option<Watched> {
-    if role(node, followed) != WatchRole::Leader {
+/// Returns what this entry's watches observed, if it is the leader.
+pub(crate) fn outgoing_batches(node: &Node, collection: Collection) -> Option<Watched> {
+    if role(node, collection) != WatchRole::Leader {
         return None;
     }
-    let shared = node.shared.of(followed).lock();
+    let shared = node.shared_watches.watch(collection).lock();
     let batches: Vec<WatchedBatch> =
-        shared.outgoing().into_iter().map(message).collect();
+        shared.outgoing().into_iter().map(encode_batch).collect();
     let confirmed_at = shared.confirmed_at()?;
     Some(Watched {
         age_ms: node.now().ms_since(confirmed_at),
@@ -182,7 +208,7 @@
     })
 }
 
-fn batch(sent: &WatchedBatch) -> WatchBatch {
+fn decode_batch(sent: &WatchedBatch) -> WatchBatch {
     let objects = sent.objects.iter();
     let objects = objects.map(|object| ChangedObject {
         key: object.key.clone(),
@@ -197,7 +223,7 @@
     }
 }
 
-fn message(batch: WatchBatch) -> WatchedBatch {
+fn encode_batch(batch: WatchBatch) -> WatchedBatch {
     let objects = batch.objects.into_iter();
     let objects = objects.map(|object| WatchedObject {
         key: object.key,
--- a/crates/front/src/start.rs
+++ b/crates/front/src/start.rs
@@ -1,4 +1,4 @@
-//! The process, from its sockets to its end.
+//! Starts the process: sockets, shared state and background tasks.
 
 use plat::ObjectApi;
 use serde_json::json;
@@ -11,37 +11,37 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::task::JoinHandle;
 
-use crate::beliefs::tell_beliefs;
-use crate::ending::end_in_order;
-use crate::follow::{Followed, follow};
-use crate::giver::give_orders;
-use crate::orders::keep_lease;
+use crate::coordinator::coordinate;
+use crate::orders::maintain_lease;
 use crate::peers;
+use crate::platform_watch::{Collection, watch_collection};
 use crate::quota::{Scope, feed_keepers};
+use crate::shutdown::shut_down;
 use crate::state::Node;
-use crate::{Log, Options, PlatformProtocol, operated, server, upstream_rate};
+use crate::state_monitor::monitor_state;
+use crate::{Log, Options, PlatformProtocol, readiness, server, upstream_rate};
 
-/// Time between two rounds of forgetting what is not needed any more.
-const SWEEP_EVERY: Duration = Duration::from_secs(1);
+/// Interval at which expired state is removed.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Why the process can't start.
+/// Errors that prevent the process from starting or running.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum StartError {
-    /// An address can't be bound.
+    /// A socket can't be bound.
     #[snafu(display("5011 bad_address: {what} at {address}: {source}"))]
     Bind {
-        /// What is served there.
+        /// What the socket is for.
         what: &'static str,
-        /// Address.
+        /// Address that was to be bound.
         address: SocketAddr,
-        /// Why.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// Signals can't be heard.
+    /// The signal handlers can't be installed.
     #[snafu(display("5010 file_fault: signals: {source}"))]
     Signals {
-        /// Why.
+        /// The operating system's error.
         source: io::Error,
     },
 }
@@ -50,56 +50,57 @@
 #[derive(Debug)]
 pub struct EntryServer {
     node: Arc<Node>,
-    /// Takes callers' connections.
-    listening: JoinHandle<()>,
+    /// Accepts callers' connections.
+    accept_task: JoinHandle<()>,
 }
 
-/// Binds the sockets and starts the tasks.
+/// Binds the sockets and spawns the background tasks.
 ///
 /// # Errors
 ///
-/// An address can't be bound.
+/// A socket can't be bound.
 pub async fn start(
     options: Options,
-    dialect: Box<dyn PlatformProtocol>,
+    protocol: Box<dyn PlatformProtocol>,
     store: Box<dyn ObjectApi>,
 ) -> Result<EntryServer, StartError> {
     let mut options = options;
     let callers = listen("callers", &mut options.caller_address).await?;
     let readiness = listen("readiness", &mut options.readiness_address).await?;
-    let socket = hear_peers(&mut options.peer_address).await?;
+    let socket = bind_peer_socket(&mut options.peer_address).await?;
     let log = Log::start();
-    let node = Arc::new(Node::new(options, dialect, store, log));
+    let node = Arc::new(Node::new(options, protocol, store, log));
     node.log.line(
         "started",
         json!({ "entry": node.options.entry, "domain": node.options.failure_domain,
             "callers": node.options.caller_address, "readiness": node.options.readiness_address, "peers": node.options.peer_address,
-            "start": node.start }),
+            "start": node.started_unix_ms }),
     );
-    // It is set here alone.
+    // The socket is set nowhere else.
     let _ = node.peers.socket.set(Arc::clone(&socket));
     let shared = || Arc::clone(&node);
-    let listening = tokio::spawn(server::accept(shared(), callers));
-    tokio::spawn(operated::answer(shared(), readiness));
-    tokio::spawn(operated::answer_elsewhere(shared()));
-    tokio::spawn(follow(shared(), Followed::Setup));
-    tokio::spawn(follow(shared(), Followed::Upstreams));
+    let accept_task = tokio::spawn(server::accept(shared(), callers));
+    tokio::spawn(readiness::serve(shared(), readiness));
+    tokio::spawn(readiness::serve_extra_metrics(shared()));
+    tokio::spawn(watch_collection(shared(), Collection::Config));
+    tokio::spawn(watch_collection(shared(), Collection::Upstreams));
     tokio::spawn(peers::register(shared()));
-    tokio::spawn(peers::hear(shared(), Arc::clone(&socket)));
-    tokio::spawn(peers::tell(shared(), Arc::clone(&socket)));
-    tokio::spawn(peers::tell_when_new(shared(), socket));
+    tokio::spawn(peers::receive(shared(), Arc::clone(&socket)));
+    tokio::spawn(peers::announce_periodically(shared(), Arc::clone(&socket)));
+    tokio::spawn(peers::announce_changes(shared(), socket));
     tokio::spawn(feed_keepers(shared(), Scope::Workspaces));
     tokio::spawn(feed_keepers(shared(), Scope::Upstreams));
-    tokio::spawn(keep_lease(shared()));
-    tokio::spawn(give_orders(shared()));
+    tokio::spawn(maintain_lease(shared()));
+    tokio::spawn(coordinate(shared()));
     tokio::spawn(sweep(shared()));
-    tokio::spawn(tell_beliefs(shared()));
-    let handing_over = node.log.clone();
-    tokio::spawn(async move { handing_over.hand_over().await });
-    Ok(EntryServer { node, listening })
+    tokio::spawn(monitor_state(shared()));
+    let flushed_log = node.log.clone();
+    tokio::spawn(async move { flushed_log.flush_periodically().await });
+    Ok(EntryServer { node, accept_task })
 }
 
-/// Binds a listener; the address then has the port that it got.
+/// Binds a listener and replaces a port of 0 in `address` by the port that was
+/// assigned.
 async fn listen(
     what: &'static str,
     address: &mut SocketAddr,
@@ -113,7 +114,9 @@
     Ok(listener)
 }
 
-async fn hear_peers(address: &mut SocketAddr) -> Result<Arc<UdpSocket>, StartError> {
+async fn bind_peer_socket(
+    address: &mut SocketAddr,
+) -> Result<Arc<UdpSocket>, StartError> {
     let fault = BindSnafu {
         what: "peers",
         address: *address,
@@ -125,51 +128,52 @@
 
 async fn sweep(node: Arc<Node>) {
     loop {
-        tokio::time::sleep(SWEEP_EVERY).await;
+        tokio::time::sleep(SWEEP_INTERVAL).await;
         let now = node.now();
-        node.quota.sweep(now);
+        node.workspace_quotas.sweep(now);
         let mut fleet = node.fleet.lock();
         fleet.forget_gone(now);
-        node.pool.sweep(|id| fleet.get(id).is_some());
+        node.connections.sweep(|id| fleet.get(id).is_some());
         drop(fleet);
-        upstream_rate::sweep(&node);
-        if let Some(setup) = node.setup() {
-            let named = |name: &str| setup.routes().any(|route| *route.name == *name);
+        upstream_rate::expire(&node);
+        if let Some(config) = node.config() {
+            let named = |name: &str| config.routes().any(|route| *route.name == *name);
             node.readings.lock().retain(named);
         }
     }
 }
 
 impl EntryServer {
-    /// Address at which callers are served.
+    /// Returns the address at which callers are served.
     pub fn caller_address(&self) -> SocketAddr {
         self.node.options.caller_address
     }
 
-    /// Address of the balancer's question and of metrics.
+    /// Returns the address of the readiness check and of metrics.
     pub fn readiness_address(&self) -> SocketAddr {
         self.node.options.readiness_address
     }
 
-    /// Serves until a signal to stop, and then ends in order.
+    /// Serves until a termination signal, then shuts down gracefully.
     ///
     /// # Errors
     ///
-    /// Signals can't be heard.
+    /// The signal handlers can't be installed.
     pub async fn run(self) -> Result<(), StartError> {
         let mut terminate = signal(SignalKind::terminate()).context(SignalsSnafu)?;
         let mut interrupt = signal(SignalKind::interrupt()).context(SignalsSnafu)?;
-        let mut reload = signal(SignalKind::hangup()).context(SignalsSnafu)?;
+        let mut hangup = signal(SignalKind::hangup()).context(SignalsSnafu)?;
         loop {
             tokio::select! {
                 _ = terminate.recv() => break,
                 _ = interrupt.recv() => break,
-                // Addresses and bounds hold for the life of a process; all that
-                // changes under way comes by the platform.
-                _ = reload.recv() => self.node.log.line("reload", json!({})),
+                // Addresses and deployment settings can't change in a running
+                // process; everything else that can change comes from the
+                // platform.
+                _ = hangup.recv() => self.node.log.line("reload", json!({})),
             }
         }
-        end_in_order(&self.node, self.listening).await;
+        shut_down(&self.node, self.accept_task).await;
         Ok(())
     }
 }
