--- a/crates/front/src/state/meters.rs
+++ b/crates/front/src/state/metrics.rs
@@ -5,57 +5,58 @@
     TextEncoder,
 };
 
-/// Upper bounds of latency buckets, in seconds: the aims of the deployments lie
-/// between 0.1 and 8 s.
+/// Upper bounds of the latency buckets, in seconds. The deployments' target
+/// latencies are between 0.1 and 8 s.
 const LATENCY_BUCKETS_S: [f64; 12] = [
     0.02, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 2.0, 4.0, 8.0, 16.0,
 ];
 
 /// All metrics of the process.
 #[derive(Debug)]
-pub(crate) struct Meters {
+pub(crate) struct Metrics {
     registry: Registry,
-    /// Ends of requests, by route and outcome.
-    pub(crate) ended: IntCounterVec,
-    /// Time to the first answer, by route.
-    pub(crate) first_answer_s: HistogramVec,
-    /// Time to the end, by route.
-    pub(crate) whole_answer_s: HistogramVec,
-    /// Requests refused for their workspace's quota, by workspace and why.
+    /// Finished requests, by route and outcome.
+    pub(crate) requests_ended: IntCounterVec,
+    /// Time to the first part of the response, by route.
+    pub(crate) first_response_s: HistogramVec,
+    /// Time to the end of the response, by route.
+    pub(crate) full_response_s: HistogramVec,
+    /// Requests refused because of their workspace's quota, by workspace and
+    /// reason.
     pub(crate) quota_refused: IntCounterVec,
-    /// Tries, by service and outcome.
-    pub(crate) tries: IntCounterVec,
+    /// Attempts, by service and outcome.
+    pub(crate) attempts: IntCounterVec,
     /// Orders, by action and outcome.
     pub(crate) orders: IntCounterVec,
     /// Calls to the platform, by object and outcome.
-    pub(crate) store_calls: IntCounterVec,
-    /// Objects that could not be read, by kind; once for each change.
-    pub(crate) unread: IntCounterVec,
-    /// Doubts about upstreams that arose, by why.
-    pub(crate) doubts: IntCounterVec,
+    pub(crate) platform_calls: IntCounterVec,
+    /// Objects that can't be decoded, by kind, counted once per change.
+    pub(crate) unreadable: IntCounterVec,
+    /// Upstreams that began to be avoided, by reason.
+    pub(crate) avoided: IntCounterVec,
     /// Time for which the process did not run.
     pub(crate) suspended_s: Counter,
-    /// Answers given after the signal to stop, by the phase in which the request
-    /// came and by status.
-    pub(crate) stop_answers: IntCounterVec,
+    /// Responses after the termination signal, by the shutdown phase in which
+    /// the request arrived and by status.
+    pub(crate) shutdown_responses: IntCounterVec,
     /// Requests in progress.
     pub(crate) in_progress: IntGauge,
-    /// Lines of the log that were dropped.
+    /// Dropped log lines.
     pub(crate) log_dropped: IntGauge,
 }
 
-impl Meters {
+impl Metrics {
     pub(crate) fn new() -> Self {
         let registry = Registry::new();
         let counter = |name: &str, help: &str, labels: &[&str]| {
             let counter = IntCounterVec::new(Opts::new(name, help), labels)
-                .expect("names and labels are literals that fit");
+                .expect("metric names and labels are valid literals");
             registry
                 .register(Box::new(counter.clone()))
-                .expect("each name stands once");
+                .expect("each metric is registered once");
             counter
         };
-        let ended = counter(
+        let requests_ended = counter(
             "sesame_front_requests_total",
             "Requests ended",
             &["route", "outcome"],
@@ -65,7 +66,7 @@
             "Requests refused for their workspace's quota",
             &["workspace", "why"],
         );
-        let tries = counter(
+        let attempts = counter(
             "sesame_front_tries_total",
             "Tries at upstreams",
             &["service", "outcome"],
@@ -75,22 +76,22 @@
             "Orders to upstreams",
             &["action", "outcome"],
         );
-        let store_calls = counter(
+        let platform_calls = counter(
             "sesame_front_platform_calls_total",
             "Calls to the platform",
             &["object", "outcome"],
         );
-        let unread = counter(
+        let unreadable = counter(
             "sesame_front_unread_total",
             "Objects that could not be read, once for each change",
             &["object"],
         );
-        let doubts = counter(
+        let avoided = counter(
             "sesame_front_upstream_doubts_total",
             "Upstreams that began to be avoided",
             &["why"],
         );
-        let stop_answers = counter(
+        let shutdown_responses = counter(
             "sesame_front_stop_answers_total",
             "Answers after the signal to stop",
             &["phase", "status"],
@@ -99,56 +100,57 @@
             "sesame_front_suspended_seconds_total",
             "Time for which the process did not run",
         )
-        .expect("names are literals that fit");
+        .expect("metric names are valid literals");
         registry
             .register(Box::new(suspended_s.clone()))
-            .expect("each name stands once");
+            .expect("each metric is registered once");
         let histogram = |name: &str, help: &str| {
             let options =
                 HistogramOpts::new(name, help).buckets(LATENCY_BUCKETS_S.to_vec());
             let histogram = HistogramVec::new(options, &["route"])
-                .expect("names and labels are literals that fit");
+                .expect("metric names and labels are valid literals");
             registry
                 .register(Box::new(histogram.clone()))
-                .expect("each name stands once");
+                .expect("each metric is registered once");
             histogram
         };
-        let first_answer_s = histogram(
+        let first_response_s = histogram(
             "sesame_front_first_answer_seconds",
             "Time to the first part of an answer",
         );
-        let whole_answer_s = histogram(
+        let full_response_s = histogram(
             "sesame_front_whole_answer_seconds",
             "Time to the end of an answer",
         );
         let gauge = |name: &str, help: &str| {
-            let gauge = IntGauge::new(name, help).expect("names are literals that fit");
+            let gauge =
+                IntGauge::new(name, help).expect("metric names are valid literals");
             registry
                 .register(Box::new(gauge.clone()))
-                .expect("each name stands once");
+                .expect("each metric is registered once");
             gauge
         };
         let in_progress = gauge("sesame_front_in_progress", "Requests in progress");
         let log_dropped = gauge("sesame_front_log_dropped", "Log lines dropped");
         Self {
             registry,
-            ended,
+            requests_ended,
             quota_refused,
-            first_answer_s,
-            whole_answer_s,
-            tries,
+            first_response_s,
+            full_response_s,
+            attempts,
             orders,
-            store_calls,
-            unread,
-            doubts,
+            platform_calls,
+            unreadable,
+            avoided,
             suspended_s,
-            stop_answers,
+            shutdown_responses,
             in_progress,
             log_dropped,
         }
     }
 
-    /// All metrics as text.
+    /// Returns all metrics in the text format.
     pub(crate) fn text(&self) -> String {
         TextEncoder::new()
             .encode_to_string(&self.registry.gather())
--- a/crates/front/src/state/mod.rs
+++ b/crates/front/src/state/mod.rs
@@ -1,19 +1,19 @@
-//! What the process believes, each belief in a part of its own with its own lock.
+//! The shared state of the process, in parts that each have their own lock.
 //!
-//! Nothing here runs by itself: the tasks and the ways of requests, in the modules
-//! beside this one, use these parts, and no part uses them.
+//! Nothing here runs by itself. The tasks and request handlers in the modules
+//! next to this one use these parts; the parts don't use them.
 
-pub(crate) mod book;
-pub(crate) mod call;
-pub(crate) mod giver;
-mod meters;
+pub(crate) mod caller_request;
+pub(crate) mod connection_pool;
+pub(crate) mod coordinator;
+pub(crate) mod lease_relay;
+pub(crate) mod managed_upstream;
+mod metrics;
 mod node;
 pub(crate) mod peers;
-pub(crate) mod pool;
 pub(crate) mod quota;
-pub(crate) mod relay;
-pub(crate) mod stop;
-pub(crate) mod unread;
-pub(crate) mod wants;
+pub(crate) mod shutdown;
+pub(crate) mod unreadable;
+pub(crate) mod wanted_adapters;
 
 pub(crate) use node::Node;
--- a/crates/front/src/state/node.rs
+++ b/crates/front/src/state/node.rs
@@ -1,4 +1,4 @@
-//! What all tasks of the process share.
+//! State shared by all tasks of the process.
 
 use base::prelude::*;
 use direct::{
@@ -18,91 +18,92 @@
 use tokio::sync::Notify;
 use tokio_util::task::TaskTracker;
 
-use super::call::Call;
-use super::giver::Giver;
-use super::meters::Meters;
+use super::caller_request::CallerRequest;
+use super::connection_pool::ConnectionPool;
+use super::coordinator::Coordinator;
+use super::lease_relay::LeaseRelay;
+use super::metrics::Metrics;
 use super::peers::Peers;
-use super::pool::Pool;
 use super::quota::Quotas;
-use super::relay::Relay;
-use super::stop::Stop;
-use super::unread::{Kind, Unread, start_of};
-use super::wants::Wants;
+use super::shutdown::Shutdown;
+use super::unreadable::{ObjectKind, UnreadableObjects, truncated};
+use super::wanted_adapters::WantedAdapters;
 use crate::quota::Scope;
 use crate::shared_watch::SharedWatches;
 use crate::{BootClock, Log, Options, PlatformProtocol};
 
-/// Time for which a verdict on a request that crashes upstreams stands.
-const VERDICT_MS: u64 = 60_000;
+/// Time for which a request stays convicted of crashing upstreams.
+const CRASH_VERDICT_MS: u64 = 60_000;
 
-/// Time for which a renewed lease lets its holder order. Longer than most outages
-/// of the platform, and shorter than what a holder that is gone for good may
-/// leave upstreams without orders; one that only restarts takes the lease again
-/// at once.
+/// Time for which a renewed lease entitles its holder to send orders. It is
+/// longer than most outages of the platform, and shorter than the time for
+/// which upstreams may go without orders after a holder is gone for good. A
+/// holder that merely restarts acquires the lease again at once.
 const LEASE_VALID_MS: u64 = 5_000;
 
-/// What all tasks of the process share. Each part has its own lock, and none is
-/// held across an await.
+/// State shared by all tasks of the process. Each part has its own lock, and
+/// none is held across an await.
 #[derive(Debug)]
 pub(crate) struct Node {
     pub(crate) options: Options,
-    pub(crate) dialect: Box<dyn PlatformProtocol>,
+    pub(crate) protocol: Box<dyn PlatformProtocol>,
     pub(crate) store: Box<dyn ObjectApi>,
     pub(crate) clock: BootClock,
     pub(crate) log: Log,
-    pub(crate) meters: Meters,
-    pub(crate) pool: Pool,
-    /// Start of this process, in milliseconds of the time of day.
-    pub(crate) start: u64,
-    /// The same by the clock that everything here goes by.
+    pub(crate) metrics: Metrics,
+    pub(crate) connections: ConnectionPool,
+    /// Start time of this process, in milliseconds since the Unix epoch.
+    pub(crate) started_unix_ms: u64,
+    /// The same start time by the process's monotonic clock.
     pub(crate) started_at: Instant,
-    /// Configuration in force, and how far it is known.
-    pub(crate) setup: Mutex<(Option<Arc<Config>>, Watermark)>,
+    /// Configuration in force, and how current it is.
+    pub(crate) config: Mutex<(Option<Arc<Config>>, Watermark)>,
     pub(crate) fleet: Mutex<Fleet>,
-    /// Doubts about upstreams that were told of; locked before the fleet.
-    pub(crate) doubts: Mutex<AvoidanceTracker>,
-    /// How far the upstreams' entries are known.
-    pub(crate) fleet_mark: Mutex<Watermark>,
+    /// Logged reasons to avoid upstreams. Locked before the fleet.
+    pub(crate) avoidance: Mutex<AvoidanceTracker>,
+    /// How current the upstreams' records are.
+    pub(crate) fleet_watermark: Mutex<Watermark>,
     /// Demand by service.
     pub(crate) demand: Mutex<BTreeMap<Arc<str>, DemandTracker>>,
-    pub(crate) repeats: Mutex<RetryBudget>,
-    pub(crate) paces: Mutex<ModelTimeFactors>,
+    pub(crate) retry_budget: Mutex<RetryBudget>,
+    pub(crate) time_factors: Mutex<ModelTimeFactors>,
     pub(crate) readings: Mutex<MeanPrefillTimes>,
     pub(crate) suspects: Mutex<SuspectRequests>,
-    pub(crate) wants: Wants,
-    /// Tokens of workspaces.
-    pub(crate) quota: Quotas,
-    /// Tokens of upstreams that ask for a rate.
-    upstream_tokens: Quotas,
+    pub(crate) wanted_adapters: WantedAdapters,
+    /// Quota tokens of workspaces.
+    pub(crate) workspace_quotas: Quotas,
+    /// Rate tokens of upstreams that advertise a rate.
+    upstream_quotas: Quotas,
     pub(crate) peers: Peers,
-    /// What entries of this failure domain share of their watches.
-    pub(crate) shared: SharedWatches,
+    /// The platform watches shared within this failure domain.
+    pub(crate) shared_watches: SharedWatches,
     pub(crate) lease: Mutex<Lease>,
-    pub(crate) relay: Relay,
-    pub(crate) giver: Giver,
-    /// Told when upstreams come, go or hold something else.
-    pub(crate) holdings: Notify,
-    /// Told when a request ends and makes room.
-    pub(crate) room: Notify,
-    pub(crate) stop: Stop,
-    /// Tasks of callers' connections; each is there until its last bytes are sent.
-    pub(crate) connections: TaskTracker,
-    /// What could not be read and was told of.
-    pub(crate) unread: Unread,
+    pub(crate) lease_relay: LeaseRelay,
+    pub(crate) coordinator: Coordinator,
+    /// Notified when upstreams appear, disappear or change their holdings.
+    pub(crate) holdings_changed: Notify,
+    /// Notified when a request ends and frees capacity.
+    pub(crate) capacity_freed: Notify,
+    pub(crate) shutdown: Shutdown,
+    /// Tasks of callers' connections. Each task ends once the last bytes of its
+    /// connection are sent.
+    pub(crate) caller_connections: TaskTracker,
+    /// Objects that can't be decoded and have been reported.
+    pub(crate) unreadable: UnreadableObjects,
     random: Mutex<Pcg64Mcg>,
 }
 
 impl Node {
     pub(crate) fn new(
         options: Options,
-        dialect: Box<dyn PlatformProtocol>,
+        protocol: Box<dyn PlatformProtocol>,
         store: Box<dyn ObjectApi>,
         log: Log,
     ) -> Self {
         let now = SystemTime::now().duration_since(UNIX_EPOCH);
-        let start = now.map_or(0, |now| now.as_millis() as u64);
+        let started_unix_ms = now.map_or(0, |now| now.as_millis() as u64);
         let bounds = &options.deployment;
-        let repeats = RetryBudget::new(
+        let retry_budget = RetryBudget::new(
             BootClock.now(),
             bounds.retry_ratio,
             bounds.retry_burst,
@@ -110,101 +111,103 @@
         );
         let lease = Lease::new(
             &options.entry,
-            start,
+            started_unix_ms,
             LEASE_VALID_MS,
             bounds.coordinator_takeover_ms,
         );
-        let seed =
-            xxhash_rust::xxh3::xxh3_64_with_seed(options.entry.as_bytes(), start);
+        let seed = xxhash_rust::xxh3::xxh3_64_with_seed(
+            options.entry.as_bytes(),
+            started_unix_ms,
+        );
         Self {
-            dialect,
+            protocol,
             store,
             clock: BootClock,
             log,
-            meters: Meters::new(),
-            pool: Pool::default(),
-            start,
+            metrics: Metrics::new(),
+            connections: ConnectionPool::default(),
+            started_unix_ms,
             started_at: BootClock.now(),
-            setup: Mutex::default(),
+            config: Mutex::default(),
             fleet: Mutex::default(),
-            doubts: Mutex::default(),
-            fleet_mark: Mutex::default(),
+            avoidance: Mutex::default(),
+            fleet_watermark: Mutex::default(),
             demand: Mutex::default(),
-            repeats: Mutex::new(repeats),
-            paces: Mutex::default(),
+            retry_budget: Mutex::new(retry_budget),
+            time_factors: Mutex::default(),
             readings: Mutex::default(),
-            suspects: Mutex::new(SuspectRequests::new(VERDICT_MS)),
-            wants: Wants::default(),
-            quota: Quotas::new(bounds.quota_overdraft),
-            upstream_tokens: Quotas::new(0.0),
+            suspects: Mutex::new(SuspectRequests::new(CRASH_VERDICT_MS)),
+            wanted_adapters: WantedAdapters::default(),
+            workspace_quotas: Quotas::new(bounds.quota_overdraft),
+            upstream_quotas: Quotas::new(0.0),
             peers: Peers::new(&options),
-            shared: SharedWatches::default(),
+            shared_watches: SharedWatches::default(),
             lease: Mutex::new(lease),
-            relay: Relay::default(),
-            giver: Giver::new(bounds.store_load_window_ms),
-            holdings: Notify::new(),
-            room: Notify::new(),
-            stop: Stop::default(),
-            connections: TaskTracker::new(),
-            unread: Unread::default(),
+            lease_relay: LeaseRelay::default(),
+            coordinator: Coordinator::new(bounds.store_load_window_ms),
+            holdings_changed: Notify::new(),
+            capacity_freed: Notify::new(),
+            shutdown: Shutdown::default(),
+            caller_connections: TaskTracker::new(),
+            unreadable: UnreadableObjects::default(),
             random: Mutex::new(Pcg64Mcg::new(u128::from(seed) | 1)),
             options,
         }
     }
 
-    /// The present.
+    /// Returns the current time.
     pub(crate) fn now(&self) -> Instant {
         self.clock.now()
     }
 
-    /// The configuration in force.
-    pub(crate) fn setup(&self) -> Option<Arc<Config>> {
-        self.setup.lock().0.clone()
+    /// Returns the configuration in force.
+    pub(crate) fn config(&self) -> Option<Arc<Config>> {
+        self.config.lock().0.clone()
     }
 
-    /// Whether the configuration was confirmed lately, so that what it does not
-    /// name is not there.
-    pub(crate) fn setup_is_fresh(&self) -> bool {
-        let mark = self.setup.lock().1;
+    /// Returns whether the configuration was confirmed recently, so that what
+    /// it doesn't contain doesn't exist.
+    pub(crate) fn config_is_fresh(&self) -> bool {
+        let mark = self.config.lock().1;
         mark.is_fresh(self.now(), self.options.deployment.platform_freshness_ms)
     }
 
-    /// A number drawn at random.
+    /// Returns a random number.
     pub(crate) fn random(&self) -> u64 {
         self.random.lock().next_u64()
     }
 
-    /// Whether a request has crashed so many upstreams that it is not sent to
-    /// another one.
+    /// Returns whether a request has crashed so many upstreams that it must not
+    /// be sent to another one.
     pub(crate) fn is_convicted(&self, fingerprint: u64) -> bool {
         let verdict = self.suspects.lock().verdict(self.now(), fingerprint);
         matches!(verdict, CrashVerdict::Convicted { .. })
     }
 
-    /// Whether this entry can serve callers.
+    /// Returns whether this entry can serve callers.
     pub(crate) fn is_ready(&self) -> bool {
-        let knows_fleet = self.fleet_mark.lock().confirmed_at.is_some();
-        !self.stop.is_stopping() && knows_fleet && self.setup().is_some()
+        let knows_fleet = self.fleet_watermark.lock().confirmed_at.is_some();
+        !self.shutdown.is_stopping() && knows_fleet && self.config().is_some()
     }
 
-    /// Tokens of workspaces or of upstreams.
+    /// Returns the tokens of workspaces or of upstreams.
     pub(crate) const fn quotas(&self, scope: Scope) -> &Quotas {
         match scope {
-            Scope::Workspaces => &self.quota,
-            Scope::Upstreams => &self.upstream_tokens,
+            Scope::Workspaces => &self.workspace_quotas,
+            Scope::Upstreams => &self.upstream_quotas,
         }
     }
 
-    /// Factor on the time that reading a request's prompt takes.
-    pub(crate) fn pace_of(&self, call: &Call) -> f64 {
-        let model = call.ask.model.as_ref();
+    /// Returns the factor on the estimated prefill time of a request.
+    pub(crate) fn time_factor_of(&self, request: &CallerRequest) -> f64 {
+        let model = request.head.model.as_ref();
         model.map_or(1.0, |(model, _)| {
-            self.paces.lock().factor(&call.service, model)
+            self.time_factors.lock().factor(&request.service, model)
         })
     }
 
-    /// Counts demand for a model of a service.
-    pub(crate) fn with_demand(
+    /// Updates the demand for a service.
+    pub(crate) fn update_demand(
         &self,
         service: &Arc<str>,
         change: impl FnOnce(&mut DemandTracker),
@@ -213,23 +216,24 @@
         change(demand.entry(Arc::clone(service)).or_default());
     }
 
-    /// Tells of an object that can't be read, unless it was told of as it is.
-    pub(crate) fn tell_unread(
+    /// Reports an object that can't be decoded, unless it was reported with the
+    /// same content.
+    pub(crate) fn report_unreadable(
         &self,
-        kind: Kind,
+        kind: ObjectKind,
         key: &str,
         value: &[u8],
         why: impl Display,
     ) {
-        if !self.unread.is_new(kind, key, value) {
+        if !self.unreadable.is_new(kind, key, value) {
             return;
         }
         let object = kind.as_str();
-        self.meters.unread.with_label_values(&[object]).inc();
+        self.metrics.unreadable.with_label_values(&[object]).inc();
         let why = why.to_string();
         self.log.line(
             &format!("{object}_unread"),
-            json!({ "key": start_of(key), "why": start_of(&why), "bytes": value.len() }),
+            json!({ "key": truncated(key), "why": truncated(&why), "bytes": value.len() }),
         );
     }
 }
--- a/crates/front/src/state/peers.rs
+++ b/crates/front/src/state/peers.rs
@@ -1,4 +1,4 @@
-//! Other entries.
+//! State about the other entries.
 
 use base::prelude::*;
 use direct::{DemandEstimate, PeerEntry, has_successor};
@@ -13,220 +13,231 @@
 
 use crate::Options;
 
-/// Silence after which a peer's demand counts no more.
-const DEMAND_MS: u64 = 1_500;
+/// Silence after which a peer no longer counts as alive.
+const PEER_TIMEOUT_MS: u64 = 1_500;
 
-/// Silence after which a peer is told only now and then.
-pub(crate) const AWAY_MS: u64 = 5_000;
+/// Silence after which a peer gets messages only occasionally.
+pub(crate) const UNREACHABLE_AFTER_MS: u64 = 5_000;
 
-/// Other entries.
+/// State about the other entries.
 #[derive(Debug)]
 pub(crate) struct Peers {
-    pub(crate) me: String,
-    pub(crate) own: SocketAddr,
-    pub(crate) table: Mutex<Table>,
-    /// Told when there is something to tell at once.
-    pub(crate) wake: Notify,
-    /// What datagrams go out by, once there is one.
+    pub(crate) own_name: String,
+    pub(crate) own_address: SocketAddr,
+    pub(crate) table: Mutex<PeerTable>,
+    /// Notified when a message should be sent right away.
+    pub(crate) announce_now: Notify,
+    /// The UDP socket for messages, once it is bound.
     pub(crate) socket: OnceLock<Arc<UdpSocket>>,
 }
 
-/// What is known of other entries.
+/// What is known about the other entries.
 #[derive(Debug, Default)]
-pub(crate) struct Table {
-    /// Addresses at which entries may be.
+pub(crate) struct PeerTable {
+    /// Addresses at which entries may run.
     pub(crate) addresses: BTreeSet<SocketAddr>,
     pub(crate) peers: HashMap<String, PeerState>,
     pub(crate) sequence: u64,
-    /// Rounds in which peers were told. The sequence counts two messages a round,
-    /// and others between them.
-    pub(crate) rounds: u64,
-    /// Those of them in which what upstreams hold was told in turn. News are told
-    /// between them, and counted with them would leave out parts for a long time.
-    pub(crate) turns: u64,
-    /// Entries that the platform lists.
-    pub(crate) registered: usize,
+    /// Number of rounds in which peers were sent messages. `sequence` can't be
+    /// used for this: it counts two messages per round and others in between.
+    pub(crate) announcements: u64,
+    /// Number of periodic rounds, which determine the part of the holdings to
+    /// send. Counting the messages about changes in between would leave out
+    /// parts for a long time.
+    pub(crate) periodic_rounds: u64,
+    /// Number of entries in the platform's list.
+    pub(crate) listed_entries: usize,
 }
 
 /// One other entry.
 #[derive(Debug)]
 pub(crate) struct PeerState {
     pub(crate) address: SocketAddr,
-    pub(crate) start: u64,
+    pub(crate) started_unix_ms: u64,
     pub(crate) sequence: u64,
     pub(crate) heard_at: Instant,
-    /// Whether its silence was told of.
-    pub(crate) lost: bool,
-    pub(crate) giver_token: u64,
+    /// Whether its silence was logged.
+    pub(crate) reported_lost: bool,
+    pub(crate) coordinator_token: u64,
     pub(crate) domain: String,
     /// Whether its own watch of the platform works.
-    pub(crate) watches: bool,
-    /// Whether it keeps tokens of workspaces for others.
+    pub(crate) watch_works: bool,
+    /// Whether it keeps tokens for other entries.
     pub(crate) keeps_tokens: bool,
-    /// Whether it is being stopped.
-    pub(crate) stopping: bool,
-    pub(crate) loads: Vec<(Arc<str>, Arc<str>, DemandEstimate)>,
+    /// Whether it is shutting down.
+    pub(crate) shutting_down: bool,
+    pub(crate) demand: Vec<(Arc<str>, Arc<str>, DemandEstimate)>,
 }
 
-/// Name of one start of an entry.
-pub(crate) fn start_name(entry: &str, start: u64) -> String {
-    format!("{entry}#{start}")
+/// Returns the name of one incarnation of an entry.
+pub(crate) fn incarnation_name(entry: &str, started_unix_ms: u64) -> String {
+    format!("{entry}#{started_unix_ms}")
 }
 
-impl Table {
-    /// Entries that were heard lately, by name.
-    fn heard(&self, now: Instant) -> impl Iterator<Item = (&String, &PeerState)> {
+impl PeerTable {
+    /// Returns the entries that were heard from recently, by name.
+    fn live_peers(&self, now: Instant) -> impl Iterator<Item = (&String, &PeerState)> {
         let peers = self.peers.iter();
-        peers.filter(move |(_, peer)| now.ms_since(peer.heard_at) < DEMAND_MS)
+        peers.filter(move |(_, peer)| now.ms_since(peer.heard_at) < PEER_TIMEOUT_MS)
     }
 }
 
 impl Peers {
     pub(crate) fn new(options: &Options) -> Self {
-        let table = Table {
+        let table = PeerTable {
             addresses: options.peer_seeds.iter().copied().collect(),
-            ..Table::default()
+            ..PeerTable::default()
         };
         Self {
-            me: options.entry.clone(),
-            own: options.peer_address,
+            own_name: options.entry.clone(),
+            own_address: options.peer_address,
             table: Mutex::new(table),
-            wake: Notify::new(),
+            announce_now: Notify::new(),
             socket: OnceLock::new(),
         }
     }
 
-    /// Whether an entry was heard within `ms`.
-    pub(crate) fn is_heard(&self, now: Instant, entry: &str, ms: u64) -> bool {
+    /// Returns whether an entry was heard from within `ms`.
+    pub(crate) fn is_heard_within(&self, now: Instant, entry: &str, ms: u64) -> bool {
         let table = self.table.lock();
         let peer = table.peers.get(entry);
         peer.is_some_and(|peer| now.ms_since(peer.heard_at) < ms)
     }
 
-    /// Entries that have fallen silent since the last call, with for how long.
+    /// Returns the entries that have fallen silent since the last call, with
+    /// the duration of their silence.
     pub(crate) fn newly_lost(&self, now: Instant) -> Vec<(String, u64)> {
         let mut table = self.table.lock();
-        let silent = table
-            .peers
-            .iter_mut()
-            .filter(|(_, peer)| !peer.lost && now.ms_since(peer.heard_at) >= DEMAND_MS);
+        let silent = table.peers.iter_mut().filter(|(_, peer)| {
+            !peer.reported_lost && now.ms_since(peer.heard_at) >= PEER_TIMEOUT_MS
+        });
         silent
             .map(|(name, peer)| {
-                peer.lost = true;
+                peer.reported_lost = true;
                 (name.clone(), now.ms_since(peer.heard_at))
             })
             .collect()
     }
 
-    /// Names of the entries that were heard lately, in order.
-    pub(crate) fn heard(&self, now: Instant) -> Vec<String> {
+    /// Returns the sorted names of the entries that were heard from recently.
+    pub(crate) fn live_entries(&self, now: Instant) -> Vec<String> {
         let table = self.table.lock();
-        let heard = table.heard(now);
-        let mut names: Vec<String> = heard.map(|(name, _)| name.clone()).collect();
+        let live = table.live_peers(now);
+        let mut names: Vec<String> = live.map(|(name, _)| name.clone()).collect();
         names.sort();
         names
     }
 
-    /// Names of the entries of a failure domain that were heard lately and whose own
-    /// watch of the platform works.
+    /// Returns the names of the entries of a failure domain that were heard
+    /// from recently and whose own watch of the platform works.
     pub(crate) fn watchers(&self, now: Instant, domain: &str) -> Vec<String> {
         let table = self.table.lock();
         let watchers = table
-            .heard(now)
-            .filter(|(_, peer)| peer.watches && peer.domain == domain);
+            .live_peers(now)
+            .filter(|(_, peer)| peer.watch_works && peer.domain == domain);
         watchers.map(|(name, _)| name.clone()).collect()
     }
 
-    /// The entry that keeps a workspace's tokens, with its address, if it is another
-    /// one than this: of those that were heard lately, keep tokens and are not away.
+    /// Returns the entry that keeps a workspace's tokens, with its address,
+    /// unless it is this entry. It is chosen among the entries that were heard
+    /// from recently, keep tokens and are responsive.
     ///
-    /// It is asked for with each request and each feed, so that nothing is copied but
-    /// the one that is found.
-    pub(crate) fn keeper(
+    /// This runs for each request and each feed, so only the chosen name is
+    /// copied.
+    pub(crate) fn token_keeper(
         &self,
         now: Instant,
         workspace: &str,
-        own: Option<&str>,
-        is_away: impl Fn(&str) -> bool,
+        this_entry: Option<&str>,
+        is_unresponsive: impl Fn(&str) -> bool,
     ) -> Option<(String, SocketAddr)> {
         let table = self.table.lock();
         let others = table
-            .heard(now)
-            .filter(|(name, peer)| peer.keeps_tokens && !is_away(name));
+            .live_peers(now)
+            .filter(|(name, peer)| peer.keeps_tokens && !is_unresponsive(name));
         let others = others.map(|(name, _)| name.as_str());
-        let kept_by = keeper(workspace, others.chain(own))?;
-        let other = table.peers.get(kept_by)?;
-        Some((kept_by.to_owned(), other.address))
+        let keeper_name = keeper(workspace, others.chain(this_entry))?;
+        let other = table.peers.get(keeper_name)?;
+        Some((keeper_name.to_owned(), other.address))
     }
 
-    /// Whether a start of an entry was heard lately.
-    pub(crate) fn is_running(&self, now: Instant, name: &str) -> bool {
+    /// Returns whether an incarnation of an entry was heard from recently.
+    pub(crate) fn is_live_incarnation(&self, now: Instant, name: &str) -> bool {
         let table = self.table.lock();
-        let mut heard = table.heard(now);
-        heard.any(|(entry, peer)| start_name(entry, peer.start) == name)
+        let mut live = table.live_peers(now);
+        live.any(|(entry, peer)| incarnation_name(entry, peer.started_unix_ms) == name)
     }
 
-    /// Entries that there may be, this one among them: those that the platform lists,
-    /// or if these are more, those that were ever heard.
-    pub(crate) fn entries(&self) -> usize {
+    /// Returns the number of entries that may exist, including this one: those
+    /// in the platform's list or, if more, those that were ever heard from.
+    pub(crate) fn entry_count(&self) -> usize {
         let table = self.table.lock();
-        table.registered.max(table.peers.len() + 1)
+        table.listed_entries.max(table.peers.len() + 1)
     }
 
-    /// Whether an entry was heard lately that can lead in the place of this one, which
-    /// began at `start` and is being stopped.
-    pub(crate) fn has_successor(&self, now: Instant, start: u64) -> bool {
+    /// Returns whether an entry was heard from recently that can become
+    /// coordinator in place of this one, which started at `start` and is
+    /// shutting down.
+    pub(crate) fn has_successor(&self, now: Instant, started_unix_ms: u64) -> bool {
         let table = self.table.lock();
-        let heard = table.heard(now).map(|(_, peer)| peer);
-        let others: Vec<PeerEntry> = heard
+        let live = table.live_peers(now).map(|(_, peer)| peer);
+        let others: Vec<PeerEntry> = live
             .map(|peer| PeerEntry {
-                started_unix_ms: peer.start,
-                stopping: peer.stopping,
+                started_unix_ms: peer.started_unix_ms,
+                stopping: peer.shutting_down,
             })
             .collect();
-        has_successor(start, &others)
+        has_successor(started_unix_ms, &others)
     }
 
-    /// Addresses of the entries of a failure domain that were heard lately.
-    pub(crate) fn neighbours(&self, now: Instant, domain: &str) -> Vec<SocketAddr> {
+    /// Returns the addresses of the entries of a failure domain that were heard
+    /// from recently.
+    pub(crate) fn addresses_in_domain(
+        &self,
+        now: Instant,
+        domain: &str,
+    ) -> Vec<SocketAddr> {
         let table = self.table.lock();
-        let neighbours = table.heard(now).filter(|(_, peer)| peer.domain == domain);
-        neighbours.map(|(_, peer)| peer.address).collect()
+        let neighbors = table
+            .live_peers(now)
+            .filter(|(_, peer)| peer.domain == domain);
+        neighbors.map(|(_, peer)| peer.address).collect()
     }
 
-    /// Adds what other entries demand of a service's models.
-    pub(crate) fn add_loads(
+    /// Adds the other entries' demand for a service's models.
+    pub(crate) fn add_demand(
         &self,
         now: Instant,
         service: &str,
-        loads: &mut BTreeMap<Arc<str>, DemandEstimate>,
+        demand: &mut BTreeMap<Arc<str>, DemandEstimate>,
     ) {
         let table = self.table.lock();
-        let heard = table.heard(now).map(|(_, peer)| peer);
-        for (of, model, load) in heard.flat_map(|peer| &peer.loads) {
+        let live = table.live_peers(now).map(|(_, peer)| peer);
+        for (of, model, load) in live.flat_map(|peer| &peer.demand) {
             if **of == *service {
-                loads.entry(Arc::clone(model)).or_default().add(load);
+                demand.entry(Arc::clone(model)).or_default().add(load);
             }
         }
     }
 
-    /// Address of the giver of orders, if it was heard lately.
-    pub(crate) fn giver(&self, now: Instant) -> Option<SocketAddr> {
+    /// Returns the address of the coordinator, if it was heard from recently.
+    pub(crate) fn coordinator_address(&self, now: Instant) -> Option<SocketAddr> {
         let table = self.table.lock();
-        let heard = table.heard(now).map(|(_, peer)| peer);
-        let giver = heard.filter(|peer| peer.giver_token > 0);
-        giver
-            .max_by_key(|peer| peer.giver_token)
+        let live = table.live_peers(now).map(|(_, peer)| peer);
+        let coordinators = live.filter(|peer| peer.coordinator_token > 0);
+        coordinators
+            .max_by_key(|peer| peer.coordinator_token)
             .map(|peer| peer.address)
     }
 
-    /// Highest token of a giver that was heard within `ms`.
-    pub(crate) fn giver_token(&self, now: Instant, ms: u64) -> u64 {
+    /// Returns the highest fencing token of a coordinator that was heard from
+    /// within `ms`.
+    pub(crate) fn latest_coordinator_token(&self, now: Instant, ms: u64) -> u64 {
         let table = self.table.lock();
-        let heard = table
+        let live = table
             .peers
             .values()
             .filter(|peer| now.ms_since(peer.heard_at) < ms);
-        heard.map(|peer| peer.giver_token).max().unwrap_or(0)
+        live.map(|peer| peer.coordinator_token).max().unwrap_or(0)
     }
 }
--- a/crates/front/src/state/quota.rs
+++ b/crates/front/src/state/quota.rs
@@ -1,5 +1,5 @@
-//! Tokens of workspaces and of upstreams at this entry, and what was asked of others
-//! for them.
+//! Tokens of workspaces and of upstreams at this entry, and requests for tokens
+//! to other entries.
 
 use base::prelude::*;
 use direct::Config;
@@ -13,52 +13,54 @@
 use super::Node;
 use crate::quota::Scope;
 
-/// Time without an answer after which another entry keeps what this one kept. A
-/// question is answered within a millisecond, and within a tenth of a second where a
-/// process has used up its share of the processor.
-const AWAY_AFTER_MS: u64 = 350;
+/// Time without a response after which another entry takes over as keeper. A
+/// request is answered within a millisecond, or within a tenth of a second by a
+/// process that has used up its share of CPU time.
+const KEEPER_TIMEOUT_MS: u64 = 350;
 
-/// Time for which an entry that did not answer is left out; it is tried again then.
-const AWAY_FOR_MS: u64 = 1_500;
+/// Time for which an unresponsive entry is excluded, after which it is tried
+/// again.
+const KEEPER_EXCLUSION_MS: u64 = 1_500;
 
-/// Time for which a question is remembered. Its answer may come late, and what it
-/// brings is put back.
-const OPEN_MS: u64 = 3_000;
+/// Time for which a request is remembered. Its response may come late; the
+/// tokens that it brings are returned to the pool.
+const REQUEST_RETENTION_MS: u64 = 3_000;
 
-/// Longest time for which a refusal answers for the next requests of the workspace as
-/// well. It spares the keeper a question for each request of a workspace that sends
-/// many times its limit, and holds tokens back from others for no longer than this.
-const SHORT_MS: u64 = 50;
+/// Longest time for which one refusal also applies to the following requests of
+/// a workspace. It saves the keeper a request for each one when a workspace far
+/// exceeds its limit, and withholds tokens from others no longer than this.
+const MAX_SHORTAGE_CACHE_MS: u64 = 50;
 
-/// Tokens of one kind of pools at this entry.
+/// Token pools of one scope at this entry.
 #[derive(Debug)]
 pub(crate) struct Quotas {
     pub(crate) pools: Mutex<Pools>,
-    /// Questions of others that were answered.
-    pub(crate) asked: Mutex<Asked>,
-    /// Whether the others have known this entry for long enough that it may make
-    /// tokens.
+    /// Requests of other entries that were answered.
+    pub(crate) answered_requests: Mutex<Asked>,
+    /// Whether the other entries have known this one for long enough that it
+    /// may produce tokens.
     pub(crate) is_settled: AtomicBool,
-    /// Told when something has a bound.
-    pub(crate) bounded: Notify,
-    open: Mutex<HashMap<u64, Open>>,
-    /// Number of the last question or feed.
-    last: AtomicU64,
-    /// Entries that were sent something, since when without an answer.
+    /// Notified when a limit is set.
+    pub(crate) limits_set: Notify,
+    pending: Mutex<HashMap<u64, PendingRequest>>,
+    /// Number of the last request or feed.
+    last_number: AtomicU64,
+    /// Entries that were sent something, with the time since which they have
+    /// not responded.
     unanswered: Mutex<HashMap<String, Instant>>,
-    /// Start and number of the last feed of each entry.
-    fed: Mutex<HashMap<Arc<str>, (u64, u64)>>,
-    /// Until when a workspace's requests are refused without asking, and when they
-    /// should come back.
-    short: Mutex<HashMap<Arc<str>, (Instant, Instant)>>,
+    /// Incarnation and number of the last feed of each entry.
+    last_feeds: Mutex<HashMap<Arc<str>, (u64, u64)>>,
+    /// Until when a workspace's requests are refused without asking, and when
+    /// they should come back.
+    shortages: Mutex<HashMap<Arc<str>, (Instant, Instant)>>,
 }
 
-/// A question that has no answer yet.
+/// A request that has no response yet.
 #[derive(Debug)]
-struct Open {
+struct PendingRequest {
     workspace: Arc<str>,
     cost: f64,
-    asked_at: Instant,
+    sent_at: Instant,
     answer: Option<oneshot::Sender<Take>>,
 }
 
@@ -66,49 +68,50 @@
     pub(crate) fn new(overdraft: f64) -> Self {
         Self {
             pools: Mutex::new(Pools::new(overdraft)),
-            asked: Mutex::default(),
+            answered_requests: Mutex::default(),
             is_settled: AtomicBool::new(false),
-            bounded: Notify::new(),
-            open: Mutex::default(),
-            last: AtomicU64::new(0),
+            limits_set: Notify::new(),
+            pending: Mutex::default(),
+            last_number: AtomicU64::new(0),
             unanswered: Mutex::default(),
-            fed: Mutex::default(),
-            short: Mutex::default(),
+            last_feeds: Mutex::default(),
+            shortages: Mutex::default(),
         }
     }
 
-    /// Takes over the bounds of a configuration.
-    pub(crate) fn set_limits(&self, now: Instant, setup: &Config) {
-        let workspaces = setup.directory.iter();
+    /// Sets the limits of workspaces from a configuration.
+    pub(crate) fn set_workspace_limits(&self, now: Instant, config: &Config) {
+        let workspaces = config.directory.iter();
         let workspaces = workspaces.flat_map(|directory| directory.workspaces());
         let limits = workspaces.filter_map(|workspace| {
             let allowance = workspace.allowance.as_ref()?;
             Some((&workspace.name, allowance.limit))
         });
-        self.set_bounds(now, limits);
-        self.short.lock().clear();
+        self.set_pool_limits(now, limits);
+        self.shortages.lock().clear();
     }
 
-    /// Takes over all bounds.
-    pub(crate) fn set_bounds<'a>(
+    /// Sets all limits.
+    pub(crate) fn set_pool_limits<'a>(
         &self,
         now: Instant,
-        bounds: impl IntoIterator<Item = (&'a Arc<str>, Limit)>,
+        limits: impl IntoIterator<Item = (&'a Arc<str>, Limit)>,
     ) {
         let mut pools = self.pools.lock();
-        pools.set_limits(now, bounds);
+        pools.set_limits(now, limits);
         if !pools.is_empty() {
-            self.bounded.notify_one();
+            self.limits_set.notify_one();
         }
     }
 
-    /// A number for a question or a feed. Both grow together.
+    /// Returns the next number for a request or a feed. Both share one
+    /// sequence.
     pub(crate) fn next_number(&self) -> u64 {
-        self.last.fetch_add(1, Ordering::Relaxed) + 1
+        self.last_number.fetch_add(1, Ordering::Relaxed) + 1
     }
 
-    /// Opens a question; its answer comes by the receiver.
-    pub(crate) fn open(
+    /// Opens a request. The receiver gets its result.
+    pub(crate) fn open_request(
         &self,
         now: Instant,
         workspace: &Arc<str>,
@@ -116,95 +119,108 @@
     ) -> (u64, oneshot::Receiver<Take>) {
         let (sender, receiver) = oneshot::channel();
         let id = self.next_number();
-        let open = Open {
+        let pending = PendingRequest {
             workspace: Arc::clone(workspace),
             cost,
-            asked_at: now,
+            sent_at: now,
             answer: Some(sender),
         };
-        self.open.lock().insert(id, open);
+        self.pending.lock().insert(id, pending);
         (id, receiver)
     }
 
-    /// A question was answered. Tokens for a request that waits no more are put back.
-    pub(crate) fn answered(&self, id: u64, take: Take) {
-        let Some(open) = self.open.lock().remove(&id) else {
+    /// Completes a request. If nobody waits for its tokens anymore, they are
+    /// returned to the pool.
+    pub(crate) fn complete(&self, id: u64, take: Take) {
+        let Some(pending) = self.pending.lock().remove(&id) else {
             return;
         };
-        let unused = open.answer.is_none_or(|answer| answer.send(take).is_err());
+        let unused = pending
+            .answer
+            .is_none_or(|answer| answer.send(take).is_err());
         if unused && take == Take::Taken {
-            self.pools.lock().give_back(&open.workspace, open.cost);
+            self.pools
+                .lock()
+                .give_back(&pending.workspace, pending.cost);
         }
     }
 
-    /// Something that wants an answer was sent to an entry.
-    pub(crate) fn sent(&self, now: Instant, entry: &str) {
+    /// Records that a message that needs a response was sent to an entry.
+    pub(crate) fn note_sent(&self, now: Instant, entry: &str) {
         let mut unanswered = self.unanswered.lock();
         if !unanswered.contains_key(entry) {
             unanswered.insert(entry.to_owned(), now);
         }
     }
 
-    /// An entry answered.
-    pub(crate) fn heard(&self, entry: &str) {
+    /// Records that an entry responded.
+    pub(crate) fn note_answer(&self, entry: &str) {
         self.unanswered.lock().remove(entry);
     }
 
-    /// Entries that have not answered lately.
-    pub(crate) fn away(&self, now: Instant) -> Vec<String> {
+    /// Returns the entries that have not responded recently.
+    pub(crate) fn unresponsive(&self, now: Instant) -> Vec<String> {
         let unanswered = self.unanswered.lock();
-        let away = unanswered
+        let unresponsive = unanswered
             .iter()
-            .filter(|(_, since)| now.ms_since(**since) >= AWAY_AFTER_MS);
-        away.map(|(name, _)| name.clone()).collect()
+            .filter(|(_, since)| now.ms_since(**since) >= KEEPER_TIMEOUT_MS);
+        unresponsive.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Whether a feed is new: later than all that came from this start of its sender.
-    pub(crate) fn is_new_feed(&self, from: &Arc<str>, start: u64, feed: u64) -> bool {
-        let mut fed = self.fed.lock();
-        let last = fed.entry(Arc::clone(from)).or_default();
-        let is_new = (start, feed) > *last;
+    /// Returns whether a feed is later than all others from this incarnation of
+    /// its sender, and records it.
+    pub(crate) fn is_new_feed(&self, from: &Arc<str>, start: u64, number: u64) -> bool {
+        let mut last_feeds = self.last_feeds.lock();
+        let last = last_feeds.entry(Arc::clone(from)).or_default();
+        let is_new = (start, number) > *last;
         if is_new {
-            *last = (start, feed);
+            *last = (start, number);
         }
         is_new
     }
 
-    /// A workspace has too little for some time.
-    pub(crate) fn note_short(&self, now: Instant, workspace: &Arc<str>, ms: u64) {
-        let until = now.plus_ms(ms.min(SHORT_MS));
+    /// Records that a workspace has too few tokens for some time.
+    pub(crate) fn cache_shortage(&self, now: Instant, workspace: &Arc<str>, ms: u64) {
+        let until = now.plus_ms(ms.min(MAX_SHORTAGE_CACHE_MS));
         let known = (until, now.plus_ms(ms));
-        self.short.lock().insert(Arc::clone(workspace), known);
+        self.shortages.lock().insert(Arc::clone(workspace), known);
     }
 
-    /// Time in which a workspace has something again that was found a moment ago to
-    /// have too little.
-    pub(crate) fn short_ms(&self, now: Instant, workspace: &str) -> Option<u64> {
-        let short = self.short.lock();
-        let (until, return_at) = short.get(workspace)?;
+    /// Returns the time until a workspace has tokens again, if it was found
+    /// short of them a moment ago.
+    pub(crate) fn cached_shortage_ms(
+        &self,
+        now: Instant,
+        workspace: &str,
+    ) -> Option<u64> {
+        let shortages = self.shortages.lock();
+        let (until, return_at) = shortages.get(workspace)?;
         (now < *until).then(|| return_at.ms_since(now))
     }
 
-    /// Forgets what is too old to matter.
+    /// Removes expired state.
     pub(crate) fn sweep(&self, now: Instant) {
         self.pools.lock().sweep(now);
-        let mut open = self.open.lock();
-        open.retain(|_, open| now.ms_since(open.asked_at) < OPEN_MS);
-        drop(open);
+        let mut pending = self.pending.lock();
+        pending
+            .retain(|_, request| now.ms_since(request.sent_at) < REQUEST_RETENTION_MS);
+        drop(pending);
         let mut unanswered = self.unanswered.lock();
-        unanswered.retain(|_, at| now.ms_since(*at) < AWAY_AFTER_MS + AWAY_FOR_MS);
+        unanswered.retain(|_, at| {
+            now.ms_since(*at) < KEEPER_TIMEOUT_MS + KEEPER_EXCLUSION_MS
+        });
     }
 }
 
-/// Tokens that a request has taken. Given up before it was sent anywhere, they are
-/// put back.
+/// Tokens that a request has taken. They are returned to the pool if it is
+/// dropped before the request was sent anywhere.
 #[derive(Debug)]
 pub(crate) struct Charge {
     node: Arc<Node>,
     scope: Scope,
     pool: Arc<str>,
     pub(crate) cost: f64,
-    /// Whether the request runs, or may have run.
+    /// Whether the request is running or may have run.
     pub(crate) is_used: bool,
 }
 
--- a/crates/front/src/stream.rs
+++ b/crates/front/src/stream.rs
@@ -1,4 +1,4 @@
-//! Streams, given on event by event.
+//! Forwards streams event by event.
 
 use bytes::{Bytes, BytesMut};
 use futures::stream::unfold;
@@ -10,82 +10,90 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-use crate::answer::{AnswerBody, BrokenOff};
-use crate::beliefs::tell_doubt;
+use crate::attempt::UpstreamStream;
+use crate::dispatch::{Dispatch, DispatchResult};
 use crate::events::{Event, EventSplitter};
-use crate::run::{End, Run};
-use crate::tries::Live;
+use crate::response::{ResponseAborted, ResponseBody};
+use crate::state_monitor::log_if_newly_avoided;
 
-/// Time between two looks at whether an upstream has fallen silent.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+/// Interval at which a waiting stream checks whether its upstream has fallen
+/// silent.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A stream on its way to its caller.
-pub(crate) struct Pump {
-    run: Run,
-    live: Option<Box<Live>>,
+/// Forwards one stream to its caller, from one upstream or several.
+pub(crate) struct StreamForwarder {
+    dispatch: Dispatch,
+    source: Option<Box<UpstreamStream>>,
     splitter: EventSplitter,
-    /// An event came that belongs to nothing: what was before it is given on, and
-    /// the stream has broken there.
-    misfit: bool,
+    /// An event arrived after a gap. The events before it are forwarded, then
+    /// the stream counts as broken.
+    gap_found: bool,
     status: StatusCode,
     headers: HeaderMap,
-    over: bool,
+    finished: bool,
 }
 
-/// What the upstream's bytes gave.
-enum Step {
-    /// Whole events.
+/// Result of reading from the upstream.
+enum StreamStep {
+    /// Complete events.
     Events(Bytes),
     /// The stream is complete.
     Complete,
-    /// It broke.
-    Broke,
-    /// The caller's time is over.
-    Late,
+    /// The stream broke.
+    Broken,
+    /// The request's deadline has passed.
+    DeadlinePassed,
 }
 
-/// Waits for the first event, so that a stream that breaks before it can still
-/// be answered as if it had never begun.
+/// Waits for the first event, so that a stream that breaks before it can be
+/// handled as if it had never started.
 ///
 /// # Errors
 ///
-/// The stream broke and could not be continued.
-pub(crate) async fn begin(
-    run: Run,
-    live: Live,
-) -> Result<(Option<Bytes>, Pump), (Run, End)> {
-    let mut pump = Pump {
-        status: live.status,
-        headers: live.headers.clone(),
-        run,
-        live: Some(Box::new(live)),
+/// The stream broke and could not be resumed.
+pub(crate) async fn start_stream(
+    dispatch: Dispatch,
+    source: UpstreamStream,
+) -> Result<(Option<Bytes>, StreamForwarder), (Dispatch, DispatchResult)> {
+    let mut forwarder = StreamForwarder {
+        status: source.status,
+        headers: source.headers.clone(),
+        dispatch,
+        source: Some(Box::new(source)),
         splitter: EventSplitter::default(),
-        misfit: false,
-        over: false,
+        gap_found: false,
+        finished: false,
     };
-    match pump.next().await {
-        Ok(first) => Ok((first, pump)),
-        Err(end) => Err((pump.run, end)),
+    match forwarder.next().await {
+        Ok(first) => Ok((first, forwarder)),
+        Err(end) => Err((forwarder.dispatch, end)),
     }
 }
 
-/// The answer that gives a stream on. It keeps the head of the first upstream.
-pub(crate) fn pass_on(first: Option<Bytes>, pump: Pump) -> Response<AnswerBody> {
-    let (status, headers) = (pump.status, pump.headers.clone());
-    let frames = unfold((first, Some(pump)), |(first, pump)| async {
-        let mut pump = pump?;
+/// Returns the response that forwards a stream. It keeps the head of the first
+/// upstream's response.
+pub(crate) fn forward(
+    first: Option<Bytes>,
+    forwarder: StreamForwarder,
+) -> Response<ResponseBody> {
+    let (status, headers) = (forwarder.status, forwarder.headers.clone());
+    let frames = unfold((first, Some(forwarder)), |(first, forwarder)| async {
+        let mut forwarder = forwarder?;
         if let Some(bytes) = first {
-            return Some((Ok(Frame::data(bytes)), (None, Some(pump))));
+            return Some((Ok(Frame::data(bytes)), (None, Some(forwarder))));
         }
-        match pump.next().await {
-            Ok(Some(bytes)) => Some((Ok(Frame::data(bytes)), (None, Some(pump)))),
+        match forwarder.next().await {
+            Ok(Some(bytes)) => Some((Ok(Frame::data(bytes)), (None, Some(forwarder)))),
             Ok(None) => None,
             Err(_) => {
-                pump.run.tell("broke_off", status_of(&pump));
-                // The library ends the connection at once and would take with it
-                // what was given on just before and is not yet written.
+                forwarder
+                    .dispatch
+                    .record_end("broke_off", status_of(&forwarder));
+                // On an error the HTTP library closes the connection at once,
+                // which would discard forwarded events that are not written
+                // yet.
                 tokio::task::yield_now().await;
-                Some((Err(BrokenOff), (None, None)))
+                Some((Err(ResponseAborted), (None, None)))
             }
         }
     });
@@ -95,147 +103,152 @@
     response
 }
 
-fn status_of(pump: &Pump) -> u16 {
-    pump.status.as_u16()
+fn status_of(forwarder: &StreamForwarder) -> u16 {
+    forwarder.status.as_u16()
 }
 
-impl Pump {
-    /// The next events; `None` at the end of a complete stream.
-    async fn next(&mut self) -> Result<Option<Bytes>, End> {
-        if self.over {
+impl StreamForwarder {
+    /// Returns the next events, or `None` at the end of a complete stream.
+    async fn next(&mut self) -> Result<Option<Bytes>, DispatchResult> {
+        if self.finished {
             return Ok(None);
         }
         loop {
             match self.step().await {
-                Step::Events(bytes) => {
-                    self.run.first_answer();
+                StreamStep::Events(bytes) => {
+                    self.dispatch.record_first_response();
                     return Ok(Some(bytes));
                 }
-                Step::Complete => {
-                    self.over = true;
-                    if let Some(live) = self.live.take() {
-                        live.finished();
+                StreamStep::Complete => {
+                    self.finished = true;
+                    if let Some(source) = self.source.take() {
+                        source.finished();
                     }
-                    self.run.tell("answered", self.status.as_u16());
+                    self.dispatch.record_end("answered", self.status.as_u16());
                     return Ok(None);
                 }
-                Step::Broke => self.go_on().await?,
-                Step::Late => {
-                    self.live = None;
-                    return Err(self.run.late());
+                StreamStep::Broken => self.resume().await?,
+                StreamStep::DeadlinePassed => {
+                    self.source = None;
+                    return Err(self.dispatch.deadline_passed());
                 }
             }
         }
     }
 
-    async fn step(&mut self) -> Step {
+    async fn step(&mut self) -> StreamStep {
         loop {
-            if let Some(step) = self.whole_events() {
+            if let Some(step) = self.take_events() {
                 return step;
             }
-            let Some(live) = &mut self.live else {
-                return Step::Broke;
+            let Some(source) = &mut self.source else {
+                return StreamStep::Broken;
             };
-            let left_ms = self.run.call.left_ms(self.run.node.clock);
-            if left_ms == 0 || self.run.ends_at_stop() {
-                return Step::Late;
+            let remaining_ms =
+                self.dispatch.request.remaining_ms(self.dispatch.node.clock);
+            if remaining_ms == 0 || self.dispatch.must_end_for_shutdown() {
+                return StreamStep::DeadlinePassed;
             }
-            let look = LOOK_EVERY.min(Duration::from_millis(left_ms));
-            match timeout(look, live.body.frame()).await {
+            let check_after = CHECK_INTERVAL.min(Duration::from_millis(remaining_ms));
+            match timeout(check_after, source.body.frame()).await {
                 Err(_) => {
-                    if self.is_given_up() {
-                        return Step::Broke;
+                    if self.should_give_up() {
+                        return StreamStep::Broken;
                     }
                 }
-                Ok(None) if self.splitter.is_inside() => return Step::Broke,
-                Ok(None) => return Step::Complete,
-                Ok(Some(Err(_))) => return Step::Broke,
+                Ok(None) if self.splitter.has_partial_event() => {
+                    return StreamStep::Broken;
+                }
+                Ok(None) => return StreamStep::Complete,
+                Ok(Some(Err(_))) => return StreamStep::Broken,
                 Ok(Some(Ok(frame))) => {
-                    live.in_flight.heard();
+                    source.in_flight.record_bytes();
                     let data = frame.into_data().unwrap_or_default();
                     if self.splitter.push(&data).is_err() {
-                        return Step::Broke;
+                        return StreamStep::Broken;
                     }
                 }
             }
         }
     }
 
-    /// Takes whole events out of what came, as one piece.
-    fn whole_events(&mut self) -> Option<Step> {
+    /// Takes all complete events from the buffer, joined together.
+    fn take_events(&mut self) -> Option<StreamStep> {
         let mut bytes = BytesMut::new();
-        while !self.misfit {
+        while !self.gap_found {
             let Some(event) = self.splitter.next_event() else {
                 break;
             };
-            match self.place(&event) {
-                Place::Next => bytes.extend_from_slice(&event.bytes),
-                Place::Known => {}
-                Place::Wrong => self.misfit = true,
+            match self.event_position(&event) {
+                EventPosition::Next => bytes.extend_from_slice(&event.bytes),
+                EventPosition::Duplicate => {}
+                EventPosition::Gap => self.gap_found = true,
             }
         }
         if !bytes.is_empty() {
-            return Some(Step::Events(bytes.freeze()));
+            return Some(StreamStep::Events(bytes.freeze()));
         }
-        self.misfit.then_some(Step::Broke)
+        self.gap_found.then_some(StreamStep::Broken)
     }
 
-    /// Where an event belongs. One that the caller has already is left out; one
-    /// behind a gap belongs to nothing that can be given on.
-    fn place(&mut self, event: &Event) -> Place {
+    /// Returns where an event belongs. Events that the caller already has are
+    /// dropped; an event after a gap can't be forwarded.
+    fn event_position(&mut self, event: &Event) -> EventPosition {
         let Some(id) = event.id else {
-            return Place::Next;
+            return EventPosition::Next;
         };
-        match self.run.last_event {
-            Some(last) if id <= last => Place::Known,
-            Some(last) if id > last + 1 => Place::Wrong,
+        match self.dispatch.last_event_id {
+            Some(last) if id <= last => EventPosition::Duplicate,
+            Some(last) if id > last + 1 => EventPosition::Gap,
             _ => {
-                self.run.last_event = Some(id);
-                Place::Next
+                self.dispatch.last_event_id = Some(id);
+                EventPosition::Next
             }
         }
     }
 
-    /// Whether the stream is better continued elsewhere than waited for.
-    fn is_given_up(&self) -> bool {
+    /// Returns whether the stream should be resumed elsewhere rather than wait
+    /// for this upstream.
+    fn should_give_up(&self) -> bool {
         if self
-            .live
+            .source
             .as_ref()
-            .is_some_and(|live| live.in_flight.is_over())
+            .is_some_and(|source| source.in_flight.is_superseded())
         {
             return true;
         }
-        if !self.run.call.route.kind.may_rerun() {
+        if !self.dispatch.request.route.kind.may_rerun() {
             return false;
         }
-        let live = self.live.as_ref();
-        let silent = live.filter(|live| live.in_flight.is_silent());
-        let Some(live) = silent else {
+        let source = self.source.as_ref();
+        let silent = source.filter(|source| source.in_flight.is_silent());
+        let Some(source) = silent else {
             return false;
         };
-        let upstream = &live.in_flight.upstream;
-        tell_doubt(&self.run.node, upstream);
-        // With nobody to go on, giving up would break the answer off for certain;
-        // an upstream that is only late still ends it.
-        self.run.has_another(upstream)
+        let upstream = &source.in_flight.upstream;
+        log_if_newly_avoided(&self.dispatch.node, upstream);
+        // Without an alternative, giving up would certainly cut the response
+        // off, while an upstream that is only slow still completes it.
+        self.dispatch.has_alternative(upstream)
     }
 
-    /// Continues the stream at another upstream, behind the last whole event.
-    async fn go_on(&mut self) -> Result<(), End> {
+    /// Resumes the stream at another upstream, after the last complete event.
+    async fn resume(&mut self) -> Result<(), DispatchResult> {
         self.splitter = EventSplitter::default();
-        self.misfit = false;
-        let broken = self.live.take();
-        let upstream = broken.map(|live| {
-            let id = Arc::clone(&live.in_flight.upstream);
-            live.broke(self.run.call.fingerprint);
+        self.gap_found = false;
+        let broken_source = self.source.take();
+        let upstream = broken_source.map(|source| {
+            let id = Arc::clone(&source.in_flight.upstream);
+            source.broken(self.dispatch.request.fingerprint);
             id
         });
-        if let Some(end) = upstream.and_then(|id| self.run.after_break(&id)) {
+        if let Some(end) = upstream.and_then(|id| self.dispatch.after_stream_break(&id))
+        {
             return Err(end);
         }
-        match self.run.until_answer().await {
-            End::Live(live) => {
-                self.live = Some(live);
+        match self.dispatch.run_until_response().await {
+            DispatchResult::Stream(source) => {
+                self.source = Some(source);
                 Ok(())
             }
             end => Err(end),
@@ -243,8 +256,8 @@
     }
 }
 
-enum Place {
+enum EventPosition {
     Next,
-    Known,
-    Wrong,
+    Duplicate,
+    Gap,
 }
--- /dev/null
+++ b/crates/front/src/upstream_address.rs
@@ -0,0 +1,29 @@
+//! Addresses of upstreams, and upstreams that can't be connected to.
+
+use direct::UpstreamIncarnation;
+
+use crate::state::Node;
+use crate::state::connection_pool::UpstreamAddress;
+use crate::state_monitor::log_if_newly_avoided;
+
+/// Returns the address of the latest incarnation of an upstream.
+pub(crate) fn address_of(node: &Node, id: &str) -> Option<UpstreamAddress> {
+    let fleet = node.fleet.lock();
+    fleet.get(id).map(|upstream| UpstreamAddress {
+        started_unix_ms: upstream.record.started_unix_ms,
+        socket_address: upstream.record.address,
+    })
+}
+
+/// Records that an incarnation of an upstream could not be connected to.
+pub(crate) fn record_unreachable(node: &Node, id: &str, started_unix_ms: Option<u64>) {
+    let now = node.now();
+    let incarnation = UpstreamIncarnation {
+        id,
+        started_unix_ms,
+    };
+    if let Some(upstream) = node.fleet.lock().incarnation_mut(incarnation) {
+        upstream.connect_failed(now);
+    }
+    log_if_newly_avoided(node, id);
+}
--- a/crates/front/src/upstream_rate.rs
+++ b/crates/front/src/upstream_rate.rs
@@ -1,9 +1,11 @@
-//! Keeps to the rates that upstreams ask for, over all entries together.
+//! Enforces the request rates that upstreams advertise, over all entries
+//! together.
 //!
-//! A rate counts whichever entries the requests come from, some of which may not hear
-//! one another. As with workspaces, what may be sent is tokens that all entries make
-//! in small parts and that are moved and never copied: the bound holds by the `quota`
-//! crate, and an entry that is cut off sends less and not more.
+//! A rate applies no matter which entries the requests come from, some of which
+//! may be cut off from one another. As with workspaces, entries produce tokens
+//! in small shares, and tokens are moved between entries but never copied. The
+//! `quota` crate guarantees the limit; an entry that is cut off sends less, not
+//! more.
 
 use base::prelude::*;
 use direct::{Fleet, RateNotice, Upstream, UpstreamIncarnation};
@@ -17,19 +19,21 @@
 use crate::state::quota::Charge;
 use crate::{AdvertisedRate, ResponseHead};
 
-/// When an upstream is asked for again of whose bound its keeper does not know yet.
-const UNKNOWN_RETRY_MS: u64 = 100;
+/// When to consider an upstream again whose limit the keeper of its tokens
+/// doesn't know yet.
+const UNKNOWN_LIMIT_RETRY_MS: u64 = 100;
 
-/// Shortest time for which an upstream is passed over whose rate is spent.
-const SPENT_MIN_MS: u64 = 20;
+/// Shortest time for which an upstream is passed over when its rate is used up.
+const MIN_SKIP_MS: u64 = 20;
 
-/// Takes over what an answer of an upstream says of its rate.
+/// Records the rate that an upstream's response advertises.
 ///
-/// That it asks for none is believed of an answer that it worked out alone: a report, a
-/// refusal or a spoilt answer may lack the rate while it holds.
-pub(crate) fn learn(
+/// The absence of a rate counts only in a signed response, which the upstream
+/// produced itself: a report, a refusal or a corrupted response may lack the
+/// rate while it still applies.
+pub(crate) fn record_advertised(
     node: &Node,
-    start: UpstreamIncarnation<'_>,
+    incarnation: UpstreamIncarnation<'_>,
     head: &ResponseHead,
     asked_at: Instant,
 ) {
@@ -39,7 +43,7 @@
         AdvertisedRate::PerSecond(per_s) => Some(per_s),
         AdvertisedRate::Unlimited => None,
     };
-    if per_s.is_none() && is_unbounded(node) {
+    if per_s.is_none() && has_no_limits(node) {
         return;
     }
     let heard_at = node.now();
@@ -48,38 +52,41 @@
         asked_at,
         heard_at,
     };
-    let changed = node.fleet.lock().note_rate(start, notice);
+    let changed = node.fleet.lock().note_rate(incarnation, notice);
     if changed {
-        changed_by(node, start.id, per_s, &node.options.entry);
-        node.peers.wake.notify_one();
+        on_rate_change(node, incarnation.id, per_s, &node.options.entry);
+        node.peers.announce_now.notify_one();
     }
 }
 
-/// Takes over what another entry tells of upstreams' rates.
-pub(crate) fn hear(node: &Node, entry: &str, rates: &[UpstreamRate]) {
+/// Applies the upstream rates that another entry announces.
+pub(crate) fn receive(node: &Node, entry: &str, rates: &[UpstreamRate]) {
     let now = node.now();
-    for told in rates {
-        let born_ms = (told.born_ms > 0).then_some(told.born_ms);
-        let start = UpstreamIncarnation {
-            id: &told.upstream,
-            started_unix_ms: born_ms,
+    for rate in rates {
+        let started_unix_ms = (rate.born_ms > 0).then_some(rate.born_ms);
+        let incarnation = UpstreamIncarnation {
+            id: &rate.upstream,
+            started_unix_ms,
         };
-        let per_s = told
+        let per_s = rate
             .per_s
             .filter(|per_s| per_s.is_finite() && *per_s >= 0.0);
-        if per_s.is_none() && told.per_s.is_some() {
+        if per_s.is_none() && rate.per_s.is_some() {
             continue;
         }
-        let ago = (told.asked_ms_ago, told.heard_ms_ago);
-        let changed = node.fleet.lock().peer_reported_rate(now, start, per_s, ago);
+        let ago = (rate.asked_ms_ago, rate.heard_ms_ago);
+        let changed =
+            node.fleet
+                .lock()
+                .peer_reported_rate(now, incarnation, per_s, ago);
         if changed {
-            changed_by(node, &told.upstream, per_s, entry);
+            on_rate_change(node, &rate.upstream, per_s, entry);
         }
     }
 }
 
-/// What is told to other entries.
-pub(crate) fn told(fleet: &Fleet, now: Instant) -> Vec<UpstreamRate> {
+/// Returns the rates to announce to other entries.
+pub(crate) fn to_announce(fleet: &Fleet, now: Instant) -> Vec<UpstreamRate> {
     let rates = fleet
         .rate_notices(now)
         .map(|(upstream, notice)| UpstreamRate {
@@ -92,16 +99,16 @@
     rates.collect()
 }
 
-fn changed_by(node: &Node, upstream: &str, per_s: Option<f64>, told_by: &str) {
-    follow(node);
+fn on_rate_change(node: &Node, upstream: &str, per_s: Option<f64>, told_by: &str) {
+    update_limits(node);
     node.log.line(
         "upstream_rate",
         json!({ "upstream": upstream, "per_s": per_s, "told_by": told_by }),
     );
 }
 
-/// Has tokens made for the upstreams that ask for a rate, and for no others.
-pub(crate) fn follow(node: &Node) {
+/// Sets the token limits to the rates of all upstreams that advertise one.
+pub(crate) fn update_limits(node: &Node) {
     let quotas = node.quotas(Scope::Upstreams);
     let limits: Vec<(Arc<str>, Limit)> = {
         let fleet = node.fleet.lock();
@@ -110,33 +117,33 @@
         limits.collect()
     };
     let limits = limits.iter().map(|(key, limit)| (key, *limit));
-    quotas.set_bounds(node.now(), limits);
+    quotas.set_pool_limits(node.now(), limits);
 }
 
-/// Forgets the tokens of upstreams that are not known any more.
-pub(crate) fn sweep(node: &Node) {
+/// Removes the tokens of upstreams that are no longer known.
+pub(crate) fn expire(node: &Node) {
     node.quotas(Scope::Upstreams).sweep(node.now());
-    if !is_unbounded(node) {
-        follow(node);
+    if !has_no_limits(node) {
+        update_limits(node);
     }
 }
 
-/// Whether no upstream asks for a rate.
-fn is_unbounded(node: &Node) -> bool {
+/// Returns whether no upstream advertises a rate.
+fn has_no_limits(node: &Node) -> bool {
     node.quotas(Scope::Upstreams).pools.lock().is_empty()
 }
 
-/// Takes what a request to an upstream costs of its rate; nothing where it asks for
-/// none.
+/// Takes one token of the upstream's rate for a request. Returns `None` if the
+/// upstream advertises no rate.
 ///
 /// # Errors
 ///
-/// All that it takes was sent, and it is passed over for a time.
-pub(crate) async fn admit(
+/// The rate is used up; the upstream is passed over for some time.
+pub(crate) async fn acquire(
     node: &Arc<Node>,
     upstream: &Arc<str>,
-) -> Result<Option<Charge>, RateSpent> {
-    if is_unbounded(node) {
+) -> Result<Option<Charge>, RateExhausted> {
+    if has_no_limits(node) {
         return Ok(None);
     }
     let limit = node
@@ -148,28 +155,28 @@
         return Ok(None);
     };
     let scope = Scope::Upstreams;
-    let taken = take(node, scope, &limit.key, 1.0).await;
-    let return_ms = match taken.take {
+    let result = take(node, scope, &limit.key, 1.0).await;
+    let return_ms = match result.take {
         Some(Take::Taken) => {
             let charge = Charge::new(Arc::clone(node), scope, limit.key, 1.0);
             return Ok(Some(charge));
         }
         Some(Take::Short { return_ms }) => {
-            if taken.asked.is_some() {
+            if result.asked_keeper.is_some() {
                 node.quotas(scope)
-                    .note_short(node.now(), &limit.key, return_ms);
+                    .cache_shortage(node.now(), &limit.key, return_ms);
             }
             return_ms
         }
-        Some(Take::Never | Take::Unbounded) | None => UNKNOWN_RETRY_MS,
+        Some(Take::Never | Take::Unbounded) | None => UNKNOWN_LIMIT_RETRY_MS,
     };
-    let until = node.now().plus_ms(return_ms.max(SPENT_MIN_MS));
+    let until = node.now().plus_ms(return_ms.max(MIN_SKIP_MS));
     if let Some(upstream) = node.fleet.lock().get_mut(upstream) {
         upstream.set_rate_spent_until(until);
     }
-    Err(RateSpent)
+    Err(RateExhausted)
 }
 
-/// An upstream was sent all that it takes.
+/// The rate of an upstream is used up.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct RateSpent;
+pub(crate) struct RateExhausted;
--- /dev/null
+++ b/crates/front/src/upstream_selection.rs
@@ -0,0 +1,346 @@
+//! Selects an upstream for a request, and waits for one as long as the response
+//! can still be in time.
+
+use base::prelude::*;
+use direct::{
+    AdmissionInput, SelectedUpstream, SelectionError, SelectionInput, admit,
+    select_upstream,
+};
+use serde_json::json;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::time::timeout;
+
+use crate::dispatch::{DEFAULT_RETRY_AFTER_MS, Dispatch, Rejection};
+use crate::state::Node;
+use crate::state::caller_request::CallerRequest;
+use crate::state::wanted_adapters::WantedAdapter;
+use crate::upstream_rate::{self, RateExhausted};
+
+/// Share of the time until its first response, in percent, that a request waits
+/// for capacity. The rest is for its execution. A caller that is refused
+/// earlier can still come back in time.
+const MAX_WAIT_PERCENT: u64 = 50;
+
+/// Longest wait for an adapter. Loading one takes tens of milliseconds.
+const ADAPTER_WAIT_MS: u64 = 600;
+
+/// Longest wait for information about an upstream or a model that this entry
+/// knows nothing of.
+const DISCOVERY_WAIT_MS: u64 = 250;
+
+/// Time needed to execute a request between the moment its model is ready and
+/// the latest time for its first response.
+const MIN_RUN_MS: u64 = 200;
+
+/// When to come back for a model whose load has not started.
+const LOAD_RETRY_MS: u64 = 1_500;
+
+/// Longest interval between two attempts to select an upstream while a request
+/// waits.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
+
+/// Number of attempts after which a request is no longer sent to an upstream
+/// that it was sent to before. It is worth asking again an upstream that
+/// refuses every other request; one that is full would keep refusing until the
+/// retry budget is used up.
+const MAX_ATTEMPTS_WITH_RESEND: usize = 3;
+
+impl Dispatch {
+    /// Selects an upstream for the next attempt, waiting for one while the
+    /// response can still be in time.
+    pub(crate) async fn next_upstream(
+        &mut self,
+    ) -> Result<SelectedUpstream, Rejection> {
+        let mut model_wait: Option<ModelWait> = None;
+        let node = Arc::clone(&self.node);
+        let started_at = node.now();
+        loop {
+            let holdings_changed = node.holdings_changed.notified();
+            let capacity_freed = node.capacity_freed.notified();
+            let reason = match self.select() {
+                Ok(selected) => match upstream_rate::acquire(&node, &selected.id).await
+                {
+                    Ok(charge) => {
+                        let selected = self.admit_in_time(selected)?;
+                        self.rate_charge = charge;
+                        return Ok(selected);
+                    }
+                    Err(RateExhausted) => {
+                        self.record_rate_limited();
+                        continue;
+                    }
+                },
+                Err(reason) => reason,
+            };
+            let now = self.node.now();
+            let mut wait_until = self.wait_until(started_at, reason);
+            if let Some(stop_at) = node.shutdown.final_response_at() {
+                wait_until = wait_until.min(stop_at);
+            }
+            if now >= wait_until {
+                self.attempts.push(json!({ "unpicked": reason.as_str() }));
+                return Err(self.rejection(reason));
+            }
+            if model_wait.is_none() {
+                model_wait = Some(ModelWait::start(&self.node, &self.request, reason));
+            }
+            self.request_adapter(reason);
+            let check_after = CHECK_INTERVAL.min(wait_until.since(now));
+            // The next selection decides, whether it was woken up or timed out.
+            let _ = if reason == SelectionError::Full {
+                timeout(check_after, capacity_freed).await
+            } else {
+                timeout(check_after, holdings_changed).await
+            };
+            self.waited_ms += self.node.now().ms_since(now);
+        }
+    }
+
+    /// Counts an upstream that was passed over because its advertised rate is
+    /// used up.
+    fn record_rate_limited(&mut self) {
+        let outcome = SelectionError::RateSpent.as_str();
+        let labels = [&*self.request.service, outcome];
+        self.node.metrics.attempts.with_label_values(&labels).inc();
+        self.rate_limited_count += 1;
+    }
+
+    /// Refuses a request whose response would come too late, as it would only
+    /// delay others. A request that was already sent to an upstream is no
+    /// longer refused.
+    fn admit_in_time(
+        &mut self,
+        selected: SelectedUpstream,
+    ) -> Result<SelectedUpstream, Rejection> {
+        let request = &self.request;
+        let at_engine = request.head.model.is_some();
+        if at_engine {
+            let (prompt, uncached) =
+                (request.head.prompt_tokens, selected.prefill_tokens);
+            self.node.update_demand(&request.service, |demand| {
+                demand.record_sent(prompt, uncached);
+            });
+        }
+        let mean_reading_ms = if at_engine {
+            let mut readings = self.node.readings.lock();
+            readings.observe(&request.route.name, selected.own_prefill_ms)
+        } else {
+            0.0
+        };
+        let admission = AdmissionInput {
+            now: self.node.now(),
+            arrived_at: request.arrived_at,
+            latency_target_ms: request.route.latency_target_ms,
+            first_answer_deadline: request.first_response_by,
+            queue_ms: (selected.first_answer_ms - selected.own_prefill_ms) as u64,
+            prefill_ms: selected.own_prefill_ms as u64,
+            mean_prefill_ms: mean_reading_ms as u64,
+            at_engine,
+        };
+        let late_ms = match admit(&admission) {
+            Err(late_ms) if self.sent_to.is_empty() => late_ms,
+            _ => return Ok(selected),
+        };
+        self.attempts.push(json!({ "unpicked": "too_late",
+            "queue_ms": admission.queue_ms, "reading_ms": admission.prefill_ms,
+            "mean_reading_ms": admission.mean_prefill_ms, "late_ms": late_ms }));
+        Err(Rejection {
+            code: Code::Overloaded,
+            retry_after_ms: late_ms.max(DEFAULT_RETRY_AFTER_MS),
+        })
+    }
+
+    /// Returns until when to wait for an upstream.
+    ///
+    /// A caller that is refused right away can come back at a better time; one
+    /// that waits until it gives up gets nothing.
+    fn wait_until(&self, started_at: Instant, reason: SelectionError) -> Instant {
+        let first_response_by = self.request.first_response_by;
+        let total_ms = first_response_by.ms_since(self.request.arrived_at);
+        let wait_limit = self
+            .request
+            .arrived_at
+            .plus_ms(total_ms * MAX_WAIT_PERCENT / 100);
+        match reason {
+            SelectionError::Full => wait_limit,
+            SelectionError::BackedOff | SelectionError::RateSpent => {
+                match self.available_again_at() {
+                    Some(at) if at < wait_limit => wait_limit,
+                    _ => started_at,
+                }
+            }
+            SelectionError::NoAdapter => {
+                wait_limit.min(started_at.plus_ms(ADAPTER_WAIT_MS))
+            }
+            SelectionError::NoUpstream => {
+                wait_limit.min(started_at.plus_ms(DISCOVERY_WAIT_MS))
+            }
+            SelectionError::NoModel => match self.ready_at() {
+                Some(ready_at) if ready_at.plus_ms(MIN_RUN_MS) < first_response_by => {
+                    first_response_by
+                }
+                _ => wait_limit.min(started_at.plus_ms(DISCOVERY_WAIT_MS)),
+            },
+        }
+    }
+
+    fn ready_at(&self) -> Option<Instant> {
+        let (model, _) = self.request.head.model.as_ref()?;
+        let fleet = self.node.fleet.lock();
+        fleet.model_ready_at(self.node.now(), &self.request.service, model)
+    }
+
+    /// Returns when the first upstream accepts requests again, of those that
+    /// asked for a pause or whose rate is used up.
+    fn available_again_at(&self) -> Option<Instant> {
+        let model = self.request.head.model.as_ref();
+        let model = model.map(|(model, _)| &**model);
+        let fleet = self.node.fleet.lock();
+        fleet.accepts_again_at(self.node.now(), &self.request.service, model)
+    }
+
+    /// Returns when the caller should come back after attempts that were not
+    /// executed. If no upstream accepts requests now, that is when the first one
+    /// does again.
+    pub(crate) fn retry_after_ms(&self) -> u64 {
+        match self.select_excluding(&[]) {
+            Err(reason @ (SelectionError::BackedOff | SelectionError::RateSpent)) => {
+                self.rejection(reason).retry_after_ms
+            }
+            _ => DEFAULT_RETRY_AFTER_MS,
+        }
+    }
+
+    /// Returns the rejection of a request for which there is no upstream.
+    fn rejection(&self, reason: SelectionError) -> Rejection {
+        let now = self.node.now();
+        let retry_after_ms = match reason {
+            SelectionError::NoModel => self
+                .ready_at()
+                .map_or(LOAD_RETRY_MS, |ready_at| ready_at.ms_since(now)),
+            SelectionError::BackedOff | SelectionError::RateSpent => self
+                .available_again_at()
+                .map_or(DEFAULT_RETRY_AFTER_MS, |at| at.ms_since(now)),
+            _ => DEFAULT_RETRY_AFTER_MS,
+        };
+        Rejection {
+            code: refusal_code(reason),
+            retry_after_ms: retry_after_ms.max(DEFAULT_RETRY_AFTER_MS),
+        }
+    }
+
+    /// Selects an upstream that was not attempted yet or, if there is none and
+    /// the request may be executed twice, one that was.
+    fn select(&self) -> Result<SelectedUpstream, SelectionError> {
+        let attempted = self.sent_to.iter().chain(&self.unreachable);
+        let attempted: Vec<Arc<str>> = attempted.cloned().collect();
+        let alternative = self.select_excluding(&attempted);
+        let may_resend = self.request.route.kind.may_rerun()
+            && self.attempts.len() < MAX_ATTEMPTS_WITH_RESEND;
+        if alternative.is_ok() || attempted.is_empty() || !may_resend {
+            return alternative;
+        }
+        self.select_excluding(&[])
+    }
+
+    /// Returns whether an upstream that was not attempted could take the
+    /// request now.
+    pub(crate) fn has_alternative(&self, upstream: &Arc<str>) -> bool {
+        let attempted = self.sent_to.iter().chain(&self.unreachable);
+        let attempted: Vec<Arc<str>> = attempted.chain([upstream]).cloned().collect();
+        self.select_excluding(&attempted).is_ok()
+    }
+
+    fn select_excluding(
+        &self,
+        excluded: &[Arc<str>],
+    ) -> Result<SelectedUpstream, SelectionError> {
+        let request = &self.request;
+        let output_tokens = request.head.output_tokens_max;
+        let model = request.head.model.as_ref();
+        let input = SelectionInput {
+            now: self.node.now(),
+            service: &request.service,
+            engine: request.service_spec.engine.as_ref(),
+            model: model.map(|(model, adapter)| (&**model, adapter.as_deref())),
+            prompt_parts: &request.prompt_parts,
+            priority: request.priority(),
+            prompt_tokens: request.head.prompt_tokens,
+            time_factor: self.node.time_factor_of(request),
+            kv_tokens: request.head.prompt_tokens + output_tokens,
+            excluded,
+            domain: &self.node.options.failure_domain,
+            random: self.node.random(),
+        };
+        select_upstream(&self.node.fleet.lock(), &input)
+    }
+
+    fn request_adapter(&self, reason: SelectionError) {
+        let model = self.request.head.model.as_ref();
+        let Some((model, Some(adapter))) = model else {
+            return;
+        };
+        if reason == SelectionError::NoAdapter {
+            let wanted = WantedAdapter {
+                service: Arc::clone(&self.request.service),
+                model: Arc::clone(model),
+                adapter: Arc::clone(adapter),
+            };
+            self.node.wanted_adapters.add(self.node.now(), wanted);
+        }
+    }
+}
+
+/// Counts a request that waits for its model as demand, until dropped.
+struct ModelWait {
+    node: Arc<Node>,
+    model: Option<(Arc<str>, Arc<str>)>,
+    since: Instant,
+}
+
+impl ModelWait {
+    fn start(
+        node: &Arc<Node>,
+        request: &CallerRequest,
+        reason: SelectionError,
+    ) -> Self {
+        let model = request
+            .head
+            .model
+            .as_ref()
+            .filter(|_| reason == SelectionError::NoModel);
+        let waiting = Self {
+            node: Arc::clone(node),
+            model: model
+                .map(|(model, _)| (Arc::clone(&request.service), Arc::clone(model))),
+            since: node.now(),
+        };
+        if let Some((service, model)) = &waiting.model {
+            node.update_demand(service, |demand| {
+                demand.begin_wait(model, waiting.since);
+            });
+        }
+        waiting
+    }
+}
+
+impl Drop for ModelWait {
+    fn drop(&mut self) {
+        if let Some((service, model)) = &self.model {
+            let since = self.since;
+            self.node
+                .update_demand(service, |demand| demand.end_wait(model, since));
+        }
+    }
+}
+
+const fn refusal_code(reason: SelectionError) -> Code {
+    match reason {
+        SelectionError::NoModel | SelectionError::NoAdapter => Code::ModelUnavailable,
+        SelectionError::NoUpstream
+        | SelectionError::BackedOff
+        | SelectionError::RateSpent
+        | SelectionError::Full => Code::Overloaded,
+    }
+}
--- a/crates/front/tests/all/events.rs
+++ b/crates/front/tests/all/events.rs
@@ -1,4 +1,4 @@
-//! Events, cut out of the bytes of a stream.
+//! Splitting the bytes of a stream into events.
 
 use arbtest::arbtest;
 use front::{EventSplitter, EventTooLarge};
@@ -6,7 +6,7 @@
 /// An event's bytes and its id.
 type Cut = (Vec<u8>, Option<u64>);
 
-/// The events of pieces, and whether a part of one is left.
+/// Returns the events in the pieces, and whether a partial one is left.
 fn cut(pieces: &[&[u8]]) -> (Vec<Cut>, bool) {
     let mut splitter = EventSplitter::default();
     let mut events = Vec::new();
@@ -16,7 +16,7 @@
             events.push((event.bytes.to_vec(), event.id));
         }
     }
-    (events, splitter.is_inside())
+    (events, splitter.has_partial_event())
 }
 
 #[test]
@@ -28,8 +28,8 @@
     assert!(inside);
 }
 
-/// However the network cuts a stream, the same events come out, and together
-/// with what is held they are the bytes that came in.
+/// The same events result however the network splits a stream, and together
+/// with what is held back they equal the bytes received.
 #[test]
 fn pieces_of_any_size_give_the_same_events() {
     for case in 1..=300u64 {
--- a/crates/front/tests/all/log.rs
+++ b/crates/front/tests/all/log.rs
@@ -1,11 +1,11 @@
-//! The log never blocks and takes no unbounded memory.
+//! The log never blocks and uses bounded memory.
 
 use front::Log;
 use serde_json::json;
 use std::io::Write;
 use std::sync::{Arc, Condvar, Mutex};
 
-/// A reader that reads nothing until it is told to.
+/// A writer that blocks until it is opened.
 #[derive(Debug, Default)]
 struct Gate {
     open: Mutex<bool>,
@@ -32,9 +32,9 @@
     }
 }
 
-/// Whoever reads the log has stopped. Requests go on being served: each line
-/// returns at once, what is held stays bounded, and what is dropped is counted.
-/// When the log is read again, it goes on.
+/// Guards against a blocked reader of the log: adding a line returns at once,
+/// the buffer stays bounded, and dropped lines are counted. Once the log is
+/// read again, it continues.
 #[test]
 fn a_blocked_reader_stops_nothing() {
     let gate = Arc::new(Gate::default());
@@ -66,10 +66,10 @@
     }
 }
 
-/// A storm of lines finds no more room, until the next hand-over to the writer makes
-/// some. Lines that were dropped for want of room take nothing from what may be written
-/// in the second: else a storm of twelve thousand requests a second leaves a fifth of
-/// the lines that the log can take.
+/// A burst of lines fills the buffer until the next flush. Lines dropped
+/// because of that must not count towards the lines allowed in that second:
+/// otherwise, at twelve thousand requests per second, only a fifth of the lines
+/// that the log can take are written.
 #[test]
 fn lines_without_room_use_up_no_second() {
     let writes = Writes::default();
@@ -87,7 +87,7 @@
     assert_eq!(log.dropped(), before);
 }
 
-/// Keeps each write by itself.
+/// Stores each write separately.
 #[derive(Debug, Clone, Default)]
 struct Writes(Arc<Mutex<Vec<Vec<u8>>>>);
 
@@ -103,9 +103,10 @@
     }
 }
 
-/// Many requests end at once, and their lines are handed over together. Whatever
-/// collects the log takes only so much of one write as a whole: a larger one
-/// loses the lines behind the cut, which are those that tell why.
+/// Many requests end at once and their lines are flushed together. A log
+/// collector takes only a limited number of bytes from one write as a unit; a
+/// larger write loses the lines after the cut, which are those that explain the
+/// failure.
 #[test]
 fn no_line_is_split_over_two_writes() {
     let writes = Writes::default();
@@ -126,7 +127,7 @@
     }
 }
 
-/// Nobody will ever read the log again.
+/// Standard output is closed and nothing reads the log anymore.
 #[test]
 fn lines_that_can_not_be_written_are_counted() {
     struct Closed;
--- a/crates/front/tests/all/main.rs
+++ b/crates/front/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the parts of the entry's process that need no network.
+//! Tests of the parts of the entry process that need no network.
 
 mod events;
 mod log;
