--- a/crates/front/src/framing.rs
+++ b/crates/front/src/framing.rs
@@ -140,12 +140,12 @@
         self.0.head.lock().read(bytes);
         if !bytes.is_empty() {
             self.0.phase.send_if_modified(|phase| {
-                let begins =
+                let starts_request =
                     matches!(phase, RequestPhase::AwaitingFirst | RequestPhase::Idle);
-                if begins {
+                if starts_request {
                     *phase = RequestPhase::ReadingHead;
                 }
-                begins
+                starts_request
             });
         }
     }
--- a/crates/front/src/log.rs
+++ b/crates/front/src/log.rs
@@ -59,7 +59,7 @@
     ///
     /// Panics if the operating system can't create a thread.
     pub fn start() -> Self {
-        Self::to(std::io::stdout())
+        Self::with_writer(std::io::stdout())
     }
 
     /// Starts a log that writes to `out`.
@@ -67,7 +67,7 @@
     /// # Panics
     ///
     /// Panics if the operating system can't create a thread.
-    pub fn to(mut out: impl Write + Send + 'static) -> Self {
+    pub fn with_writer(mut out: impl Write + Send + 'static) -> Self {
         let (writer, batches) = sync_channel::<Vec<u8>>(1);
         let buffer: Arc<Mutex<LogBuffer>> = Arc::default();
         let shared_buffer = Arc::clone(&buffer);
--- a/crates/front/src/peers/receive.rs
+++ b/crates/front/src/peers/receive.rs
@@ -49,10 +49,10 @@
 
 /// Returns the tokens that a message carries, if any.
 fn token_message(message: &PeerNews) -> Option<(Scope, &Tokens)> {
-    let of = |scope| move |tokens| (scope, tokens);
-    let workspaces = message.tokens.as_ref().map(of(Scope::Workspaces));
+    let with_scope = |scope| move |tokens| (scope, tokens);
+    let workspaces = message.tokens.as_ref().map(with_scope(Scope::Workspaces));
     let upstreams = message.upstream_tokens.as_ref();
-    workspaces.or(upstreams.map(of(Scope::Upstreams)))
+    workspaces.or(upstreams.map(with_scope(Scope::Upstreams)))
 }
 
 fn apply_message(node: &Arc<Node>, from: SocketAddr, message: PeerNews) {
@@ -63,22 +63,28 @@
     }
     shared_watch::receive(node, &message);
     let now = node.now();
-    let uses = message.uses.iter().map(|use_| {
+    let uses = message.uses.iter().map(|upstream_use| {
         let usage = Usage {
-            running: use_.running,
-            prefill: PrefillQueue::from_priorities(&use_.reading_tokens),
-            kv_tokens: use_.kept_tokens,
+            running: upstream_use.running,
+            prefill: PrefillQueue::from_priorities(&upstream_use.reading_tokens),
+            kv_tokens: upstream_use.kept_tokens,
         };
-        (incarnation(&use_.upstream, use_.born_ms), usage)
+        (
+            incarnation(&upstream_use.upstream, upstream_use.born_ms),
+            usage,
+        )
     });
     let mut fleet = node.fleet.lock();
     fleet.set_peer_usage(now, &message.entry, uses);
-    let activity = message.uses.iter().map(|use_| {
+    let activity = message.uses.iter().map(|upstream_use| {
         let activity = Activity {
-            answering: use_.begun,
-            silent_ms: use_.silent_ms,
+            answering: upstream_use.begun,
+            silent_ms: upstream_use.silent_ms,
         };
-        (incarnation(&use_.upstream, use_.born_ms), activity)
+        (
+            incarnation(&upstream_use.upstream, upstream_use.born_ms),
+            activity,
+        )
     });
     fleet.set_peer_activity(now, &message.entry, activity);
     for leaving in &message.leaving {
@@ -87,12 +93,12 @@
     }
     for holding in &message.holdings {
         let residents = holding.models.iter().map(decode_resident).collect();
-        let coming = holding.coming.iter().map(|coming| {
-            let ready_at = now.plus_ms(coming.ready_in_ms);
-            (Arc::from(coming.model.as_str()), ready_at)
+        let loading = holding.coming.iter().map(|model| {
+            let ready_at = now.plus_ms(model.ready_in_ms);
+            (Arc::from(model.model.as_str()), ready_at)
         });
         let incarnation = incarnation(&holding.upstream, holding.born_ms);
-        fleet.set_coordinator_holdings(now, incarnation, residents, coming.collect());
+        fleet.set_coordinator_holdings(now, incarnation, residents, loading.collect());
     }
     if message.giver_token > 0 {
         fleet.coordinator_heard(now, message.giver_token);
--- a/crates/front/src/quota/feed.rs
+++ b/crates/front/src/quota/feed.rs
@@ -42,7 +42,7 @@
     let quotas = node.quotas(scope);
     for (name, (address, pools)) in pools_by_keeper(node, scope) {
         let now = node.now();
-        let kept = |pool: &str| pools.iter().any(|of| **of == *pool);
+        let kept = |pool: &str| pools.iter().any(|name| **name == *pool);
         let is_gone = |keeper: &str| !node.peers.is_live_incarnation(now, keeper);
         let feeds = quotas.pools.lock().feed(now, kept, is_gone);
         let feeds = feeds.into_iter().map(|feed| TokenFeed {
--- a/crates/front/src/quota/receive.rs
+++ b/crates/front/src/quota/receive.rs
@@ -80,10 +80,10 @@
     quotas: &Quotas,
     now: Instant,
     sender: &Arc<str>,
-    start: u64,
+    started_unix_ms: u64,
     ask: &TokenAsk,
 ) -> TokenAnswer {
-    let request_id = (Arc::clone(sender), start, ask.id);
+    let request_id = (Arc::clone(sender), started_unix_ms, ask.id);
     let mut answered = quotas.answered_requests.lock();
     let take = answered.answer(now, request_id, || {
         let mut pools = quotas.pools.lock();
--- a/crates/front/src/response.rs
+++ b/crates/front/src/response.rs
@@ -45,7 +45,7 @@
 }
 
 #[derive(Debug, Serialize)]
-struct Fault<'a> {
+struct RefusalBody<'a> {
     code: u32,
     name: &'a str,
     ran: &'a str,
@@ -57,13 +57,13 @@
     id: &str,
     refusal: &Refusal,
 ) -> Response<ResponseBody> {
-    let fault = Fault {
+    let body = RefusalBody {
         code: refusal.code.number(),
         name: refusal.code.name(),
         ran: refusal.ran.as_str(),
     };
     // A struct of numbers and strings always serializes.
-    let body = serde_json::to_vec(&fault).unwrap_or_default();
+    let body = serde_json::to_vec(&body).unwrap_or_default();
     let mut response = Response::new(full_body(Bytes::from(body)));
     *response.status_mut() = StatusCode::from_u16(refusal.code.http_status())
         .unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
--- a/crates/front/src/shutdown.rs
+++ b/crates/front/src/shutdown.rs
@@ -31,7 +31,7 @@
 /// Time after the termination signal for which connections still take requests.
 /// The load balancer needs two checks, a second apart, to send callers
 /// elsewhere.
-const KEEP_ACCEPTING: Duration = Duration::from_millis(2_200);
+const DRAIN_DELAY: Duration = Duration::from_millis(2_200);
 
 /// How long before it would be killed the process exits by itself.
 const EXIT_MARGIN: Duration = Duration::from_millis(500);
@@ -53,7 +53,7 @@
     log_step(node, "stopping");
     let lease_node = Arc::clone(node);
     let handover = tokio::spawn(async move { hand_over_lease(&lease_node).await });
-    tokio::time::sleep(KEEP_ACCEPTING).await;
+    tokio::time::sleep(DRAIN_DELAY).await;
 
     node.shutdown.close_connections.cancel();
     log_step(node, "closing");
--- a/crates/front/src/start.rs
+++ b/crates/front/src/start.rs
@@ -105,24 +105,24 @@
     what: &'static str,
     address: &mut SocketAddr,
 ) -> Result<TcpListener, StartError> {
-    let fault = BindSnafu {
+    let bind_error = BindSnafu {
         what,
         address: *address,
     };
-    let listener = TcpListener::bind(*address).await.context(fault)?;
-    *address = listener.local_addr().context(fault)?;
+    let listener = TcpListener::bind(*address).await.context(bind_error)?;
+    *address = listener.local_addr().context(bind_error)?;
     Ok(listener)
 }
 
 async fn bind_peer_socket(
     address: &mut SocketAddr,
 ) -> Result<Arc<UdpSocket>, StartError> {
-    let fault = BindSnafu {
+    let bind_error = BindSnafu {
         what: "peers",
         address: *address,
     };
-    let socket = UdpSocket::bind(*address).await.context(fault)?;
-    *address = socket.local_addr().context(fault)?;
+    let socket = UdpSocket::bind(*address).await.context(bind_error)?;
+    *address = socket.local_addr().context(bind_error)?;
     Ok(Arc::new(socket))
 }
 
@@ -137,8 +137,9 @@
         drop(fleet);
         upstream_rate::expire(&node);
         if let Some(config) = node.config() {
-            let named = |name: &str| config.routes().any(|route| *route.name == *name);
-            node.readings.lock().retain(named);
+            let is_configured =
+                |name: &str| config.routes().any(|route| *route.name == *name);
+            node.mean_prefill_times.lock().retain(is_configured);
         }
     }
 }
--- a/crates/front/src/state/lease_relay.rs
+++ b/crates/front/src/state/lease_relay.rs
@@ -70,12 +70,12 @@
     /// the one that this entry asked for.
     pub(crate) fn confirm(&self, record: &LeaseRecord) -> Option<Instant> {
         let mut requested = self.requested.lock();
-        let asked_at = requested
+        let requested_at = requested
             .as_ref()
             .filter(|requested| requested.record == *record)
             .map(|requested| requested.at)?;
         *requested = None;
-        Some(asked_at)
+        Some(requested_at)
     }
 
     /// Returns the request to send to another entry now.
--- a/crates/front/src/state/node.rs
+++ b/crates/front/src/state/node.rs
@@ -67,7 +67,7 @@
     pub(crate) demand: Mutex<BTreeMap<Arc<str>, DemandTracker>>,
     pub(crate) retry_budget: Mutex<RetryBudget>,
     pub(crate) time_factors: Mutex<ModelTimeFactors>,
-    pub(crate) readings: Mutex<MeanPrefillTimes>,
+    pub(crate) mean_prefill_times: Mutex<MeanPrefillTimes>,
     pub(crate) suspects: Mutex<SuspectRequests>,
     pub(crate) wanted_adapters: WantedAdapters,
     /// Quota tokens of workspaces.
@@ -102,18 +102,18 @@
     ) -> Self {
         let now = SystemTime::now().duration_since(UNIX_EPOCH);
         let started_unix_ms = now.map_or(0, |now| now.as_millis() as u64);
-        let bounds = &options.deployment;
+        let deployment = &options.deployment;
         let retry_budget = RetryBudget::new(
             BootClock.now(),
-            bounds.retry_ratio,
-            bounds.retry_burst,
-            bounds.retry_window_ms,
+            deployment.retry_ratio,
+            deployment.retry_burst,
+            deployment.retry_window_ms,
         );
         let lease = Lease::new(
             &options.entry,
             started_unix_ms,
             LEASE_VALID_MS,
-            bounds.coordinator_takeover_ms,
+            deployment.coordinator_takeover_ms,
         );
         let seed = xxhash_rust::xxh3::xxh3_64_with_seed(
             options.entry.as_bytes(),
@@ -135,16 +135,16 @@
             demand: Mutex::default(),
             retry_budget: Mutex::new(retry_budget),
             time_factors: Mutex::default(),
-            readings: Mutex::default(),
+            mean_prefill_times: Mutex::default(),
             suspects: Mutex::new(SuspectRequests::new(CRASH_VERDICT_MS)),
             wanted_adapters: WantedAdapters::default(),
-            workspace_quotas: Quotas::new(bounds.quota_overdraft),
+            workspace_quotas: Quotas::new(deployment.quota_overdraft),
             upstream_quotas: Quotas::new(0.0),
             peers: Peers::new(&options),
             shared_watches: SharedWatches::default(),
             lease: Mutex::new(lease),
             lease_relay: LeaseRelay::default(),
-            coordinator: Coordinator::new(bounds.store_load_window_ms),
+            coordinator: Coordinator::new(deployment.store_load_window_ms),
             holdings_changed: Notify::new(),
             capacity_freed: Notify::new(),
             shutdown: Shutdown::default(),
--- a/crates/front/src/state/peers.rs
+++ b/crates/front/src/state/peers.rs
@@ -176,8 +176,8 @@
     }
 
     /// Returns whether an entry was heard from recently that can become
-    /// coordinator in place of this one, which started at `start` and is
-    /// shutting down.
+    /// coordinator in place of this one, which is shutting down and was started
+    /// at `started_unix_ms`.
     pub(crate) fn has_successor(&self, now: Instant, started_unix_ms: u64) -> bool {
         let table = self.table.lock();
         let live = table.live_peers(now).map(|(_, peer)| peer);
@@ -213,8 +213,8 @@
     ) {
         let table = self.table.lock();
         let live = table.live_peers(now).map(|(_, peer)| peer);
-        for (of, model, load) in live.flat_map(|peer| &peer.demand) {
-            if **of == *service {
+        for (peer_service, model, load) in live.flat_map(|peer| &peer.demand) {
+            if **peer_service == *service {
                 demand.entry(Arc::clone(model)).or_default().add(load);
             }
         }
--- a/crates/front/src/state/quota.rs
+++ b/crates/front/src/state/quota.rs
@@ -169,12 +169,17 @@
 
     /// Returns whether a feed is later than all others from this incarnation of
     /// its sender, and records it.
-    pub(crate) fn is_new_feed(&self, from: &Arc<str>, start: u64, number: u64) -> bool {
+    pub(crate) fn is_new_feed(
+        &self,
+        from: &Arc<str>,
+        started_unix_ms: u64,
+        number: u64,
+    ) -> bool {
         let mut last_feeds = self.last_feeds.lock();
         let last = last_feeds.entry(Arc::clone(from)).or_default();
-        let is_new = (start, number) > *last;
+        let is_new = (started_unix_ms, number) > *last;
         if is_new {
-            *last = (start, number);
+            *last = (started_unix_ms, number);
         }
         is_new
     }
@@ -182,8 +187,10 @@
     /// Records that a workspace has too few tokens for some time.
     pub(crate) fn cache_shortage(&self, now: Instant, workspace: &Arc<str>, ms: u64) {
         let until = now.plus_ms(ms.min(MAX_SHORTAGE_CACHE_MS));
-        let known = (until, now.plus_ms(ms));
-        self.shortages.lock().insert(Arc::clone(workspace), known);
+        let shortage = (until, now.plus_ms(ms));
+        self.shortages
+            .lock()
+            .insert(Arc::clone(workspace), shortage);
     }
 
     /// Returns the time until a workspace has tokens again, if it was found
--- a/crates/front/src/state/unreadable.rs
+++ b/crates/front/src/state/unreadable.rs
@@ -56,9 +56,9 @@
     }
 
     /// Forgets the objects of a kind that no longer exist.
-    pub(crate) fn retain(&self, kind: ObjectKind, is_there: impl Fn(&str) -> bool) {
+    pub(crate) fn retain(&self, kind: ObjectKind, exists: impl Fn(&str) -> bool) {
         let mut reported = self.reported.lock();
-        reported.retain(|(of, key), _| *of != kind || is_there(key));
+        reported.retain(|(tracked_kind, key), _| *tracked_kind != kind || exists(key));
     }
 
     /// Returns whether an object has changed since it was last reported, and
@@ -69,11 +69,11 @@
         if let Some(known) = reported.get_mut(&(kind, key.to_owned())) {
             return std::mem::replace(known, hash) != hash;
         }
-        let remembered = reported.len() < MAX_TRACKED;
-        if remembered {
+        let has_room = reported.len() < MAX_TRACKED;
+        if has_room {
             reported.insert((kind, key.to_owned()), hash);
         }
-        remembered
+        has_room
     }
 }
 
--- a/crates/front/src/upstream_selection.rs
+++ b/crates/front/src/upstream_selection.rs
@@ -122,9 +122,9 @@
                 demand.record_sent(prompt, uncached);
             });
         }
-        let mean_reading_ms = if at_engine {
-            let mut readings = self.node.readings.lock();
-            readings.observe(&request.route.name, selected.own_prefill_ms)
+        let mean_prefill_ms = if at_engine {
+            let mut mean_prefill_times = self.node.mean_prefill_times.lock();
+            mean_prefill_times.observe(&request.route.name, selected.own_prefill_ms)
         } else {
             0.0
         };
@@ -135,7 +135,7 @@
             first_answer_deadline: request.first_response_by,
             queue_ms: (selected.first_answer_ms - selected.own_prefill_ms) as u64,
             prefill_ms: selected.own_prefill_ms as u64,
-            mean_prefill_ms: mean_reading_ms as u64,
+            mean_prefill_ms: mean_prefill_ms as u64,
             at_engine,
         };
         let late_ms = match admit(&admission) {
@@ -310,18 +310,18 @@
             .model
             .as_ref()
             .filter(|_| reason == SelectionError::NoModel);
-        let waiting = Self {
+        let model_wait = Self {
             node: Arc::clone(node),
             model: model
                 .map(|(model, _)| (Arc::clone(&request.service), Arc::clone(model))),
             since: node.now(),
         };
-        if let Some((service, model)) = &waiting.model {
+        if let Some((service, model)) = &model_wait.model {
             node.update_demand(service, |demand| {
-                demand.begin_wait(model, waiting.since);
+                demand.begin_wait(model, model_wait.since);
             });
         }
-        waiting
+        model_wait
     }
 }
 
--- a/crates/front/tests/all/log.rs
+++ b/crates/front/tests/all/log.rs
@@ -14,9 +14,9 @@
 }
 
 #[derive(Debug)]
-struct Out(Arc<Gate>);
+struct GatedWriter(Arc<Gate>);
 
-impl Write for Out {
+impl Write for GatedWriter {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         let mut open = self.0.open.lock().expect("no test panicked");
         while !*open {
@@ -36,9 +36,9 @@
 /// the buffer stays bounded, and dropped lines are counted. Once the log is
 /// read again, it continues.
 #[test]
-fn a_blocked_reader_stops_nothing() {
+fn blocked_reader_does_not_block_the_log() {
     let gate = Arc::new(Gate::default());
-    let log = Log::to(Out(Arc::clone(&gate)));
+    let log = Log::with_writer(GatedWriter(Arc::clone(&gate)));
     for round in 0..30 {
         for number in 0..100 {
             log.line(
@@ -59,9 +59,12 @@
     }
     let written = gate.written.lock().expect("no test panicked").clone();
     assert!(written.len() < 400 << 10, "{}", written.len());
-    for line in String::from_utf8(written).expect("text").lines() {
+    for line in String::from_utf8(written)
+        .expect("the log is UTF-8")
+        .lines()
+    {
         let line: serde_json::Value =
-            serde_json::from_str(line).expect("one object a line");
+            serde_json::from_str(line).expect("one JSON object per line");
         assert_eq!(line["event"], "request");
     }
 }
@@ -71,9 +74,9 @@
 /// otherwise, at twelve thousand requests per second, only a fifth of the lines
 /// that the log can take are written.
 #[test]
-fn lines_without_room_use_up_no_second() {
-    let writes = Writes::default();
-    let log = Log::to(writes.clone());
+fn lines_dropped_for_a_full_buffer_leave_the_rate_limit_alone() {
+    let writes = RecordingWriter::default();
+    let log = Log::with_writer(writes.clone());
     let line = || log.line("request", json!({ "filler": "x".repeat(300) }));
     for _ in 0..10_000 {
         line();
@@ -89,9 +92,9 @@
 
 /// Stores each write separately.
 #[derive(Debug, Clone, Default)]
-struct Writes(Arc<Mutex<Vec<Vec<u8>>>>);
+struct RecordingWriter(Arc<Mutex<Vec<Vec<u8>>>>);
 
-impl Write for Writes {
+impl Write for RecordingWriter {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         let mut writes = self.0.lock().expect("no test panicked");
         writes.push(bytes.to_vec());
@@ -109,8 +112,8 @@
 /// failure.
 #[test]
 fn no_line_is_split_over_two_writes() {
-    let writes = Writes::default();
-    let log = Log::to(writes.clone());
+    let writes = RecordingWriter::default();
+    let log = Log::with_writer(writes.clone());
     for number in 0..100 {
         let filler = "x".repeat(if number == 50 { 6_000 } else { 300 });
         log.line("request", json!({ "number": number, "filler": filler }));
@@ -129,9 +132,9 @@
 
 /// Standard output is closed and nothing reads the log anymore.
 #[test]
-fn lines_that_can_not_be_written_are_counted() {
-    struct Closed;
-    impl Write for Closed {
+fn unwritable_lines_are_counted_as_dropped() {
+    struct ClosedWriter;
+    impl Write for ClosedWriter {
         fn write(&mut self, _: &[u8]) -> std::io::Result<usize> {
             Err(std::io::ErrorKind::BrokenPipe.into())
         }
@@ -140,7 +143,7 @@
             Ok(())
         }
     }
-    let log = Log::to(Closed);
+    let log = Log::with_writer(ClosedWriter);
     for _ in 0..3 {
         log.line("request", json!({}));
     }
