--- a/crates/front/src/headers.rs
+++ b/crates/front/src/headers.rs
@@ -8,7 +8,7 @@
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-const HOP_BY_HOP: [HeaderName; 11] = [
+const HOP_BY_HOP_HEADERS: [HeaderName; 11] = [
     CONNECTION,
     CONTENT_LENGTH,
     EXPECT,
@@ -35,7 +35,7 @@
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named.iter().chain(&HOP_BY_HOP) {
+    for name in named.iter().chain(&HOP_BY_HOP_HEADERS) {
         headers.remove(name);
     }
 }
--- a/crates/front/src/orders.rs
+++ b/crates/front/src/orders.rs
@@ -85,10 +85,10 @@
 /// Some upstreams state their incarnation in the platform's record but not in
 /// reports. Such a report is attributed to the incarnation that was known when
 /// the report was requested, and is outdated if a later one is known when it
-/// arrives. If that incarnation had ended by then unnoticed, the report is
-/// dropped once the later incarnation reports a lower count of orders; if the
-/// counts are equal, orders based on the report go to the later incarnation and
-/// are valid there.
+/// arrives. If that incarnation had already ended unnoticed, the report is from
+/// the later one: a lower count of orders makes the ledger drop it; if the
+/// counts are equal, orders based on it go to the later incarnation and are
+/// valid there.
 pub(crate) async fn request_report(node: Arc<Node>, id: Arc<str>) {
     let known_started_ms =
         address_of(&node, &id).and_then(|address| address.started_unix_ms);
--- a/crates/front/src/protocol.rs
+++ b/crates/front/src/protocol.rs
@@ -30,7 +30,8 @@
     pub output_tokens_max: u64,
     /// Number of output tokens that the caller expects.
     pub output_tokens_hint: Option<u64>,
-    /// Parts of the prompt in order, each as its hash and its number of tokens.
+    /// Parts of the prompt in order, each with a hash of its id and its number of
+    /// tokens.
     pub prompt_parts: Vec<(u64, u64)>,
     /// Id of the last stream event that the caller has received.
     pub last_event_id: Option<String>,
--- a/crates/front/src/quota/feed.rs
+++ b/crates/front/src/quota/feed.rs
@@ -19,7 +19,7 @@
     let quotas = node.quotas(scope);
     loop {
         if quotas.pools.lock().is_empty() {
-            // No tokens are produced before the first limit is set.
+            // Tokens are only produced from the first feed on.
             quotas.limits_set.notified().await;
             continue;
         }
--- a/crates/front/src/shutdown.rs
+++ b/crates/front/src/shutdown.rs
@@ -69,7 +69,8 @@
     node.shutdown.respond_now.cancel();
     wait_for_connections(node, end_at).await;
     node.shutdown.hand_over_now.cancel();
-    // If the handover fails, the successor waits until the lease expires.
+    // If the handover fails, the successor waits as for a coordinator that
+    // fell silent.
     let _ = timeout(
         LEASE_HANDOVER_TIMEOUT.min(end_at.since(node.now())),
         handover,
