--- a/crates/front/src/attempt.rs
+++ b/crates/front/src/attempt.rs
@@ -18,7 +18,7 @@
 use crate::state::Node;
 use crate::state::caller_request::CallerRequest;
 use crate::state::connection_pool::{SendError, UpstreamConnection};
-use crate::state_monitor::log_if_newly_avoided;
+use crate::state_monitor::log_avoidance_if_changed;
 use crate::upstream_address::{address_of, record_unreachable};
 use crate::{ResponseHead, UpstreamRequestHead};
 
@@ -169,7 +169,7 @@
         && node.now().ms_since(sent_at) > SILENCE_TOLERANCE_MS
         && in_flight.is_silent();
     if give_up {
-        log_if_newly_avoided(node, &in_flight.upstream);
+        log_avoidance_if_changed(node, &in_flight.upstream);
     }
     give_up
 }
--- a/crates/front/src/state_monitor.rs
+++ b/crates/front/src/state_monitor.rs
@@ -51,8 +51,9 @@
     }
 }
 
-/// Logs that an upstream is avoided, if that is new.
-pub(crate) fn log_if_newly_avoided(node: &Node, upstream: &str) {
+/// Logs whether and why an upstream is avoided, if that has changed. Decisions
+/// based on it call this at once, as the reason may be gone at the next check.
+pub(crate) fn log_avoidance_if_changed(node: &Node, upstream: &str) {
     let now = node.now();
     let mut avoidance = node.avoidance.lock();
     let fleet = node.fleet.lock();
--- a/crates/front/src/stream.rs
+++ b/crates/front/src/stream.rs
@@ -14,7 +14,7 @@
 use crate::dispatch::{Dispatch, DispatchResult};
 use crate::events::{Event, EventSplitter};
 use crate::response::{ResponseAborted, ResponseBody};
-use crate::state_monitor::log_if_newly_avoided;
+use crate::state_monitor::log_avoidance_if_changed;
 
 /// Interval at which a waiting stream checks whether its upstream has fallen
 /// silent.
@@ -226,7 +226,7 @@
             return false;
         };
         let upstream = &source.in_flight.upstream;
-        log_if_newly_avoided(&self.dispatch.node, upstream);
+        log_avoidance_if_changed(&self.dispatch.node, upstream);
         // Without an alternative, giving up would certainly cut the response
         // off, while an upstream that is only slow still completes it.
         self.dispatch.has_alternative(upstream)
--- a/crates/front/src/upstream_address.rs
+++ b/crates/front/src/upstream_address.rs
@@ -4,7 +4,7 @@
 
 use crate::state::Node;
 use crate::state::connection_pool::UpstreamAddress;
-use crate::state_monitor::log_if_newly_avoided;
+use crate::state_monitor::log_avoidance_if_changed;
 
 /// Returns the address of the latest incarnation of an upstream.
 pub(crate) fn address_of(node: &Node, id: &str) -> Option<UpstreamAddress> {
@@ -25,5 +25,5 @@
     if let Some(upstream) = node.fleet.lock().incarnation_mut(incarnation) {
         upstream.connect_failed(now);
     }
-    log_if_newly_avoided(node, id);
+    log_avoidance_if_changed(node, id);
 }
