--- a/crates/direct/src/adapters.rs
+++ b/crates/direct/src/adapters.rs
@@ -18,15 +18,15 @@
 
 /// Part of the demand that is taken to be spread over all models alike: demand moves
 /// to models that nobody asks for now, and their adapters are to be there by then.
-const UNSEEN_PART: f64 = 0.3;
+const UNIFORM_DEMAND_SHARE: f64 = 0.3;
 
 /// Share of the demand below which a further copy of an adapter is not worth its order.
 /// Where there are many more places than adapters, copies would fill all of them.
-const FURTHER_LEAST: f64 = 0.0005;
+const MIN_EXTRA_COPY_VALUE: f64 = 0.0005;
 
 /// Times by which an adapter has to be worth more than the one in its place before
 /// the two change places, so that they do not change back.
-const WORTH_CHANGING: f64 = 2.0;
+const REPLACEMENT_RATIO: f64 = 2.0;
 
 /// One upstream as the spread of adapters sees it.
 #[derive(Debug, Clone)]
@@ -82,14 +82,14 @@
 pub struct AdapterPlanner<'a> {
     now: Instant,
     engine: &'a EngineSpec,
-    spots: &'a [UpstreamAdapterState],
+    upstreams: &'a [UpstreamAdapterState],
     /// Whether each upstream was chosen already: it takes one order at a time.
-    chosen: Vec<bool>,
-    copies: HashMap<AdapterName, u32>,
+    assigned: Vec<bool>,
+    copy_counts: HashMap<AdapterName, u32>,
     /// Worth of the first copy of each adapter of a model.
-    worth: HashMap<&'a str, f64>,
+    first_copy_value: HashMap<&'a str, f64>,
     /// Memory that one more model takes at most.
-    model_mb: f64,
+    largest_model_mb: f64,
 }
 
 impl<'a> AdapterPlanner<'a> {
@@ -111,11 +111,11 @@
         Self {
             now,
             engine,
-            spots,
-            chosen: vec![false; spots.len()],
-            copies,
-            worth: worth(engine, loads),
-            model_mb: sizes.fold(0.0, f64::max),
+            upstreams: spots,
+            assigned: vec![false; spots.len()],
+            copy_counts: copies,
+            first_copy_value: first_copy_values(engine, loads),
+            largest_model_mb: sizes.fold(0.0, f64::max),
         }
     }
 
@@ -127,50 +127,50 @@
         &mut self,
         wanted: &AdapterName,
     ) -> Option<PlannedAdapterLoad> {
-        let spots = self.spots.iter().enumerate();
+        let spots = self.upstreams.iter().enumerate();
         let open =
-            spots.filter(|(index, spot)| spot.accepts_orders && !self.chosen[*index]);
+            spots.filter(|(index, spot)| spot.accepts_orders && !self.assigned[*index]);
         let found = open.filter_map(|(index, spot)| {
             let held = spot.models.get(&wanted.model)?;
             if held.contains_key(&wanted.adapter) {
                 return None;
             }
-            let (loss, unload) = self.room(spot)?;
+            let (loss, unload) = self.find_slot(spot)?;
             Some((loss, spot.running, index, unload))
         });
         let best = found.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
         let (_, _, index, unload) = best?;
         let choice = PlannedAdapterLoad {
-            upstream: Arc::clone(&self.spots[index].upstream),
+            upstream: Arc::clone(&self.upstreams[index].upstream),
             load: wanted.clone(),
             unload,
         };
-        self.choose(index, &choice);
+        self.record_choice(index, &choice);
         Some(choice)
     }
 
     /// Adapters worth loading before anybody asks for them, one an upstream at most.
     pub fn prefetch(&mut self) -> Vec<PlannedAdapterLoad> {
         let mut choices = Vec::new();
-        for (index, spot) in self.spots.iter().enumerate() {
-            if !spot.accepts_prefetch || self.chosen[index] {
+        for (index, spot) in self.upstreams.iter().enumerate() {
+            if !spot.accepts_prefetch || self.assigned[index] {
                 continue;
             }
-            if let Some(choice) = self.ahead_at(spot) {
-                self.choose(index, &choice);
+            if let Some(choice) = self.prefetch_for(spot) {
+                self.record_choice(index, &choice);
                 choices.push(choice);
             }
         }
         choices
     }
 
-    fn ahead_at(&self, spot: &UpstreamAdapterState) -> Option<PlannedAdapterLoad> {
-        let (gain, load) = self.best_missing(spot)?;
-        let (loss, unload) = self.room(spot)?;
+    fn prefetch_for(&self, spot: &UpstreamAdapterState) -> Option<PlannedAdapterLoad> {
+        let (gain, load) = self.best_missing_adapter(spot)?;
+        let (loss, unload) = self.find_slot(spot)?;
         let spec = self.engine.models.get(&load.model)?;
-        let takes_model = spot.free_mb >= self.model_mb
-            && spot.free_mb - spec.adapter_mb < self.model_mb;
-        if gain <= loss * WORTH_CHANGING || takes_model {
+        let takes_model = spot.free_mb >= self.largest_model_mb
+            && spot.free_mb - spec.adapter_mb < self.largest_model_mb;
+        if gain <= loss * REPLACEMENT_RATIO || takes_model {
             return None;
         }
         Some(PlannedAdapterLoad {
@@ -182,7 +182,10 @@
 
     /// The adapter that is worth most of those that an upstream could hold and does
     /// not.
-    fn best_missing(&self, spot: &UpstreamAdapterState) -> Option<(f64, AdapterName)> {
+    fn best_missing_adapter(
+        &self,
+        spot: &UpstreamAdapterState,
+    ) -> Option<(f64, AdapterName)> {
         let models = spot.models.iter();
         let all = models.flat_map(|(model, held)| {
             let spec = self.engine.models.get(model);
@@ -190,7 +193,7 @@
             let missing = names.filter(move |adapter| !held.contains_key(*adapter));
             missing.map(move |adapter| {
                 let name = AdapterName::new(model, adapter);
-                (self.worth_of(model, self.copies_of(&name)), name)
+                (self.copy_value(model, self.copy_count(&name)), name)
             })
         });
         all.max_by(|a, b| a.0.total_cmp(&b.0))
@@ -198,7 +201,10 @@
 
     /// What making room costs, and the adapter that has to go for it if there is no
     /// free place.
-    fn room(&self, spot: &UpstreamAdapterState) -> Option<(f64, Option<AdapterName>)> {
+    fn find_slot(
+        &self,
+        spot: &UpstreamAdapterState,
+    ) -> Option<(f64, Option<AdapterName>)> {
         if spot.free_slots > 0 {
             return Some((0.0, None));
         }
@@ -209,8 +215,8 @@
             });
             had_turn.map(move |(adapter, since)| {
                 let name = AdapterName::new(model, adapter);
-                let others = self.copies_of(&name).saturating_sub(1);
-                (self.worth_of(model, others), *since, name)
+                let others = self.copy_count(&name).saturating_sub(1);
+                (self.copy_value(model, others), *since, name)
             })
         });
         let least = all.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
@@ -218,25 +224,25 @@
     }
 
     /// Counts what was chosen, for the choices after it.
-    fn choose(&mut self, index: usize, choice: &PlannedAdapterLoad) {
-        self.chosen[index] = true;
-        *self.copies.entry(choice.load.clone()).or_default() += 1;
+    fn record_choice(&mut self, index: usize, choice: &PlannedAdapterLoad) {
+        self.assigned[index] = true;
+        *self.copy_counts.entry(choice.load.clone()).or_default() += 1;
         let gone = choice.unload.as_ref();
-        if let Some(copies) = gone.and_then(|gone| self.copies.get_mut(gone)) {
+        if let Some(copies) = gone.and_then(|gone| self.copy_counts.get_mut(gone)) {
             *copies = copies.saturating_sub(1);
         }
     }
 
-    fn copies_of(&self, name: &AdapterName) -> u32 {
-        self.copies.get(name).copied().unwrap_or(0)
+    fn copy_count(&self, name: &AdapterName) -> u32 {
+        self.copy_counts.get(name).copied().unwrap_or(0)
     }
 
     /// What one copy more is worth beside others. The first one makes the adapter
     /// reachable; each further one lets its requests choose among more upstreams.
-    fn worth_of(&self, model: &str, others: u32) -> f64 {
-        let first = self.worth.get(model).copied().unwrap_or(0.0);
+    fn copy_value(&self, model: &str, others: u32) -> f64 {
+        let first = self.first_copy_value.get(model).copied().unwrap_or(0.0);
         let worth = first / f64::from(others + 1).powi(2);
-        if others > 0 && worth < FURTHER_LEAST {
+        if others > 0 && worth < MIN_EXTRA_COPY_VALUE {
             0.0
         } else {
             worth
@@ -245,7 +251,7 @@
 }
 
 /// Share of the demand that each adapter of a model is expected to have.
-fn worth<'a>(
+fn first_copy_values<'a>(
     engine: &'a EngineSpec,
     loads: &BTreeMap<Arc<str>, DemandEstimate>,
 ) -> HashMap<&'a str, f64> {
@@ -259,14 +265,14 @@
         models.filter(|(_, spec)| !spec.adapters.is_empty())
     };
     let all: f64 = with_adapters().map(|(model, _)| demand_of(model)).sum();
-    let unseen = UNSEEN_PART / with_adapters().count().max(1) as f64;
+    let unseen = UNIFORM_DEMAND_SHARE / with_adapters().count().max(1) as f64;
     let models = with_adapters().map(|(model, spec)| {
         let seen = if all > 0.0 {
             demand_of(model) / all
         } else {
             0.0
         };
-        let share = unseen + (1.0 - UNSEEN_PART) * seen;
+        let share = unseen + (1.0 - UNIFORM_DEMAND_SHARE) * seen;
         (&**model, share / spec.adapters.len() as f64)
     });
     models.collect()
--- a/crates/direct/src/admit.rs
+++ b/crates/direct/src/admission.rs
@@ -10,16 +10,16 @@
 /// Part of the aim, in percent, within which the first answer has to be expected.
 /// What is expected leaves out the steps between prompts, so the answer comes
 /// later; with the whole aim or half of it, fewer requests are served in time.
-const AIM_USABLE_PERCENT: u64 = 75;
+const USABLE_TARGET_PERCENT: u64 = 75;
 
 /// Part of the usable time, in percent, that is left to the queue however long a
 /// route's prompts take. Else a route of long prompts would be refused at engines
 /// that are idle.
-const QUEUE_LEAST_PERCENT: u64 = 50;
+const MIN_QUEUE_PERCENT: u64 = 50;
 
 /// Weight of the newest prompt in the mean of its route: a few dozen requests, as
 /// many as one entry sees of a route in seconds.
-const NEWEST: f64 = 0.03;
+const NEWEST_WEIGHT: f64 = 0.03;
 
 /// A request that has found an upstream.
 #[derive(Debug, Clone, Copy)]
@@ -60,31 +60,31 @@
 ///
 /// It would be too late.
 pub fn admit(admission: &AdmissionInput) -> Result<(), u64> {
-    let own_ms = admission.queue_ms + admission.prefill_ms;
-    let of_use_ms = admission.first_answer_deadline.ms_since(admission.now);
-    if own_ms > of_use_ms {
-        return Err(own_ms - of_use_ms);
+    let own_answer_ms = admission.queue_ms + admission.prefill_ms;
+    let useful_ms = admission.first_answer_deadline.ms_since(admission.now);
+    if own_answer_ms > useful_ms {
+        return Err(own_answer_ms - useful_ms);
     }
-    let usable_ms = admission.target_latency_ms * AIM_USABLE_PERCENT / 100;
-    let in_time_by = admission.arrived_at.plus_ms(usable_ms);
-    if !admission.at_engine || admission.now >= in_time_by {
+    let usable_ms = admission.target_latency_ms * USABLE_TARGET_PERCENT / 100;
+    let target_at = admission.arrived_at.plus_ms(usable_ms);
+    if !admission.at_engine || admission.now >= target_at {
         return Ok(());
     }
-    let reading_max_ms = usable_ms * (100 - QUEUE_LEAST_PERCENT) / 100;
-    let mean_ms = admission.mean_prefill_ms.min(reading_max_ms);
+    let prefill_max_ms = usable_ms * (100 - MIN_QUEUE_PERCENT) / 100;
+    let mean_ms = admission.mean_prefill_ms.min(prefill_max_ms);
     let expected_ms = admission.queue_ms + mean_ms;
-    let left_ms = in_time_by.ms_since(admission.now);
-    if expected_ms <= left_ms {
+    let remaining_ms = target_at.ms_since(admission.now);
+    if expected_ms <= remaining_ms {
         Ok(())
     } else {
-        Err(expected_ms - left_ms)
+        Err(expected_ms - remaining_ms)
     }
 }
 
 /// Mean time that reading a prompt takes, by route.
 #[derive(Debug, Default)]
 pub struct MeanPrefillTimes {
-    routes: BTreeMap<Arc<str>, f64>,
+    by_route: BTreeMap<Arc<str>, f64>,
 }
 
 impl MeanPrefillTimes {
@@ -96,13 +96,13 @@
     /// Counts the prompt of a request, whether it is admitted or not, and gives
     /// the mean of its route with it.
     pub fn observe(&mut self, route: &Arc<str>, reading_ms: f64) -> f64 {
-        let mean = self.routes.entry(Arc::clone(route)).or_insert(reading_ms);
-        *mean += (reading_ms - *mean) * NEWEST;
+        let mean = self.by_route.entry(Arc::clone(route)).or_insert(reading_ms);
+        *mean += (reading_ms - *mean) * NEWEST_WEIGHT;
         *mean
     }
 
     /// Forgets routes that the configuration does not name any more.
     pub fn retain(&mut self, is_named: impl Fn(&str) -> bool) {
-        self.routes.retain(|route, _| is_named(route));
+        self.by_route.retain(|route, _| is_named(route));
     }
 }
--- a/crates/direct/src/doubts.rs
+++ b/crates/direct/src/avoidance.rs
@@ -46,7 +46,7 @@
 #[derive(Debug, Default)]
 pub struct AvoidanceTracker {
     /// Of each upstream, with the start that it was held of.
-    held: BTreeMap<Arc<str>, (Option<u64>, AvoidReason)>,
+    reported: BTreeMap<Arc<str>, (Option<u64>, AvoidReason)>,
 }
 
 impl AvoidanceTracker {
@@ -58,7 +58,7 @@
     /// What has turned since the last look. An upstream that was forgotten or has
     /// started again meanwhile is no turn.
     pub fn update_all(&mut self, now: Instant, fleet: &Fleet) -> Vec<AvoidanceChange> {
-        self.held.retain(|id, _| fleet.get(id).is_some());
+        self.reported.retain(|id, _| fleet.get(id).is_some());
         fleet
             .all()
             .filter_map(|upstream| self.update(now, upstream))
@@ -76,8 +76,8 @@
         let (id, born_ms) = (&upstream.record.id, upstream.record.started_unix_ms);
         let doubt = upstream.avoid_reason(now);
         let before = match doubt {
-            Some(doubt) => self.held.insert(Arc::clone(id), (born_ms, doubt)),
-            None => self.held.remove(id),
+            Some(doubt) => self.reported.insert(Arc::clone(id), (born_ms, doubt)),
+            None => self.reported.remove(id),
         };
         let before = before
             .filter(|(of, _)| *of == born_ms)
--- a/crates/direct/src/demand.rs
+++ b/crates/direct/src/demand.rs
@@ -7,24 +7,24 @@
 /// Time constants of the smoothed demand. Demand moves to other models within
 /// seconds, which the shorter one shows; what it leaves may come back, which the
 /// longer one remembers.
-const NEWEST_MS: f64 = 1_200.0;
-const LASTING_MS: f64 = 5_000.0;
+const RECENT_MS: f64 = 1_200.0;
+const SUSTAINED_MS: f64 = 5_000.0;
 
 /// Engine time of one request while none was seen, and the number of standard
 /// deviations by which a few requests may exceed the demand behind them. What a handful
 /// of requests shows is not worth a load that takes seconds.
-const REQUEST_MS: f64 = 100.0;
-const DEVIATIONS: f64 = 2.0;
+const DEFAULT_REQUEST_MS: f64 = 100.0;
+const STANDARD_DEVIATIONS: f64 = 2.0;
 
 /// Weight of the newest request in what is learned of a service's requests.
-const NEWEST_REQUEST: f64 = 0.02;
+const NEWEST_REQUEST_WEIGHT: f64 = 0.02;
 
 /// Part of the certain rise over the lasting demand by which demand is expected to go on
 /// rising until a load is done.
-const TREND: f64 = 1.0;
+const TREND_FACTOR: f64 = 1.0;
 
 /// Demand below which a model is forgotten, in work milliseconds a second.
-const FORGET_BELOW: f64 = 0.02;
+const FORGET_BELOW_MS_PER_S: f64 = 0.02;
 
 /// Lasting demand, in work milliseconds a second, above which a model counts as
 /// wanted: its last copy stays for a quarter of a minute after a short request that
@@ -39,8 +39,8 @@
 /// Aim within which a request counts whole as demand, and the least part that any counts.
 /// Callers who can wait are served in time by one copy that is nearly always busy; those
 /// who can't need copies with time to spare.
-const URGENT_AIM_MS: f64 = 1_000.0;
-const URGENCY_LEAST: f64 = 0.2;
+const URGENT_LATENCY_MS: f64 = 1_000.0;
+const MIN_URGENCY: f64 = 0.2;
 
 /// A request as demand sees it.
 #[derive(Debug, Clone, Copy)]
@@ -57,16 +57,17 @@
 
 impl Arrival {
     /// Engine time, in milliseconds, if a part of the prompt has to be read.
-    fn work_ms(&self, unread_part: f64) -> f64 {
-        let reading_ms = self.prompt_tokens as f64 * unread_part / PROMPT_TOKENS_PER_MS;
+    fn work_ms(&self, uncached_share: f64) -> f64 {
+        let prefill_ms =
+            self.prompt_tokens as f64 * uncached_share / PROMPT_TOKENS_PER_MS;
         let answer_ms = self.answer_tokens as f64 / ANSWER_TOKENS_PER_MS;
-        (reading_ms + answer_ms) * self.time_factor
+        (prefill_ms + answer_ms) * self.time_factor
     }
 
     /// Part of its work that counts as demand.
     fn urgency(&self) -> f64 {
-        let aim_ms = self.target_latency_ms.max(1) as f64;
-        (URGENT_AIM_MS / aim_ms).clamp(URGENCY_LEAST, 1.0)
+        let target_ms = self.target_latency_ms.max(1) as f64;
+        (URGENT_LATENCY_MS / target_ms).clamp(MIN_URGENCY, 1.0)
     }
 }
 
@@ -104,10 +105,15 @@
     /// Demand to be expected when a load is done, as far as it is certain.
     pub fn expected_ms_per_s(&self) -> f64 {
         let known = self.request_ms > 0.0;
-        let request_ms = if known { self.request_ms } else { REQUEST_MS };
-        let variance = self.recent_ms_per_s * request_ms / (2.0 * NEWEST_MS / 1_000.0);
-        let certain = (self.recent_ms_per_s - variance.sqrt() * DEVIATIONS).max(0.0);
-        certain + (certain - self.sustained_ms_per_s).max(0.0) * TREND
+        let request_ms = if known {
+            self.request_ms
+        } else {
+            DEFAULT_REQUEST_MS
+        };
+        let variance = self.recent_ms_per_s * request_ms / (2.0 * RECENT_MS / 1_000.0);
+        let certain =
+            (self.recent_ms_per_s - variance.sqrt() * STANDARD_DEVIATIONS).max(0.0);
+        certain + (certain - self.sustained_ms_per_s).max(0.0) * TREND_FACTOR
     }
 
     /// Demand that a copy may still be kept for.
@@ -119,36 +125,36 @@
 /// Demand that one entry sees for the models of a service.
 #[derive(Debug, Default)]
 pub struct DemandTracker {
-    models: BTreeMap<Arc<str>, Seen>,
-    requests: Requests,
+    models: BTreeMap<Arc<str>, ObservedModel>,
+    request_stats: RequestStats,
     updated_at: Instant,
 }
 
 /// What the requests of a service take of an engine, as far as was seen.
 #[derive(Debug)]
-struct Requests {
+struct RequestStats {
     /// Part of prompts that upstreams have to read.
-    unread_part: f64,
+    uncached_share: f64,
     /// Mean engine time, and mean of its square.
     mean_ms: f64,
     mean_square_ms2: f64,
 }
 
-impl Default for Requests {
+impl Default for RequestStats {
     fn default() -> Self {
         Self {
-            unread_part: 1.0,
+            uncached_share: 1.0,
             mean_ms: 0.0,
             mean_square_ms2: 0.0,
         }
     }
 }
 
-impl Requests {
+impl RequestStats {
     fn observe(&mut self, work_ms: f64) {
-        self.mean_ms += (work_ms - self.mean_ms) * NEWEST_REQUEST;
+        self.mean_ms += (work_ms - self.mean_ms) * NEWEST_REQUEST_WEIGHT;
         let square = work_ms * work_ms;
-        self.mean_square_ms2 += (square - self.mean_square_ms2) * NEWEST_REQUEST;
+        self.mean_square_ms2 += (square - self.mean_square_ms2) * NEWEST_REQUEST_WEIGHT;
     }
 
     /// Engine time of a request, the long ones counted by their length.
@@ -162,10 +168,10 @@
 }
 
 #[derive(Debug, Default)]
-struct Seen {
+struct ObservedModel {
     new_work_ms: f64,
-    newest_ms_per_s: f64,
-    lasting_ms_per_s: f64,
+    recent_ms_per_s: f64,
+    sustained_ms_per_s: f64,
     waiting: Vec<Instant>,
 }
 
@@ -182,29 +188,30 @@
     /// keeps an engine busy, and bring it copies in the place of the models that most
     /// callers ask for.
     pub fn record_arrival(&mut self, model: &Arc<str>, arrival: &Arrival) {
-        let work_ms = arrival.work_ms(self.requests.unread_part) * arrival.urgency();
-        self.requests.observe(work_ms);
-        self.seen(model).new_work_ms += work_ms;
+        let work_ms =
+            arrival.work_ms(self.request_stats.uncached_share) * arrival.urgency();
+        self.request_stats.observe(work_ms);
+        self.model_mut(model).new_work_ms += work_ms;
     }
 
     /// A request was sent to an upstream that has to read a part of its prompt.
-    pub fn record_sent(&mut self, prompt_tokens: u64, unread_tokens: u64) {
+    pub fn record_sent(&mut self, prompt_tokens: u64, uncached_tokens: u64) {
         if prompt_tokens == 0 {
             return;
         }
-        let part = (unread_tokens as f64 / prompt_tokens as f64).min(1.0);
-        self.requests.unread_part +=
-            (part - self.requests.unread_part) * NEWEST_REQUEST;
+        let part = (uncached_tokens as f64 / prompt_tokens as f64).min(1.0);
+        self.request_stats.uncached_share +=
+            (part - self.request_stats.uncached_share) * NEWEST_REQUEST_WEIGHT;
     }
 
     /// A request begins to wait for a model.
     pub fn begin_wait(&mut self, model: &Arc<str>, since: Instant) {
-        self.seen(model).waiting.push(since);
+        self.model_mut(model).waiting.push(since);
     }
 
     /// A request that waited since `since` waits no more.
     pub fn end_wait(&mut self, model: &Arc<str>, since: Instant) {
-        let waiting = &mut self.seen(model).waiting;
+        let waiting = &mut self.model_mut(model).waiting;
         if let Some(index) = waiting.iter().position(|at| *at == since) {
             waiting.swap_remove(index);
         }
@@ -219,12 +226,12 @@
         }
         for seen in self.models.values_mut() {
             let rate = seen.new_work_ms * 1_000.0 / ms;
-            smooth(&mut seen.newest_ms_per_s, rate, ms / NEWEST_MS);
-            smooth(&mut seen.lasting_ms_per_s, rate, ms / LASTING_MS);
+            smooth(&mut seen.recent_ms_per_s, rate, ms / RECENT_MS);
+            smooth(&mut seen.sustained_ms_per_s, rate, ms / SUSTAINED_MS);
             seen.new_work_ms = 0.0;
         }
         self.models.retain(|_, seen| {
-            seen.lasting_ms_per_s > FORGET_BELOW || !seen.waiting.is_empty()
+            seen.sustained_ms_per_s > FORGET_BELOW_MS_PER_S || !seen.waiting.is_empty()
         });
     }
 
@@ -236,17 +243,17 @@
         self.models.iter().map(move |(model, seen)| {
             let oldest = seen.waiting.iter().min();
             let load = DemandEstimate {
-                recent_ms_per_s: seen.newest_ms_per_s,
-                sustained_ms_per_s: seen.lasting_ms_per_s,
+                recent_ms_per_s: seen.recent_ms_per_s,
+                sustained_ms_per_s: seen.sustained_ms_per_s,
                 waiting: u32::try_from(seen.waiting.len()).unwrap_or(u32::MAX),
                 oldest_wait_ms: oldest.map_or(0, |at| now.ms_since(*at)),
-                request_ms: self.requests.request_ms(),
+                request_ms: self.request_stats.request_ms(),
             };
             (model, load)
         })
     }
 
-    fn seen(&mut self, model: &Arc<str>) -> &mut Seen {
+    fn model_mut(&mut self, model: &Arc<str>) -> &mut ObservedModel {
         self.models.entry(Arc::clone(model)).or_default()
     }
 }
--- a/crates/direct/src/shifts.rs
+++ b/crates/direct/src/demand_shift.rs
@@ -12,16 +12,16 @@
 
 /// Time between two rankings that are kept, and how many: a change takes seconds, so
 /// a ranking is compared with one from before it.
-const KEEP_EVERY_MS: u64 = 1_000;
-const KEPT: usize = 10;
+const RANKING_INTERVAL_MS: u64 = 1_000;
+const MAX_RANKINGS: usize = 10;
 
 /// Part of its demand that the busiest model has left at most when demand has moved
 /// on. Chance moves demand among models that are equally busy.
-const FALLEN_TO: f64 = 0.5;
+const FALLEN_SHARE: f64 = 0.5;
 
 /// Rankings of the last seconds, and how far demand moved on last.
 #[derive(Debug, Default)]
-pub(crate) struct Shifts {
+pub(crate) struct ShiftDetector {
     rankings: VecDeque<Ranking>,
     step: Option<usize>,
 }
@@ -33,15 +33,15 @@
     models: Vec<(Arc<str>, f64)>,
 }
 
-impl Shifts {
+impl ShiftDetector {
     /// Looks at the demand of now.
-    pub(crate) fn look(
+    pub(crate) fn observe(
         &mut self,
         now: Instant,
         loads: &BTreeMap<Arc<str>, DemandEstimate>,
     ) {
         let newest = self.rankings.back();
-        if newest.is_some_and(|newest| now.ms_since(newest.at) < KEEP_EVERY_MS) {
+        if newest.is_some_and(|newest| now.ms_since(newest.at) < RANKING_INTERVAL_MS) {
             return;
         }
         let ranking = Ranking::of(now, loads);
@@ -54,7 +54,7 @@
             self.rankings.clear();
         }
         self.rankings.push_back(ranking);
-        if self.rankings.len() > KEPT {
+        if self.rankings.len() > MAX_RANKINGS {
             self.rankings.pop_front();
         }
     }
@@ -80,7 +80,7 @@
     fn step_to(&self, later: &Self) -> Option<usize> {
         let (top, work) = self.models.first()?;
         let left = later.models.iter().find(|(model, _)| model == top);
-        if left.is_some_and(|(_, left)| *left > work * FALLEN_TO) {
+        if left.is_some_and(|(_, left)| *left > work * FALLEN_SHARE) {
             return None;
         }
         let (risen, _) = later.models.first()?;
--- a/crates/direct/src/fleet.rs
+++ b/crates/direct/src/fleet.rs
@@ -1,9 +1,9 @@
 //! What this entry knows of the upstreams.
 
+mod incarnations;
 mod liveness;
 mod rate;
-mod starts;
-mod turned_away;
+mod refusals;
 mod upstream;
 
 use base::prelude::*;
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 
 use crate::{Config, ResidentModel, UpstreamIncarnation, UpstreamRecord};
-use upstream::{SAID_MAX_MS, SAID_MS, Said};
+use upstream::{CoordinatorHoldings, HOLDINGS_MAX_AGE_MS, HOLDINGS_VALID_MS};
 
 pub use liveness::Activity;
 pub use rate::{RateLimit, RateNotice};
@@ -20,21 +20,21 @@
 
 /// Time after the platform's return in which a missing entry may only have
 /// lapsed while it was away.
-const RETURN_MS: u64 = 3_000;
+const RETURN_GRACE_MS: u64 = 3_000;
 
 /// Time for which an upstream that is gone is remembered.
 const FORGET_MS: u64 = 60_000;
 
 /// Time for which entries tell one another that an upstream is leaving: longer than
 /// a leaving upstream may get requests, and than most cuts between entries.
-const LEAVING_TOLD_MS: u64 = 8_000;
+const LEAVING_RESEND_MS: u64 = 8_000;
 
 /// The latest giver of orders that was heard.
 #[derive(Debug, Default)]
-struct GiverHeard {
+struct LatestCoordinator {
     token: u64,
     /// When it was heard first.
-    since: Instant,
+    first_heard_at: Instant,
 }
 
 /// Upstreams that each other entry named last, of its use and of what it hears.
@@ -42,7 +42,7 @@
 /// What an entry names no more it uses no more. Looked for among all upstreams at each
 /// message, with 3,000 of them and 300 entries that was all that an entry did.
 #[derive(Debug, Default)]
-struct Named {
+struct PeerMentions {
     used: HashMap<String, Vec<Arc<str>>>,
     heard: HashMap<String, Vec<Arc<str>>>,
 }
@@ -52,9 +52,9 @@
 pub struct Fleet {
     upstreams: BTreeMap<Arc<str>, Upstream>,
     /// When the platform answered again after it was away.
-    returned_at: Option<Instant>,
-    giver: GiverHeard,
-    named: Named,
+    platform_returned_at: Option<Instant>,
+    coordinator: LatestCoordinator,
+    peer_mentions: PeerMentions,
 }
 
 impl Fleet {
@@ -65,7 +65,7 @@
 
     /// The platform answers again after it was away.
     pub const fn platform_returned(&mut self, now: Instant) {
-        self.returned_at = Some(now);
+        self.platform_returned_at = Some(now);
     }
 
     /// The whole list at a version; what is missing from it has gone.
@@ -80,9 +80,9 @@
             .map(|(_, news)| Arc::clone(&news.id))
             .collect();
         for (version, news) in listed {
-            self.take(version, news);
+            self.apply_record(version, news);
         }
-        self.judge_undated();
+        self.update_undated();
         let missing: Vec<Arc<str>> = self
             .upstreams
             .keys()
@@ -98,10 +98,10 @@
     /// has started again.
     pub fn apply_update(&mut self, version: u64, news: UpstreamRecord) -> bool {
         let known = self.upstreams.len();
-        let restarted = self.take(version, news);
+        let restarted = self.apply_record(version, news);
         // Looks at all: most news, signs of life, leave their number as it is.
         if restarted || self.upstreams.len() != known {
-            self.judge_undated();
+            self.update_undated();
         }
         restarted
     }
@@ -109,13 +109,13 @@
     /// A start goes before a version: what an earlier start wrote last may be
     /// carried out after the later one's entry, and would have a higher version.
     /// That an entry was missing at a version holds for all starts before it.
-    fn take(&mut self, version: u64, news: UpstreamRecord) -> bool {
+    fn apply_record(&mut self, version: u64, news: UpstreamRecord) -> bool {
         let Some(known) = self.upstreams.get_mut(&news.id) else {
             let id = Arc::clone(&news.id);
             self.upstreams.insert(id, Upstream::new(news, version));
             return false;
         };
-        if known.gone.is_some_and(|gone| version <= gone) {
+        if known.gone_version.is_some_and(|gone| version <= gone) {
             return false;
         }
         match news.started_unix_ms.cmp(&known.record.started_unix_ms) {
@@ -136,8 +136,8 @@
         known.record.leaving = leaving;
         known.version = version;
         known.vanished_at = None;
-        known.gone = None;
-        known.is_void = false;
+        known.gone_version = None;
+        known.is_confirmed_gone = false;
         false
     }
 
@@ -154,9 +154,9 @@
         if version < upstream.version {
             return true;
         }
-        upstream.gone = upstream.gone.max(Some(version));
+        upstream.gone_version = upstream.gone_version.max(Some(version));
         upstream.vanished_at = None;
-        upstream.is_void = true;
+        upstream.is_confirmed_gone = true;
         true
     }
 
@@ -167,21 +167,21 @@
     /// a pause of the platform.
     pub fn remove(&mut self, now: Instant, id: &str, version: u64) {
         let lapsed = self
-            .returned_at
-            .is_some_and(|at| now.ms_since(at) < RETURN_MS);
+            .platform_returned_at
+            .is_some_and(|at| now.ms_since(at) < RETURN_GRACE_MS);
         let Some(upstream) = self.upstreams.get_mut(id) else {
             return;
         };
         if version < upstream.version {
             return;
         }
-        upstream.gone = Some(version);
+        upstream.gone_version = Some(version);
         upstream.is_leaving_unlisted = false;
         // One whose entry went while the platform answered has left, and is not
         // excused by an outage that comes later.
         if !lapsed && upstream.vanished_at.is_none() {
-            upstream.is_void = true;
-        } else if lapsed && !upstream.is_void {
+            upstream.is_confirmed_gone = true;
+        } else if lapsed && !upstream.is_confirmed_gone {
             upstream.vanished_at.get_or_insert(now);
         }
     }
@@ -200,7 +200,7 @@
     ) -> impl Iterator<Item = (&Upstream, u64, bool)> {
         let lately = self.all().filter(move |upstream| {
             upstream.is_leaving_unlisted
-                || now.ms_since(upstream.idle_since) < LEAVING_TOLD_MS
+                || now.ms_since(upstream.last_active_at) < LEAVING_RESEND_MS
         });
         lately.filter_map(|upstream| {
             let (version, vanished) = upstream.leaving_version()?;
@@ -214,20 +214,21 @@
     /// for a new one by the next list that is behind.
     pub fn forget_gone(&mut self, now: Instant) {
         self.upstreams.retain(|_, upstream| {
-            upstream.forget_ended_rate(now);
+            upstream.forget_ended_rate_limit(now);
             if upstream.is_usable(now) || upstream.own_usage.running > 0 {
-                upstream.idle_since = now;
+                upstream.last_active_at = now;
             }
             upstream.is_leaving_unlisted
-                || now.ms_since(upstream.idle_since) < FORGET_MS
+                || now.ms_since(upstream.last_active_at) < FORGET_MS
         });
-        self.judge_undated();
+        self.update_undated();
     }
 
     /// An answer of this start says that it leaves, which its entry may come to say
     /// late or never; whether that is new.
     pub fn note_leaving(&mut self, start: UpstreamIncarnation<'_>) -> bool {
-        self.incarnation_mut(start).is_some_and(Upstream::leave)
+        self.incarnation_mut(start)
+            .is_some_and(Upstream::mark_leaving)
     }
 
     /// Another entry says that an upstream is leaving, or that its entry had
@@ -238,13 +239,13 @@
         version: u64,
         vanished: bool,
     ) {
-        let Some(upstream) = self.heard_of(start) else {
+        let Some(upstream) = self.note_incarnation(start) else {
             return;
         };
         if !vanished {
-            upstream.leave();
+            upstream.mark_leaving();
         } else if version >= upstream.version && upstream.vanished_at.is_none() {
-            upstream.gone = Some(version);
+            upstream.gone_version = Some(version);
         }
     }
 
@@ -255,27 +256,27 @@
         peer: &str,
         used: impl Iterator<Item = (UpstreamIncarnation<'a>, Usage)>,
     ) {
-        for id in self.named.used.remove(peer).unwrap_or_default() {
+        for id in self.peer_mentions.used.remove(peer).unwrap_or_default() {
             // Left in with nothing, each entry that ever used it would be added up at
             // each choice.
             if let Some(upstream) = self.upstreams.get_mut(&id) {
-                upstream.peers.remove(peer);
+                upstream.peer_usage.remove(peer);
             }
         }
         let mut named = Vec::new();
         for (start, usage) in used {
-            let Some(upstream) = self.heard_of(start) else {
+            let Some(upstream) = self.note_incarnation(start) else {
                 continue;
             };
             named.push(Arc::clone(&upstream.record.id));
-            match upstream.peers.get_mut(peer) {
+            match upstream.peer_usage.get_mut(peer) {
                 Some(known) => *known = (now, usage),
                 None => {
-                    upstream.peers.insert(peer.to_owned(), (now, usage));
+                    upstream.peer_usage.insert(peer.to_owned(), (now, usage));
                 }
             }
         }
-        self.named.used.insert(peer.to_owned(), named);
+        self.peer_mentions.used.insert(peer.to_owned(), named);
     }
 
     /// What another entry hears of upstreams; where it names none, it has no
@@ -286,19 +287,19 @@
         peer: &str,
         heard: impl Iterator<Item = (UpstreamIncarnation<'a>, Activity)>,
     ) {
-        for id in self.named.heard.remove(peer).unwrap_or_default() {
+        for id in self.peer_mentions.heard.remove(peer).unwrap_or_default() {
             if let Some(upstream) = self.upstreams.get_mut(&id) {
-                upstream.liveness.word(now, peer, None);
+                upstream.liveness.set_peer_report(now, peer, None);
             }
         }
         let mut named = Vec::new();
         for (start, activity) in heard {
             if let Some(upstream) = self.incarnation_mut(start) {
-                upstream.liveness.word(now, peer, Some(activity));
+                upstream.liveness.set_peer_report(now, peer, Some(activity));
                 named.push(Arc::clone(&upstream.record.id));
             }
         }
-        self.named.heard.insert(peer.to_owned(), named);
+        self.peer_mentions.heard.insert(peer.to_owned(), named);
     }
 
     /// What the giver of orders says that an upstream holds, and what is on its
@@ -310,12 +311,12 @@
         residents: Vec<ResidentModel>,
         coming: Vec<(Arc<str>, Instant)>,
     ) {
-        if let Some(upstream) = self.heard_of(start) {
-            upstream.said = Some(Said {
-                told_at: now,
-                at: now,
+        if let Some(upstream) = self.note_incarnation(start) {
+            upstream.coordinator_holdings = Some(CoordinatorHoldings {
+                received_at: now,
+                confirmed_at: now,
                 residents,
-                coming,
+                loading: coming,
             });
         }
     }
@@ -325,20 +326,23 @@
     /// It tells of a change at once and of all upstreams in turn, which takes seconds
     /// where there are many entries. What an earlier giver said ends with it.
     pub fn coordinator_heard(&mut self, now: Instant, token: u64) {
-        if token < self.giver.token {
+        if token < self.coordinator.token {
             return;
         }
-        if token > self.giver.token {
-            self.giver = GiverHeard { token, since: now };
+        if token > self.coordinator.token {
+            self.coordinator = LatestCoordinator {
+                token,
+                first_heard_at: now,
+            };
         }
-        let since = self.giver.since;
+        let since = self.coordinator.first_heard_at;
         for upstream in self.upstreams.values_mut() {
-            let said = upstream.said.as_mut();
-            let said = said.filter(|said| said.told_at >= since);
+            let said = upstream.coordinator_holdings.as_mut();
+            let said = said.filter(|said| said.received_at >= since);
             if let Some(said) =
-                said.filter(|said| now.ms_since(said.told_at) < SAID_MAX_MS)
+                said.filter(|said| now.ms_since(said.received_at) < HOLDINGS_MAX_AGE_MS)
             {
-                said.at = now;
+                said.confirmed_at = now;
             }
         }
     }
@@ -354,9 +358,9 @@
         let said = self
             .of_service(service)
             .filter(|upstream| upstream.is_usable(now))
-            .filter_map(|upstream| upstream.said.as_ref())
-            .filter(|said| now.ms_since(said.at) < SAID_MS);
-        let coming = said.flat_map(|said| &said.coming);
+            .filter_map(|upstream| upstream.coordinator_holdings.as_ref())
+            .filter(|said| now.ms_since(said.confirmed_at) < HOLDINGS_VALID_MS);
+        let coming = said.flat_map(|said| &said.loading);
         coming
             .filter(|(name, _)| **name == *model)
             .map(|(_, ready_at)| *ready_at)
--- a/crates/direct/src/fleet/starts.rs
+++ b/crates/direct/src/fleet/incarnations.rs
@@ -21,8 +21,8 @@
         };
         Self {
             vanished_at: self.vanished_at,
-            gone: self.gone,
-            idle_since: self.idle_since,
+            gone_version: self.gone_version,
+            last_active_at: self.last_active_at,
             ..Self::new(news, self.version)
         }
     }
@@ -52,20 +52,20 @@
     pub fn observe_report(&mut self, start: UpstreamIncarnation<'_>) {
         let known = self.upstreams.get(start.id);
         if known.is_some_and(|known| known.record.started_unix_ms.is_some()) {
-            self.heard_of(start);
+            self.note_incarnation(start);
         }
     }
 
     /// Another than the platform speaks of a start: the upstream, unless a later
     /// start is known. A later one than is known begins here.
-    pub(super) fn heard_of(
+    pub(super) fn note_incarnation(
         &mut self,
         start: UpstreamIncarnation<'_>,
     ) -> Option<&mut Upstream> {
         let known = self.upstreams.get_mut(start.id)?;
         if start.started_unix_ms > known.record.started_unix_ms {
             *known = known.restarted(start.started_unix_ms);
-            self.judge_undated();
+            self.update_undated();
         }
         self.incarnation_mut(start)
     }
@@ -76,14 +76,15 @@
     /// Where upstreams do not say it, one entry of another writer that names a
     /// time must not take out all others, so the most decide; at a draw all are
     /// used, since a request to what is no upstream only goes elsewhere.
-    pub(super) fn judge_undated(&mut self) {
+    pub(super) fn update_undated(&mut self) {
         let all = self.upstreams.values();
         let dated = all
             .filter(|known| known.record.started_unix_ms.is_some())
             .count();
         let most_are_dated = dated * 2 > self.upstreams.len();
         for known in self.upstreams.values_mut() {
-            known.undated = most_are_dated && known.record.started_unix_ms.is_none();
+            known.lacks_start_time =
+                most_are_dated && known.record.started_unix_ms.is_none();
         }
     }
 }
--- a/crates/direct/src/fleet/liveness.rs
+++ b/crates/direct/src/fleet/liveness.rs
@@ -18,15 +18,15 @@
 /// unreachable from here though others hear it. A caller leaves a stream that has
 /// not begun some three seconds after its request; later, another upstream could
 /// not serve it any more.
-const UNHEARD_HERE_MS: u64 = 2_000;
+const LOCAL_SILENT_MS: u64 = 2_000;
 
 /// Longest time that prompts are granted to be read beyond the silence. What is
 /// expected of a queue is rough, and a dead upstream must not be waited for as long
 /// as its queue was long.
-const READING_MAX_MS: u64 = 1_000;
+const MAX_PREFILL_ALLOWANCE_MS: u64 = 1_000;
 
 /// Age at which another entry's word counts no more.
-const WORD_MS: u64 = 1_500;
+const PEER_REPORT_MAX_AGE_MS: u64 = 1_500;
 
 /// What one entry hears of an upstream at which it has requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -40,90 +40,99 @@
 
 /// Another entry's word, and when it came.
 #[derive(Debug, Clone, Copy)]
-struct Word {
-    at: Instant,
+struct PeerReport {
+    received_at: Instant,
     activity: Activity,
 }
 
-impl Word {
-    fn heard_at(&self) -> Instant {
-        self.at - Duration::from_millis(self.activity.silent_ms)
+impl PeerReport {
+    fn last_bytes_at(&self) -> Instant {
+        self.received_at - Duration::from_millis(self.activity.silent_ms)
     }
 }
 
 /// What this entry and others hear of one upstream.
 #[derive(Debug, Default)]
 pub(super) struct Liveness {
-    begun: u32,
-    heard_at: Instant,
-    words: HashMap<String, Word>,
+    answering: u32,
+    last_bytes_at: Instant,
+    peer_reports: HashMap<String, PeerReport>,
 }
 
 impl Liveness {
     /// The first of this entry's requests was sent, or bytes came.
-    pub(super) const fn heard(&mut self, now: Instant) {
-        self.heard_at = now;
+    pub(super) const fn bytes_received(&mut self, now: Instant) {
+        self.last_bytes_at = now;
     }
 
-    pub(super) const fn begun(&mut self) {
-        self.begun += 1;
+    pub(super) const fn first_answer_received(&mut self) {
+        self.answering += 1;
     }
 
-    pub(super) const fn ended(&mut self, requests: u32) {
-        self.begun = self.begun.saturating_sub(requests);
+    pub(super) const fn requests_ended(&mut self, requests: u32) {
+        self.answering = self.answering.saturating_sub(requests);
     }
 
     pub(super) fn activity(&self, now: Instant) -> Activity {
         Activity {
-            answering: self.begun,
-            silent_ms: now.ms_since(self.heard_at),
+            answering: self.answering,
+            silent_ms: now.ms_since(self.last_bytes_at),
         }
     }
 
     /// Another entry's word; `None` where it has no request there any more.
-    pub(super) fn word(
+    pub(super) fn set_peer_report(
         &mut self,
         now: Instant,
         entry: &str,
         activity: Option<Activity>,
     ) {
-        match (self.words.get_mut(entry), activity) {
-            (Some(word), Some(activity)) => *word = Word { at: now, activity },
+        match (self.peer_reports.get_mut(entry), activity) {
+            (Some(word), Some(activity)) => {
+                *word = PeerReport {
+                    received_at: now,
+                    activity,
+                }
+            }
             (None, Some(activity)) => {
-                let word = Word { at: now, activity };
-                self.words.insert(entry.to_owned(), word);
+                let word = PeerReport {
+                    received_at: now,
+                    activity,
+                };
+                self.peer_reports.insert(entry.to_owned(), word);
             }
             (Some(_), None) => {
-                self.words.remove(entry);
+                self.peer_reports.remove(entry);
             }
             (None, None) => {}
         }
     }
 
     /// Whether the upstream is silent towards this entry's requests for longer than
-    /// it may be while `reading_ms` of prompts wait there.
-    pub(super) fn is_silent(&self, now: Instant, reading_ms: u64) -> bool {
-        now.ms_since(self.heard_at) > self.sign_due_ms(now, reading_ms)
+    /// it may be while `prefill_ms` of prompts wait there.
+    pub(super) fn is_silent(&self, now: Instant, prefill_ms: u64) -> bool {
+        now.ms_since(self.last_bytes_at) > self.allowed_silence_ms(now, prefill_ms)
     }
 
-    fn sign_due_ms(&self, now: Instant, reading_ms: u64) -> u64 {
+    fn allowed_silence_ms(&self, now: Instant, prefill_ms: u64) -> u64 {
         // An entry whose requests all wait has heard nothing. Taken for a sign, each new
         // request to a dead upstream would have all others wait for it longer.
-        let words = self.words.values().filter(|word| {
-            now.ms_since(word.at) < WORD_MS && word.activity.answering > 0
+        let words = self.peer_reports.values().filter(|word| {
+            now.ms_since(word.received_at) < PEER_REPORT_MAX_AGE_MS
+                && word.activity.answering > 0
         });
-        let last = words.clone().map(Word::heard_at).max();
+        let last = words.clone().map(PeerReport::last_bytes_at).max();
         // A stream pauses for nobody's prompt.
         let stream_is_silent = words.clone().any(|word| {
             word.activity.silent_ms > SILENT_MS
-                && last.is_none_or(|last| word.at.ms_since(last) > SILENT_MS)
+                && last.is_none_or(|last| word.received_at.ms_since(last) > SILENT_MS)
         });
-        if self.begun > 0 || stream_is_silent {
+        if self.answering > 0 || stream_is_silent {
             return SILENT_MS;
         }
-        if last.is_some_and(|last| now.ms_since(last) < WORD_MS) {
-            return UNHEARD_HERE_MS;
+        if last.is_some_and(|last| now.ms_since(last) < PEER_REPORT_MAX_AGE_MS) {
+            return LOCAL_SILENT_MS;
         }
-        SILENT_MS + reading_ms.min(READING_MAX_MS)
+        SILENT_MS + prefill_ms.min(MAX_PREFILL_ALLOWANCE_MS)
     }
 }
--- a/crates/direct/src/fleet/turned_away.rs
+++ b/crates/direct/src/fleet/refusals.rs
@@ -9,14 +9,14 @@
 
 /// Pause after the first refusal: a full batch has a place again as soon as one of
 /// its requests ends.
-const FIRST_MS: u64 = 50;
+const FIRST_PAUSE_MS: u64 = 50;
 
 /// Longest pause. It bounds how long a model that is taken again goes unnoticed.
-const LONGEST_MS: u64 = 2_400;
+const MAX_PAUSE_MS: u64 = 2_400;
 
 /// One model whose requests are refused.
 #[derive(Debug)]
-struct Refusing {
+struct RefusedModel {
     model: Arc<str>,
     /// Refusals since the last request that was taken.
     refusals: u32,
@@ -25,17 +25,17 @@
 
 /// Models that one upstream turns requests away from.
 #[derive(Debug, Default)]
-pub(super) struct TurnedAway {
-    models: Vec<Refusing>,
+pub(super) struct Refusals {
+    models: Vec<RefusedModel>,
 }
 
-impl TurnedAway {
+impl Refusals {
     /// A request for a model was refused: none is sent for a while, longer each
     /// time.
-    pub(super) fn refused(&mut self, now: Instant, model: &Arc<str>) {
+    pub(super) fn record(&mut self, now: Instant, model: &Arc<str>) {
         let index = self.models.iter().position(|known| known.model == *model);
         let index = index.unwrap_or_else(|| {
-            self.models.push(Refusing {
+            self.models.push(RefusedModel {
                 model: Arc::clone(model),
                 refusals: 0,
                 until: now,
@@ -48,12 +48,12 @@
     }
 
     /// A request for a model was taken.
-    pub(super) fn took(&mut self, model: &str) {
+    pub(super) fn clear(&mut self, model: &str) {
         self.models.retain(|known| *known.model != *model);
     }
 
     /// Whether requests for a model are better not sent now.
-    pub(super) fn is_turned_away(&self, now: Instant, model: &str) -> bool {
+    pub(super) fn is_paused(&self, now: Instant, model: &str) -> bool {
         let mut models = self.models.iter();
         models.any(|known| *known.model == *model && now < known.until)
     }
@@ -61,6 +61,8 @@
 
 /// The pause after a refusal that came behind so many others.
 fn pause_ms(refusals_before: u32) -> u64 {
-    let doubled_ms = FIRST_MS.checked_shl(refusals_before).unwrap_or(LONGEST_MS);
-    doubled_ms.clamp(FIRST_MS, LONGEST_MS)
+    let doubled_ms = FIRST_PAUSE_MS
+        .checked_shl(refusals_before)
+        .unwrap_or(MAX_PAUSE_MS);
+    doubled_ms.clamp(FIRST_PAUSE_MS, MAX_PAUSE_MS)
 }
--- a/crates/direct/src/outlook.rs
+++ b/crates/direct/src/forecast.rs
@@ -6,10 +6,10 @@
 use crate::{DemandEstimate, EngineSpec};
 
 /// Weight of the outlook in which demand has moved on.
-const MOVED_ON: f64 = 0.4;
+const SHIFTED_WEIGHT: f64 = 0.4;
 
 /// Mean load of upstreams below which they have time to spare.
-const SPARE_BELOW: f64 = 0.4;
+const SPARE_CAPACITY_BELOW: f64 = 0.4;
 
 /// Time of a load above which demand has moved on before one ends that began with
 /// the change.
@@ -17,7 +17,7 @@
 
 /// Part of the busiest model's demand above which a model counts as one of the
 /// busy ones.
-const BUSY_PART: f64 = 0.12;
+const BUSY_SHARE: f64 = 0.12;
 
 /// Least and most busy models for which demand is expected to move on among
 /// them. With fewer there is nobody to move on to; more are a demand that is
@@ -27,23 +27,23 @@
 
 /// One way in which demand may go on, with its weight.
 #[derive(Debug)]
-pub(crate) struct Outlook {
+pub(crate) struct DemandForecast {
     pub(crate) weight: f64,
     /// Demand by model, as parts of one upstream's time.
     expected: HashMap<Arc<str>, f64>,
     /// Demand that a copy may still be kept for.
-    kept: HashMap<Arc<str>, f64>,
+    retained: HashMap<Arc<str>, f64>,
 }
 
-impl Outlook {
+impl DemandForecast {
     /// Demand for a model.
     pub(crate) fn expected_of(&self, model: &str) -> f64 {
         self.expected.get(model).copied().unwrap_or(0.0)
     }
 
     /// Demand for a model that a copy may still be kept for.
-    pub(crate) fn kept_of(&self, model: &str) -> f64 {
-        self.kept.get(model).copied().unwrap_or(0.0)
+    pub(crate) fn retained_of(&self, model: &str) -> f64 {
+        self.retained.get(model).copied().unwrap_or(0.0)
     }
 }
 
@@ -56,12 +56,12 @@
 ///
 /// Where upstreams have no time to spare, what comes later does not count, unless
 /// loads take so long that all who ask for it meanwhile would be too late.
-pub(crate) fn outlooks(
+pub(crate) fn forecasts(
     engine: &EngineSpec,
     loads: &BTreeMap<Arc<str>, DemandEstimate>,
-    spots: usize,
+    upstreams: usize,
     step: Option<usize>,
-) -> Vec<Outlook> {
+) -> Vec<DemandForecast> {
     let part = |ms: f64| ms / 1_000.0;
     let expected: HashMap<Arc<str>, f64> = loads
         .iter()
@@ -72,25 +72,25 @@
         .map(|(model, load)| (Arc::clone(model), part(load.retention_ms_per_s())))
         .collect();
     let work: f64 = kept.values().sum();
-    let spare = work < SPARE_BELOW * spots as f64;
+    let spare = work < SPARE_CAPACITY_BELOW * upstreams as f64;
     let moved = if spare || loads_are_long(engine) {
-        moved_on(&kept, step)
+        shifted_demand(&kept, step)
     } else {
         Vec::new()
     };
-    let now = Outlook {
+    let now = DemandForecast {
         weight: if moved.is_empty() {
             1.0
         } else {
-            1.0 - MOVED_ON
+            1.0 - SHIFTED_WEIGHT
         },
         expected,
-        kept,
+        retained: kept,
     };
-    let weight = MOVED_ON / moved.len().max(1) as f64;
-    let moved = moved.into_iter().map(|moved| Outlook {
+    let weight = SHIFTED_WEIGHT / moved.len().max(1) as f64;
+    let moved = moved.into_iter().map(|moved| DemandForecast {
         weight,
-        kept: moved.clone(),
+        retained: moved.clone(),
         expected: moved,
     });
     std::iter::once(now).chain(moved).collect()
@@ -104,7 +104,7 @@
 
 /// Demand moved on by as many places as it did last. Where that was not seen yet, by
 /// one place and by half of the busy models.
-fn moved_on(
+fn shifted_demand(
     demand: &HashMap<Arc<str>, f64>,
     step: Option<usize>,
 ) -> Vec<HashMap<Arc<str>, f64>> {
@@ -114,7 +114,7 @@
     let top = ranked.first().map_or(0.0, |(_, work)| *work);
     let busy = ranked
         .iter()
-        .take_while(|(_, work)| *work > top * BUSY_PART)
+        .take_while(|(_, work)| *work > top * BUSY_SHARE)
         .count();
     if !(BUSY_MIN..=BUSY_MAX).contains(&busy) {
         return Vec::new();
--- a/crates/direct/src/lease.rs
+++ b/crates/direct/src/lease.rs
@@ -5,10 +5,10 @@
 
 /// Time between two renewals. Each is a call to the platform; three fit into
 /// the time for which a renewal is good, so two lost ones change nothing.
-const RENEW_EVERY_MS: u64 = 1_000;
+const RENEW_INTERVAL_MS: u64 = 1_000;
 
 /// Time between two looks at another's lease while its holder is not heard.
-const LOOK_EVERY_MS: u64 = 1_000;
+const READ_INTERVAL_MS: u64 = 1_000;
 
 /// The lease as it is kept in the platform.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
@@ -84,34 +84,34 @@
 /// that wakes up believes in a lease that another holds by then.
 #[derive(Debug)]
 pub struct Lease {
-    me: String,
+    entry: String,
     start: u64,
     /// Time for which a renewal lets its holder order.
-    valid_ms: u64,
+    validity_ms: u64,
     /// Time between the last order of one holder and the first of the next.
     quiet_ms: u64,
-    seen: Option<Seen>,
+    observed: Option<ObservedLease>,
     /// The newest renewal that its holder told of, and when that was first heard.
-    heard: Option<Heard>,
+    announced: Option<AnnouncedRenewal>,
     /// Until when this process may order.
-    until: Option<Instant>,
+    valid_until: Option<Instant>,
     next_at: Instant,
-    busy: bool,
+    call_in_flight: bool,
     /// What was seen may have been overwritten.
     must_read: bool,
     /// When it ended, once it is given back. It must not be held again.
-    ended_at: Option<Instant>,
+    released_at: Option<Instant>,
 }
 
 /// A renewal that its holder told of, and when that was first heard.
 #[derive(Debug)]
-struct Heard {
+struct AnnouncedRenewal {
     record: LeaseRecord,
-    at: Instant,
+    first_heard_at: Instant,
 }
 
 #[derive(Debug, Clone)]
-struct Seen {
+struct ObservedLease {
     record: LeaseRecord,
     version: u64,
     since: Instant,
@@ -122,30 +122,30 @@
     /// holder orders for at least `quiet_ms`.
     pub fn new(me: &str, start: u64, valid_ms: u64, quiet_ms: u64) -> Self {
         Self {
-            me: me.to_owned(),
+            entry: me.to_owned(),
             start,
-            valid_ms,
+            validity_ms: valid_ms,
             quiet_ms,
-            seen: None,
-            heard: None,
-            until: None,
+            observed: None,
+            announced: None,
+            valid_until: None,
             next_at: Instant::ZERO,
-            busy: false,
+            call_in_flight: false,
             must_read: false,
-            ended_at: None,
+            released_at: None,
         }
     }
 
     /// The token to order with, while this entry may order.
     pub fn token(&self, now: Instant) -> Option<u64> {
-        let until = self.until?;
-        let seen = self.seen.as_ref()?;
-        (now < until && self.is_mine(&seen.record)).then_some(seen.record.token)
+        let until = self.valid_until?;
+        let seen = self.observed.as_ref()?;
+        (now < until && self.is_own(&seen.record)).then_some(seen.record.token)
     }
 
     /// Holder that was last seen.
     pub fn holder(&self) -> Option<&str> {
-        let seen = self.seen.as_ref()?;
+        let seen = self.observed.as_ref()?;
         Some(seen.record.holder.as_str()).filter(|holder| !holder.is_empty())
     }
 
@@ -157,16 +157,19 @@
     /// first telling, nobody begins earlier than after the same wait.
     pub fn on_holder_message(&mut self, now: Instant, record: LeaseRecord) {
         let number = |record: &LeaseRecord| (record.token, record.renewal);
-        let known = self.heard.as_ref();
+        let known = self.announced.as_ref();
         if known.is_none_or(|known| number(&known.record) < number(&record)) {
-            self.heard = Some(Heard { record, at: now });
+            self.announced = Some(AnnouncedRenewal {
+                record,
+                first_heard_at: now,
+            });
         }
     }
 
     /// Number of the renewal by which this entry may order.
     pub fn held_renewal(&self, now: Instant) -> Option<u64> {
         self.token(now)?;
-        self.seen.as_ref().map(|seen| seen.record.renewal)
+        self.observed.as_ref().map(|seen| seen.record.renewal)
     }
 
     /// Until when earlier holders may have ordered, for this entry whose process began
@@ -183,36 +186,36 @@
     /// The next step; the shell tells what came of it by [`Self::read`],
     /// [`Self::written`] or [`Self::failed`].
     pub fn next_step(&mut self, now: Instant, holder_heard: bool) -> LeaseStep {
-        if self.busy || now < self.next_at {
+        if self.call_in_flight || now < self.next_at {
             return LeaseStep::Wait;
         }
-        let step = match &self.seen {
+        let step = match &self.observed {
             None => LeaseStep::Read,
             Some(_) if self.must_read => LeaseStep::Read,
-            Some(seen) if self.is_mine(&seen.record) => self.renewal(seen),
-            Some(seen) if self.may_take(seen, now) => self.taking(seen),
+            Some(seen) if self.is_own(&seen.record) => self.renewal_step(seen),
+            Some(seen) if self.can_acquire(seen, now) => self.acquisition_step(seen),
             Some(_) if holder_heard => LeaseStep::Wait,
             Some(_) => LeaseStep::Read,
         };
-        self.busy = step != LeaseStep::Wait;
-        self.next_at = now.plus_ms(LOOK_EVERY_MS.min(RENEW_EVERY_MS));
+        self.call_in_flight = step != LeaseStep::Wait;
+        self.next_at = now.plus_ms(READ_INTERVAL_MS.min(RENEW_INTERVAL_MS));
         step
     }
 
     /// The object was read: its version and record, or none.
     pub fn on_read(&mut self, now: Instant, found: Option<(u64, LeaseRecord)>) {
-        self.busy = false;
+        self.call_in_flight = false;
         self.must_read = false;
         let Some((version, record)) = found else {
             // Nobody ever held it.
-            self.see(now, 0, LeaseRecord::default());
+            self.observe(now, 0, LeaseRecord::default());
             self.next_at = now;
             return;
         };
-        self.see(now, version, record);
-        if let Some(seen) = &self.seen {
+        self.observe(now, version, record);
+        if let Some(seen) = &self.observed {
             let free_at = seen.since.plus_ms(self.wait_ms(&seen.record) + 1);
-            let free_at = if self.may_take(seen, now) {
+            let free_at = if self.can_acquire(seen, now) {
                 now
             } else {
                 free_at
@@ -223,10 +226,10 @@
 
     /// A write took effect with this version. It was sent at `sent_at`.
     pub fn on_written(&mut self, sent_at: Instant, version: u64, record: LeaseRecord) {
-        self.busy = false;
+        self.call_in_flight = false;
         self.must_read = false;
-        let mine = self.is_mine(&record);
-        self.seen = Some(Seen {
+        let mine = self.is_own(&record);
+        self.observed = Some(ObservedLease {
             record,
             version,
             since: sent_at,
@@ -234,15 +237,15 @@
         // A renewal that was under way when the lease was given back must not
         // bring it to life: its holder ends, and its successor would wait as long
         // as for one that fell silent.
-        let held = mine && self.ended_at.is_none();
-        self.until = held.then(|| sent_at.plus_ms(self.valid_ms));
-        self.next_at = sent_at.plus_ms(RENEW_EVERY_MS);
+        let held = mine && self.released_at.is_none();
+        self.valid_until = held.then(|| sent_at.plus_ms(self.validity_ms));
+        self.next_at = sent_at.plus_ms(RENEW_INTERVAL_MS);
     }
 
     /// A call had no effect.
     pub fn on_failed(&mut self, now: Instant) {
-        self.busy = false;
-        self.next_at = now.plus_ms(RENEW_EVERY_MS / 4);
+        self.call_in_flight = false;
+        self.next_at = now.plus_ms(RENEW_INTERVAL_MS / 4);
     }
 
     /// The object had another version, or a write got no answer: the next read
@@ -252,7 +255,7 @@
     /// been written meanwhile is this process's own renewal, or was written by
     /// somebody who waited until that time.
     pub fn on_uncertain(&mut self, now: Instant) {
-        self.busy = false;
+        self.call_in_flight = false;
         self.must_read = true;
         self.next_at = now;
     }
@@ -260,7 +263,7 @@
     /// The next renewal and the version that the object must have for it, while
     /// this entry holds the lease.
     pub fn next_renewal(&self, now: Instant) -> Option<(LeaseRecord, u64)> {
-        let seen = self.seen.as_ref()?;
+        let seen = self.observed.as_ref()?;
         self.token(now)?;
         let record = LeaseRecord {
             renewal: seen.record.renewal + 1,
@@ -277,10 +280,10 @@
     /// that it was given back; told for how long it had ended by then, they need not
     /// wait for that time once more.
     pub fn release(&mut self, now: Instant) -> Option<(LeaseRecord, u64)> {
-        let until = self.until.take().unwrap_or(now);
-        let ended_at = *self.ended_at.get_or_insert(until.min(now));
-        let seen = self.seen.as_ref()?;
-        if !self.is_mine(&seen.record) {
+        let until = self.valid_until.take().unwrap_or(now);
+        let ended_at = *self.released_at.get_or_insert(until.min(now));
+        let seen = self.observed.as_ref()?;
+        if !self.is_own(&seen.record) {
             return None;
         }
         let record = LeaseRecord {
@@ -293,33 +296,33 @@
         Some((record, seen.version))
     }
 
-    fn see(&mut self, now: Instant, version: u64, record: LeaseRecord) {
+    fn observe(&mut self, now: Instant, version: u64, record: LeaseRecord) {
         let unchanged = self
-            .seen
+            .observed
             .as_ref()
             .is_some_and(|seen| seen.version == version && seen.record == record);
         if unchanged {
             return;
         }
-        let heard = self.heard.as_ref();
+        let heard = self.announced.as_ref();
         let heard = heard.filter(|heard| heard.record == record);
-        self.seen = Some(Seen {
-            since: heard.map_or(now, |heard| heard.at.min(now)),
+        self.observed = Some(ObservedLease {
+            since: heard.map_or(now, |heard| heard.first_heard_at.min(now)),
             record,
             version,
         });
     }
 
-    fn is_mine(&self, record: &LeaseRecord) -> bool {
-        record.holder == self.me && record.start == self.start
+    fn is_own(&self, record: &LeaseRecord) -> bool {
+        record.holder == self.entry && record.start == self.start
     }
 
     /// Whether the lease can be taken. The same entry's earlier process has
     /// ended, so its successor need not wait for it.
-    fn may_take(&self, seen: &Seen, now: Instant) -> bool {
+    fn can_acquire(&self, seen: &ObservedLease, now: Instant) -> bool {
         let never_held = seen.record.token == 0;
         never_held
-            || seen.record.holder == self.me
+            || seen.record.holder == self.entry
             || now.ms_since(seen.since) > self.wait_ms(&seen.record)
     }
 
@@ -330,11 +333,11 @@
         if record.holder.is_empty() {
             self.quiet_ms.saturating_sub(record.idle_ms)
         } else {
-            self.valid_ms + self.quiet_ms
+            self.validity_ms + self.quiet_ms
         }
     }
 
-    fn renewal(&self, seen: &Seen) -> LeaseStep {
+    fn renewal_step(&self, seen: &ObservedLease) -> LeaseStep {
         LeaseStep::Write {
             record: LeaseRecord {
                 renewal: seen.record.renewal + 1,
@@ -344,10 +347,10 @@
         }
     }
 
-    fn taking(&self, seen: &Seen) -> LeaseStep {
+    fn acquisition_step(&self, seen: &ObservedLease) -> LeaseStep {
         LeaseStep::Write {
             record: LeaseRecord {
-                holder: self.me.clone(),
+                holder: self.entry.clone(),
                 start: self.start,
                 token: seen.record.token + 1,
                 renewal: seen.record.renewal + 1,
--- a/crates/direct/src/ledger.rs
+++ b/crates/direct/src/ledger.rs
@@ -23,16 +23,16 @@
 }
 
 #[derive(Debug, Clone)]
-struct Held {
+struct TrackedModel {
     phase: Phase,
     /// When it is expected to serve.
     ready_at: Instant,
     version: u64,
-    adapters: BTreeMap<Arc<str>, Adapter>,
+    adapters: BTreeMap<Arc<str>, TrackedAdapter>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Adapter {
+struct TrackedAdapter {
     ready_at: Instant,
     since: Instant,
 }
@@ -47,14 +47,14 @@
 pub struct Ledger {
     born_ms: Option<u64>,
     orders_accepted: u64,
-    held: BTreeMap<Arc<str>, Held>,
-    copies: crate::LocalWeights,
+    held: BTreeMap<Arc<str>, TrackedModel>,
+    local_weights: crate::LocalWeights,
     /// Whether a model is being loaded or unloaded.
     busy: bool,
     /// The order that is on its way.
-    open: Option<Order>,
+    in_flight: Option<Order>,
     /// Orders without an answer, also to earlier starts.
-    late: UnansweredOrders,
+    unanswered: UnansweredOrders,
     /// Whether what is held was read since it was last unknown.
     known: bool,
 }
@@ -70,7 +70,7 @@
     pub fn for_incarnation(born_ms: Option<u64>, late: UnansweredOrders) -> Self {
         Self {
             born_ms,
-            late,
+            unanswered: late,
             ..Self::default()
         }
     }
@@ -84,21 +84,21 @@
     /// lost sight of.
     #[must_use]
     pub fn into_unanswered(mut self, now: Instant) -> UnansweredOrders {
-        self.late.expire(now);
-        if let Some(order) = self.open {
-            self.late.add(now, order);
+        self.unanswered.expire(now);
+        if let Some(order) = self.in_flight {
+            self.unanswered.add(now, order);
         }
-        self.late
+        self.unanswered
     }
 
     /// Loads without an answer, of any start, that may still be carried out.
     pub fn unanswered_loads(&self) -> usize {
-        self.late.load_count()
+        self.unanswered.load_count()
     }
 
     /// Forgets orders that can't come any more.
     pub fn expire(&mut self, now: Instant) {
-        self.late.expire(now);
+        self.unanswered.expire(now);
     }
 
     /// Orders accepted, as far as is known.
@@ -114,13 +114,14 @@
     /// Whether the upstream has to be asked: before it is ordered anything, and while
     /// an order without an answer may begin at any moment.
     pub const fn needs_report(&self) -> bool {
-        self.open.is_none() && (!self.known || self.busy || !self.late.is_empty())
+        self.in_flight.is_none()
+            && (!self.known || self.busy || !self.unanswered.is_empty())
     }
 
     /// Whether anything can be ordered now. While a model is loaded or unloaded,
     /// an upstream refuses orders for adapters as well.
     pub const fn is_idle(&self) -> bool {
-        self.known && !self.busy && self.open.is_none()
+        self.known && !self.busy && self.in_flight.is_none()
     }
 
     /// Takes over a report; one of an earlier start or from before the last
@@ -135,17 +136,17 @@
             }
             Ordering::Equal => {}
         }
-        if self.open.is_some() || report.orders_accepted < self.orders_accepted {
+        if self.in_flight.is_some() || report.orders_accepted < self.orders_accepted {
             return;
         }
         let kept = std::mem::take(&mut self.held);
         for resident in &report.residents {
-            self.hold(now, resident, kept.get(&resident.model));
+            self.track_resident(now, resident, kept.get(&resident.model));
         }
         for (model, adapter) in &report.adapters_loading {
             if let Some(held) = self.held.get_mut(model) {
                 let known = kept.get(model).and_then(|old| old.adapters.get(adapter));
-                let coming = known.copied().unwrap_or(Adapter {
+                let coming = known.copied().unwrap_or(TrackedAdapter {
                     ready_at: now.plus_ms(ADAPTER_READY_MS),
                     since: now,
                 });
@@ -154,10 +155,10 @@
         }
         if report.busy {
             self.keep_in_progress(kept);
-            self.begin_late_unload(report.orders_accepted);
+            self.begin_unanswered_unload(report.orders_accepted);
         }
         self.orders_accepted = report.orders_accepted;
-        self.copies = report.local_weights.clone();
+        self.local_weights = report.local_weights.clone();
         self.busy = report.busy;
         self.known = true;
     }
@@ -176,7 +177,8 @@
 
     /// Whether a model can be loaded without the weight store.
     pub fn has_local_weights(&self, model: &Arc<str>) -> bool {
-        self.copies.in_memory.contains(model) || self.copies.on_disk.contains(model)
+        self.local_weights.in_memory.contains(model)
+            || self.local_weights.on_disk.contains(model)
     }
 
     /// What can serve now, as entries are told.
@@ -201,7 +203,9 @@
 
     /// Weights held or on their way, also by late orders to an earlier start.
     pub fn used_mb(&self, engine: &EngineSpec) -> f64 {
-        let late = self.late.mb(engine, self.born_ms, self.orders_accepted);
+        let late =
+            self.unanswered
+                .reserved_mb(engine, self.born_ms, self.orders_accepted);
         late + self.held_mb(engine)
     }
 
@@ -218,7 +222,9 @@
     /// Adapters held or on their way, also by late orders to an earlier start.
     pub fn adapter_count(&self) -> u32 {
         let count: usize = self.held.values().map(|held| held.adapters.len()).sum();
-        let late = self.late.adapters(self.born_ms, self.orders_accepted);
+        let late = self
+            .unanswered
+            .reserved_adapters(self.born_ms, self.orders_accepted);
         u32::try_from(count)
             .unwrap_or(u32::MAX)
             .saturating_add(late)
@@ -226,7 +232,7 @@
 
     /// Whether a model and an adapter are held, on their way or just ordered.
     pub fn has_adapter(&self, model: &str, adapter: &str) -> bool {
-        let open = self.open.as_ref().map(|order| &order.action);
+        let open = self.in_flight.as_ref().map(|order| &order.action);
         if let Some(OrderAction::LoadAdapter(of, name)) = open
             && **of == *model
             && **name == *adapter
@@ -243,7 +249,7 @@
             .held
             .iter()
             .filter(|(_, held)| held.phase == Phase::Loaded);
-        let adapters = |held: &Held| {
+        let adapters = |held: &TrackedModel| {
             let all = held.adapters.iter();
             all.map(|(name, adapter)| (Arc::clone(name), adapter.since))
                 .collect()
@@ -255,7 +261,7 @@
 
     /// Whether orders without an answer may still be carried out.
     pub const fn has_unanswered(&self) -> bool {
-        !self.late.is_empty()
+        !self.unanswered.is_empty()
     }
 
     /// Makes an order, or none if it can't be given now or would not fit.
@@ -268,40 +274,44 @@
             return None;
         }
         let order = Order {
-            expected_ms: self.takes_ms(engine, &action),
+            expected_ms: self.expected_ms(engine, &action),
             action,
             started_unix_ms: self.born_ms,
             expected_count: self.orders_accepted,
         };
-        self.open = Some(order.clone());
+        self.in_flight = Some(order.clone());
         Some(order)
     }
 
     /// Takes over what came of an order.
     pub fn apply_outcome(&mut self, now: Instant, order: &Order, sent: SendOutcome) {
         match sent {
-            SendOutcome::Unanswered => self.late.add(now, order.clone()),
+            SendOutcome::Unanswered => self.unanswered.add(now, order.clone()),
             SendOutcome::Answered(OrderAnswer::Accepted | OrderAnswer::Done) => {}
-            SendOutcome::Answered(_) | SendOutcome::NotSent => self.late.remove(order),
+            SendOutcome::Answered(_) | SendOutcome::NotSent => {
+                self.unanswered.remove(order)
+            }
         }
         if order.started_unix_ms != self.born_ms {
             // Which start has answered is not said, so what is held is not known.
             self.known = false;
             return;
         }
-        self.open = None;
+        self.in_flight = None;
         match sent {
             SendOutcome::Answered(OrderAnswer::Accepted) => {
-                self.accepted(now, order, false);
+                self.apply_accepted(now, order, false);
+            }
+            SendOutcome::Answered(OrderAnswer::Done) => {
+                self.apply_accepted(now, order, true)
             }
-            SendOutcome::Answered(OrderAnswer::Done) => self.accepted(now, order, true),
             SendOutcome::Answered(OrderAnswer::Conflict | OrderAnswer::Refused)
             | SendOutcome::Unanswered => self.known = false,
             SendOutcome::NotSent => {}
         }
     }
 
-    fn takes_ms(&self, engine: &EngineSpec, action: &OrderAction) -> u64 {
+    fn expected_ms(&self, engine: &EngineSpec, action: &OrderAction) -> u64 {
         let OrderAction::Load(model) = action else {
             return 0;
         };
@@ -313,9 +323,9 @@
         let Some(spec) = engine.models.get(model) else {
             return 0;
         };
-        if self.copies.in_memory.contains(model) {
+        if self.local_weights.in_memory.contains(model) {
             spec.memory_load_ms
-        } else if self.copies.on_disk.contains(model) {
+        } else if self.local_weights.on_disk.contains(model) {
             spec.disk_load_ms
         } else {
             spec.store_load_ms
@@ -361,13 +371,13 @@
         }
     }
 
-    fn accepted(&mut self, now: Instant, order: &Order, done: bool) {
+    fn apply_accepted(&mut self, now: Instant, order: &Order, done: bool) {
         if !done {
             self.orders_accepted = order.expected_count + 1;
         }
         match &order.action {
             OrderAction::Load(model) => {
-                let held = Held {
+                let held = TrackedModel {
                     phase: if done { Phase::Loaded } else { Phase::Loading },
                     ready_at: now.plus_ms(order.expected_ms),
                     version: 0,
@@ -389,7 +399,7 @@
             }
             OrderAction::LoadAdapter(model, adapter) => {
                 if let Some(held) = self.held.get_mut(model) {
-                    let coming = Adapter {
+                    let coming = TrackedAdapter {
                         ready_at: now.plus_ms(ADAPTER_READY_MS),
                         since: now,
                     };
@@ -409,16 +419,21 @@
         }
     }
 
-    fn hold(&mut self, now: Instant, resident: &ResidentModel, old: Option<&Held>) {
+    fn track_resident(
+        &mut self,
+        now: Instant,
+        resident: &ResidentModel,
+        old: Option<&TrackedModel>,
+    ) {
         let adapters = resident.adapters.iter().map(|name| {
             let known = old.and_then(|old| old.adapters.get(name));
-            let adapter = Adapter {
+            let adapter = TrackedAdapter {
                 ready_at: now.min(known.map_or(now, |known| known.ready_at)),
                 since: known.map_or(now, |known| known.since),
             };
             (Arc::clone(name), adapter)
         });
-        let held = Held {
+        let held = TrackedModel {
             phase: Phase::Loaded,
             ready_at: now,
             version: resident.version,
@@ -429,8 +444,11 @@
 
     /// An unload that got no answer is carried out after all. The upstream still lists
     /// the model and refuses all requests for it until what runs there has ended.
-    fn begin_late_unload(&mut self, orders_accepted: u64) {
-        for model in self.late.unloads(self.born_ms, orders_accepted) {
+    fn begin_unanswered_unload(&mut self, orders_accepted: u64) {
+        for model in self
+            .unanswered
+            .unloads_in_progress(self.born_ms, orders_accepted)
+        {
             if let Some(held) = self.held.get_mut(model) {
                 held.phase = Phase::Unloading;
             }
@@ -438,7 +456,7 @@
     }
 
     /// Keeps what a busy upstream is loading or unloading.
-    fn keep_in_progress(&mut self, kept: BTreeMap<Arc<str>, Held>) {
+    fn keep_in_progress(&mut self, kept: BTreeMap<Arc<str>, TrackedModel>) {
         for (model, old) in kept {
             match old.phase {
                 Phase::Loading => {
--- a/crates/direct/src/lib.rs
+++ b/crates/direct/src/lib.rs
@@ -36,29 +36,29 @@
 //! - A giver stops ordering before anyone else can start.
 
 mod adapters;
-mod admit;
-mod again;
-mod board;
-mod cadence;
+mod admission;
+mod avoidance;
+mod config;
 mod demand;
-mod doubts;
+mod demand_shift;
 mod fleet;
-mod home;
-mod late;
+mod forecast;
 mod lease;
 mod ledger;
-mod moves;
-mod news;
+mod load_planner;
 mod order;
-mod outlook;
-mod pace;
-mod pick;
-mod reading;
-mod repeats;
-mod setup;
+mod peer_messages;
+mod plan;
+mod prefill;
+mod prefix_affinity;
+mod records;
+mod retry;
+mod retry_budget;
+mod select;
 mod shared_watch;
-mod shifts;
 mod successor;
+mod time_factors;
+mod unanswered;
 mod unserved;
 mod watermark;
 
@@ -66,33 +66,35 @@
     ADAPTER_MIN_RESIDENCE_MS, AdapterName, AdapterPlanner, PlannedAdapterLoad,
     UpstreamAdapterState,
 };
-pub use admit::{AdmissionInput, MeanPrefillTimes, admit};
-pub use again::{AttemptHistory, AttemptOutcome, RetryDecision, decide_retry};
-pub use cadence::{
-    HOLDINGS_RESEND_MS, holdings_message_count, peer_message_interval_ms,
-    suspects_per_message, urgent_message_interval_ms,
+pub use admission::{AdmissionInput, MeanPrefillTimes, admit};
+pub use avoidance::{AvoidReason, AvoidanceChange, AvoidanceTracker};
+pub use config::{
+    Config, EngineSpec, Limits, ModelSpec, Route, RouteKind, ServiceSpec,
+    WeightedService,
 };
 pub use demand::{Arrival, DemandEstimate, DemandTracker};
-pub use doubts::{AvoidReason, AvoidanceChange, AvoidanceTracker};
 pub use fleet::{Activity, Fleet, RateLimit, RateNotice, Upstream, Usage};
-pub use late::UnansweredOrders;
 pub use lease::{Lease, LeaseRecord, LeaseStep};
 pub use ledger::Ledger;
-pub use moves::{LoadPlanner, LoadReason, PlacedModel, PlannedLoad, UpstreamState};
-pub use news::{
-    LocalWeights, ResidentModel, UpstreamIncarnation, UpstreamRecord, UpstreamReport,
+pub use load_planner::{
+    LoadPlanner, LoadReason, PlacedModel, PlannedLoad, UpstreamState,
 };
 pub use order::{Order, OrderAction, OrderAnswer, SendOutcome};
-pub use pace::ModelTimeFactors;
-pub use pick::{SelectedUpstream, SelectionError, SelectionInput, select_upstream};
-pub use reading::{PRIORITY_LEVELS, PrefillQueue};
-pub use repeats::RetryBudget;
-pub use setup::{
-    Config, EngineSpec, Limits, ModelSpec, Route, RouteKind, ServiceSpec,
-    WeightedService,
+pub use peer_messages::{
+    HOLDINGS_RESEND_MS, holdings_message_count, peer_message_interval_ms,
+    suspects_per_message, urgent_message_interval_ms,
+};
+pub use prefill::{PRIORITY_LEVELS, PrefillQueue};
+pub use records::{
+    LocalWeights, ResidentModel, UpstreamIncarnation, UpstreamRecord, UpstreamReport,
 };
+pub use retry::{AttemptHistory, AttemptOutcome, RetryDecision, decide_retry};
+pub use retry_budget::RetryBudget;
+pub use select::{SelectedUpstream, SelectionError, SelectionInput, select_upstream};
 pub use shared_watch::{
     ChangedObject, ReceivedBatches, SharedWatch, WatchBatch, WatchRole,
 };
 pub use successor::{PeerEntry, has_successor};
+pub use time_factors::ModelTimeFactors;
+pub use unanswered::UnansweredOrders;
 pub use watermark::Watermark;
--- a/crates/direct/src/moves.rs
+++ b/crates/direct/src/load_planner.rs
@@ -4,16 +4,16 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use crate::board::{Asked, Board};
-use crate::late::LATE_ORDER_MS;
-use crate::outlook::outlooks;
-use crate::shifts::Shifts;
-use crate::unserved::Unserved;
+use crate::demand_shift::ShiftDetector;
+use crate::forecast::forecasts;
+use crate::plan::{DemandInput, PlanBuilder};
+use crate::unanswered::MAX_ORDER_DELAY_MS;
+use crate::unserved::UnservedModels;
 use crate::{DemandEstimate, EngineSpec};
 
 /// Part of the loads that the weight store allows which is used. The rest is
 /// for orders whose answer is lost and that begin late.
-const STORE_USABLE: f64 = 0.95;
+const USABLE_STORE_SHARE: f64 = 0.95;
 
 /// One upstream as the plan sees it.
 #[derive(Debug, Clone)]
@@ -90,9 +90,9 @@
     window_ms: u64,
     store_loads: Vec<Instant>,
     /// Ends of the times in which unanswered loads may begin.
-    late: Vec<Instant>,
-    unserved: Unserved,
-    shifts: Shifts,
+    unanswered_until: Vec<Instant>,
+    unserved: UnservedModels,
+    demand_shifts: ShiftDetector,
 }
 
 impl LoadPlanner {
@@ -101,9 +101,9 @@
         Self {
             window_ms,
             store_loads: Vec::new(),
-            late: Vec::new(),
-            unserved: Unserved::default(),
-            shifts: Shifts::default(),
+            unanswered_until: Vec::new(),
+            unserved: UnservedModels::default(),
+            demand_shifts: ShiftDetector::default(),
         }
     }
 
@@ -115,7 +115,7 @@
     /// Counts a load whose order got no answer: it may begin at any time until
     /// no late order is carried out any more.
     pub fn record_unanswered_load(&mut self, now: Instant) {
-        self.late.push(now.plus_ms(LATE_ORDER_MS));
+        self.unanswered_until.push(now.plus_ms(MAX_ORDER_DELAY_MS));
     }
 
     /// Counts loads of an earlier start that a later one may still carry out.
@@ -124,21 +124,22 @@
     /// since a start keeps no copy in memory of the one before. Not counted, the
     /// restart of many upstreams at once would load more than the store allows.
     pub fn record_surviving_loads(&mut self, now: Instant, loads: usize) {
-        let until = now.plus_ms(LATE_ORDER_MS);
-        self.late.extend(std::iter::repeat_n(until, loads));
+        let until = now.plus_ms(MAX_ORDER_DELAY_MS);
+        self.unanswered_until
+            .extend(std::iter::repeat_n(until, loads));
     }
 
     /// Orders are given again after a time without them. Who waits has waited for
     /// nobody meanwhile, but loads that were ordered before count as they did: a lease
     /// that lapses for a moment would else allow the window's loads a second time.
     pub fn resume(&mut self) {
-        self.unserved = Unserved::default();
-        self.shifts = Shifts::default();
+        self.unserved = UnservedModels::default();
+        self.demand_shifts = ShiftDetector::default();
     }
 
     /// Counts what an earlier giver may have ordered up to a time.
     pub fn assume_window_spent(&mut self, until: Instant, engine: &EngineSpec) {
-        for _ in 0..self.window_loads(engine) {
+        for _ in 0..self.loads_per_window(engine) {
             self.store_loads.push(until);
         }
     }
@@ -147,9 +148,9 @@
     pub fn store_loads_left(&mut self, now: Instant, engine: &EngineSpec) -> usize {
         let oldest = now - Duration::from_millis(self.window_ms);
         self.store_loads.retain(|at| *at > oldest);
-        self.late.retain(|until| *until > now);
-        let spent = self.store_loads.len() + self.late.len();
-        self.window_loads(engine).saturating_sub(spent)
+        self.unanswered_until.retain(|until| *until > now);
+        let spent = self.store_loads.len() + self.unanswered_until.len();
+        self.loads_per_window(engine).saturating_sub(spent)
     }
 
     /// Moves worth starting now.
@@ -157,31 +158,32 @@
         &mut self,
         now: Instant,
         engine: &EngineSpec,
-        spots: &[UpstreamState],
+        upstreams: &[UpstreamState],
         loads: &BTreeMap<Arc<str>, DemandEstimate>,
     ) -> Vec<PlannedLoad> {
         let allowance = self.store_loads_left(now, engine);
         let is_held = |model: &str| {
-            let mut groups = spots.iter().flat_map(|spot| &spot.models);
+            let mut groups = upstreams.iter().flat_map(|upstream| &upstream.models);
             groups.any(|group| &*group.model == model && !group.unloading)
         };
-        self.unserved.look(now, loads, is_held);
-        self.shifts.look(now, loads);
-        let outlooks = outlooks(engine, loads, spots.len(), self.shifts.step());
-        let asked = Asked {
-            loads,
+        self.unserved.update(now, loads, is_held);
+        self.demand_shifts.observe(now, loads);
+        let forecasts =
+            forecasts(engine, loads, upstreams.len(), self.demand_shifts.step());
+        let demand = DemandInput {
+            demand: loads,
             unserved: &self.unserved,
-            outlooks: &outlooks,
+            forecasts: &forecasts,
         };
-        let mut board = Board::new(now, engine, spots, &asked, allowance);
-        board.serve_waiting();
-        board.spread_busy();
-        board.keep_reachable();
-        board.choices
+        let mut board = PlanBuilder::new(now, engine, upstreams, &demand, allowance);
+        board.load_waited_for();
+        board.add_copies_of_busy();
+        board.load_missing();
+        board.planned
     }
 
-    fn window_loads(&self, engine: &EngineSpec) -> usize {
+    fn loads_per_window(&self, engine: &EngineSpec) -> usize {
         let seconds = self.window_ms as f64 / 1_000.0;
-        (engine.store_loads_per_s * seconds * STORE_USABLE).max(1.0) as usize
+        (engine.store_loads_per_s * seconds * USABLE_STORE_SHARE).max(1.0) as usize
     }
 }
--- a/crates/direct/src/board/bits.rs
+++ b/crates/direct/src/plan/index_set.rs
@@ -4,9 +4,9 @@
 
 /// A set of small numbers, of which two are compared in a few steps.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Bits(Vec<u64>);
+pub(super) struct IndexSet(Vec<u64>);
 
-impl Bits {
+impl IndexSet {
     pub(super) fn insert(&mut self, number: usize) {
         let word = number / WORD;
         if self.0.len() <= word {
--- a/crates/direct/src/board/mod.rs
+++ b/crates/direct/src/plan/mod.rs
@@ -1,21 +1,21 @@
 //! The plan while it is made.
 
-mod bits;
-mod models;
+mod index_set;
+mod model_index;
 mod relief;
 
 use base::prelude::*;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use crate::outlook::Outlook;
-use crate::unserved::{Unserved, turn_ms};
+use crate::forecast::DemandForecast;
+use crate::unserved::{UnservedModels, guaranteed_residence_ms};
 use crate::{
     DemandEstimate, EngineSpec, LoadReason, ModelSpec, PlannedLoad, UpstreamState,
 };
-use bits::Bits;
-use models::Models;
-use relief::{Move, View, each};
+use index_set::IndexSet;
+use model_index::ModelIndex;
+use relief::{CandidateMove, ForecastLoads, per_copy_load};
 
 /// What a move costs, in relief. Relief is the fall of the sum of the squares of
 /// all upstreams' loads: how long requests wait grows faster than the load that
@@ -32,7 +32,7 @@
 const STORE_COST: f64 = 0.03;
 
 /// Time for which a model stays where it was loaded.
-const STAY_MS: u64 = 3_000;
+const MIN_RESIDENCE_MS: u64 = 3_000;
 
 /// Loss of the last copy of a model without demand, against any relief.
 const LAST_COPY_LOSS: f64 = 0.5;
@@ -42,38 +42,38 @@
 
 /// Work, as a part of one upstream's time, below which a model gets no further
 /// copy.
-const WORK_MIN: f64 = 0.02;
+const MIN_WORK: f64 = 0.02;
 
 /// Moves decided at once.
-const CHOICES_MAX: usize = 8;
+const MAX_PLANNED_LOADS: usize = 8;
 
 /// The plan while it is made: what each upstream will hold after the moves
 /// chosen so far.
 #[derive(Debug)]
-pub(crate) struct Board<'a> {
+pub(crate) struct PlanBuilder<'a> {
     now: Instant,
     engine: &'a EngineSpec,
     /// Models that the engine runs, that are asked for or held.
-    models: Models,
-    facts: Vec<Facts<'a>>,
-    rows: Vec<Row<'a>>,
+    models: ModelIndex,
+    model_facts: Vec<ModelFacts<'a>>,
+    upstreams: Vec<UpstreamPlan<'a>>,
     /// How demand may go on.
-    views: Vec<View>,
-    store_left: usize,
-    pub(crate) choices: Vec<PlannedLoad>,
+    forecasts: Vec<ForecastLoads>,
+    store_loads_left: usize,
+    pub(crate) planned: Vec<PlannedLoad>,
 }
 
 /// What is known of one model throughout a plan.
 #[derive(Debug)]
-struct Facts<'a> {
+struct ModelFacts<'a> {
     spec: Option<&'a ModelSpec>,
     load: Option<&'a DemandEstimate>,
     /// Time for which it has gone unserved beyond the patience.
     overdue_ms: u64,
-    turn_ms: u64,
+    guaranteed_residence_ms: u64,
 }
 
-impl Facts<'_> {
+impl ModelFacts<'_> {
     fn is_wanted(&self) -> bool {
         self.load.is_some_and(DemandEstimate::is_wanted)
     }
@@ -85,18 +85,18 @@
 
 /// One upstream.
 #[derive(Debug)]
-struct Row<'a> {
-    spot: &'a UpstreamState,
+struct UpstreamPlan<'a> {
+    state: &'a UpstreamState,
     idle: bool,
     free_mb: f64,
-    groups: Vec<Held>,
+    models: Vec<HeldModel>,
     /// Models that it can load without the weight store.
-    copies: Bits,
+    local_weights: IndexSet,
 }
 
 /// A model with its adapters at one upstream.
 #[derive(Debug)]
-struct Held {
+struct HeldModel {
     model: usize,
     size_mb: f64,
     unloading: bool,
@@ -105,79 +105,80 @@
 
 /// A place for one more copy of a model.
 #[derive(Debug)]
-struct Place {
-    row: usize,
+struct CopyPlacement {
+    upstream: usize,
     victim: Option<usize>,
     from_store: bool,
     relief: f64,
     /// Relief less what the move costs.
-    net: f64,
+    net_relief: f64,
 }
 
 /// What is asked for, as a plan goes by it.
 #[derive(Debug)]
-pub(crate) struct Asked<'a> {
+pub(crate) struct DemandInput<'a> {
     /// Demand by model.
-    pub(crate) loads: &'a BTreeMap<Arc<str>, DemandEstimate>,
+    pub(crate) demand: &'a BTreeMap<Arc<str>, DemandEstimate>,
     /// Since when models are asked for that nothing holds.
-    pub(crate) unserved: &'a Unserved,
+    pub(crate) unserved: &'a UnservedModels,
     /// How demand may go on.
-    pub(crate) outlooks: &'a [Outlook],
+    pub(crate) forecasts: &'a [DemandForecast],
 }
 
-impl<'a> Board<'a> {
+impl<'a> PlanBuilder<'a> {
     pub(crate) fn new(
         now: Instant,
         engine: &'a EngineSpec,
         spots: &'a [UpstreamState],
-        asked: &Asked<'a>,
+        asked: &DemandInput<'a>,
         store_left: usize,
     ) -> Self {
-        let mut models = Models::default();
-        for name in engine.models.keys().chain(asked.loads.keys()) {
-            models.number(name);
+        let mut models = ModelIndex::default();
+        for name in engine.models.keys().chain(asked.demand.keys()) {
+            models.intern(name);
         }
-        let rows: Vec<Row<'a>> = spots
+        let rows: Vec<UpstreamPlan<'a>> = spots
             .iter()
-            .map(|spot| Row::new(spot, &mut models))
+            .map(|spot| UpstreamPlan::new(spot, &mut models))
             .collect();
         for (index, row) in rows.iter().enumerate() {
-            for group in row.groups.iter().filter(|group| !group.unloading) {
-                models.hold(group.model, index);
+            for group in row.models.iter().filter(|group| !group.unloading) {
+                models.add_copy(group.model, index);
             }
         }
-        let facts = models.names().iter().map(|name| Facts {
+        let facts = models.names().iter().map(|name| ModelFacts {
             spec: engine.models.get(name),
-            load: asked.loads.get(name),
+            load: asked.demand.get(name),
             overdue_ms: asked.unserved.overdue_ms(now, name),
-            turn_ms: turn_ms(engine, name),
+            guaranteed_residence_ms: guaranteed_residence_ms(engine, name),
         });
         let facts = facts.collect();
-        let views = asked.outlooks.iter();
-        let views = views.map(|outlook| view(outlook, &models));
+        let views = asked.forecasts.iter();
+        let views = views.map(|forecast| forecast_loads(forecast, &models));
         let mut board = Self {
             now,
             engine,
-            views: views.collect(),
+            forecasts: views.collect(),
             models,
-            facts,
-            rows,
-            store_left,
-            choices: Vec::new(),
+            model_facts: facts,
+            upstreams: rows,
+            store_loads_left: store_left,
+            planned: Vec::new(),
         };
-        board.weigh();
+        board.recompute_loads();
         board
     }
 
     /// Models that requests wait for and nothing holds: those that are overdue,
     /// and then the longest wait first.
-    pub(crate) fn serve_waiting(&mut self) {
+    pub(crate) fn load_waited_for(&mut self) {
         let waiting = (0..self.models.len()).filter(|model| {
-            self.facts[*model].is_waited_for() && self.models.copies(*model) == 0
+            self.model_facts[*model].is_waited_for()
+                && self.models.copy_count(*model) == 0
         });
         let mut waiting: Vec<(u64, u64, &Arc<str>, usize)> = waiting
             .map(|model| {
-                let facts = &self.facts[model];
+                let facts = &self.model_facts[model];
                 let oldest_ms = facts.load.map_or(0, |load| load.oldest_wait_ms);
                 (facts.overdue_ms, oldest_ms, self.models.name(model), model)
             })
@@ -185,51 +186,51 @@
         waiting.sort_by(|a, b| b.cmp(a));
         let waiting: Vec<usize> = waiting.iter().map(|(.., model)| *model).collect();
         for model in waiting {
-            if let Some(place) = self.place(model, true) {
-                self.choose(model, &place, LoadReason::Waited);
+            if let Some(place) = self.best_placement(model, true) {
+                self.commit(model, &place, LoadReason::Waited);
             }
         }
     }
 
     /// Further copies for models whose requests meet busy upstreams.
-    pub(crate) fn spread_busy(&mut self) {
-        while self.choices.len() < CHOICES_MAX {
-            let Some((model, place)) = self.best_copy() else {
+    pub(crate) fn add_copies_of_busy(&mut self) {
+        while self.planned.len() < MAX_PLANNED_LOADS {
+            let Some((model, place)) = self.best_extra_copy() else {
                 return;
             };
-            self.choose(model, &place, LoadReason::Busy);
+            self.commit(model, &place, LoadReason::Busy);
         }
     }
 
     /// Models that nothing holds, where there is room anyway.
-    pub(crate) fn keep_reachable(&mut self) {
+    pub(crate) fn load_missing(&mut self) {
         let names = self.engine.models.keys();
         let missing: Vec<usize> = names
-            .filter_map(|name| self.models.known(name))
-            .filter(|model| self.models.copies(*model) == 0)
+            .filter_map(|name| self.models.index_of(name))
+            .filter(|model| self.models.copy_count(*model) == 0)
             .collect();
         for model in missing {
-            if self.choices.len() >= CHOICES_MAX {
+            if self.planned.len() >= MAX_PLANNED_LOADS {
                 return;
             }
-            if let Some(place) = self.place(model, false) {
-                self.choose(model, &place, LoadReason::Reachable);
+            if let Some(place) = self.best_placement(model, false) {
+                self.commit(model, &place, LoadReason::Reachable);
             }
         }
     }
 
-    fn best_copy(&self) -> Option<(usize, Place)> {
-        let mut best: Option<(usize, Place)> = None;
+    fn best_extra_copy(&self) -> Option<(usize, CopyPlacement)> {
+        let mut best: Option<(usize, CopyPlacement)> = None;
         for model in 0..self.models.len() {
-            let work = self.weighed(|view| view.expected[model]);
-            if self.models.copies(model) == 0 || work < WORK_MIN {
+            let work = self.weighted_sum(|view| view.expected[model]);
+            if self.models.copy_count(model) == 0 || work < MIN_WORK {
                 continue;
             }
-            let Some(place) = self.place(model, true) else {
+            let Some(place) = self.best_placement(model, true) else {
                 continue;
             };
-            let most = best.as_ref().map_or(0.0, |(_, best)| best.net);
-            if place.net > most {
+            let most = best.as_ref().map_or(0.0, |(_, best)| best.net_relief);
+            if place.net_relief > most {
                 best = Some((model, place));
             }
         }
@@ -238,37 +239,37 @@
 
     /// The best place for one more copy; with `evict`, also where another model
     /// has to go.
-    fn place(&self, model: usize, evict: bool) -> Option<Place> {
-        let spec = self.facts[model].spec?;
-        let mut best: Option<Place> = None;
-        for (index, row) in self.rows.iter().enumerate() {
+    fn best_placement(&self, model: usize, evict: bool) -> Option<CopyPlacement> {
+        let spec = self.model_facts[model].spec?;
+        let mut best: Option<CopyPlacement> = None;
+        for (index, row) in self.upstreams.iter().enumerate() {
             if !row.idle || row.holds(model) {
                 continue;
             }
-            let from_store = !row.copies.contains(model);
-            if from_store && self.store_left == 0 {
+            let from_store = !row.local_weights.contains(model);
+            if from_store && self.store_loads_left == 0 {
                 continue;
             }
-            let found = self.room(model, index, spec.weights_mb, evict);
+            let found = self.make_room(model, index, spec.weights_mb, evict);
             let Some((victim, relief)) = found else {
                 continue;
             };
-            let net = relief - self.cost(model, spec, row);
-            if best.as_ref().is_none_or(|place| net > place.net) {
-                best = Some(Place {
-                    row: index,
+            let net = relief - self.move_cost(model, spec, row);
+            if best.as_ref().is_none_or(|place| net > place.net_relief) {
+                best = Some(CopyPlacement {
+                    upstream: index,
                     victim,
                     from_store,
                     relief,
-                    net,
+                    net_relief: net,
                 });
             }
         }
         best
     }
 
-    fn cost(&self, model: usize, spec: &ModelSpec, row: &Row<'_>) -> f64 {
-        let from_store = !row.copies.contains(model);
+    fn move_cost(&self, model: usize, spec: &ModelSpec, row: &UpstreamPlan<'_>) -> f64 {
+        let from_store = !row.local_weights.contains(model);
         let load_ms = if from_store {
             spec.store_load_ms
         } else {
@@ -278,23 +279,23 @@
         if from_store {
             cost += STORE_COST;
         }
-        if !self.in_domain(model, &row.spot.domain) {
+        if !self.has_copy_in_domain(model, &row.state.domain) {
             cost -= SPREAD_BONUS;
         }
         cost
     }
 
     /// Room on a spot: the model that has to go, and what the move relieves.
-    fn room(
+    fn make_room(
         &self,
         model: usize,
         to: usize,
         size_mb: f64,
         evict: bool,
     ) -> Option<(Option<usize>, f64)> {
-        let row = &self.rows[to];
+        let row = &self.upstreams[to];
         if row.free_mb >= size_mb {
-            let alone = Move {
+            let alone = CandidateMove {
                 model,
                 to,
                 victim: None,
@@ -305,21 +306,22 @@
             return None;
         }
         let mut best: Option<(usize, f64)> = None;
-        for (victim, group) in row.groups.iter().enumerate() {
-            let stays = self.now.ms_since(group.since) < STAY_MS;
+        for (victim, group) in row.models.iter().enumerate() {
+            let stays = self.now.ms_since(group.since) < MIN_RESIDENCE_MS;
             if stays || group.unloading || row.free_mb + group.size_mb < size_mb {
                 continue;
             }
-            if self.must_stay(group, model) {
+            if self.is_protected(group, model) {
                 continue;
             }
-            let in_its_place = Move {
+            let in_its_place = CandidateMove {
                 model,
                 to,
                 victim: Some(group.model),
             };
-            let copies = self.models.copies(group.model);
-            let share = self.weighed(|view| each(view.kept[group.model], copies));
+            let copies = self.models.copy_count(group.model);
+            let share = self
+                .weighted_sum(|view| per_copy_load(view.retained[group.model], copies));
             let mut relief = self.relief(in_its_place);
             relief -= share * UNLOAD_COST;
             if copies == 1 {
@@ -333,111 +335,114 @@
     }
 
     /// Fall of the sum of the squares of all loads by a move, over all outlooks.
-    fn relief(&self, of: Move) -> f64 {
-        self.weighed(|view| view.relief(of, &self.models))
+    fn relief(&self, of: CandidateMove) -> f64 {
+        self.weighted_sum(|view| view.relief(of, &self.models))
     }
 
-    fn weighed(&self, value: impl Fn(&View) -> f64) -> f64 {
-        let views = self.views.iter();
+    fn weighted_sum(&self, value: impl Fn(&ForecastLoads) -> f64) -> f64 {
+        let views = self.forecasts.iter();
         views.map(|view| view.weight * value(view)).sum()
     }
 
-    fn choose(&mut self, model: usize, place: &Place, reason: LoadReason) {
-        let size_mb = self.facts[model].spec.map_or(0.0, |spec| spec.weights_mb);
-        let row = &mut self.rows[place.row];
-        let unload = place.victim.map(|index| row.groups.remove(index));
+    fn commit(&mut self, model: usize, place: &CopyPlacement, reason: LoadReason) {
+        let size_mb = self.model_facts[model]
+            .spec
+            .map_or(0.0, |spec| spec.weights_mb);
+        let row = &mut self.upstreams[place.upstream];
+        let unload = place.victim.map(|index| row.models.remove(index));
         if let Some(victim) = &unload {
             row.free_mb += victim.size_mb;
-            self.models.drop_copy(victim.model, place.row);
+            self.models.remove_copy(victim.model, place.upstream);
         }
         row.free_mb -= size_mb;
         row.idle = false;
-        row.groups.push(Held {
+        row.models.push(HeldModel {
             model,
             size_mb,
             unloading: false,
             since: self.now,
         });
-        self.models.hold(model, place.row);
+        self.models.add_copy(model, place.upstream);
         if place.from_store {
-            self.store_left -= 1;
+            self.store_loads_left -= 1;
         }
         let unload = unload.map(|victim| Arc::clone(self.models.name(victim.model)));
-        self.choices.push(PlannedLoad {
-            upstream: Arc::clone(&row.spot.upstream),
+        self.planned.push(PlannedLoad {
+            upstream: Arc::clone(&row.state.upstream),
             load: Arc::clone(self.models.name(model)),
             unload,
             from_store: place.from_store,
             reason,
             relief: place.relief,
         });
-        self.weigh();
+        self.recompute_loads();
     }
 
     /// Works the loads of all spots out anew.
-    fn weigh(&mut self) {
-        let (rows, models) = (&self.rows, &self.models);
-        for view in &mut self.views {
+    fn recompute_loads(&mut self) {
+        let (rows, models) = (&self.upstreams, &self.models);
+        for view in &mut self.forecasts {
             let loads = rows.iter().map(|row| row.load(view, models)).collect();
-            view.weigh(loads, models);
+            view.update(loads, models);
         }
     }
 
-    fn in_domain(&self, model: usize, domain: &Arc<str>) -> bool {
+    fn has_copy_in_domain(&self, model: usize, domain: &Arc<str>) -> bool {
         let mut holders = self.models.holders(model).iter();
-        holders.any(|index| self.rows[*index].spot.domain == *domain)
+        holders.any(|index| self.upstreams[*index].state.domain == *domain)
     }
 
     /// Whether the last copy of a model has to stay where it is, against another
     /// model's wish for its place.
-    fn must_stay(&self, group: &Held, against: usize) -> bool {
-        let facts = &self.facts[group.model];
-        if self.models.copies(group.model) > 1 || !facts.is_wanted() {
+    fn is_protected(&self, group: &HeldModel, against: usize) -> bool {
+        let facts = &self.model_facts[group.model];
+        if self.models.copy_count(group.model) > 1 || !facts.is_wanted() {
             return false;
         }
-        let had_turn = self.now.ms_since(group.since) >= facts.turn_ms;
-        let overdue = self.facts[against].overdue_ms > 0;
+        let had_turn = self.now.ms_since(group.since) >= facts.guaranteed_residence_ms;
+        let overdue = self.model_facts[against].overdue_ms > 0;
         !(overdue && had_turn)
     }
 }
 
-impl<'a> Row<'a> {
-    fn new(spot: &'a UpstreamState, models: &mut Models) -> Self {
-        let mut copies = Bits::default();
+impl<'a> UpstreamPlan<'a> {
+    fn new(spot: &'a UpstreamState, models: &mut ModelIndex) -> Self {
+        let mut copies = IndexSet::default();
         for name in &spot.local_weights {
-            copies.insert(models.number(name));
+            copies.insert(models.intern(name));
         }
-        let groups = spot.models.iter().map(|group| Held {
-            model: models.number(&group.model),
+        let groups = spot.models.iter().map(|group| HeldModel {
+            model: models.intern(&group.model),
             size_mb: group.size_mb,
             unloading: group.unloading,
             since: group.since,
         });
         Self {
-            spot,
+            state: spot,
             idle: spot.idle,
             free_mb: spot.free_mb,
-            groups: groups.collect(),
-            copies,
+            models: groups.collect(),
+            local_weights: copies,
         }
     }
 
     fn holds(&self, model: usize) -> bool {
-        self.groups.iter().any(|group| group.model == model)
+        self.models.iter().any(|group| group.model == model)
     }
 
-    fn load(&self, view: &View, models: &Models) -> f64 {
-        let groups = self.groups.iter().filter(|group| !group.unloading);
-        let loads = groups
-            .map(|group| each(view.expected[group.model], models.copies(group.model)));
+    fn load(&self, view: &ForecastLoads, models: &ModelIndex) -> f64 {
+        let groups = self.models.iter().filter(|group| !group.unloading);
+        let loads = groups.map(|group| {
+            per_copy_load(view.expected[group.model], models.copy_count(group.model))
+        });
         loads.sum()
     }
 }
 
 /// An outlook by the models' numbers.
-fn view(outlook: &Outlook, models: &Models) -> View {
+fn forecast_loads(forecast: &DemandForecast, models: &ModelIndex) -> ForecastLoads {
     let names = models.names().iter();
-    let expected = names.clone().map(|name| outlook.expected_of(name));
-    let kept = names.map(|name| outlook.kept_of(name));
-    View::new(outlook.weight, expected.collect(), kept.collect())
+    let expected = names.clone().map(|name| forecast.expected_of(name));
+    let kept = names.map(|name| forecast.retained_of(name));
+    ForecastLoads::new(forecast.weight, expected.collect(), kept.collect())
 }
--- a/crates/direct/src/board/models.rs
+++ b/crates/direct/src/plan/model_index.rs
@@ -3,35 +3,35 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use super::bits::Bits;
+use super::index_set::IndexSet;
 
 /// Models by number: a plan asks for the same few facts of each model thousands of
 /// times, and names are slow to find.
 #[derive(Debug, Default)]
-pub(super) struct Models {
-    numbers: HashMap<Arc<str>, usize>,
+pub(super) struct ModelIndex {
+    indices: HashMap<Arc<str>, usize>,
     names: Vec<Arc<str>>,
     holders: Vec<Vec<usize>>,
-    held_by: Vec<Bits>,
+    holder_sets: Vec<IndexSet>,
 }
 
-impl Models {
+impl ModelIndex {
     /// The number of a model, which is given one if it has none.
-    pub(super) fn number(&mut self, name: &Arc<str>) -> usize {
-        if let Some(number) = self.numbers.get(name) {
+    pub(super) fn intern(&mut self, name: &Arc<str>) -> usize {
+        if let Some(number) = self.indices.get(name) {
             return *number;
         }
         let number = self.names.len();
-        self.numbers.insert(Arc::clone(name), number);
+        self.indices.insert(Arc::clone(name), number);
         self.names.push(Arc::clone(name));
         self.holders.push(Vec::new());
-        self.held_by.push(Bits::default());
+        self.holder_sets.push(IndexSet::default());
         number
     }
 
     /// The number of a model that has one.
-    pub(super) fn known(&self, name: &str) -> Option<usize> {
-        self.numbers.get(name).copied()
+    pub(super) fn index_of(&self, name: &str) -> Option<usize> {
+        self.indices.get(name).copied()
     }
 
     pub(super) const fn len(&self) -> usize {
@@ -51,21 +51,21 @@
         &self.holders[model]
     }
 
-    pub(super) fn held_by(&self, model: usize) -> &Bits {
-        &self.held_by[model]
+    pub(super) fn holder_set(&self, model: usize) -> &IndexSet {
+        &self.holder_sets[model]
     }
 
-    pub(super) fn copies(&self, model: usize) -> usize {
+    pub(super) fn copy_count(&self, model: usize) -> usize {
         self.holders[model].len()
     }
 
-    pub(super) fn hold(&mut self, model: usize, spot: usize) {
+    pub(super) fn add_copy(&mut self, model: usize, spot: usize) {
         self.holders[model].push(spot);
-        self.held_by[model].insert(spot);
+        self.holder_sets[model].insert(spot);
     }
 
-    pub(super) fn drop_copy(&mut self, model: usize, spot: usize) {
+    pub(super) fn remove_copy(&mut self, model: usize, spot: usize) {
         self.holders[model].retain(|holder| *holder != spot);
-        self.held_by[model].remove(spot);
+        self.holder_sets[model].remove(spot);
     }
 }
--- a/crates/direct/src/reading.rs
+++ b/crates/direct/src/prefill.rs
@@ -13,7 +13,7 @@
 /// most urgent first, and finish the piece of a prompt that they are at: of 190
 /// requests that would have waited for 400 ms and more behind all, half began within
 /// 270 ms.
-const LESS_URGENT_PART: f64 = 0.25;
+const LESS_URGENT_SHARE: f64 = 0.25;
 
 /// Prompt tokens to be read of requests that have no first answer yet, by rank, as
 /// many as take the same time at the common pace.
@@ -76,7 +76,7 @@
     /// Time for which a request of a rank waits behind it.
     pub fn wait_ms(&self, rank: u32) -> f64 {
         let (ahead, behind) = self.tokens.split_at(index(rank) + 1);
-        ms(ahead.iter().sum()) + ms(behind.iter().sum()) * LESS_URGENT_PART
+        ms(ahead.iter().sum()) + ms(behind.iter().sum()) * LESS_URGENT_SHARE
     }
 }
 
--- a/crates/direct/src/home.rs
+++ b/crates/direct/src/prefix_affinity.rs
@@ -12,7 +12,7 @@
 /// Part of the shared tokens that the second upstream in line is taken to keep; the
 /// third that of the second, and so on. The first alone would be the only one to read
 /// a part that more ask for than it can serve.
-const NEXT_KEEPS: f64 = 0.5;
+const NEXT_CACHED_SHARE: f64 = 0.5;
 
 /// The upstreams that can run a request, in the order in which they are to read what
 /// its prompt shares with others.
@@ -20,16 +20,16 @@
 /// By rendezvous hash of the shared parts: all entries find the same order without a
 /// word, and an upstream that goes or comes moves only its own.
 #[derive(Debug, Default)]
-pub(crate) struct Homes<'a> {
+pub(crate) struct PrefixAffinity<'a> {
     /// Places in that order by upstream, from 0.
-    places: HashMap<&'a str, i32>,
+    ranks: HashMap<&'a str, i32>,
     shared_tokens: u64,
 }
 
-impl<'a> Homes<'a> {
+impl<'a> PrefixAffinity<'a> {
     /// The order for a request. A prompt of one part, or of none, shares nothing: the
     /// last part is the request's own.
-    pub(crate) fn of(fleet: &'a Fleet, input: &SelectionInput<'a>) -> Self {
+    pub(crate) fn for_request(fleet: &'a Fleet, input: &SelectionInput<'a>) -> Self {
         let shared = input
             .prompt_parts
             .split_last()
@@ -49,24 +49,24 @@
             .collect();
         ranked.sort_unstable_by(|a, b| b.cmp(a));
         Self {
-            places: ranked.into_iter().map(|(_, id)| id).zip(0..).collect(),
+            ranks: ranked.into_iter().map(|(_, id)| id).zip(0..).collect(),
             shared_tokens: shared.iter().map(|(_, tokens)| tokens).sum(),
         }
     }
 
     /// Reading time, in milliseconds, that an upstream is taken to save by what it
     /// keeps beyond the tokens that this entry knows of.
-    pub(crate) fn saved_ms(
+    pub(crate) fn expected_saving_ms(
         &self,
         id: &str,
-        known_tokens: u64,
+        cached_tokens: u64,
         input: &SelectionInput<'_>,
     ) -> f64 {
-        let Some(place) = self.places.get(id) else {
+        let Some(place) = self.ranks.get(id) else {
             return 0.0;
         };
-        let kept = self.shared_tokens as f64 * NEXT_KEEPS.powi(*place);
-        let unknown = (kept - known_tokens as f64).max(0.0) * input.time_factor;
+        let kept = self.shared_tokens as f64 * NEXT_CACHED_SHARE.powi(*place);
+        let unknown = (kept - cached_tokens as f64).max(0.0) * input.time_factor;
         PrefillQueue::single(input.priority, unknown as u64).prefill_ms()
     }
 }
--- a/crates/direct/src/again.rs
+++ b/crates/direct/src/retry.rs
@@ -59,10 +59,10 @@
 /// order and lost the answer, and a second send would do it twice.
 pub const fn decide_retry(
     kind: RouteKind,
-    tried: AttemptHistory,
+    history: AttemptHistory,
     outcome: AttemptOutcome,
 ) -> RetryDecision {
-    let may_have_run = tried.may_have_run
+    let may_have_run = history.may_have_run
         || matches!(outcome, AttemptOutcome::Unknown | AttemptOutcome::Failed);
     if matches!(outcome, AttemptOutcome::NotSent) && !may_have_run {
         return RetryDecision::Resend;
@@ -70,7 +70,7 @@
     if may_have_run && !kind.may_rerun() {
         return RetryDecision::FailMayHaveRun;
     }
-    if tried.upstreams < tried.upstreams_max {
+    if history.upstreams < history.upstreams_max {
         return RetryDecision::Retry;
     }
     if may_have_run {
--- a/crates/direct/src/repeats.rs
+++ b/crates/direct/src/retry_budget.rs
@@ -5,18 +5,18 @@
 use std::sync::Arc;
 
 /// Parts of the window; one part is forgotten at a time.
-const PARTS: u64 = 20;
+const SLICES: u64 = 20;
 
 /// Part of an entry's share that it may use. The bound is judged over any
 /// window, and requests are counted where they were sent, so what two entries
 /// see of one window differs by what is under way.
-const USABLE: f64 = 0.8;
+const USABLE_SHARE: f64 = 0.8;
 
 #[derive(Debug, Clone, Copy, Default)]
-struct Part {
+struct WindowSlice {
     number: u64,
     requests: u32,
-    repeats: u32,
+    retries: u32,
 }
 
 /// Repeats of requests, bounded for each service over all entries.
@@ -34,7 +34,7 @@
     window_ms: u64,
     entries: u32,
     started_at: Instant,
-    services: BTreeMap<Arc<str>, [Part; PARTS as usize]>,
+    services: BTreeMap<Arc<str>, [WindowSlice; SLICES as usize]>,
 }
 
 impl RetryBudget {
@@ -66,49 +66,49 @@
 
     /// Counts a request of a caller.
     pub fn record_request(&mut self, now: Instant, service: &Arc<str>) {
-        self.part(now, service).requests += 1;
+        self.slice(now, service).requests += 1;
     }
 
     /// Takes one repeat; false when the share is spent.
     pub fn try_take(&mut self, now: Instant, service: &Arc<str>) -> bool {
-        let (requests, repeats) = self.window_counts(now, service);
+        let (requests, retries) = self.window_counts(now, service);
         let up_ms = now.ms_since(self.started_at).min(self.window_ms);
         let burst = self.burst / f64::from(self.entries);
         let burst = burst * up_ms as f64 / self.window_ms as f64;
         let share = f64::from(requests) * self.ratio + burst;
-        if f64::from(repeats) + 1.0 > share * USABLE {
+        if f64::from(retries) + 1.0 > share * USABLE_SHARE {
             return false;
         }
-        self.part(now, service).repeats += 1;
+        self.slice(now, service).retries += 1;
         true
     }
 
     /// Requests and repeats in the window that ends now.
     pub fn window_counts(&self, now: Instant, service: &Arc<str>) -> (u32, u32) {
-        let number = self.number(now);
-        let oldest = (number + 1).saturating_sub(PARTS);
-        let parts = self.services.get(service).into_iter().flatten();
-        parts
-            .filter(|part| (oldest..=number).contains(&part.number))
-            .fold((0, 0), |(requests, repeats), part| {
-                (requests + part.requests, repeats + part.repeats)
+        let number = self.slice_number(now);
+        let oldest = (number + 1).saturating_sub(SLICES);
+        let slices = self.services.get(service).into_iter().flatten();
+        slices
+            .filter(|slice| (oldest..=number).contains(&slice.number))
+            .fold((0, 0), |(requests, retries), slice| {
+                (requests + slice.requests, retries + slice.retries)
             })
     }
 
-    const fn number(&self, now: Instant) -> u64 {
-        now.as_ms() * PARTS / self.window_ms
+    const fn slice_number(&self, now: Instant) -> u64 {
+        now.as_ms() * SLICES / self.window_ms
     }
 
-    fn part(&mut self, now: Instant, service: &Arc<str>) -> &mut Part {
-        let number = self.number(now);
-        let parts = self.services.entry(Arc::clone(service)).or_default();
-        let part = &mut parts[(number % PARTS) as usize];
-        if part.number != number {
-            *part = Part {
+    fn slice(&mut self, now: Instant, service: &Arc<str>) -> &mut WindowSlice {
+        let number = self.slice_number(now);
+        let slices = self.services.entry(Arc::clone(service)).or_default();
+        let slice = &mut slices[(number % SLICES) as usize];
+        if slice.number != number {
+            *slice = WindowSlice {
                 number,
-                ..Part::default()
+                ..WindowSlice::default()
             };
         }
-        part
+        slice
     }
 }
--- a/crates/direct/src/pick.rs
+++ b/crates/direct/src/select.rs
@@ -3,26 +3,26 @@
 use base::prelude::*;
 use std::sync::Arc;
 
-use crate::home::Homes;
+use crate::prefix_affinity::PrefixAffinity;
 use crate::{EngineSpec, Fleet, PrefillQueue, Upstream, Usage};
 
 /// Delay of a first answer by each request that already runs.
-const RUNNING_MS: f64 = 1.0;
+const PER_RUNNING_MS: f64 = 1.0;
 
 /// Delay of an answer of a plain service by each request at the upstream over
 /// its slots, and a little below them.
-const QUEUED_MS: f64 = 30.0;
-const SLOT_MS: f64 = 3.0;
+const PER_QUEUED_MS: f64 = 30.0;
+const PER_SLOT_MS: f64 = 3.0;
 
 /// What an upstream in another failure domain costs in bytes and time.
-const OTHER_DOMAIN_MS: f64 = 4.0;
+const CROSS_DOMAIN_MS: f64 = 4.0;
 
 /// What a failed answer costs: the time until the request is sent again.
-const FAILED_MS: f64 = 1_500.0;
+const FAILURE_MS: f64 = 1_500.0;
 
 /// Part of the cache that running requests are let fill. Over it, engines
 /// preempt requests in the middle of their answers.
-const CACHE_USABLE: f64 = 0.92;
+const USABLE_CACHE_SHARE: f64 = 0.92;
 
 /// What the choice depends on besides the upstreams.
 #[derive(Debug)]
@@ -119,32 +119,32 @@
 ) -> Result<SelectedUpstream, SelectionError> {
     let mut best: Option<(bool, f64, SelectedUpstream)> = None;
     let mut reason = SelectionError::NoUpstream;
-    let homes = Homes::of(fleet, input);
+    let affinity = PrefixAffinity::for_request(fleet, input);
     for (index, upstream) in fleet.of_service(input.service).enumerate() {
         if !upstream.is_usable(input.now)
             || input.excluded.contains(&upstream.record.id)
         {
             continue;
         }
-        match candidate(upstream, input, &homes, index as u64) {
-            Err(why) => reason = reason.max_known(why),
-            Ok((score, picked)) => {
+        match score_candidate(upstream, input, &affinity, index as u64) {
+            Err(why) => reason = reason.closer(why),
+            Ok((score, selected)) => {
                 let suspected = upstream.is_avoided(input.now);
                 let better = best.as_ref().is_none_or(|(other, least, _)| {
                     (suspected, score) < (*other, *least)
                 });
                 if better {
-                    best = Some((suspected, score, picked));
+                    best = Some((suspected, score, selected));
                 }
             }
         }
     }
-    best.map(|(_, _, picked)| picked).ok_or(reason)
+    best.map(|(_, _, selected)| selected).ok_or(reason)
 }
 
 impl SelectionError {
     /// The reason closest to an upstream that could run the request.
-    const fn max_known(self, other: Self) -> Self {
+    const fn closer(self, other: Self) -> Self {
         if other as u8 > self as u8 {
             other
         } else {
@@ -153,24 +153,24 @@
     }
 }
 
-fn candidate(
+fn score_candidate(
     upstream: &Upstream,
     input: &SelectionInput<'_>,
-    homes: &Homes<'_>,
+    affinity: &PrefixAffinity<'_>,
     index: u64,
 ) -> Result<(f64, SelectedUpstream), SelectionError> {
     if let Some((model, adapter)) = input.model {
         check_holds(upstream, input.now, model, adapter)?;
     }
-    check_wanted(upstream, input.now)?;
+    check_accepting(upstream, input.now)?;
     // Added up over all entries: only where it can matter.
     let usage = upstream.usage(input.now);
-    let Need {
+    let RequestNeed {
         usage: adds,
-        known_tokens,
+        cached_tokens,
     } = match input.model {
         Some((model, _)) => model_need(upstream, input, model, &usage)?,
-        None => Need::default(),
+        None => RequestNeed::default(),
     };
     let wait_ms = if input.model.is_some() {
         engine_wait_ms(&usage, &adds, input.priority)
@@ -181,24 +181,25 @@
     let domain_ms = if *upstream.record.domain == *input.domain {
         0.0
     } else {
-        OTHER_DOMAIN_MS
+        CROSS_DOMAIN_MS
     };
-    let saved_ms = homes.saved_ms(&upstream.record.id, known_tokens, input);
+    let saved_ms =
+        affinity.expected_saving_ms(&upstream.record.id, cached_tokens, input);
     let score = (wait_ms - saved_ms).max(0.0) * (1.0 + 0.1 * chance)
         + chance
         + domain_ms
-        + failing_ms(upstream);
+        + failure_penalty_ms(upstream);
     let alone = input.model.is_some() && usage.prefill.is_empty();
-    let picked = SelectedUpstream {
+    let selected = SelectedUpstream {
         id: Arc::clone(&upstream.record.id),
         usage: adds,
         unqueued_prefill_ms: alone
             .then(|| adds.prefill.prefill_ms() / input.time_factor),
         first_answer_ms: wait_ms,
         own_prefill_ms: adds.prefill.prefill_ms(),
-        uncached_tokens: input.prompt_tokens.saturating_sub(known_tokens),
+        uncached_tokens: input.prompt_tokens.saturating_sub(cached_tokens),
     };
-    Ok((score, picked))
+    Ok((score, selected))
 }
 
 fn check_holds(
@@ -217,7 +218,7 @@
 }
 
 /// Whether an upstream takes a request, by what it said itself.
-fn check_wanted(upstream: &Upstream, now: Instant) -> Result<(), SelectionError> {
+fn check_accepting(upstream: &Upstream, now: Instant) -> Result<(), SelectionError> {
     if upstream.is_backed_off(now) {
         return Err(SelectionError::BackedOff);
     }
@@ -229,13 +230,13 @@
 
 /// What a request needs of an upstream.
 #[derive(Debug)]
-struct Need {
+struct RequestNeed {
     usage: Usage,
     /// Prompt tokens that the upstream need not read, as far as this entry knows.
-    known_tokens: u64,
+    cached_tokens: u64,
 }
 
-impl Default for Need {
+impl Default for RequestNeed {
     /// That of a request to a plain service.
     fn default() -> Self {
         Self {
@@ -243,7 +244,7 @@
                 running: 1,
                 ..Usage::default()
             },
-            known_tokens: 0,
+            cached_tokens: 0,
         }
     }
 }
@@ -253,44 +254,44 @@
     input: &SelectionInput<'_>,
     model: &str,
     usage: &Usage,
-) -> Result<Need, SelectionError> {
+) -> Result<RequestNeed, SelectionError> {
     if upstream.is_refusing(input.now, model) {
         return Err(SelectionError::Full);
     }
-    let known_tokens = upstream.cached_tokens(input.prompt_parts);
+    let cached_tokens = upstream.cached_tokens(input.prompt_parts);
     if let Some(engine) = input.engine {
         let kept = usage.kv_tokens + input.kv_tokens;
-        let room = engine.kv_capacity_tokens as f64 * CACHE_USABLE;
-        if usage.running >= engine.batch_slots || kept as f64 > room {
+        let usable_tokens = engine.kv_capacity_tokens as f64 * USABLE_CACHE_SHARE;
+        if usage.running >= engine.batch_slots || kept as f64 > usable_tokens {
             return Err(SelectionError::Full);
         }
     }
-    let unread =
-        input.prompt_tokens.saturating_sub(known_tokens) as f64 * input.time_factor;
-    Ok(Need {
+    let uncached =
+        input.prompt_tokens.saturating_sub(cached_tokens) as f64 * input.time_factor;
+    Ok(RequestNeed {
         usage: Usage {
             running: 1,
-            prefill: PrefillQueue::single(input.priority, unread as u64),
+            prefill: PrefillQueue::single(input.priority, uncached as u64),
             kv_tokens: input.kv_tokens,
         },
-        known_tokens,
+        cached_tokens,
     })
 }
 
 fn engine_wait_ms(usage: &Usage, adds: &Usage, rank: u32) -> f64 {
     let ahead_ms = usage.prefill.wait_ms(rank);
-    ahead_ms + adds.prefill.prefill_ms() + f64::from(usage.running) * RUNNING_MS
+    ahead_ms + adds.prefill.prefill_ms() + f64::from(usage.running) * PER_RUNNING_MS
 }
 
 fn service_wait_ms(upstream: &Upstream, usage: &Usage) -> f64 {
     let slots = upstream.record.batch_slots.max(1);
     let queued = usage.running.saturating_sub(slots - 1);
-    f64::from(usage.running) * SLOT_MS + f64::from(queued) * QUEUED_MS
+    f64::from(usage.running) * PER_SLOT_MS + f64::from(queued) * PER_QUEUED_MS
 }
 
-fn failing_ms(upstream: &Upstream) -> f64 {
+fn failure_penalty_ms(upstream: &Upstream) -> f64 {
     let share = upstream.failed_share();
-    share * share * FAILED_MS
+    share * share * FAILURE_MS
 }
 
 /// A number from 0 to 1 that differs between upstreams.
--- a/crates/direct/src/shared_watch.rs
+++ b/crates/direct/src/shared_watch.rs
@@ -17,26 +17,26 @@
 
 /// Entries of a failure domain from which on they share a watch. With two, the one
 /// that is told saves less than passing on to it costs.
-const SHARE_FROM: usize = 3;
+const MIN_SHARING_ENTRIES: usize = 3;
 
 /// Age of the platform's last word to the leader after which an entry watches itself.
 /// A leader's word is at most 0.9 s old; an upstream that leaves has to be known as
 /// such within two seconds.
-const RECEIVED_MAX_MS: u64 = 1_300;
+const RECEIVED_MAX_AGE_MS: u64 = 1_300;
 
 /// Time between two watches of an entry that is told all the while: for so long a
 /// forged word can keep true news from it. Shorter than the platform's history, in
 /// which the watch begins.
-const OWN_EVERY_MS: u64 = 15_000;
+const OWN_WATCH_INTERVAL_MS: u64 = 15_000;
 
 /// Batches in one message: the newest, and the one before it once more, since a message
 /// may be lost.
-const BATCHES_MAX: usize = 2;
+const MAX_BATCHES: usize = 2;
 
 /// Largest size of what one message passes on. That there is more is told, and what it
 /// is left to each entry's own watch: to a dozen entries, it would fill the smallest
 /// link for a tenth of a second.
-const MESSAGE_MAX_BYTES: usize = 12 << 10;
+const MAX_MESSAGE_BYTES: usize = 12 << 10;
 
 /// What an entry does for the watch of its failure domain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -109,15 +109,15 @@
 #[derive(Debug, Default)]
 pub struct SharedWatch {
     /// Version up to which all changes are known, by an own watch or another's.
-    known: u64,
+    known_version: u64,
     /// When the platform last confirmed that to a leader.
     received_at: Option<Instant>,
     /// When an own call was last answered, and whether the last one was.
-    own_at: Option<Instant>,
-    works: bool,
+    own_call_at: Option<Instant>,
+    is_working: bool,
     /// Whether something changed that was not told.
-    is_due: bool,
-    recorded: VecDeque<WatchBatch>,
+    needs_own_watch: bool,
+    recent_batches: VecDeque<WatchBatch>,
 }
 
 impl SharedWatch {
@@ -131,49 +131,49 @@
     /// What was watched before it is passed on no more: it would be taken for all that
     /// there is up to now, and what changed before the list be missing.
     pub fn on_listed(&mut self, now: Instant, at: u64) {
-        self.recorded.clear();
-        self.confirmed(now, at);
+        self.recent_batches.clear();
+        self.on_confirmed(now, at);
     }
 
     /// An own watch was answered: what it saw is known, and kept to be passed on.
     pub fn on_watched(&mut self, now: Instant, batch: WatchBatch) {
-        self.confirmed(now, batch.to_version);
-        self.recorded.push_back(batch);
-        while self.recorded.len() > BATCHES_MAX {
-            self.recorded.pop_front();
+        self.on_confirmed(now, batch.to_version);
+        self.recent_batches.push_back(batch);
+        while self.recent_batches.len() > MAX_BATCHES {
+            self.recent_batches.pop_front();
         }
     }
 
-    fn confirmed(&mut self, now: Instant, at: u64) {
-        self.known = self.known.max(at);
-        self.own_at = Some(now);
-        self.works = true;
-        self.is_due = false;
+    fn on_confirmed(&mut self, now: Instant, at: u64) {
+        self.known_version = self.known_version.max(at);
+        self.own_call_at = Some(now);
+        self.is_working = true;
+        self.needs_own_watch = false;
     }
 
     /// An own call was not answered.
     pub const fn on_failed(&mut self) {
-        self.works = false;
+        self.is_working = false;
     }
 
     /// Whether others may rely on this entry's watch.
     pub const fn is_working(&self) -> bool {
-        self.works
+        self.is_working
     }
 
     /// When an own call was last answered.
     pub const fn confirmed_at(&self) -> Option<Instant> {
-        self.own_at
+        self.own_call_at
     }
 
     /// What this entry does, where it hears these others of its failure domain whose
     /// own watch works: the first by name is the leader.
     pub fn role(&self, me: &str, others: &[impl AsRef<str>]) -> WatchRole {
-        if others.len() + 1 < SHARE_FROM {
+        if others.len() + 1 < MIN_SHARING_ENTRIES {
             WatchRole::Independent
         } else if others.iter().any(|other| other.as_ref() < me) {
             WatchRole::Follower
-        } else if self.works {
+        } else if self.is_working {
             WatchRole::Leader
         } else {
             WatchRole::Independent
@@ -181,20 +181,22 @@
     }
 
     /// Whether an own watch would bring nothing now.
-    pub fn may_skip(&self, now: Instant) -> bool {
+    pub fn can_skip_own_watch(&self, now: Instant) -> bool {
         let is_young = |at: Option<Instant>, age_max_ms| {
             at.is_some_and(|at| now.ms_since(at) < age_max_ms)
         };
-        let is_fresh = is_young(self.received_at, RECEIVED_MAX_MS);
-        is_fresh && is_young(self.own_at, OWN_EVERY_MS) && !self.is_due
+        let is_fresh = is_young(self.received_at, RECEIVED_MAX_AGE_MS);
+        is_fresh
+            && is_young(self.own_call_at, OWN_WATCH_INTERVAL_MS)
+            && !self.needs_own_watch
     }
 
     /// What is passed on now: the newest batches, with what of their changes fits.
     pub fn outgoing(&self) -> Vec<WatchBatch> {
         let mut bytes = 0;
-        let newest = self.recorded.iter().rev().map(|batch| {
+        let newest = self.recent_batches.iter().rev().map(|batch| {
             bytes += batch.bytes();
-            if bytes <= MESSAGE_MAX_BYTES {
+            if bytes <= MAX_MESSAGE_BYTES {
                 return batch.clone();
             }
             WatchBatch {
@@ -221,22 +223,22 @@
         let mut received = ReceivedBatches::default();
         let mut follows = false;
         for batch in batches {
-            follows = batch.after_version <= self.known;
-            if !follows || batch.to_version <= self.known {
+            follows = batch.after_version <= self.known_version;
+            if !follows || batch.to_version <= self.known_version {
                 continue;
             }
             if batch.is_partial {
-                self.is_due = true;
+                self.needs_own_watch = true;
                 break;
             }
-            self.known = batch.to_version;
+            self.known_version = batch.to_version;
             received.new_batches.push(batch);
         }
         if follows {
             self.received_at = self.received_at.max(Some(confirmed_at));
-            received.known_version = Some(self.known);
+            received.known_version = Some(self.known_version);
         }
-        received.needs_own_watch = self.is_due;
+        received.needs_own_watch = self.needs_own_watch;
         received
     }
 }
--- a/crates/direct/src/late.rs
+++ b/crates/direct/src/unanswered.rs
@@ -6,7 +6,7 @@
 use crate::{EngineSpec, Order, OrderAction};
 
 /// Time for which an order without an answer may still be carried out.
-pub(crate) const LATE_ORDER_MS: u64 = 12_500;
+pub(crate) const MAX_ORDER_DELAY_MS: u64 = 12_500;
 
 /// Orders of one upstream that got no answer, each until it can't come any more.
 ///
@@ -23,7 +23,7 @@
     /// An order that has no answer yet.
     pub(crate) fn add(&mut self, now: Instant, order: Order) {
         self.remove(&order);
-        self.orders.push((now.plus_ms(LATE_ORDER_MS), order));
+        self.orders.push((now.plus_ms(MAX_ORDER_DELAY_MS), order));
     }
 
     /// The upstream has refused an order, or it was never sent.
@@ -50,7 +50,7 @@
 
     /// Models whose unload may be the order that an upstream of this start carries out
     /// now, having accepted so many.
-    pub(crate) fn unloads(
+    pub(crate) fn unloads_in_progress(
         &self,
         born_ms: Option<u64>,
         orders_accepted: u64,
@@ -67,29 +67,31 @@
     }
 
     /// Weights that orders to earlier starts may bring to a later one.
-    pub(crate) fn mb(
+    pub(crate) fn reserved_mb(
         &self,
         engine: &EngineSpec,
         born_ms: Option<u64>,
         count: u64,
     ) -> f64 {
-        let sizes = self.possible(born_ms, count).map(|action| match action {
-            OrderAction::Load(model) => {
-                let spec = engine.models.get(model);
-                spec.map_or(0.0, |spec| spec.weights_mb)
-            }
-            OrderAction::LoadAdapter(model, _) => {
-                let spec = engine.models.get(model);
-                spec.map_or(0.0, |spec| spec.adapter_mb)
-            }
-            OrderAction::Unload(_) | OrderAction::UnloadAdapter(..) => 0.0,
-        });
+        let sizes = self
+            .still_possible(born_ms, count)
+            .map(|action| match action {
+                OrderAction::Load(model) => {
+                    let spec = engine.models.get(model);
+                    spec.map_or(0.0, |spec| spec.weights_mb)
+                }
+                OrderAction::LoadAdapter(model, _) => {
+                    let spec = engine.models.get(model);
+                    spec.map_or(0.0, |spec| spec.adapter_mb)
+                }
+                OrderAction::Unload(_) | OrderAction::UnloadAdapter(..) => 0.0,
+            });
         sizes.sum()
     }
 
     /// Adapters that orders to earlier starts may bring to a later one.
-    pub(crate) fn adapters(&self, born_ms: Option<u64>, count: u64) -> u32 {
-        let loads = self.possible(born_ms, count);
+    pub(crate) fn reserved_adapters(&self, born_ms: Option<u64>, count: u64) -> u32 {
+        let loads = self.still_possible(born_ms, count);
         let loads =
             loads.filter(|action| matches!(action, OrderAction::LoadAdapter(..)));
         u32::try_from(loads.count()).unwrap_or(u32::MAX)
@@ -100,7 +102,7 @@
     ///
     /// One that names a lower count is refused for ever. One that names this count
     /// excludes the next order, which names it too. The others may come.
-    fn possible(
+    fn still_possible(
         &self,
         born_ms: Option<u64>,
         count: u64,
--- a/crates/direct/src/unserved.rs
+++ b/crates/direct/src/unserved.rs
@@ -10,11 +10,11 @@
 /// in the place of another wanted one. Demand that has moved on leaves places
 /// within seconds; taken after 2 s already, the places of models that were still
 /// asked for cost more than they brought: two in a hundred of what high load earns.
-const PATIENCE_MS: u64 = 6_000;
+const OVERDUE_AFTER_MS: u64 = 6_000;
 
 /// Length of a turn, in times that the displaced model takes to come back from
 /// its copy: three quarters of the time a place then serves.
-const TURN_LOADS: u64 = 3;
+const RESIDENCE_LOADS: u64 = 3;
 
 /// Since when models are wanted without a holder.
 ///
@@ -22,13 +22,13 @@
 /// models would stay for ever, and whoever came late would never be served: the
 /// models take turns instead.
 #[derive(Debug, Default)]
-pub(crate) struct Unserved {
+pub(crate) struct UnservedModels {
     since: BTreeMap<Arc<str>, Instant>,
 }
 
-impl Unserved {
+impl UnservedModels {
     /// Looks at what is wanted and held now.
-    pub(crate) fn look(
+    pub(crate) fn update(
         &mut self,
         now: Instant,
         loads: &BTreeMap<Arc<str>, DemandEstimate>,
@@ -48,13 +48,13 @@
     pub(crate) fn overdue_ms(&self, now: Instant, model: &str) -> u64 {
         let since = self.since.get(model);
         let ms = since.map_or(0, |since| now.ms_since(*since));
-        ms.saturating_sub(PATIENCE_MS)
+        ms.saturating_sub(OVERDUE_AFTER_MS)
     }
 }
 
 /// Time for which a model stays where it was loaded before it makes room for one
 /// that is overdue.
-pub(crate) fn turn_ms(engine: &EngineSpec, model: &str) -> u64 {
+pub(crate) fn guaranteed_residence_ms(engine: &EngineSpec, model: &str) -> u64 {
     let spec = engine.models.get(model);
-    spec.map_or(0, |spec| spec.disk_load_ms * TURN_LOADS)
+    spec.map_or(0, |spec| spec.disk_load_ms * RESIDENCE_LOADS)
 }
--- a/crates/direct/tests/all/rate.rs
+++ b/crates/direct/tests/all/rate.rs
@@ -16,8 +16,8 @@
 fn notice(per_s: Option<f64>, asked_ms: u64, heard_ms: u64) -> RateNotice {
     RateNotice {
         per_s,
-        asked_at: at(asked_ms),
-        heard_at: at(heard_ms),
+        request_sent_at: at(asked_ms),
+        answered_at: at(heard_ms),
     }
 }
 
--- a/crates/direct/tests/all/shared_watch.rs
+++ b/crates/direct/tests/all/shared_watch.rs
@@ -53,11 +53,11 @@
 #[test]
 fn an_entry_watches_itself_soon_after_the_last_word() {
     let mut shared = told();
-    assert!(!shared.may_skip(at(0)), "it was not told yet");
+    assert!(!shared.can_skip_own_watch(at(0)), "it was not told yet");
     shared.receive(at(500), vec![batch(10, 12)]);
-    assert!(shared.may_skip(at(600)));
-    assert!(shared.may_skip(at(1_700)));
-    assert!(!shared.may_skip(at(1_800)));
+    assert!(shared.can_skip_own_watch(at(600)));
+    assert!(shared.can_skip_own_watch(at(1_700)));
+    assert!(!shared.can_skip_own_watch(at(1_800)));
 }
 
 /// The leader hangs for a second, or the datagram was under way for one: what counts
@@ -66,12 +66,12 @@
 fn a_late_word_counts_from_when_the_platform_said_so() {
     let mut shared = told();
     shared.receive(at(0), vec![batch(10, 12)]);
-    assert!(shared.may_skip(at(1_200)));
+    assert!(shared.can_skip_own_watch(at(1_200)));
     shared.receive(at(200), vec![batch(10, 12)]);
-    assert!(!shared.may_skip(at(1_600)));
+    assert!(!shared.can_skip_own_watch(at(1_600)));
     shared.receive(at(100), vec![batch(10, 12)]);
     assert!(
-        shared.may_skip(at(1_400)),
+        shared.can_skip_own_watch(at(1_400)),
         "an older word takes nothing back"
     );
 }
@@ -94,7 +94,10 @@
     }
     let gap = shared.receive(at(300), leader.outgoing());
     assert_eq!((gap.new_batches.len(), gap.known_version), (0, None));
-    assert!(!shared.may_skip(at(1_600)), "it was confirmed 200 last");
+    assert!(
+        !shared.can_skip_own_watch(at(1_600)),
+        "it was confirmed 200 last"
+    );
     shared.on_listed(at(1_700), 22);
     leader.on_watched(at(0), batch(22, 23));
     let follows = shared.receive(at(1_800), leader.outgoing());
@@ -114,10 +117,13 @@
     assert!(leader.outgoing().is_empty());
     let received = shared.receive(at(2_000), leader.outgoing());
     assert_eq!(received.known_version, None);
-    assert!(!shared.may_skip(at(2_000)));
+    assert!(!shared.can_skip_own_watch(at(2_000)));
     leader.on_watched(at(2_100), batch(40, 41));
     shared.receive(at(2_100), leader.outgoing());
-    assert!(!shared.may_skip(at(2_100)), "the list is not known here");
+    assert!(
+        !shared.can_skip_own_watch(at(2_100)),
+        "the list is not known here"
+    );
 }
 
 /// A datagram that nobody sent names a version far ahead, so that true news seem old.
@@ -130,7 +136,7 @@
     for ms in (200..60_000).step_by(400) {
         let told = shared.receive(at(ms), vec![batch(12, 13)]);
         assert!(told.new_batches.is_empty());
-        if !shared.may_skip(at(ms)) {
+        if !shared.can_skip_own_watch(at(ms)) {
             until_ms = ms;
             break;
         }
@@ -158,16 +164,16 @@
             ..batch(8, 10)
         }],
     );
-    assert!(shared.may_skip(at(100)));
+    assert!(shared.can_skip_own_watch(at(100)));
     let told = shared.receive(at(150), sent.clone());
     assert!(told.needs_own_watch && told.new_batches.is_empty());
-    assert!(!shared.may_skip(at(160)));
+    assert!(!shared.can_skip_own_watch(at(160)));
     // Until it has watched, no later word makes it rest.
     shared.receive(at(200), vec![batch(10, 11)]);
-    assert!(!shared.may_skip(at(210)));
+    assert!(!shared.can_skip_own_watch(at(210)));
     shared.on_listed(at(220), 14);
     shared.receive(at(250), sent);
-    assert!(shared.may_skip(at(260)));
+    assert!(shared.can_skip_own_watch(at(260)));
 }
 
 /// What was sent on is a part of what the platform says, in order, whatever messages
--- a/crates/front/src/shared_watch.rs
+++ b/crates/front/src/shared_watch.rs
@@ -125,7 +125,13 @@
     loop {
         let due = node.shared.due.notified();
         let follows = role(node, followed) == WatchRole::Follower;
-        if !follows || !node.shared.of(followed).lock().may_skip(node.now()) {
+        if !follows
+            || !node
+                .shared
+                .of(followed)
+                .lock()
+                .can_skip_own_watch(node.now())
+        {
             return;
         }
         // Whether it was told or the time is over, the next look decides.
--- a/crates/front/src/upstream_rate.rs
+++ b/crates/front/src/upstream_rate.rs
@@ -45,8 +45,8 @@
     let heard_at = node.now();
     let notice = RateNotice {
         per_s,
-        asked_at,
-        heard_at,
+        request_sent_at: asked_at,
+        answered_at: heard_at,
     };
     let changed = node.fleet.lock().note_rate(start, notice);
     if changed {
@@ -86,8 +86,8 @@
             upstream: upstream.record.id.to_string(),
             born_ms: upstream.record.started_unix_ms.unwrap_or(0),
             per_s: notice.per_s,
-            asked_ms_ago: now.ms_since(notice.asked_at),
-            heard_ms_ago: now.ms_since(notice.heard_at),
+            asked_ms_ago: now.ms_since(notice.request_sent_at),
+            heard_ms_ago: now.ms_since(notice.answered_at),
         });
     rates.collect()
 }
