--- a/crates/direct/src/adapters.rs
+++ b/crates/direct/src/adapters.rs
@@ -1,9 +1,9 @@
-//! Adapters that upstreams hold before requests ask for them.
+//! Planning of adapter loads, ahead of the requests that need them.
 //!
-//! Answers the load in which requests name one of many adapters. Fetched when a
-//! request waits for it, an adapter costs that request its time, and most of them
-//! at once when demand moves to a model or while nobody gives orders. There are
-//! usually more places than adapters, so nearly each can be somewhere beforehand.
+//! Requests name one of many adapters. Loading an adapter while a request waits for it
+//! delays that request, and many requests are delayed at once when demand shifts to
+//! another model or while there is no coordinator. There are usually more adapter slots
+//! than adapters, so nearly every adapter can be held somewhere in advance.
 
 use base::prelude::*;
 use std::collections::{BTreeMap, HashMap};
@@ -11,53 +11,54 @@
 
 use crate::{DemandEstimate, EngineSpec};
 
-/// Time for which an adapter keeps its place before it makes room for another.
-/// Where more adapters are asked for than there are places, they take turns; a turn
-/// is some tens of loads long.
+/// Time for which an adapter stays before it makes room for another one. If more
+/// adapters are requested than there are slots, they take turns. This time is as long
+/// as some tens of adapter loads.
 pub const ADAPTER_MIN_RESIDENCE_MS: u64 = 300;
 
-/// Part of the demand that is taken to be spread over all models alike: demand moves
-/// to models that nobody asks for now, and their adapters are to be there by then.
+/// Share of the demand that is assumed to be spread evenly over all models. Demand
+/// shifts to models that nobody uses now, and their adapters should be loaded by then.
 const UNIFORM_DEMAND_SHARE: f64 = 0.3;
 
-/// Share of the demand below which a further copy of an adapter is not worth its order.
-/// Where there are many more places than adapters, copies would fill all of them.
+/// Share of the total demand below which an extra copy of an adapter isn't worth an
+/// order. Otherwise, with many more slots than adapters, copies would fill all slots.
 const MIN_EXTRA_COPY_VALUE: f64 = 0.0005;
 
-/// Times by which an adapter has to be worth more than the one in its place before
-/// the two change places, so that they do not change back.
+/// Factor by which an adapter must be worth more than the one that it replaces, so that
+/// the two don't replace each other back and forth.
 const REPLACEMENT_RATIO: f64 = 2.0;
 
-/// One upstream as the spread of adapters sees it.
+/// State of one upstream as input to the adapter planner.
 #[derive(Debug, Clone)]
 pub struct UpstreamAdapterState {
-    /// Upstream.
+    /// Name of the upstream.
     pub upstream: Arc<str>,
-    /// Whether it can be ordered an adapter now.
+    /// Whether the upstream accepts an order for an adapter now.
     pub accepts_orders: bool,
-    /// Whether it can be given one that nobody waits for.
+    /// Whether the upstream may be given an adapter that no request waits for.
     pub accepts_prefetch: bool,
-    /// Places that are free.
+    /// Number of free adapter slots.
     pub free_slots: u32,
-    /// Memory that is free.
+    /// Free memory, in MB.
     pub free_mb: f64,
-    /// Requests that run there.
+    /// Number of running requests.
     pub running: u32,
-    /// Models that serve there, with their adapters and since when these are there.
+    /// Models that serve requests there, with their adapters and the time since when
+    /// each adapter has been there.
     pub models: BTreeMap<Arc<str>, BTreeMap<Arc<str>, Instant>>,
 }
 
-/// An adapter of a model.
+/// An adapter, identified by its model and name.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct AdapterName {
-    /// Model.
+    /// Name of the model.
     pub model: Arc<str>,
-    /// Adapter.
+    /// Name of the adapter.
     pub adapter: Arc<str>,
 }
 
 impl AdapterName {
-    /// An adapter of a model.
+    /// Creates the name from a model and an adapter.
     pub fn new(model: &Arc<str>, adapter: &Arc<str>) -> Self {
         Self {
             model: Arc::clone(model),
@@ -66,97 +67,101 @@
     }
 }
 
-/// An adapter that is to be loaded.
+/// An adapter load that the planner has decided on.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlannedAdapterLoad {
-    /// Upstream that is to hold it.
+    /// Upstream that loads the adapter.
     pub upstream: Arc<str>,
-    /// Adapter.
+    /// Adapter to load.
     pub load: AdapterName,
-    /// Adapter that has to go first.
+    /// Adapter that has to be unloaded first.
     pub unload: Option<AdapterName>,
 }
 
-/// The adapters of a service's upstreams, and what each copy of one is worth.
+/// Plans the adapters of a service's upstreams by the value of each copy.
 #[derive(Debug)]
 pub struct AdapterPlanner<'a> {
     now: Instant,
     engine: &'a EngineSpec,
     upstreams: &'a [UpstreamAdapterState],
-    /// Whether each upstream was chosen already: it takes one order at a time.
+    /// Whether each upstream was assigned a load already: it takes one order at a time.
     assigned: Vec<bool>,
     copy_counts: HashMap<AdapterName, u32>,
-    /// Worth of the first copy of each adapter of a model.
+    /// Value of the first copy of an adapter, by model.
     first_copy_value: HashMap<&'a str, f64>,
-    /// Memory that one more model takes at most.
+    /// Memory of the largest model, in MB.
     largest_model_mb: f64,
 }
 
 impl<'a> AdapterPlanner<'a> {
-    /// What is held, against the demand for models.
+    /// Creates a planner from what is held and the demand for models.
     pub fn new(
         now: Instant,
         engine: &'a EngineSpec,
-        spots: &'a [UpstreamAdapterState],
-        loads: &BTreeMap<Arc<str>, DemandEstimate>,
+        upstreams: &'a [UpstreamAdapterState],
+        demand: &BTreeMap<Arc<str>, DemandEstimate>,
     ) -> Self {
         let mut copies = HashMap::new();
-        for (model, adapters) in spots.iter().flat_map(|spot| &spot.models) {
+        for (model, adapters) in upstreams.iter().flat_map(|upstream| &upstream.models)
+        {
             for adapter in adapters.keys() {
                 let name = AdapterName::new(model, adapter);
                 *copies.entry(name).or_default() += 1;
             }
         }
-        let sizes = engine.models.values().map(|spec| spec.weights_mb);
+        let model_sizes = engine.models.values().map(|spec| spec.weights_mb);
         Self {
             now,
             engine,
-            upstreams: spots,
-            assigned: vec![false; spots.len()],
+            upstreams,
+            assigned: vec![false; upstreams.len()],
             copy_counts: copies,
-            first_copy_value: first_copy_values(engine, loads),
-            largest_model_mb: sizes.fold(0.0, f64::max),
+            first_copy_value: first_copy_values(engine, demand),
+            largest_model_mb: model_sizes.fold(0.0, f64::max),
         }
     }
 
-    /// Where an adapter that requests wait for is to be loaded, if that can be now.
+    /// Chooses where to load an adapter that requests wait for, if it can be loaded
+    /// now.
     ///
-    /// A free place goes first, then the place of the adapter that is worth least, and
-    /// of equal ones that at the least used upstream.
+    /// A free slot is preferred, then the slot of the adapter with the least value, and
+    /// among equals the one on the upstream with the fewest running requests.
     pub fn load_requested(
         &mut self,
-        wanted: &AdapterName,
+        requested: &AdapterName,
     ) -> Option<PlannedAdapterLoad> {
-        let spots = self.upstreams.iter().enumerate();
-        let open =
-            spots.filter(|(index, spot)| spot.accepts_orders && !self.assigned[*index]);
-        let found = open.filter_map(|(index, spot)| {
-            let held = spot.models.get(&wanted.model)?;
-            if held.contains_key(&wanted.adapter) {
+        let upstreams = self.upstreams.iter().enumerate();
+        let available = upstreams.filter(|(index, upstream)| {
+            upstream.accepts_orders && !self.assigned[*index]
+        });
+        let candidates = available.filter_map(|(index, upstream)| {
+            let held = upstream.models.get(&requested.model)?;
+            if held.contains_key(&requested.adapter) {
                 return None;
             }
-            let (loss, unload) = self.find_slot(spot)?;
-            Some((loss, spot.running, index, unload))
+            let (loss, unload) = self.find_slot(upstream)?;
+            Some((loss, upstream.running, index, unload))
         });
-        let best = found.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
+        let best = candidates.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
         let (_, _, index, unload) = best?;
         let choice = PlannedAdapterLoad {
             upstream: Arc::clone(&self.upstreams[index].upstream),
-            load: wanted.clone(),
+            load: requested.clone(),
             unload,
         };
         self.record_choice(index, &choice);
         Some(choice)
     }
 
-    /// Adapters worth loading before anybody asks for them, one an upstream at most.
+    /// Returns adapters worth loading before any request asks for them, at most one per
+    /// upstream.
     pub fn prefetch(&mut self) -> Vec<PlannedAdapterLoad> {
         let mut choices = Vec::new();
-        for (index, spot) in self.upstreams.iter().enumerate() {
-            if !spot.accepts_prefetch || self.assigned[index] {
+        for (index, upstream) in self.upstreams.iter().enumerate() {
+            if !upstream.accepts_prefetch || self.assigned[index] {
                 continue;
             }
-            if let Some(choice) = self.prefetch_for(spot) {
+            if let Some(choice) = self.prefetch_for(upstream) {
                 self.record_choice(index, &choice);
                 choices.push(choice);
             }
@@ -164,29 +169,32 @@
         choices
     }
 
-    fn prefetch_for(&self, spot: &UpstreamAdapterState) -> Option<PlannedAdapterLoad> {
-        let (gain, load) = self.best_missing_adapter(spot)?;
-        let (loss, unload) = self.find_slot(spot)?;
+    fn prefetch_for(
+        &self,
+        upstream: &UpstreamAdapterState,
+    ) -> Option<PlannedAdapterLoad> {
+        let (gain, load) = self.best_missing_adapter(upstream)?;
+        let (loss, unload) = self.find_slot(upstream)?;
         let spec = self.engine.models.get(&load.model)?;
-        let takes_model = spot.free_mb >= self.largest_model_mb
-            && spot.free_mb - spec.adapter_mb < self.largest_model_mb;
-        if gain <= loss * REPLACEMENT_RATIO || takes_model {
+        let would_block_model = upstream.free_mb >= self.largest_model_mb
+            && upstream.free_mb - spec.adapter_mb < self.largest_model_mb;
+        if gain <= loss * REPLACEMENT_RATIO || would_block_model {
             return None;
         }
         Some(PlannedAdapterLoad {
-            upstream: Arc::clone(&spot.upstream),
+            upstream: Arc::clone(&upstream.upstream),
             load,
             unload,
         })
     }
 
-    /// The adapter that is worth most of those that an upstream could hold and does
-    /// not.
+    /// The adapter with the highest value among those that the upstream could hold and
+    /// doesn't.
     fn best_missing_adapter(
         &self,
-        spot: &UpstreamAdapterState,
+        upstream: &UpstreamAdapterState,
     ) -> Option<(f64, AdapterName)> {
-        let models = spot.models.iter();
+        let models = upstream.models.iter();
         let all = models.flat_map(|(model, held)| {
             let spec = self.engine.models.get(model);
             let names = spec.into_iter().flat_map(|spec| &spec.adapters);
@@ -199,36 +207,38 @@
         all.max_by(|a, b| a.0.total_cmp(&b.0))
     }
 
-    /// What making room costs, and the adapter that has to go for it if there is no
-    /// free place.
+    /// Value that is lost by freeing a slot, and the adapter to unload if no slot is
+    /// free.
     fn find_slot(
         &self,
-        spot: &UpstreamAdapterState,
+        upstream: &UpstreamAdapterState,
     ) -> Option<(f64, Option<AdapterName>)> {
-        if spot.free_slots > 0 {
+        if upstream.free_slots > 0 {
             return Some((0.0, None));
         }
-        let models = spot.models.iter();
+        let models = upstream.models.iter();
         let all = models.flat_map(|(model, held)| {
-            let had_turn = held.iter().filter(|(_, since)| {
+            let removable = held.iter().filter(|(_, since)| {
                 self.now.ms_since(**since) >= ADAPTER_MIN_RESIDENCE_MS
             });
-            had_turn.map(move |(adapter, since)| {
+            removable.map(move |(adapter, since)| {
                 let name = AdapterName::new(model, adapter);
-                let others = self.copy_count(&name).saturating_sub(1);
-                (self.copy_value(model, others), *since, name)
+                let other_copies = self.copy_count(&name).saturating_sub(1);
+                (self.copy_value(model, other_copies), *since, name)
             })
         });
         let least = all.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
         least.map(|(loss, _, name)| (loss, Some(name)))
     }
 
-    /// Counts what was chosen, for the choices after it.
+    /// Records a planned load, so that later choices take it into account.
     fn record_choice(&mut self, index: usize, choice: &PlannedAdapterLoad) {
         self.assigned[index] = true;
         *self.copy_counts.entry(choice.load.clone()).or_default() += 1;
-        let gone = choice.unload.as_ref();
-        if let Some(copies) = gone.and_then(|gone| self.copy_counts.get_mut(gone)) {
+        let unloaded = choice.unload.as_ref();
+        if let Some(copies) =
+            unloaded.and_then(|unloaded| self.copy_counts.get_mut(unloaded))
+        {
             *copies = copies.saturating_sub(1);
         }
     }
@@ -237,12 +247,13 @@
         self.copy_counts.get(name).copied().unwrap_or(0)
     }
 
-    /// What one copy more is worth beside others. The first one makes the adapter
-    /// reachable; each further one lets its requests choose among more upstreams.
-    fn copy_value(&self, model: &str, others: u32) -> f64 {
+    /// Value of one more copy in addition to `other_copies`. The first copy makes the
+    /// adapter available; each further one gives its requests a wider choice of
+    /// upstreams.
+    fn copy_value(&self, model: &str, other_copies: u32) -> f64 {
         let first = self.first_copy_value.get(model).copied().unwrap_or(0.0);
-        let worth = first / f64::from(others + 1).powi(2);
-        if others > 0 && worth < MIN_EXTRA_COPY_VALUE {
+        let worth = first / f64::from(other_copies + 1).powi(2);
+        if other_copies > 0 && worth < MIN_EXTRA_COPY_VALUE {
             0.0
         } else {
             worth
@@ -250,13 +261,13 @@
     }
 }
 
-/// Share of the demand that each adapter of a model is expected to have.
+/// Share of the total demand that each adapter of a model is expected to have.
 fn first_copy_values<'a>(
     engine: &'a EngineSpec,
-    loads: &BTreeMap<Arc<str>, DemandEstimate>,
+    demand: &BTreeMap<Arc<str>, DemandEstimate>,
 ) -> HashMap<&'a str, f64> {
     let demand_of = |model: &str| {
-        loads
+        demand
             .get(model)
             .map_or(0.0, DemandEstimate::retention_ms_per_s)
     };
@@ -265,14 +276,14 @@
         models.filter(|(_, spec)| !spec.adapters.is_empty())
     };
     let all: f64 = with_adapters().map(|(model, _)| demand_of(model)).sum();
-    let unseen = UNIFORM_DEMAND_SHARE / with_adapters().count().max(1) as f64;
+    let uniform_share = UNIFORM_DEMAND_SHARE / with_adapters().count().max(1) as f64;
     let models = with_adapters().map(|(model, spec)| {
-        let seen = if all > 0.0 {
+        let demand_share = if all > 0.0 {
             demand_of(model) / all
         } else {
             0.0
         };
-        let share = unseen + (1.0 - UNIFORM_DEMAND_SHARE) * seen;
+        let share = uniform_share + (1.0 - UNIFORM_DEMAND_SHARE) * demand_share;
         (&**model, share / spec.adapters.len() as f64)
     });
     models.collect()
--- a/crates/direct/src/admission.rs
+++ b/crates/direct/src/admission.rs
@@ -1,64 +1,67 @@
-//! Whether a request joins those that wait at an upstream.
+//! Admission of a request to the queue of the selected upstream.
 //!
-//! Answers the load in which more prompts come than engines read, some of them
-//! several times as long as the rest.
+//! It matters when more prompts arrive than the engines can prefill, some of them
+//! several times as long as the others.
 
 use base::prelude::*;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Part of the aim, in percent, within which the first answer has to be expected.
-/// What is expected leaves out the steps between prompts, so the answer comes
-/// later; with the whole aim or half of it, fewer requests are served in time.
+/// Share of the target latency, in percent, within which the first answer must be
+/// expected. The estimate leaves out the engine steps between prompts, so the real
+/// answer comes later. With the whole target, or with half of it, fewer requests were
+/// served in time.
 const USABLE_TARGET_PERCENT: u64 = 75;
 
-/// Part of the usable time, in percent, that is left to the queue however long a
-/// route's prompts take. Else a route of long prompts would be refused at engines
-/// that are idle.
+/// Minimum share of the usable time, in percent, that is left for queueing however long
+/// the prompts of a route are. Otherwise, routes with long prompts would be refused at
+/// idle engines.
 const MIN_QUEUE_PERCENT: u64 = 50;
 
-/// Weight of the newest prompt in the mean of its route: a few dozen requests, as
-/// many as one entry sees of a route in seconds.
+/// Weight of the newest prompt in the mean of its route. The mean covers a few dozen
+/// requests, as many as one entry gets for a route within seconds.
 const NEWEST_WEIGHT: f64 = 0.03;
 
-/// A request that has found an upstream.
+/// A request for which an upstream was selected.
 #[derive(Debug, Clone, Copy)]
 pub struct AdmissionInput {
-    /// The present.
+    /// The current time.
     pub now: Instant,
     /// When the request arrived.
     pub arrived_at: Instant,
-    /// Time within which its answer earns its full worth.
+    /// Time within which the answer earns its full value.
     pub target_latency_ms: u64,
-    /// When the first part of its answer is of use at the latest.
+    /// Latest time at which the first part of the answer is of any use.
     pub first_answer_deadline: Instant,
-    /// Time at the upstream until its prompt is read.
+    /// Time for which the prompt waits behind others at the upstream.
     pub queue_ms: u64,
-    /// Time of reading its prompt.
+    /// Time to prefill the prompt.
     pub prefill_ms: u64,
-    /// Time of reading a prompt of its route, in the mean.
+    /// Mean time to prefill a prompt of the route.
     pub mean_prefill_ms: u64,
-    /// Whether the upstream is an engine, at which prompts wait for one another.
+    /// Whether the upstream is an engine, where prompts wait for one another.
     pub at_engine: bool,
 }
 
-/// Decides whether a request is sent; the time by which it would be too late if
-/// not.
+/// Decides whether a request is sent. If not, returns the number of milliseconds by
+/// which it would be too late.
 ///
-/// Where more comes than an engine reads, a queue that is let grow until callers
-/// leave makes every answer late, though the engine serves no more of them. Those
-/// that would miss their aim are refused at once, so that the rest are in time,
-/// and can come back when the queue is shorter. One that is late already, because
-/// its model was on its way, can only be served late or not at all.
+/// If more arrives than an engine can prefill, a queue that grows until callers give up
+/// makes every answer late without serving more of them. Requests that would miss their
+/// target latency are therefore refused at once. The others stay in time, and the
+/// refused ones can come back when the queue is shorter. A request that is already
+/// late, because its model was loading, can only be served late or not at all, so it is
+/// admitted.
 ///
-/// All requests of a route join the same queue, whatever their own size. Judged by
-/// its own prompt, the short request joins when the long one may not; under more
-/// load than is read the queue stays where only short ones join, and the long ones
-/// are never served though each of them is worth as much as several.
+/// All requests of a route are admitted by the mean prompt of the route instead of
+/// their own. Otherwise short requests would be admitted when long ones aren't: under
+/// overload, the queue would stay at a length that admits only short requests, and long
+/// ones would never be served although each of them is worth as much as several short
+/// ones.
 ///
 /// # Errors
 ///
-/// It would be too late.
+/// The request would be too late.
 pub fn admit(admission: &AdmissionInput) -> Result<(), u64> {
     let own_answer_ms = admission.queue_ms + admission.prefill_ms;
     let useful_ms = admission.first_answer_deadline.ms_since(admission.now);
@@ -81,27 +84,27 @@
     }
 }
 
-/// Mean time that reading a prompt takes, by route.
+/// Mean time to prefill a prompt, by route.
 #[derive(Debug, Default)]
 pub struct MeanPrefillTimes {
     by_route: BTreeMap<Arc<str>, f64>,
 }
 
 impl MeanPrefillTimes {
-    /// No route's prompts are known.
+    /// Creates an empty set of means.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Counts the prompt of a request, whether it is admitted or not, and gives
-    /// the mean of its route with it.
+    /// Records the prompt of a request, whether it is admitted or not, and returns the
+    /// updated mean of its route.
     pub fn observe(&mut self, route: &Arc<str>, reading_ms: f64) -> f64 {
         let mean = self.by_route.entry(Arc::clone(route)).or_insert(reading_ms);
         *mean += (reading_ms - *mean) * NEWEST_WEIGHT;
         *mean
     }
 
-    /// Forgets routes that the configuration does not name any more.
+    /// Removes routes that the configuration no longer names.
     pub fn retain(&mut self, is_named: impl Fn(&str) -> bool) {
         self.by_route.retain(|route, _| is_named(route));
     }
--- a/crates/direct/src/avoidance.rs
+++ b/crates/direct/src/avoidance.rs
@@ -1,4 +1,4 @@
-//! Doubts about upstreams, and when they arise and end.
+//! Reports when upstreams start and stop being avoided.
 
 use base::prelude::*;
 use std::collections::BTreeMap;
@@ -6,19 +6,19 @@
 
 use crate::{Fleet, Upstream};
 
-/// Why an upstream is better avoided.
+/// Why other upstreams are preferred.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AvoidReason {
     /// It has work and gives no sign of life to any request.
     Silent,
-    /// It could not be connected to.
+    /// A connection attempt failed.
     Unreached,
-    /// Its entry is missing since the platform was away.
+    /// Its record is missing since the platform was away.
     Vanished,
 }
 
 impl AvoidReason {
-    /// The word used in logs.
+    /// Value of the reason in logs.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Silent => "silent",
@@ -28,35 +28,35 @@
     }
 }
 
-/// A doubt that arose, changed or ended.
+/// A change of the reason for which an upstream is avoided.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AvoidanceChange {
-    /// Upstream.
+    /// Name of the upstream.
     pub upstream: Arc<str>,
-    /// What was held of it before.
+    /// Reason before the change; `None` if it wasn't avoided.
     pub before: Option<AvoidReason>,
-    /// What is held of it now.
+    /// Reason after the change; `None` if it is no longer avoided.
     pub after: Option<AvoidReason>,
 }
 
-/// The doubts held at the last look.
+/// The reasons that were last reported.
 ///
-/// Whether an upstream is avoided follows from times that pass, so nothing
-/// happens at the moment at which it turns: only comparing two looks shows it.
+/// Whether an upstream is avoided depends on the current time, so no event marks the
+/// change. It is only seen by comparing with the state reported before.
 #[derive(Debug, Default)]
 pub struct AvoidanceTracker {
-    /// Of each upstream, with the start that it was held of.
+    /// By upstream, the start time of the incarnation and the reason.
     reported: BTreeMap<Arc<str>, (Option<u64>, AvoidReason)>,
 }
 
 impl AvoidanceTracker {
-    /// No doubts.
+    /// Creates a tracker in which no upstream is avoided.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// What has turned since the last look. An upstream that was forgotten or has
-    /// started again meanwhile is no turn.
+    /// Returns the changes since the last call. An upstream that was forgotten or has
+    /// restarted meanwhile isn't reported.
     pub fn update_all(&mut self, now: Instant, fleet: &Fleet) -> Vec<AvoidanceChange> {
         self.reported.retain(|id, _| fleet.get(id).is_some());
         fleet
@@ -65,27 +65,30 @@
             .collect()
     }
 
-    /// What has turned for one upstream since the last look. A decision that
-    /// rests on a doubt calls this at once: the doubt may be over before the
-    /// next look at all upstreams.
+    /// Returns the change for one upstream since the last call. A decision that depends
+    /// on an upstream being avoided calls this at once, because the reason may have
+    /// ended before the next call of [`Self::update_all`].
     pub fn update(
         &mut self,
         now: Instant,
         upstream: &Upstream,
     ) -> Option<AvoidanceChange> {
-        let (id, born_ms) = (&upstream.record.id, upstream.record.started_unix_ms);
-        let doubt = upstream.avoid_reason(now);
-        let before = match doubt {
-            Some(doubt) => self.reported.insert(Arc::clone(id), (born_ms, doubt)),
+        let (id, started_unix_ms) =
+            (&upstream.record.id, upstream.record.started_unix_ms);
+        let reason = upstream.avoid_reason(now);
+        let before = match reason {
+            Some(reason) => self
+                .reported
+                .insert(Arc::clone(id), (started_unix_ms, reason)),
             None => self.reported.remove(id),
         };
         let before = before
-            .filter(|(of, _)| *of == born_ms)
-            .map(|(_, doubt)| doubt);
-        (before != doubt).then(|| AvoidanceChange {
+            .filter(|(of, _)| *of == started_unix_ms)
+            .map(|(_, reason)| reason);
+        (before != reason).then(|| AvoidanceChange {
             upstream: Arc::clone(id),
             before,
-            after: doubt,
+            after: reason,
         })
     }
 }
--- a/crates/direct/src/config.rs
+++ b/crates/direct/src/config.rs
@@ -1,4 +1,4 @@
-//! The operator's configuration as the decisions need it.
+//! The part of the operator's configuration that the decisions need.
 
 use access::Directory;
 use std::collections::BTreeMap;
@@ -10,63 +10,62 @@
 pub struct Config {
     /// Version; a higher one replaces a lower one.
     pub version: u64,
-    /// Routes, longest prefix first within a host; see [`Config::new`].
+    /// Routes, sorted by host and with the longest prefix first; see [`Config::new`].
     routes: Vec<Arc<Route>>,
     /// Services by name.
     pub services: BTreeMap<Arc<str>, Arc<ServiceSpec>>,
-    /// Bounds on what callers send.
+    /// Limits on what callers send.
     pub limits: Limits,
-    /// Workspaces and their keys; `None` where callers need no key.
+    /// Workspaces and their keys; `None` if callers need no key.
     pub directory: Option<Directory>,
 }
 
-/// Where requests of one host and path prefix go.
+/// Rule for the requests of one host and path prefix.
 #[derive(Debug, Clone)]
 pub struct Route {
-    /// Name.
+    /// Name of the route.
     pub name: Arc<str>,
-    /// Host the route belongs to, without a port.
+    /// Host that the route belongs to, without a port.
     pub host: String,
-    /// Path prefix, beginning and ending with a slash.
+    /// Path prefix, starting and ending with a slash.
     pub prefix: String,
     /// Services with their weights.
     pub targets: Vec<WeightedService>,
-    /// What may be repeated.
+    /// Kind of the requests, which decides whether they may run twice.
     pub kind: RouteKind,
-    /// Longest time a caller is kept waiting.
+    /// Maximum time that a caller is kept waiting.
     pub timeout_ms: u64,
-    /// Time within which an answer earns its full worth.
+    /// Time within which an answer earns its full value.
     pub target_latency_ms: u64,
-    /// Rank, 0 the highest.
+    /// Priority of the requests; 0 is the highest.
     pub priority: u32,
-    /// Most upstreams one request may be sent to.
+    /// Maximum number of upstreams that one request may be sent to.
     pub upstreams_max: u32,
-    /// Longest pause between two events of a stream.
+    /// Maximum pause between two events of a stream.
     pub pause_max_ms: u64,
     /// Whether callers need no key.
     pub is_public: bool,
 }
 
-/// A service of a route.
+/// A service of a route with its weight.
 #[derive(Debug, Clone)]
 pub struct WeightedService {
-    /// Service.
+    /// Name of the service.
     pub service: Arc<str>,
-    /// Weight against the route's other services.
+    /// Weight relative to the route's other services.
     pub weight: u64,
 }
 
-/// What may be repeated of a route's requests.
+/// Kind of a route's requests, which decides whether they may run twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
     /// Requests may run more than once.
     Idempotent,
     /// Requests may run at most once.
     NonIdempotent,
-    /// Answers are streams that may be continued at another upstream.
+    /// Answers are streams that another upstream may continue.
     ResumableStream,
-    /// Answers are streams that may not be continued, so requests may run at
-    /// most once.
+    /// Answers are streams that can't be continued, so requests may run at most once.
     Stream,
 }
 
@@ -85,54 +84,54 @@
 /// A service.
 #[derive(Debug, Clone, Default)]
 pub struct ServiceSpec {
-    /// What upstreams of models hold and how; `None` for a plain service.
+    /// Properties of the engines that serve models; `None` for a plain service.
     pub engine: Option<EngineSpec>,
 }
 
-/// What the upstreams of a service of models hold and how.
+/// Capacity of each engine of a service, and the models that it can hold.
 #[derive(Debug, Clone, Default)]
 pub struct EngineSpec {
-    /// Requests that run at once.
+    /// Number of requests that run at once.
     pub batch_slots: u32,
-    /// Tokens kept at once by running requests and cached prompts.
+    /// Capacity of the KV cache, in tokens, for running requests and cached prompts.
     pub kv_capacity_tokens: u64,
-    /// Memory for weights of models and adapters.
+    /// Memory for the weights of models and adapters, in MB.
     pub weights_max_mb: f64,
-    /// Most adapters held at once.
+    /// Maximum number of adapters held at once.
     pub adapters_max: u32,
-    /// Loads from the weight store a second over all upstreams.
+    /// Loads from the weight store per second over all upstreams.
     pub store_loads_per_s: f64,
     /// Models by name.
     pub models: BTreeMap<Arc<str>, ModelSpec>,
 }
 
-/// One model.
+/// A model.
 #[derive(Debug, Clone, Default)]
 pub struct ModelSpec {
-    /// Size of its weights.
+    /// Size of the weights, in MB.
     pub weights_mb: f64,
-    /// Time of a load from the weight store.
+    /// Duration of a load from the weight store.
     pub store_load_ms: u64,
-    /// Time of a load from the upstream's disk.
+    /// Duration of a load from the upstream's disk.
     pub disk_load_ms: u64,
-    /// Time of a load from the upstream's memory.
+    /// Duration of a load from the upstream's memory.
     pub memory_load_ms: u64,
-    /// Size of each adapter.
+    /// Size of each adapter, in MB.
     pub adapter_mb: f64,
-    /// Names of its adapters.
+    /// Names of the model's adapters.
     pub adapters: Vec<Arc<str>>,
 }
 
-/// Bounds on what callers send.
+/// Limits on what callers send.
 #[derive(Debug, Clone)]
 pub struct Limits {
-    /// Size of a request's head.
+    /// Maximum size of a request's head.
     pub head_max_bytes: usize,
-    /// Size of a request's body.
+    /// Maximum size of a request's body.
     pub body_max_bytes: usize,
-    /// Time for a request's head.
+    /// Maximum time to receive a request's head.
     pub head_timeout_ms: u64,
-    /// Time for which a connection may idle.
+    /// Time after which an idle connection is closed.
     pub idle_timeout_ms: u64,
 }
 
@@ -148,7 +147,8 @@
 }
 
 impl Config {
-    /// A version with its routes in the order in which they are tried.
+    /// Creates a configuration and sorts its routes in the order in which they are
+    /// matched.
     pub fn new(
         version: u64,
         mut routes: Vec<Route>,
@@ -168,13 +168,13 @@
         }
     }
 
-    /// The same version, with the workspaces whose keys callers need.
+    /// Replaces the workspaces and the keys that callers need.
     #[must_use]
     pub fn with_directory(self, directory: Option<Directory>) -> Self {
         Self { directory, ..self }
     }
 
-    /// The route of a host and path: the one whose prefix is the longest.
+    /// The route for a host and path: the one with the longest matching prefix.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = without_port(host);
         let first = self
@@ -186,7 +186,7 @@
             .find(|route| path.starts_with(&route.prefix))
     }
 
-    /// Whether a service is declared, or a route leads to it.
+    /// Whether a service is declared or any route names it.
     pub fn knows_service(&self, service: &str) -> bool {
         let targets = self.routes().flat_map(|route| &route.targets);
         let mut targets = targets.map(|target| &*target.service);
@@ -200,25 +200,25 @@
 }
 
 impl Route {
-    /// The service that a request goes to. The same request goes to the same
-    /// one, so that its repeats stay together.
+    /// The service for a request, by the hash of its id. The same request always goes
+    /// to the same service, so its retries stay there.
     pub fn service(&self, request: &str) -> Option<&Arc<str>> {
-        let all: u64 = self.targets.iter().map(|target| target.weight).sum();
-        if all == 0 {
+        let total_weight: u64 = self.targets.iter().map(|target| target.weight).sum();
+        if total_weight == 0 {
             return self.targets.first().map(|target| &target.service);
         }
-        let mut point = xxh3_64(request.as_bytes()) % all;
+        let mut remaining = xxh3_64(request.as_bytes()) % total_weight;
         for target in &self.targets {
-            if point < target.weight {
+            if remaining < target.weight {
                 return Some(&target.service);
             }
-            point -= target.weight;
+            remaining -= target.weight;
         }
         None
     }
 }
 
-/// The host of a `Host` header, whose port does not choose a route.
+/// The host of a `Host` header without the port, which plays no part in matching.
 fn without_port(host: &str) -> &str {
     match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => name,
--- a/crates/direct/src/fleet.rs
+++ b/crates/direct/src/fleet.rs
@@ -1,4 +1,4 @@
-//! What this entry knows of the upstreams.
+//! What this entry knows about the upstreams.
 
 mod incarnations;
 mod liveness;
@@ -18,57 +18,59 @@
 pub use rate::{RateLimit, RateNotice};
 pub use upstream::{Upstream, Usage};
 
-/// Time after the platform's return in which a missing entry may only have
-/// lapsed while it was away.
+/// Time after the platform's return in which a missing record may only have expired
+/// while the platform was away.
 const RETURN_GRACE_MS: u64 = 3_000;
 
 /// Time for which an upstream that is gone is remembered.
 const FORGET_MS: u64 = 60_000;
 
-/// Time for which entries tell one another that an upstream is leaving: longer than
-/// a leaving upstream may get requests, and than most cuts between entries.
+/// Time for which entries tell one another that an upstream is leaving. It is longer
+/// than the time in which a leaving upstream may still get requests, and than most
+/// connection losses between entries.
 const LEAVING_RESEND_MS: u64 = 8_000;
 
-/// The latest giver of orders that was heard.
+/// The latest coordinator that was heard from.
 #[derive(Debug, Default)]
 struct LatestCoordinator {
     token: u64,
-    /// When it was heard first.
+    /// When the coordinator was first heard from.
     first_heard_at: Instant,
 }
 
-/// Upstreams that each other entry named last, of its use and of what it hears.
+/// Upstreams named in the last message of each other entry, by usage and by activity.
 ///
-/// What an entry names no more it uses no more. Looked for among all upstreams at each
-/// message, with 3,000 of them and 300 entries that was all that an entry did.
+/// An entry no longer uses an upstream that its last message doesn't name. Searching
+/// all upstreams for those on each message took all processor time of an entry with
+/// 3,000 upstreams and 300 entries.
 #[derive(Debug, Default)]
 struct PeerMentions {
     used: HashMap<String, Vec<Arc<str>>>,
-    heard: HashMap<String, Vec<Arc<str>>>,
+    reports: HashMap<String, Vec<Arc<str>>>,
 }
 
-/// All upstreams, by name.
+/// All known upstreams, by name.
 #[derive(Debug, Default)]
 pub struct Fleet {
     upstreams: BTreeMap<Arc<str>, Upstream>,
-    /// When the platform answered again after it was away.
+    /// When the platform became reachable again.
     platform_returned_at: Option<Instant>,
     coordinator: LatestCoordinator,
     peer_mentions: PeerMentions,
 }
 
 impl Fleet {
-    /// An empty fleet.
+    /// Creates an empty fleet.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The platform answers again after it was away.
+    /// Records that the platform is reachable again.
     pub const fn platform_returned(&mut self, now: Instant) {
         self.platform_returned_at = Some(now);
     }
 
-    /// The whole list at a version; what is missing from it has gone.
+    /// Applies the complete list at version `at`. Upstreams missing from it are gone.
     pub fn apply_list(
         &mut self,
         now: Instant,
@@ -77,10 +79,10 @@
     ) {
         let names: Vec<Arc<str>> = listed
             .iter()
-            .map(|(_, news)| Arc::clone(&news.id))
+            .map(|(_, record)| Arc::clone(&record.id))
             .collect();
-        for (version, news) in listed {
-            self.apply_record(version, news);
+        for (version, record) in listed {
+            self.apply_record(version, record);
         }
         self.update_undated();
         let missing: Vec<Arc<str>> = self
@@ -94,45 +96,48 @@
         }
     }
 
-    /// News of one upstream; older news than is known changes nothing. True if it
-    /// has started again.
-    pub fn apply_update(&mut self, version: u64, news: UpstreamRecord) -> bool {
+    /// Applies a record of one upstream, unless a newer one is known. Returns true if
+    /// the upstream has restarted.
+    pub fn apply_update(&mut self, version: u64, record: UpstreamRecord) -> bool {
         let known = self.upstreams.len();
-        let restarted = self.apply_record(version, news);
-        // Looks at all: most news, signs of life, leave their number as it is.
+        let restarted = self.apply_record(version, record);
+        // This visits all upstreams. Most updates are signs of life, which don't change
+        // the number of upstreams.
         if restarted || self.upstreams.len() != known {
             self.update_undated();
         }
         restarted
     }
 
-    /// A start goes before a version: what an earlier start wrote last may be
-    /// carried out after the later one's entry, and would have a higher version.
-    /// That an entry was missing at a version holds for all starts before it.
-    fn apply_record(&mut self, version: u64, news: UpstreamRecord) -> bool {
-        let Some(known) = self.upstreams.get_mut(&news.id) else {
-            let id = Arc::clone(&news.id);
-            self.upstreams.insert(id, Upstream::new(news, version));
+    /// Applies a record and returns whether the upstream has restarted. The incarnation
+    /// takes precedence over the version: the last write of an earlier incarnation may
+    /// reach the platform after the later one's record, and then has a higher version.
+    /// A record found missing at some version counts for all incarnations before that
+    /// version.
+    fn apply_record(&mut self, version: u64, record: UpstreamRecord) -> bool {
+        let Some(known) = self.upstreams.get_mut(&record.id) else {
+            let id = Arc::clone(&record.id);
+            self.upstreams.insert(id, Upstream::new(record, version));
             return false;
         };
         if known.gone_version.is_some_and(|gone| version <= gone) {
             return false;
         }
-        match news.started_unix_ms.cmp(&known.record.started_unix_ms) {
+        match record.started_unix_ms.cmp(&known.record.started_unix_ms) {
             Ordering::Less => return false,
             Ordering::Greater => {
-                *known = Upstream::new(news, version);
+                *known = Upstream::new(record, version);
                 return true;
             }
             Ordering::Equal if version < known.version => return false,
             Ordering::Equal => {}
         }
-        // An upstream that said it is leaving never takes work again; only its
-        // next start does. One whose entry had vanished and is back lives: its
-        // signs of life were lost on their way.
-        let leaving = known.record.leaving || news.leaving;
-        known.is_leaving_unlisted &= !news.leaving;
-        known.record = news;
+        // An upstream that announced that it is leaving never takes work again; only
+        // its next incarnation does. One whose record had vanished and is back is
+        // alive: its signs of life were lost in transit.
+        let leaving = known.record.leaving || record.leaving;
+        known.is_leaving_unlisted &= !record.leaving;
+        known.record = record;
         known.record.leaving = leaving;
         known.version = version;
         known.vanished_at = None;
@@ -141,12 +146,12 @@
         false
     }
 
-    /// The entry of an upstream can't be read at a version: another writer's took
-    /// the place of its own. Whether the upstream was known.
+    /// Handles a record of an upstream that can't be decoded, because another writer
+    /// replaced the upstream's own record. Returns whether the upstream was known.
     ///
-    /// It gets nothing new until a newer entry of its own is there. That the entry
-    /// is not missing but replaced shows that it has not lapsed, so the grace after
-    /// an outage is not given.
+    /// The upstream gets no new requests until it has a newer record of its own. A
+    /// record that was replaced hasn't expired, so the grace period after a platform
+    /// outage doesn't apply.
     pub fn mark_unreadable(&mut self, id: &str, version: u64) -> bool {
         let Some(upstream) = self.upstreams.get_mut(id) else {
             return false;
@@ -160,13 +165,13 @@
         true
     }
 
-    /// The entry of an upstream has gone from the platform.
+    /// Handles the removal of an upstream's record from the platform.
     ///
-    /// It is taken to be leaving until its entry is back, unless it may only have
-    /// lapsed while the platform was away: all upstreams would be lost at once to
-    /// a pause of the platform.
+    /// The upstream counts as leaving until its record is back, unless the record may
+    /// only have expired while the platform was away. Otherwise, an outage of the
+    /// platform would make all upstreams unusable at once.
     pub fn remove(&mut self, now: Instant, id: &str, version: u64) {
-        let lapsed = self
+        let may_have_lapsed = self
             .platform_returned_at
             .is_some_and(|at| now.ms_since(at) < RETURN_GRACE_MS);
         let Some(upstream) = self.upstreams.get_mut(id) else {
@@ -177,41 +182,42 @@
         }
         upstream.gone_version = Some(version);
         upstream.is_leaving_unlisted = false;
-        // One whose entry went while the platform answered has left, and is not
-        // excused by an outage that comes later.
-        if !lapsed && upstream.vanished_at.is_none() {
+        // An upstream whose record was removed while the platform was reachable has
+        // left. A later outage doesn't make it usable again.
+        if !may_have_lapsed && upstream.vanished_at.is_none() {
             upstream.is_confirmed_gone = true;
-        } else if lapsed && !upstream.is_confirmed_gone {
+        } else if may_have_lapsed && !upstream.is_confirmed_gone {
             upstream.vanished_at.get_or_insert(now);
         }
     }
 
-    /// Upstreams that are leaving or whose entries have vanished, for a while after
-    /// they were last used, with the version at which that was seen and whether it is
-    /// the latter.
+    /// Upstreams that are leaving or whose records have vanished, with the version at
+    /// which this was seen and whether the record vanished. Each is returned for
+    /// [`LEAVING_RESEND_MS`] after it was last active.
     ///
-    /// Others hear of it by the platform as well, and what was told for seconds is
-    /// known. Told for as long as they are remembered, the upstreams of a failure
-    /// domain that is lost were most of each message for a minute. What the platform does
-    /// not say yet is told for as long: an entry that starts can't hear it elsewhere.
+    /// Other entries learn this from the platform as well, and know it after seconds of
+    /// repetition. When these upstreams were sent for as long as they are remembered,
+    /// those of a lost failure domain filled most of each message for a minute. What
+    /// the platform doesn't say yet is sent for as long as that lasts, because an entry
+    /// that starts can't learn it elsewhere.
     pub fn leaving_upstreams(
         &self,
         now: Instant,
     ) -> impl Iterator<Item = (&Upstream, u64, bool)> {
-        let lately = self.all().filter(move |upstream| {
+        let recent = self.all().filter(move |upstream| {
             upstream.is_leaving_unlisted
                 || now.ms_since(upstream.last_active_at) < LEAVING_RESEND_MS
         });
-        lately.filter_map(|upstream| {
+        recent.filter_map(|upstream| {
             let (version, vanished) = upstream.leaving_version()?;
             Some((upstream, version, vanished))
         })
     }
 
-    /// Forgets upstreams that are gone and have no request left.
+    /// Forgets upstreams that are gone and have no running request.
     ///
-    /// One that is still listed as leaving is kept: forgotten, it would be taken
-    /// for a new one by the next list that is behind.
+    /// One that is leaving but isn't yet listed as such by the platform is kept.
+    /// Otherwise the next outdated list would add it as a new upstream.
     pub fn forget_gone(&mut self, now: Instant) {
         self.upstreams.retain(|_, upstream| {
             upstream.forget_ended_rate_limit(now);
@@ -224,22 +230,22 @@
         self.update_undated();
     }
 
-    /// An answer of this start says that it leaves, which its entry may come to say
-    /// late or never; whether that is new.
-    pub fn note_leaving(&mut self, start: UpstreamIncarnation<'_>) -> bool {
-        self.incarnation_mut(start)
+    /// Records that a response of this incarnation announced that it is leaving. The
+    /// platform's record may say so late or never. Returns whether this is new.
+    pub fn note_leaving(&mut self, incarnation: UpstreamIncarnation<'_>) -> bool {
+        self.incarnation_mut(incarnation)
             .is_some_and(Upstream::mark_leaving)
     }
 
-    /// Another entry says that an upstream is leaving, or that its entry had
-    /// vanished at a version.
+    /// Handles another entry's report that an upstream is leaving, or that its record
+    /// had vanished at a version.
     pub fn peer_reported_leaving(
         &mut self,
-        start: UpstreamIncarnation<'_>,
+        incarnation: UpstreamIncarnation<'_>,
         version: u64,
         vanished: bool,
     ) {
-        let Some(upstream) = self.note_incarnation(start) else {
+        let Some(upstream) = self.note_incarnation(incarnation) else {
             return;
         };
         if !vanished {
@@ -249,7 +255,8 @@
         }
     }
 
-    /// Another entry's use of upstreams; what it does not name it does not use.
+    /// Sets another entry's usage of the upstreams. It doesn't use upstreams that
+    /// aren't named.
     pub fn set_peer_usage<'a>(
         &mut self,
         now: Instant,
@@ -257,15 +264,15 @@
         used: impl Iterator<Item = (UpstreamIncarnation<'a>, Usage)>,
     ) {
         for id in self.peer_mentions.used.remove(peer).unwrap_or_default() {
-            // Left in with nothing, each entry that ever used it would be added up at
-            // each choice.
+            // Without the removal, every selection would add up all entries that have
+            // ever used the upstream.
             if let Some(upstream) = self.upstreams.get_mut(&id) {
                 upstream.peer_usage.remove(peer);
             }
         }
         let mut named = Vec::new();
-        for (start, usage) in used {
-            let Some(upstream) = self.note_incarnation(start) else {
+        for (incarnation, usage) in used {
+            let Some(upstream) = self.note_incarnation(incarnation) else {
                 continue;
             };
             named.push(Arc::clone(&upstream.record.id));
@@ -279,52 +286,54 @@
         self.peer_mentions.used.insert(peer.to_owned(), named);
     }
 
-    /// What another entry hears of upstreams; where it names none, it has no
-    /// request.
+    /// Sets what another entry hears from the upstreams. It has no requests at
+    /// upstreams that aren't named.
     pub fn set_peer_activity<'a>(
         &mut self,
         now: Instant,
         peer: &str,
-        heard: impl Iterator<Item = (UpstreamIncarnation<'a>, Activity)>,
+        reports: impl Iterator<Item = (UpstreamIncarnation<'a>, Activity)>,
     ) {
-        for id in self.peer_mentions.heard.remove(peer).unwrap_or_default() {
+        for id in self.peer_mentions.reports.remove(peer).unwrap_or_default() {
             if let Some(upstream) = self.upstreams.get_mut(&id) {
                 upstream.liveness.set_peer_report(now, peer, None);
             }
         }
         let mut named = Vec::new();
-        for (start, activity) in heard {
-            if let Some(upstream) = self.incarnation_mut(start) {
+        for (incarnation, activity) in reports {
+            if let Some(upstream) = self.incarnation_mut(incarnation) {
                 upstream.liveness.set_peer_report(now, peer, Some(activity));
                 named.push(Arc::clone(&upstream.record.id));
             }
         }
-        self.peer_mentions.heard.insert(peer.to_owned(), named);
+        self.peer_mentions.reports.insert(peer.to_owned(), named);
     }
 
-    /// What the giver of orders says that an upstream holds, and what is on its
-    /// way there, with when it is expected to serve.
+    /// Sets what an upstream holds according to the coordinator, and the models that
+    /// are loading there with the time at which they are expected to serve.
     pub fn set_coordinator_holdings(
         &mut self,
         now: Instant,
-        start: UpstreamIncarnation<'_>,
+        incarnation: UpstreamIncarnation<'_>,
         residents: Vec<ResidentModel>,
-        coming: Vec<(Arc<str>, Instant)>,
+        loading: Vec<(Arc<str>, Instant)>,
     ) {
-        if let Some(upstream) = self.note_incarnation(start) {
+        if let Some(upstream) = self.note_incarnation(incarnation) {
             upstream.coordinator_holdings = Some(CoordinatorHoldings {
                 received_at: now,
                 confirmed_at: now,
                 residents,
-                loading: coming,
+                loading,
             });
         }
     }
 
-    /// The giver of orders was heard, under this token: what it has said still holds.
+    /// Records a message from the coordinator with this token: the holdings that it
+    /// sent before remain valid.
     ///
-    /// It tells of a change at once and of all upstreams in turn, which takes seconds
-    /// where there are many entries. What an earlier giver said ends with it.
+    /// The coordinator sends changes at once and the holdings of all upstreams in turn,
+    /// which takes seconds with many entries. The holdings sent by an earlier
+    /// coordinator become invalid.
     pub fn coordinator_heard(&mut self, now: Instant, token: u64) {
         if token < self.coordinator.token {
             return;
@@ -337,58 +346,59 @@
         }
         let since = self.coordinator.first_heard_at;
         for upstream in self.upstreams.values_mut() {
-            let said = upstream.coordinator_holdings.as_mut();
-            let said = said.filter(|said| said.received_at >= since);
-            if let Some(said) =
-                said.filter(|said| now.ms_since(said.received_at) < HOLDINGS_MAX_AGE_MS)
-            {
-                said.confirmed_at = now;
+            let holdings = upstream.coordinator_holdings.as_mut();
+            let holdings = holdings.filter(|holdings| holdings.received_at >= since);
+            if let Some(holdings) = holdings.filter(|holdings| {
+                now.ms_since(holdings.received_at) < HOLDINGS_MAX_AGE_MS
+            }) {
+                holdings.confirmed_at = now;
             }
         }
     }
 
-    /// When the first upstream of a service is expected to serve a model that is
-    /// on its way there.
+    /// When the first upstream of the service is expected to serve a model that is
+    /// loading.
     pub fn model_ready_at(
         &self,
         now: Instant,
         service: &str,
         model: &str,
     ) -> Option<Instant> {
-        let said = self
+        let holdings = self
             .of_service(service)
             .filter(|upstream| upstream.is_usable(now))
             .filter_map(|upstream| upstream.coordinator_holdings.as_ref())
-            .filter(|said| now.ms_since(said.confirmed_at) < HOLDINGS_VALID_MS);
-        let coming = said.flat_map(|said| &said.loading);
-        coming
+            .filter(|holdings| now.ms_since(holdings.confirmed_at) < HOLDINGS_VALID_MS);
+        let loading = holdings.flat_map(|holdings| &holdings.loading);
+        loading
             .filter(|(name, _)| **name == *model)
             .map(|(_, ready_at)| *ready_at)
             .min()
     }
 
-    /// When the first upstream of a service takes requests for a model again, among those
-    /// that said that they don't now.
+    /// When the first upstream of the service accepts requests for the model again,
+    /// among those that currently asked for none.
     pub fn accepts_again_at(
         &self,
         now: Instant,
         service: &str,
         model: Option<&str>,
     ) -> Option<Instant> {
-        let able = self.of_service(service).filter(|upstream| {
+        let candidates = self.of_service(service).filter(|upstream| {
             upstream.is_usable(now)
                 && model.is_none_or(|model| upstream.holds(now, model, None))
         });
-        able.filter_map(|upstream| upstream.accepts_again_at(now))
+        candidates
+            .filter_map(|upstream| upstream.accepts_again_at(now))
             .min()
     }
 
-    /// One upstream.
+    /// Returns an upstream by name.
     pub fn get(&self, id: &str) -> Option<&Upstream> {
         self.upstreams.get(id)
     }
 
-    /// One upstream.
+    /// Returns an upstream by name.
     pub fn get_mut(&mut self, id: &str) -> Option<&mut Upstream> {
         self.upstreams.get_mut(id)
     }
@@ -407,8 +417,7 @@
         self.upstreams.values()
     }
 
-    /// Services of models among those of the configuration, with their usable
-    /// upstreams.
+    /// The usable upstreams of all services whose configuration has models.
     pub fn model_upstreams<'a>(
         &'a self,
         now: Instant,
--- a/crates/direct/src/fleet/incarnations.rs
+++ b/crates/direct/src/fleet/incarnations.rs
@@ -1,15 +1,15 @@
-//! Starts of upstreams under one name.
+//! Incarnations of upstreams under one name.
 
 use super::{Fleet, Upstream};
 use crate::{LocalWeights, UpstreamIncarnation, UpstreamRecord};
 
 impl Upstream {
-    /// What is left of what was known once it has started again, as long as its
-    /// new entry was not read: where it is reached, what it serves, its disk, and
-    /// whether its entry is missing. It holds nothing and has no requests.
-    fn restarted(&self, born_ms: Option<u64>) -> Self {
-        let news = UpstreamRecord {
-            started_unix_ms: born_ms,
+    /// What is known of an upstream that has restarted and whose new record hasn't been
+    /// read yet: its address, service, local weights on disk, and whether its record is
+    /// missing. It holds no models and has no requests.
+    fn restarted(&self, started_unix_ms: Option<u64>) -> Self {
+        let record = UpstreamRecord {
+            started_unix_ms,
             leaving: false,
             gone_in_ms: None,
             residents: Vec::new(),
@@ -23,68 +23,71 @@
             vanished_at: self.vanished_at,
             gone_version: self.gone_version,
             last_active_at: self.last_active_at,
-            ..Self::new(news, self.version)
+            ..Self::new(record, self.version)
         }
     }
 }
 
 impl Fleet {
-    /// The upstream, if this start of it is the latest that is known.
+    /// The upstream, if this is its latest known incarnation.
     pub fn incarnation_mut(
         &mut self,
-        start: UpstreamIncarnation<'_>,
+        incarnation: UpstreamIncarnation<'_>,
     ) -> Option<&mut Upstream> {
-        let known = self.upstreams.get_mut(start.id)?;
-        (known.record.started_unix_ms == start.started_unix_ms).then_some(known)
+        let known = self.upstreams.get_mut(incarnation.id)?;
+        (known.record.started_unix_ms == incarnation.started_unix_ms).then_some(known)
     }
 
-    /// Whether an upstream has started again after this start of it. What ran
+    /// Whether the upstream has restarted after this incarnation. Everything that ran
     /// there has ended.
-    pub fn is_superseded(&self, start: UpstreamIncarnation<'_>) -> bool {
-        let known = self.upstreams.get(start.id);
-        known.is_some_and(|known| known.record.started_unix_ms > start.started_unix_ms)
+    pub fn is_superseded(&self, incarnation: UpstreamIncarnation<'_>) -> bool {
+        let known = self.upstreams.get(incarnation.id);
+        known.is_some_and(|known| {
+            known.record.started_unix_ms > incarnation.started_unix_ms
+        })
     }
 
-    /// An upstream's report names its start.
+    /// Handles the start time in an upstream's report.
     ///
-    /// Where entries say nothing of starts, the report changes nothing here: each
-    /// entry that comes after it would be taken for an earlier start's.
-    pub fn observe_report(&mut self, start: UpstreamIncarnation<'_>) {
-        let known = self.upstreams.get(start.id);
+    /// If the platform's records have no start times, the report changes nothing:
+    /// otherwise every later record would count as one of an earlier incarnation.
+    pub fn observe_report(&mut self, incarnation: UpstreamIncarnation<'_>) {
+        let known = self.upstreams.get(incarnation.id);
         if known.is_some_and(|known| known.record.started_unix_ms.is_some()) {
-            self.note_incarnation(start);
+            self.note_incarnation(incarnation);
         }
     }
 
-    /// Another than the platform speaks of a start: the upstream, unless a later
-    /// start is known. A later one than is known begins here.
+    /// Handles an incarnation named by a source other than the platform. Returns the
+    /// upstream unless a later incarnation is known. If this one is later than the
+    /// known one, it replaces it.
     pub(super) fn note_incarnation(
         &mut self,
-        start: UpstreamIncarnation<'_>,
+        incarnation: UpstreamIncarnation<'_>,
     ) -> Option<&mut Upstream> {
-        let known = self.upstreams.get_mut(start.id)?;
-        if start.started_unix_ms > known.record.started_unix_ms {
-            *known = known.restarted(start.started_unix_ms);
+        let known = self.upstreams.get_mut(incarnation.id)?;
+        if incarnation.started_unix_ms > known.record.started_unix_ms {
+            *known = known.restarted(incarnation.started_unix_ms);
             self.update_undated();
         }
-        self.incarnation_mut(start)
+        self.incarnation_mut(incarnation)
     }
 
-    /// Finds the entries that do not say when their upstream started though most
-    /// entries do. They are another writer's, and name no upstream to use.
+    /// Finds records without a start time where most records have one. They come from
+    /// another writer and describe no usable upstream.
     ///
-    /// Where upstreams do not say it, one entry of another writer that names a
-    /// time must not take out all others, so the most decide; at a draw all are
-    /// used, since a request to what is no upstream only goes elsewhere.
+    /// If upstreams don't provide start times, a single foreign record with one must
+    /// not make all others unusable, so the majority decides. In a tie all are used: a
+    /// request to something that isn't an upstream is merely sent elsewhere.
     pub(super) fn update_undated(&mut self) {
         let all = self.upstreams.values();
-        let dated = all
+        let with_start_time = all
             .filter(|known| known.record.started_unix_ms.is_some())
             .count();
-        let most_are_dated = dated * 2 > self.upstreams.len();
+        let most_have_start_time = with_start_time * 2 > self.upstreams.len();
         for known in self.upstreams.values_mut() {
             known.lacks_start_time =
-                most_are_dated && known.record.started_unix_ms.is_none();
+                most_have_start_time && known.record.started_unix_ms.is_none();
         }
     }
 }
--- a/crates/direct/src/fleet/liveness.rs
+++ b/crates/direct/src/fleet/liveness.rs
@@ -1,44 +1,44 @@
-//! Whether an upstream that has work gives the signs of life that are due.
+//! Detection of upstreams that have work and give no sign of life.
 //!
-//! Answers the load at which engines are nearly full and entries many. Each entry
-//! then has a request or two at an engine, and one that waits behind a full batch or
-//! long prompts hears nothing for a second though the engine is well. Held dead for
-//! that, the engine is avoided and the prompt read once more by another one that is
-//! as full, which is then held dead as well. So an entry goes by what all entries
-//! hear, and by the time that the prompts there take to be read.
+//! When engines are nearly full and there are many entries, each entry has only one or
+//! two requests at an engine. One that waits behind a full batch or long prompts
+//! receives nothing for a second although the engine is healthy. If the engine were
+//! considered dead, the prompt would be prefilled again by another engine that is as
+//! full, which would then be considered dead as well. An entry therefore also takes
+//! into account what other entries receive, and how long the queued prompts take.
 
 use base::prelude::*;
 use std::collections::HashMap;
 
-/// Silence after which an upstream is held dead whose signs of life are due: a
-/// stream that has begun gives an event every few tens of milliseconds.
+/// Silence after which an upstream that should give a sign of life is considered dead.
+/// A stream that has started gives an event every few tens of milliseconds.
 const SILENT_MS: u64 = 700;
 
-/// Silence towards this entry's waiting requests after which an upstream is held
-/// unreachable from here though others hear it. A caller leaves a stream that has
-/// not begun some three seconds after its request; later, another upstream could
-/// not serve it any more.
+/// Silence towards this entry's waiting requests after which an upstream is considered
+/// unreachable from here, although other entries hear it. Callers give up on a stream
+/// that hasn't started about three seconds after the request; any later, another
+/// upstream could no longer serve it.
 const LOCAL_SILENT_MS: u64 = 2_000;
 
-/// Longest time that prompts are granted to be read beyond the silence. What is
-/// expected of a queue is rough, and a dead upstream must not be waited for as long
-/// as its queue was long.
+/// Maximum additional silence that is allowed for queued prompts. Estimates of a queue
+/// are rough, and the wait for a dead upstream must not depend on how long its queue
+/// was.
 const MAX_PREFILL_ALLOWANCE_MS: u64 = 1_000;
 
-/// Age at which another entry's word counts no more.
+/// Age after which another entry's report is ignored.
 const PEER_REPORT_MAX_AGE_MS: u64 = 1_500;
 
-/// What one entry hears of an upstream at which it has requests.
+/// What one entry hears from an upstream at which it has requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Activity {
-    /// Requests that have their first answer.
+    /// Number of requests that have received their first answer.
     pub answering: u32,
-    /// Time since the last bytes from the upstream; where no request has begun, since
-    /// the first of them was sent.
+    /// Time since the last bytes from the upstream, or, if no request has an answer
+    /// yet, since the first of them was sent.
     pub silent_ms: u64,
 }
 
-/// Another entry's word, and when it came.
+/// Another entry's report and when it was received.
 #[derive(Debug, Clone, Copy)]
 struct PeerReport {
     received_at: Instant,
@@ -51,7 +51,7 @@
     }
 }
 
-/// What this entry and others hear of one upstream.
+/// What this entry and others hear from one upstream.
 #[derive(Debug, Default)]
 pub(super) struct Liveness {
     answering: u32,
@@ -60,7 +60,8 @@
 }
 
 impl Liveness {
-    /// The first of this entry's requests was sent, or bytes came.
+    /// Records that bytes were received, or that the first of this entry's requests was
+    /// sent.
     pub(super) const fn bytes_received(&mut self, now: Instant) {
         self.last_bytes_at = now;
     }
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Another entry's word; `None` where it has no request there any more.
+    /// Sets another entry's report; `None` if it no longer has requests there.
     pub(super) fn set_peer_report(
         &mut self,
         now: Instant,
@@ -88,18 +89,18 @@
         activity: Option<Activity>,
     ) {
         match (self.peer_reports.get_mut(entry), activity) {
-            (Some(word), Some(activity)) => {
-                *word = PeerReport {
+            (Some(report), Some(activity)) => {
+                *report = PeerReport {
                     received_at: now,
                     activity,
                 }
             }
             (None, Some(activity)) => {
-                let word = PeerReport {
+                let report = PeerReport {
                     received_at: now,
                     activity,
                 };
-                self.peer_reports.insert(entry.to_owned(), word);
+                self.peer_reports.insert(entry.to_owned(), report);
             }
             (Some(_), None) => {
                 self.peer_reports.remove(entry);
@@ -108,29 +109,34 @@
         }
     }
 
-    /// Whether the upstream is silent towards this entry's requests for longer than
-    /// it may be while `prefill_ms` of prompts wait there.
+    /// Whether the upstream has been silent towards this entry's requests for longer
+    /// than allowed, given that queued prompts take `prefill_ms`.
     pub(super) fn is_silent(&self, now: Instant, prefill_ms: u64) -> bool {
         now.ms_since(self.last_bytes_at) > self.allowed_silence_ms(now, prefill_ms)
     }
 
     fn allowed_silence_ms(&self, now: Instant, prefill_ms: u64) -> u64 {
-        // An entry whose requests all wait has heard nothing. Taken for a sign, each new
-        // request to a dead upstream would have all others wait for it longer.
-        let words = self.peer_reports.values().filter(|word| {
-            now.ms_since(word.received_at) < PEER_REPORT_MAX_AGE_MS
-                && word.activity.answering > 0
+        // An entry whose requests are all waiting has heard nothing. If its reports
+        // counted as signs of life, each new request to a dead upstream would make all
+        // others wait longer for it.
+        let reports = self.peer_reports.values().filter(|report| {
+            now.ms_since(report.received_at) < PEER_REPORT_MAX_AGE_MS
+                && report.activity.answering > 0
         });
-        let last = words.clone().map(PeerReport::last_bytes_at).max();
-        // A stream pauses for nobody's prompt.
-        let stream_is_silent = words.clone().any(|word| {
-            word.activity.silent_ms > SILENT_MS
-                && last.is_none_or(|last| word.received_at.ms_since(last) > SILENT_MS)
+        let last_bytes_at = reports.clone().map(PeerReport::last_bytes_at).max();
+        // A stream that has started isn't interrupted by the prefill of other prompts.
+        let stream_is_silent = reports.clone().any(|report| {
+            report.activity.silent_ms > SILENT_MS
+                && last_bytes_at.is_none_or(|last_bytes_at| {
+                    report.received_at.ms_since(last_bytes_at) > SILENT_MS
+                })
         });
         if self.answering > 0 || stream_is_silent {
             return SILENT_MS;
         }
-        if last.is_some_and(|last| now.ms_since(last) < PEER_REPORT_MAX_AGE_MS) {
+        if last_bytes_at.is_some_and(|last_bytes_at| {
+            now.ms_since(last_bytes_at) < PEER_REPORT_MAX_AGE_MS
+        }) {
             return LOCAL_SILENT_MS;
         }
         SILENT_MS + prefill_ms.min(MAX_PREFILL_ALLOWANCE_MS)
--- a/crates/direct/src/fleet/rate.rs
+++ b/crates/direct/src/fleet/rate.rs
@@ -1,9 +1,9 @@
-//! The rate of requests that an upstream asks for in its answers.
+//! Request rates that upstreams ask for in their responses.
 //!
-//! Answers the load of an upstream in need, which takes fewer requests than its place
-//! among the others brings it, whichever entries they come from. Entries hear its
-//! answers one by one and tell one another, so what is newer is told by when an answer
-//! can have been made, and not by when it came.
+//! An upstream in trouble can serve fewer requests than selection would send it, summed
+//! over all entries. Each entry receives only some of its responses, and entries tell
+//! one another about them. Which of two notices is newer is therefore decided by when
+//! the response can have been made, not by when it was received.
 
 use base::prelude::*;
 use std::sync::Arc;
@@ -11,31 +11,31 @@
 use super::{Fleet, Upstream};
 use crate::UpstreamIncarnation;
 
-/// Rate that is kept to where an upstream asks for less: without any request no answer
-/// would say that the bound has ended.
+/// Minimum rate that is kept even if an upstream asks for less: without any request, no
+/// response would announce the end of the limit.
 const MIN_PER_S: f64 = 0.1;
 
-/// Time for which entries tell one another that a bound has ended.
+/// Time for which entries tell one another that a limit has ended.
 const ENDED_RESEND_MS: u64 = 10_000;
 
-/// Longest time that another entry's message may be on its way, as a slow process takes it
-/// up.
+/// Maximum time that a message from another entry may be in transit, including the time
+/// until a slow process handles it.
 const MAX_TRANSIT_MS: u64 = 1_000;
 
-/// What an answer said of the rate that its upstream takes.
+/// The request rate that a response of an upstream asked for.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RateNotice {
-    /// Requests a second from all entries together; `None` for no bound.
+    /// Requests per second from all entries together; `None` for no limit.
     pub per_s: Option<f64>,
-    /// When the request was sent: the answer was made later.
+    /// When the request was sent. The response was made after this.
     pub request_sent_at: Instant,
-    /// When the answer came: it was made before.
+    /// When the response was received. It was made before this.
     pub answered_at: Instant,
 }
 
 impl RateNotice {
-    /// Whether another notice holds in place of this one. Of two answers that may have
-    /// overtaken one another the lower bound does, until a later one is heard.
+    /// Whether another notice replaces this one. If the order of the two responses is
+    /// unknown, the lower limit applies until a later response.
     fn is_replaced_by(&self, other: &Self) -> bool {
         if other.request_sent_at >= self.answered_at {
             return true;
@@ -46,51 +46,53 @@
     }
 }
 
-/// A bound on the requests to one start of an upstream.
+/// A limit on the requests to one incarnation of an upstream.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RateLimit {
-    /// Names the start.
+    /// Identifies the incarnation.
     pub key: Arc<str>,
-    /// Requests a second from all entries together.
+    /// Requests per second from all entries together.
     pub per_s: f64,
 }
 
 impl Upstream {
-    /// Requests a second that it asks for.
+    /// Requests per second that the upstream asks for, if it asks for a limit.
     pub fn rate_per_s(&self) -> Option<f64> {
         self.rate_notice.and_then(|notice| notice.per_s)
     }
 
-    /// Its bound, where it asks for one.
+    /// The limit that is applied, if the upstream asks for one.
     pub fn rate_limit(&self) -> Option<RateLimit> {
         let per_s = self.rate_per_s()?.max(MIN_PER_S);
-        let born_ms = self.record.started_unix_ms.unwrap_or(0);
+        let started_unix_ms = self.record.started_unix_ms.unwrap_or(0);
         Some(RateLimit {
-            key: format!("{}@{born_ms}", self.record.id).into(),
+            key: format!("{}@{started_unix_ms}", self.record.id).into(),
             per_s,
         })
     }
 
-    /// Until when it is sent nothing, as all that it takes was sent.
+    /// Sets the time until which no request is sent because the allowed rate is used
+    /// up.
     pub fn set_rate_spent_until(&mut self, until: Instant) {
         self.rate_spent_until = until;
     }
 
-    /// Whether all that it takes was sent.
+    /// Whether the allowed rate is used up.
     pub fn is_rate_spent(&self, now: Instant) -> bool {
         self.rate_per_s().is_some() && now < self.rate_spent_until
     }
 
-    /// Takes over what an answer said; whether the bound is another one now.
+    /// Applies the rate of a response. Returns whether the limit has changed.
     fn apply_rate_notice(&mut self, notice: RateNotice) -> bool {
-        let Some(known) = self.rate_notice else {
+        let Some(current) = self.rate_notice else {
             self.rate_notice = notice.per_s.is_some().then_some(notice);
             return self.rate_notice.is_some();
         };
-        let before = known.per_s;
-        // That a bound has ended is told for a time from when it did.
+        let before = current.per_s;
+        // The end of a limit is announced for a time after it happened, so a response
+        // without a limit is ignored once the end is known.
         let is_news = before.is_some() || notice.per_s.is_some();
-        if is_news && known.is_replaced_by(&notice) {
+        if is_news && current.is_replaced_by(&notice) {
             self.rate_notice = Some(notice);
         }
         self.rate_per_s() != before
@@ -108,23 +110,23 @@
 }
 
 impl Fleet {
-    /// An answer of this start said at which rate it takes requests; whether the bound
-    /// is another one now.
+    /// Records the rate that a response of this incarnation asked for. Returns whether
+    /// the limit has changed.
     pub fn note_rate(
         &mut self,
-        start: UpstreamIncarnation<'_>,
+        incarnation: UpstreamIncarnation<'_>,
         notice: RateNotice,
     ) -> bool {
-        self.incarnation_mut(start)
+        self.incarnation_mut(incarnation)
             .is_some_and(|upstream| upstream.apply_rate_notice(notice))
     }
 
-    /// Another entry tells of an answer, with how long ago it was asked for and heard;
-    /// whether the bound is another one now.
+    /// Handles another entry's report of a response, with the time since its request
+    /// was sent and since it was received. Returns whether the limit has changed.
     pub fn peer_reported_rate(
         &mut self,
         now: Instant,
-        start: UpstreamIncarnation<'_>,
+        incarnation: UpstreamIncarnation<'_>,
         per_s: Option<f64>,
         (asked_ms_ago, heard_ms_ago): (u64, u64),
     ) -> bool {
@@ -134,23 +136,23 @@
             request_sent_at: ago(asked_ms_ago.saturating_add(MAX_TRANSIT_MS)),
             answered_at: ago(heard_ms_ago),
         };
-        self.note_incarnation(start)
+        self.note_incarnation(incarnation)
             .is_some_and(|upstream| upstream.apply_rate_notice(notice))
     }
 
-    /// Upstreams that ask for a rate, or did until a moment ago, with what they said.
+    /// Upstreams that ask for a rate, or did until recently, with their notices.
     pub fn rate_notices(
         &self,
         now: Instant,
     ) -> impl Iterator<Item = (&Upstream, &RateNotice)> {
-        let said = self.all().filter_map(|upstream| {
+        let notices = self.all().filter_map(|upstream| {
             let notice = upstream.rate_notice.as_ref()?;
             Some((upstream, notice))
         });
-        said.filter(move |(_, notice)| is_current(now, notice))
+        notices.filter(move |(_, notice)| is_current(now, notice))
     }
 
-    /// The bounds of all upstreams.
+    /// The limits of all upstreams.
     pub fn rate_limits(&self) -> impl Iterator<Item = RateLimit> {
         self.all().filter_map(Upstream::rate_limit)
     }
--- a/crates/direct/src/fleet/refusals.rs
+++ b/crates/direct/src/fleet/refusals.rs
@@ -1,37 +1,37 @@
-//! Models that an upstream turns requests away from.
+//! Models for which an upstream refuses requests.
 //!
-//! Answers the load that meets an upstream which lists a model and takes no request
-//! for it, as its batch is full or the model is being unloaded. Refusing costs no
-//! time, so its queue is always the shortest and every request goes there first.
+//! An upstream may list a model and still refuse requests for it, because its batch is
+//! full or the model is being unloaded. Refusals take no time, so the upstream would
+//! seem to have the shortest queue and every request would be sent there first.
 
 use base::prelude::*;
 use std::sync::Arc;
 
-/// Pause after the first refusal: a full batch has a place again as soon as one of
-/// its requests ends.
+/// Pause after the first refusal. A full batch has a free slot as soon as one of its
+/// requests ends.
 const FIRST_PAUSE_MS: u64 = 50;
 
-/// Longest pause. It bounds how long a model that is taken again goes unnoticed.
+/// Maximum pause. It bounds the time until an accepted model is noticed.
 const MAX_PAUSE_MS: u64 = 2_400;
 
-/// One model whose requests are refused.
+/// A model for which requests are refused.
 #[derive(Debug)]
 struct RefusedModel {
     model: Arc<str>,
-    /// Refusals since the last request that was taken.
+    /// Number of refusals since the last accepted request.
     refusals: u32,
     until: Instant,
 }
 
-/// Models that one upstream turns requests away from.
+/// Models for which one upstream refuses requests.
 #[derive(Debug, Default)]
 pub(super) struct Refusals {
     models: Vec<RefusedModel>,
 }
 
 impl Refusals {
-    /// A request for a model was refused: none is sent for a while, longer each
-    /// time.
+    /// Records a refused request for a model. No further one is sent for a pause that
+    /// grows with each refusal.
     pub(super) fn record(&mut self, now: Instant, model: &Arc<str>) {
         let index = self.models.iter().position(|known| known.model == *model);
         let index = index.unwrap_or_else(|| {
@@ -47,19 +47,19 @@
         known.refusals = known.refusals.saturating_add(1);
     }
 
-    /// A request for a model was taken.
+    /// Records an accepted request for a model.
     pub(super) fn clear(&mut self, model: &str) {
         self.models.retain(|known| *known.model != *model);
     }
 
-    /// Whether requests for a model are better not sent now.
+    /// Whether requests for a model should not be sent now.
     pub(super) fn is_paused(&self, now: Instant, model: &str) -> bool {
         let mut models = self.models.iter();
         models.any(|known| *known.model == *model && now < known.until)
     }
 }
 
-/// The pause after a refusal that came behind so many others.
+/// Pause after a refusal that follows `refusals_before` others.
 fn pause_ms(refusals_before: u32) -> u64 {
     let doubled_ms = FIRST_PAUSE_MS
         .checked_shl(refusals_before)
--- a/crates/direct/src/fleet/upstream.rs
+++ b/crates/direct/src/fleet/upstream.rs
@@ -1,4 +1,4 @@
-//! What is known of one upstream.
+//! What is known about one upstream.
 
 use base::prelude::*;
 use std::collections::HashMap;
@@ -9,47 +9,47 @@
 use super::refusals::Refusals;
 use crate::{AvoidReason, PrefillQueue, ResidentModel, UpstreamRecord};
 
-/// Time for which an upstream is still used whose entry was found missing just
-/// after the platform was away. Entries that lapsed meanwhile are back within two
-/// seconds of the platform's return if the upstream lives. One that really left
-/// must get nothing two seconds after the platform knew it, and the news of that
-/// may have taken almost one.
+/// Time for which an upstream is still used if its record was found missing just after
+/// the platform was away. Records that expired meanwhile are back within two seconds of
+/// the platform's return if the upstream is alive. An upstream that really left must
+/// get no request two seconds after the platform knew it, and the news may have taken
+/// almost one second.
 const VANISHED_GRACE_MS: u64 = 1_000;
 
-/// Age at which what another entry said of its own requests counts no more.
+/// Age after which another entry's usage is ignored.
 const PEER_USAGE_MS: u64 = 1_500;
 
-/// Silence of the giver of orders after which what it said counts no more. Once it
-/// counts no more, an upstream is asked for models that were unloaded since, as the
-/// platform's news of them come late.
+/// Silence of the coordinator after which the holdings that it sent are ignored. From
+/// then on, upstreams may get requests for models that were unloaded since, because the
+/// platform's records are late.
 pub(super) const HOLDINGS_VALID_MS: u64 = 1_500;
 
-/// Age at which what the giver said of an upstream counts no more though the giver is
-/// heard: it tells of each one several times meanwhile, unless it knows nothing of
-/// that one any more.
+/// Age after which the holdings of an upstream are ignored although the coordinator is
+/// heard. The coordinator sends the holdings of each upstream several times within this
+/// time, unless it no longer knows the upstream.
 pub(super) const HOLDINGS_MAX_AGE_MS: u64 = 3 * crate::HOLDINGS_RESEND_MS;
 
-/// Time for which an upstream that could not be connected to is avoided.
+/// Time for which an upstream is avoided after a failed connection attempt.
 const CONNECT_FAILED_MS: u64 = 1_000;
 
-/// Time for which an upstream's own word that it does not hold a model goes
-/// before the news of it, which are as late.
+/// Time for which an upstream's own answer that it doesn't hold a model takes
+/// precedence over records and holdings, which arrive with about this delay.
 const NOT_HELD_MS: u64 = 300;
 
-/// Weight of the newest answer in the share of failed ones.
+/// Weight of the newest answer in the share of failed answers.
 const NEWEST_ANSWER_WEIGHT: f64 = 0.08;
 
-/// Prompt parts remembered for each upstream.
+/// Maximum number of prompt parts remembered per upstream.
 const MAX_PROMPT_PARTS: usize = 2_048;
 
-/// Use of an upstream by one entry's requests.
+/// Usage of an upstream by one entry's requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// Requests sent and not ended.
+    /// Number of requests that were sent and haven't ended.
     pub running: u32,
     /// Prompts of requests that have no first answer yet.
     pub prefill: PrefillQueue,
-    /// Tokens that the requests may keep at the upstream.
+    /// Tokens that the requests may occupy in the upstream's KV cache.
     pub kv_tokens: u64,
 }
 
@@ -64,64 +64,65 @@
 /// One upstream.
 #[derive(Debug)]
 pub struct Upstream {
-    /// What the platform last said.
+    /// The platform's latest record.
     pub record: UpstreamRecord,
-    /// Version of the platform's entry.
+    /// Version of the record.
     pub version: u64,
-    /// When its entry was found missing while that may have been the platform's
-    /// outage.
+    /// When the record was found missing, if that may be due to a platform outage.
     pub(super) vanished_at: Option<Instant>,
-    /// Version at which its entry was found missing, or could not be read.
+    /// Version at which the record was found missing or unreadable.
     pub(super) gone_version: Option<u64>,
-    /// Whether the entry is known to be gone or not to be the upstream's, so that
-    /// an outage of the platform does not excuse it.
+    /// Whether the record is known to be removed or replaced by another writer, so that
+    /// the grace period after a platform outage doesn't apply.
     pub(super) is_confirmed_gone: bool,
-    /// Whether its answers say that it leaves and its entry does not yet.
+    /// Whether the upstream's responses say that it is leaving and its record doesn't
+    /// yet.
     pub(super) is_leaving_unlisted: bool,
-    /// Whether its entry does not say when it started though most entries do.
+    /// Whether the record has no start time although most records have one.
     pub(super) lacks_start_time: bool,
-    /// This entry's own requests there.
+    /// Usage by this entry's requests.
     pub own_usage: Usage,
-    /// Other entries' requests there.
+    /// Usage by other entries' requests, with the time of each report.
     pub(super) peer_usage: HashMap<String, (Instant, Usage)>,
-    /// What the giver of orders says that it holds.
+    /// What the upstream holds according to the coordinator.
     pub(super) coordinator_holdings: Option<CoordinatorHoldings>,
-    /// Prompt parts that it has read, by the hash of the parts up to them.
+    /// Prompt parts that the upstream has read, by the hash of the prompt up to and
+    /// including the part.
     pub(super) prompt_parts: HashMap<u64, Instant>,
-    /// Models and adapters that it said not to hold, with until when that is
-    /// believed before what others say of it.
+    /// Models and adapters that the upstream said it doesn't hold, and until when that
+    /// takes precedence over other sources.
     pub(super) not_held: Vec<(Arc<str>, Option<Arc<str>>, Instant)>,
-    /// Models that it turns requests away from.
+    /// Models for which the upstream refuses requests.
     pub(super) refusals: Refusals,
-    /// What entries hear of it.
+    /// What entries hear from the upstream.
     pub(super) liveness: Liveness,
-    /// What its answers say of the rate that it takes.
+    /// The request rate that its responses ask for.
     pub(super) rate_notice: Option<RateNotice>,
     pub(super) rate_spent_until: Instant,
-    /// Until when it asks for no request of this entry.
+    /// Time until which it asked this entry to send no requests.
     pub(super) backed_off_until: Instant,
-    /// When it was last usable or in use, as far as it was looked at.
+    /// When it was last seen to be usable or in use.
     pub(super) last_active_at: Instant,
     pub(super) connect_failed_until: Instant,
     pub(super) failed_share: f64,
 }
 
-/// What the giver of orders says that an upstream holds.
+/// What an upstream holds according to the coordinator.
 #[derive(Debug)]
 pub(super) struct CoordinatorHoldings {
-    /// When it said so.
+    /// When the holdings were received.
     pub(super) received_at: Instant,
-    /// When it was last heard since.
+    /// When the coordinator was last heard from after that.
     pub(super) confirmed_at: Instant,
     pub(super) residents: Vec<ResidentModel>,
-    /// Models on their way, with when they are expected to serve.
+    /// Models that are loading, with the time at which they are expected to serve.
     pub(super) loading: Vec<(Arc<str>, Instant)>,
 }
 
 impl Upstream {
-    pub(super) fn new(news: UpstreamRecord, version: u64) -> Self {
+    pub(super) fn new(record: UpstreamRecord, version: u64) -> Self {
         Self {
-            record: news,
+            record,
             version,
             vanished_at: None,
             gone_version: None,
@@ -144,23 +145,25 @@
         }
     }
 
-    /// Whether requests may be sent there at all.
+    /// Whether requests may be sent to the upstream at all.
     pub fn is_usable(&self, now: Instant) -> bool {
         let vanished_ms = self.vanished_at.map(|at| now.ms_since(at));
-        let lapsed = vanished_ms.is_some_and(|ms| ms < VANISHED_GRACE_MS);
-        let listed = self.gone_version.is_none() || (lapsed && !self.is_confirmed_gone);
+        let in_grace = vanished_ms.is_some_and(|ms| ms < VANISHED_GRACE_MS);
+        let listed =
+            self.gone_version.is_none() || (in_grace && !self.is_confirmed_gone);
         !self.record.leaving && !self.lacks_start_time && listed
     }
 
-    /// Another than the platform says that it leaves; whether that is new.
+    /// Records from a source other than the platform that the upstream is leaving.
+    /// Returns whether this is new.
     pub(super) fn mark_leaving(&mut self) -> bool {
         let is_new = !std::mem::replace(&mut self.record.leaving, true);
         self.is_leaving_unlisted |= is_new && self.gone_version.is_none();
         is_new
     }
 
-    /// The version at which it was said to leave or its entry vanished, and
-    /// whether the latter.
+    /// The version at which the upstream was said to be leaving or its record vanished,
+    /// and whether the record vanished.
     pub fn leaving_version(&self) -> Option<(u64, bool)> {
         if self.record.leaving {
             return Some((self.version, false));
@@ -168,12 +171,12 @@
         self.gone_version.map(|version| (version, true))
     }
 
-    /// Whether it is better avoided.
+    /// Whether other upstreams are preferred.
     pub fn is_avoided(&self, now: Instant) -> bool {
         self.avoid_reason(now).is_some()
     }
 
-    /// Why it is better avoided, if it is.
+    /// Why the upstream is avoided, if it is.
     pub fn avoid_reason(&self, now: Instant) -> Option<AvoidReason> {
         if now < self.connect_failed_until {
             return Some(AvoidReason::Unreached);
@@ -184,7 +187,7 @@
         self.is_silent(now).then_some(AvoidReason::Silent)
     }
 
-    /// Whether it has work from here and gives no sign of life that is due.
+    /// Whether it has requests of this entry and gives no sign of life that is due.
     pub fn is_silent(&self, now: Instant) -> bool {
         if self.own_usage.running == 0 {
             return false;
@@ -193,12 +196,12 @@
         self.liveness.is_silent(now, prefill_ms as u64)
     }
 
-    /// What this entry hears of it.
+    /// What this entry hears from the upstream.
     pub fn activity(&self, now: Instant) -> Activity {
         self.liveness.activity(now)
     }
 
-    /// Use by all entries.
+    /// Usage by all entries.
     pub fn usage(&self, now: Instant) -> Usage {
         let mut usage = self.own_usage;
         for (at, peer) in self.peer_usage.values() {
@@ -209,21 +212,23 @@
         usage
     }
 
-    /// What it holds: as the giver of orders says, who knows what it has just
-    /// ordered, and as the platform says when the giver has fallen silent.
+    /// Models that are held: according to the coordinator, which knows what it has just
+    /// ordered, or according to the platform if the coordinator is silent.
     pub fn residents(&self, now: Instant) -> &[ResidentModel] {
         match &self.coordinator_holdings {
-            Some(said) if now.ms_since(said.confirmed_at) < HOLDINGS_VALID_MS => {
-                &said.residents
+            Some(holdings)
+                if now.ms_since(holdings.confirmed_at) < HOLDINGS_VALID_MS =>
+            {
+                &holdings.residents
             }
             _ => &self.record.residents,
         }
     }
 
-    /// Whether it holds a model, and the adapter if one is asked for.
+    /// Whether the upstream holds a model, and the adapter if one is given.
     pub fn holds(&self, now: Instant, model: &str, adapter: Option<&str>) -> bool {
-        let mut denied = self.not_held.iter();
-        if denied.any(|(name, of, until)| {
+        let mut not_held = self.not_held.iter();
+        if not_held.any(|(name, of, until)| {
             **name == *model && of.as_deref() == adapter && now < *until
         }) {
             return false;
@@ -237,20 +242,20 @@
         })
     }
 
-    /// Share of its last answers that failed.
+    /// Share of recent answers that failed.
     pub const fn failed_share(&self) -> f64 {
         self.failed_share
     }
 
-    /// Prompt tokens that it need not read again.
+    /// Number of prompt tokens that the upstream need not prefill again.
     pub fn cached_tokens(&self, parts: &[(u64, u64)]) -> u64 {
-        let known = parts
+        let cached = parts
             .iter()
             .take_while(|(chain, _)| self.prompt_parts.contains_key(chain));
-        known.map(|(_, tokens)| tokens).sum()
+        cached.map(|(_, tokens)| tokens).sum()
     }
 
-    /// Remembers prompt parts that it reads now.
+    /// Remembers prompt parts that the upstream reads now.
     pub fn remember_prompt_parts(&mut self, now: Instant, parts: &[(u64, u64)]) {
         for (chain, _) in parts {
             self.prompt_parts.insert(*chain, now);
@@ -261,7 +266,7 @@
         }
     }
 
-    /// A request was sent.
+    /// Records that a request was sent.
     pub fn request_sent(&mut self, now: Instant, usage: &Usage) {
         if self.own_usage.running == 0 {
             self.liveness.bytes_received(now);
@@ -269,31 +274,31 @@
         self.own_usage.add(usage);
     }
 
-    /// Some bytes came from it.
+    /// Records that bytes were received.
     pub const fn bytes_received(&mut self, now: Instant) {
         self.liveness.bytes_received(now);
     }
 
-    /// A request has its first answer.
+    /// Records that a request has its first answer.
     pub fn first_answer_received(&mut self, queue: &PrefillQueue) {
         self.own_usage.prefill.remove(queue);
         self.liveness.first_answer_received();
     }
 
-    /// A request ended.
+    /// Records that requests ended.
     pub const fn requests_ended(&mut self, running: u32, kept_tokens: u64) {
         self.own_usage.running = self.own_usage.running.saturating_sub(running);
         self.own_usage.kv_tokens = self.own_usage.kv_tokens.saturating_sub(kept_tokens);
         self.liveness.requests_ended(running);
     }
 
-    /// Counts an answer, whether it was good.
+    /// Records whether an answer was good.
     pub fn record_answer(&mut self, ok: bool) {
-        let newest = if ok { 0.0 } else { 1.0 };
-        self.failed_share += (newest - self.failed_share) * NEWEST_ANSWER_WEIGHT;
+        let sample = if ok { 0.0 } else { 1.0 };
+        self.failed_share += (sample - self.failed_share) * NEWEST_ANSWER_WEIGHT;
     }
 
-    /// It said that it does not hold a model or adapter.
+    /// Records that the upstream said it doesn't hold a model or adapter.
     pub fn note_not_held(
         &mut self,
         now: Instant,
@@ -306,40 +311,42 @@
             .push((Arc::clone(model), adapter.cloned(), until));
     }
 
-    /// It refused a request for a model, which has not run.
+    /// Records that the upstream refused a request for a model without running it.
     pub fn request_refused(&mut self, now: Instant, model: &Arc<str>) {
         self.refusals.record(now, model);
     }
 
-    /// It took a request for a model.
+    /// Records that the upstream accepted a request for a model.
     pub fn request_accepted(&mut self, model: &str) {
         self.refusals.clear(model);
     }
 
-    /// Whether it refuses requests for a model, as far as is known.
+    /// Whether the upstream refuses requests for a model, as far as known.
     pub fn is_refusing(&self, now: Instant, model: &str) -> bool {
         self.refusals.is_paused(now, model)
     }
 
-    /// It turned a request of this entry away and asks for none until then. A shorter
-    /// time, as in an answer that was overtaken, takes nothing back.
+    /// Records that the upstream refused a request of this entry and asked for none
+    /// until `until`. An earlier time, as in a response that was overtaken, has no
+    /// effect.
     pub fn back_off(&mut self, until: Instant) {
         self.backed_off_until = self.backed_off_until.max(until);
     }
 
-    /// Whether it asked this entry for no request for now.
+    /// Whether the upstream asked this entry to send no requests now.
     pub fn is_backed_off(&self, now: Instant) -> bool {
         now < self.backed_off_until
     }
 
-    /// When it takes requests of this entry again, where it said that it does not now.
+    /// When the upstream accepts requests of this entry again, if it asked for none
+    /// now.
     pub fn accepts_again_at(&self, now: Instant) -> Option<Instant> {
         let spent = self.is_rate_spent(now).then_some(self.rate_spent_until);
         let backed_off = self.is_backed_off(now).then_some(self.backed_off_until);
         spent.max(backed_off)
     }
 
-    /// It could not be connected to.
+    /// Records a failed connection attempt.
     pub fn connect_failed(&mut self, now: Instant) {
         self.connect_failed_until = now.plus_ms(CONNECT_FAILED_MS);
     }
--- a/crates/direct/src/forecast.rs
+++ b/crates/direct/src/forecast.rs
@@ -1,99 +1,103 @@
-//! What demand may come to be while a load is under way.
+//! Forecasts of how demand develops while a load is in progress.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
 use crate::{DemandEstimate, EngineSpec};
 
-/// Weight of the outlook in which demand has moved on.
+/// Weight of the forecasts in which demand has shifted.
 const SHIFTED_WEIGHT: f64 = 0.4;
 
-/// Mean load of upstreams below which they have time to spare.
+/// Mean upstream load below which upstreams have spare capacity.
 const SPARE_CAPACITY_BELOW: f64 = 0.4;
 
-/// Time of a load above which demand has moved on before one ends that began with
-/// the change.
+/// Load duration from which on demand has shifted again before a load that was started
+/// at a shift finishes.
 const LONG_LOAD_MS: u64 = 5_000;
 
-/// Part of the busiest model's demand above which a model counts as one of the
-/// busy ones.
+/// Share of the busiest model's demand above which a model counts as busy.
 const BUSY_SHARE: f64 = 0.12;
 
-/// Least and most busy models for which demand is expected to move on among
-/// them. With fewer there is nobody to move on to; more are a demand that is
-/// spread over all.
+/// Range of the number of busy models in which demand is expected to shift among them.
+/// With fewer models there is none to shift to; more mean that demand is spread over
+/// all models.
 const BUSY_MIN: usize = 2;
 const BUSY_MAX: usize = 9;
 
-/// One way in which demand may go on, with its weight.
+/// One possible development of demand, with its weight.
 #[derive(Debug)]
 pub(crate) struct DemandForecast {
     pub(crate) weight: f64,
-    /// Demand by model, as parts of one upstream's time.
+    /// Expected demand by model, as a share of one upstream's time.
     expected: HashMap<Arc<str>, f64>,
-    /// Demand that a copy may still be kept for.
+    /// Demand by model for which a copy is retained, as a share of one upstream's time.
     retained: HashMap<Arc<str>, f64>,
 }
 
 impl DemandForecast {
-    /// Demand for a model.
+    /// Expected demand for a model.
     pub(crate) fn expected_of(&self, model: &str) -> f64 {
         self.expected.get(model).copied().unwrap_or(0.0)
     }
 
-    /// Demand for a model that a copy may still be kept for.
+    /// Demand for a model for which a copy is retained.
     pub(crate) fn retained_of(&self, model: &str) -> f64 {
         self.retained.get(model).copied().unwrap_or(0.0)
     }
 }
 
-/// The ways in which demand may go on: as it is, and moved on, where the busiest
-/// models have fallen silent and those behind them have taken their places.
+/// Returns the possible developments of demand: unchanged, and shifted so that the
+/// busiest models have lost their demand and the next ones in the ranking have taken
+/// their ranks.
 ///
-/// A load takes as long as demand needs to move. Copies made only for the demand
-/// of now are ready when it is over; copies that serve the next busiest as well
-/// are there when it comes.
+/// A load takes about as long as demand takes to shift. Copies made only for the
+/// current demand are ready when it is over; copies that also serve the next busiest
+/// models are ready when their demand arrives.
 ///
-/// Where upstreams have no time to spare, what comes later does not count, unless
-/// loads take so long that all who ask for it meanwhile would be too late.
+/// Without spare capacity, shifted demand is ignored, unless loads take so long that
+/// all requests that ask for a model while it is loading would be too late.
 pub(crate) fn forecasts(
     engine: &EngineSpec,
-    loads: &BTreeMap<Arc<str>, DemandEstimate>,
+    demand: &BTreeMap<Arc<str>, DemandEstimate>,
     upstreams: usize,
     step: Option<usize>,
 ) -> Vec<DemandForecast> {
-    let part = |ms: f64| ms / 1_000.0;
-    let expected: HashMap<Arc<str>, f64> = loads
+    let share = |ms: f64| ms / 1_000.0;
+    let expected: HashMap<Arc<str>, f64> = demand
         .iter()
-        .map(|(model, load)| (Arc::clone(model), part(load.expected_ms_per_s())))
+        .map(|(model, estimate)| {
+            (Arc::clone(model), share(estimate.expected_ms_per_s()))
+        })
         .collect();
-    let kept: HashMap<Arc<str>, f64> = loads
+    let retained: HashMap<Arc<str>, f64> = demand
         .iter()
-        .map(|(model, load)| (Arc::clone(model), part(load.retention_ms_per_s())))
+        .map(|(model, estimate)| {
+            (Arc::clone(model), share(estimate.retention_ms_per_s()))
+        })
         .collect();
-    let work: f64 = kept.values().sum();
-    let spare = work < SPARE_CAPACITY_BELOW * upstreams as f64;
-    let moved = if spare || loads_are_long(engine) {
-        shifted_demand(&kept, step)
+    let total: f64 = retained.values().sum();
+    let has_spare_capacity = total < SPARE_CAPACITY_BELOW * upstreams as f64;
+    let shifted = if has_spare_capacity || loads_are_long(engine) {
+        shifted_demand(&retained, step)
     } else {
         Vec::new()
     };
-    let now = DemandForecast {
-        weight: if moved.is_empty() {
+    let current = DemandForecast {
+        weight: if shifted.is_empty() {
             1.0
         } else {
             1.0 - SHIFTED_WEIGHT
         },
         expected,
-        retained: kept,
+        retained,
     };
-    let weight = SHIFTED_WEIGHT / moved.len().max(1) as f64;
-    let moved = moved.into_iter().map(|moved| DemandForecast {
+    let weight = SHIFTED_WEIGHT / shifted.len().max(1) as f64;
+    let shifted = shifted.into_iter().map(|shifted| DemandForecast {
         weight,
-        retained: moved.clone(),
-        expected: moved,
+        retained: shifted.clone(),
+        expected: shifted,
     });
-    std::iter::once(now).chain(moved).collect()
+    std::iter::once(current).chain(shifted).collect()
 }
 
 fn loads_are_long(engine: &EngineSpec) -> bool {
@@ -102,32 +106,34 @@
     longest_ms.is_some_and(|longest_ms| longest_ms >= LONG_LOAD_MS)
 }
 
-/// Demand moved on by as many places as it did last. Where that was not seen yet, by
-/// one place and by half of the busy models.
+/// Shifts demand by as many ranks as at the last observed shift. If none was observed
+/// yet, returns a shift by one rank and a shift by half of the busy models.
 fn shifted_demand(
     demand: &HashMap<Arc<str>, f64>,
     step: Option<usize>,
 ) -> Vec<HashMap<Arc<str>, f64>> {
-    let mut ranked: Vec<(&Arc<str>, f64)> =
-        demand.iter().map(|(model, work)| (model, *work)).collect();
+    let mut ranked: Vec<(&Arc<str>, f64)> = demand
+        .iter()
+        .map(|(model, total)| (model, *total))
+        .collect();
     ranked.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(b.0)));
-    let top = ranked.first().map_or(0.0, |(_, work)| *work);
+    let top = ranked.first().map_or(0.0, |(_, total)| *total);
     let busy = ranked
         .iter()
-        .take_while(|(_, work)| *work > top * BUSY_SHARE)
+        .take_while(|(_, total)| *total > top * BUSY_SHARE)
         .count();
     if !(BUSY_MIN..=BUSY_MAX).contains(&busy) {
         return Vec::new();
     }
     let mut steps = step.map_or(vec![1, busy / 2], |step| vec![step.min(busy)]);
     steps.dedup();
-    let moved = steps.into_iter().map(|step| {
-        let mut moved = demand.clone();
+    let shifted = steps.into_iter().map(|step| {
+        let mut shifted = demand.clone();
         for (rank, (model, _)) in ranked.iter().take(busy).enumerate() {
-            let work = rank.checked_sub(step).map_or(0.0, |from| ranked[from].1);
-            moved.insert(Arc::clone(model), work);
+            let total = rank.checked_sub(step).map_or(0.0, |from| ranked[from].1);
+            shifted.insert(Arc::clone(model), total);
         }
-        moved
+        shifted
     });
-    moved.collect()
+    shifted.collect()
 }
--- a/crates/direct/src/lease.rs
+++ b/crates/direct/src/lease.rs
@@ -1,28 +1,29 @@
-//! One giver of orders, by a lease in the platform.
+//! The lease, kept in the platform, that makes one entry the coordinator.
 
 use base::prelude::*;
 use serde::{Deserialize, Serialize};
 
-/// Time between two renewals. Each is a call to the platform; three fit into
-/// the time for which a renewal is good, so two lost ones change nothing.
+/// Time between two renewals. Each renewal is a call to the platform. Three fit into
+/// the validity of a renewal, so two lost ones have no effect.
 const RENEW_INTERVAL_MS: u64 = 1_000;
 
-/// Time between two looks at another's lease while its holder is not heard.
+/// Time between two reads of another entry's lease while its holder is silent.
 const READ_INTERVAL_MS: u64 = 1_000;
 
-/// The lease as it is kept in the platform.
+/// The lease as stored in the platform.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct LeaseRecord {
-    /// Entry that holds it; empty when it was given back.
+    /// Entry that holds the lease; empty if the lease was released.
     pub holder: String,
-    /// Start of the holder's process, so that a restart is told from its
+    /// Start time of the holder's process, which tells a restarted process from its
     /// predecessor.
     pub start: u64,
-    /// Number of the holding; orders carry it, and it only grows.
+    /// Fencing token of this holding. Orders carry it, and it only grows.
     pub token: u64,
-    /// Counts renewals, so that each write changes the object.
+    /// Renewal counter, so that each write changes the object.
     pub renewal: u64,
-    /// Time for which its last holder had not ordered any more when it gave it back.
+    /// Time, in milliseconds, for which the last holder had stopped sending orders when
+    /// it released the lease.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub idle_ms: u64,
 }
@@ -36,12 +37,13 @@
 const UNREADABLE_HOLDER: &str = "\0";
 
 impl LeaseRecord {
-    /// What an object at a version is taken for, whose record can't be read.
+    /// Record to assume for an object that can't be decoded.
     ///
-    /// Taken for a lease that nobody ever held, it would be taken at once and with
-    /// the first token: two entries would order, and upstreams would refuse the
-    /// newer one. It counts as held by somebody who is not heard, and as the highest
-    /// holding that can have been: each is a write, and each write a version.
+    /// If the lease were taken for one that was never held, an entry would take it at
+    /// once with the first token: two entries would send orders, and upstreams would
+    /// refuse those of the newer holder. Instead it counts as held by a silent entry,
+    /// with the highest token possible at this version: each holding is a write, and
+    /// each write increases the version.
     pub fn unreadable(version: u64) -> Self {
         Self {
             holder: UNREADABLE_HOLDER.to_owned(),
@@ -52,58 +54,60 @@
         }
     }
 
-    /// Whether a record can be what entries made of the object by this version.
+    /// Whether entries can have written this record in an object of the given version.
     pub const fn is_plausible(&self, version: u64) -> bool {
         self.token <= version && self.renewal <= version
     }
 }
 
-/// What the shell is to do for the lease.
+/// Action that the driver of the lease has to perform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseStep {
-    /// Nothing before a time.
+    /// Do nothing for now.
     Wait,
     /// Read the object.
     Read,
-    /// Write the record if the object still has this version; create it if
-    /// there is none.
+    /// Write the record if the object still has this version; create it if there is
+    /// none.
     Write {
-        /// What to write.
+        /// Record to write.
         record: LeaseRecord,
-        /// Version that must hold; `None` to create.
+        /// Version that the object must have; `None` to create the object.
         version: Option<u64>,
     },
 }
 
-/// The lease as one entry sees it.
+/// State of the lease as seen by one entry.
 ///
-/// Two givers at once would each order what the upstream can hold alone. A
-/// holder counts its time from *before* it sent the renewal, and stops by its own
-/// clock; all others count theirs from *after* they saw the renewal, and wait
-/// longer. The clock has to go on while the machine is suspended: else a giver
-/// that wakes up believes in a lease that another holds by then.
+/// Two coordinators at once could each order an upstream to hold as much as fits. The
+/// holder therefore measures the validity of a renewal from *before* it sent the
+/// renewal, and stops by its own clock. All other entries measure from *after* they saw
+/// the renewal, and wait longer. The clock has to run while the machine is suspended;
+/// otherwise a coordinator that resumes still relies on a lease that another entry
+/// holds by then.
 #[derive(Debug)]
 pub struct Lease {
     entry: String,
     start: u64,
-    /// Time for which a renewal lets its holder order.
+    /// Time after a renewal for which its holder may send orders.
     validity_ms: u64,
-    /// Time between the last order of one holder and the first of the next.
+    /// Minimum time between the last order of one holder and the first order of the
+    /// next.
     quiet_ms: u64,
     observed: Option<ObservedLease>,
-    /// The newest renewal that its holder told of, and when that was first heard.
+    /// The newest renewal that its holder announced.
     announced: Option<AnnouncedRenewal>,
-    /// Until when this process may order.
+    /// Time until which this process may send orders.
     valid_until: Option<Instant>,
     next_at: Instant,
     call_in_flight: bool,
-    /// What was seen may have been overwritten.
+    /// Whether the object may have been overwritten since it was read.
     must_read: bool,
-    /// When it ended, once it is given back. It must not be held again.
+    /// When the lease ended, once it was released. It must not be acquired again.
     released_at: Option<Instant>,
 }
 
-/// A renewal that its holder told of, and when that was first heard.
+/// A renewal that its holder announced, and when it was first received.
 #[derive(Debug)]
 struct AnnouncedRenewal {
     record: LeaseRecord,
@@ -118,11 +122,11 @@
 }
 
 impl Lease {
-    /// The lease as seen by the entry `me`; after its last order, no other
-    /// holder orders for at least `quiet_ms`.
-    pub fn new(me: &str, start: u64, valid_ms: u64, quiet_ms: u64) -> Self {
+    /// Creates the state of the entry named `entry`. After its last order, no other
+    /// holder sends orders for at least `quiet_ms`.
+    pub fn new(entry: &str, start: u64, valid_ms: u64, quiet_ms: u64) -> Self {
         Self {
-            entry: me.to_owned(),
+            entry: entry.to_owned(),
             start,
             validity_ms: valid_ms,
             quiet_ms,
@@ -136,25 +140,26 @@
         }
     }
 
-    /// The token to order with, while this entry may order.
+    /// Fencing token for orders, while this entry may send them.
     pub fn token(&self, now: Instant) -> Option<u64> {
         let until = self.valid_until?;
-        let seen = self.observed.as_ref()?;
-        (now < until && self.is_own(&seen.record)).then_some(seen.record.token)
+        let observed = self.observed.as_ref()?;
+        (now < until && self.is_own(&observed.record)).then_some(observed.record.token)
     }
 
-    /// Holder that was last seen.
+    /// Last known holder.
     pub fn holder(&self) -> Option<&str> {
-        let seen = self.observed.as_ref()?;
-        Some(seen.record.holder.as_str()).filter(|holder| !holder.is_empty())
+        let observed = self.observed.as_ref()?;
+        Some(observed.record.holder.as_str()).filter(|holder| !holder.is_empty())
     }
 
-    /// The holder tells the number of its last renewal.
+    /// Handles a message in which the holder announces its last renewal.
     ///
-    /// A holder that falls silent is missed before the object is read, and counted
-    /// from the reading its lease would end that much later than it does. It told of
-    /// the renewal when that was written, and its time ran by then: counted from the
-    /// first telling, nobody begins earlier than after the same wait.
+    /// Other entries notice that the holder is silent before they read the object.
+    /// Measured from the read, the lease would end that much later than it really does.
+    /// The holder announces a renewal only after it was written, when the validity
+    /// already runs. So measuring from the first announcement starts no entry too
+    /// early.
     pub fn on_holder_message(&mut self, now: Instant, record: LeaseRecord) {
         let number = |record: &LeaseRecord| (record.token, record.renewal);
         let known = self.announced.as_ref();
@@ -166,25 +171,27 @@
         }
     }
 
-    /// Number of the renewal by which this entry may order.
+    /// Number of the renewal that allows this entry to send orders.
     pub fn held_renewal(&self, now: Instant) -> Option<u64> {
         self.token(now)?;
-        self.observed.as_ref().map(|seen| seen.record.renewal)
+        self.observed
+            .as_ref()
+            .map(|observed| observed.record.renewal)
     }
 
-    /// Until when earlier holders may have ordered, for this entry whose process began
-    /// at `started_at` and that takes the lease now.
+    /// Time until which earlier holders may have sent orders, for an entry whose
+    /// process started at `started_at` and that acquires the lease now.
     ///
-    /// Another entry has been quiet for the time that the rule asks. This entry's own
-    /// earlier process is not waited for; it ordered until it ended, which was before
-    /// this one began. Taken for quiet as well, what it had just loaded was loaded once
-    /// more within the weight store's window.
+    /// Another entry has been quiet for the required time. An earlier process of the
+    /// same entry isn't waited for: it may have sent orders until it ended, which was
+    /// before this process started. When it was assumed to have been quiet as well, its
+    /// recent loads were ordered again within the same window of the weight store.
     pub fn others_ordered_until(&self, now: Instant, started_at: Instant) -> Instant {
         started_at.max(now - Duration::from_millis(self.quiet_ms))
     }
 
-    /// The next step; the shell tells what came of it by [`Self::read`],
-    /// [`Self::written`] or [`Self::failed`].
+    /// Returns the next step. The driver reports the result with [`Self::on_read`],
+    /// [`Self::on_written`], [`Self::on_failed`] or [`Self::on_uncertain`].
     pub fn next_step(&mut self, now: Instant, holder_heard: bool) -> LeaseStep {
         if self.call_in_flight || now < self.next_at {
             return LeaseStep::Wait;
@@ -192,8 +199,12 @@
         let step = match &self.observed {
             None => LeaseStep::Read,
             Some(_) if self.must_read => LeaseStep::Read,
-            Some(seen) if self.is_own(&seen.record) => self.renewal_step(seen),
-            Some(seen) if self.can_acquire(seen, now) => self.acquisition_step(seen),
+            Some(observed) if self.is_own(&observed.record) => {
+                self.renewal_step(observed)
+            }
+            Some(observed) if self.can_acquire(observed, now) => {
+                self.acquisition_step(observed)
+            }
             Some(_) if holder_heard => LeaseStep::Wait,
             Some(_) => LeaseStep::Read,
         };
@@ -202,20 +213,21 @@
         step
     }
 
-    /// The object was read: its version and record, or none.
+    /// Handles a read of the object: its version and record, or `None` if there is no
+    /// object.
     pub fn on_read(&mut self, now: Instant, found: Option<(u64, LeaseRecord)>) {
         self.call_in_flight = false;
         self.must_read = false;
         let Some((version, record)) = found else {
-            // Nobody ever held it.
+            // No entry has ever held the lease.
             self.observe(now, 0, LeaseRecord::default());
             self.next_at = now;
             return;
         };
         self.observe(now, version, record);
-        if let Some(seen) = &self.observed {
-            let free_at = seen.since.plus_ms(self.wait_ms(&seen.record) + 1);
-            let free_at = if self.can_acquire(seen, now) {
+        if let Some(observed) = &self.observed {
+            let free_at = observed.since.plus_ms(self.wait_ms(&observed.record) + 1);
+            let free_at = if self.can_acquire(observed, now) {
                 now
             } else {
                 free_at
@@ -224,90 +236,89 @@
         }
     }
 
-    /// A write took effect with this version. It was sent at `sent_at`.
+    /// Handles a write that took effect with this version and was sent at `sent_at`.
     pub fn on_written(&mut self, sent_at: Instant, version: u64, record: LeaseRecord) {
         self.call_in_flight = false;
         self.must_read = false;
-        let mine = self.is_own(&record);
+        let is_own = self.is_own(&record);
         self.observed = Some(ObservedLease {
             record,
             version,
             since: sent_at,
         });
-        // A renewal that was under way when the lease was given back must not
-        // bring it to life: its holder ends, and its successor would wait as long
-        // as for one that fell silent.
-        let held = mine && self.released_at.is_none();
+        // A renewal that was in flight when the lease was released must not revive it:
+        // the holder shuts down, and its successor would wait as long as for a holder
+        // that fell silent.
+        let held = is_own && self.released_at.is_none();
         self.valid_until = held.then(|| sent_at.plus_ms(self.validity_ms));
         self.next_at = sent_at.plus_ms(RENEW_INTERVAL_MS);
     }
 
-    /// A call had no effect.
+    /// Handles a call that had no effect.
     pub fn on_failed(&mut self, now: Instant) {
         self.call_in_flight = false;
         self.next_at = now.plus_ms(RENEW_INTERVAL_MS / 4);
     }
 
-    /// The object had another version, or a write got no answer: the next read
-    /// tells who holds it.
+    /// Handles a version conflict, or a write without an answer. The next read tells
+    /// who holds the lease.
     ///
-    /// A lease that was held stays good until its time is over: what may have
-    /// been written meanwhile is this process's own renewal, or was written by
-    /// somebody who waited until that time.
+    /// A held lease stays valid until its time is over: whatever was written meanwhile
+    /// is either this process's own renewal or comes from an entry that waited until
+    /// then.
     pub fn on_uncertain(&mut self, now: Instant) {
         self.call_in_flight = false;
         self.must_read = true;
         self.next_at = now;
     }
 
-    /// The next renewal and the version that the object must have for it, while
-    /// this entry holds the lease.
+    /// The next renewal and the version that the object must have for it, while this
+    /// entry holds the lease.
     pub fn next_renewal(&self, now: Instant) -> Option<(LeaseRecord, u64)> {
-        let seen = self.observed.as_ref()?;
+        let observed = self.observed.as_ref()?;
         self.token(now)?;
         let record = LeaseRecord {
-            renewal: seen.record.renewal + 1,
-            ..seen.record.clone()
+            renewal: observed.record.renewal + 1,
+            ..observed.record.clone()
         };
-        Some((record, seen.version))
+        Some((record, observed.version))
     }
 
-    /// The record that gives the lease back, while it is this entry's own. It
-    /// does not order afterwards. Where the object has another version by then,
-    /// it is read and given back again.
+    /// Releases the lease: returns the record to write, if the lease is this entry's
+    /// own. The entry sends no orders afterwards. If the object has another version by
+    /// then, it has to be read and released again.
     ///
-    /// It may have been unable to renew for a while. Successors wait from when they see
-    /// that it was given back; told for how long it had ended by then, they need not
-    /// wait for that time once more.
+    /// The entry may have been unable to renew for a while. Successors wait from the
+    /// time at which they see the release. The record tells them how long the lease had
+    /// already ended by then, so they don't wait for that time again.
     pub fn release(&mut self, now: Instant) -> Option<(LeaseRecord, u64)> {
         let until = self.valid_until.take().unwrap_or(now);
         let ended_at = *self.released_at.get_or_insert(until.min(now));
-        let seen = self.observed.as_ref()?;
-        if !self.is_own(&seen.record) {
+        let observed = self.observed.as_ref()?;
+        if !self.is_own(&observed.record) {
             return None;
         }
         let record = LeaseRecord {
             holder: String::new(),
             start: 0,
-            renewal: seen.record.renewal + 1,
+            renewal: observed.record.renewal + 1,
             idle_ms: now.ms_since(ended_at),
-            ..seen.record.clone()
+            ..observed.record.clone()
         };
-        Some((record, seen.version))
+        Some((record, observed.version))
     }
 
     fn observe(&mut self, now: Instant, version: u64, record: LeaseRecord) {
-        let unchanged = self
-            .observed
-            .as_ref()
-            .is_some_and(|seen| seen.version == version && seen.record == record);
+        let unchanged = self.observed.as_ref().is_some_and(|observed| {
+            observed.version == version && observed.record == record
+        });
         if unchanged {
             return;
         }
-        let heard = self.announced.as_ref();
-        let heard = heard.filter(|heard| heard.record == record);
+        let announced = self.announced.as_ref();
+        let announced = announced.filter(|announced| announced.record == record);
         self.observed = Some(ObservedLease {
-            since: heard.map_or(now, |heard| heard.first_heard_at.min(now)),
+            since: announced.map_or(now, |announced| announced.first_heard_at.min(now)),
             record,
             version,
         });
@@ -317,18 +328,17 @@
         record.holder == self.entry && record.start == self.start
     }
 
-    /// Whether the lease can be taken. The same entry's earlier process has
+    /// Whether the lease can be acquired. An earlier process of the same entry has
     /// ended, so its successor need not wait for it.
-    fn can_acquire(&self, seen: &ObservedLease, now: Instant) -> bool {
-        let never_held = seen.record.token == 0;
+    fn can_acquire(&self, observed: &ObservedLease, now: Instant) -> bool {
+        let never_held = observed.record.token == 0;
         never_held
-            || seen.record.holder == self.entry
-            || now.ms_since(seen.since) > self.wait_ms(&seen.record)
+            || observed.record.holder == self.entry
+            || now.ms_since(observed.since) > self.wait_ms(&observed.record)
     }
 
-    /// Time after which a lease that is not renewed can be taken. One that was
-    /// given back has ended; one that was not may be good until its renewal
-    /// ends.
+    /// Time after which a lease that isn't renewed can be acquired. A released lease
+    /// has ended; any other may be valid until its renewal expires.
     const fn wait_ms(&self, record: &LeaseRecord) -> u64 {
         if record.holder.is_empty() {
             self.quiet_ms.saturating_sub(record.idle_ms)
@@ -337,26 +347,26 @@
         }
     }
 
-    fn renewal_step(&self, seen: &ObservedLease) -> LeaseStep {
+    fn renewal_step(&self, observed: &ObservedLease) -> LeaseStep {
         LeaseStep::Write {
             record: LeaseRecord {
-                renewal: seen.record.renewal + 1,
-                ..seen.record.clone()
+                renewal: observed.record.renewal + 1,
+                ..observed.record.clone()
             },
-            version: Some(seen.version),
+            version: Some(observed.version),
         }
     }
 
-    fn acquisition_step(&self, seen: &ObservedLease) -> LeaseStep {
+    fn acquisition_step(&self, observed: &ObservedLease) -> LeaseStep {
         LeaseStep::Write {
             record: LeaseRecord {
                 holder: self.entry.clone(),
                 start: self.start,
-                token: seen.record.token + 1,
-                renewal: seen.record.renewal + 1,
+                token: observed.record.token + 1,
+                renewal: observed.record.renewal + 1,
                 idle_ms: 0,
             },
-            version: (seen.version > 0).then_some(seen.version),
+            version: (observed.version > 0).then_some(observed.version),
         }
     }
 }
--- a/crates/direct/src/ledger.rs
+++ b/crates/direct/src/ledger.rs
@@ -1,4 +1,4 @@
-//! What was ordered from one upstream, and what it may therefore hold.
+//! Tracking of the orders to one upstream, and of what the upstream may therefore hold.
 
 use base::prelude::*;
 use std::cmp::Ordering;
@@ -10,9 +10,9 @@
     UnansweredOrders, UpstreamReport,
 };
 
-/// Time after an accepted order for an adapter after which it is taken to be
-/// there. Adapters come in tens of milliseconds, and a request that is early is
-/// refused without being run.
+/// Time after an accepted adapter order after which the adapter is assumed to be
+/// loaded. Adapters load in tens of milliseconds, and a request that arrives too early
+/// is refused without running.
 const ADAPTER_READY_MS: u64 = 40;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -25,7 +25,7 @@
 #[derive(Debug, Clone)]
 struct TrackedModel {
     phase: Phase,
-    /// When it is expected to serve.
+    /// When the model is expected to serve requests.
     ready_at: Instant,
     version: u64,
     adapters: BTreeMap<Arc<str>, TrackedAdapter>,
@@ -37,51 +37,54 @@
     since: Instant,
 }
 
-/// What one start of an upstream holds and may come to hold, as the giver of
-/// orders knows.
+/// What one incarnation of an upstream holds and may come to hold, as known to the
+/// coordinator.
 ///
-/// An order without an answer may still be carried out, so the state is then
-/// not known until the upstream is asked. It need not be waited for: the next
-/// order names the same order count, and at most one of the two is carried out.
+/// An order without an answer may still be carried out, so the state is unknown until
+/// the upstream reports. There is no need to wait for the order: the next one names the
+/// same order count, and at most one of the two is carried out.
 #[derive(Debug, Default)]
 pub struct Ledger {
-    born_ms: Option<u64>,
+    started_unix_ms: Option<u64>,
     orders_accepted: u64,
     held: BTreeMap<Arc<str>, TrackedModel>,
     local_weights: crate::LocalWeights,
     /// Whether a model is being loaded or unloaded.
     busy: bool,
-    /// The order that is on its way.
+    /// The order that has been sent and has no answer yet.
     in_flight: Option<Order>,
-    /// Orders without an answer, also to earlier starts.
+    /// Orders that got no answer, including those to earlier incarnations.
     unanswered: UnansweredOrders,
-    /// Whether what is held was read since it was last unknown.
+    /// Whether a report was applied since the state last became unknown.
     known: bool,
 }
 
 impl Ledger {
-    /// A ledger of an upstream that was not asked yet.
+    /// Creates a ledger for an upstream that hasn't reported yet.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// A ledger of a start that was not asked yet, with the orders to earlier ones
-    /// that it may still carry out.
-    pub fn for_incarnation(born_ms: Option<u64>, late: UnansweredOrders) -> Self {
+    /// Creates a ledger for an incarnation that hasn't reported yet. `unanswered` holds
+    /// the orders to earlier incarnations that it may still carry out.
+    pub fn for_incarnation(
+        started_unix_ms: Option<u64>,
+        unanswered: UnansweredOrders,
+    ) -> Self {
         Self {
-            born_ms,
-            unanswered: late,
+            started_unix_ms,
+            unanswered,
             ..Self::default()
         }
     }
 
-    /// The start that it is the ledger of.
+    /// Start time of the incarnation that the ledger describes.
     pub const fn started_unix_ms(&self) -> Option<u64> {
-        self.born_ms
+        self.started_unix_ms
     }
 
-    /// Orders that may still be carried out when the upstream starts again or is
-    /// lost sight of.
+    /// Returns the orders that may still be carried out, for use after the upstream has
+    /// restarted or is no longer known.
     #[must_use]
     pub fn into_unanswered(mut self, now: Instant) -> UnansweredOrders {
         self.unanswered.expire(now);
@@ -91,70 +94,73 @@
         self.unanswered
     }
 
-    /// Loads without an answer, of any start, that may still be carried out.
+    /// Number of unanswered loads, to any incarnation, that may still be carried out.
     pub fn unanswered_loads(&self) -> usize {
         self.unanswered.load_count()
     }
 
-    /// Forgets orders that can't come any more.
+    /// Drops unanswered orders that can no longer be carried out.
     pub fn expire(&mut self, now: Instant) {
         self.unanswered.expire(now);
     }
 
-    /// Orders accepted, as far as is known.
+    /// Number of orders the upstream has accepted, as far as known.
     pub const fn orders_accepted(&self) -> u64 {
         self.orders_accepted
     }
 
-    /// Whether what it holds is known.
+    /// Whether the state of the upstream is known.
     pub const fn is_known(&self) -> bool {
         self.known
     }
 
-    /// Whether the upstream has to be asked: before it is ordered anything, and while
-    /// an order without an answer may begin at any moment.
+    /// Whether the upstream has to be asked for a report: before anything is ordered,
+    /// and while an unanswered order may start at any moment.
     pub const fn needs_report(&self) -> bool {
         self.in_flight.is_none()
             && (!self.known || self.busy || !self.unanswered.is_empty())
     }
 
-    /// Whether anything can be ordered now. While a model is loaded or unloaded,
-    /// an upstream refuses orders for adapters as well.
+    /// Whether an order can be sent now. While a model is loaded or unloaded, an
+    /// upstream refuses adapter orders as well.
     pub const fn is_idle(&self) -> bool {
         self.known && !self.busy && self.in_flight.is_none()
     }
 
-    /// Takes over a report; one of an earlier start or from before the last
-    /// accepted order is dropped. With one of a later start all begins anew: its
-    /// order count is lower than the one known, and it would be dropped for ever.
+    /// Applies a report. Reports of an earlier incarnation, or from before the last
+    /// accepted order, are dropped. A report of a later incarnation resets the ledger:
+    /// the order count of that incarnation is lower than the known one, and its reports
+    /// would be dropped forever.
     pub fn apply_report(&mut self, now: Instant, report: &UpstreamReport) {
-        match report.started_unix_ms.cmp(&self.born_ms) {
+        match report.started_unix_ms.cmp(&self.started_unix_ms) {
             Ordering::Less => return,
             Ordering::Greater => {
-                let late = std::mem::take(self).into_unanswered(now);
-                *self = Self::for_incarnation(report.started_unix_ms, late);
+                let unanswered = std::mem::take(self).into_unanswered(now);
+                *self = Self::for_incarnation(report.started_unix_ms, unanswered);
             }
             Ordering::Equal => {}
         }
         if self.in_flight.is_some() || report.orders_accepted < self.orders_accepted {
             return;
         }
-        let kept = std::mem::take(&mut self.held);
+        let previous = std::mem::take(&mut self.held);
         for resident in &report.residents {
-            self.track_resident(now, resident, kept.get(&resident.model));
+            self.track_resident(now, resident, previous.get(&resident.model));
         }
         for (model, adapter) in &report.adapters_loading {
             if let Some(held) = self.held.get_mut(model) {
-                let known = kept.get(model).and_then(|old| old.adapters.get(adapter));
-                let coming = known.copied().unwrap_or(TrackedAdapter {
+                let known = previous
+                    .get(model)
+                    .and_then(|previous| previous.adapters.get(adapter));
+                let loading = known.copied().unwrap_or(TrackedAdapter {
                     ready_at: now.plus_ms(ADAPTER_READY_MS),
                     since: now,
                 });
-                held.adapters.insert(Arc::clone(adapter), coming);
+                held.adapters.insert(Arc::clone(adapter), loading);
             }
         }
         if report.busy {
-            self.keep_in_progress(kept);
+            self.keep_in_progress(previous);
             self.begin_unanswered_unload(report.orders_accepted);
         }
         self.orders_accepted = report.orders_accepted;
@@ -163,25 +169,25 @@
         self.known = true;
     }
 
-    /// Models held or on their way, with whether they can serve.
+    /// Models that are held or loading, and whether each can serve requests.
     pub fn models(&self) -> impl Iterator<Item = (&Arc<str>, bool)> {
         let held = self.held.iter();
         held.map(|(model, held)| (model, held.phase == Phase::Loaded))
     }
 
-    /// Whether a model is being unloaded.
+    /// Whether the model is being unloaded.
     pub fn is_unloading(&self, model: &str) -> bool {
         let held = self.held.get(model);
         held.is_some_and(|held| held.phase == Phase::Unloading)
     }
 
-    /// Whether a model can be loaded without the weight store.
+    /// Whether the model can be loaded without the weight store.
     pub fn has_local_weights(&self, model: &Arc<str>) -> bool {
         self.local_weights.in_memory.contains(model)
             || self.local_weights.on_disk.contains(model)
     }
 
-    /// What can serve now, as entries are told.
+    /// Models and adapters that can serve requests now, as told to the entries.
     pub fn servable(&self, now: Instant) -> Vec<ResidentModel> {
         let loaded = self
             .held
@@ -201,12 +207,15 @@
             .collect()
     }
 
-    /// Weights held or on their way, also by late orders to an earlier start.
+    /// Memory, in MB, of models and adapters that are held, loading, or may be loaded
+    /// by unanswered orders to an earlier incarnation.
     pub fn used_mb(&self, engine: &EngineSpec) -> f64 {
-        let late =
-            self.unanswered
-                .reserved_mb(engine, self.born_ms, self.orders_accepted);
-        late + self.held_mb(engine)
+        let reserved = self.unanswered.reserved_mb(
+            engine,
+            self.started_unix_ms,
+            self.orders_accepted,
+        );
+        reserved + self.held_mb(engine)
     }
 
     fn held_mb(&self, engine: &EngineSpec) -> f64 {
@@ -219,21 +228,22 @@
         sizes.sum()
     }
 
-    /// Adapters held or on their way, also by late orders to an earlier start.
+    /// Number of adapters that are held, loading, or may be loaded by unanswered orders
+    /// to an earlier incarnation.
     pub fn adapter_count(&self) -> u32 {
         let count: usize = self.held.values().map(|held| held.adapters.len()).sum();
-        let late = self
+        let reserved = self
             .unanswered
-            .reserved_adapters(self.born_ms, self.orders_accepted);
+            .reserved_adapters(self.started_unix_ms, self.orders_accepted);
         u32::try_from(count)
             .unwrap_or(u32::MAX)
-            .saturating_add(late)
+            .saturating_add(reserved)
     }
 
-    /// Whether a model and an adapter are held, on their way or just ordered.
+    /// Whether the adapter is held, loading or just ordered.
     pub fn has_adapter(&self, model: &str, adapter: &str) -> bool {
-        let open = self.in_flight.as_ref().map(|order| &order.action);
-        if let Some(OrderAction::LoadAdapter(of, name)) = open
+        let in_flight = self.in_flight.as_ref().map(|order| &order.action);
+        if let Some(OrderAction::LoadAdapter(of, name)) = in_flight
             && **of == *model
             && **name == *adapter
         {
@@ -243,7 +253,8 @@
         held.is_some_and(|held| held.adapters.contains_key(adapter))
     }
 
-    /// Adapters held or on their way of each model that can serve, with since when.
+    /// Adapters held or loading for each model that can serve, with the time since
+    /// when.
     pub fn adapters_held(&self) -> BTreeMap<Arc<str>, BTreeMap<Arc<str>, Instant>> {
         let loaded = self
             .held
@@ -259,12 +270,12 @@
             .collect()
     }
 
-    /// Whether orders without an answer may still be carried out.
+    /// Whether any unanswered order may still be carried out.
     pub const fn has_unanswered(&self) -> bool {
         !self.unanswered.is_empty()
     }
 
-    /// Makes an order, or none if it can't be given now or would not fit.
+    /// Creates an order, or returns `None` if it can't be sent now or wouldn't fit.
     pub fn issue_order(
         &mut self,
         engine: &EngineSpec,
@@ -276,34 +287,35 @@
         let order = Order {
             expected_ms: self.expected_ms(engine, &action),
             action,
-            started_unix_ms: self.born_ms,
+            started_unix_ms: self.started_unix_ms,
             expected_count: self.orders_accepted,
         };
         self.in_flight = Some(order.clone());
         Some(order)
     }
 
-    /// Takes over what came of an order.
-    pub fn apply_outcome(&mut self, now: Instant, order: &Order, sent: SendOutcome) {
-        match sent {
+    /// Applies the outcome of an order.
+    pub fn apply_outcome(&mut self, now: Instant, order: &Order, outcome: SendOutcome) {
+        match outcome {
             SendOutcome::Unanswered => self.unanswered.add(now, order.clone()),
             SendOutcome::Answered(OrderAnswer::Accepted | OrderAnswer::Done) => {}
             SendOutcome::Answered(_) | SendOutcome::NotSent => {
-                self.unanswered.remove(order)
+                self.unanswered.remove(order);
             }
         }
-        if order.started_unix_ms != self.born_ms {
-            // Which start has answered is not said, so what is held is not known.
+        if order.started_unix_ms != self.started_unix_ms {
+            // The answer doesn't tell which incarnation gave it, so the state is
+            // unknown.
             self.known = false;
             return;
         }
         self.in_flight = None;
-        match sent {
+        match outcome {
             SendOutcome::Answered(OrderAnswer::Accepted) => {
                 self.apply_accepted(now, order, false);
             }
             SendOutcome::Answered(OrderAnswer::Done) => {
-                self.apply_accepted(now, order, true)
+                self.apply_accepted(now, order, true);
             }
             SendOutcome::Answered(OrderAnswer::Conflict | OrderAnswer::Refused)
             | SendOutcome::Unanswered => self.known = false,
@@ -318,7 +330,7 @@
         self.load_ms(engine, model)
     }
 
-    /// Time that a load of a model takes from where its weights are.
+    /// Time that a load of the model takes from where its weights are.
     pub fn load_ms(&self, engine: &EngineSpec, model: &Arc<str>) -> u64 {
         let Some(spec) = engine.models.get(model) else {
             return 0;
@@ -332,7 +344,7 @@
         }
     }
 
-    /// Models on their way, with when they are expected to serve.
+    /// Models that are loading, with the time at which they are expected to serve.
     pub fn loading_models(&self) -> impl Iterator<Item = (&Arc<str>, Instant)> {
         let loading = self
             .held
@@ -388,7 +400,7 @@
             }
             OrderAction::Unload(model) if done => {
                 self.held.remove(model);
-                // Whether it counted as an order is not said.
+                // The answer doesn't tell whether the unload counted as an order.
                 self.known = false;
             }
             OrderAction::Unload(model) => {
@@ -399,22 +411,22 @@
             }
             OrderAction::LoadAdapter(model, adapter) => {
                 if let Some(held) = self.held.get_mut(model) {
-                    let coming = TrackedAdapter {
+                    let loading = TrackedAdapter {
                         ready_at: now.plus_ms(ADAPTER_READY_MS),
                         since: now,
                     };
-                    held.adapters.insert(Arc::clone(adapter), coming);
+                    held.adapters.insert(Arc::clone(adapter), loading);
                 }
             }
             OrderAction::UnloadAdapter(model, adapter) if done => {
-                // It is gone at once, and counted as an order.
+                // The adapter is gone at once, and the unload counted as an order.
                 self.orders_accepted = order.expected_count + 1;
                 if let Some(held) = self.held.get_mut(model) {
                     held.adapters.remove(adapter);
                 }
             }
-            // It waits for a request that uses it; a report tells when it is
-            // gone.
+            // The unload waits for a request that uses the adapter. A report tells when
+            // the adapter is gone.
             OrderAction::UnloadAdapter(..) => self.known = false,
         }
     }
@@ -423,10 +435,10 @@
         &mut self,
         now: Instant,
         resident: &ResidentModel,
-        old: Option<&TrackedModel>,
+        previous: Option<&TrackedModel>,
     ) {
         let adapters = resident.adapters.iter().map(|name| {
-            let known = old.and_then(|old| old.adapters.get(name));
+            let known = previous.and_then(|previous| previous.adapters.get(name));
             let adapter = TrackedAdapter {
                 ready_at: now.min(known.map_or(now, |known| known.ready_at)),
                 since: known.map_or(now, |known| known.since),
@@ -442,12 +454,13 @@
         self.held.insert(Arc::clone(&resident.model), held);
     }
 
-    /// An unload that got no answer is carried out after all. The upstream still lists
-    /// the model and refuses all requests for it until what runs there has ended.
+    /// Marks models whose unanswered unload is carried out after all. The upstream
+    /// still lists such a model, and refuses all requests for it until its running
+    /// requests have ended.
     fn begin_unanswered_unload(&mut self, orders_accepted: u64) {
         for model in self
             .unanswered
-            .unloads_in_progress(self.born_ms, orders_accepted)
+            .unloads_in_progress(self.started_unix_ms, orders_accepted)
         {
             if let Some(held) = self.held.get_mut(model) {
                 held.phase = Phase::Unloading;
@@ -455,12 +468,12 @@
         }
     }
 
-    /// Keeps what a busy upstream is loading or unloading.
-    fn keep_in_progress(&mut self, kept: BTreeMap<Arc<str>, TrackedModel>) {
-        for (model, old) in kept {
-            match old.phase {
+    /// Keeps the loads and unloads that a busy upstream has in progress.
+    fn keep_in_progress(&mut self, previous: BTreeMap<Arc<str>, TrackedModel>) {
+        for (model, previous) in previous {
+            match previous.phase {
                 Phase::Loading => {
-                    self.held.entry(model).or_insert(old);
+                    self.held.entry(model).or_insert(previous);
                 }
                 Phase::Unloading => {
                     if let Some(held) = self.held.get_mut(&model) {
--- a/crates/direct/src/lib.rs
+++ b/crates/direct/src/lib.rs
@@ -1,39 +1,44 @@
-//! Decisions of entries that speak to upstreams themselves, without an agent
-//! beside each upstream.
+//! Decisions of entries that talk to upstreams directly, without an agent beside each
+//! upstream.
 //!
-//! Where a platform lists its upstreams and gives no place beside them, entries
-//! take over what the agents decide elsewhere: which upstream runs a request,
-//! whether it may be sent again, what each upstream holds, and who orders that.
-//! Everything here is pure: time is an argument and nothing does I/O.
+//! On a platform that lists its upstreams and offers no place to run an agent beside
+//! them, the entries decide what agents decide elsewhere: which upstream runs a
+//! request, whether the request may be sent again, what each upstream holds, and which
+//! entry orders loads and unloads. Everything here is pure: the current time is an
+//! argument and nothing performs I/O.
 //!
-//! - [`Config`] is the operator's configuration as the decisions need it, with
-//!   routes by host and longest prefix.
-//! - [`Fleet`] is what this entry knows of the upstreams.
-//! - [`AvoidanceTracker`] says when an upstream begins or ceases to be avoided.
+//! - [`Config`] is the part of the operator's configuration that the decisions need. It
+//!   matches routes by host and longest path prefix.
+//! - [`Fleet`] is what this entry knows about the upstreams.
+//! - [`AvoidanceTracker`] reports when an upstream starts or stops being avoided.
 //! - [`select_upstream`] chooses an upstream for one request.
-//! - [`admit`] says whether it joins those that wait there; [`ModelTimeFactors`] and
-//!   [`PrefillQueue`] how long that is.
-//! - [`decide_retry`] says what may follow a try that did not end well.
-//! - [`RetryBudget`] keeps repeats of all entries together under one bound.
-//! - [`Lease`] makes one entry the giver of orders, and [`has_successor`] says when
-//!   one that is being stopped hands it over; [`Ledger`] keeps what it
-//!   ordered from one upstream; [`LoadPlanner`] decides what is to be held where, and
-//!   [`AdapterPlanner`] which adapters beside it.
-//! - [`SharedWatch`] lets one entry watch the platform for its failure domain;
-//!   [`peer_message_interval_ms`] and its like say how often entries tell one another what.
+//! - [`admit`] decides whether the request joins the queue of that upstream.
+//!   [`ModelTimeFactors`] and [`PrefillQueue`] estimate how long the queue takes.
+//! - [`decide_retry`] decides what follows an attempt that failed.
+//! - [`RetryBudget`] bounds the retries of all entries together.
+//! - [`Lease`] elects the coordinator, the one entry that sends load and unload orders,
+//!   and [`has_successor`] tells whether a coordinator that shuts down should hand the
+//!   lease over. [`Ledger`] tracks the orders to one upstream and what it therefore
+//!   holds. [`LoadPlanner`] decides which models are loaded where, and
+//!   [`AdapterPlanner`] which adapters.
+//! - [`SharedWatch`] lets one entry watch the platform for its whole failure domain.
+//!   [`peer_message_interval_ms`] and its neighbours set how often entries message one
+//!   another and how much a message holds.
 //!
 //! Invariants:
 //!
-//! - News of a version never replaces what a higher version said.
-//! - What is known of an upstream is known of one start of it. News of an earlier
-//!   start never replaces what is known of a later one, whichever way it comes.
-//! - A request that may have run is sent again only if its kind allows it.
-//! - Every order names the upstream's order count that it was decided on, so of
-//!   two orders decided on the same state at most one is carried out. What that
-//!   one adds was checked against that state, so no upstream is ordered to hold
-//!   more than it can. The count starts anew with the upstream: what orders to an
-//!   earlier start may still add is checked with it.
-//! - A giver stops ordering before anyone else can start.
+//! - A record with a lower version never replaces one with a higher version.
+//! - Knowledge about an upstream belongs to one incarnation of it. Information from an
+//!   earlier incarnation never replaces information from a later one, whichever way it
+//!   arrives.
+//! - A request that may have run is sent again only if its route allows a request to
+//!   run twice.
+//! - Every order names the upstream's order count on which it was decided, so of two
+//!   orders decided on the same state at most one is carried out. What that order adds
+//!   was checked against the same state, so no upstream is ordered to hold more than
+//!   fits. The count restarts with the upstream, so what unanswered orders to earlier
+//!   incarnations may still add is included in the check.
+//! - A coordinator stops sending orders before another entry can start.
 
 mod adapters;
 mod admission;
--- a/crates/direct/src/load_planner.rs
+++ b/crates/direct/src/load_planner.rs
@@ -1,4 +1,4 @@
-//! What is to be held where: loads and the unloads that make room for them.
+//! Planning of model loads, and of the unloads that make room for them.
 
 use base::prelude::*;
 use std::collections::BTreeMap;
@@ -11,53 +11,53 @@
 use crate::unserved::UnservedModels;
 use crate::{DemandEstimate, EngineSpec};
 
-/// Part of the loads that the weight store allows which is used. The rest is
-/// for orders whose answer is lost and that begin late.
+/// Share of the weight store's load rate that the planner uses. The rest is left for
+/// loads whose order got no answer and that start late.
 const USABLE_STORE_SHARE: f64 = 0.95;
 
-/// One upstream as the plan sees it.
+/// State of one upstream as input to a plan.
 #[derive(Debug, Clone)]
 pub struct UpstreamState {
-    /// Upstream.
+    /// Name of the upstream.
     pub upstream: Arc<str>,
-    /// Failure domain.
+    /// Failure domain of the upstream.
     pub domain: Arc<str>,
-    /// Whether it can be ordered something now.
+    /// Whether the upstream accepts an order now.
     pub idle: bool,
-    /// Weights that still fit.
+    /// Free memory for weights, in MB.
     pub free_mb: f64,
-    /// Models held or on their way.
+    /// Models that are held, loading or unloading.
     pub models: Vec<PlacedModel>,
-    /// Models that it can load without the weight store.
+    /// Models that the upstream can load without the weight store.
     pub local_weights: Vec<Arc<str>>,
 }
 
-/// A model with its adapters at one upstream.
+/// A model, with its adapters, on one upstream.
 #[derive(Debug, Clone)]
 pub struct PlacedModel {
-    /// Model.
+    /// Name of the model.
     pub model: Arc<str>,
-    /// Memory that it takes with its adapters.
+    /// Memory of the model and its adapters, in MB.
     pub size_mb: f64,
-    /// Whether it is leaving.
+    /// Whether the model is being unloaded.
     pub unloading: bool,
-    /// When it was seen there first.
+    /// When the model was first seen on the upstream.
     pub since: Instant,
 }
 
 /// Why a model is loaded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadReason {
-    /// Requests wait for it.
+    /// Requests wait for the model.
     Waited,
-    /// Its copies are too busy.
+    /// The upstreams that hold the model are too busy.
     Busy,
-    /// Nothing holds it, and there is room.
+    /// No upstream holds the model and one has free memory.
     Reachable,
 }
 
 impl LoadReason {
-    /// The word used in logs and metrics.
+    /// Value of the reason in logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Waited => "waited",
@@ -67,36 +67,37 @@
     }
 }
 
-/// A move that was decided.
+/// A load that the planner has decided on.
 #[derive(Debug, Clone)]
 pub struct PlannedLoad {
-    /// Upstream that is to load.
+    /// Upstream that loads the model.
     pub upstream: Arc<str>,
     /// Model to load.
     pub load: Arc<str>,
-    /// Model that has to go first.
+    /// Model that has to be unloaded first.
     pub unload: Option<Arc<str>>,
     /// Whether the weights come from the weight store.
     pub from_store: bool,
-    /// Why.
+    /// Why the model is loaded.
     pub reason: LoadReason,
-    /// Fall of the sum of the squares of all upstreams' loads.
+    /// Reduction of the sum of squared upstream loads.
     pub relief: f64,
 }
 
-/// Decides moves and keeps to the weight store's rate.
+/// Plans loads and unloads within the load rate of the weight store.
 #[derive(Debug)]
 pub struct LoadPlanner {
     window_ms: u64,
     store_loads: Vec<Instant>,
-    /// Ends of the times in which unanswered loads may begin.
+    /// For each load whose order got no answer, the time until which it may still
+    /// start.
     unanswered_until: Vec<Instant>,
     unserved: UnservedModels,
     demand_shifts: ShiftDetector,
 }
 
 impl LoadPlanner {
-    /// No moves yet; loads from the store are counted over `window_ms`.
+    /// Creates a planner that counts loads from the weight store over `window_ms`.
     pub fn new(window_ms: u64) -> Self {
         Self {
             window_ms,
@@ -107,79 +108,84 @@
         }
     }
 
-    /// Counts a load from the weight store that was ordered.
+    /// Records a load from the weight store that was ordered.
     pub fn record_store_load(&mut self, now: Instant) {
         self.store_loads.push(now);
     }
 
-    /// Counts a load whose order got no answer: it may begin at any time until
-    /// no late order is carried out any more.
+    /// Records a load whose order got no answer. It may start at any time until
+    /// unanswered orders expire.
     pub fn record_unanswered_load(&mut self, now: Instant) {
         self.unanswered_until.push(now.plus_ms(MAX_ORDER_DELAY_MS));
     }
 
-    /// Counts loads of an earlier start that a later one may still carry out.
+    /// Records loads ordered from an earlier incarnation of an upstream that the later
+    /// incarnation may still carry out.
     ///
-    /// One that was to come from a copy may come from the weight store instead,
-    /// since a start keeps no copy in memory of the one before. Not counted, the
-    /// restart of many upstreams at once would load more than the store allows.
+    /// A load planned from local weights may come from the weight store instead,
+    /// because an incarnation doesn't inherit the weights that its predecessor kept in
+    /// memory. Without counting these loads, a restart of many upstreams at once would
+    /// exceed the load rate of the weight store.
     pub fn record_surviving_loads(&mut self, now: Instant, loads: usize) {
         let until = now.plus_ms(MAX_ORDER_DELAY_MS);
         self.unanswered_until
             .extend(std::iter::repeat_n(until, loads));
     }
 
-    /// Orders are given again after a time without them. Who waits has waited for
-    /// nobody meanwhile, but loads that were ordered before count as they did: a lease
-    /// that lapses for a moment would else allow the window's loads a second time.
+    /// Resumes planning after a time in which this entry sent no orders.
+    ///
+    /// Waiting times and demand history are reset. Loads ordered earlier still count:
+    /// otherwise a lease that lapses for a moment would allow a second window's worth
+    /// of loads.
     pub fn resume(&mut self) {
         self.unserved = UnservedModels::default();
         self.demand_shifts = ShiftDetector::default();
     }
 
-    /// Counts what an earlier giver may have ordered up to a time.
+    /// Assumes that an earlier coordinator used a whole window's loads up to `until`.
     pub fn assume_window_spent(&mut self, until: Instant, engine: &EngineSpec) {
         for _ in 0..self.loads_per_window(engine) {
             self.store_loads.push(until);
         }
     }
 
-    /// Loads that may be ordered from the weight store now.
+    /// Number of loads that may be ordered from the weight store now.
     pub fn store_loads_left(&mut self, now: Instant, engine: &EngineSpec) -> usize {
-        let oldest = now - Duration::from_millis(self.window_ms);
-        self.store_loads.retain(|at| *at > oldest);
+        let window_start = now - Duration::from_millis(self.window_ms);
+        self.store_loads.retain(|at| *at > window_start);
         self.unanswered_until.retain(|until| *until > now);
         let spent = self.store_loads.len() + self.unanswered_until.len();
         self.loads_per_window(engine).saturating_sub(spent)
     }
 
-    /// Moves worth starting now.
+    /// Returns the loads that are worth starting now.
     pub fn plan(
         &mut self,
         now: Instant,
         engine: &EngineSpec,
         upstreams: &[UpstreamState],
-        loads: &BTreeMap<Arc<str>, DemandEstimate>,
+        demand: &BTreeMap<Arc<str>, DemandEstimate>,
     ) -> Vec<PlannedLoad> {
-        let allowance = self.store_loads_left(now, engine);
+        let store_loads_left = self.store_loads_left(now, engine);
         let is_held = |model: &str| {
-            let mut groups = upstreams.iter().flat_map(|upstream| &upstream.models);
-            groups.any(|group| &*group.model == model && !group.unloading)
+            let mut models = upstreams.iter().flat_map(|upstream| &upstream.models);
+            models.any(|placed| &*placed.model == model && !placed.unloading)
         };
-        self.unserved.update(now, loads, is_held);
-        self.demand_shifts.observe(now, loads);
+        self.unserved.update(now, demand, is_held);
+        self.demand_shifts.observe(now, demand);
         let forecasts =
-            forecasts(engine, loads, upstreams.len(), self.demand_shifts.step());
-        let demand = DemandInput {
-            demand: loads,
+            forecasts(engine, demand, upstreams.len(), self.demand_shifts.step());
+        let input = DemandInput {
+            demand,
             unserved: &self.unserved,
             forecasts: &forecasts,
         };
-        let mut board = PlanBuilder::new(now, engine, upstreams, &demand, allowance);
-        board.load_waited_for();
-        board.add_copies_of_busy();
-        board.load_missing();
-        board.planned
+        let mut builder =
+            PlanBuilder::new(now, engine, upstreams, &input, store_loads_left);
+        builder.load_waited_for();
+        builder.add_copies_of_busy();
+        builder.load_missing();
+        builder.planned
     }
 
     fn loads_per_window(&self, engine: &EngineSpec) -> usize {
--- a/crates/direct/src/order.rs
+++ b/crates/direct/src/order.rs
@@ -1,4 +1,4 @@
-//! Orders to upstreams and what comes of them.
+//! Orders to upstreams and their outcomes.
 
 use std::sync::Arc;
 
@@ -11,44 +11,44 @@
     Unload(Arc<str>),
     /// Loads an adapter of a model that is held.
     LoadAdapter(Arc<str>, Arc<str>),
-    /// Unloads an adapter.
+    /// Unloads an adapter of a model.
     UnloadAdapter(Arc<str>, Arc<str>),
 }
 
 /// An order that may be sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Order {
-    /// What it does.
+    /// What the order does.
     pub action: OrderAction,
-    /// Start of the upstream on which it was decided.
+    /// Start time of the upstream's incarnation on which the order was decided.
     pub started_unix_ms: Option<u64>,
-    /// Order count of the upstream on which it was decided; at another one the
-    /// upstream refuses it.
+    /// Order count of the upstream on which the order was decided. At any other count
+    /// the upstream refuses the order.
     pub expected_count: u64,
-    /// Time that it is expected to take.
+    /// Expected duration, in milliseconds.
     pub expected_ms: u64,
 }
 
-/// What an upstream answered to an order.
+/// Answer of an upstream to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// It is being carried out.
+    /// The order is being carried out.
     Accepted,
-    /// It held already.
+    /// The upstream was already in the ordered state.
     Done,
     /// Another order is in progress or the order count differs.
     Conflict,
-    /// It is refused for another reason, or another upstream has the address.
+    /// The order is refused for another reason, or another upstream has the address.
     Refused,
 }
 
-/// What came of an order.
+/// Outcome of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendOutcome {
-    /// An answer came.
+    /// The upstream answered.
     Answered(OrderAnswer),
-    /// No answer came: it may be carried out, now or seconds later.
+    /// There was no answer: the order may be carried out, now or seconds later.
     Unanswered,
-    /// It provably never left this process.
+    /// The order certainly never left this process.
     NotSent,
 }
--- a/crates/direct/src/plan/index_set.rs
+++ b/crates/direct/src/plan/index_set.rs
@@ -1,8 +1,8 @@
-//! A set of small numbers.
+//! A bit set of small integers.
 
 const WORD: usize = u64::BITS as usize;
 
-/// A set of small numbers, of which two are compared in a few steps.
+/// A bit set of small integers that counts the intersection of two sets word by word.
 #[derive(Debug, Clone, Default)]
 pub(super) struct IndexSet(Vec<u64>);
 
@@ -26,7 +26,7 @@
         word.is_some_and(|word| word & (1 << (number % WORD)) != 0)
     }
 
-    /// How many numbers are in both.
+    /// Number of elements that both sets contain.
     pub(super) fn common(a: &Self, b: &Self) -> u32 {
         let words = a.0.iter().zip(&b.0);
         words.map(|(a, b)| (a & b).count_ones()).sum()
--- a/crates/direct/src/plan/mod.rs
+++ b/crates/direct/src/plan/mod.rs
@@ -1,4 +1,4 @@
-//! The plan while it is made.
+//! Construction of one load plan.
 
 mod index_set;
 mod model_index;
@@ -17,84 +17,85 @@
 use model_index::ModelIndex;
 use relief::{CandidateMove, ForecastLoads, per_copy_load};
 
-/// What a move costs, in relief. Relief is the fall of the sum of the squares of
-/// all upstreams' loads: how long requests wait grows faster than the load that
-/// they meet. A load keeps an upstream's memory busy while it lasts, and demand
-/// moves on meanwhile, so a long one has to bring more.
+/// Cost of a load, in the unit of relief. Relief is the reduction of the sum of squared
+/// upstream loads; the squares reflect that waiting times grow faster than the load
+/// that requests meet. A load occupies the upstream's memory while it lasts and demand
+/// shifts meanwhile, so a longer load must bring more relief.
 const MOVE_COST: f64 = 0.12;
 const MOVE_COST_PER_S: f64 = 0.08;
 
-/// What an unload costs for each part of the upstream's time that the model
-/// took there: it waits for what runs, and what comes meanwhile goes elsewhere.
+/// Cost of an unload per unit of upstream time that the model used there. The unload
+/// waits for running requests, and requests that arrive meanwhile have to go to other
+/// upstreams.
 const UNLOAD_COST: f64 = 1.0;
 
-/// What a load from the weight store costs beside its time.
+/// Additional cost of a load from the weight store, besides its duration.
 const STORE_COST: f64 = 0.03;
 
-/// Time for which a model stays where it was loaded.
+/// Time for which a loaded model is not evicted.
 const MIN_RESIDENCE_MS: u64 = 3_000;
 
-/// Loss of the last copy of a model without demand, against any relief.
+/// Cost of evicting the last copy of a model without demand, in the unit of relief.
 const LAST_COPY_LOSS: f64 = 0.5;
 
-/// Advantage of a failure domain in which no other copy is, as relief.
+/// Advantage, in the unit of relief, of a failure domain that holds no other copy.
 const SPREAD_BONUS: f64 = 0.01;
 
-/// Work, as a part of one upstream's time, below which a model gets no further
-/// copy.
+/// Work, as a share of one upstream's time, below which a model gets no extra copy.
 const MIN_WORK: f64 = 0.02;
 
-/// Moves decided at once.
+/// Maximum number of loads in one plan.
 const MAX_PLANNED_LOADS: usize = 8;
 
-/// The plan while it is made: what each upstream will hold after the moves
-/// chosen so far.
+/// A plan under construction: what each upstream will hold after the loads planned so
+/// far.
 #[derive(Debug)]
 pub(crate) struct PlanBuilder<'a> {
     now: Instant,
     engine: &'a EngineSpec,
-    /// Models that the engine runs, that are asked for or held.
+    /// Models that the engine is configured with, that have demand or that are held.
     models: ModelIndex,
     model_facts: Vec<ModelFacts<'a>>,
     upstreams: Vec<UpstreamPlan<'a>>,
-    /// How demand may go on.
+    /// Possible developments of demand and the upstream loads that follow from each.
     forecasts: Vec<ForecastLoads>,
     store_loads_left: usize,
     pub(crate) planned: Vec<PlannedLoad>,
 }
 
-/// What is known of one model throughout a plan.
+/// Properties of one model that are constant during a plan.
 #[derive(Debug)]
 struct ModelFacts<'a> {
     spec: Option<&'a ModelSpec>,
-    load: Option<&'a DemandEstimate>,
-    /// Time for which it has gone unserved beyond the patience.
+    demand: Option<&'a DemandEstimate>,
+    /// Time for which the model has had demand and no holder, beyond the time after
+    /// which it is overdue.
     overdue_ms: u64,
     guaranteed_residence_ms: u64,
 }
 
 impl ModelFacts<'_> {
     fn is_wanted(&self) -> bool {
-        self.load.is_some_and(DemandEstimate::is_wanted)
+        self.demand.is_some_and(DemandEstimate::is_wanted)
     }
 
     fn is_waited_for(&self) -> bool {
-        self.load.is_some_and(|load| load.waiting > 0)
+        self.demand.is_some_and(|demand| demand.waiting > 0)
     }
 }
 
-/// One upstream.
+/// Planned state of one upstream.
 #[derive(Debug)]
 struct UpstreamPlan<'a> {
     state: &'a UpstreamState,
     idle: bool,
     free_mb: f64,
     models: Vec<HeldModel>,
-    /// Models that it can load without the weight store.
+    /// Models that the upstream can load without the weight store.
     local_weights: IndexSet,
 }
 
-/// A model with its adapters at one upstream.
+/// A model, with its adapters, on one upstream.
 #[derive(Debug)]
 struct HeldModel {
     model: usize,
@@ -103,25 +104,25 @@
     since: Instant,
 }
 
-/// A place for one more copy of a model.
+/// A candidate upstream for one more copy of a model.
 #[derive(Debug)]
 struct CopyPlacement {
     upstream: usize,
     victim: Option<usize>,
     from_store: bool,
     relief: f64,
-    /// Relief less what the move costs.
+    /// Relief minus the cost of the load.
     net_relief: f64,
 }
 
-/// What is asked for, as a plan goes by it.
+/// Demand as input to a plan.
 #[derive(Debug)]
 pub(crate) struct DemandInput<'a> {
     /// Demand by model.
     pub(crate) demand: &'a BTreeMap<Arc<str>, DemandEstimate>,
-    /// Since when models are asked for that nothing holds.
+    /// Models that have demand and no holder, with the time since when.
     pub(crate) unserved: &'a UnservedModels,
-    /// How demand may go on.
+    /// Possible developments of demand.
     pub(crate) forecasts: &'a [DemandForecast],
 }
 
@@ -129,48 +130,48 @@
     pub(crate) fn new(
         now: Instant,
         engine: &'a EngineSpec,
-        spots: &'a [UpstreamState],
-        asked: &DemandInput<'a>,
-        store_left: usize,
+        upstream_states: &'a [UpstreamState],
+        input: &DemandInput<'a>,
+        store_loads_left: usize,
     ) -> Self {
         let mut models = ModelIndex::default();
-        for name in engine.models.keys().chain(asked.demand.keys()) {
+        for name in engine.models.keys().chain(input.demand.keys()) {
             models.intern(name);
         }
-        let rows: Vec<UpstreamPlan<'a>> = spots
+        let upstreams: Vec<UpstreamPlan<'a>> = upstream_states
             .iter()
-            .map(|spot| UpstreamPlan::new(spot, &mut models))
+            .map(|state| UpstreamPlan::new(state, &mut models))
             .collect();
-        for (index, row) in rows.iter().enumerate() {
-            for group in row.models.iter().filter(|group| !group.unloading) {
-                models.add_copy(group.model, index);
+        for (index, upstream) in upstreams.iter().enumerate() {
+            for held in upstream.models.iter().filter(|held| !held.unloading) {
+                models.add_copy(held.model, index);
             }
         }
         let facts = models.names().iter().map(|name| ModelFacts {
             spec: engine.models.get(name),
-            load: asked.demand.get(name),
-            overdue_ms: asked.unserved.overdue_ms(now, name),
+            demand: input.demand.get(name),
+            overdue_ms: input.unserved.overdue_ms(now, name),
             guaranteed_residence_ms: guaranteed_residence_ms(engine, name),
         });
         let facts = facts.collect();
-        let views = asked.forecasts.iter();
-        let views = views.map(|forecast| forecast_loads(forecast, &models));
-        let mut board = Self {
+        let forecasts = input.forecasts.iter();
+        let forecasts = forecasts.map(|forecast| forecast_loads(forecast, &models));
+        let mut builder = Self {
             now,
             engine,
-            forecasts: views.collect(),
+            forecasts: forecasts.collect(),
             models,
             model_facts: facts,
-            upstreams: rows,
-            store_loads_left: store_left,
+            upstreams,
+            store_loads_left,
             planned: Vec::new(),
         };
-        board.recompute_loads();
-        board
+        builder.recompute_loads();
+        builder
     }
 
-    /// Models that requests wait for and nothing holds: those that are overdue,
-    /// and then the longest wait first.
+    /// Loads models that requests wait for and no upstream holds. Overdue models come
+    /// first, then those with the longest wait.
     pub(crate) fn load_waited_for(&mut self) {
         let waiting = (0..self.models.len()).filter(|model| {
             self.model_facts[*model].is_waited_for()
@@ -179,30 +180,36 @@
         let mut waiting: Vec<(u64, u64, &Arc<str>, usize)> = waiting
             .map(|model| {
                 let facts = &self.model_facts[model];
-                let oldest_ms = facts.load.map_or(0, |load| load.oldest_wait_ms);
-                (facts.overdue_ms, oldest_ms, self.models.name(model), model)
+                let oldest_wait_ms =
+                    facts.demand.map_or(0, |demand| demand.oldest_wait_ms);
+                (
+                    facts.overdue_ms,
+                    oldest_wait_ms,
+                    self.models.name(model),
+                    model,
+                )
             })
             .collect();
         waiting.sort_by(|a, b| b.cmp(a));
         let waiting: Vec<usize> = waiting.iter().map(|(.., model)| *model).collect();
         for model in waiting {
-            if let Some(place) = self.best_placement(model, true) {
-                self.commit(model, &place, LoadReason::Waited);
+            if let Some(placement) = self.best_placement(model, true) {
+                self.commit(model, &placement, LoadReason::Waited);
             }
         }
     }
 
-    /// Further copies for models whose requests meet busy upstreams.
+    /// Adds copies of models whose holders are too busy.
     pub(crate) fn add_copies_of_busy(&mut self) {
         while self.planned.len() < MAX_PLANNED_LOADS {
-            let Some((model, place)) = self.best_extra_copy() else {
+            let Some((model, placement)) = self.best_extra_copy() else {
                 return;
             };
-            self.commit(model, &place, LoadReason::Busy);
+            self.commit(model, &placement, LoadReason::Busy);
         }
     }
 
-    /// Models that nothing holds, where there is room anyway.
+    /// Loads models that no upstream holds wherever there is free memory.
     pub(crate) fn load_missing(&mut self) {
         let names = self.engine.models.keys();
         let missing: Vec<usize> = names
@@ -213,8 +220,8 @@
             if self.planned.len() >= MAX_PLANNED_LOADS {
                 return;
             }
-            if let Some(place) = self.best_placement(model, false) {
-                self.commit(model, &place, LoadReason::Reachable);
+            if let Some(placement) = self.best_placement(model, false) {
+                self.commit(model, &placement, LoadReason::Reachable);
             }
         }
     }
@@ -222,31 +229,31 @@
     fn best_extra_copy(&self) -> Option<(usize, CopyPlacement)> {
         let mut best: Option<(usize, CopyPlacement)> = None;
         for model in 0..self.models.len() {
-            let work = self.weighted_sum(|view| view.expected[model]);
+            let work = self.weighted_sum(|forecast| forecast.expected[model]);
             if self.models.copy_count(model) == 0 || work < MIN_WORK {
                 continue;
             }
-            let Some(place) = self.best_placement(model, true) else {
+            let Some(placement) = self.best_placement(model, true) else {
                 continue;
             };
-            let most = best.as_ref().map_or(0.0, |(_, best)| best.net_relief);
-            if place.net_relief > most {
-                best = Some((model, place));
+            let best_relief = best.as_ref().map_or(0.0, |(_, best)| best.net_relief);
+            if placement.net_relief > best_relief {
+                best = Some((model, placement));
             }
         }
         best
     }
 
-    /// The best place for one more copy; with `evict`, also where another model
-    /// has to go.
+    /// Finds the best upstream for one more copy of a model. With `evict`, upstreams
+    /// where another model has to be unloaded are considered as well.
     fn best_placement(&self, model: usize, evict: bool) -> Option<CopyPlacement> {
         let spec = self.model_facts[model].spec?;
         let mut best: Option<CopyPlacement> = None;
-        for (index, row) in self.upstreams.iter().enumerate() {
-            if !row.idle || row.holds(model) {
+        for (index, upstream) in self.upstreams.iter().enumerate() {
+            if !upstream.idle || upstream.holds(model) {
                 continue;
             }
-            let from_store = !row.local_weights.contains(model);
+            let from_store = !upstream.local_weights.contains(model);
             if from_store && self.store_loads_left == 0 {
                 continue;
             }
@@ -254,22 +261,30 @@
             let Some((victim, relief)) = found else {
                 continue;
             };
-            let net = relief - self.move_cost(model, spec, row);
-            if best.as_ref().is_none_or(|place| net > place.net_relief) {
+            let net_relief = relief - self.move_cost(model, spec, upstream);
+            if best
+                .as_ref()
+                .is_none_or(|placement| net_relief > placement.net_relief)
+            {
                 best = Some(CopyPlacement {
                     upstream: index,
                     victim,
                     from_store,
                     relief,
-                    net_relief: net,
+                    net_relief,
                 });
             }
         }
         best
     }
 
-    fn move_cost(&self, model: usize, spec: &ModelSpec, row: &UpstreamPlan<'_>) -> f64 {
-        let from_store = !row.local_weights.contains(model);
+    fn move_cost(
+        &self,
+        model: usize,
+        spec: &ModelSpec,
+        upstream: &UpstreamPlan<'_>,
+    ) -> f64 {
+        let from_store = !upstream.local_weights.contains(model);
         let load_ms = if from_store {
             spec.store_load_ms
         } else {
@@ -279,13 +294,14 @@
         if from_store {
             cost += STORE_COST;
         }
-        if !self.has_copy_in_domain(model, &row.state.domain) {
+        if !self.has_copy_in_domain(model, &upstream.state.domain) {
             cost -= SPREAD_BONUS;
         }
         cost
     }
 
-    /// Room on a spot: the model that has to go, and what the move relieves.
+    /// Makes room on an upstream: returns the index of the model to evict, if any, and
+    /// the relief of the move.
     fn make_room(
         &self,
         model: usize,
@@ -293,97 +309,104 @@
         size_mb: f64,
         evict: bool,
     ) -> Option<(Option<usize>, f64)> {
-        let row = &self.upstreams[to];
-        if row.free_mb >= size_mb {
-            let alone = CandidateMove {
+        let upstream = &self.upstreams[to];
+        if upstream.free_mb >= size_mb {
+            let plain_move = CandidateMove {
                 model,
                 to,
                 victim: None,
             };
-            return Some((None, self.relief(alone)));
+            return Some((None, self.relief(plain_move)));
         }
         if !evict {
             return None;
         }
         let mut best: Option<(usize, f64)> = None;
-        for (victim, group) in row.models.iter().enumerate() {
-            let stays = self.now.ms_since(group.since) < MIN_RESIDENCE_MS;
-            if stays || group.unloading || row.free_mb + group.size_mb < size_mb {
+        for (victim, held) in upstream.models.iter().enumerate() {
+            let is_recent = self.now.ms_since(held.since) < MIN_RESIDENCE_MS;
+            if is_recent || held.unloading || upstream.free_mb + held.size_mb < size_mb
+            {
                 continue;
             }
-            if self.is_protected(group, model) {
+            if self.is_protected(held, model) {
                 continue;
             }
-            let in_its_place = CandidateMove {
+            let replacement = CandidateMove {
                 model,
                 to,
-                victim: Some(group.model),
+                victim: Some(held.model),
             };
-            let copies = self.models.copy_count(group.model);
-            let share = self
-                .weighted_sum(|view| per_copy_load(view.retained[group.model], copies));
-            let mut relief = self.relief(in_its_place);
+            let copies = self.models.copy_count(held.model);
+            let share = self.weighted_sum(|forecast| {
+                per_copy_load(forecast.retained[held.model], copies)
+            });
+            let mut relief = self.relief(replacement);
             relief -= share * UNLOAD_COST;
             if copies == 1 {
                 relief -= LAST_COPY_LOSS;
             }
-            if best.is_none_or(|(_, most)| relief > most) {
+            if best.is_none_or(|(_, best_relief)| relief > best_relief) {
                 best = Some((victim, relief));
             }
         }
         best.map(|(victim, relief)| (Some(victim), relief))
     }
 
-    /// Fall of the sum of the squares of all loads by a move, over all outlooks.
+    /// Relief of a move, weighted over all forecasts.
     fn relief(&self, of: CandidateMove) -> f64 {
-        self.weighted_sum(|view| view.relief(of, &self.models))
+        self.weighted_sum(|forecast| forecast.relief(of, &self.models))
     }
 
     fn weighted_sum(&self, value: impl Fn(&ForecastLoads) -> f64) -> f64 {
-        let views = self.forecasts.iter();
-        views.map(|view| view.weight * value(view)).sum()
+        let forecasts = self.forecasts.iter();
+        forecasts
+            .map(|forecast| forecast.weight * value(forecast))
+            .sum()
     }
 
-    fn commit(&mut self, model: usize, place: &CopyPlacement, reason: LoadReason) {
+    fn commit(&mut self, model: usize, placement: &CopyPlacement, reason: LoadReason) {
         let size_mb = self.model_facts[model]
             .spec
             .map_or(0.0, |spec| spec.weights_mb);
-        let row = &mut self.upstreams[place.upstream];
-        let unload = place.victim.map(|index| row.models.remove(index));
+        let upstream = &mut self.upstreams[placement.upstream];
+        let unload = placement.victim.map(|index| upstream.models.remove(index));
         if let Some(victim) = &unload {
-            row.free_mb += victim.size_mb;
-            self.models.remove_copy(victim.model, place.upstream);
+            upstream.free_mb += victim.size_mb;
+            self.models.remove_copy(victim.model, placement.upstream);
         }
-        row.free_mb -= size_mb;
-        row.idle = false;
-        row.models.push(HeldModel {
+        upstream.free_mb -= size_mb;
+        upstream.idle = false;
+        upstream.models.push(HeldModel {
             model,
             size_mb,
             unloading: false,
             since: self.now,
         });
-        self.models.add_copy(model, place.upstream);
-        if place.from_store {
+        self.models.add_copy(model, placement.upstream);
+        if placement.from_store {
             self.store_loads_left -= 1;
         }
         let unload = unload.map(|victim| Arc::clone(self.models.name(victim.model)));
         self.planned.push(PlannedLoad {
-            upstream: Arc::clone(&row.state.upstream),
+            upstream: Arc::clone(&upstream.state.upstream),
             load: Arc::clone(self.models.name(model)),
             unload,
-            from_store: place.from_store,
+            from_store: placement.from_store,
             reason,
-            relief: place.relief,
+            relief: placement.relief,
         });
         self.recompute_loads();
     }
 
-    /// Works the loads of all spots out anew.
+    /// Recomputes the loads of all upstreams.
     fn recompute_loads(&mut self) {
-        let (rows, models) = (&self.upstreams, &self.models);
-        for view in &mut self.forecasts {
-            let loads = rows.iter().map(|row| row.load(view, models)).collect();
-            view.update(loads, models);
+        let (upstreams, models) = (&self.upstreams, &self.models);
+        for forecast in &mut self.forecasts {
+            let loads = upstreams
+                .iter()
+                .map(|upstream| upstream.load(forecast, models))
+                .collect();
+            forecast.update(loads, models);
         }
     }
 
@@ -392,57 +415,57 @@
         holders.any(|index| self.upstreams[*index].state.domain == *domain)
     }
 
-    /// Whether the last copy of a model has to stay where it is, against another
-    /// model's wish for its place.
-    fn is_protected(&self, group: &HeldModel, against: usize) -> bool {
-        let facts = &self.model_facts[group.model];
-        if self.models.copy_count(group.model) > 1 || !facts.is_wanted() {
+    /// Whether the last copy of a model may not be evicted in favour of `newcomer`.
+    fn is_protected(&self, held: &HeldModel, newcomer: usize) -> bool {
+        let facts = &self.model_facts[held.model];
+        if self.models.copy_count(held.model) > 1 || !facts.is_wanted() {
             return false;
         }
-        let had_turn = self.now.ms_since(group.since) >= facts.guaranteed_residence_ms;
-        let overdue = self.model_facts[against].overdue_ms > 0;
-        !(overdue && had_turn)
+        let residence_over =
+            self.now.ms_since(held.since) >= facts.guaranteed_residence_ms;
+        let overdue = self.model_facts[newcomer].overdue_ms > 0;
+        !(overdue && residence_over)
     }
 }
 
 impl<'a> UpstreamPlan<'a> {
-    fn new(spot: &'a UpstreamState, models: &mut ModelIndex) -> Self {
-        let mut copies = IndexSet::default();
-        for name in &spot.local_weights {
-            copies.insert(models.intern(name));
+    fn new(state: &'a UpstreamState, models: &mut ModelIndex) -> Self {
+        let mut local_weights = IndexSet::default();
+        for name in &state.local_weights {
+            local_weights.insert(models.intern(name));
         }
-        let groups = spot.models.iter().map(|group| HeldModel {
-            model: models.intern(&group.model),
-            size_mb: group.size_mb,
-            unloading: group.unloading,
-            since: group.since,
+        let held_models = state.models.iter().map(|held| HeldModel {
+            model: models.intern(&held.model),
+            size_mb: held.size_mb,
+            unloading: held.unloading,
+            since: held.since,
         });
         Self {
-            state: spot,
-            idle: spot.idle,
-            free_mb: spot.free_mb,
-            models: groups.collect(),
-            local_weights: copies,
+            state,
+            idle: state.idle,
+            free_mb: state.free_mb,
+            models: held_models.collect(),
+            local_weights,
         }
     }
 
     fn holds(&self, model: usize) -> bool {
-        self.models.iter().any(|group| group.model == model)
+        self.models.iter().any(|held| held.model == model)
     }
 
-    fn load(&self, view: &ForecastLoads, models: &ModelIndex) -> f64 {
-        let groups = self.models.iter().filter(|group| !group.unloading);
-        let loads = groups.map(|group| {
-            per_copy_load(view.expected[group.model], models.copy_count(group.model))
+    fn load(&self, forecast: &ForecastLoads, models: &ModelIndex) -> f64 {
+        let held_models = self.models.iter().filter(|held| !held.unloading);
+        let loads = held_models.map(|held| {
+            per_copy_load(forecast.expected[held.model], models.copy_count(held.model))
         });
         loads.sum()
     }
 }
 
-/// An outlook by the models' numbers.
+/// Converts a forecast from model names to model indices.
 fn forecast_loads(forecast: &DemandForecast, models: &ModelIndex) -> ForecastLoads {
     let names = models.names().iter();
     let expected = names.clone().map(|name| forecast.expected_of(name));
-    let kept = names.map(|name| forecast.retained_of(name));
-    ForecastLoads::new(forecast.weight, expected.collect(), kept.collect())
+    let retained = names.map(|name| forecast.retained_of(name));
+    ForecastLoads::new(forecast.weight, expected.collect(), retained.collect())
 }
--- a/crates/direct/src/plan/model_index.rs
+++ b/crates/direct/src/plan/model_index.rs
@@ -1,12 +1,12 @@
-//! Models by number, with who holds them.
+//! Models by index, with the upstreams that hold them.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
 use super::index_set::IndexSet;
 
-/// Models by number: a plan asks for the same few facts of each model thousands of
-/// times, and names are slow to find.
+/// Maps model names to dense indices. A plan looks up the same few properties of each
+/// model thousands of times, and lookups by name are slow.
 #[derive(Debug, Default)]
 pub(super) struct ModelIndex {
     indices: HashMap<Arc<str>, usize>,
@@ -16,20 +16,20 @@
 }
 
 impl ModelIndex {
-    /// The number of a model, which is given one if it has none.
+    /// Index of a model; a new one is assigned on first use.
     pub(super) fn intern(&mut self, name: &Arc<str>) -> usize {
-        if let Some(number) = self.indices.get(name) {
-            return *number;
+        if let Some(index) = self.indices.get(name) {
+            return *index;
         }
-        let number = self.names.len();
-        self.indices.insert(Arc::clone(name), number);
+        let index = self.names.len();
+        self.indices.insert(Arc::clone(name), index);
         self.names.push(Arc::clone(name));
         self.holders.push(Vec::new());
         self.holder_sets.push(IndexSet::default());
-        number
+        index
     }
 
-    /// The number of a model that has one.
+    /// Index of a model that has one.
     pub(super) fn index_of(&self, name: &str) -> Option<usize> {
         self.indices.get(name).copied()
     }
@@ -46,7 +46,7 @@
         &self.names
     }
 
-    /// Upstreams that hold a model or will.
+    /// Upstreams that hold the model or will hold it after the planned loads.
     pub(super) fn holders(&self, model: usize) -> &[usize] {
         &self.holders[model]
     }
@@ -59,13 +59,13 @@
         self.holders[model].len()
     }
 
-    pub(super) fn add_copy(&mut self, model: usize, spot: usize) {
-        self.holders[model].push(spot);
-        self.holder_sets[model].insert(spot);
+    pub(super) fn add_copy(&mut self, model: usize, upstream: usize) {
+        self.holders[model].push(upstream);
+        self.holder_sets[model].insert(upstream);
     }
 
-    pub(super) fn remove_copy(&mut self, model: usize, spot: usize) {
-        self.holders[model].retain(|holder| *holder != spot);
-        self.holder_sets[model].remove(spot);
+    pub(super) fn remove_copy(&mut self, model: usize, upstream: usize) {
+        self.holders[model].retain(|holder| *holder != upstream);
+        self.holder_sets[model].remove(upstream);
     }
 }
