--- a/crates/direct/src/plan/relief.rs
+++ b/crates/direct/src/plan/relief.rs
@@ -1,31 +1,33 @@
-//! What a move relieves, worked out from sums that are kept.
+//! Relief of candidate moves, computed from cached sums.
 //!
-//! Relief is the fall of the sum of the squares of all upstreams' loads. A plan
-//! weighs each model at each upstream in place of each model there: some 40,000
-//! moves with 170 models on 78 upstreams. Added up over all holders for each, a plan
-//! took 55 ms, more than the smallest entry's processor has in half a second, and
-//! the entry answered nobody meanwhile.
+//! Relief is the reduction of the sum of squared upstream loads. A plan evaluates each
+//! model on each upstream in place of each model held there: about 40,000 moves with
+//! 170 models on 78 upstreams. Summing over all holders for each move took 55 ms per
+//! plan, more processor time than the smallest entry gets in half a second, and the
+//! entry answered no request meanwhile.
 
 use super::index_set::IndexSet;
 use super::model_index::ModelIndex;
 
-/// One way in which demand may go on, with the loads that follow from it.
+/// One possible development of demand and the upstream loads that follow from it.
 #[derive(Debug)]
 pub(super) struct ForecastLoads {
     pub(super) weight: f64,
-    /// Demand by model, as parts of one upstream's time.
+    /// Expected demand by model, as a share of one upstream's time.
     pub(super) expected: Vec<f64>,
-    /// Demand that a copy may still be kept for.
+    /// Demand by model for which a copy is retained, as a share of one upstream's time.
     pub(super) retained: Vec<f64>,
-    /// Load of each upstream.
+    /// Load of each upstream, as a share of its time.
     pub(super) loads: Vec<f64>,
-    /// Fall at a model's holders when it gets one copy more.
+    /// By model, the reduction of the squared loads of its holders if one more copy is
+    /// added.
     gains: Vec<f64>,
-    /// Rise at a model's holders, less the one that gives it up, when it loses one.
+    /// By model, the reduction of the squared loads of all its holders if one copy is
+    /// removed. It is negative, and includes the holder that gives up the copy.
     losses: Vec<f64>,
 }
 
-/// A copy more of a model at an upstream, in place of another model if one goes.
+/// Loading a model on an upstream, in place of the model `victim` if one has to go.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct CandidateMove {
     pub(super) model: usize,
@@ -33,40 +35,39 @@
     pub(super) victim: Option<usize>,
 }
 
-/// Load of one of `copies` copies.
+/// Load that each of `copies` copies of a model carries.
 pub(super) fn per_copy_load(work: f64, copies: usize) -> f64 {
     work / copies.max(1) as f64
 }
 
 impl ForecastLoads {
-    pub(super) fn new(weight: f64, expected: Vec<f64>, kept: Vec<f64>) -> Self {
+    pub(super) fn new(weight: f64, expected: Vec<f64>, retained: Vec<f64>) -> Self {
         Self {
             weight,
             expected,
-            retained: kept,
+            retained,
             loads: Vec::new(),
             gains: Vec::new(),
             losses: Vec::new(),
         }
     }
 
-    /// Takes over the loads of all upstreams, and adds up what the copies that there
-    /// are would gain and lose.
+    /// Sets the loads of all upstreams and recomputes the cached gains and losses.
     pub(super) fn update(&mut self, loads: Vec<f64>, models: &ModelIndex) {
         self.loads = loads;
-        let all = 0..self.expected.len();
-        self.gains = all
+        let indices = 0..self.expected.len();
+        self.gains = indices
             .clone()
             .map(|model| self.gain_of(model, models))
             .collect();
-        self.losses = all.map(|model| self.loss_of(model, models)).collect();
+        self.losses = indices.map(|model| self.loss_of(model, models)).collect();
     }
 
     fn gain_of(&self, model: usize, models: &ModelIndex) -> f64 {
         let change = self.change_if_added(model, models);
         let holders = models.holders(model).iter();
         holders
-            .map(|spot| square_reduction(self.loads[*spot], change))
+            .map(|holder| square_reduction(self.loads[*holder], change))
             .sum()
     }
 
@@ -74,43 +75,50 @@
         let change = self.change_if_removed(model, models);
         let holders = models.holders(model).iter();
         holders
-            .map(|spot| square_reduction(self.loads[*spot], change))
+            .map(|holder| square_reduction(self.loads[*holder], change))
             .sum()
     }
 
-    /// Change at each holder of a model when it gets one copy more.
+    /// Change of the load of each holder if the model gets one more copy.
     fn change_if_added(&self, model: usize, models: &ModelIndex) -> f64 {
         let (work, copies) = (self.expected[model], models.copy_count(model));
         per_copy_load(work, copies + 1) - per_copy_load(work, copies)
     }
 
-    /// Change at each other holder of a model when it loses one copy.
+    /// Change of the load of each remaining holder if the model loses one copy.
     fn change_if_removed(&self, model: usize, models: &ModelIndex) -> f64 {
         let (work, copies) = (self.retained[model], models.copy_count(model));
         per_copy_load(work, copies.saturating_sub(1)) - per_copy_load(work, copies)
     }
 
-    /// Fall of the sum of the squares of all loads by a move.
-    pub(super) fn relief(&self, of: CandidateMove, models: &ModelIndex) -> f64 {
-        let more =
-            per_copy_load(self.expected[of.model], models.copy_count(of.model) + 1);
-        let load = self.loads[of.to];
-        let Some(victim) = of.victim else {
-            return self.gains[of.model] + square_reduction(load, more);
+    /// Reduction of the sum of squared loads by a move.
+    pub(super) fn relief(&self, candidate: CandidateMove, models: &ModelIndex) -> f64 {
+        let added = per_copy_load(
+            self.expected[candidate.model],
+            models.copy_count(candidate.model) + 1,
+        );
+        let load = self.loads[candidate.to];
+        let Some(victim) = candidate.victim else {
+            return self.gains[candidate.model] + square_reduction(load, added);
         };
         let share = per_copy_load(self.retained[victim], models.copy_count(victim));
-        let rest = self.change_if_removed(victim, models);
-        let others = self.losses[victim] - square_reduction(load, rest);
-        // Holders of both change by both at once.
-        let both =
-            IndexSet::common(models.holder_set(of.model), models.holder_set(victim));
-        let change = self.change_if_added(of.model, models);
-        let crossed = -2.0 * change * rest * f64::from(both);
-        self.gains[of.model] + square_reduction(load, more - share) + others + crossed
+        let others_change = self.change_if_removed(victim, models);
+        let others_relief = self.losses[victim] - square_reduction(load, others_change);
+        // The loads of upstreams that hold both models change by both amounts at once.
+        let shared_holders = IndexSet::common(
+            models.holder_set(candidate.model),
+            models.holder_set(victim),
+        );
+        let change = self.change_if_added(candidate.model, models);
+        let overlap = -2.0 * change * others_change * f64::from(shared_holders);
+        self.gains[candidate.model]
+            + square_reduction(load, added - share)
+            + others_relief
+            + overlap
     }
 }
 
-/// Fall of the square of a load that changes.
+/// Reduction of the square of a load that changes by `change`.
 fn square_reduction(load: f64, change: f64) -> f64 {
     -change * (2.0 * load + change)
 }
--- a/crates/direct/src/prefill.rs
+++ b/crates/direct/src/prefill.rs
@@ -1,41 +1,42 @@
-//! Prompts that wait to be read at an engine.
+//! Prompts that wait for prefill at an engine.
 
-/// Ranks of requests that are told apart, 0 the most urgent. Lower ones count as the
-/// last: three kinds of prompts are more than most services have.
+/// Number of priorities that are told apart; 0 is the most urgent. Lower priorities
+/// count as the last one. Most services have fewer than three kinds of prompts.
 pub const PRIORITY_LEVELS: usize = 3;
 
-/// Prompt tokens that an engine reads in a millisecond. Engines do not tell; paces
-/// of models are factors on it, so only what is expected before any answer came
-/// rests on it.
+/// Prompt tokens that an engine prefills per millisecond at a time factor of 1. Engines
+/// don't report this. The time factors of models are relative to it, so only estimates
+/// made before the first answer of a service depend on it.
 const PROMPT_TOKENS_PER_MS: f64 = 20.0;
 
-/// Part of the less urgent prompts that delays a more urgent one. Engines read the
-/// most urgent first, and finish the piece of a prompt that they are at: of 190
-/// requests that would have waited for 400 ms and more behind all, half began within
-/// 270 ms.
+/// Share of the less urgent prompts that delays a more urgent one. Engines prefill the
+/// most urgent prompt first but finish the current chunk of another one: of 190
+/// requests that would have waited for 400 ms or more behind all others, half started
+/// within 270 ms.
 const LESS_URGENT_SHARE: f64 = 0.25;
 
-/// Prompt tokens to be read of requests that have no first answer yet, by rank, as
-/// many as take the same time at the common pace.
+/// Prompt tokens of requests without a first answer, by priority. Tokens are scaled to
+/// the number that takes the same time at a time factor of 1.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct PrefillQueue {
     tokens: [u64; PRIORITY_LEVELS],
 }
 
 impl PrefillQueue {
-    /// Nothing waits.
+    /// The empty queue.
     pub const EMPTY: Self = Self {
         tokens: [0; PRIORITY_LEVELS],
     };
 
-    /// One request's prompt.
-    pub const fn single(rank: u32, tokens: u64) -> Self {
+    /// The queue of a single request's prompt.
+    pub const fn single(priority: u32, tokens: u64) -> Self {
         let mut queue = Self::EMPTY;
-        queue.tokens[index(rank)] = tokens;
+        queue.tokens[index(priority)] = tokens;
         queue
     }
 
-    /// A queue by rank; what is missing is none.
+    /// Creates a queue from tokens by priority. Missing priorities are empty, further
+    /// ones are ignored.
     pub fn from_priorities(tokens: &[u64]) -> Self {
         let mut queue = Self::EMPTY;
         for (own, tokens) in queue.tokens.iter_mut().zip(tokens) {
@@ -44,46 +45,46 @@
         queue
     }
 
-    /// Tokens by rank.
+    /// Tokens by priority.
     pub const fn by_priority(&self) -> &[u64; PRIORITY_LEVELS] {
         &self.tokens
     }
 
-    /// Whether nothing waits.
+    /// Whether no prompt is waiting.
     pub fn is_empty(&self) -> bool {
         *self == Self::EMPTY
     }
 
-    /// Adds what waits besides.
+    /// Adds the prompts of another queue.
     pub fn add(&mut self, other: &Self) {
         for (own, other) in self.tokens.iter_mut().zip(other.tokens) {
             *own = own.saturating_add(other);
         }
     }
 
-    /// Takes away what waits no more.
+    /// Removes the prompts of another queue.
     pub fn remove(&mut self, other: &Self) {
         for (own, other) in self.tokens.iter_mut().zip(other.tokens) {
             *own = own.saturating_sub(other);
         }
     }
 
-    /// Time that reading all of it takes.
+    /// Time to prefill all prompts.
     pub fn prefill_ms(&self) -> f64 {
         ms(self.tokens.iter().sum())
     }
 
-    /// Time for which a request of a rank waits behind it.
-    pub fn wait_ms(&self, rank: u32) -> f64 {
-        let (ahead, behind) = self.tokens.split_at(index(rank) + 1);
+    /// Time for which a request of this priority waits behind the queue.
+    pub fn wait_ms(&self, priority: u32) -> f64 {
+        let (ahead, behind) = self.tokens.split_at(index(priority) + 1);
         ms(ahead.iter().sum()) + ms(behind.iter().sum()) * LESS_URGENT_SHARE
     }
 }
 
-const fn index(rank: u32) -> usize {
-    let rank = rank as usize;
-    if rank < PRIORITY_LEVELS {
-        rank
+const fn index(priority: u32) -> usize {
+    let priority = priority as usize;
+    if priority < PRIORITY_LEVELS {
+        priority
     } else {
         PRIORITY_LEVELS - 1
     }
--- a/crates/direct/src/records.rs
+++ b/crates/direct/src/records.rs
@@ -1,23 +1,23 @@
-//! What the platform and the upstreams say of upstreams.
+//! Records of upstreams, as the platform and the upstreams themselves provide them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// One start of an upstream.
+/// One process start of an upstream.
 ///
-/// What is known of an upstream is known of one start: the next one holds, counts
-/// and knows nothing of before. A start of which the time is not known is older
-/// than any that is; among those, the name alone tells starts apart.
+/// Knowledge about an upstream belongs to one incarnation: the next one starts with
+/// nothing held and all counts at zero. An incarnation without a known start time is
+/// older than any with one; incarnations without start times can't be told apart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UpstreamIncarnation<'a> {
     /// Name of the upstream.
     pub id: &'a str,
-    /// Unix millisecond of its start.
+    /// Start time, in milliseconds since the Unix epoch.
     pub started_unix_ms: Option<u64>,
 }
 
 impl UpstreamRecord {
-    /// The start that says this.
+    /// The incarnation that the record describes.
     pub fn incarnation(&self) -> UpstreamIncarnation<'_> {
         UpstreamIncarnation {
             id: &self.id,
@@ -26,64 +26,66 @@
     }
 }
 
-/// The platform's entry of one upstream.
+/// The platform's record of one upstream.
 #[derive(Debug, Clone)]
 pub struct UpstreamRecord {
-    /// Name. An upstream may start again under it.
+    /// Name. An upstream may restart under the same name.
     pub id: Arc<str>,
-    /// Unix millisecond of the start that says this, where upstreams say it.
+    /// Start time of the incarnation, in milliseconds since the Unix epoch, if
+    /// upstreams provide it.
     pub started_unix_ms: Option<u64>,
-    /// Service.
+    /// Service that the upstream belongs to.
     pub service: Arc<str>,
-    /// Address.
+    /// Address that requests and orders are sent to.
     pub address: SocketAddr,
     /// Failure domain.
     pub domain: Arc<str>,
-    /// Requests that run at once.
+    /// Number of requests that run at once.
     pub batch_slots: u32,
-    /// Whether it is leaving.
+    /// Whether the upstream is leaving.
     pub leaving: bool,
-    /// Time until it is gone, where it is taken away at short notice.
+    /// Time until the upstream is gone, if it is removed at short notice.
     pub gone_in_ms: Option<u64>,
-    /// Models held.
+    /// Models that are held.
     pub residents: Vec<ResidentModel>,
-    /// Copies of weights that it can load without the weight store.
+    /// Weights that the upstream can load without the weight store.
     pub local_weights: LocalWeights,
 }
 
 /// A model that an upstream holds.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ResidentModel {
-    /// Model.
+    /// Name of the model.
     pub model: Arc<str>,
     /// Version of the weights.
     pub version: u64,
-    /// Adapters held with it.
+    /// Adapters of the model that are held.
     pub adapters: Vec<Arc<str>>,
 }
 
-/// Copies of weights that an upstream can load without the weight store.
+/// Weights that an upstream can load without the weight store.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct LocalWeights {
-    /// Models in its host's memory.
+    /// Models in the memory of its host.
     pub in_memory: Vec<Arc<str>>,
     /// Models on its disk.
     pub on_disk: Vec<Arc<str>>,
 }
 
-/// An upstream's own report.
+/// A report that an upstream gives about itself.
 #[derive(Debug, Clone, Default)]
 pub struct UpstreamReport {
-    /// Unix millisecond of the start that says this, where upstreams say it.
+    /// Start time of the incarnation, in milliseconds since the Unix epoch, if
+    /// upstreams provide it.
     pub started_unix_ms: Option<u64>,
     /// Whether an order is being carried out.
     pub busy: bool,
-    /// Orders accepted since its start.
+    /// Number of orders accepted since the upstream started.
     pub orders_accepted: u64,
-    /// Models held.
+    /// Models that are held.
     pub residents: Vec<ResidentModel>,
-    /// Adapters on their way, as model and adapter.
+    /// Adapters that are loading, as pairs of model and adapter.
     pub adapters_loading: Vec<(Arc<str>, Arc<str>)>,
-    /// Copies of weights.
+    /// Weights that the upstream can load without the weight store.
     pub local_weights: LocalWeights,
 }
--- a/crates/direct/src/retry.rs
+++ b/crates/direct/src/retry.rs
@@ -1,22 +1,22 @@
-//! What may follow a try that did not end well.
+//! Decision on what follows an attempt that failed.
 
 use crate::RouteKind;
 
-/// How a try at an upstream ended without a whole answer.
+/// How an attempt at an upstream ended without a complete answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptOutcome {
     /// No byte of the request left this process.
     NotSent,
-    /// The upstream says that it did not and will not run it.
+    /// The upstream says that it has not run the request and won't.
     Refused,
-    /// It was sent, and nothing says whether it ran.
+    /// The request was sent, and it is unknown whether it ran.
     Unknown,
-    /// It ran and failed.
+    /// The request ran and failed.
     Failed,
 }
 
 impl AttemptOutcome {
-    /// The word used in logs and metrics.
+    /// Value of the outcome in logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::NotSent => "not_sent",
@@ -27,36 +27,36 @@
     }
 }
 
-/// What has been tried of a request.
+/// The attempts made for a request so far.
 #[derive(Debug, Clone, Copy)]
 pub struct AttemptHistory {
-    /// Upstreams that the request was sent to, this try's included.
+    /// Number of upstreams that the request was sent to, including this attempt's.
     pub upstreams: u32,
-    /// Most upstreams that it may be sent to.
+    /// Maximum number of upstreams that the request may be sent to.
     pub upstreams_max: u32,
-    /// Whether any try before this one may have run.
+    /// Whether the request may have run in any earlier attempt.
     pub may_have_run: bool,
 }
 
-/// What follows.
+/// What follows an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// It may be sent to another upstream; this does not count as a repeat.
+    /// The request may be sent to another upstream without using the retry budget.
     Resend,
-    /// It may be sent to another upstream if the budget of repeats allows it.
+    /// The request may be sent to another upstream if the retry budget allows it.
     Retry,
-    /// It may not be sent again and provably has not run.
+    /// The request may not be sent again and certainly has not run.
     FailNotRun,
-    /// It may not be sent again and may have run.
+    /// The request may not be sent again and may have run.
     FailMayHaveRun,
 }
 
-/// Decides what may follow a try.
+/// Decides what follows an attempt.
 ///
-/// A caller that hears "not run" sends a non-idempotent request again, so that
-/// word is given only when every try was refused or never sent. An answer that
-/// is missing is never taken for a refusal: the upstream may have taken the
-/// order and lost the answer, and a second send would do it twice.
+/// A caller that is told "not run" sends a non-idempotent request again, so this is
+/// only reported if every attempt was refused or never sent. A missing answer never
+/// counts as a refusal: the upstream may have run the request and lost the answer, and
+/// a second attempt would run it twice.
 pub const fn decide_retry(
     kind: RouteKind,
     history: AttemptHistory,
--- a/crates/direct/src/retry_budget.rs
+++ b/crates/direct/src/retry_budget.rs
@@ -1,32 +1,31 @@
-//! One bound on the repeats of all entries.
+//! A bound on the retries of all entries together.
 
 use base::prelude::*;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Parts of the window; one part is forgotten at a time.
+/// Number of slices of the window; they expire one at a time.
 const SLICES: u64 = 20;
 
-/// Part of an entry's share that it may use. The bound is judged over any
-/// window, and requests are counted where they were sent, so what two entries
-/// see of one window differs by what is under way.
+/// Share of its allowance that an entry uses. The bound applies to any window and
+/// requests are counted where they were sent, so the windows of two entries differ by
+/// the requests in transit.
 const USABLE_SHARE: f64 = 0.8;
 
 #[derive(Debug, Clone, Copy, Default)]
 struct WindowSlice {
-    number: u64,
+    slice_number: u64,
     requests: u32,
     retries: u32,
 }
 
-/// Repeats of requests, bounded for each service over all entries.
+/// Bounds the retries for each service over all entries.
 ///
-/// When a service fails, each entry repeats what failed, and the repeats of all
-/// together arrive at upstreams that can bear least of it. Each entry may use a
-/// fixed part of the allowance: a percentage of the requests that it received
-/// itself, and its part of the burst. The parts add up to the whole whatever the
-/// entries know of one another, so no message has to arrive for the bound to
-/// hold.
+/// When a service fails, every entry retries what failed, and all retries together hit
+/// upstreams that can least bear them. Each entry may use a fixed part of the
+/// allowance: a ratio of the requests that it received itself, and its part of the
+/// burst. These parts add up to the whole, whatever the entries know of one another, so
+/// the bound doesn't depend on any message.
 #[derive(Debug)]
 pub struct RetryBudget {
     ratio: f64,
@@ -38,11 +37,11 @@
 }
 
 impl RetryBudget {
-    /// A bound of `ratio` repeats for each request and `burst` more in any
+    /// Creates a budget of `ratio` retries per request plus `burst` retries in any
     /// `window_ms`, over all entries.
     ///
-    /// The process started at `started_at`. What its predecessor on the same
-    /// machine repeated is not known, so the burst is given out over one window.
+    /// The process started at `started_at`. The retries of its predecessor on the same
+    /// machine are unknown, so the burst becomes available gradually over one window.
     pub const fn new(
         started_at: Instant,
         ratio: f64,
@@ -59,22 +58,22 @@
         }
     }
 
-    /// Sets how many entries share the burst.
+    /// Sets the number of entries that share the burst.
     pub fn set_entries(&mut self, entries: u32) {
         self.entries = entries.max(1);
     }
 
-    /// Counts a request of a caller.
+    /// Records a request of a caller.
     pub fn record_request(&mut self, now: Instant, service: &Arc<str>) {
         self.slice(now, service).requests += 1;
     }
 
-    /// Takes one repeat; false when the share is spent.
+    /// Takes one retry from the budget; returns false if the budget is used up.
     pub fn try_take(&mut self, now: Instant, service: &Arc<str>) -> bool {
         let (requests, retries) = self.window_counts(now, service);
-        let up_ms = now.ms_since(self.started_at).min(self.window_ms);
+        let uptime_ms = now.ms_since(self.started_at).min(self.window_ms);
         let burst = self.burst / f64::from(self.entries);
-        let burst = burst * up_ms as f64 / self.window_ms as f64;
+        let burst = burst * uptime_ms as f64 / self.window_ms as f64;
         let share = f64::from(requests) * self.ratio + burst;
         if f64::from(retries) + 1.0 > share * USABLE_SHARE {
             return false;
@@ -83,13 +82,13 @@
         true
     }
 
-    /// Requests and repeats in the window that ends now.
+    /// Requests and retries in the window that ends at `now`.
     pub fn window_counts(&self, now: Instant, service: &Arc<str>) -> (u32, u32) {
-        let number = self.slice_number(now);
-        let oldest = (number + 1).saturating_sub(SLICES);
+        let slice_number = self.slice_number(now);
+        let oldest = (slice_number + 1).saturating_sub(SLICES);
         let slices = self.services.get(service).into_iter().flatten();
         slices
-            .filter(|slice| (oldest..=number).contains(&slice.number))
+            .filter(|slice| (oldest..=slice_number).contains(&slice.slice_number))
             .fold((0, 0), |(requests, retries), slice| {
                 (requests + slice.requests, retries + slice.retries)
             })
@@ -100,12 +99,12 @@
     }
 
     fn slice(&mut self, now: Instant, service: &Arc<str>) -> &mut WindowSlice {
-        let number = self.slice_number(now);
+        let slice_number = self.slice_number(now);
         let slices = self.services.entry(Arc::clone(service)).or_default();
-        let slice = &mut slices[(number % SLICES) as usize];
-        if slice.number != number {
+        let slice = &mut slices[(slice_number % SLICES) as usize];
+        if slice.slice_number != slice_number {
             *slice = WindowSlice {
-                number,
+                slice_number,
                 ..WindowSlice::default()
             };
         }
--- a/crates/direct/src/select.rs
+++ b/crates/direct/src/select.rs
@@ -1,4 +1,4 @@
-//! Choice of the upstream that runs a request.
+//! Selection of the upstream that runs a request.
 
 use base::prelude::*;
 use std::sync::Arc;
@@ -6,90 +6,93 @@
 use crate::prefix_affinity::PrefixAffinity;
 use crate::{EngineSpec, Fleet, PrefillQueue, Upstream, Usage};
 
-/// Delay of a first answer by each request that already runs.
+/// Delay of the first answer per running request.
 const PER_RUNNING_MS: f64 = 1.0;
 
-/// Delay of an answer of a plain service by each request at the upstream over
-/// its slots, and a little below them.
+/// Delay of a plain service's answer per request that exceeds the slots of the
+/// upstream, and per request in general.
 const PER_QUEUED_MS: f64 = 30.0;
 const PER_SLOT_MS: f64 = 3.0;
 
-/// What an upstream in another failure domain costs in bytes and time.
+/// Penalty for an upstream in another failure domain, for network traffic and latency.
 const CROSS_DOMAIN_MS: f64 = 4.0;
 
-/// What a failed answer costs: the time until the request is sent again.
+/// Cost of a failed answer: the time until the request is sent again.
 const FAILURE_MS: f64 = 1_500.0;
 
-/// Part of the cache that running requests are let fill. Over it, engines
-/// preempt requests in the middle of their answers.
+/// Share of the KV cache that running requests may fill. Above it, engines preempt
+/// requests in the middle of their answers.
 const USABLE_CACHE_SHARE: f64 = 0.92;
 
-/// What the choice depends on besides the upstreams.
+/// Properties of the request and of this entry on which the selection depends.
 #[derive(Debug)]
 pub struct SelectionInput<'a> {
-    /// The present.
+    /// The current time.
     pub now: Instant,
-    /// Service.
+    /// Name of the service.
     pub service: &'a str,
     /// The service's engine; `None` for a plain service.
     pub engine: Option<&'a EngineSpec>,
-    /// Model and adapter.
+    /// Model and adapter; `None` for a plain service.
     pub model: Option<(&'a str, Option<&'a str>)>,
-    /// Prompt parts: hash of all parts up to it, and its tokens.
+    /// Prompt parts: for each, the hash of the prompt up to and including the part, and
+    /// the number of tokens in the part.
     pub prompt_parts: &'a [(u64, u64)],
-    /// Rank of the request, 0 the most urgent.
+    /// Priority of the request; 0 is the most urgent.
     pub priority: u32,
-    /// Prompt tokens.
+    /// Number of prompt tokens.
     pub prompt_tokens: u64,
-    /// Factor on the time that reading them takes.
+    /// Time factor of the model.
     pub time_factor: f64,
-    /// Tokens that the request may keep at the upstream.
+    /// Tokens that the request may occupy in the upstream's KV cache.
     pub kv_tokens: u64,
-    /// Upstreams it was sent to already.
+    /// Upstreams that the request was already sent to.
     pub excluded: &'a [Arc<str>],
     /// Failure domain of this entry.
     pub domain: &'a str,
-    /// A number drawn at random; breaks ties.
+    /// A random number that breaks ties.
     pub random: u64,
 }
 
-/// A chosen upstream.
+/// A selected upstream.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SelectedUpstream {
-    /// Upstream.
+    /// Name of the upstream.
     pub id: Arc<str>,
-    /// What the request uses there.
+    /// Usage of the upstream by the request.
     pub usage: Usage,
-    /// Time that reading its prompt takes there at the common pace, if nothing
-    /// waits before it.
+    /// Time to prefill the prompt at a time factor of 1; `None` if other prompts wait
+    /// before it.
     pub unqueued_prefill_ms: Option<f64>,
-    /// Time to its first answer as far as can be told.
+    /// Expected time to the first answer.
     pub first_answer_ms: f64,
-    /// Part of that which reading its own prompt takes.
+    /// Part of `first_answer_ms` that the request's own prefill takes.
     pub own_prefill_ms: f64,
-    /// Prompt tokens that the upstream has to read, as far as this entry knows.
+    /// Prompt tokens that the upstream has to prefill, as far as this entry knows.
     pub uncached_tokens: u64,
 }
 
-/// Why there is no upstream.
+/// Why no upstream was selected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SelectionError {
     /// The service has no usable upstream.
     NoUpstream,
-    /// None holds the model.
+    /// No upstream holds the model.
     NoModel,
-    /// None that holds the model holds the adapter.
+    /// No upstream that holds the model holds the adapter.
     NoAdapter,
-    /// All that hold the model asked this entry for no request for a while.
+    /// All upstreams that hold the model asked this entry to send no requests for a
+    /// while.
     BackedOff,
-    /// All that hold the model were sent as many requests as they take.
+    /// All upstreams that hold the model have been sent as many requests as they
+    /// accept.
     RateSpent,
-    /// All that could run it are full.
+    /// All upstreams that could run the request are full.
     Full,
 }
 
 impl SelectionError {
-    /// The word used in logs and metrics.
+    /// Value of the reason in logs and metrics.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::NoUpstream => "no_upstream",
@@ -102,13 +105,14 @@
     }
 }
 
-/// Picks the upstream whose first answer is expected soonest.
+/// Selects the upstream with the earliest expected first answer.
 ///
-/// Entries see one another's requests a tenth of a second late, so between two
-/// upstreams that are nearly equal chance decides: else all entries would send
-/// the next requests to the same one. Of those that read a prompt's shared parts, each
-/// entry prefers the same: what is expected there leaves out what it may keep that
-/// this entry does not know of, and the choice does not.
+/// Entries learn of one another's requests a tenth of a second late, so the choice
+/// between two upstreams that are nearly equal is random. Otherwise all entries would
+/// send their next requests to the same one. Upstreams that are preferred for the
+/// prompt's shared prefix are favoured, so that all entries use the same ones. This
+/// affects only the selection: the expected time to the first answer doesn't include
+/// cached tokens that this entry doesn't know of.
 ///
 /// # Errors
 ///
@@ -127,11 +131,11 @@
             continue;
         }
         match score_candidate(upstream, input, &affinity, index as u64) {
-            Err(why) => reason = reason.closer(why),
+            Err(error) => reason = reason.closer(error),
             Ok((score, selected)) => {
                 let suspected = upstream.is_avoided(input.now);
-                let better = best.as_ref().is_none_or(|(other, least, _)| {
-                    (suspected, score) < (*other, *least)
+                let better = best.as_ref().is_none_or(|(other, best_score, _)| {
+                    (suspected, score) < (*other, *best_score)
                 });
                 if better {
                     best = Some((suspected, score, selected));
@@ -143,7 +147,7 @@
 }
 
 impl SelectionError {
-    /// The reason closest to an upstream that could run the request.
+    /// The reason that is closer to an upstream that could run the request.
     const fn closer(self, other: Self) -> Self {
         if other as u8 > self as u8 {
             other
@@ -163,40 +167,41 @@
         check_holds(upstream, input.now, model, adapter)?;
     }
     check_accepting(upstream, input.now)?;
-    // Added up over all entries: only where it can matter.
+    // This sums over all entries, so it is only computed for upstreams that pass the
+    // checks above.
     let usage = upstream.usage(input.now);
     let RequestNeed {
-        usage: adds,
+        usage: added,
         cached_tokens,
     } = match input.model {
         Some((model, _)) => model_need(upstream, input, model, &usage)?,
         None => RequestNeed::default(),
     };
     let wait_ms = if input.model.is_some() {
-        engine_wait_ms(&usage, &adds, input.priority)
+        engine_wait_ms(&usage, &added, input.priority)
     } else {
         service_wait_ms(upstream, &usage)
     };
-    let chance = jitter(input.random, index);
+    let noise = jitter(input.random, index);
     let domain_ms = if *upstream.record.domain == *input.domain {
         0.0
     } else {
         CROSS_DOMAIN_MS
     };
-    let saved_ms =
+    let saving_ms =
         affinity.expected_saving_ms(&upstream.record.id, cached_tokens, input);
-    let score = (wait_ms - saved_ms).max(0.0) * (1.0 + 0.1 * chance)
-        + chance
+    let score = (wait_ms - saving_ms).max(0.0) * (1.0 + 0.1 * noise)
+        + noise
         + domain_ms
         + failure_penalty_ms(upstream);
-    let alone = input.model.is_some() && usage.prefill.is_empty();
+    let is_unqueued = input.model.is_some() && usage.prefill.is_empty();
     let selected = SelectedUpstream {
         id: Arc::clone(&upstream.record.id),
-        usage: adds,
-        unqueued_prefill_ms: alone
-            .then(|| adds.prefill.prefill_ms() / input.time_factor),
+        usage: added,
+        unqueued_prefill_ms: is_unqueued
+            .then(|| added.prefill.prefill_ms() / input.time_factor),
         first_answer_ms: wait_ms,
-        own_prefill_ms: adds.prefill.prefill_ms(),
+        own_prefill_ms: added.prefill.prefill_ms(),
         uncached_tokens: input.prompt_tokens.saturating_sub(cached_tokens),
     };
     Ok((score, selected))
@@ -217,7 +222,7 @@
     Ok(())
 }
 
-/// Whether an upstream takes a request, by what it said itself.
+/// Whether an upstream accepts requests, according to its own responses.
 fn check_accepting(upstream: &Upstream, now: Instant) -> Result<(), SelectionError> {
     if upstream.is_backed_off(now) {
         return Err(SelectionError::BackedOff);
@@ -228,16 +233,16 @@
     Ok(())
 }
 
-/// What a request needs of an upstream.
+/// What a request needs from an upstream.
 #[derive(Debug)]
 struct RequestNeed {
     usage: Usage,
-    /// Prompt tokens that the upstream need not read, as far as this entry knows.
+    /// Prompt tokens that the upstream has cached, as far as this entry knows.
     cached_tokens: u64,
 }
 
 impl Default for RequestNeed {
-    /// That of a request to a plain service.
+    /// The need of a request to a plain service.
     fn default() -> Self {
         Self {
             usage: Usage {
@@ -260,9 +265,9 @@
     }
     let cached_tokens = upstream.cached_tokens(input.prompt_parts);
     if let Some(engine) = input.engine {
-        let kept = usage.kv_tokens + input.kv_tokens;
+        let kv_tokens = usage.kv_tokens + input.kv_tokens;
         let usable_tokens = engine.kv_capacity_tokens as f64 * USABLE_CACHE_SHARE;
-        if usage.running >= engine.batch_slots || kept as f64 > usable_tokens {
+        if usage.running >= engine.batch_slots || kv_tokens as f64 > usable_tokens {
             return Err(SelectionError::Full);
         }
     }
@@ -278,9 +283,9 @@
     })
 }
 
-fn engine_wait_ms(usage: &Usage, adds: &Usage, rank: u32) -> f64 {
-    let ahead_ms = usage.prefill.wait_ms(rank);
-    ahead_ms + adds.prefill.prefill_ms() + f64::from(usage.running) * PER_RUNNING_MS
+fn engine_wait_ms(usage: &Usage, added: &Usage, priority: u32) -> f64 {
+    let ahead_ms = usage.prefill.wait_ms(priority);
+    ahead_ms + added.prefill.prefill_ms() + f64::from(usage.running) * PER_RUNNING_MS
 }
 
 fn service_wait_ms(upstream: &Upstream, usage: &Usage) -> f64 {
--- a/crates/direct/src/shared_watch.rs
+++ b/crates/direct/src/shared_watch.rs
@@ -1,56 +1,56 @@
-//! One watch of the platform for the entries of a failure domain.
+//! Sharing of one watch of the platform among the entries of a failure domain.
 //!
-//! Answers the load of many entries: upstreams' entries change several times a second
-//! where models come and go, each change ends the watch of every entry, and every
-//! entry's next watch is a call. The calls grow with entries times changes, and with
-//! sixty entries cost callers more than any other thing. Here one entry of a failure
-//! domain watches and passes on what it saw.
+//! The records of upstreams change several times a second while models are loaded and
+//! unloaded. Each change ends the watch of every entry, and every entry's next watch is
+//! a call. The number of calls is the number of entries times the number of changes;
+//! with sixty entries, it cost callers more than anything else. Instead, one entry of a
+//! failure domain watches and forwards what it saw.
 //!
-//! Nothing rests on the passing on. Each entry watches itself again as soon as what it
-//! was told is too old, whatever the reason: the leader has ended, hangs, is cut off
-//! from the platform or from the entry. And each watches itself now and then all the
-//! same, from where its own last watch ended, so that news that were forged, or that
-//! lack something, do not last.
+//! Correctness doesn't depend on the forwarding. An entry watches by itself as soon as
+//! what it received is too old, whether the leader has ended, hangs, or is cut off from
+//! the platform or from the entry. In addition, each entry watches by itself from time
+//! to time, starting where its own last watch ended, so forged or incomplete messages
+//! have no lasting effect.
 
 use base::prelude::*;
 use std::collections::VecDeque;
 
-/// Entries of a failure domain from which on they share a watch. With two, the one
-/// that is told saves less than passing on to it costs.
+/// Number of entries in a failure domain from which on they share a watch. With two,
+/// forwarding costs more than the follower saves.
 const MIN_SHARING_ENTRIES: usize = 3;
 
-/// Age of the platform's last word to the leader after which an entry watches itself.
-/// A leader's word is at most 0.9 s old; an upstream that leaves has to be known as
-/// such within two seconds.
+/// Age of the platform's last answer to the leader after which an entry watches by
+/// itself. A leader's message is at most 0.9 s old, and an upstream that is leaving has
+/// to be known as such within two seconds.
 const RECEIVED_MAX_AGE_MS: u64 = 1_300;
 
-/// Time between two watches of an entry that is told all the while: for so long a
-/// forged word can keep true news from it. Shorter than the platform's history, in
-/// which the watch begins.
+/// Interval between an entry's own watches while it receives messages from the leader.
+/// A forged message can hide true changes for this long. It is shorter than the
+/// platform's history, from which the watch resumes.
 const OWN_WATCH_INTERVAL_MS: u64 = 15_000;
 
-/// Batches in one message: the newest, and the one before it once more, since a message
-/// may be lost.
+/// Number of batches in one message: the newest, and the one before it again in case a
+/// message was lost.
 const MAX_BATCHES: usize = 2;
 
-/// Largest size of what one message passes on. That there is more is told, and what it
-/// is left to each entry's own watch: to a dozen entries, it would fill the smallest
-/// link for a tenth of a second.
+/// Maximum size of the forwarded changes in one message. Larger batches are announced
+/// without their changes, and each entry watches for these by itself: sent to a dozen
+/// entries, they would fill the smallest link for a tenth of a second.
 const MAX_MESSAGE_BYTES: usize = 12 << 10;
 
-/// What an entry does for the watch of its failure domain.
+/// Role of an entry in the watch of its failure domain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WatchRole {
     /// It watches for itself.
     Independent,
-    /// It watches and passes on what it sees.
+    /// It watches and forwards what it sees.
     Leader,
-    /// It is told, and watches itself where that fails.
+    /// It receives the leader's messages, and watches by itself if they fail.
     Follower,
 }
 
 impl WatchRole {
-    /// The word used in logs.
+    /// Value of the role in logs.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Independent => "independent",
@@ -60,28 +60,27 @@
     }
 }
 
-/// An object that changed, as the platform gives it.
+/// A changed object, as the platform returned it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ChangedObject {
-    /// Key.
+    /// Key of the object.
     pub key: String,
-    /// Version.
+    /// Version of the change.
     pub version: u64,
-    /// Value; empty where the object is gone.
+    /// Value; empty if the object was deleted.
     pub value: Vec<u8>,
 }
 
-/// What one watch saw: all changes after a version, up to another one.
+/// Result of one watch: all changes after one version up to another.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WatchBatch {
-    /// Version after which these are all changes.
+    /// The batch holds all changes after this version.
     pub after_version: u64,
-    /// Version up to which they are.
+    /// The batch holds all changes up to and including this version.
     pub to_version: u64,
     /// The changes in order.
     pub objects: Vec<ChangedObject>,
-    /// Whether there were changes that are left out here: whoever is told of them has
-    /// to watch for them itself.
+    /// Whether changes were left out. The receiver has to watch for them by itself.
     pub is_partial: bool,
 }
 
@@ -94,48 +93,49 @@
     }
 }
 
-/// What came of a leader's word.
+/// Result of handling a leader's message.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct ReceivedBatches {
-    /// Batches that are new, in order.
+    /// New batches, in order.
     pub new_batches: Vec<WatchBatch>,
-    /// Version up to which changes are now known, if the word followed on what was.
+    /// Version up to which changes are known now; `None` if the message left a gap.
     pub known_version: Option<u64>,
-    /// Whether an own watch has to bring what was left out.
+    /// Whether this entry has to watch by itself for changes that were left out.
     pub needs_own_watch: bool,
 }
 
-/// One entry's view of the shared watch.
+/// One entry's state of the shared watch.
 #[derive(Debug, Default)]
 pub struct SharedWatch {
-    /// Version up to which all changes are known, by an own watch or another's.
+    /// Version up to which all changes are known, from own watches or the leader's.
     known_version: u64,
-    /// When the platform last confirmed that to a leader.
+    /// When the platform last confirmed the known state to a leader.
     received_at: Option<Instant>,
-    /// When an own call was last answered, and whether the last one was.
+    /// When an own call last succeeded, and whether the latest one did.
     own_call_at: Option<Instant>,
     is_working: bool,
-    /// Whether something changed that was not told.
+    /// Whether changes were announced without their content.
     needs_own_watch: bool,
     recent_batches: VecDeque<WatchBatch>,
 }
 
 impl SharedWatch {
-    /// Nothing is known.
+    /// Creates a state in which nothing is known.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// An own list was answered: everything up to a version is known.
+    /// Handles the answer to an own list call: everything up to version `at` is known.
     ///
-    /// What was watched before it is passed on no more: it would be taken for all that
-    /// there is up to now, and what changed before the list be missing.
+    /// Batches watched before the list are no longer forwarded. A receiver would take
+    /// them for all changes up to now and miss those between the last watch and the
+    /// list.
     pub fn on_listed(&mut self, now: Instant, at: u64) {
         self.recent_batches.clear();
         self.on_confirmed(now, at);
     }
 
-    /// An own watch was answered: what it saw is known, and kept to be passed on.
+    /// Handles the answer to an own watch. Its batch is kept for forwarding.
     pub fn on_watched(&mut self, now: Instant, batch: WatchBatch) {
         self.on_confirmed(now, batch.to_version);
         self.recent_batches.push_back(batch);
@@ -151,27 +151,27 @@
         self.needs_own_watch = false;
     }
 
-    /// An own call was not answered.
+    /// Handles an own call that failed.
     pub const fn on_failed(&mut self) {
         self.is_working = false;
     }
 
-    /// Whether others may rely on this entry's watch.
+    /// Whether other entries can rely on this entry's watch.
     pub const fn is_working(&self) -> bool {
         self.is_working
     }
 
-    /// When an own call was last answered.
+    /// When an own call last succeeded.
     pub const fn confirmed_at(&self) -> Option<Instant> {
         self.own_call_at
     }
 
-    /// What this entry does, where it hears these others of its failure domain whose
-    /// own watch works: the first by name is the leader.
-    pub fn role(&self, me: &str, others: &[impl AsRef<str>]) -> WatchRole {
+    /// Role of this entry, given the other entries of its failure domain that it hears
+    /// from and whose own watch works. The first one by name is the leader.
+    pub fn role(&self, entry: &str, others: &[impl AsRef<str>]) -> WatchRole {
         if others.len() + 1 < MIN_SHARING_ENTRIES {
             WatchRole::Independent
-        } else if others.iter().any(|other| other.as_ref() < me) {
+        } else if others.iter().any(|other| other.as_ref() < entry) {
             WatchRole::Follower
         } else if self.is_working {
             WatchRole::Leader
@@ -180,18 +180,18 @@
         }
     }
 
-    /// Whether an own watch would bring nothing now.
+    /// Whether an own watch would return nothing new now.
     pub fn can_skip_own_watch(&self, now: Instant) -> bool {
-        let is_young = |at: Option<Instant>, age_max_ms| {
+        let is_recent = |at: Option<Instant>, age_max_ms| {
             at.is_some_and(|at| now.ms_since(at) < age_max_ms)
         };
-        let is_fresh = is_young(self.received_at, RECEIVED_MAX_AGE_MS);
+        let is_fresh = is_recent(self.received_at, RECEIVED_MAX_AGE_MS);
         is_fresh
-            && is_young(self.own_call_at, OWN_WATCH_INTERVAL_MS)
+            && is_recent(self.own_call_at, OWN_WATCH_INTERVAL_MS)
             && !self.needs_own_watch
     }
 
-    /// What is passed on now: the newest batches, with what of their changes fits.
+    /// The batches to forward now: the newest ones, with the changes that fit.
     pub fn outgoing(&self) -> Vec<WatchBatch> {
         let mut bytes = 0;
         let newest = self.recent_batches.iter().rev().map(|batch| {
@@ -210,11 +210,11 @@
         batches
     }
 
-    /// A leader passes on what it saw, confirmed to it at a time; what of it is new
-    /// here.
+    /// Handles a leader's message, whose content the platform confirmed to the leader
+    /// at `confirmed_at`. Returns what is new.
     ///
-    /// Batches that do not follow on what is known are left: something between was
-    /// lost, and the own watch that is due soon brings it.
+    /// Batches that leave a gap after the known version are ignored. The changes in
+    /// between were lost, and this entry's next own watch returns them.
     pub fn receive(
         &mut self,
         confirmed_at: Instant,
--- a/crates/direct/src/successor.rs
+++ b/crates/direct/src/successor.rs
@@ -1,22 +1,23 @@
-//! Whether another entry can lead in the place of one that is being stopped.
+//! Whether another entry can take the lease of a coordinator that is shutting down.
 
-/// Another entry that was heard lately.
+/// Another entry that was heard from recently.
 #[derive(Debug, Clone, Copy)]
 pub struct PeerEntry {
-    /// Start of its process, in milliseconds of the time of day.
+    /// Start time of its process, in milliseconds since the Unix epoch.
     pub started_unix_ms: u64,
-    /// Whether it is being stopped.
+    /// Whether it is shutting down.
     pub stopping: bool,
 }
 
-/// Whether one of the other entries can take the lease of an entry that is being stopped
-/// and whose process began at `start_ms`.
+/// Whether one of the other entries can take the lease of an entry that is shutting
+/// down and whose process started at `started_unix_ms`.
 ///
-/// Where others are being stopped as well, it is the turn of all: those that were not
-/// stopped yet are next, and each in turn would hold the lease for a moment and leave
-/// nobody for the quiet time after it. One that has started since stays.
-pub fn has_successor(start_ms: u64, others: &[PeerEntry]) -> bool {
-    let all_in_turn = others.iter().any(|other| other.stopping);
-    let mut able = others.iter().filter(|other| !other.stopping);
-    able.any(|other| !all_in_turn || other.started_unix_ms > start_ms)
+/// If other entries are shutting down as well, it is a rolling restart: the entries
+/// that haven't been stopped yet are next. Each of them would hold the lease only for a
+/// moment, and there would be no coordinator for the quiet time that follows. Only an
+/// entry that has already restarted will stay.
+pub fn has_successor(started_unix_ms: u64, others: &[PeerEntry]) -> bool {
+    let others_stopping = others.iter().any(|other| other.stopping);
+    let mut remaining = others.iter().filter(|other| !other.stopping);
+    remaining.any(|other| !others_stopping || other.started_unix_ms > started_unix_ms)
 }
--- a/crates/direct/src/time_factors.rs
+++ b/crates/direct/src/time_factors.rs
@@ -1,4 +1,4 @@
-//! How fast each model reads prompts, learned from first answers.
+//! Prefill speed of each model, learned from first answers.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -6,28 +6,27 @@
 /// Weight of the newest first answer.
 const NEWEST_WEIGHT: f64 = 0.1;
 
-/// Bounds of what is learned; what lies outside is a queue or an answer that
-/// came from elsewhere.
+/// Upper and lower bound of a learned factor. Values outside come from a queue or from
+/// an answer that wasn't computed by the engine.
 const MAX_FACTOR: f64 = 1.5;
 const MIN_FACTOR: f64 = 0.08;
 
-/// Time of a first answer that no reading of prompts explains.
+/// Part of the time to the first answer that isn't prefill.
 const FIXED_OVERHEAD_MS: f64 = 15.0;
 
-/// Time that reading must take at the common pace for its answer to tell
-/// anything.
+/// Minimum prefill time, at a time factor of 1, for an answer to be used.
 const MIN_PREFILL_MS: f64 = 20.0;
 
-/// The pace of each model, as a factor on the time that reading takes.
+/// Time factor of each model, relative to a common prefill speed.
 ///
-/// Models of one service differ in it by up to eight times, and nothing says so.
-/// A fast model's requests would be taken for a long queue: others would avoid
-/// its upstreams, and its own be refused as too late.
+/// The models of one service differ by a factor of up to eight, and nothing declares
+/// it. The requests of a fast model would look like a long queue: other requests would
+/// avoid its upstreams, and its own would be refused as too late.
 ///
-/// One of many entries sees few answers of each model, so a model starts from the
-/// pace of its service, which every answer teaches. Started from a fixed figure
-/// on engines twice as fast, each entry refused the longest prompts of a model
-/// until it had learned that model by itself.
+/// With many entries, one entry gets few answers of each model, so a model starts from
+/// the factor of its service, which every answer updates. With a fixed initial value,
+/// on engines that were twice as fast, each entry refused the longest prompts of a
+/// model until it had learned that model's factor by itself.
 #[derive(Debug, Default)]
 pub struct ModelTimeFactors {
     by_service: BTreeMap<Arc<str>, ServiceFactors>,
@@ -42,7 +41,7 @@
 #[derive(Debug, Clone, Copy)]
 struct LearnedFactor {
     factor: f64,
-    /// Answers that taught it.
+    /// Number of answers that the factor was learned from.
     answers: u32,
 }
 
@@ -57,7 +56,8 @@
         Self { factor, answers: 0 }
     }
 
-    /// What it starts from counts as one answer, so the first ones move it far.
+    /// Updates the factor. The initial value counts as one answer, so the first answers
+    /// have a large weight.
     fn learn(&mut self, factor: f64) {
         self.answers = self.answers.saturating_add(1);
         let weight = NEWEST_WEIGHT.max(1.0 / f64::from(self.answers.saturating_add(1)));
@@ -66,22 +66,22 @@
 }
 
 impl ModelTimeFactors {
-    /// All models at the common pace.
+    /// Creates an empty set, in which every model has a factor of 1.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The factor of a model; of its service where no answer of the model came.
+    /// Factor of a model, or of its service if the model has had no answer.
     pub fn factor(&self, service: &str, model: &str) -> f64 {
         let Some(service) = self.by_service.get(service) else {
             return 1.0;
         };
-        let own = service.by_model.get(model);
-        own.unwrap_or(&service.common).factor
+        let model_factor = service.by_model.get(model);
+        model_factor.unwrap_or(&service.common).factor
     }
 
-    /// A first answer came after `took_ms` where reading alone takes
-    /// `prefill_ms` at the common pace, and nothing was waiting before it.
+    /// Learns from a first answer that came after `took_ms`, where prefill takes
+    /// `prefill_ms` at a time factor of 1 and no other prompt was waiting.
     pub fn observe(
         &mut self,
         service: &Arc<str>,
@@ -96,8 +96,8 @@
             ((took_ms - FIXED_OVERHEAD_MS) / prefill_ms).clamp(MIN_FACTOR, MAX_FACTOR);
         let service = self.by_service.entry(Arc::clone(service)).or_default();
         let start = LearnedFactor::from(service.common.factor);
-        let own = service.by_model.entry(Arc::clone(model)).or_insert(start);
-        own.learn(factor);
+        let model_factor = service.by_model.entry(Arc::clone(model)).or_insert(start);
+        model_factor.learn(factor);
         service.common.learn(factor);
     }
 }
--- a/crates/direct/src/unanswered.rs
+++ b/crates/direct/src/unanswered.rs
@@ -1,63 +1,65 @@
-//! Orders that may still be carried out, also by a later start of their upstream.
+//! Orders without an answer, which may still be carried out, even by a later
+//! incarnation of their upstream.
 
 use base::prelude::*;
 use std::sync::Arc;
 
 use crate::{EngineSpec, Order, OrderAction};
 
-/// Time for which an order without an answer may still be carried out.
+/// Maximum time after which an order without an answer may still be carried out.
 pub(crate) const MAX_ORDER_DELAY_MS: u64 = 12_500;
 
-/// Orders of one upstream that got no answer, each until it can't come any more.
+/// Orders to one upstream that got no answer, each kept until it can no longer be
+/// carried out.
 ///
-/// An upstream that starts again counts its orders anew, so an order that was
-/// decided at an earlier start meets the count that it names once more. It is then
-/// carried out beside what was ordered from the later start, which without this
-/// would be ordered to hold more than it can and crash.
+/// An upstream that restarts counts its orders from zero, so an order decided for an
+/// earlier incarnation may match the count again. It is then carried out in addition to
+/// the orders to the later incarnation. Unless its memory is reserved, the later
+/// incarnation is ordered to hold more than fits and crashes.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct UnansweredOrders {
     orders: Vec<(Instant, Order)>,
 }
 
 impl UnansweredOrders {
-    /// An order that has no answer yet.
+    /// Adds an order that got no answer.
     pub(crate) fn add(&mut self, now: Instant, order: Order) {
         self.remove(&order);
         self.orders.push((now.plus_ms(MAX_ORDER_DELAY_MS), order));
     }
 
-    /// The upstream has refused an order, or it was never sent.
+    /// Removes an order that the upstream refused or that was never sent.
     pub(crate) fn remove(&mut self, order: &Order) {
         self.orders.retain(|(_, known)| known != order);
     }
 
-    /// Forgets orders that can't come any more.
+    /// Drops orders that can no longer be carried out.
     pub fn expire(&mut self, now: Instant) {
         self.orders.retain(|(until, _)| now < *until);
     }
 
-    /// Whether there are none.
+    /// Whether there are no such orders.
     pub const fn is_empty(&self) -> bool {
         self.orders.is_empty()
     }
 
-    /// Loads of models among them, of any start.
+    /// Number of model loads among the orders, to any incarnation.
     pub fn load_count(&self) -> usize {
         let all = self.orders.iter();
         all.filter(|(_, order)| matches!(order.action, OrderAction::Load(_)))
             .count()
     }
 
-    /// Models whose unload may be the order that an upstream of this start carries out
-    /// now, having accepted so many.
+    /// Models whose unload may be the order that an upstream of this incarnation is
+    /// carrying out, given the number of orders that it has accepted.
     pub(crate) fn unloads_in_progress(
         &self,
-        born_ms: Option<u64>,
+        started_unix_ms: Option<u64>,
         orders_accepted: u64,
     ) -> impl Iterator<Item = &Arc<str>> {
         let orders = self.orders.iter().map(|(_, order)| order);
         let accepted = orders.filter(move |order| {
-            order.started_unix_ms == born_ms
+            order.started_unix_ms == started_unix_ms
                 && order.expected_count + 1 == orders_accepted
         });
         accepted.filter_map(|order| match &order.action {
@@ -66,51 +68,56 @@
         })
     }
 
-    /// Weights that orders to earlier starts may bring to a later one.
+    /// Memory, in MB, that orders to earlier incarnations may add to a later one.
     pub(crate) fn reserved_mb(
         &self,
         engine: &EngineSpec,
-        born_ms: Option<u64>,
+        started_unix_ms: Option<u64>,
         count: u64,
     ) -> f64 {
-        let sizes = self
-            .still_possible(born_ms, count)
-            .map(|action| match action {
-                OrderAction::Load(model) => {
-                    let spec = engine.models.get(model);
-                    spec.map_or(0.0, |spec| spec.weights_mb)
-                }
-                OrderAction::LoadAdapter(model, _) => {
-                    let spec = engine.models.get(model);
-                    spec.map_or(0.0, |spec| spec.adapter_mb)
-                }
-                OrderAction::Unload(_) | OrderAction::UnloadAdapter(..) => 0.0,
-            });
+        let sizes =
+            self.still_possible(started_unix_ms, count)
+                .map(|action| match action {
+                    OrderAction::Load(model) => {
+                        let spec = engine.models.get(model);
+                        spec.map_or(0.0, |spec| spec.weights_mb)
+                    }
+                    OrderAction::LoadAdapter(model, _) => {
+                        let spec = engine.models.get(model);
+                        spec.map_or(0.0, |spec| spec.adapter_mb)
+                    }
+                    OrderAction::Unload(_) | OrderAction::UnloadAdapter(..) => 0.0,
+                });
         sizes.sum()
     }
 
-    /// Adapters that orders to earlier starts may bring to a later one.
-    pub(crate) fn reserved_adapters(&self, born_ms: Option<u64>, count: u64) -> u32 {
-        let loads = self.still_possible(born_ms, count);
+    /// Number of adapters that orders to earlier incarnations may add to a later one.
+    pub(crate) fn reserved_adapters(
+        &self,
+        started_unix_ms: Option<u64>,
+        count: u64,
+    ) -> u32 {
+        let loads = self.still_possible(started_unix_ms, count);
         let loads =
             loads.filter(|action| matches!(action, OrderAction::LoadAdapter(..)));
         u32::try_from(loads.count()).unwrap_or(u32::MAX)
     }
 
-    /// Orders to earlier starts that a later one with this order count may carry
-    /// out beside the next order that it is given.
+    /// Orders to earlier incarnations that a later one with this order count may carry
+    /// out in addition to the next order to it.
     ///
-    /// One that names a lower count is refused for ever. One that names this count
-    /// excludes the next order, which names it too. The others may come.
+    /// An order that names a lower count will always be refused. One that names this
+    /// count excludes the next order, which names the same count. Any other may still
+    /// be carried out.
     fn still_possible(
         &self,
-        born_ms: Option<u64>,
+        started_unix_ms: Option<u64>,
         count: u64,
     ) -> impl Iterator<Item = &OrderAction> {
-        let earlier = self.orders.iter().map(|(_, order)| order);
-        earlier
+        let orders = self.orders.iter().map(|(_, order)| order);
+        orders
             .filter(move |order| {
-                order.started_unix_ms < born_ms && order.expected_count > count
+                order.started_unix_ms < started_unix_ms && order.expected_count > count
             })
             .map(|order| &order.action)
     }
