--- a/crates/direct/benches/entry.rs
+++ b/crates/direct/benches/entry.rs
@@ -168,7 +168,7 @@
     let models = models.iter().map(|model| (Arc::clone(model), spec.clone()));
     EngineSpec {
         batch_slots: 6_400,
-        kv_capacity_tokens: 100_000_000,
+        cache_capacity_tokens: 100_000_000,
         weights_max_mb: 230_000.0,
         adapters_max: 8,
         store_loads_per_s: 13.0,
--- a/crates/direct/benches/plan.rs
+++ b/crates/direct/benches/plan.rs
@@ -50,7 +50,7 @@
     };
     EngineSpec {
         batch_slots: 64,
-        kv_capacity_tokens: 100_000,
+        cache_capacity_tokens: 100_000,
         weights_max_mb: 230_000.0,
         adapters_max: 8,
         store_loads_per_s: 13.0,
--- a/crates/direct/src/admission.rs
+++ b/crates/direct/src/admission.rs
@@ -30,7 +30,7 @@
     /// When the request arrived.
     pub arrived_at: Instant,
     /// Time within which the answer earns its full value.
-    pub target_latency_ms: u64,
+    pub latency_target_ms: u64,
     /// Latest time at which the first part of the answer is of any use.
     pub first_answer_deadline: Instant,
     /// Time for which the prompt waits behind others at the upstream.
@@ -68,7 +68,7 @@
     if own_answer_ms > useful_ms {
         return Err(own_answer_ms - useful_ms);
     }
-    let usable_ms = admission.target_latency_ms * USABLE_TARGET_PERCENT / 100;
+    let usable_ms = admission.latency_target_ms * USABLE_TARGET_PERCENT / 100;
     let target_at = admission.arrived_at.plus_ms(usable_ms);
     if !admission.at_engine || admission.now >= target_at {
         return Ok(());
--- a/crates/direct/src/config.rs
+++ b/crates/direct/src/config.rs
@@ -36,7 +36,7 @@
     /// Maximum time that a caller is kept waiting.
     pub timeout_ms: u64,
     /// Time within which an answer earns its full value.
-    pub target_latency_ms: u64,
+    pub latency_target_ms: u64,
     /// Priority of the requests; 0 is the highest.
     pub priority: u32,
     /// Maximum number of upstreams that one request may be sent to.
@@ -94,7 +94,7 @@
     /// Number of requests that run at once.
     pub batch_slots: u32,
     /// Capacity of the KV cache, in tokens, for running requests and cached prompts.
-    pub kv_capacity_tokens: u64,
+    pub cache_capacity_tokens: u64,
     /// Memory for the weights of models and adapters, in MB.
     pub weights_max_mb: f64,
     /// Maximum number of adapters held at once.
--- a/crates/direct/src/demand.rs
+++ b/crates/direct/src/demand.rs
@@ -52,7 +52,7 @@
     /// Time factor of the model's engines.
     pub time_factor: f64,
     /// Time within which the answer earns its full value.
-    pub target_latency_ms: u64,
+    pub latency_target_ms: u64,
 }
 
 impl Arrival {
@@ -67,7 +67,7 @@
 
     /// Share of the engine time that counts as demand.
     fn urgency(&self) -> f64 {
-        let target_ms = self.target_latency_ms.max(1) as f64;
+        let target_ms = self.latency_target_ms.max(1) as f64;
         (URGENT_LATENCY_MS / target_ms).clamp(MIN_URGENCY, 1.0)
     }
 }
@@ -197,12 +197,12 @@
     }
 
     /// Records that a request was sent to an upstream that has to prefill
-    /// `uncached_tokens` of its prompt.
-    pub fn record_sent(&mut self, prompt_tokens: u64, uncached_tokens: u64) {
+    /// `prefill_tokens` of its prompt.
+    pub fn record_sent(&mut self, prompt_tokens: u64, prefill_tokens: u64) {
         if prompt_tokens == 0 {
             return;
         }
-        let share = (uncached_tokens as f64 / prompt_tokens as f64).min(1.0);
+        let share = (prefill_tokens as f64 / prompt_tokens as f64).min(1.0);
         self.request_stats.uncached_share +=
             (share - self.request_stats.uncached_share) * NEWEST_REQUEST_WEIGHT;
     }
--- a/crates/direct/src/select.rs
+++ b/crates/direct/src/select.rs
@@ -69,7 +69,7 @@
     /// Part of `first_answer_ms` that the request's own prefill takes.
     pub own_prefill_ms: f64,
     /// Prompt tokens that the upstream has to prefill, as far as this entry knows.
-    pub uncached_tokens: u64,
+    pub prefill_tokens: u64,
 }
 
 /// Why no upstream was selected.
@@ -202,7 +202,7 @@
             .then(|| added.prefill.prefill_ms() / input.time_factor),
         first_answer_ms: wait_ms,
         own_prefill_ms: added.prefill.prefill_ms(),
-        uncached_tokens: input.prompt_tokens.saturating_sub(cached_tokens),
+        prefill_tokens: input.prompt_tokens.saturating_sub(cached_tokens),
     };
     Ok((score, selected))
 }
@@ -266,7 +266,7 @@
     let cached_tokens = upstream.cached_tokens(input.prompt_parts);
     if let Some(engine) = input.engine {
         let kv_tokens = usage.kv_tokens + input.kv_tokens;
-        let usable_tokens = engine.kv_capacity_tokens as f64 * USABLE_CACHE_SHARE;
+        let usable_tokens = engine.cache_capacity_tokens as f64 * USABLE_CACHE_SHARE;
         if usage.running >= engine.batch_slots || kv_tokens as f64 > usable_tokens {
             return Err(SelectionError::Full);
         }
--- a/crates/direct/tests/all/admit.rs
+++ b/crates/direct/tests/all/admit.rs
@@ -7,7 +7,7 @@
     AdmissionInput {
         now: at(now_ms),
         arrived_at: at(0),
-        target_latency_ms: 800,
+        latency_target_ms: 800,
         first_answer_deadline: at(3_200),
         queue_ms,
         prefill_ms: 0,
--- a/crates/direct/tests/all/demand.rs
+++ b/crates/direct/tests/all/demand.rs
@@ -15,7 +15,7 @@
     prompt_tokens: 1_800,
     answer_tokens: 120,
     time_factor: 1.0,
-    target_latency_ms: 800,
+    latency_target_ms: 800,
 };
 
 /// Ten requests a second of about 100 ms each.
@@ -90,7 +90,7 @@
             demand.record_arrival(
                 &name("a"),
                 &Arrival {
-                    target_latency_ms: aim_ms,
+                    latency_target_ms: aim_ms,
                     ..REQUEST
                 },
             );
--- a/crates/direct/tests/all/setup.rs
+++ b/crates/direct/tests/all/setup.rs
@@ -17,7 +17,7 @@
             .collect(),
         kind: RouteKind::Idempotent,
         timeout_ms: 1_000,
-        target_latency_ms: 100,
+        latency_target_ms: 100,
         priority: 1,
         upstreams_max: 2,
         pause_max_ms: 0,
--- a/crates/direct/tests/all/support.rs
+++ b/crates/direct/tests/all/support.rs
@@ -28,7 +28,7 @@
     };
     EngineSpec {
         batch_slots: 8,
-        kv_capacity_tokens: 10_000,
+        cache_capacity_tokens: 10_000,
         weights_max_mb: 215.0,
         adapters_max: 2,
         store_loads_per_s: 2.0,
--- a/crates/front/src/request.rs
+++ b/crates/front/src/request.rs
@@ -197,7 +197,7 @@
     if !route.kind.is_stream() {
         return route.timeout_ms;
     }
-    let aims = (4 * route.target_latency_ms).max(8 * route.pause_max_ms);
+    let aims = (4 * route.latency_target_ms).max(8 * route.pause_max_ms);
     aims.max(STREAM_PATIENCE_MS)
 }
 
--- a/crates/front/src/run.rs
+++ b/crates/front/src/run.rs
@@ -75,7 +75,7 @@
                 prompt_tokens: call.ask.prompt_tokens,
                 answer_tokens: answer,
                 time_factor: node.pace_of(&call),
-                target_latency_ms: call.route.target_latency_ms,
+                latency_target_ms: call.route.latency_target_ms,
             };
             node.with_demand(&call.service, |demand| {
                 demand.record_arrival(model, &arrival);
@@ -166,7 +166,7 @@
             unqueued_prefill_ms: None,
             first_answer_ms: 0.0,
             own_prefill_ms: 0.0,
-            uncached_tokens: 0,
+            prefill_tokens: 0,
         };
         self.tries
             .push(json!({ "upstream": &**upstream, "outcome": "broke_off",
--- a/crates/front/src/seek.rs
+++ b/crates/front/src/seek.rs
@@ -105,7 +105,7 @@
         let call = &self.call;
         let at_engine = call.ask.model.is_some();
         if at_engine {
-            let (prompt, unread) = (call.ask.prompt_tokens, picked.uncached_tokens);
+            let (prompt, unread) = (call.ask.prompt_tokens, picked.prefill_tokens);
             self.node.with_demand(&call.service, |demand| {
                 demand.record_sent(prompt, unread);
             });
@@ -119,7 +119,7 @@
         let admission = AdmissionInput {
             now: self.node.now(),
             arrived_at: call.arrived,
-            target_latency_ms: call.route.target_latency_ms,
+            latency_target_ms: call.route.latency_target_ms,
             first_answer_deadline: call.first_by,
             queue_ms: (picked.first_answer_ms - picked.own_prefill_ms) as u64,
             prefill_ms: picked.own_prefill_ms as u64,
