--- a/crates/role/src/agent/targets.rs
+++ b/crates/role/src/agent/targets.rs
@@ -1,48 +1,49 @@
-//! The targets of planners, and which of them is followed.
+//! Targets received from planners, and the choice of the one to follow.
 
 use base::{Instant, ModelId};
 use mem::Placement;
 use schema::link::Target;
 use std::collections::BTreeMap;
 
-/// Planners whose targets are kept; a cell has a few entries.
-const PLANNERS_MAX: usize = 64;
+/// Maximum number of planners whose targets are kept; a planning cell has only
+/// a few entries.
+const MAX_PLANNERS: usize = 64;
 
-/// Heartbeats for which a target is followed after it was heard.
-const FOLLOWED_HEARTBEATS: u64 = 10;
+/// Heartbeat intervals for which a target is followed after it was received.
+const TARGET_LIFETIME_HEARTBEATS: u64 = 10;
 
 #[derive(Debug)]
-struct Heard {
+struct PlannerTarget {
     rank: u64,
     sequence: u64,
-    at: Instant,
+    received_at: Instant,
     wanted: Vec<Placement>,
 }
 
-/// The targets heard.
+/// Last target of each planner.
 ///
-/// Two planners may both believe to be the one of the cell. Following the
-/// highest rank, for as long as it is heard, keeps the agent from swinging
-/// between their plans; one that falls silent is forgotten.
+/// Two entries may both believe that they plan the cell. Following the one with
+/// the highest rank for as long as its targets arrive keeps the agent from
+/// alternating between their plans; a planner that falls silent is dropped.
 #[derive(Debug, Default)]
 pub(super) struct Targets {
-    heard: BTreeMap<String, Heard>,
+    by_planner: BTreeMap<String, PlannerTarget>,
     followed: String,
 }
 
 impl Targets {
-    /// Takes in a target; an older one of the same planner is dropped.
-    pub(super) fn hear(&mut self, now: Instant, target: &Target, heartbeat_ms: u64) {
-        self.forget(now, heartbeat_ms);
+    /// Stores a target, unless a newer one of the same planner is known.
+    pub(super) fn accept(&mut self, now: Instant, target: &Target, heartbeat_ms: u64) {
+        self.drop_expired(now, heartbeat_ms);
         if self
-            .heard
+            .by_planner
             .get(&target.planner)
             .is_some_and(|held| held.sequence > target.sequence)
         {
             return;
         }
-        let full = self.heard.len() >= PLANNERS_MAX;
-        if full && !self.heard.contains_key(&target.planner) {
+        let full = self.by_planner.len() >= MAX_PLANNERS;
+        if full && !self.by_planner.contains_key(&target.planner) {
             return;
         }
         let wanted = target.models.iter().map(|model| Placement {
@@ -50,47 +51,48 @@
             model: ModelId::new(&model.model),
             version: model.version,
         });
-        let heard = Heard {
+        let by_planner = PlannerTarget {
             rank: target.rank,
             sequence: target.sequence,
-            at: now,
+            received_at: now,
             wanted: wanted.collect(),
         };
-        self.heard.insert(target.planner.clone(), heard);
-        self.choose();
+        self.by_planner.insert(target.planner.clone(), by_planner);
+        self.select_planner();
     }
 
-    /// What the followed planner wants; `None` if none has been heard lately.
+    /// Placements that the followed planner wants; `None` if no recent target
+    /// is known.
     pub(super) fn wanted(
         &mut self,
         now: Instant,
-        beat_ms: u64,
+        heartbeat_ms: u64,
     ) -> Option<&[Placement]> {
-        self.forget(now, beat_ms);
-        let followed = self.heard.get(&self.followed)?;
+        self.drop_expired(now, heartbeat_ms);
+        let followed = self.by_planner.get(&self.followed)?;
         Some(&followed.wanted)
     }
 
-    /// Planner that is followed; empty for none.
+    /// The followed planner; empty for none.
     pub(super) fn planner(&self) -> &str {
         &self.followed
     }
 
-    /// Sequence of the target that is followed.
+    /// Sequence number of the followed target; 0 for none.
     pub(super) fn sequence(&self) -> u64 {
-        let followed = self.heard.get(&self.followed);
-        followed.map_or(0, |heard| heard.sequence)
+        let followed = self.by_planner.get(&self.followed);
+        followed.map_or(0, |by_planner| by_planner.sequence)
     }
 
-    fn forget(&mut self, now: Instant, heartbeat_ms: u64) {
-        let life_ms = heartbeat_ms * FOLLOWED_HEARTBEATS;
-        self.heard
-            .retain(|_, held| now.ms_since(held.at) <= life_ms);
-        self.choose();
+    fn drop_expired(&mut self, now: Instant, heartbeat_ms: u64) {
+        let life_ms = heartbeat_ms * TARGET_LIFETIME_HEARTBEATS;
+        self.by_planner
+            .retain(|_, held| now.ms_since(held.received_at) <= life_ms);
+        self.select_planner();
     }
 
-    fn choose(&mut self) {
-        let best = self.heard.iter().max_by_key(|(_, held)| held.rank);
+    fn select_planner(&mut self) {
+        let best = self.by_planner.iter().max_by_key(|(_, held)| held.rank);
         self.followed = best.map_or_else(String::new, |(name, _)| name.clone());
     }
 }
--- a/crates/role/src/entry/requests/end.rs
+++ b/crates/role/src/entry/requests/end.rs
@@ -1,61 +1,60 @@
-//! The end of a request.
+//! Ends requests and attempts.
 
 use base::prelude::*;
 use schema::timeline::EventKind;
 
 use super::super::EntryAction;
 use super::super::counters::Counts;
+use super::super::resolve::Resource;
 use super::super::shared::Ctx;
-use super::super::trace::Note;
-use super::super::wanted::Wanted;
+use super::super::timeline::TimelineEvent;
 use super::Requests;
-use super::outcome::note_outcome;
-use super::place::Placed;
+use super::dispatch::Dispatched;
 use super::state::{Attempt, Request, State};
+use super::upstream_outcome::record_outcome;
 
 impl Requests {
-    /// Refuses a request, saying of it what its attempts show.
-    ///
-    /// An attempt in flight is settled by what was seen of it.
+    /// Ends a request with an error. The refusal reports whether the request ran, as far
+    /// as is known from its attempts, including the one in flight, which is ended.
     pub(super) fn refuse(
         &mut self,
         ctx: &mut Ctx<'_>,
         sequence: u64,
         code: Code,
         retry_after_ms: Option<u64>,
-    ) -> Placed {
-        let Some(request) = self.take(ctx, sequence) else {
-            return Placed::Ended;
+    ) -> Dispatched {
+        let Some(request) = self.remove(ctx, sequence) else {
+            return Dispatched::Ended;
         };
-        let ran = request.trail.ran();
+        let ran = request.history.ran();
         let refusal = Refusal {
-            code: said_of(&request, code, ran),
+            code: refusal_code(&request, code, ran),
             ran,
             retry_after_ms,
         };
         ctx.shared.counts.refused(refusal.code);
-        ctx.shared.tally.lock().refused(&request);
+        ctx.shared.outcomes.lock().record_refused(&request);
         let detail = format!(
-            "{} after {} ms, {} sent, {} refused by gates, {} units given: {code}",
+            "{} after {} ms, {} attempts, {} refused by agents, {} units delivered: {code}",
             ran.as_str(),
             ctx.now.ms_since(request.arrived_at),
-            request.sent,
-            request.refused,
+            request.attempts_sent,
+            request.admission_refusals,
             request.delivered,
         );
-        Note::new(EventKind::RequestFailed, detail)
+        TimelineEvent::new(EventKind::RequestFailed, detail)
             .request(request.id())
-            .model(request.resolved.wanted.as_str())
+            .model(request.resolved.resource.as_str())
             .code(refusal.code)
-            .put(ctx.out);
+            .record(ctx.out);
         ctx.out.push(EntryAction::Refuse {
             request: request.id(),
             refusal,
         });
-        Placed::Ended
+        Dispatched::Ended
     }
 
-    /// Gives the caller the end of a whole answer.
+    /// Ends a request with a complete answer.
     pub(super) fn finish(
         &mut self,
         ctx: &mut Ctx<'_>,
@@ -64,21 +63,28 @@
         content_type: String,
         replayed: bool,
     ) {
-        let Some(request) = self.take(ctx, sequence) else {
+        let Some(request) = self.remove(ctx, sequence) else {
             return;
         };
         Counts::add(&ctx.shared.counts.finished);
-        ctx.shared.tally.lock().finished(ctx.now, &request);
-        let replayed = if replayed { ", of an earlier run" } else { "" };
+        ctx.shared
+            .outcomes
+            .lock()
+            .record_finished(ctx.now, &request);
+        let replayed = if replayed {
+            ", replayed from an earlier run"
+        } else {
+            ""
+        };
         let detail = format!(
             "{} units after {} ms{replayed}",
             request.delivered,
             ctx.now.ms_since(request.arrived_at),
         );
-        Note::new(EventKind::RequestFinished, detail)
+        TimelineEvent::new(EventKind::RequestFinished, detail)
             .request(request.id())
-            .model(request.resolved.wanted.as_str())
-            .put(ctx.out);
+            .model(request.resolved.resource.as_str())
+            .record(ctx.out);
         ctx.out.push(EntryAction::Finish {
             request: request.id(),
             status: http_status(status),
@@ -87,31 +93,35 @@
         });
     }
 
-    /// Takes a request out of the shard and gives back what it held.
-    pub(super) fn take(&mut self, ctx: &mut Ctx<'_>, sequence: u64) -> Option<Request> {
-        self.settle(ctx, sequence, None);
-        let request = self.live.remove(&sequence)?;
-        if let State::Waiting(place) = request.state {
-            ctx.shared.waiting.lock().remove(place);
+    /// Removes a request from the shard, its queue and its caller's count.
+    pub(super) fn remove(
+        &mut self,
+        ctx: &mut Ctx<'_>,
+        sequence: u64,
+    ) -> Option<Request> {
+        self.settle_attempt(ctx, sequence, None);
+        let request = self.requests.remove(&sequence)?;
+        if let State::Waiting(position) = request.state {
+            ctx.shared.wait_queue.lock().remove(position);
             ctx.shared.callers.lock().dequeue(&request.caller);
         }
         ctx.shared.callers.lock().finish_request(&request.caller);
         Some(request)
     }
 
-    /// Ends the attempt in flight, if any: its frames are late from now on.
+    /// Ends the attempt in flight, if any; later frames about it are dropped.
     ///
-    /// `shown` is what its agent said of it in the end. Without such a word an
-    /// attempt counts as run if its start was announced, else as unknown.
-    pub(super) fn settle(
+    /// `reported` is what the agent finally reported. Without a report, the attempt
+    /// counts as run if its start was reported, else as unknown.
+    pub(super) fn settle_attempt(
         &mut self,
         ctx: &mut Ctx<'_>,
         sequence: u64,
-        shown: Option<Ran>,
+        reported: Option<Ran>,
     ) -> Option<Attempt> {
-        let request = self.live.get_mut(&sequence)?;
-        let held = std::mem::replace(&mut request.state, State::New);
-        let attempt = match held {
+        let request = self.requests.get_mut(&sequence)?;
+        let state = std::mem::replace(&mut request.state, State::New);
+        let attempt = match state {
             State::Running(attempt) => attempt,
             other => {
                 request.state = other;
@@ -120,39 +130,42 @@
         };
         self.attempts.remove(&attempt.id.sequence);
         if attempt.probe {
-            // It ended without a word of its upstream: the next may try.
-            note_outcome(ctx, &attempt.agent, false, true);
+            // The probe ended without an outcome; the breaker may grant another one.
+            record_outcome(ctx, &attempt.agent, false, true);
         }
-        let seen = match attempt.started {
+        let observed = match attempt.started {
             true => Ran::Ran,
             false => Ran::Unknown,
         };
-        // An attempt that answered did run, whatever is said of it.
-        let shown = shown.filter(|_| !attempt.answered);
-        request.trail.add(shown.unwrap_or(seen));
-        if attempt.alone
-            && let Wanted::Model(model) = &request.resolved.wanted
+        // An attempt with answer parts did run, whatever the agent reports.
+        let reported = reported.filter(|_| !attempt.answered);
+        request.history.add(reported.unwrap_or(observed));
+        if attempt.exclusive
+            && let Resource::Model(model) = &request.resolved.resource
         {
             let fingerprint = request.resolved.fingerprint;
             let mut suspects = ctx.shared.suspects.lock();
-            suspects.end_alone_run(model, fingerprint);
-            ctx.later.wake.insert(request.resolved.wanted.clone());
-            ctx.later.gossip = true;
+            suspects.end_exclusive_run(model, fingerprint);
+            ctx.follow_ups
+                .wake
+                .insert(request.resolved.resource.clone());
+            ctx.follow_ups.gossip = true;
         }
-        ctx.later.room.insert(attempt.agent.clone());
+        ctx.follow_ups
+            .agents_with_capacity
+            .insert(attempt.agent.clone());
         Some(attempt)
     }
 }
 
-/// The code that fits what is known: codes that speak of a request that was
-/// not run are not said of one that may have run.
+/// Replaces codes that imply that a request did not run (the 2000s) if it may have run.
 ///
-/// Two of them don't speak of that. A convict ran. A key in progress is another
-/// call's, whose answer the caller gets by coming back: told that the outcome is
-/// unknown instead, it would not come back for it.
-fn said_of(request: &Request, code: Code, ran: Ran) -> Code {
-    let stands = matches!(code, Code::Convicted | Code::KeyInProgress);
-    if ran == Ran::NotRun || code.number() / 1_000 != 2 || stands {
+/// Two of these codes are kept. A convicted request did run. A key in progress belongs
+/// to another call, whose answer the caller gets by retrying; it would not retry if it
+/// were told that the outcome is unknown.
+fn refusal_code(request: &Request, code: Code, ran: Ran) -> Code {
+    let keeps_code = matches!(code, Code::Convicted | Code::KeyInProgress);
+    if ran == Ran::NotRun || code.number() / 1_000 != 2 || keeps_code {
         return code;
     }
     if !request.resolved.idempotent {
@@ -163,7 +176,7 @@
     }
     match code {
         Code::DeadlineBeforeRun => Code::DeadlineWhileRunning,
-        _ => request.last_code.unwrap_or(Code::UpstreamLost),
+        _ => request.last_failure_code.unwrap_or(Code::UpstreamLost),
     }
 }
 
--- a/crates/role/src/entry/requests/failures.rs
+++ b/crates/role/src/entry/requests/failures.rs
@@ -1,90 +1,91 @@
-//! Attempts that failed, are missing, or can't be asked after.
+//! Handles failed attempts, missing answers and lost agents.
 
 use base::prelude::*;
 use schema::link::{Cancel, End, Revoke, Revoked, frame};
 use schema::timeline::EventKind;
 
 use super::super::EntryAction;
-use super::super::control::Gone;
+use super::super::control::GoneReason;
 use super::super::counters::Counts;
 use super::super::shared::Ctx;
-use super::super::trace::Note;
+use super::super::timeline::TimelineEvent;
 use super::Requests;
-use super::answers::attempt_of;
-use super::send::wire_id;
+use super::answers::decode_attempt_id;
+use super::send::encode_attempt_id;
 use super::state::{Attempt, State};
 use crate::Peer;
 
-/// When to come back with a request whose retry the budget denied.
+/// Retry delay told to the caller if the retry budget was exhausted.
 const BUDGET_RETRY_MS: u64 = 2_000;
 
-/// When to come back after a deadline: the place taken is free at once, and a
-/// call that goes on may have ended by then.
+/// Retry delay told to the caller after a deadline. The slot is freed at once, and a call
+/// that continues may have ended by then.
 const DEADLINE_RETRY_MS: u64 = 1_000;
 
-/// Failures after which a request is given up, whatever the budget.
+/// Number of failures after which a request is refused, whatever the retry budget.
 const FAILURES_MAX: u32 = 4;
 
-/// Whether a retry is paid for from the budget.
+/// Whether a retry is charged to the retry budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Charge {
-    /// The attempt failed at an upstream.
-    Yes,
-    /// The upstream was crashed, maybe by another request: bystanders don't
-    /// pay. Suspects run one at a time, which bounds these retries. Nor does a
-    /// probe, which was sent to a failing upstream for the fleet's sake; there
-    /// is one at a time.
-    No,
+pub(super) enum RetryCharge {
+    /// The attempt failed at its upstream.
+    Charged,
+    /// The upstream crashed, possibly due to another request, which must not use up the
+    /// budget. These retries are limited, as suspect requests run one at a time. Neither
+    /// is a failed probe charged: it was sent to a failing upstream on behalf of all
+    /// entries, and there is one at a time.
+    Exempt,
 }
 
 /// How an attempt failed.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Failure {
     pub(super) code: Code,
-    /// Whether it ran, if its agent said so.
+    /// Whether it ran, if its agent reported that.
     pub(super) ran: Option<Ran>,
-    pub(super) charge: Charge,
+    pub(super) charge: RetryCharge,
 }
 
 impl Requests {
-    /// An attempt ended with an error.
-    pub(super) fn ended_badly(
+    /// Handles `End` with an error code.
+    pub(super) fn attempt_ended_with_error(
         &mut self,
         ctx: &mut Ctx<'_>,
         sequence: u64,
         frame: &End,
     ) {
         let code = Code::from_number(frame.code).unwrap_or(Code::UpstreamFault);
-        // A crash is no verdict on the upstream: it is down, and is told so.
+        // A crash does not count for the circuit breaker: the upstream is down, and its
+        // agent reports it as such.
         let failing = matches!(code, Code::UpstreamLost | Code::UpstreamFault);
         let mut probe = false;
         if failing && !frame.upstream_crashed {
-            probe = self.judge_upstream(ctx, sequence, false);
+            probe = self.record_upstream_outcome(ctx, sequence, false);
         }
-        let Some(request) = self.live.get(&sequence) else {
+        let Some(request) = self.requests.get(&sequence) else {
             return;
         };
-        let answered = request.attempt().is_some_and(|held| held.answered);
+        let answered = request.attempt().is_some_and(|attempt| attempt.answered);
         let ran = match Ran::from_number(frame.ran) {
-            // An attempt that answered did run, whatever its end says.
+            // An attempt with answer parts did run, whatever its end reports.
             Ran::NotRun if answered => Ran::Ran,
             ran => ran,
         };
         if ran == Ran::NotRun {
-            self.not_run(ctx, sequence, code, u64::from(frame.retry_after_ms));
+            self.attempt_not_run(ctx, sequence, code, u64::from(frame.retry_after_ms));
             return;
         }
-        if !fails_elsewhere_too(code) {
+        if !fails_on_any_upstream(code) {
             let charge = match frame.upstream_crashed || probe {
-                true => Charge::No,
-                false => Charge::Yes,
+                true => RetryCharge::Exempt,
+                false => RetryCharge::Charged,
             };
             let ran = Some(ran);
-            self.failed(ctx, sequence, Failure { code, ran, charge });
+            self.attempt_failed(ctx, sequence, Failure { code, ran, charge });
             return;
         }
         let retry_after = u64::from(frame.retry_after_ms);
-        self.settle(ctx, sequence, Some(ran));
+        self.settle_attempt(ctx, sequence, Some(ran));
         self.refuse(
             ctx,
             sequence,
@@ -93,8 +94,8 @@
         );
     }
 
-    /// Units are missing in an answer.
-    pub(crate) fn gap(
+    /// Handles a gap in the units of an answer.
+    pub(crate) fn answer_gap(
         &mut self,
         ctx: &mut Ctx<'_>,
         agent: &AgentId,
@@ -107,31 +108,31 @@
         let broken = Failure {
             code: Code::AnswerBroken,
             ran: Some(Ran::Ran),
-            charge: Charge::Yes,
+            charge: RetryCharge::Charged,
         };
-        self.failed(ctx, sequence, broken);
+        self.attempt_failed(ctx, sequence, broken);
     }
 
-    /// The attempt in flight failed after it may have run: it is settled, and
-    /// the request is retried if that can do no harm, else ended.
-    pub(super) fn failed(
+    /// Ends an attempt that failed after it may have run. The request is dispatched again
+    /// if that is safe and the limits allow it, and is refused otherwise.
+    pub(super) fn attempt_failed(
         &mut self,
         ctx: &mut Ctx<'_>,
         sequence: u64,
         failure: Failure,
     ) {
         let Failure { code, ran, charge } = failure;
-        let Some(attempt) = self.settle(ctx, sequence, ran) else {
+        let Some(attempt) = self.settle_attempt(ctx, sequence, ran) else {
             return;
         };
-        let Some(request) = self.live.get_mut(&sequence) else {
+        let Some(request) = self.requests.get_mut(&sequence) else {
             return;
         };
-        request.failed += 1;
-        request.last_code = Some(code);
-        request.excluded.push(attempt.agent);
-        // What may have run once must not run twice: the caller is told at once
-        // that the outcome is not known, and decides.
+        request.failures += 1;
+        request.last_failure_code = Some(code);
+        request.excluded_agents.push(attempt.agent);
+        // A request that is not idempotent and may have run must not run again. The
+        // caller is told at once that the outcome is unknown, and decides what to do.
         if !request.resolved.idempotent {
             self.refuse(ctx, sequence, Code::OutcomeUnknown, None);
             return;
@@ -140,91 +141,97 @@
             self.refuse(ctx, sequence, Code::AnswerBroken, None);
             return;
         }
-        if request.failed > FAILURES_MAX {
+        if request.failures > FAILURES_MAX {
             self.refuse(ctx, sequence, code, Some(BUDGET_RETRY_MS));
             return;
         }
-        if charge == Charge::Yes && !take_retry(ctx, request) {
+        if charge == RetryCharge::Charged && !take_retry(ctx, request) {
             Counts::add(&ctx.shared.counts.retries_denied);
             self.refuse(ctx, sequence, code, Some(BUDGET_RETRY_MS));
             return;
         }
-        self.place_elsewhere(ctx, sequence);
+        self.dispatch_elsewhere(ctx, sequence);
     }
 
-    /// Attempts at an agent can't be waited for any longer.
-    pub(crate) fn agent_gone(&mut self, ctx: &mut Ctx<'_>, agent: &AgentId, why: Gone) {
-        let now_of = ctx.control.directory.get(agent);
-        let incarnation = now_of.map(|held| held.incarnation);
-        let lost = self.live.iter().filter(|(_, request)| {
-            request.attempt().is_some_and(|held| {
-                // A heartbeat of the very run that the attempt was sent to says
-                // nothing against it.
-                let same_run = Some(held.incarnation) == incarnation;
-                let spared = why == Gone::Restarted && same_run;
-                // Another thread may have sent it after the event.
-                held.agent == *agent && held.sent_at <= ctx.now && !spared
+    /// Handles the loss of an agent or of the link to it.
+    pub(crate) fn agent_gone(
+        &mut self,
+        ctx: &mut Ctx<'_>,
+        agent: &AgentId,
+        reason: GoneReason,
+    ) {
+        let known_agent = ctx.control.directory.get(agent);
+        let incarnation = known_agent.map(|known| known.incarnation);
+        let lost = self.requests.iter().filter(|(_, request)| {
+            request.attempt().is_some_and(|attempt| {
+                // An attempt sent to the agent's current incarnation is not affected by
+                // the restart.
+                let same_run = Some(attempt.incarnation) == incarnation;
+                let spared = reason == GoneReason::Restarted && same_run;
+                // Another thread may have sent an attempt after the event.
+                attempt.agent == *agent && attempt.sent_at <= ctx.now && !spared
             })
         });
         let lost: Vec<u64> = lost.map(|(sequence, _)| *sequence).collect();
         for sequence in lost {
-            self.attempt_gone(ctx, sequence, why);
+            self.attempt_gone(ctx, sequence, reason);
         }
     }
 
-    fn attempt_gone(&mut self, ctx: &mut Ctx<'_>, sequence: u64, why: Gone) {
-        let Some(request) = self.live.get(&sequence) else {
+    fn attempt_gone(&mut self, ctx: &mut Ctx<'_>, sequence: u64, reason: GoneReason) {
+        let Some(request) = self.requests.get(&sequence) else {
             return;
         };
-        let asks = why == Gone::Lost && !request.resolved.idempotent;
-        if asks && request.attempt().is_some_and(|held| !held.started) {
-            self.revoke(ctx, sequence);
+        let query_first = reason == GoneReason::Lost && !request.resolved.idempotent;
+        if query_first && request.attempt().is_some_and(|attempt| !attempt.started) {
+            self.revoke_attempt(ctx, sequence);
             return;
         }
         self.give_up_attempt(ctx, sequence);
     }
 
-    /// An answer is missing: what can be asked is asked, the rest is given up.
-    pub(super) fn missing(&mut self, ctx: &mut Ctx<'_>, sequence: u64) {
-        let Some(request) = self.live.get(&sequence) else {
+    /// Handles an attempt that was silent for too long: queries the agent if that is
+    /// useful, else gives the attempt up.
+    pub(super) fn answer_missing(&mut self, ctx: &mut Ctx<'_>, sequence: u64) {
+        let Some(request) = self.requests.get(&sequence) else {
             return;
         };
         let Some(attempt) = request.attempt() else {
             return;
         };
-        // A call that must not run twice is worth waiting for the agent's word,
-        // once; one that may run twice goes on at once.
-        let ask = !request.resolved.idempotent && attempt.revoked_at.is_none();
-        if ask {
-            self.revoke(ctx, sequence);
+        // If the request is not idempotent, the agent is queried once, as its answer
+        // decides whether the request may be sent again. An idempotent one is retried
+        // at once.
+        let query = !request.resolved.idempotent && attempt.revoked_at.is_none();
+        if query {
+            self.revoke_attempt(ctx, sequence);
             return;
         }
         if attempt.started {
-            self.judge_upstream(ctx, sequence, false);
+            self.record_upstream_outcome(ctx, sequence, false);
         }
         self.give_up_attempt(ctx, sequence);
     }
 
-    /// Ends the attempt in flight without knowing more of it, and stops it at
-    /// the agent if it can be reached.
+    /// Ends the attempt in flight as lost, and stops it at the agent if there is a link
+    /// to it.
     fn give_up_attempt(&mut self, ctx: &mut Ctx<'_>, sequence: u64) {
         self.cancel_attempt(ctx, sequence);
         let lost = Failure {
             code: Code::UpstreamLost,
             ran: None,
-            charge: Charge::Yes,
+            charge: RetryCharge::Charged,
         };
-        self.failed(ctx, sequence, lost);
+        self.attempt_failed(ctx, sequence, lost);
     }
 
-    /// Tells the agent to stop the attempt in flight, and never to start it.
+    /// Tells the agent to stop the attempt in flight, or not to start it.
     ///
-    /// A `Run` that was delayed on its way could start an attempt nobody waits
-    /// for; the tombstone that `Revoke` leaves keeps it from doing so. A call
-    /// that must not run twice and has started is left to end, so that its
-    /// answer is stored for the caller's next try.
+    /// A delayed `Run` frame could start an attempt that nobody waits for any more; the
+    /// tombstone left by `Revoke` prevents that. A call that is not idempotent and has
+    /// started is left running, so that its answer is stored for the caller's retry.
     fn cancel_attempt(&mut self, ctx: &mut Ctx<'_>, sequence: u64) {
-        let Some(request) = self.live.get(&sequence) else {
+        let Some(request) = self.requests.get(&sequence) else {
             return;
         };
         let Some(attempt) = request.attempt() else {
@@ -238,9 +245,9 @@
         }
     }
 
-    /// Asks the agent whether the attempt ran, and forbids it to start.
-    fn revoke(&mut self, ctx: &mut Ctx<'_>, sequence: u64) {
-        let Some(request) = self.live.get_mut(&sequence) else {
+    /// Queries the agent whether the attempt ran, and forbids it to start.
+    fn revoke_attempt(&mut self, ctx: &mut Ctx<'_>, sequence: u64) {
+        let Some(request) = self.requests.get_mut(&sequence) else {
             return;
         };
         let id = request.id();
@@ -254,102 +261,107 @@
         send_revoke(ctx, attempt);
         let (agent, attempt) = (attempt.agent.clone(), attempt.id);
         Counts::add(&ctx.shared.counts.revoked);
-        Note::new(
+        TimelineEvent::new(
             EventKind::RequestRevoked,
-            format!("asked {agent} whether it ran"),
+            format!("queried {agent} whether it ran"),
         )
         .request(id)
         .peer(&agent)
-        .put(ctx.out);
+        .record(ctx.out);
         self.wait_for_revoked(ctx.now, attempt);
     }
 
-    /// The agent says whether an attempt ran.
-    pub(crate) fn revoked(
+    /// Handles `Revoked`, in which the agent reports whether an attempt ran.
+    pub(crate) fn revoke_answered(
         &mut self,
         ctx: &mut Ctx<'_>,
         agent: &AgentId,
         frame: &Revoked,
     ) {
-        let attempt = attempt_of(frame.attempt.as_ref());
+        let attempt = decode_attempt_id(frame.attempt.as_ref());
         let Some(sequence) = self.current(agent, attempt) else {
             Counts::add(&ctx.shared.counts.stray_frames);
             return;
         };
-        let Some(request) = self.live.get_mut(&sequence) else {
+        let Some(request) = self.requests.get_mut(&sequence) else {
             return;
         };
-        let started = request.attempt().is_some_and(|held| held.started);
+        let started = request.attempt().is_some_and(|attempt| attempt.started);
         match Ran::from_number(frame.ran) {
             Ran::NotRun if !started => {
-                self.not_run(ctx, sequence, Code::Revoked, 0);
+                self.attempt_not_run(ctx, sequence, Code::Revoked, 0);
             }
             Ran::Unknown => {
                 let unknown = Failure {
                     code: Code::OutcomeUnknown,
                     ran: Some(Ran::Unknown),
-                    charge: Charge::Yes,
+                    charge: RetryCharge::Charged,
                 };
-                self.failed(ctx, sequence, unknown);
+                self.attempt_failed(ctx, sequence, unknown);
             }
             Ran::Ran | Ran::NotRun => {
-                // It ran, so its answer may still come: it is waited for like
-                // that of any attempt that started.
-                if let Some(held) = request.attempt_mut() {
-                    held.started = true;
-                    held.heard_at = ctx.now;
+                // It ran, so its answer may still arrive. It is awaited as for any
+                // started attempt.
+                if let Some(attempt) = request.attempt_mut() {
+                    attempt.started = true;
+                    attempt.heard_at = ctx.now;
                 }
             }
         }
     }
 
-    /// The caller is gone.
-    pub(crate) fn caller_gone(&mut self, ctx: &mut Ctx<'_>, request: RequestId) {
+    /// Ends a request whose caller disconnected.
+    pub(crate) fn caller_disconnected(
+        &mut self,
+        ctx: &mut Ctx<'_>,
+        request: RequestId,
+    ) {
         let sequence = request.sequence;
-        let Some(held) = self.live.get(&sequence) else {
+        let Some(current) = self.requests.get(&sequence) else {
             return;
         };
-        if held.id() != request {
+        if current.id() != request {
             return;
         }
         self.cancel_attempt(ctx, sequence);
-        if let Some(held) = self.take(ctx, sequence) {
+        if let Some(removed) = self.remove(ctx, sequence) {
             Counts::add(&ctx.shared.counts.cancelled);
-            let detail = format!("the caller went after {} units", held.delivered);
-            Note::new(EventKind::RequestCancelled, detail)
+            let detail =
+                format!("the caller disconnected after {} units", removed.delivered);
+            TimelineEvent::new(EventKind::RequestCancelled, detail)
                 .request(request)
-                .model(held.resolved.wanted.as_str())
-                .put(ctx.out);
+                .model(removed.resolved.resource.as_str())
+                .record(ctx.out);
         }
     }
 
-    /// The deadline has come.
-    pub(super) fn deadline(&mut self, ctx: &mut Ctx<'_>, sequence: u64) {
-        let Some(request) = self.live.get(&sequence) else {
+    /// Ends a request whose deadline passed.
+    pub(super) fn deadline_passed(&mut self, ctx: &mut Ctx<'_>, sequence: u64) {
+        let Some(request) = self.requests.get(&sequence) else {
             return;
         };
         let code = match &request.state {
             State::Running(_) => Code::DeadlineWhileRunning,
             _ => Code::DeadlineBeforeRun,
         };
-        // A call that must not run twice helps its caller to come back only with
-        // a key, by which the stored answer is found.
-        let comes_back =
-            request.resolved.idempotent || request.arrival.idempotency_key.is_some();
-        let retry_after = comes_back.then_some(DEADLINE_RETRY_MS);
+        // For a call that is not idempotent, a retry is useful only with an idempotency
+        // key, by which the stored answer is found.
+        let can_retry =
+            request.resolved.idempotent || request.incoming.idempotency_key.is_some();
+        let retry_after = can_retry.then_some(DEADLINE_RETRY_MS);
         self.cancel_attempt(ctx, sequence);
         self.refuse(ctx, sequence, code, retry_after);
     }
 }
 
 fn take_retry(ctx: &Ctx<'_>, request: &super::Request) -> bool {
-    let mut book = ctx.shared.book.lock();
-    book.try_retry(ctx.now, &request.resolved.wanted)
+    let mut workload = ctx.shared.workload.lock();
+    workload.try_take_retry(ctx.now, &request.resolved.resource)
 }
 
 fn send_revoke(ctx: &mut Ctx<'_>, attempt: &Attempt) {
     let body = frame::Body::Revoke(Revoke {
-        attempt: Some(wire_id(attempt.id)),
+        attempt: Some(encode_attempt_id(attempt.id)),
         agent_incarnation: attempt.incarnation.0,
     });
     send(ctx, attempt, body);
@@ -357,7 +369,7 @@
 
 fn send_cancel(ctx: &mut Ctx<'_>, attempt: &Attempt) {
     let body = frame::Body::Cancel(Cancel {
-        attempt: Some(wire_id(attempt.id)),
+        attempt: Some(encode_attempt_id(attempt.id)),
     });
     send(ctx, attempt, body);
 }
@@ -369,8 +381,8 @@
     }
 }
 
-/// Codes that another upstream would end with as well.
-const fn fails_elsewhere_too(code: Code) -> bool {
+/// Whether the attempt would end with the same code at any other upstream.
+const fn fails_on_any_upstream(code: Code) -> bool {
     matches!(
         code,
         Code::BadRequest
