--- /dev/null
+++ b/crates/direct/src/admission.rs
@@ -0,0 +1,111 @@
+//! Admission of a request to the queue of the selected upstream.
+//!
+//! It matters when more prompts arrive than the engines can prefill, some of them
+//! several times as long as the others.
+
+use base::prelude::*;
+use std::collections::BTreeMap;
+use std::sync::Arc;
+
+/// Share of the target latency, in percent, within which the first answer must be
+/// expected. The estimate leaves out the engine steps between prompts, so the real
+/// answer comes later. With the whole target, or with half of it, fewer requests were
+/// served in time.
+const USABLE_TARGET_PERCENT: u64 = 75;
+
+/// Minimum share of the usable time, in percent, that is left for queueing however long
+/// the prompts of a route are. Otherwise, routes with long prompts would be refused at
+/// idle engines.
+const MIN_QUEUE_PERCENT: u64 = 50;
+
+/// Weight of the newest prompt in the mean of its route. The mean covers a few dozen
+/// requests, as many as one entry gets for a route within seconds.
+const NEWEST_WEIGHT: f64 = 0.03;
+
+/// A request for which an upstream was selected.
+#[derive(Debug, Clone, Copy)]
+pub struct AdmissionInput {
+    /// The current time.
+    pub now: Instant,
+    /// When the request arrived.
+    pub arrived_at: Instant,
+    /// Time within which the answer earns its full value.
+    pub latency_target_ms: u64,
+    /// Latest time at which the first part of the answer is of any use.
+    pub first_answer_deadline: Instant,
+    /// Time for which the prompt waits behind others at the upstream.
+    pub queue_ms: u64,
+    /// Time to prefill the prompt.
+    pub prefill_ms: u64,
+    /// Mean time to prefill a prompt of the route.
+    pub mean_prefill_ms: u64,
+    /// Whether the upstream is an engine, where prompts wait for one another.
+    pub at_engine: bool,
+}
+
+/// Decides whether a request is sent. If not, returns the number of milliseconds by
+/// which it would be too late.
+///
+/// If more arrives than an engine can prefill, a queue that grows until callers give up
+/// makes every answer late without serving more of them. Requests that would miss their
+/// target latency are therefore refused at once. The others stay in time, and the
+/// refused ones can come back when the queue is shorter. A request that is already
+/// late, because its model was loading, can only be served late or not at all, so it is
+/// admitted.
+///
+/// All requests of a route are admitted by the mean prompt of the route instead of
+/// their own. Otherwise short requests would be admitted when long ones aren't: under
+/// overload, the queue would stay at a length that admits only short requests, and long
+/// ones would never be served although each of them is worth as much as several short
+/// ones.
+///
+/// # Errors
+///
+/// The request would be too late.
+pub fn admit(admission: &AdmissionInput) -> Result<(), u64> {
+    let own_answer_ms = admission.queue_ms + admission.prefill_ms;
+    let useful_ms = admission.first_answer_deadline.ms_since(admission.now);
+    if own_answer_ms > useful_ms {
+        return Err(own_answer_ms - useful_ms);
+    }
+    let usable_ms = admission.latency_target_ms * USABLE_TARGET_PERCENT / 100;
+    let target_at = admission.arrived_at.plus_ms(usable_ms);
+    if !admission.at_engine || admission.now >= target_at {
+        return Ok(());
+    }
+    let prefill_max_ms = usable_ms * (100 - MIN_QUEUE_PERCENT) / 100;
+    let mean_ms = admission.mean_prefill_ms.min(prefill_max_ms);
+    let expected_ms = admission.queue_ms + mean_ms;
+    let remaining_ms = target_at.ms_since(admission.now);
+    if expected_ms <= remaining_ms {
+        Ok(())
+    } else {
+        Err(expected_ms - remaining_ms)
+    }
+}
+
+/// Mean time to prefill a prompt, by route.
+#[derive(Debug, Default)]
+pub struct MeanPrefillTimes {
+    by_route: BTreeMap<Arc<str>, f64>,
+}
+
+impl MeanPrefillTimes {
+    /// Creates an empty set of means.
+    pub fn new() -> Self {
+        Self::default()
+    }
+
+    /// Records the prompt of a request, whether it is admitted or not, and returns the
+    /// updated mean of its route.
+    pub fn observe(&mut self, route: &Arc<str>, reading_ms: f64) -> f64 {
+        let mean = self.by_route.entry(Arc::clone(route)).or_insert(reading_ms);
+        *mean += (reading_ms - *mean) * NEWEST_WEIGHT;
+        *mean
+    }
+
+    /// Removes routes that the configuration no longer names.
+    pub fn retain(&mut self, is_named: impl Fn(&str) -> bool) {
+        self.by_route.retain(|route, _| is_named(route));
+    }
+}
--- /dev/null
+++ b/crates/direct/src/prefill.rs
@@ -0,0 +1,95 @@
+//! Prompts that wait for prefill at an engine.
+
+/// Number of priorities that are told apart; 0 is the most urgent. Lower priorities
+/// count as the last one. Most services have fewer than three kinds of prompts.
+pub const PRIORITY_LEVELS: usize = 3;
+
+/// Prompt tokens that an engine prefills per millisecond at a time factor of 1. Engines
+/// don't report this. The time factors of models are relative to it, so only estimates
+/// made before the first answer of a service depend on it.
+const PROMPT_TOKENS_PER_MS: f64 = 20.0;
+
+/// Share of the less urgent prompts that delays a more urgent one. Engines prefill the
+/// most urgent prompt first but finish the current chunk of another one: of 190
+/// requests that would have waited for 400 ms or more behind all others, half started
+/// within 270 ms.
+const LESS_URGENT_SHARE: f64 = 0.25;
+
+/// Prompt tokens of requests without a first answer, by priority. Tokens are scaled to
+/// the number that takes the same time at a time factor of 1.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct PrefillQueue {
+    tokens: [u64; PRIORITY_LEVELS],
+}
+
+impl PrefillQueue {
+    /// The empty queue.
+    pub const EMPTY: Self = Self {
+        tokens: [0; PRIORITY_LEVELS],
+    };
+
+    /// The queue of a single request's prompt.
+    pub const fn single(priority: u32, tokens: u64) -> Self {
+        let mut queue = Self::EMPTY;
+        queue.tokens[index(priority)] = tokens;
+        queue
+    }
+
+    /// Creates a queue from tokens by priority. Missing priorities are empty, further
+    /// ones are ignored.
+    pub fn from_priorities(tokens: &[u64]) -> Self {
+        let mut queue = Self::EMPTY;
+        for (own, tokens) in queue.tokens.iter_mut().zip(tokens) {
+            *own = *tokens;
+        }
+        queue
+    }
+
+    /// Tokens by priority.
+    pub const fn by_priority(&self) -> &[u64; PRIORITY_LEVELS] {
+        &self.tokens
+    }
+
+    /// Whether no prompt is waiting.
+    pub fn is_empty(&self) -> bool {
+        *self == Self::EMPTY
+    }
+
+    /// Adds the prompts of another queue.
+    pub fn add(&mut self, other: &Self) {
+        for (own, other) in self.tokens.iter_mut().zip(other.tokens) {
+            *own = own.saturating_add(other);
+        }
+    }
+
+    /// Removes the prompts of another queue.
+    pub fn remove(&mut self, other: &Self) {
+        for (own, other) in self.tokens.iter_mut().zip(other.tokens) {
+            *own = own.saturating_sub(other);
+        }
+    }
+
+    /// Time to prefill all prompts.
+    pub fn prefill_ms(&self) -> f64 {
+        ms(self.tokens.iter().sum())
+    }
+
+    /// Time for which a request of this priority waits behind the queue.
+    pub fn wait_ms(&self, priority: u32) -> f64 {
+        let (ahead, behind) = self.tokens.split_at(index(priority) + 1);
+        ms(ahead.iter().sum()) + ms(behind.iter().sum()) * LESS_URGENT_SHARE
+    }
+}
+
+const fn index(priority: u32) -> usize {
+    let priority = priority as usize;
+    if priority < PRIORITY_LEVELS {
+        priority
+    } else {
+        PRIORITY_LEVELS - 1
+    }
+}
+
+fn ms(tokens: u64) -> f64 {
+    tokens as f64 / PROMPT_TOKENS_PER_MS
+}
--- /dev/null
+++ b/crates/direct/src/select.rs
@@ -0,0 +1,307 @@
+//! Selection of the upstream that runs a request.
+
+use base::prelude::*;
+use std::sync::Arc;
+
+use crate::prefix_affinity::PrefixAffinity;
+use crate::{EngineSpec, Fleet, PrefillQueue, Upstream, Usage};
+
+/// Delay of the first answer per running request.
+const PER_RUNNING_MS: f64 = 1.0;
+
+/// Delay of a plain service's answer per request that exceeds the slots of the
+/// upstream, and per request in general.
+const PER_QUEUED_MS: f64 = 30.0;
+const PER_SLOT_MS: f64 = 3.0;
+
+/// Penalty for an upstream in another failure domain, for network traffic and latency.
+const CROSS_DOMAIN_MS: f64 = 4.0;
+
+/// Cost of a failed answer: the time until the request is sent again.
+const FAILURE_MS: f64 = 1_500.0;
+
+/// Share of the KV cache that running requests may fill. Above it, engines preempt
+/// requests in the middle of their answers.
+const USABLE_CACHE_SHARE: f64 = 0.92;
+
+/// Properties of the request and of this entry on which the selection depends.
+#[derive(Debug)]
+pub struct SelectionInput<'a> {
+    /// The current time.
+    pub now: Instant,
+    /// Name of the service.
+    pub service: &'a str,
+    /// The service's engine; `None` for a plain service.
+    pub engine: Option<&'a EngineSpec>,
+    /// Model and adapter; `None` for a plain service.
+    pub model: Option<(&'a str, Option<&'a str>)>,
+    /// Prompt parts: for each, the hash of the prompt up to and including the part, and
+    /// the number of tokens in the part.
+    pub prompt_parts: &'a [(u64, u64)],
+    /// Priority of the request; 0 is the most urgent.
+    pub priority: u32,
+    /// Number of prompt tokens.
+    pub prompt_tokens: u64,
+    /// Time factor of the model.
+    pub time_factor: f64,
+    /// Tokens that the request may occupy in the upstream's KV cache.
+    pub kv_tokens: u64,
+    /// Upstreams that the request was already sent to.
+    pub excluded: &'a [Arc<str>],
+    /// Failure domain of this entry.
+    pub domain: &'a str,
+    /// A random number that breaks ties.
+    pub random: u64,
+}
+
+/// A selected upstream.
+#[derive(Debug, Clone, PartialEq)]
+pub struct SelectedUpstream {
+    /// Name of the upstream.
+    pub id: Arc<str>,
+    /// Usage of the upstream by the request.
+    pub usage: Usage,
+    /// Time to prefill the prompt at a time factor of 1; `None` if other prompts wait
+    /// before it.
+    pub unqueued_prefill_ms: Option<f64>,
+    /// Expected time to the first answer.
+    pub first_answer_ms: f64,
+    /// Part of `first_answer_ms` that the request's own prefill takes.
+    pub own_prefill_ms: f64,
+    /// Prompt tokens that the upstream has to prefill, as far as this entry knows.
+    pub prefill_tokens: u64,
+}
+
+/// Why no upstream was selected.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum SelectionError {
+    /// The service has no usable upstream.
+    NoUpstream,
+    /// No upstream holds the model.
+    NoModel,
+    /// No upstream that holds the model holds the adapter.
+    NoAdapter,
+    /// All upstreams that hold the model asked this entry to send no requests for a
+    /// while.
+    BackedOff,
+    /// All upstreams that hold the model have been sent as many requests as they
+    /// accept.
+    RateSpent,
+    /// All upstreams that could run the request are full.
+    Full,
+}
+
+impl SelectionError {
+    /// Value of the reason in logs and metrics.
+    pub const fn as_str(self) -> &'static str {
+        match self {
+            Self::NoUpstream => "no_upstream",
+            Self::NoModel => "no_model",
+            Self::NoAdapter => "no_adapter",
+            Self::BackedOff => "backed_off",
+            Self::RateSpent => "rate_spent",
+            Self::Full => "full",
+        }
+    }
+}
+
+/// Selects the upstream with the earliest expected first answer.
+///
+/// Entries learn of one another's requests a tenth of a second late, so the choice
+/// between two upstreams that are nearly equal is random. Otherwise all entries would
+/// send their next requests to the same one. Upstreams that are preferred for the
+/// prompt's shared prefix are favoured, so that all entries use the same ones. This
+/// affects only the selection: the expected time to the first answer doesn't include
+/// cached tokens that this entry doesn't know of.
+///
+/// # Errors
+///
+/// No upstream can run the request now.
+pub fn select_upstream<'a>(
+    fleet: &'a Fleet,
+    input: &SelectionInput<'a>,
+) -> Result<SelectedUpstream, SelectionError> {
+    let mut best: Option<(bool, f64, SelectedUpstream)> = None;
+    let mut reason = SelectionError::NoUpstream;
+    let affinity = PrefixAffinity::for_request(fleet, input);
+    for (index, upstream) in fleet.of_service(input.service).enumerate() {
+        if !upstream.is_usable(input.now)
+            || input.excluded.contains(&upstream.record.id)
+        {
+            continue;
+        }
+        match score_candidate(upstream, input, &affinity, index as u64) {
+            Err(error) => reason = reason.closer(error),
+            Ok((score, selected)) => {
+                let suspected = upstream.is_avoided(input.now);
+                let better = best.as_ref().is_none_or(|(other, best_score, _)| {
+                    (suspected, score) < (*other, *best_score)
+                });
+                if better {
+                    best = Some((suspected, score, selected));
+                }
+            }
+        }
+    }
+    best.map(|(_, _, selected)| selected).ok_or(reason)
+}
+
+impl SelectionError {
+    /// The reason that is closer to an upstream that could run the request.
+    const fn closer(self, other: Self) -> Self {
+        if other as u8 > self as u8 {
+            other
+        } else {
+            self
+        }
+    }
+}
+
+fn score_candidate(
+    upstream: &Upstream,
+    input: &SelectionInput<'_>,
+    affinity: &PrefixAffinity<'_>,
+    index: u64,
+) -> Result<(f64, SelectedUpstream), SelectionError> {
+    if let Some((model, adapter)) = input.model {
+        check_holds(upstream, input.now, model, adapter)?;
+    }
+    check_accepting(upstream, input.now)?;
+    // This sums over all entries, so it is only computed for upstreams that pass the
+    // checks above.
+    let usage = upstream.usage(input.now);
+    let RequestNeed {
+        usage: added,
+        cached_tokens,
+    } = match input.model {
+        Some((model, _)) => model_need(upstream, input, model, &usage)?,
+        None => RequestNeed::default(),
+    };
+    let wait_ms = if input.model.is_some() {
+        engine_wait_ms(&usage, &added, input.priority)
+    } else {
+        service_wait_ms(upstream, &usage)
+    };
+    let noise = jitter(input.random, index);
+    let domain_ms = if *upstream.record.domain == *input.domain {
+        0.0
+    } else {
+        CROSS_DOMAIN_MS
+    };
+    let saving_ms =
+        affinity.expected_saving_ms(&upstream.record.id, cached_tokens, input);
+    let score = (wait_ms - saving_ms).max(0.0) * (1.0 + 0.1 * noise)
+        + noise
+        + domain_ms
+        + failure_penalty_ms(upstream);
+    let is_unqueued = input.model.is_some() && usage.prefill.is_empty();
+    let selected = SelectedUpstream {
+        id: Arc::clone(&upstream.record.id),
+        usage: added,
+        unqueued_prefill_ms: is_unqueued
+            .then(|| added.prefill.prefill_ms() / input.time_factor),
+        first_answer_ms: wait_ms,
+        own_prefill_ms: added.prefill.prefill_ms(),
+        prefill_tokens: input.prompt_tokens.saturating_sub(cached_tokens),
+    };
+    Ok((score, selected))
+}
+
+fn check_holds(
+    upstream: &Upstream,
+    now: Instant,
+    model: &str,
+    adapter: Option<&str>,
+) -> Result<(), SelectionError> {
+    if !upstream.holds(now, model, None) {
+        return Err(SelectionError::NoModel);
+    }
+    if !upstream.holds(now, model, adapter) {
+        return Err(SelectionError::NoAdapter);
+    }
+    Ok(())
+}
+
+/// Whether an upstream accepts requests, according to its own responses.
+fn check_accepting(upstream: &Upstream, now: Instant) -> Result<(), SelectionError> {
+    if upstream.is_backed_off(now) {
+        return Err(SelectionError::BackedOff);
+    }
+    if upstream.is_rate_spent(now) {
+        return Err(SelectionError::RateSpent);
+    }
+    Ok(())
+}
+
+/// What a request needs from an upstream.
+#[derive(Debug)]
+struct RequestNeed {
+    usage: Usage,
+    /// Prompt tokens that the upstream has cached, as far as this entry knows.
+    cached_tokens: u64,
+}
+
+impl Default for RequestNeed {
+    /// The need of a request to a plain service.
+    fn default() -> Self {
+        Self {
+            usage: Usage {
+                running: 1,
+                ..Usage::default()
+            },
+            cached_tokens: 0,
+        }
+    }
+}
+
+fn model_need(
+    upstream: &Upstream,
+    input: &SelectionInput<'_>,
+    model: &str,
+    usage: &Usage,
+) -> Result<RequestNeed, SelectionError> {
+    if upstream.is_refusing(input.now, model) {
+        return Err(SelectionError::Full);
+    }
+    let cached_tokens = upstream.cached_tokens(input.prompt_parts);
+    if let Some(engine) = input.engine {
+        let kv_tokens = usage.kv_tokens + input.kv_tokens;
+        let usable_tokens = engine.cache_capacity_tokens as f64 * USABLE_CACHE_SHARE;
+        if usage.running >= engine.batch_slots || kv_tokens as f64 > usable_tokens {
+            return Err(SelectionError::Full);
+        }
+    }
+    let uncached =
+        input.prompt_tokens.saturating_sub(cached_tokens) as f64 * input.time_factor;
+    Ok(RequestNeed {
+        usage: Usage {
+            running: 1,
+            prefill: PrefillQueue::single(input.priority, uncached as u64),
+            kv_tokens: input.kv_tokens,
+        },
+        cached_tokens,
+    })
+}
+
+fn engine_wait_ms(usage: &Usage, added: &Usage, priority: u32) -> f64 {
+    let ahead_ms = usage.prefill.wait_ms(priority);
+    ahead_ms + added.prefill.prefill_ms() + f64::from(usage.running) * PER_RUNNING_MS
+}
+
+fn service_wait_ms(upstream: &Upstream, usage: &Usage) -> f64 {
+    let slots = upstream.record.batch_slots.max(1);
+    let queued = usage.running.saturating_sub(slots - 1);
+    f64::from(usage.running) * PER_SLOT_MS + f64::from(queued) * PER_QUEUED_MS
+}
+
+fn failure_penalty_ms(upstream: &Upstream) -> f64 {
+    let share = upstream.failed_share();
+    share * share * FAILURE_MS
+}
+
+/// A number from 0 to 1 that differs between upstreams.
+fn jitter(random: u64, index: u64) -> f64 {
+    let mixed = (random ^ index.wrapping_mul(0x9e37_79b9_7f4a_7c15))
+        .wrapping_mul(0xd6e8_feb8_6659_fd93);
+    (mixed >> 40) as f64 / (1u64 << 24) as f64
+}
--- a/crates/front/src/shared_watch.rs
+++ b/crates/front/src/shared_watch.rs
@@ -150,7 +150,7 @@
                 .shared_watches
                 .watch(collection)
                 .lock()
-                .may_skip(node.now())
+                .can_skip_own_watch(node.now())
         {
             return;
         }
