--- /dev/null
+++ b/crates/direct/src/forecast.rs
@@ -0,0 +1,139 @@
+//! Forecasts of how demand develops while a load is in progress.
+
+use std::collections::{BTreeMap, HashMap};
+use std::sync::Arc;
+
+use crate::{DemandEstimate, EngineSpec};
+
+/// Weight of the forecasts in which demand has shifted.
+const SHIFTED_WEIGHT: f64 = 0.4;
+
+/// Mean upstream load below which upstreams have spare capacity.
+const SPARE_CAPACITY_BELOW: f64 = 0.4;
+
+/// Load duration from which on demand has shifted again before a load that was started
+/// at a shift finishes.
+const LONG_LOAD_MS: u64 = 5_000;
+
+/// Share of the busiest model's demand above which a model counts as busy.
+const BUSY_SHARE: f64 = 0.12;
+
+/// Range of the number of busy models in which demand is expected to shift among them.
+/// With fewer models there is none to shift to; more mean that demand is spread over
+/// all models.
+const BUSY_MIN: usize = 2;
+const BUSY_MAX: usize = 9;
+
+/// One possible development of demand, with its weight.
+#[derive(Debug)]
+pub(crate) struct DemandForecast {
+    pub(crate) weight: f64,
+    /// Expected demand by model, as a share of one upstream's time.
+    expected: HashMap<Arc<str>, f64>,
+    /// Demand by model for which a copy is retained, as a share of one upstream's time.
+    retained: HashMap<Arc<str>, f64>,
+}
+
+impl DemandForecast {
+    /// Expected demand for a model.
+    pub(crate) fn expected_of(&self, model: &str) -> f64 {
+        self.expected.get(model).copied().unwrap_or(0.0)
+    }
+
+    /// Demand for a model for which a copy is retained.
+    pub(crate) fn retained_of(&self, model: &str) -> f64 {
+        self.retained.get(model).copied().unwrap_or(0.0)
+    }
+}
+
+/// Returns the possible developments of demand: unchanged, and shifted so that the
+/// busiest models have lost their demand and the next ones in the ranking have taken
+/// their ranks.
+///
+/// A load takes about as long as demand takes to shift. Copies made only for the
+/// current demand are ready when it is over; copies that also serve the next busiest
+/// models are ready when their demand arrives.
+///
+/// Without spare capacity, shifted demand is ignored, unless loads take so long that
+/// all requests that ask for a model while it is loading would be too late.
+pub(crate) fn forecasts(
+    engine: &EngineSpec,
+    demand: &BTreeMap<Arc<str>, DemandEstimate>,
+    upstreams: usize,
+    step: Option<usize>,
+) -> Vec<DemandForecast> {
+    let share = |ms: f64| ms / 1_000.0;
+    let expected: HashMap<Arc<str>, f64> = demand
+        .iter()
+        .map(|(model, estimate)| {
+            (Arc::clone(model), share(estimate.expected_ms_per_s()))
+        })
+        .collect();
+    let retained: HashMap<Arc<str>, f64> = demand
+        .iter()
+        .map(|(model, estimate)| {
+            (Arc::clone(model), share(estimate.retention_ms_per_s()))
+        })
+        .collect();
+    let total: f64 = retained.values().sum();
+    let has_spare_capacity = total < SPARE_CAPACITY_BELOW * upstreams as f64;
+    let shifted = if has_spare_capacity || loads_are_long(engine) {
+        shifted_demand(&retained, step)
+    } else {
+        Vec::new()
+    };
+    let current = DemandForecast {
+        weight: if shifted.is_empty() {
+            1.0
+        } else {
+            1.0 - SHIFTED_WEIGHT
+        },
+        expected,
+        retained,
+    };
+    let weight = SHIFTED_WEIGHT / shifted.len().max(1) as f64;
+    let shifted = shifted.into_iter().map(|shifted| DemandForecast {
+        weight,
+        retained: shifted.clone(),
+        expected: shifted,
+    });
+    std::iter::once(current).chain(shifted).collect()
+}
+
+fn loads_are_long(engine: &EngineSpec) -> bool {
+    let specs = engine.models.values();
+    let longest_ms = specs.map(|spec| spec.store_load_ms).max();
+    longest_ms.is_some_and(|longest_ms| longest_ms >= LONG_LOAD_MS)
+}
+
+/// Shifts demand by as many ranks as at the last observed shift. If none was observed
+/// yet, returns a shift by one rank and a shift by half of the busy models.
+fn shifted_demand(
+    demand: &HashMap<Arc<str>, f64>,
+    step: Option<usize>,
+) -> Vec<HashMap<Arc<str>, f64>> {
+    let mut ranked: Vec<(&Arc<str>, f64)> = demand
+        .iter()
+        .map(|(model, total)| (model, *total))
+        .collect();
+    ranked.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(b.0)));
+    let top = ranked.first().map_or(0.0, |(_, total)| *total);
+    let busy = ranked
+        .iter()
+        .take_while(|(_, total)| *total > top * BUSY_SHARE)
+        .count();
+    if !(BUSY_MIN..=BUSY_MAX).contains(&busy) {
+        return Vec::new();
+    }
+    let mut steps = step.map_or(vec![1, busy / 2], |step| vec![step.min(busy)]);
+    steps.dedup();
+    let shifted = steps.into_iter().map(|step| {
+        let mut shifted = demand.clone();
+        for (rank, (model, _)) in ranked.iter().take(busy).enumerate() {
+            let total = rank.checked_sub(step).map_or(0.0, |from| ranked[from].1);
+            shifted.insert(Arc::clone(model), total);
+        }
+        shifted
+    });
+    shifted.collect()
+}
--- a/crates/mem/tests/ledger/steps.rs
+++ b/crates/mem/tests/ledger/steps.rs
@@ -82,7 +82,7 @@
             ledger.adopt_intents(Instant::from_ms(ms), &[intent]);
         }
         IssuerDied(ms) => {
-            ledger.issuer_died(Instant::from_ms(ms), PREDECESSOR_EPOCH, OWN_EPOCH)
+            ledger.issuer_died(Instant::from_ms(ms), PREDECESSOR_EPOCH, OWN_EPOCH);
         }
         Report(ms, incarnation, residents, orders) => {
             let report = memory_report(ms, incarnation, residents, orders);
--- a/crates/role/src/agent/upstream.rs
+++ b/crates/role/src/agent/upstream.rs
@@ -41,7 +41,7 @@
         self.waiting
     }
 
-    /// Highest fencing token that the upstream has seen.
+    /// Highest fencing epoch that the upstream has seen.
     pub(super) const fn highest_fencing_epoch(&self) -> u64 {
         self.highest_fencing_epoch
     }
--- a/crates/role/src/entry/control/freeze.rs
+++ b/crates/role/src/entry/control/freeze.rs
@@ -40,16 +40,17 @@
     /// Time from which an event shows that the process was frozen. Some timer is due
     /// several times in each heartbeat interval, so only a freeze delays one by more.
     pub(crate) fn freeze_threshold(&self) -> Option<Instant> {
-        let late_ms = self.directory.silence_limits().heartbeat_ms() * FREEZE_HEARTBEATS;
+        let late_ms =
+            self.directory.silence_limits().heartbeat_ms() * FREEZE_HEARTBEATS;
         self.due().map(|due| due.plus_ms(late_ms))
     }
 
     /// Notes a freeze, if one has just ended.
     pub(crate) fn detect_freeze(&mut self, now: Instant) {
-        let (Some(due), Some(bound)) = (self.due(), self.freeze_threshold()) else {
+        let (Some(due), Some(threshold)) = (self.due(), self.freeze_threshold()) else {
             return;
         };
-        if now < bound {
+        if now < threshold {
             return;
         }
         let timing = self.directory.silence_limits();
--- a/crates/role/src/entry/control/mod.rs
+++ b/crates/role/src/entry/control/mod.rs
@@ -103,7 +103,7 @@
 pub(crate) struct Control {
     pub(crate) directory: AgentDirectory,
     pub(crate) entries: EntryTable,
-    pub(crate) log: ConfigLog,
+    pub(crate) config_log: ConfigLog,
     pub(crate) leaving: bool,
     pub(crate) ready: bool,
     pub(crate) links: BTreeMap<Peer, Incarnation>,
@@ -139,7 +139,7 @@
         let mut control = Self {
             directory: AgentDirectory::new(timing),
             entries: EntryTable::new(timing),
-            log: ConfigLog::new(),
+            config_log: ConfigLog::new(),
             leaving: false,
             ready: false,
             links: BTreeMap::new(),
@@ -175,7 +175,7 @@
 
     /// Configuration in force.
     pub(crate) fn config(&self) -> Option<&Arc<Config>> {
-        self.log.current()
+        self.config_log.current()
     }
 
     /// When the next timer of the control state is due.
@@ -298,8 +298,8 @@
         effects: &mut Effects,
     ) {
         self.check_liveness(now, out, effects);
-        let interval =
-            self.directory.silence_limits().heartbeat_ms() / LIVENESS_CHECKS_PER_HEARTBEAT;
+        let interval = self.directory.silence_limits().heartbeat_ms()
+            / LIVENESS_CHECKS_PER_HEARTBEAT;
         self.timers
             .set(now.plus_ms(interval.max(1)), Timer::Liveness);
     }
@@ -331,7 +331,7 @@
         self.ready = ready;
         out.push(EntryAction::SetReady(ready));
         if ready {
-            let detail = format!("revision {}", self.log.revision());
+            let detail = format!("revision {}", self.config_log.revision());
             TimelineEvent::new(EventKind::ProcessReady, detail).record(out);
         }
     }
