--- a/crates/direct/src/adapters.rs
+++ b/crates/direct/src/adapters.rs
@@ -252,11 +252,11 @@
     /// upstreams.
     fn copy_value(&self, model: &str, other_copies: u32) -> f64 {
         let first = self.first_copy_value.get(model).copied().unwrap_or(0.0);
-        let worth = first / f64::from(other_copies + 1).powi(2);
-        if other_copies > 0 && worth < MIN_EXTRA_COPY_VALUE {
+        let value = first / f64::from(other_copies + 1).powi(2);
+        if other_copies > 0 && value < MIN_EXTRA_COPY_VALUE {
             0.0
         } else {
-            worth
+            value
         }
     }
 }
--- a/crates/direct/src/admission.rs
+++ b/crates/direct/src/admission.rs
@@ -63,10 +63,10 @@
 ///
 /// The request would be too late.
 pub fn admit(admission: &AdmissionInput) -> Result<(), u64> {
-    let own_answer_ms = admission.queue_ms + admission.prefill_ms;
-    let useful_ms = admission.first_answer_deadline.ms_since(admission.now);
-    if own_answer_ms > useful_ms {
-        return Err(own_answer_ms - useful_ms);
+    let first_answer_ms = admission.queue_ms + admission.prefill_ms;
+    let until_deadline_ms = admission.first_answer_deadline.ms_since(admission.now);
+    if first_answer_ms > until_deadline_ms {
+        return Err(first_answer_ms - until_deadline_ms);
     }
     let usable_ms = admission.latency_target_ms * USABLE_TARGET_PERCENT / 100;
     let target_at = admission.arrived_at.plus_ms(usable_ms);
@@ -98,9 +98,9 @@
 
     /// Records the prompt of a request, whether it is admitted or not, and returns the
     /// updated mean of its route.
-    pub fn observe(&mut self, route: &Arc<str>, reading_ms: f64) -> f64 {
-        let mean = self.by_route.entry(Arc::clone(route)).or_insert(reading_ms);
-        *mean += (reading_ms - *mean) * NEWEST_WEIGHT;
+    pub fn observe(&mut self, route: &Arc<str>, prefill_ms: f64) -> f64 {
+        let mean = self.by_route.entry(Arc::clone(route)).or_insert(prefill_ms);
+        *mean += (prefill_ms - *mean) * NEWEST_WEIGHT;
         *mean
     }
 
--- a/crates/direct/src/fleet.rs
+++ b/crates/direct/src/fleet.rs
@@ -70,41 +70,41 @@
         self.platform_returned_at = Some(now);
     }
 
-    /// Applies the complete list at version `at`. Upstreams missing from it are gone.
+    /// Applies the complete list at `list_version`. Upstreams missing from it are gone.
     pub fn apply_list(
         &mut self,
         now: Instant,
-        at: u64,
+        list_version: u64,
         listed: Vec<(u64, UpstreamRecord)>,
     ) {
-        let names: Vec<Arc<str>> = listed
+        let listed_ids: Vec<Arc<str>> = listed
             .iter()
             .map(|(_, record)| Arc::clone(&record.id))
             .collect();
         for (version, record) in listed {
             self.apply_record(version, record);
         }
-        self.update_undated();
+        self.update_missing_start_times();
         let missing: Vec<Arc<str>> = self
             .upstreams
             .keys()
-            .filter(|id| !names.contains(id))
+            .filter(|id| !listed_ids.contains(id))
             .cloned()
             .collect();
         for id in missing {
-            self.remove(now, &id, at);
+            self.remove(now, &id, list_version);
         }
     }
 
     /// Applies a record of one upstream, unless a newer one is known. Returns true if
     /// the upstream has restarted.
     pub fn apply_update(&mut self, version: u64, record: UpstreamRecord) -> bool {
-        let known = self.upstreams.len();
+        let known_count = self.upstreams.len();
         let restarted = self.apply_record(version, record);
         // This visits all upstreams. Most updates are signs of life, which don't change
         // the number of upstreams.
-        if restarted || self.upstreams.len() != known {
-            self.update_undated();
+        if restarted || self.upstreams.len() != known_count {
+            self.update_missing_start_times();
         }
         restarted
     }
@@ -171,7 +171,7 @@
     /// only have expired while the platform was away. Otherwise, an outage of the
     /// platform would make all upstreams unusable at once.
     pub fn remove(&mut self, now: Instant, id: &str, version: u64) {
-        let may_have_lapsed = self
+        let may_have_expired = self
             .platform_returned_at
             .is_some_and(|at| now.ms_since(at) < RETURN_GRACE_MS);
         let Some(upstream) = self.upstreams.get_mut(id) else {
@@ -184,9 +184,9 @@
         upstream.is_leaving_unlisted = false;
         // An upstream whose record was removed while the platform was reachable has
         // left. A later outage doesn't make it usable again.
-        if !may_have_lapsed && upstream.vanished_at.is_none() {
+        if !may_have_expired && upstream.vanished_at.is_none() {
             upstream.is_confirmed_gone = true;
-        } else if may_have_lapsed && !upstream.is_confirmed_gone {
+        } else if may_have_expired && !upstream.is_confirmed_gone {
             upstream.vanished_at.get_or_insert(now);
         }
     }
@@ -227,7 +227,7 @@
             upstream.is_leaving_unlisted
                 || now.ms_since(upstream.last_active_at) < FORGET_MS
         });
-        self.update_undated();
+        self.update_missing_start_times();
     }
 
     /// Records that a response of this incarnation announced that it is leaving. The
@@ -421,10 +421,10 @@
     pub fn model_upstreams<'a>(
         &'a self,
         now: Instant,
-        setup: &'a Config,
+        config: &'a Config,
     ) -> impl Iterator<Item = &'a Upstream> {
         self.all().filter(move |upstream| {
-            let spec = setup.services.get(&upstream.record.service);
+            let spec = config.services.get(&upstream.record.service);
             upstream.is_usable(now) && spec.is_some_and(|spec| spec.engine.is_some())
         })
     }
--- a/crates/direct/src/fleet/incarnations.rs
+++ b/crates/direct/src/fleet/incarnations.rs
@@ -68,7 +68,7 @@
         let known = self.upstreams.get_mut(incarnation.id)?;
         if incarnation.started_unix_ms > known.record.started_unix_ms {
             *known = known.restarted(incarnation.started_unix_ms);
-            self.update_undated();
+            self.update_missing_start_times();
         }
         self.incarnation_mut(incarnation)
     }
@@ -79,7 +79,7 @@
     /// If upstreams don't provide start times, a single foreign record with one must
     /// not make all others unusable, so the majority decides. In a tie all are used: a
     /// request to something that isn't an upstream is merely sent elsewhere.
-    pub(super) fn update_undated(&mut self) {
+    pub(super) fn update_missing_start_times(&mut self) {
         let all = self.upstreams.values();
         let with_start_time = all
             .filter(|known| known.record.started_unix_ms.is_some())
--- a/crates/direct/src/fleet/rate.rs
+++ b/crates/direct/src/fleet/rate.rs
@@ -41,8 +41,8 @@
             return true;
         }
         let is_older = other.answered_at <= self.request_sent_at;
-        let bound = |notice: &Self| notice.per_s.unwrap_or(f64::INFINITY);
-        !is_older && bound(other) < bound(self)
+        let limit = |notice: &Self| notice.per_s.unwrap_or(f64::INFINITY);
+        !is_older && limit(other) < limit(self)
     }
 }
 
@@ -91,8 +91,8 @@
         let before = current.per_s;
         // The end of a limit is announced for a time after it happened, so a response
         // without a limit is ignored once the end is known.
-        let is_news = before.is_some() || notice.per_s.is_some();
-        if is_news && current.is_replaced_by(&notice) {
+        let is_relevant = before.is_some() || notice.per_s.is_some();
+        if is_relevant && current.is_replaced_by(&notice) {
             self.rate_notice = Some(notice);
         }
         self.rate_per_s() != before
@@ -128,13 +128,13 @@
         now: Instant,
         incarnation: UpstreamIncarnation<'_>,
         per_s: Option<f64>,
-        (asked_ms_ago, heard_ms_ago): (u64, u64),
+        (sent_ms_ago, answered_ms_ago): (u64, u64),
     ) -> bool {
         let ago = |ms: u64| now - Duration::from_millis(ms);
         let notice = RateNotice {
             per_s,
-            request_sent_at: ago(asked_ms_ago.saturating_add(MAX_TRANSIT_MS)),
-            answered_at: ago(heard_ms_ago),
+            request_sent_at: ago(sent_ms_ago.saturating_add(MAX_TRANSIT_MS)),
+            answered_at: ago(answered_ms_ago),
         };
         self.note_incarnation(incarnation)
             .is_some_and(|upstream| upstream.apply_rate_notice(notice))
--- a/crates/direct/src/fleet/upstream.rs
+++ b/crates/direct/src/fleet/upstream.rs
@@ -39,7 +39,8 @@
 /// Weight of the newest answer in the share of failed answers.
 const NEWEST_ANSWER_WEIGHT: f64 = 0.08;
 
-/// Maximum number of prompt parts remembered per upstream.
+/// Number of remembered prompt parts per upstream above which those older than 5 s are
+/// dropped.
 const MAX_PROMPT_PARTS: usize = 2_048;
 
 /// Usage of an upstream by one entry's requests.
@@ -228,8 +229,8 @@
     /// Whether the upstream holds a model, and the adapter if one is given.
     pub fn holds(&self, now: Instant, model: &str, adapter: Option<&str>) -> bool {
         let mut not_held = self.not_held.iter();
-        if not_held.any(|(name, of, until)| {
-            **name == *model && of.as_deref() == adapter && now < *until
+        if not_held.any(|(name, adapter_name, until)| {
+            **name == *model && adapter_name.as_deref() == adapter && now < *until
         }) {
             return false;
         }
@@ -251,14 +252,14 @@
     pub fn cached_tokens(&self, parts: &[(u64, u64)]) -> u64 {
         let cached = parts
             .iter()
-            .take_while(|(chain, _)| self.prompt_parts.contains_key(chain));
+            .take_while(|(prefix_hash, _)| self.prompt_parts.contains_key(prefix_hash));
         cached.map(|(_, tokens)| tokens).sum()
     }
 
     /// Remembers prompt parts that the upstream reads now.
     pub fn remember_prompt_parts(&mut self, now: Instant, parts: &[(u64, u64)]) {
-        for (chain, _) in parts {
-            self.prompt_parts.insert(*chain, now);
+        for (prefix_hash, _) in parts {
+            self.prompt_parts.insert(*prefix_hash, now);
         }
         if self.prompt_parts.len() > MAX_PROMPT_PARTS {
             let oldest = now - Duration::from_secs(5);
@@ -286,9 +287,9 @@
     }
 
     /// Records that requests ended.
-    pub const fn requests_ended(&mut self, running: u32, kept_tokens: u64) {
+    pub const fn requests_ended(&mut self, running: u32, kv_tokens: u64) {
         self.own_usage.running = self.own_usage.running.saturating_sub(running);
-        self.own_usage.kv_tokens = self.own_usage.kv_tokens.saturating_sub(kept_tokens);
+        self.own_usage.kv_tokens = self.own_usage.kv_tokens.saturating_sub(kv_tokens);
         self.liveness.requests_ended(running);
     }
 
--- a/crates/direct/src/forecast.rs
+++ b/crates/direct/src/forecast.rs
@@ -112,15 +112,13 @@
     demand: &HashMap<Arc<str>, f64>,
     step: Option<usize>,
 ) -> Vec<HashMap<Arc<str>, f64>> {
-    let mut ranked: Vec<(&Arc<str>, f64)> = demand
-        .iter()
-        .map(|(model, total)| (model, *total))
-        .collect();
+    let mut ranked: Vec<(&Arc<str>, f64)> =
+        demand.iter().map(|(model, work)| (model, *work)).collect();
     ranked.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(b.0)));
-    let top = ranked.first().map_or(0.0, |(_, total)| *total);
+    let top = ranked.first().map_or(0.0, |(_, work)| *work);
     let busy = ranked
         .iter()
-        .take_while(|(_, total)| *total > top * BUSY_SHARE)
+        .take_while(|(_, work)| *work > top * BUSY_SHARE)
         .count();
     if !(BUSY_MIN..=BUSY_MAX).contains(&busy) {
         return Vec::new();
@@ -130,8 +128,8 @@
     let shifted = steps.into_iter().map(|step| {
         let mut shifted = demand.clone();
         for (rank, (model, _)) in ranked.iter().take(busy).enumerate() {
-            let total = rank.checked_sub(step).map_or(0.0, |from| ranked[from].1);
-            shifted.insert(Arc::clone(model), total);
+            let work = rank.checked_sub(step).map_or(0.0, |from| ranked[from].1);
+            shifted.insert(Arc::clone(model), work);
         }
         shifted
     });
--- a/crates/direct/src/lease.rs
+++ b/crates/direct/src/lease.rs
@@ -124,11 +124,11 @@
 impl Lease {
     /// Creates the state of the entry named `entry`. After its last order, no other
     /// holder sends orders for at least `quiet_ms`.
-    pub fn new(entry: &str, start: u64, valid_ms: u64, quiet_ms: u64) -> Self {
+    pub fn new(entry: &str, start: u64, validity_ms: u64, quiet_ms: u64) -> Self {
         Self {
             entry: entry.to_owned(),
             start,
-            validity_ms: valid_ms,
+            validity_ms,
             quiet_ms,
             observed: None,
             announced: None,
--- a/crates/direct/src/load_planner.rs
+++ b/crates/direct/src/load_planner.rs
@@ -182,9 +182,9 @@
         };
         let mut builder =
             PlanBuilder::new(now, engine, upstreams, &input, store_loads_left);
-        builder.load_waited_for();
-        builder.add_copies_of_busy();
-        builder.load_missing();
+        builder.load_awaited_models();
+        builder.add_copies_of_busy_models();
+        builder.load_missing_models();
         builder.planned
     }
 
--- a/crates/direct/src/plan/mod.rs
+++ b/crates/direct/src/plan/mod.rs
@@ -79,7 +79,7 @@
         self.demand.is_some_and(DemandEstimate::is_wanted)
     }
 
-    fn is_waited_for(&self) -> bool {
+    fn is_awaited(&self) -> bool {
         self.demand.is_some_and(|demand| demand.waiting > 0)
     }
 }
@@ -107,7 +107,9 @@
 /// A candidate upstream for one more copy of a model.
 #[derive(Debug)]
 struct CopyPlacement {
+    /// Index of the upstream.
     upstream: usize,
+    /// Index, among the upstream's models, of the model to evict.
     victim: Option<usize>,
     from_store: bool,
     relief: f64,
@@ -172,10 +174,9 @@
 
     /// Loads models that requests wait for and no upstream holds. Overdue models come
     /// first, then those with the longest wait.
-    pub(crate) fn load_waited_for(&mut self) {
+    pub(crate) fn load_awaited_models(&mut self) {
         let waiting = (0..self.models.len()).filter(|model| {
-            self.model_facts[*model].is_waited_for()
-                && self.models.copy_count(*model) == 0
+            self.model_facts[*model].is_awaited() && self.models.copy_count(*model) == 0
         });
         let mut waiting: Vec<(u64, u64, &Arc<str>, usize)> = waiting
             .map(|model| {
@@ -200,7 +201,7 @@
     }
 
     /// Adds copies of models whose holders are too busy.
-    pub(crate) fn add_copies_of_busy(&mut self) {
+    pub(crate) fn add_copies_of_busy_models(&mut self) {
         while self.planned.len() < MAX_PLANNED_LOADS {
             let Some((model, placement)) = self.best_extra_copy() else {
                 return;
@@ -210,7 +211,7 @@
     }
 
     /// Loads models that no upstream holds wherever there is free memory.
-    pub(crate) fn load_missing(&mut self) {
+    pub(crate) fn load_missing_models(&mut self) {
         let names = self.engine.models.keys();
         let missing: Vec<usize> = names
             .filter_map(|name| self.models.index_of(name))
@@ -257,7 +258,7 @@
             if from_store && self.store_loads_left == 0 {
                 continue;
             }
-            let found = self.make_room(model, index, spec.weights_mb, evict);
+            let found = self.find_room(model, index, spec.weights_mb, evict);
             let Some((victim, relief)) = found else {
                 continue;
             };
@@ -302,7 +303,7 @@
 
     /// Makes room on an upstream: returns the index of the model to evict, if any, and
     /// the relief of the move.
-    fn make_room(
+    fn find_room(
         &self,
         model: usize,
         to: usize,
@@ -311,12 +312,12 @@
     ) -> Option<(Option<usize>, f64)> {
         let upstream = &self.upstreams[to];
         if upstream.free_mb >= size_mb {
-            let plain_move = CandidateMove {
+            let without_eviction = CandidateMove {
                 model,
                 to,
                 victim: None,
             };
-            return Some((None, self.relief(plain_move)));
+            return Some((None, self.relief(without_eviction)));
         }
         if !evict {
             return None;
@@ -353,8 +354,8 @@
     }
 
     /// Relief of a move, weighted over all forecasts.
-    fn relief(&self, of: CandidateMove) -> f64 {
-        self.weighted_sum(|forecast| forecast.relief(of, &self.models))
+    fn relief(&self, candidate: CandidateMove) -> f64 {
+        self.weighted_sum(|forecast| forecast.relief(candidate, &self.models))
     }
 
     fn weighted_sum(&self, value: impl Fn(&ForecastLoads) -> f64) -> f64 {
--- a/crates/direct/src/select.rs
+++ b/crates/direct/src/select.rs
@@ -133,12 +133,12 @@
         match score_candidate(upstream, input, &affinity, index as u64) {
             Err(error) => reason = reason.closer(error),
             Ok((score, selected)) => {
-                let suspected = upstream.is_avoided(input.now);
+                let is_avoided = upstream.is_avoided(input.now);
                 let better = best.as_ref().is_none_or(|(other, best_score, _)| {
-                    (suspected, score) < (*other, *best_score)
+                    (is_avoided, score) < (*other, *best_score)
                 });
                 if better {
-                    best = Some((suspected, score, selected));
+                    best = Some((is_avoided, score, selected));
                 }
             }
         }
--- a/crates/direct/src/shared_watch.rs
+++ b/crates/direct/src/shared_watch.rs
@@ -125,14 +125,14 @@
         Self::default()
     }
 
-    /// Handles the answer to an own list call: everything up to version `at` is known.
+    /// Handles the answer to an own list call: everything up to `version` is known.
     ///
     /// Batches watched before the list are no longer forwarded. A receiver would take
     /// them for all changes up to now and miss those between the last watch and the
     /// list.
-    pub fn on_listed(&mut self, now: Instant, at: u64) {
+    pub fn on_listed(&mut self, now: Instant, version: u64) {
         self.recent_batches.clear();
-        self.on_confirmed(now, at);
+        self.on_confirmed(now, version);
     }
 
     /// Handles the answer to an own watch. Its batch is kept for forwarding.
@@ -144,8 +144,8 @@
         }
     }
 
-    fn on_confirmed(&mut self, now: Instant, at: u64) {
-        self.known_version = self.known_version.max(at);
+    fn on_confirmed(&mut self, now: Instant, version: u64) {
+        self.known_version = self.known_version.max(version);
         self.own_call_at = Some(now);
         self.is_working = true;
         self.needs_own_watch = false;
--- a/crates/direct/src/unanswered.rs
+++ b/crates/direct/src/unanswered.rs
@@ -73,10 +73,10 @@
         &self,
         engine: &EngineSpec,
         started_unix_ms: Option<u64>,
-        count: u64,
+        orders_accepted: u64,
     ) -> f64 {
         let sizes =
-            self.still_possible(started_unix_ms, count)
+            self.still_possible(started_unix_ms, orders_accepted)
                 .map(|action| match action {
                     OrderAction::Load(model) => {
                         let spec = engine.models.get(model);
@@ -95,9 +95,9 @@
     pub(crate) fn reserved_adapters(
         &self,
         started_unix_ms: Option<u64>,
-        count: u64,
+        orders_accepted: u64,
     ) -> u32 {
-        let loads = self.still_possible(started_unix_ms, count);
+        let loads = self.still_possible(started_unix_ms, orders_accepted);
         let loads =
             loads.filter(|action| matches!(action, OrderAction::LoadAdapter(..)));
         u32::try_from(loads.count()).unwrap_or(u32::MAX)
@@ -112,12 +112,13 @@
     fn still_possible(
         &self,
         started_unix_ms: Option<u64>,
-        count: u64,
+        orders_accepted: u64,
     ) -> impl Iterator<Item = &OrderAction> {
         let orders = self.orders.iter().map(|(_, order)| order);
         orders
             .filter(move |order| {
-                order.started_unix_ms < started_unix_ms && order.expected_count > count
+                order.started_unix_ms < started_unix_ms
+                    && order.expected_count > orders_accepted
             })
             .map(|order| &order.action)
     }
