--- a/crates/direct/benches/entry.rs
+++ b/crates/direct/benches/entry.rs
@@ -96,7 +96,7 @@
                     (number * 37 + index * 101 + round * 13) % self.upstreams.len();
                 &*self.upstreams[upstream]
             });
-            let start = |id| UpstreamIncarnation {
+            let incarnation = |id| UpstreamIncarnation {
                 id,
                 started_unix_ms: Some(7),
             };
@@ -109,10 +109,10 @@
                 answering: 1,
                 silent_ms: 20,
             };
-            let uses = used.clone().map(|id| (start(id), usage));
+            let uses = used.clone().map(|id| (incarnation(id), usage));
             self.fleet.set_peer_usage(now, peer, uses);
-            let heard = used.map(|id| (start(id), activity));
-            self.fleet.set_peer_activity(now, peer, heard);
+            let activities = used.map(|id| (incarnation(id), activity));
+            self.fleet.set_peer_activity(now, peer, activities);
         }
     }
 
--- a/crates/direct/tests/all/admission.rs
+++ b/crates/direct/tests/all/admission.rs
@@ -103,7 +103,7 @@
         }
     }
     let share = |of: usize| f64::from(served[of]) / f64::from(asked[of]);
-    assert!(share(0) < 0.7, "it is no overload: {}", share(0));
+    assert!(share(0) < 0.7, "the engine is not overloaded: {}", share(0));
     assert!(share(1) > 0.8 * share(0), "{} of {}", share(1), share(0));
 }
 
--- a/crates/direct/tests/all/incarnations.rs
+++ b/crates/direct/tests/all/incarnations.rs
@@ -110,7 +110,7 @@
 /// unknown until a source says so for that incarnation.
 #[test]
 fn a_later_incarnation_is_learned_from_reports_and_other_entries() {
-    let ways: [fn(&mut Fleet); 3] = [
+    let sources: [fn(&mut Fleet); 3] = [
         |fleet| fleet.observe_report(incarnation_at("1", 200)),
         |fleet| {
             fleet.set_peer_usage(
@@ -128,16 +128,16 @@
             );
         },
     ];
-    for way in ways {
+    for source in sources {
         let mut fleet = fleet(100);
-        way(&mut fleet);
+        source(&mut fleet);
         assert!(fleet.is_superseded(incarnation_at("1", 100)));
         assert!(!holds(&fleet, "a") && usable(&fleet, "1"));
         assert!(!fleet.apply_update(6, record_with_start("1", 100, &["a"])));
         assert!(!holds(&fleet, "a"));
         assert!(!fleet.apply_update(7, record_with_start("1", 200, &["c"])));
-        let entry_is_behind = holds(&fleet, "b");
-        assert!(entry_is_behind || holds(&fleet, "c"));
+        let record_is_outdated = holds(&fleet, "b");
+        assert!(record_is_outdated || holds(&fleet, "c"));
     }
 }
 
@@ -176,12 +176,12 @@
 #[test]
 fn a_record_without_a_start_time_is_used_only_if_most_have_none() {
     let plain = |id: &str| (5, record(id, &["a"]));
-    let dated = |id: &str| (5, record_with_start(id, 100, &["a"]));
+    let with_start = |id: &str| (5, record_with_start(id, 100, &["a"]));
     let mut fleet = Fleet::new();
-    fleet.apply_list(at(0), 5, vec![plain("1"), plain("2"), dated("3")]);
+    fleet.apply_list(at(0), 5, vec![plain("1"), plain("2"), with_start("3")]);
     assert!(["1", "2", "3"].iter().all(|id| usable(&fleet, id)));
     let mut fleet = Fleet::new();
-    fleet.apply_list(at(0), 5, vec![plain("1"), dated("2"), dated("3")]);
+    fleet.apply_list(at(0), 5, vec![plain("1"), with_start("2"), with_start("3")]);
     assert!(!usable(&fleet, "1") && usable(&fleet, "2") && usable(&fleet, "3"));
     fleet.apply_update(6, record("2", &["b"]));
     assert!(
@@ -210,13 +210,13 @@
 /// applied to the earlier incarnation.
 #[test]
 fn avoidance_ends_with_the_incarnation() {
-    let (mut fleet, mut doubts) = (fleet(100), AvoidanceTracker::new());
+    let (mut fleet, mut tracker) = (fleet(100), AvoidanceTracker::new());
     let upstream = fleet.get_mut("1").expect("it is known");
     upstream.connect_failed(at(0));
-    let turns = doubts.update_all(at(1), &fleet);
-    assert_eq!(turns[0].after, Some(AvoidReason::Unreached));
+    let changes = tracker.update_all(at(1), &fleet);
+    assert_eq!(changes[0].after, Some(AvoidReason::Unreached));
     fleet.apply_update(6, record_with_start("1", 200, &["a"]));
-    assert_eq!(doubts.update_all(at(2), &fleet), []);
+    assert_eq!(tracker.update_all(at(2), &fleet), []);
 }
 
 /// Information about four incarnations arrives in every way and in any order, most of
@@ -229,24 +229,28 @@
         let mut fleet = fleet(1);
         let (mut latest, mut version) = (1u64, 5u64);
         for step in 0..80u64 {
-            let of = random.int_in_range(1..=4u64)?;
-            let model = of.to_string();
+            let start = random.int_in_range(1..=4u64)?;
+            let model = start.to_string();
             let now = at(step);
             version += 1;
             match random.int_in_range(0..=5)? {
                 0 => {
-                    fleet.apply_update(version, record_with_start("1", of, &[&model]));
+                    fleet.apply_update(
+                        version,
+                        record_with_start("1", start, &[&model]),
+                    );
                 }
                 1 => {
-                    let listed = vec![(version, record_with_start("1", of, &[&model]))];
+                    let listed =
+                        vec![(version, record_with_start("1", start, &[&model]))];
                     fleet.apply_list(now, version, listed);
                 }
-                2 => fleet.observe_report(incarnation_at("1", of)),
+                2 => fleet.observe_report(incarnation_at("1", start)),
                 3 => {
                     let held = vec![resident(&model, &[])];
                     fleet.set_coordinator_holdings(
                         now,
-                        incarnation_at("1", of),
+                        incarnation_at("1", start),
                         held,
                         Vec::new(),
                     );
@@ -255,24 +259,24 @@
                     fleet.set_peer_usage(
                         now,
                         "p",
-                        [(incarnation_at("1", of), USED)].into_iter(),
+                        [(incarnation_at("1", start), USED)].into_iter(),
                     );
                 }
-                _ if of < latest => {
+                _ if start < latest => {
                     fleet.peer_reported_leaving(
-                        incarnation_at("1", of),
+                        incarnation_at("1", start),
                         version,
                         false,
                     );
                 }
                 _ => continue,
             }
-            latest = latest.max(of);
+            latest = latest.max(start);
             let upstream = fleet.get_mut("1").expect("it is known");
             assert_eq!(upstream.record.started_unix_ms, Some(latest));
             assert!(upstream.is_usable(now));
             let of_earlier =
-                (1..latest).any(|of| upstream.holds(now, &of.to_string(), None));
+                (1..latest).any(|start| upstream.holds(now, &start.to_string(), None));
             assert!(!of_earlier || latest == 1, "step {step}");
             let running = upstream.usage(now).running;
             assert!(running == 0 || running == USED.running);
--- a/crates/direct/tests/all/lease.rs
+++ b/crates/direct/tests/all/lease.rs
@@ -35,7 +35,7 @@
 }
 
 /// A renewal as announced by its holder.
-fn renewed(holder: &str, start: u64, token: u64, renewal: u64) -> LeaseRecord {
+fn announced_record(holder: &str, start: u64, token: u64, renewal: u64) -> LeaseRecord {
     LeaseRecord {
         holder: holder.to_owned(),
         start,
@@ -127,20 +127,20 @@
     let (renewal, version) = first
         .next_renewal(at(1_000))
         .expect("the entry holds the lease");
-    let renewed = store
+    let renewed_version = store
         .write(&renewal, Some(version))
         .expect("no other entry wrote");
     let (record, version) =
         first.release(at(1_000)).expect("the entry holds the lease");
     assert_eq!(store.write(&record, Some(version)), None);
-    first.on_written(at(1_000), renewed, renewal);
+    first.on_written(at(1_000), renewed_version, renewal);
     first.on_uncertain(at(1_010));
     assert_eq!(first.token(at(1_020)), None);
     let (record, version) = first.release(at(1_000)).expect("the entry still holds it");
-    let given = store
+    let released = store
         .write(&record, Some(version))
         .expect("no other entry wrote");
-    first.on_written(at(1_030), given, record);
+    first.on_written(at(1_030), released, record);
     assert_eq!(first.release(at(1_000)), None);
     run(&mut second, &mut store, 1_100, 1_200 + QUIET_MS + 1_000);
     assert_eq!(second.token(at(1_200 + QUIET_MS + 1_000)), Some(2));
@@ -157,7 +157,7 @@
     let renewal = first
         .held_renewal(at(1_000))
         .expect("the entry holds the lease");
-    second.on_holder_message(at(1_000), renewed("one", 1, 1, renewal));
+    second.on_holder_message(at(1_000), announced_record("one", 1, 1, renewal));
     run(&mut second, &mut store, 3_500, 1_000 + VALID_MS + QUIET_MS);
     assert_eq!(second.token(at(1_000 + VALID_MS + QUIET_MS)), None);
     run(&mut second, &mut store, 9_000, 9_400);
@@ -192,9 +192,9 @@
     let mut store = Store::default();
     let mut first = lease("one", 1);
     run(&mut first, &mut store, 0, 1_000);
-    let mut again = lease("one", 2);
-    run(&mut again, &mut store, 1_500, 1_900);
-    assert_eq!(again.token(at(1_900)), Some(2));
+    let mut restarted = lease("one", 2);
+    run(&mut restarted, &mut store, 1_500, 1_900);
+    assert_eq!(restarted.token(at(1_900)), Some(2));
 }
 
 /// All entries are killed right after the coordinator has loaded everything that the
@@ -208,20 +208,20 @@
     let mut first = lease("one", 1);
     run(&mut first, &mut store, 0, 1_000);
     let started_at = at(1_500);
-    let mut again = lease("one", 2);
-    run(&mut again, &mut store, 1_600, 1_900);
-    assert_eq!(again.token(at(1_900)), Some(2));
+    let mut restarted = lease("one", 2);
+    run(&mut restarted, &mut store, 1_600, 1_900);
+    assert_eq!(restarted.token(at(1_900)), Some(2));
     let engine: EngineSpec = engine(&["a"]);
-    let mut moves = LoadPlanner::new(WINDOW_MS);
-    moves.assume_window_spent(
-        again.others_ordered_until(at(1_900), started_at),
+    let mut planner = LoadPlanner::new(WINDOW_MS);
+    planner.assume_window_spent(
+        restarted.others_ordered_until(at(1_900), started_at),
         &engine,
     );
     assert_eq!(
-        moves.store_loads_left(at(1_500 + WINDOW_MS - 1), &engine),
+        planner.store_loads_left(at(1_500 + WINDOW_MS - 1), &engine),
         0
     );
-    assert!(moves.store_loads_left(at(1_500 + WINDOW_MS), &engine) > 0);
+    assert!(planner.store_loads_left(at(1_500 + WINDOW_MS), &engine) > 0);
 }
 
 /// Another entry's lease ended long ago and no orders were sent since. Only orders up
@@ -240,7 +240,7 @@
     let mut store = Store::default();
     let mut first = lease("one", 1);
     run(&mut first, &mut store, 0, 1_000);
-    let lost = (1_000..3_000).step_by(100).find(|ms| {
+    let unanswered_ms = (1_000..3_000).step_by(100).find(|ms| {
         let LeaseStep::Write { record, version } = first.next_step(at(*ms), false)
         else {
             return false;
@@ -249,9 +249,9 @@
         first.on_uncertain(at(*ms));
         true
     });
-    let lost = lost.expect("the lease is renewed once a second");
-    assert_eq!(first.token(at(lost)), Some(1));
-    run(&mut first, &mut store, lost + 100, 20_000);
+    let unanswered_ms = unanswered_ms.expect("the lease is renewed once a second");
+    assert_eq!(first.token(at(unanswered_ms)), Some(1));
+    run(&mut first, &mut store, unanswered_ms + 100, 20_000);
     assert_eq!(first.token(at(20_000)), Some(1));
 }
 
@@ -294,14 +294,15 @@
         let mut announcements: Vec<Announcement> = Vec::new();
         for step in 0..400u64 {
             let ms = step * 150;
-            announcements.retain(|announcements| {
-                if announcements.at_ms > ms || frozen_until[announcements.to] > ms {
+            announcements.retain(|announcement| {
+                if announcement.at_ms > ms || frozen_until[announcement.to] > ms {
                     return true;
                 }
-                let holder = format!("e{}", announcements.from);
-                let (token, renewal) = announcements.renewal;
-                let record = renewed(&holder, announcements.start, token, renewal);
-                leases[announcements.to].on_holder_message(at(ms), record);
+                let holder = format!("e{}", announcement.from);
+                let (token, renewal) = announcement.renewal;
+                let record =
+                    announced_record(&holder, announcement.start, token, renewal);
+                leases[announcement.to].on_holder_message(at(ms), record);
                 false
             });
             let mut due = std::mem::take(&mut calls);
--- a/crates/direct/tests/all/load_planner.rs
+++ b/crates/direct/tests/all/load_planner.rs
@@ -132,7 +132,7 @@
         })
     }
 
-    fn look(&mut self, ms: u64) -> &[UpstreamState] {
+    fn states_at(&mut self, ms: u64) -> &[UpstreamState] {
         for (upstream, until_ms) in self.upstreams.iter_mut().zip(self.busy_until_ms) {
             upstream.idle = until_ms <= ms;
         }
@@ -178,7 +178,7 @@
             (name(model), estimate)
         });
         let choices =
-            planner.plan(at(ms), &engine, two_upstreams.look(ms), &demand.into());
+            planner.plan(at(ms), &engine, two_upstreams.states_at(ms), &demand.into());
         for choice in &choices {
             two_upstreams.carry_out(ms, choice);
         }
@@ -268,9 +268,9 @@
     let engine = engine(&MODELS);
     let mut planner = LoadPlanner::new(5_000);
     planner.assume_window_spent(at(0), &engine);
-    let mut with_copy = upstream("1", &["a"]);
-    with_copy.local_weights = vec![name("c")];
-    let choices = planner.plan(at(10), &engine, &[with_copy], &demand(&[]));
+    let mut with_local_weights = upstream("1", &["a"]);
+    with_local_weights.local_weights = vec![name("c")];
+    let choices = planner.plan(at(10), &engine, &[with_local_weights], &demand(&[]));
     assert_eq!(choices.len(), 1);
     assert_eq!(&*choices[0].load, "c");
     assert!(!choices[0].from_store);
