--- a/crates/direct/src/fleet.rs
+++ b/crates/direct/src/fleet.rs
@@ -193,7 +193,7 @@
 
     /// Upstreams that are leaving or whose records have vanished, with the version at
     /// which this was seen and whether the record vanished. Each is returned for
-    /// [`LEAVING_RESEND_MS`] after it was last active.
+    /// `LEAVING_RESEND_MS` after it was last active.
     ///
     /// Other entries learn this from the platform as well, and know it after seconds of
     /// repetition. When these upstreams were sent for as long as they are remembered,
