--- a/crates/agent/src/metrics.rs
+++ b/crates/agent/src/metrics.rs
@@ -1,6 +1,6 @@
 //! Metrics of the agent.
 
-use oper::ProcessUse;
+use oper::ProcessUsage;
 use prometheus::core::Collector;
 use prometheus::proto::MetricFamily;
 use prometheus::{Counter, Gauge, IntCounter, Registry, TextEncoder};
@@ -73,7 +73,7 @@
     }
     let cpu = Counter::new("process_cpu_seconds_total", "Processor time used.")
         .expect("the name is valid");
-    cpu.inc_by(ProcessUse::read().cpu_s);
+    cpu.inc_by(ProcessUsage::read().cpu_s);
     families.extend(cpu.collect());
     TextEncoder::new()
         .encode_to_string(&families)
@@ -128,7 +128,7 @@
         (
             "process_resident_memory_bytes",
             "Resident memory.",
-            ProcessUse::read().resident_bytes as f64,
+            ProcessUsage::read().resident_bytes as f64,
         ),
     ]
 }
--- a/crates/agent/src/node.rs
+++ b/crates/agent/src/node.rs
@@ -4,7 +4,7 @@
 use base::{PlatformAnswer, PlatformCall};
 use conf::Config;
 use line::{Filter, Recorder};
-use oper::{Clock, Ticker};
+use oper::{Clock, DeadlineTimer};
 use parking_lot::{Mutex, MutexGuard};
 use plat::ObjectApi;
 use role::agent::{AgentAction, AgentEvent, AgentOptions, AgentRole, UpstreamEvent};
@@ -32,7 +32,7 @@
     links: Links,
     attempts: Arc<Attempts>,
     upstream: Upstream,
-    ticker: Ticker,
+    ticker: DeadlineTimer,
     platform: Arc<dyn ObjectApi>,
     recorder: Recorder,
     meters: Meters,
@@ -76,7 +76,7 @@
             links: Links::default(),
             attempts: Arc::default(),
             upstream: Upstream::new(outside.upstream),
-            ticker: Ticker::new(),
+            ticker: DeadlineTimer::new(),
             platform: outside.platform,
             recorder: outside.recorder,
             meters: Meters::new(),
--- a/crates/agent/src/operated.rs
+++ b/crates/agent/src/operated.rs
@@ -1,7 +1,7 @@
 //! What operators see of an agent.
 
 use line::{Event, Filter};
-use oper::Operated;
+use oper::OperatorApi;
 use role::agent::{AgentEvent, AgentStatus};
 use std::sync::Arc;
 
@@ -24,7 +24,7 @@
     }
 }
 
-impl Operated for OperatedAgent {
+impl OperatorApi for OperatedAgent {
     fn ready(&self) -> bool {
         self.node.is_ready()
     }
--- a/crates/agent/src/start.rs
+++ b/crates/agent/src/start.rs
@@ -3,7 +3,7 @@
 use base::prelude::*;
 use line::Recorder;
 use oper::Clock;
-use oper::{LinkListenSnafu, ListenSnafu, StartError, address};
+use oper::{BindLinkListenerSnafu, BindListenerSnafu, StartError, parse_address};
 use plat::{HttpPlatform, ObjectApi};
 use role::agent::{AgentEvent, AgentOptions};
 use schema::settings::AgentSettings;
@@ -87,7 +87,7 @@
 ///
 /// As for [`run`].
 pub async fn start(settings: AgentSettings) -> Result<AgentHandle, StartError> {
-    let platform = address("platform", &settings.platform)?;
+    let platform = parse_address("platform", &settings.platform)?;
     start_with(settings, Arc::new(HttpPlatform::new(platform))).await
 }
 
@@ -100,27 +100,28 @@
     settings: AgentSettings,
     platform: Arc<dyn ObjectApi>,
 ) -> Result<AgentHandle, StartError> {
-    let operator_listen = address("operator_listen", &settings.operator_listen)?;
-    let operators = TcpListener::bind(operator_listen)
-        .await
-        .context(ListenSnafu {
-            key: "operator_listen",
-        })?;
-    let operator_address = operators.local_addr().context(ListenSnafu {
+    let operator_listen = parse_address("operator_listen", &settings.operator_listen)?;
+    let operators =
+        TcpListener::bind(operator_listen)
+            .await
+            .context(BindListenerSnafu {
+                key: "operator_listen",
+            })?;
+    let operator_address = operators.local_addr().context(BindListenerSnafu {
         key: "operator_listen",
     })?;
-    let link_listen = address("link_listen", &settings.link_listen)?;
+    let link_listen = parse_address("link_listen", &settings.link_listen)?;
     let links = Listener::bind(link_listen, wire::FRAME_MAX_BYTES)
         .await
-        .context(LinkListenSnafu)?;
-    let link_address = links.local_addr().context(LinkListenSnafu)?;
+        .context(BindLinkListenerSnafu)?;
+    let link_address = links.local_addr().context(BindLinkListenerSnafu)?;
 
     let clock = Clock::start();
     let options = options(&settings, &clock, link_address, operator_address);
     let events = settings.timeline_events as usize;
     let outside = Outside {
         link_address,
-        upstream: address("upstream", &settings.upstream)?,
+        upstream: parse_address("upstream", &settings.upstream)?,
         platform,
         recorder: Recorder::new(&settings.id, events),
     };
--- a/crates/entry/src/bin/sesame-entry.rs
+++ b/crates/entry/src/bin/sesame-entry.rs
@@ -23,9 +23,9 @@
     let settings = oper::read_settings(file, conf::check_entry_settings)?;
     let log_level = settings.log_level.clone();
     let threads = settings.worker_threads;
-    oper::run_shell(
+    oper::run_process(
         &log_level,
         threads,
-        entry::run(settings, oper::terminated()),
+        entry::run(settings, oper::termination_signal()),
     )
 }
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -1,7 +1,7 @@
 //! Metrics of the shell, besides those of the machine.
 
 use base::Revision;
-use oper::ProcessUse;
+use oper::ProcessUsage;
 use prometheus::core::{AtomicU64, Collector, GenericCounter};
 use prometheus::proto::MetricFamily;
 use prometheus::{IntCounter, IntCounterVec, IntGauge, Opts, Registry, TextEncoder};
@@ -129,7 +129,7 @@
     /// Whether the process takes work.
     pub(crate) ready: bool,
     /// What the process uses.
-    pub(crate) process: ProcessUse,
+    pub(crate) process: ProcessUsage,
 }
 
 /// One metric without labels.
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -4,7 +4,7 @@
 use base::{PlatformAnswer, PlatformCall};
 use conf::Config;
 use line::Recorder;
-use oper::{Clock, Ticker};
+use oper::{Clock, DeadlineTimer};
 use parking_lot::Mutex;
 use plat::ObjectApi;
 use role::Peer;
@@ -32,7 +32,7 @@
     clock: Clock,
     calls: Calls,
     links: Links,
-    ticker: Ticker,
+    ticker: DeadlineTimer,
     platform: Arc<dyn ObjectApi>,
     recorder: Recorder,
     meters: Meters,
@@ -60,7 +60,7 @@
             role,
             clock,
             calls: Calls::new(),
-            ticker: Ticker::new(),
+            ticker: DeadlineTimer::new(),
             platform,
             recorder,
             meters: Meters::new(),
--- a/crates/entry/src/operated.rs
+++ b/crates/entry/src/operated.rs
@@ -1,7 +1,7 @@
 //! What operators see of an entry.
 
 use line::{Event, Filter};
-use oper::{Operated, ProcessUse};
+use oper::{OperatorApi, ProcessUsage};
 use role::entry::EntryEvent;
 use std::sync::Arc;
 
@@ -21,7 +21,7 @@
     }
 }
 
-impl Operated for OperatedEntry {
+impl OperatorApi for OperatedEntry {
     fn ready(&self) -> bool {
         self.node.is_ready()
     }
@@ -38,7 +38,7 @@
             in_progress: self.node.calls().len(),
             revision: self.node.role().revision(),
             ready: self.node.is_ready(),
-            process: ProcessUse::read(),
+            process: ProcessUsage::read(),
         };
         metrics::text(self.node.meters(), &seen)
     }
--- a/crates/entry/src/start.rs
+++ b/crates/entry/src/start.rs
@@ -3,7 +3,7 @@
 use base::prelude::*;
 use line::Recorder;
 use oper::Clock;
-use oper::{LinkListenSnafu, ListenSnafu, StartError, address};
+use oper::{BindLinkListenerSnafu, BindListenerSnafu, StartError, parse_address};
 use plat::{HttpPlatform, ObjectApi};
 use role::entry::{EntryEvent, EntryOptions};
 use schema::settings::EntrySettings;
@@ -104,7 +104,7 @@
 ///
 /// As for [`run`].
 pub async fn start(settings: EntrySettings) -> Result<EntryHandle, StartError> {
-    let platform = address("platform", &settings.platform)?;
+    let platform = parse_address("platform", &settings.platform)?;
     start_with(settings, Arc::new(HttpPlatform::new(platform))).await
 }
 
@@ -119,11 +119,11 @@
 ) -> Result<EntryHandle, StartError> {
     let callers = listen("caller_listen", &settings.caller_listen).await?;
     let operators = listen("operator_listen", &settings.operator_listen).await?;
-    let links = address("link_listen", &settings.link_listen)?;
+    let links = parse_address("link_listen", &settings.link_listen)?;
     let links = Listener::bind(links, wire::FRAME_MAX_BYTES)
         .await
-        .context(LinkListenSnafu)?;
-    let link_address = links.local_addr().context(LinkListenSnafu)?;
+        .context(BindLinkListenerSnafu)?;
+    let link_address = links.local_addr().context(BindLinkListenerSnafu)?;
     let operator_address = bound("operator_listen", &operators)?;
     let caller_address = bound("caller_listen", &callers)?;
 
@@ -209,12 +209,12 @@
 }
 
 async fn listen(key: &'static str, text: &str) -> Result<TcpListener, StartError> {
-    let address = address(key, text)?;
+    let address = parse_address(key, text)?;
     TcpListener::bind(address)
         .await
-        .context(ListenSnafu { key })
+        .context(BindListenerSnafu { key })
 }
 
 fn bound(key: &'static str, listener: &TcpListener) -> Result<SocketAddr, StartError> {
-    listener.local_addr().context(ListenSnafu { key })
+    listener.local_addr().context(BindListenerSnafu { key })
 }
--- a/crates/front/src/peers/register.rs
+++ b/crates/front/src/peers/register.rs
@@ -111,7 +111,7 @@
 async fn list_entries(node: &Node) -> Option<EntryList> {
     let prefix = node.options.keys.entry_prefix.clone();
     // An outdated list will do: new entries announce themselves.
-    let result = node.store.list_maybe_old(prefix).await;
+    let result = node.store.list_allow_stale(prefix).await;
     let PlatformResult::Objects(objects, _) = result else {
         return None;
     };
--- a/crates/front/src/shared_watch.rs
+++ b/crates/front/src/shared_watch.rs
@@ -120,9 +120,11 @@
         PlatformOp::Watch { prefix, after }
             if role(node, collection) == WatchRole::Leader =>
         {
-            let watch =
-                node.store
-                    .watch_within(prefix.clone(), *after, LEADER_WATCH_TIMEOUT);
+            let watch = node.store.watch_with_timeout(
+                prefix.clone(),
+                *after,
+                LEADER_WATCH_TIMEOUT,
+            );
             watch.await
         }
         _ => node.store.call(op).await,
--- a/crates/oper/src/clock.rs
+++ b/crates/oper/src/clock.rs
@@ -25,7 +25,7 @@
     }
 
     /// The same point on the runtime's clock, for sleeping.
-    pub fn at(&self, instant: Instant) -> tokio::time::Instant {
+    pub fn runtime_instant(&self, instant: Instant) -> tokio::time::Instant {
         self.origin + Duration::from_micros(instant.as_us())
     }
 
--- a/crates/oper/src/ticker.rs
+++ b/crates/oper/src/deadline_timer.rs
@@ -12,18 +12,18 @@
 
 /// One task that sleeps until a machine is due.
 #[derive(Debug)]
-pub struct Ticker {
+pub struct DeadlineTimer {
     armed_us: AtomicU64,
     earlier: Notify,
 }
 
-impl Default for Ticker {
+impl Default for DeadlineTimer {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl Ticker {
+impl DeadlineTimer {
     /// A timer that is not set.
     pub const fn new() -> Self {
         Self {
@@ -73,7 +73,7 @@
     if due_us == NEVER_US {
         std::future::pending::<()>().await;
     }
-    tokio::time::sleep_until(clock.at(Instant::from_us(due_us))).await;
+    tokio::time::sleep_until(clock.runtime_instant(Instant::from_us(due_us))).await;
 }
 
 fn as_us(due: Option<Instant>) -> u64 {
--- a/crates/oper/src/lib.rs
+++ b/crates/oper/src/lib.rs
@@ -4,29 +4,29 @@
 //!
 //! [`serve`] answers on a listener of its own, so that a flood of callers can't
 //! keep an operator or a liveness probe out. Everything it shows comes from an
-//! [`Operated`] process by borrowed views; the only thing it changes is that
-//! [`Operated::drain`] may be called.
+//! [`OperatorApi`] process by borrowed views; the only thing it changes is that
+//! [`OperatorApi::drain`] may be called.
 
 mod answer;
 mod clock;
+mod deadline_timer;
 mod log_lines;
-mod operated;
-mod process_use;
+mod operator_api;
+mod process_usage;
 mod program;
 mod query;
 mod route;
 mod server;
 mod signal;
 mod start;
-mod ticker;
 
 pub use clock::Clock;
+pub use deadline_timer::DeadlineTimer;
 pub use log_lines::init_log;
-pub use operated::Operated;
-pub use process_use::ProcessUse;
-pub use program::{exit_code, read_settings, run_shell};
+pub use operator_api::OperatorApi;
+pub use process_usage::ProcessUsage;
+pub use program::{exit_code, read_settings, run_process};
 pub use query::query_value;
 pub use server::serve;
-pub use signal::terminated;
-pub use start::{LinkListenSnafu, ListenSnafu, StartError, address};
-pub use ticker::Ticker;
+pub use signal::termination_signal;
+pub use start::{BindLinkListenerSnafu, BindListenerSnafu, StartError, parse_address};
--- a/crates/oper/src/operated.rs
+++ b/crates/oper/src/operator_api.rs
@@ -4,7 +4,7 @@
 use std::fmt::Debug;
 
 /// A process that operators look at and may drain.
-pub trait Operated: Debug + Send + Sync {
+pub trait OperatorApi: Debug + Send + Sync {
     /// Whether the process takes work.
     fn ready(&self) -> bool;
 
--- a/crates/oper/src/process_use.rs
+++ b/crates/oper/src/process_usage.rs
@@ -11,14 +11,14 @@
 
 /// Processor time and memory of this process.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct ProcessUse {
+pub struct ProcessUsage {
     /// Processor time used, user and system, in seconds.
     pub cpu_s: f64,
     /// Resident memory.
     pub resident_bytes: u64,
 }
 
-impl ProcessUse {
+impl ProcessUsage {
     /// Reads both; what can't be read is 0.
     pub fn read() -> Self {
         let stat = fs::read_to_string("/proc/self/stat").unwrap_or_default();
--- a/crates/oper/src/program.rs
+++ b/crates/oper/src/program.rs
@@ -11,17 +11,18 @@
 ///
 /// # Errors
 ///
-/// [`StartError::File`] if it can't be read, [`StartError::Settings`] with all its
-/// faults if it has some.
+/// [`StartError::ReadSettings`] if it can't be read, or
+/// [`StartError::InvalidSettings`] with all faults of the text.
 pub fn read_settings<T>(
     file: &Path,
     check: impl FnOnce(&str) -> Result<T, Vec<Fault>>,
 ) -> Result<T, StartError> {
-    let text = std::fs::read_to_string(file).map_err(|source| StartError::File {
-        path: file.to_owned(),
-        source,
-    })?;
-    check(&text).map_err(|faults| StartError::Settings { faults })
+    let text =
+        std::fs::read_to_string(file).map_err(|source| StartError::ReadSettings {
+            path: file.to_owned(),
+            source,
+        })?;
+    check(&text).map_err(|faults| StartError::InvalidSettings { faults })
 }
 
 /// Starts the log and the runtime, and runs a shell to its end.
@@ -33,7 +34,7 @@
 /// # Panics
 ///
 /// If the operating system gives neither threads nor descriptors.
-pub fn run_shell(
+pub fn run_process(
     log_level: &str,
     worker_threads: u32,
     shell: impl Future<Output = Result<(), StartError>>,
--- a/crates/oper/src/route.rs
+++ b/crates/oper/src/route.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 use crate::answer::{Answer, fault, json, text};
-use crate::{Operated, query_value};
+use crate::{OperatorApi, query_value};
 
 /// The answer to a drain.
 #[derive(Debug, Serialize)]
@@ -15,7 +15,7 @@
 }
 
 /// Answers one call.
-pub(crate) fn answer(operated: &dyn Operated, method: &Method, uri: &Uri) -> Answer {
+pub(crate) fn answer(operated: &dyn OperatorApi, method: &Method, uri: &Uri) -> Answer {
     let query = uri.query().unwrap_or_default();
     match (method, uri.path()) {
         (&Method::GET, "/healthz") => text(StatusCode::OK, "alive\n"),
@@ -40,7 +40,7 @@
     }
 }
 
-fn timeline(operated: &dyn Operated, query: &str) -> Answer {
+fn timeline(operated: &dyn OperatorApi, query: &str) -> Answer {
     let since_us = match query_value(query, "since_us") {
         None => 0,
         Some(text) => match text.parse() {
@@ -56,7 +56,7 @@
     json(StatusCode::OK, &operated.timeline(&filter))
 }
 
-fn explain(operated: &dyn Operated, query: &str) -> Answer {
+fn explain(operated: &dyn OperatorApi, query: &str) -> Answer {
     match query_value(query, "model") {
         Some(model) => json(StatusCode::OK, &operated.explain_model(&model)),
         None => fault(Code::BadRequest),
--- a/crates/oper/src/server.rs
+++ b/crates/oper/src/server.rs
@@ -12,7 +12,7 @@
 use tokio::sync::Semaphore;
 use tokio::task::JoinSet;
 
-use crate::{Operated, route};
+use crate::{OperatorApi, route};
 
 /// Connections served at once; further ones wait to be accepted.
 const CONNECTIONS_MAX: usize = 64;
@@ -29,7 +29,7 @@
 ///
 /// `GET /healthz`, `/readyz`, `/metrics`, `/status`,
 /// `/timeline?since_us=&request=&model=` and `/explain?model=`; `POST /drain`.
-pub async fn serve(listener: TcpListener, operated: Arc<dyn Operated>) {
+pub async fn serve(listener: TcpListener, operated: Arc<dyn OperatorApi>) {
     let room = Arc::new(Semaphore::new(CONNECTIONS_MAX));
     let mut connections = JoinSet::new();
     loop {
@@ -53,7 +53,7 @@
     }
 }
 
-async fn connection(stream: TcpStream, operated: Arc<dyn Operated>) {
+async fn connection(stream: TcpStream, operated: Arc<dyn OperatorApi>) {
     let service = service_fn(move |request: Request<Incoming>| {
         let answer: Response<_> =
             route::answer(&*operated, request.method(), request.uri());
--- a/crates/oper/src/signal.rs
+++ b/crates/oper/src/signal.rs
@@ -6,7 +6,7 @@
 ///
 /// Where a handler can't be installed it waits for ever: the process then dies
 /// by the signal itself, as it would without the handler.
-pub async fn terminated() {
+pub async fn termination_signal() {
     let wait = async |kind| match signal(kind) {
         Ok(mut signal) => {
             signal.recv().await;
--- a/crates/oper/src/start.rs
+++ b/crates/oper/src/start.rs
@@ -14,7 +14,7 @@
 pub enum StartError {
     /// The settings file can't be read.
     #[snafu(display("{}: {}: {source}", Code::FileFault, path.display()))]
-    File {
+    ReadSettings {
         /// File.
         path: PathBuf,
         /// Fault of the operating system.
@@ -22,13 +22,13 @@
     },
     /// The settings have faults.
     #[snafu(display("{}", lines(faults)))]
-    Settings {
+    InvalidSettings {
         /// All of them.
         faults: Vec<Fault>,
     },
     /// An address of the settings is not `ip:port`.
     #[snafu(display("{}: {key}: {text} is not ip:port", Code::BadAddress))]
-    Address {
+    InvalidAddress {
         /// Key in the settings.
         key: &'static str,
         /// What stands there.
@@ -36,7 +36,7 @@
     },
     /// A listener can't be bound.
     #[snafu(display("{}: {key}: {source}", Code::BadAddress))]
-    Listen {
+    BindListener {
         /// Key in the settings.
         key: &'static str,
         /// Fault of the operating system.
@@ -44,7 +44,7 @@
     },
     /// The link listener can't be bound.
     #[snafu(display("{}: link_listen: {source}", source.code()))]
-    LinkListen {
+    BindLinkListener {
         /// Fault of the listener.
         source: WireError,
     },
@@ -54,12 +54,12 @@
     /// Numbered code of the fault.
     pub fn code(&self) -> Code {
         match self {
-            Self::File { .. } => Code::FileFault,
-            Self::Settings { faults } => {
+            Self::ReadSettings { .. } => Code::FileFault,
+            Self::InvalidSettings { faults } => {
                 faults.first().map_or(Code::BadSyntax, |fault| fault.code)
             }
-            Self::Address { .. } | Self::Listen { .. } => Code::BadAddress,
-            Self::LinkListen { source } => source.code(),
+            Self::InvalidAddress { .. } | Self::BindListener { .. } => Code::BadAddress,
+            Self::BindLinkListener { source } => source.code(),
         }
     }
 }
@@ -73,9 +73,9 @@
 ///
 /// # Errors
 ///
-/// [`StartError::Address`] if the text is something else.
-pub fn address(key: &'static str, text: &str) -> Result<SocketAddr, StartError> {
-    text.parse().map_err(|_| StartError::Address {
+/// [`StartError::InvalidAddress`] if the text is something else.
+pub fn parse_address(key: &'static str, text: &str) -> Result<SocketAddr, StartError> {
+    text.parse().map_err(|_| StartError::InvalidAddress {
         key,
         text: text.to_owned(),
     })
--- a/crates/oper/tests/listener.rs
+++ b/crates/oper/tests/listener.rs
@@ -1,7 +1,7 @@
 //! The operators' listener over its protocol.
 
 use line::{Event, Filter, Recorder};
-use oper::{Operated, query_value, serve};
+use oper::{OperatorApi, query_value, serve};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -16,7 +16,7 @@
     recorder: Recorder,
 }
 
-impl Operated for Process {
+impl OperatorApi for Process {
     fn ready(&self) -> bool {
         !self.draining.load(Ordering::SeqCst)
     }
--- a/crates/plat/src/http.rs
+++ b/crates/plat/src/http.rs
@@ -20,7 +20,7 @@
 
 /// An answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HttpAnswer {
+pub struct HttpResponse {
     /// Status.
     pub status: StatusCode,
     /// Body.
@@ -38,19 +38,19 @@
     },
     /// The connection broke, or the answer is too large or not HTTP.
     #[snafu(display("{address} gave no whole answer"))]
-    Broken {
+    IncompleteResponse {
         /// Address.
         address: SocketAddr,
     },
     /// No answer came in time.
     #[snafu(display("{address} did not answer in time"))]
-    Slow {
+    TimedOut {
         /// Address.
         address: SocketAddr,
     },
     /// The path is not one.
     #[snafu(display("{path} is not a path"))]
-    BadPath {
+    InvalidPath {
         /// Path.
         path: String,
     },
@@ -60,7 +60,7 @@
     /// Numbered code of the fault.
     pub const fn code(&self) -> Code {
         match self {
-            Self::BadPath { .. } => Code::UnknownPath,
+            Self::InvalidPath { .. } => Code::UnknownPath,
             _ => Code::Unreachable,
         }
     }
@@ -71,7 +71,7 @@
 /// # Errors
 ///
 /// No whole answer of at most 64 MiB came within five seconds.
-pub async fn get(address: SocketAddr, path: &str) -> Result<HttpAnswer, HttpError> {
+pub async fn get(address: SocketAddr, path: &str) -> Result<HttpResponse, HttpError> {
     call(address, Method::GET, path, Bytes::new()).await
 }
 
@@ -84,7 +84,7 @@
     address: SocketAddr,
     path: &str,
     body: Bytes,
-) -> Result<HttpAnswer, HttpError> {
+) -> Result<HttpResponse, HttpError> {
     call(address, Method::POST, path, body).await
 }
 
@@ -93,26 +93,26 @@
     method: Method,
     path: &str,
     body: Bytes,
-) -> Result<HttpAnswer, HttpError> {
+) -> Result<HttpResponse, HttpError> {
     let request = Request::builder()
         .method(method)
         .uri(path)
         .header(header::HOST, address.to_string())
         .header(header::CONTENT_TYPE, "application/json")
         .body(Full::new(body))
-        .map_err(|_| HttpError::BadPath {
+        .map_err(|_| HttpError::InvalidPath {
             path: path.to_owned(),
         })?;
     timeout(CALL_TIMEOUT, exchange(address, request))
         .await
-        .unwrap_or(Err(HttpError::Slow { address }))
+        .unwrap_or(Err(HttpError::TimedOut { address }))
 }
 
 async fn exchange(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
-) -> Result<HttpAnswer, HttpError> {
-    let broken = || HttpError::Broken { address };
+) -> Result<HttpResponse, HttpError> {
+    let broken = || HttpError::IncompleteResponse { address };
     let stream = TcpStream::connect(address)
         .await
         .map_err(|_| HttpError::Unreachable { address })?;
@@ -126,7 +126,7 @@
             .collect()
             .await
             .map_err(|_| broken())?;
-        Ok(HttpAnswer {
+        Ok(HttpResponse {
             status,
             body: body.to_bytes(),
         })
--- a/crates/plat/src/object_api.rs
+++ b/crates/plat/src/object_api.rs
@@ -18,13 +18,13 @@
     fn call<'a>(&'a self, op: &'a PlatformOp) -> BoxFuture<'a, PlatformResult>;
 
     /// A list that may be seconds old, where the platform gives such ones for less.
-    fn list_maybe_old(&self, prefix: String) -> BoxFuture<'_, PlatformResult> {
+    fn list_allow_stale(&self, prefix: String) -> BoxFuture<'_, PlatformResult> {
         async move { self.call(&PlatformOp::List { prefix }).await }.boxed()
     }
 
     /// A watch that the platform answers after `wait` at the latest, also where nothing
     /// has changed. Without an own way to bound it, it lasts as long as any watch.
-    fn watch_within(
+    fn watch_with_timeout(
         &self,
         prefix: String,
         after: Version,
