--- a/crates/agent/src/accept.rs
+++ b/crates/agent/src/accept.rs
@@ -5,7 +5,7 @@
 use schema::link::Frame;
 use std::sync::Arc;
 use tokio::sync::Semaphore;
-use wire::{Greeted, Link, LinkReceiver, Listener};
+use wire::{EstablishedLink, Link, LinkReceiver, Listener};
 
 use crate::node::Node;
 
@@ -48,8 +48,8 @@
 }
 
 async fn serve(node: &Arc<Node>, link: Link) {
-    let link = link.bounded(node.frame_max_bytes());
-    let Ok(link) = link.greet(node.hello()).await else {
+    let link = link.with_frame_max_bytes(node.frame_max_bytes());
+    let Ok(link) = link.handshake(node.hello()).await else {
         node.meters().bad_frames.inc();
         return;
     };
@@ -60,7 +60,7 @@
     }
     let entry = EntryId::new(&link.hello.id);
     if let Some(number) = up(node, &entry, &link) {
-        let Greeted {
+        let EstablishedLink {
             sender, receiver, ..
         } = link;
         read_all(node, &entry, receiver).await;
@@ -71,7 +71,7 @@
 
 /// Enters a connection and tells the machine, in one step: no other connection
 /// of the entry can come between the two.
-fn up(node: &Arc<Node>, entry: &EntryId, link: &Greeted) -> Option<u64> {
+fn up(node: &Arc<Node>, entry: &EntryId, link: &EstablishedLink) -> Option<u64> {
     let mut number = None;
     node.tell_all(|| {
         let Some(added) = node.links().add(entry, link) else {
@@ -114,7 +114,7 @@
             Ok(Some(frame)) => take(node, entry, frame),
             Ok(None) => return,
             Err(fault) => {
-                if fault.code() == Code::BadFrame {
+                if fault.code() == ErrorCode::BadFrame {
                     node.meters().bad_frames.inc();
                 }
                 return;
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -26,4 +26,4 @@
 mod start;
 mod upstream;
 
-pub use start::{AgentHandle, run, start, start_with};
+pub use start::{AgentHandle, run, start, start_with_platform};
--- a/crates/agent/src/links.rs
+++ b/crates/agent/src/links.rs
@@ -3,7 +3,7 @@
 use base::prelude::*;
 use parking_lot::Mutex;
 use std::collections::HashMap;
-use wire::{Greeted, LinkSender};
+use wire::{EstablishedLink, LinkSender};
 
 /// The connections of entries that are up.
 #[derive(Debug, Default)]
@@ -65,7 +65,7 @@
     }
 
     /// Adds a connection; `None` if a later run of the entry is connected.
-    pub(crate) fn add(&self, entry: &EntryId, link: &Greeted) -> Option<Added> {
+    pub(crate) fn add(&self, entry: &EntryId, link: &EstablishedLink) -> Option<Added> {
         let incarnation = Incarnation(link.hello.incarnation);
         let mut table = self.table.lock();
         let earlier = table.by_entry.get(entry);
--- a/crates/agent/src/node.rs
+++ b/crates/agent/src/node.rs
@@ -1,9 +1,9 @@
 //! The machine and everything its actions reach.
 
 use base::prelude::*;
-use base::{PlatformAnswer, PlatformCall};
+use base::{PlatformCall, PlatformResponse};
 use conf::Config;
-use line::{Filter, Recorder};
+use line::{EventFilter, EventRecorder};
 use oper::{Clock, Ticker};
 use parking_lot::{Mutex, MutexGuard};
 use plat::ObjectApi;
@@ -14,7 +14,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use tokio::runtime::Handle;
 use tokio_util::sync::CancellationToken;
-use wire::{Room, WireError};
+use wire::{SendPermit, WireError};
 
 use crate::attempts::Attempts;
 use crate::links::Links;
@@ -34,7 +34,7 @@
     upstream: Upstream,
     ticker: Ticker,
     platform: Arc<dyn ObjectApi>,
-    recorder: Recorder,
+    recorder: EventRecorder,
     meters: Meters,
     ready: AtomicBool,
     exit: CancellationToken,
@@ -48,7 +48,7 @@
     pub(crate) link_address: SocketAddr,
     pub(crate) upstream: SocketAddr,
     pub(crate) platform: Arc<dyn ObjectApi>,
-    pub(crate) recorder: Recorder,
+    pub(crate) recorder: EventRecorder,
 }
 
 /// A part of an answer, with its room in the queue towards the entry.
@@ -56,7 +56,7 @@
 pub(crate) struct Part {
     pub(crate) payload: Vec<u8>,
     /// `None` if the entry is not connected.
-    pub(crate) room: Option<Room>,
+    pub(crate) room: Option<SendPermit>,
 }
 
 impl Node {
@@ -114,7 +114,7 @@
     }
 
     /// The time line.
-    pub(crate) const fn recorder(&self) -> &Recorder {
+    pub(crate) const fn recorder(&self) -> &EventRecorder {
         &self.recorder
     }
 
@@ -176,13 +176,14 @@
 
     /// Bound on frames in force.
     pub(crate) fn frame_max_bytes(&self) -> u32 {
-        self.config().map_or(wire::FRAME_MAX_BYTES, |config| {
-            config.limits().frame_max_bytes
-        })
+        self.config()
+            .map_or(wire::DEFAULT_FRAME_MAX_BYTES, |config| {
+                config.limits().frame_max_bytes
+            })
     }
 
     /// Kept events that the filter takes.
-    pub(crate) fn timeline(&self, filter: &Filter) -> Vec<line::Event> {
+    pub(crate) fn timeline(&self, filter: &EventFilter) -> Vec<line::Event> {
         self.recorder.events(filter)
     }
 
@@ -289,7 +290,7 @@
             self.meters.unsent_frames.inc();
             // A lost `End` or `Refused` would leave the entry waiting for what
             // was already said. Ending the link makes the loss plain.
-            if matches!(fault, WireError::Full) && !renewed {
+            if matches!(fault, WireError::QueueFull) && !renewed {
                 sender.close();
             }
         }
@@ -299,7 +300,7 @@
         &self,
         revision: Revision,
         entry: &EntryId,
-        room: Option<Room>,
+        room: Option<SendPermit>,
         body: frame::Body,
     ) {
         let Some(room) = room else {
@@ -324,7 +325,10 @@
                 result = node.platform.call(&call.op) => result,
             };
             let id = call.id;
-            node.tell(AgentEvent::PlatformAnswered(PlatformAnswer { id, result }));
+            node.tell(AgentEvent::PlatformAnswered(PlatformResponse {
+                id,
+                result,
+            }));
         });
     }
 
--- a/crates/agent/src/operated.rs
+++ b/crates/agent/src/operated.rs
@@ -1,6 +1,6 @@
 //! What operators see of an agent.
 
-use line::{Event, Filter};
+use line::{Event, EventFilter};
 use oper::Operated;
 use role::agent::{AgentEvent, AgentStatus};
 use std::sync::Arc;
@@ -49,15 +49,15 @@
         metrics::text(self.node.meters(), &seen)
     }
 
-    fn timeline(&self, filter: &Filter) -> Vec<Event> {
+    fn timeline(&self, filter: &EventFilter) -> Vec<Event> {
         self.node.timeline(filter)
     }
 
     fn explain_model(&self, model: &str) -> Vec<String> {
         let status = self.node.role().status();
-        let filter = Filter {
+        let filter = EventFilter {
             model: Some(model.to_owned()),
-            ..Filter::default()
+            ..EventFilter::default()
         };
         let events = self.node.timeline(&filter);
         let newest = events.len().saturating_sub(EVENTS_TOLD);
--- a/crates/agent/src/start.rs
+++ b/crates/agent/src/start.rs
@@ -1,7 +1,7 @@
 //! Starting and ending the process.
 
 use base::prelude::*;
-use line::Recorder;
+use line::EventRecorder;
 use oper::Clock;
 use oper::{LinkListenSnafu, ListenSnafu, StartError, address};
 use plat::{HttpPlatform, ObjectApi};
@@ -49,7 +49,7 @@
     }
 
     /// Waits until the process has drained and closed its connections.
-    pub async fn finished(self) {
+    pub async fn wait_drained(self) {
         // The task ends by itself; a panic in it has been reported.
         let _ = self.done.await;
     }
@@ -77,7 +77,7 @@
         () = shutdown => node.tell(AgentEvent::Drain),
         () = node.exit().cancelled() => {}
     }
-    agent.finished().await;
+    agent.wait_drained().await;
     Ok(())
 }
 
@@ -88,7 +88,7 @@
 /// As for [`run`].
 pub async fn start(settings: AgentSettings) -> Result<AgentHandle, StartError> {
     let platform = address("platform", &settings.platform)?;
-    start_with(settings, Arc::new(HttpPlatform::new(platform))).await
+    start_with_platform(settings, Arc::new(HttpPlatform::new(platform))).await
 }
 
 /// Starts an agent on another platform than the one of its settings.
@@ -96,7 +96,7 @@
 /// # Errors
 ///
 /// As for [`run`].
-pub async fn start_with(
+pub async fn start_with_platform(
     settings: AgentSettings,
     platform: Arc<dyn ObjectApi>,
 ) -> Result<AgentHandle, StartError> {
@@ -110,7 +110,7 @@
         key: "operator_listen",
     })?;
     let link_listen = address("link_listen", &settings.link_listen)?;
-    let links = Listener::bind(link_listen, wire::FRAME_MAX_BYTES)
+    let links = Listener::bind(link_listen, wire::DEFAULT_FRAME_MAX_BYTES)
         .await
         .context(LinkListenSnafu)?;
     let link_address = links.local_addr().context(LinkListenSnafu)?;
@@ -122,7 +122,7 @@
         link_address,
         upstream: address("upstream", &settings.upstream)?,
         platform,
-        recorder: Recorder::new(&settings.id, events),
+        recorder: EventRecorder::new(&settings.id, events),
     };
     let node = Node::new(options, clock, outside);
     node.begin();
@@ -163,7 +163,7 @@
     AgentOptions {
         id: AgentId::new(&settings.id),
         incarnation: Incarnation(incarnation),
-        failure_domain: DomainId::new(&settings.failure_domain),
+        failure_domain: FailureDomainId::new(&settings.failure_domain),
         pool: PoolId::new(&settings.pool),
         link_address: link_address.to_string(),
         operator_address: operator_address.to_string(),
--- a/crates/agent/src/upstream/connection.rs
+++ b/crates/agent/src/upstream/connection.rs
@@ -1,6 +1,6 @@
 //! A connection to the upstream that knows whether anything was written to it.
 
-use base::Ran;
+use base::RunStatus;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 pub(super) struct NoAnswer {
     /// Whether the request was run.
-    pub(super) ran: Ran,
+    pub(super) ran: RunStatus,
     /// The connection broke, rather than not being had.
     pub(super) broken: bool,
 }
@@ -59,7 +59,7 @@
     /// Connects.
     pub(super) async fn open(address: SocketAddr) -> Result<Self, NoAnswer> {
         let not_reached = NoAnswer {
-            ran: Ran::NotRun,
+            ran: RunStatus::NotRun,
             broken: false,
         };
         let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
@@ -118,9 +118,9 @@
             }),
             Err(_) => Err(NoAnswer {
                 ran: if self.written.is_any() {
-                    Ran::Ran
+                    RunStatus::Ran
                 } else {
-                    Ran::NotRun
+                    RunStatus::NotRun
                 },
                 broken: true,
             }),
--- a/crates/agent/src/upstream/ending.rs
+++ b/crates/agent/src/upstream/ending.rs
@@ -1,6 +1,6 @@
 //! Ends of attempts.
 
-use base::{AttemptId, Ran};
+use base::{AttemptId, RunStatus};
 use role::agent::UpstreamEvent;
 
 /// How an attempt ended at the upstream.
@@ -16,7 +16,7 @@
     /// In any other way.
     Failed {
         /// Whether it was run.
-        ran: Ran,
+        ran: RunStatus,
         /// HTTP status, or 0.
         status: u16,
         /// The connection broke.
@@ -28,7 +28,7 @@
     /// The answer broke off after its head.
     pub(super) const fn broken(status: u16) -> Self {
         Self::Failed {
-            ran: Ran::Ran,
+            ran: RunStatus::Ran,
             status,
             broken: true,
         }
@@ -37,7 +37,7 @@
     /// The upstream broke its protocol, or refused.
     pub(super) const fn fault(status: u16) -> Self {
         Self::Failed {
-            ran: Ran::Ran,
+            ran: RunStatus::Ran,
             status,
             broken: false,
         }
@@ -46,7 +46,7 @@
     /// The upstream never had it.
     pub(super) const fn not_run(status: u16) -> Self {
         Self::Failed {
-            ran: Ran::NotRun,
+            ran: RunStatus::NotRun,
             status,
             broken: false,
         }
--- a/crates/agent/tests/shell/engine.rs
+++ b/crates/agent/tests/shell/engine.rs
@@ -1,7 +1,7 @@
 //! Attempts at an engine that keeps its protocol, or breaks it.
 
 use crate::support::{Got, Pair, Says, attempt, deaf_upstream, patiently, upstream};
-use base::{Code, Ran};
+use base::{ErrorCode, RunStatus};
 use schema::link::{Cancel, End, frame};
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
@@ -94,8 +94,8 @@
 struct Fault {
     name: &'static str,
     says: String,
-    code: Code,
-    ran: Ran,
+    code: ErrorCode,
+    ran: RunStatus,
 }
 
 // The engine's answer is cut, wrong or a refusal.
@@ -115,65 +115,70 @@
         code,
         ran,
     };
-    let (lost, broken) = (Code::UpstreamLost, Code::UpstreamFault);
+    let (lost, broken) = (ErrorCode::UpstreamLost, ErrorCode::UpstreamFault);
     let faults = [
-        fault("closed at once", String::new(), lost, Ran::Ran),
+        fault("closed at once", String::new(), lost, RunStatus::Ran),
         fault(
             "no end mark",
             stream(&[token("a"), last(1)]),
             lost,
-            Ran::Ran,
+            RunStatus::Ran,
         ),
         fault(
             "cut within a token",
             stream(&[token("a")])[..120].into(),
             lost,
-            Ran::Ran,
+            RunStatus::Ran,
         ),
-        fault("cut within a chunk", chunked.into(), lost, Ran::Ran),
+        fault("cut within a chunk", chunked.into(), lost, RunStatus::Ran),
         fault(
             "no last chunk",
             stream(&[token("a"), done()]),
             broken,
-            Ran::Ran,
+            RunStatus::Ran,
         ),
         fault(
             "fewer tokens than told",
             stream(&[token("a"), last(2), done()]),
             broken,
-            Ran::Ran,
+            RunStatus::Ran,
         ),
         fault(
             "not JSON",
             stream(&["data: {\n\n".into(), done()]),
             broken,
-            Ran::Ran,
+            RunStatus::Ran,
         ),
         fault(
             "an error in the stream",
             stream(&[token("a"), "data: {\"error\":{}}\n\n".into(), done()]),
             broken,
-            Ran::Ran,
+            RunStatus::Ran,
+        ),
+        fault("not HTTP", "hello\r\n\r\n".into(), lost, RunStatus::Ran),
+        fault(
+            "500",
+            status("500 Internal Server Error"),
+            broken,
+            RunStatus::Ran,
         ),
-        fault("not HTTP", "hello\r\n\r\n".into(), lost, Ran::Ran),
-        fault("500", status("500 Internal Server Error"), broken, Ran::Ran),
         fault(
             "503 without a mark",
             status("503 Service Unavailable"),
             broken,
-            Ran::Ran,
+            RunStatus::Ran,
         ),
         fault(
             "503 that says not run",
             status("503 Service Unavailable\r\nX-Not-Run: 1"),
             broken,
-            Ran::NotRun,
+            RunStatus::NotRun,
         ),
         fault(
             "mark without 503",
             status("500 Oh\r\nX-Not-Run: 1"),
             broken,
-            Ran::Ran,
+            RunStatus::Ran,
         ),
     ];
     for fault in faults {
--- a/crates/agent/tests/shell/service.rs
+++ b/crates/agent/tests/shell/service.rs
@@ -4,7 +4,7 @@
     ENTRY_INCARNATION, Got, Pair, Says, answer_states, attempt, connect, patiently,
     try_connect, upstream,
 };
-use base::{Code, Ran};
+use base::{ErrorCode, RunStatus};
 use schema::link::{Attempt, frame};
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
@@ -118,8 +118,8 @@
             break end;
         }
     };
-    assert_eq!(end.code, Code::UpstreamLost.number());
-    assert_eq!(end.ran, Ran::Ran.number());
+    assert_eq!(end.code, ErrorCode::UpstreamLost.number());
+    assert_eq!(end.ran, RunStatus::Ran.number());
 }
 
 // A request whose path can't be put in HTTP, or would name another host.
@@ -160,7 +160,7 @@
     plat::http::post(operators, "/drain", "".into())
         .await
         .unwrap();
-    pair.agent.finished().await;
+    pair.agent.wait_drained().await;
 }
 
 // The entry's connection broke unseen, and it connects anew.
@@ -201,7 +201,7 @@
     let wait = tokio::time::timeout(Duration::from_secs(60), pair.next());
     match wait.await.expect("no answer at all") {
         frame::Body::Refused(_) => {}
-        frame::Body::End(end) => assert_eq!(end.ran, Ran::NotRun.number()),
+        frame::Body::End(end) => assert_eq!(end.ran, RunStatus::NotRun.number()),
         body => panic!("unexpected {body:?}"),
     }
 }
--- a/crates/agent/tests/shell/support.rs
+++ b/crates/agent/tests/shell/support.rs
@@ -1,8 +1,8 @@
 //! An agent with a platform in memory, an engine on loopback that says what a
 //! test wants, and the link of an entry.
 
-use agent::{AgentHandle, start_with};
-use base::{Expect, PlatformOp, PlatformResult, Version};
+use agent::{AgentHandle, start_with_platform};
+use base::{ObjectVersion, PlatformOp, PlatformResult, Precondition};
 use futures::FutureExt;
 use futures::future::BoxFuture;
 use plat::ObjectApi;
@@ -16,7 +16,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::mpsc;
-use wire::Greeted;
+use wire::EstablishedLink;
 
 /// Incarnation of the entry, and so the origin of its attempts.
 pub const ENTRY_INCARNATION: u64 = 77;
@@ -69,7 +69,7 @@
     pub fn put(&self, key: &str, value: Vec<u8>) {
         let write = PlatformOp::Write {
             key: key.to_owned(),
-            expect: Expect::Any,
+            precondition: Precondition::Any,
             value,
         };
         self.result(&write);
@@ -82,32 +82,37 @@
         match op {
             PlatformOp::Read { key } => {
                 let object = objects.get(key);
-                let read = object.map(|(version, value)| (Version(*version), value));
+                let read =
+                    object.map(|(version, value)| (ObjectVersion(*version), value));
                 PlatformResult::Object(read.map(|(v, value)| (v, value.clone())))
             }
             PlatformOp::List { prefix } | PlatformOp::Watch { prefix, .. } => {
                 let listed = objects.iter().filter(|(key, _)| key.starts_with(prefix));
                 let listed = listed.map(|(key, (version, value))| {
-                    (key.clone(), Version(*version), value.clone())
+                    (key.clone(), ObjectVersion(*version), value.clone())
                 });
-                PlatformResult::Objects(listed.collect(), Version(next - 1))
+                PlatformResult::Objects(listed.collect(), ObjectVersion(next - 1))
             }
-            PlatformOp::Write { key, expect, value } => {
-                let held = objects.get(key).map(|(version, _)| Version(*version));
-                let as_expected = match expect {
-                    Expect::Any => true,
-                    Expect::Absent => held.is_none(),
-                    Expect::Version(version) => held == Some(*version),
+            PlatformOp::Write {
+                key,
+                precondition,
+                value,
+            } => {
+                let held = objects.get(key).map(|(version, _)| ObjectVersion(*version));
+                let as_expected = match precondition {
+                    Precondition::Any => true,
+                    Precondition::Absent => held.is_none(),
+                    Precondition::Version(version) => held == Some(*version),
                 };
                 if !as_expected {
                     return PlatformResult::Conflict;
                 }
                 objects.insert(key.clone(), (next, value.clone()));
-                PlatformResult::Written(Version(next))
+                PlatformResult::Written(ObjectVersion(next))
             }
             PlatformOp::Delete { key, .. } => {
                 objects.remove(key);
-                PlatformResult::Written(Version(next))
+                PlatformResult::Written(ObjectVersion(next))
             }
         }
     }
@@ -254,7 +259,7 @@
 #[derive(Debug)]
 pub struct Pair {
     pub agent: AgentHandle,
-    pub link: Greeted,
+    pub link: EstablishedLink,
 }
 
 impl Pair {
@@ -282,7 +287,9 @@
             timeline_events: 100,
             ..AgentSettings::default()
         };
-        let agent = start_with(settings, Arc::new(platform)).await.unwrap();
+        let agent = start_with_platform(settings, Arc::new(platform))
+            .await
+            .unwrap();
         while !agent.is_ready() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
@@ -375,15 +382,15 @@
 }
 
 /// The link of a run of the entry.
-pub async fn connect(agent: &AgentHandle, incarnation: u64) -> Greeted {
+pub async fn connect(agent: &AgentHandle, incarnation: u64) -> EstablishedLink {
     let link = wire::connect(agent.link_address, FRAME_MAX_BYTES).await;
-    link.unwrap().greet(hello(incarnation)).await.unwrap()
+    link.unwrap().handshake(hello(incarnation)).await.unwrap()
 }
 
 /// The link of another entry, if the agent takes it.
-pub async fn try_connect(agent: &AgentHandle, id: &str) -> Option<Greeted> {
-    let link = wire::connect(agent.link_address, wire::FRAME_MAX_BYTES).await;
-    link.ok()?.greet(hello_of(id, 1)).await.ok()
+pub async fn try_connect(agent: &AgentHandle, id: &str) -> Option<EstablishedLink> {
+    let link = wire::connect(agent.link_address, wire::DEFAULT_FRAME_MAX_BYTES).await;
+    link.ok()?.handshake(hello_of(id, 1)).await.ok()
 }
 
 fn hello(incarnation: u64) -> Frame {
--- a/crates/base/src/code.rs
+++ b/crates/base/src/code.rs
@@ -4,7 +4,7 @@
 
 /// What is known about whether a request was run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ran {
+pub enum RunStatus {
     /// It provably was not run and never will be.
     NotRun,
     /// It was handed to an upstream.
@@ -13,7 +13,7 @@
     Unknown,
 }
 
-impl Ran {
+impl RunStatus {
     /// The word used towards callers.
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -50,11 +50,11 @@
         /// of upstreams, 4xxx of the platform, 5xxx of settings and operators'
         /// commands. `docs/errors.md` tells what to do about each.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-        pub enum Code {
+        pub enum ErrorCode {
             $($(#[$doc])* $name,)*
         }
 
-        impl Code {
+        impl ErrorCode {
             /// Every code, in order of number.
             pub const ALL: &'static [Self] = &[$(Self::$name,)*];
 
@@ -122,7 +122,7 @@
     /// The deadline passed before the request was run.
     DeadlineBeforeRun = 2006, "deadline_before_run", 504;
     /// The request crashed upstreams and is not run again for now.
-    Convicted = 2007, "request_crashed_upstreams", 422;
+    RequestCrashedUpstreams = 2007, "request_crashed_upstreams", 422;
     /// The same key is being run by another request.
     KeyInProgress = 2008, "key_in_progress", 409;
     /// The agent was addressed by an old incarnation.
@@ -183,7 +183,7 @@
     BadFrame = 5013, "bad_frame", 400;
 }
 
-impl fmt::Display for Code {
+impl fmt::Display for ErrorCode {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} {}", self.number(), self.name())
     }
@@ -191,21 +191,21 @@
 
 /// A final answer other than a whole one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Refusal {
+pub struct RequestError {
     /// Why.
-    pub code: Code,
+    pub code: ErrorCode,
     /// Whether the request was run.
-    pub ran: Ran,
+    pub ran: RunStatus,
     /// When to come back; `None` where coming back does not help.
     pub retry_after_ms: Option<u64>,
 }
 
-impl Refusal {
+impl RequestError {
     /// A refusal of a request that was not run.
-    pub const fn not_run(code: Code) -> Self {
+    pub const fn not_run(code: ErrorCode) -> Self {
         Self {
             code,
-            ran: Ran::NotRun,
+            ran: RunStatus::NotRun,
             retry_after_ms: None,
         }
     }
--- a/crates/base/src/id.rs
+++ b/crates/base/src/id.rs
@@ -8,7 +8,7 @@
 
 /// Fencing number of the agent beside one upstream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
-pub struct Epoch(pub u64);
+pub struct FencingEpoch(pub u64);
 
 /// Number of an accepted configuration; each accepted change adds one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
--- a/crates/base/src/lib.rs
+++ b/crates/base/src/lib.rs
@@ -6,9 +6,9 @@
 //!
 //! Two types carry promises of the whole system:
 //!
-//! - [`Ran`] is what the system says about a request that got no whole answer.
+//! - [`RunStatus`] is what the system says about a request that got no whole answer.
 //!   `NotRun` is only used where the request provably was not run.
-//! - [`Code`] is the numbered result code; `docs/errors.md` lists every one.
+//! - [`ErrorCode`] is the numbered result code; `docs/errors.md` lists every one.
 
 mod code;
 mod id;
@@ -17,23 +17,24 @@
 mod time;
 mod timers;
 
-pub use code::{Code, Ran, Refusal};
-pub use id::{AttemptId, Epoch, Incarnation, RequestId, Revision};
+pub use code::{ErrorCode, RequestError, RunStatus};
+pub use id::{AttemptId, FencingEpoch, Incarnation, RequestId, Revision};
 pub use name::{
-    AgentId, CallerId, DomainId, EntryId, ModelId, PoolId, ProfileId, ServiceId,
+    AgentId, CallerId, EntryId, FailureDomainId, ModelId, PoolId, ProfileId, ServiceId,
 };
 pub use platform::{
-    Expect, PlatformAnswer, PlatformCall, PlatformOp, PlatformResult, Version,
+    ObjectVersion, PlatformCall, PlatformOp, PlatformResponse, PlatformResult,
+    Precondition,
 };
 pub use time::Instant;
-pub use timers::Timers;
+pub use timers::TimerQueue;
 
 /// The types that most modules need.
 pub mod prelude {
     pub use crate::{
-        AgentId, AttemptId, CallerId, Code, DomainId, EntryId, Epoch, Incarnation,
-        Instant, ModelId, PoolId, ProfileId, Ran, Refusal, RequestId, Revision,
-        ServiceId,
+        AgentId, AttemptId, CallerId, EntryId, ErrorCode, FailureDomainId,
+        FencingEpoch, Incarnation, Instant, ModelId, PoolId, ProfileId, RequestError,
+        RequestId, Revision, RunStatus, ServiceId,
     };
     pub use std::time::Duration;
 }
--- a/crates/base/src/name.rs
+++ b/crates/base/src/name.rs
@@ -68,7 +68,7 @@
 }
 name_type! {
     /// A failure domain.
-    DomainId
+    FailureDomainId
 }
 name_type! {
     /// A pool of like upstreams.
--- a/crates/base/src/platform.rs
+++ b/crates/base/src/platform.rs
@@ -2,7 +2,7 @@
 
 /// Version of an object; the platform raises it with each write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Version(pub u64);
+pub struct ObjectVersion(pub u64);
 
 /// A call that a state machine asks its driver to make.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -31,7 +31,7 @@
         /// Key of the object.
         key: String,
         /// What must hold for the write to be done.
-        expect: Expect,
+        precondition: Precondition,
         /// The new value.
         value: Vec<u8>,
     },
@@ -40,7 +40,7 @@
         /// Key of the object.
         key: String,
         /// What must hold for the deletion to be done.
-        expect: Expect,
+        precondition: Precondition,
     },
     /// Waits until an object whose key starts with `prefix` has a version above
     /// `after`, or until the platform ends the wait.
@@ -48,24 +48,24 @@
         /// Start of the keys.
         prefix: String,
         /// Version already seen.
-        after: Version,
+        after: ObjectVersion,
     },
 }
 
 /// Condition of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Expect {
+pub enum Precondition {
     /// No condition.
     Any,
     /// The object must not exist.
     Absent,
     /// The object must have this version.
-    Version(Version),
+    Version(ObjectVersion),
 }
 
 /// Answer to a [`PlatformCall`].
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct PlatformAnswer {
+pub struct PlatformResponse {
     /// Number of the call.
     pub id: u64,
     /// What came of it.
@@ -76,16 +76,16 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PlatformResult {
     /// One object, or none.
-    Object(Option<(Version, Vec<u8>)>),
+    Object(Option<(ObjectVersion, Vec<u8>)>),
     /// Objects by key in order, and the version up to which the list holds.
-    Objects(Vec<(String, Version, Vec<u8>)>, Version),
+    Objects(Vec<(String, ObjectVersion, Vec<u8>)>, ObjectVersion),
     /// The write took effect and gave this version.
-    Written(Version),
+    Written(ObjectVersion),
     /// The condition did not hold; nothing was written.
     Conflict,
     /// The call provably had no effect: the platform refused it or was not
     /// reached.
-    Away,
+    Unavailable,
     /// No answer came: a write may or may not have taken effect.
     Unanswered,
 }
--- a/crates/base/src/timers.rs
+++ b/crates/base/src/timers.rs
@@ -6,16 +6,16 @@
 /// Things due later, in order of time and then of setting.
 ///
 /// A machine keeps its timers here, tells its driver the earliest with
-/// [`Timers::due`], and takes what is due when the driver says that time has
+/// [`TimerQueue::next_deadline`], and takes what is due when the driver says that time has
 /// come. A timer is never cancelled: its receiver looks whether it still
 /// matters, which costs less than finding it again.
 #[derive(Debug)]
-pub struct Timers<T> {
+pub struct TimerQueue<T> {
     pending: BTreeMap<(Instant, u64), T>,
     next: u64,
 }
 
-impl<T> Timers<T> {
+impl<T> TimerQueue<T> {
     /// No timers.
     pub const fn new() -> Self {
         Self {
@@ -25,19 +25,19 @@
     }
 
     /// Adds a timer.
-    pub fn set(&mut self, at: Instant, timer: T) {
+    pub fn schedule(&mut self, at: Instant, timer: T) {
         self.pending.insert((at, self.next), timer);
         self.next += 1;
     }
 
     /// When the earliest timer is due.
-    pub fn due(&self) -> Option<Instant> {
+    pub fn next_deadline(&self) -> Option<Instant> {
         self.pending.first_key_value().map(|((at, _), _)| *at)
     }
 
     /// Takes the earliest timer that is due at `now`.
-    pub fn take(&mut self, now: Instant) -> Option<T> {
-        if self.due()? > now {
+    pub fn pop_due(&mut self, now: Instant) -> Option<T> {
+        if self.next_deadline()? > now {
             return None;
         }
         self.pending.pop_first().map(|(_, timer)| timer)
@@ -54,7 +54,7 @@
     }
 }
 
-impl<T> Default for Timers<T> {
+impl<T> Default for TimerQueue<T> {
     fn default() -> Self {
         Self::new()
     }
--- a/crates/cap/src/measure/agent_rig.rs
+++ b/crates/cap/src/measure/agent_rig.rs
@@ -2,7 +2,7 @@
 
 use super::messages::{self, Fleet};
 use base::prelude::*;
-use base::{PlatformAnswer, PlatformOp, PlatformResult, Version};
+use base::{ObjectVersion, PlatformOp, PlatformResponse, PlatformResult};
 use role::agent::{
     AgentAction, AgentEvent, AgentOptions, AgentRole, OrderAnswer, UpstreamEvent,
     UpstreamOrder, UpstreamOrderState, UpstreamReport, UpstreamResident,
@@ -73,7 +73,7 @@
                 AgentAction::CallPlatform(call) => {
                     let result = self.platform(&call.op);
                     let id = call.id;
-                    self.handle(AgentEvent::PlatformAnswered(PlatformAnswer {
+                    self.handle(AgentEvent::PlatformAnswered(PlatformResponse {
                         id,
                         result,
                     }));
@@ -119,12 +119,12 @@
             PlatformOp::List { .. } => {
                 self.reads += 1;
                 let key = conf::revision_key(Revision(1));
-                let held = vec![(key, Version(1), self.document.clone())];
-                PlatformResult::Objects(held, Version(1))
+                let held = vec![(key, ObjectVersion(1), self.document.clone())];
+                PlatformResult::Objects(held, ObjectVersion(1))
             }
             PlatformOp::Write { .. } | PlatformOp::Delete { .. } => {
                 self.writes += 1;
-                PlatformResult::Written(Version(1 + self.writes))
+                PlatformResult::Written(ObjectVersion(1 + self.writes))
             }
             PlatformOp::Watch { .. } => PlatformResult::Unanswered,
         }
@@ -180,7 +180,7 @@
     AgentOptions {
         id: AgentId::new(&messages::agent(0)),
         incarnation: Incarnation(INCARNATION),
-        failure_domain: DomainId::new(&messages::domain(0)),
+        failure_domain: FailureDomainId::new(&messages::domain(0)),
         pool: PoolId::new(messages::POOL),
         link_address: "10.120.130.140:20001".to_owned(),
         operator_address: "10.120.130.140:20002".to_owned(),
--- a/crates/cap/src/measure/choose.rs
+++ b/crates/cap/src/measure/choose.rs
@@ -22,7 +22,7 @@
 }
 
 fn one(count: usize) -> f64 {
-    let domain = DomainId::new("spanish-town");
+    let domain = FailureDomainId::new("spanish-town");
     let name = |nth: usize| AgentId::new(&format!("oracle-{nth:05}"));
     let agents: Vec<AgentId> = (0..count).map(name).collect();
     let holder = |(index, agent)| Holder {
--- a/crates/cap/src/measure/claims.rs
+++ b/crates/cap/src/measure/claims.rs
@@ -3,7 +3,7 @@
 use super::clock::{median_ns, samples};
 use crate::fit::{Growth, Series};
 use base::prelude::*;
-use base::{PlatformOp, PlatformResult, Version};
+use base::{ObjectVersion, PlatformOp, PlatformResult};
 use once::{
     Answer, ClaimAction, ClaimRequest, Claims, ClaimsOptions, SHARDS, shard_of,
 };
@@ -89,7 +89,7 @@
                     self.version += 1;
                     self.writes += 1;
                     self.written = value.len();
-                    PlatformResult::Written(Version(self.version))
+                    PlatformResult::Written(ObjectVersion(self.version))
                 }
                 _ => PlatformResult::Object(None),
             };
--- a/crates/cap/src/measure/entry_rig.rs
+++ b/crates/cap/src/measure/entry_rig.rs
@@ -3,7 +3,7 @@
 use super::messages::{self, Fleet};
 use access::Credential;
 use base::prelude::*;
-use base::{PlatformAnswer, PlatformCall, PlatformOp, PlatformResult, Version};
+use base::{ObjectVersion, PlatformCall, PlatformOp, PlatformResponse, PlatformResult};
 use prost::Message;
 use role::Peer;
 use role::entry::{
@@ -49,7 +49,7 @@
             };
             if let Some(result) = answer_to(&call, document) {
                 let id = call.id;
-                let answer = PlatformAnswer { id, result };
+                let answer = PlatformResponse { id, result };
                 let more = self.handle(EntryEvent::PlatformAnswered(answer));
                 self.answer(more, document);
             }
@@ -209,7 +209,7 @@
     EntryOptions {
         id: EntryId::new("entry-0000"),
         incarnation: Incarnation(1_764_700_000_000_000),
-        failure_domain: DomainId::new(&messages::domain(0)),
+        failure_domain: FailureDomainId::new(&messages::domain(0)),
         link_address: "10.120.130.139:20001".to_owned(),
         operator_address: "10.120.130.139:20002".to_owned(),
         peers: Vec::new(),
@@ -235,14 +235,14 @@
         PlatformOp::Read { .. } => Some(PlatformResult::Object(None)),
         PlatformOp::List { prefix } if prefix == conf::REVISION_PREFIX => {
             let key = conf::revision_key(Revision(1));
-            let held = vec![(key, Version(1), document.to_vec())];
-            Some(PlatformResult::Objects(held, Version(1)))
+            let held = vec![(key, ObjectVersion(1), document.to_vec())];
+            Some(PlatformResult::Objects(held, ObjectVersion(1)))
         }
         PlatformOp::List { .. } => {
-            Some(PlatformResult::Objects(Vec::new(), Version(1)))
+            Some(PlatformResult::Objects(Vec::new(), ObjectVersion(1)))
         }
         PlatformOp::Write { .. } | PlatformOp::Delete { .. } => {
-            Some(PlatformResult::Written(Version(2)))
+            Some(PlatformResult::Written(ObjectVersion(2)))
         }
         PlatformOp::Watch { .. } => None,
     }
--- a/crates/cap/src/measure/memory.rs
+++ b/crates/cap/src/measure/memory.rs
@@ -10,7 +10,7 @@
 use super::messages::{self, Fleet};
 use super::timeline;
 use crate::fit::{Growth, Series};
-use line::Recorder;
+use line::EventRecorder;
 use std::hint::black_box;
 use std::process::Command;
 use std::str::FromStr;
@@ -189,7 +189,7 @@
 }
 
 fn events(size: usize) -> u64 {
-    let recorder = Recorder::new("entry-0000", size);
+    let recorder = EventRecorder::new("entry-0000", size);
     let before = resident_bytes("self");
     (0..size).for_each(|_| recorder.record(timeline::event()));
     let after = resident_bytes("self");
--- a/crates/cap/src/measure/plan.rs
+++ b/crates/cap/src/measure/plan.rs
@@ -70,7 +70,7 @@
     };
     AgentView {
         id: AgentId::new(&messages::agent(nth)),
-        domain: DomainId::new("spanish-town"),
+        domain: FailureDomainId::new("spanish-town"),
         pool: PoolId::new(messages::POOL),
         accelerators_mib: vec![messages::ACCELERATOR_MIB; 4],
         residents: (0..4).map(resident).collect(),
--- a/crates/cap/src/measure/timeline.rs
+++ b/crates/cap/src/measure/timeline.rs
@@ -3,7 +3,7 @@
 use super::clock::{batch_ns, samples};
 use super::messages;
 use crate::fit::{Growth, Series};
-use line::{Event, EventKind, Recorder};
+use line::{Event, EventKind, EventRecorder};
 
 const KEPT: [usize; 4] = [1_000, 4_000, 16_000, 64_000];
 
@@ -27,7 +27,7 @@
         unit: "ns",
         growth: Growth::Power,
         samples: samples(&KEPT, |kept| {
-            let recorder = Recorder::new("entry-0000", kept);
+            let recorder = EventRecorder::new("entry-0000", kept);
             (0..kept).for_each(|_| recorder.record(event()));
             batch_ns(11, 2_000, |_| recorder.record(event()))
         }),
--- a/crates/conf/src/check.rs
+++ b/crates/conf/src/check.rs
@@ -6,7 +6,7 @@
 //! keep, so one wrong key does not hide the others, and what follows only from a
 //! fault already told is left out.
 
-use base::Code;
+use base::ErrorCode;
 use schema::settings::{AgentSettings, EntrySettings, Fleet};
 use serde::de::DeserializeOwned;
 use serde_json::Value;
@@ -95,7 +95,7 @@
         }
         Err(error) => {
             let message = format!("does not fit the schema: {error}");
-            findings.add(Code::WrongType, &Path::default(), message);
+            findings.add(ErrorCode::WrongType, &Path::default(), message);
             None
         }
     }
--- a/crates/conf/src/config.rs
+++ b/crates/conf/src/config.rs
@@ -91,7 +91,7 @@
     /// Whether the upstreams are model engines.
     pub engine: bool,
     /// Failure domains the instances are spread over.
-    pub failure_domains: Vec<DomainId>,
+    pub failure_domains: Vec<FailureDomainId>,
     /// Number of instances held.
     pub instances: u32,
     /// Memory of each accelerator of one instance.
@@ -279,7 +279,7 @@
         failure_domains: pool
             .failure_domains
             .iter()
-            .map(|name| DomainId::new(name))
+            .map(|name| FailureDomainId::new(name))
             .collect(),
         instances: pool.instances,
         accelerators_mib: pool.accelerators_mib.clone(),
--- a/crates/conf/src/document/findings.rs
+++ b/crates/conf/src/document/findings.rs
@@ -1,6 +1,6 @@
 //! Faults found so far, and where each value of the document stands.
 
-use base::Code;
+use base::ErrorCode;
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::{FAULTS_MAX, Fault, Path};
@@ -61,7 +61,12 @@
     ///
     /// Nothing is added below a value that was told as faulty: it would only
     /// repeat what follows from the first fault.
-    pub(crate) fn add(&mut self, code: Code, path: &Path, message: impl Into<String>) {
+    pub(crate) fn add(
+        &mut self,
+        code: ErrorCode,
+        path: &Path,
+        message: impl Into<String>,
+    ) {
         if self.is_broken(path) {
             return;
         }
@@ -76,7 +81,7 @@
     /// Adds a fault at a byte offset of the text, whatever was told before.
     pub(crate) fn add_at(
         &mut self,
-        code: Code,
+        code: ErrorCode,
         path: &Path,
         offset: usize,
         message: impl Into<String>,
--- a/crates/conf/src/document/mod.rs
+++ b/crates/conf/src/document/mod.rs
@@ -14,7 +14,7 @@
 pub(crate) use path::Path;
 pub(crate) use shape::{keep_known, quote};
 
-use base::Code;
+use base::ErrorCode;
 use std::fmt;
 
 /// Largest document taken; the platform's objects hold a megabyte, and a
@@ -37,7 +37,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fault {
     /// What kind of fault.
-    pub code: Code,
+    pub code: ErrorCode,
     /// Line, counted from 1; 0 for a document that has no text.
     pub line: u32,
     /// Character in the line, counted from 1; 0 without a text.
--- a/crates/conf/src/document/node.rs
+++ b/crates/conf/src/document/node.rs
@@ -4,7 +4,7 @@
 //! The bounds stand here: a text that is too large, too deep or has too many
 //! values ends as one fault, before anything else is built from it.
 
-use base::Code;
+use base::ErrorCode;
 use jsonc_parser::ast;
 use jsonc_parser::common::Ranged;
 use jsonc_parser::{CollectOptions, ParseOptions, parse_to_ast};
@@ -66,19 +66,24 @@
 pub(crate) fn from_text(text: &str, findings: &mut Findings<'_>) -> Option<Node> {
     let root = Path::default();
     if text.len() > DOCUMENT_MAX_BYTES {
-        findings.add(Code::OutOfRange, &root, size_message(text.len()));
+        findings.add(ErrorCode::OutOfRange, &root, size_message(text.len()));
         return None;
     }
     let parsed = match parse_to_ast(text, &CollectOptions::default(), &OPTIONS) {
         Ok(parsed) => parsed,
         Err(error) => {
             let offset = error.range().start;
-            findings.add_at(Code::BadSyntax, &root, offset, error.kind().to_string());
+            findings.add_at(
+                ErrorCode::BadSyntax,
+                &root,
+                offset,
+                error.kind().to_string(),
+            );
             return None;
         }
     };
     let Some(value) = parsed.value else {
-        findings.add(Code::BadSyntax, &root, "the document is empty");
+        findings.add(ErrorCode::BadSyntax, &root, "the document is empty");
         return None;
     };
     let mut builder = Builder::default();
@@ -94,7 +99,7 @@
     // The text is made only once the depth is known to be bounded.
     let bytes = value.to_string().len();
     if bytes > DOCUMENT_MAX_BYTES {
-        findings.add(Code::OutOfRange, &Path::default(), size_message(bytes));
+        findings.add(ErrorCode::OutOfRange, &Path::default(), size_message(bytes));
         return None;
     }
     Some(node)
@@ -116,7 +121,7 @@
         let Some((offset, message)) = self.broken else {
             return Some(node);
         };
-        findings.add_at(Code::OutOfRange, &Path::default(), offset, message);
+        findings.add_at(ErrorCode::OutOfRange, &Path::default(), offset, message);
         None
     }
 
--- a/crates/conf/src/document/shape.rs
+++ b/crates/conf/src/document/shape.rs
@@ -3,7 +3,7 @@
 //! What has the right shape is kept, the rest is told as faults and left out,
 //! so that the rules can still look at the part that was kept.
 
-use base::Code;
+use base::ErrorCode;
 use schema::settings::MESSAGES;
 use schema::{FieldKind, FieldShape, Holding, MessageShape};
 use serde_json::{Map, Value};
@@ -39,7 +39,7 @@
     let Some(shape) = MESSAGES.iter().find(|shape| shape.name == message) else {
         // Only a schema whose table lacks one of its own messages comes here.
         findings.add(
-            Code::WrongType,
+            ErrorCode::WrongType,
             path,
             format!("{message} is not in the schema"),
         );
@@ -74,17 +74,17 @@
         Spelling::OtherUnit(known) => {
             excuse(known, members, path, findings);
             let message = format!("the unit is part of the key: write `{known}`");
-            (Code::WrongUnit, message)
+            (ErrorCode::WrongUnit, message)
         }
         Spelling::Near(known) => {
             excuse(known, members, path, findings);
             let message = format!("no such key; did you mean `{known}`?");
-            (Code::UnknownKey, message)
+            (ErrorCode::UnknownKey, message)
         }
         Spelling::Foreign => {
             let known: Vec<_> = shape.fields.iter().map(|field| field.name).collect();
             let message = format!("no such key; known are {}", known.join(", "));
-            (Code::UnknownKey, message)
+            (ErrorCode::UnknownKey, message)
         }
     };
     findings.add_at(code, &inner, member.offset, message);
@@ -209,7 +209,7 @@
 
 fn tell_range(path: &Path, findings: &mut Findings<'_>, wanted: &str) -> Option<Value> {
     findings.add(
-        Code::OutOfRange,
+        ErrorCode::OutOfRange,
         path,
         format!("the number must be {wanted}"),
     );
@@ -219,7 +219,7 @@
 
 fn tell_type(node: &Node, wanted: &str, path: &Path, findings: &mut Findings<'_>) {
     let message = format!("needs {wanted}, but is {}", describe(&node.body));
-    findings.add(Code::WrongType, path, message);
+    findings.add(ErrorCode::WrongType, path, message);
     findings.mark_broken(path);
 }
 
@@ -268,7 +268,7 @@
         }
         let message = "the key stands twice in this object";
         let inner = path.key(&member.name);
-        findings.add_at(Code::DuplicateName, &inner, member.offset, message);
+        findings.add_at(ErrorCode::DuplicateName, &inner, member.offset, message);
     }
     first
 }
--- a/crates/conf/src/rules/bounds.rs
+++ b/crates/conf/src/rules/bounds.rs
@@ -1,6 +1,6 @@
 //! Ranges of numbers and texts, and keys that must be given.
 
-use base::Code;
+use base::ErrorCode;
 
 use crate::document::{Findings, Path};
 
@@ -24,7 +24,11 @@
     if findings.is_given(&path) {
         return true;
     }
-    findings.add(Code::MissingKey, &path, format!("`{key}` must be given"));
+    findings.add(
+        ErrorCode::MissingKey,
+        &path,
+        format!("`{key}` must be given"),
+    );
     false
 }
 
@@ -65,7 +69,7 @@
     let value = value.into();
     if value < min || value > max {
         let message = format!("{value} is outside {min} to {max}");
-        findings.add(Code::OutOfRange, path, message);
+        findings.add(ErrorCode::OutOfRange, path, message);
     }
 }
 
@@ -83,7 +87,7 @@
     // Written so that a value that is not a number is outside too.
     if !(value >= min && value <= max) {
         let message = format!("{value} is outside {min} to {max}");
-        findings.add(Code::OutOfRange, &object.key(key), message);
+        findings.add(ErrorCode::OutOfRange, &object.key(key), message);
     }
 }
 
@@ -109,6 +113,6 @@
 ) {
     if !words.contains(&value) {
         let message = format!("must be one of: {}", words.join(", "));
-        findings.add(Code::OutOfRange, path, message);
+        findings.add(ErrorCode::OutOfRange, path, message);
     }
 }
--- a/crates/conf/src/rules/fleet.rs
+++ b/crates/conf/src/rules/fleet.rs
@@ -1,7 +1,7 @@
 //! The fleet configuration as a whole: failure domains, pools, callers, what
 //! the operators weigh, the weight store and bounds.
 
-use base::Code;
+use base::ErrorCode;
 use schema::settings::{Caller, Fleet, Limits, Pool, Store, Weights};
 use std::collections::BTreeSet;
 
@@ -66,7 +66,7 @@
     if bounds::needed(path, "failure_domains", findings) {
         let list = path.key("failure_domains");
         if pool.failure_domains.is_empty() {
-            findings.add(Code::OutOfRange, &list, "at least one must be named");
+            findings.add(ErrorCode::OutOfRange, &list, "at least one must be named");
         }
         let known = |name: &str| fleet.failure_domains.contains_key(name);
         let named = &pool.failure_domains;
@@ -76,7 +76,11 @@
         check_engines(pool, path, findings);
     } else if pool.kind == "service" && !pool.accelerators_mib.is_empty() {
         let message = "a pool of plain services has no accelerators";
-        findings.add(Code::OutOfRange, &path.key("accelerators_mib"), message);
+        findings.add(
+            ErrorCode::OutOfRange,
+            &path.key("accelerators_mib"),
+            message,
+        );
     }
 }
 
@@ -115,7 +119,7 @@
             && !caller.key_sha256.is_empty()
         {
             let message = "another caller has the same key";
-            findings.add(Code::DuplicateName, &path.key("key_sha256"), message);
+            findings.add(ErrorCode::DuplicateName, &path.key("key_sha256"), message);
         }
     }
 }
@@ -128,7 +132,7 @@
     let hex = hash.chars().all(|c| c.is_ascii_hexdigit());
     if !hex || hash.len() != KEY_HASH_LENGTH {
         let message = "needs the SHA-256 of the key, 64 hexadecimal digits";
-        findings.add(Code::OutOfRange, &path.key("key_sha256"), message);
+        findings.add(ErrorCode::OutOfRange, &path.key("key_sha256"), message);
     }
 }
 
@@ -186,6 +190,6 @@
             "a frame carries bodies or documents of up to {carried} bytes, so it needs \
              {needed} bytes"
         );
-        findings.add(Code::OutOfRange, &path.key("frame_max_bytes"), message);
+        findings.add(ErrorCode::OutOfRange, &path.key("frame_max_bytes"), message);
     }
 }
--- a/crates/conf/src/rules/models.rs
+++ b/crates/conf/src/rules/models.rs
@@ -1,6 +1,6 @@
 //! Models and adapters: their pools, bases and sizes.
 
-use base::Code;
+use base::ErrorCode;
 use schema::settings::{Adapter, Fleet, Model};
 
 use super::bounds::{self, Range, range};
@@ -26,7 +26,7 @@
         let path = section.key(name);
         if fleet.models.contains_key(name) {
             let message = "a model has the same name, and requests name either";
-            findings.add(Code::DuplicateName, &path, message);
+            findings.add(ErrorCode::DuplicateName, &path, message);
         }
         check_adapter(fleet, adapter, &path, findings);
     }
@@ -43,7 +43,7 @@
         None => names::missing(&pool, "pools", &model.pool, findings),
         Some(found) if found.kind == "service" => {
             let message = format!("`{}` is not a pool of engines", quote(&model.pool));
-            findings.add(Code::MissingReference, &pool, message);
+            findings.add(ErrorCode::MissingReference, &pool, message);
         }
         Some(_) => {
             let size = &path.key("size_mib");
@@ -101,7 +101,7 @@
             "needs {needed_mib} MiB, but the largest accelerator of `{}` has {largest}",
             quote(pool)
         );
-        findings.add(Code::ModelTooLarge, path, message);
+        findings.add(ErrorCode::ModelTooLarge, path, message);
     }
 }
 
--- a/crates/conf/src/rules/names.rs
+++ b/crates/conf/src/rules/names.rs
@@ -1,6 +1,6 @@
 //! Names that operators choose, and references to them.
 
-use base::Code;
+use base::ErrorCode;
 
 use super::bounds;
 use crate::document::{Findings, NAME_MAX_BYTES, Path, quote};
@@ -14,7 +14,7 @@
             "a name has 1 to {NAME_MAX_BYTES} letters, digits, `-`, `_` or `.`, and \
              starts with a letter or digit"
         );
-        findings.add(Code::OutOfRange, path, message);
+        findings.add(ErrorCode::OutOfRange, path, message);
     }
 }
 
@@ -54,7 +54,7 @@
         return;
     }
     let message = format!("`{}` is not in `{section}`", quote(name));
-    findings.add(Code::MissingReference, path, message);
+    findings.add(ErrorCode::MissingReference, path, message);
 }
 
 /// Checks a list of references: none missing, none twice.
@@ -71,7 +71,7 @@
             missing(&path, section, name, findings);
         } else if names[..index].contains(name) {
             let message = format!("`{}` stands twice in this list", quote(name));
-            findings.add(Code::DuplicateName, &path, message);
+            findings.add(ErrorCode::DuplicateName, &path, message);
         }
     }
 }
--- a/crates/conf/src/rules/process.rs
+++ b/crates/conf/src/rules/process.rs
@@ -1,6 +1,6 @@
 //! Settings of one process.
 
-use base::Code;
+use base::ErrorCode;
 use schema::settings::{AgentSettings, EntrySettings};
 use std::net::SocketAddr;
 
@@ -47,7 +47,7 @@
     bounds::given_whole(&root, "request_shards", shards, REQUEST_SHARDS, findings);
     if shards != 0 && !shards.is_power_of_two() {
         let message = format!("{shards} is not a power of two");
-        findings.add(Code::OutOfRange, &root.key("request_shards"), message);
+        findings.add(ErrorCode::OutOfRange, &root.key("request_shards"), message);
     }
     let threads = settings.worker_threads;
     runtime(
@@ -106,7 +106,7 @@
     match value.parse::<SocketAddr>() {
         Ok(address) if address.port() == 0 && used == Use::Connect => {
             let message = "the port may be 0 only where the process listens";
-            findings.add(Code::BadAddress, path, message);
+            findings.add(ErrorCode::BadAddress, path, message);
         }
         Ok(_) => {}
         Err(_) => {
@@ -114,7 +114,7 @@
                 "`{}` is not `ip:port`, such as `10.0.0.7:7400`",
                 quote(value)
             );
-            findings.add(Code::BadAddress, path, message);
+            findings.add(ErrorCode::BadAddress, path, message);
         }
     }
 }
--- a/crates/conf/src/rules/profiles.rs
+++ b/crates/conf/src/rules/profiles.rs
@@ -1,6 +1,6 @@
 //! Profiles and the plain services that they may call.
 
-use base::Code;
+use base::ErrorCode;
 use schema::settings::{Fleet, Profile};
 
 use super::bounds::{self, Range, range};
@@ -32,7 +32,7 @@
             Some(pool) if pool.kind == "engine" => {
                 let name = quote(&service.pool);
                 let message = format!("`{name}` is not a pool of plain services");
-                findings.add(Code::MissingReference, &path.key("pool"), message);
+                findings.add(ErrorCode::MissingReference, &path.key("pool"), message);
             }
             Some(_) => {}
         }
@@ -64,7 +64,7 @@
     for (key, value) in parts {
         if deadline != 0 && value > deadline {
             let message = format!("{value} is more than `deadline_ms`, {deadline}");
-            findings.add(Code::OutOfRange, &path.key(key), message);
+            findings.add(ErrorCode::OutOfRange, &path.key(key), message);
         }
     }
 }
@@ -81,11 +81,11 @@
     match (findings.is_given(&models), findings.is_given(&service)) {
         (true, true) => {
             let message = "a profile names models or a service, not both";
-            findings.add(Code::OutOfRange, &service, message);
+            findings.add(ErrorCode::OutOfRange, &service, message);
         }
         (false, false) if !findings.is_broken(&models) => {
             let message = "`models` or `service` must be given";
-            findings.add(Code::MissingKey, &service, message);
+            findings.add(ErrorCode::MissingKey, &service, message);
         }
         _ => {}
     }
@@ -94,7 +94,7 @@
     };
     names::references(&models, "models", &profile.models, known, findings);
     if findings.is_given(&models) && profile.models.is_empty() {
-        findings.add(Code::OutOfRange, &models, "at least one must be named");
+        findings.add(ErrorCode::OutOfRange, &models, "at least one must be named");
     }
     let called = &profile.service;
     if findings.is_given(&service) && !fleet.services.contains_key(called) {
--- a/crates/conf/tests/bounds.rs
+++ b/crates/conf/tests/bounds.rs
@@ -3,7 +3,7 @@
 mod seeds;
 
 use arbtest::arbitrary::{Result, Unstructured};
-use base::Code;
+use base::ErrorCode;
 use conf::{
     DOCUMENT_MAX_BYTES, FAULTS_MAX, Fault, VALUES_MAX, check_agent_settings,
     check_document, check_entry_settings, check_fleet,
@@ -20,7 +20,7 @@
     "é", "\r", "\n", "\\ud800", "\"\\u0000\":",
 ];
 
-fn codes(faults: &[Fault]) -> Vec<Code> {
+fn codes(faults: &[Fault]) -> Vec<ErrorCode> {
     faults.iter().map(|fault| fault.code).collect()
 }
 
@@ -90,25 +90,25 @@
         (
             "large",
             " ".repeat(DOCUMENT_MAX_BYTES + 1),
-            Code::OutOfRange,
+            ErrorCode::OutOfRange,
         ),
         (
             "deep",
             format!("{}{}", "[".repeat(400), "]".repeat(400)),
-            Code::OutOfRange,
+            ErrorCode::OutOfRange,
         ),
-        ("bottomless", "[".repeat(800_000), Code::BadSyntax),
+        ("bottomless", "[".repeat(800_000), ErrorCode::BadSyntax),
         (
             "many",
             format!("[{}1]", "1,".repeat(VALUES_MAX)),
-            Code::OutOfRange,
+            ErrorCode::OutOfRange,
         ),
         (
             "long key",
             format!("{{\"{long_key}\":{{{members}}}}}"),
-            Code::OutOfRange,
+            ErrorCode::OutOfRange,
         ),
-        ("empty", String::new(), Code::BadSyntax),
+        ("empty", String::new(), ErrorCode::BadSyntax),
     ];
     for (name, text, code) in cases {
         let faults = check_fleet(&text).expect_err(name);
@@ -130,9 +130,9 @@
     for _ in 0..100 {
         deep = serde_json::json!({ "models": deep });
     }
-    assert_eq!(codes(&check_document(&deep)), [Code::OutOfRange]);
+    assert_eq!(codes(&check_document(&deep)), [ErrorCode::OutOfRange]);
     let large = Value::String("x".repeat(DOCUMENT_MAX_BYTES));
-    assert_eq!(codes(&check_document(&large)), [Code::OutOfRange]);
+    assert_eq!(codes(&check_document(&large)), [ErrorCode::OutOfRange]);
 }
 
 /// A value of half a megabyte in the wrong place is not repeated whole.
--- a/crates/conf/tests/check.rs
+++ b/crates/conf/tests/check.rs
@@ -1,6 +1,6 @@
 //! Checking of documents: each kind of fault, all of them in one go.
 
-use base::Code;
+use base::ErrorCode;
 use conf::{
     Fault, check_agent_settings, check_document, check_entry_settings, check_fleet,
 };
@@ -91,14 +91,14 @@
 struct Case {
     from: &'static str,
     to: &'static str,
-    code: Code,
+    code: ErrorCode,
     path: &'static str,
 }
 
 const fn case(
     from: &'static str,
     to: &'static str,
-    code: Code,
+    code: ErrorCode,
     path: &'static str,
 ) -> Case {
     Case {
@@ -160,7 +160,7 @@
 
 #[test]
 fn each_fault_of_a_fleet_is_told_once() {
-    use Code::*;
+    use ErrorCode::*;
     #[rustfmt::skip]
     let cases = [
         // Shape.
@@ -227,7 +227,7 @@
 
 #[test]
 fn each_fault_of_settings_is_told_once() {
-    use Code::*;
+    use ErrorCode::*;
     #[rustfmt::skip]
     let cases = [
         case(r#""id": "entry-1","#, "", MissingKey, "id"),
@@ -278,18 +278,28 @@
         .map(|fault| (fault.code, fault.line, fault.column, fault.path.as_str()))
         .collect();
     let expected = [
-        (Code::WrongType, 3, 17, "deployment"),
-        (Code::WrongUnit, 11, 7, "pools.engines.step_time_ms"),
-        (Code::ModelTooLarge, 24, 31, "models.oracle-a.size_mib"),
-        (Code::MissingReference, 27, 31, "adapters.oracle-a-kin.base"),
+        (ErrorCode::WrongType, 3, 17, "deployment"),
+        (ErrorCode::WrongUnit, 11, 7, "pools.engines.step_time_ms"),
+        (ErrorCode::ModelTooLarge, 24, 31, "models.oracle-a.size_mib"),
         (
-            Code::MissingReference,
+            ErrorCode::MissingReference,
+            27,
+            31,
+            "adapters.oracle-a-kin.base",
+        ),
+        (
+            ErrorCode::MissingReference,
             32,
             18,
             "profiles.diagnosis.models[0]",
         ),
-        (Code::UnknownKey, 45, 79, "services.parts-order.retries"),
-        (Code::OutOfRange, 56, 29, "store.loads_per_s"),
+        (
+            ErrorCode::UnknownKey,
+            45,
+            79,
+            "services.parts-order.retries",
+        ),
+        (ErrorCode::OutOfRange, 56, 29, "store.loads_per_s"),
     ];
     assert_eq!(told, expected, "{faults:?}");
 }
--- a/crates/ctl/src/commands/timeline.rs
+++ b/crates/ctl/src/commands/timeline.rs
@@ -24,7 +24,7 @@
     let targets = reach(&options.reach).await?;
     let since_us = options
         .since_ms
-        .map(|ms| line::wall_us().saturating_sub(ms.saturating_mul(1_000)));
+        .map(|ms| line::unix_time_us().saturating_sub(ms.saturating_mul(1_000)));
     let query = Query {
         since_us,
         request: options.request.as_deref(),
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -1,6 +1,6 @@
 //! Why a command could not be carried out.
 
-use base::Code;
+use base::ErrorCode;
 use snafu::Snafu;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -70,16 +70,18 @@
 
 impl CtlError {
     /// Numbered code of the fault.
-    pub const fn code(&self) -> Code {
+    pub const fn code(&self) -> ErrorCode {
         match self {
-            Self::File { .. } => Code::FileFault,
-            Self::PlatformAway => Code::PlatformAway,
-            Self::DamagedHead { .. } => Code::BadSyntax,
+            Self::File { .. } => ErrorCode::FileFault,
+            Self::PlatformAway => ErrorCode::PlatformAway,
+            Self::DamagedHead { .. } => ErrorCode::BadSyntax,
             Self::NoSuchRevision { .. }
             | Self::NothingPublished
-            | Self::NoSuchMember { .. } => Code::MissingReference,
-            Self::NoTarget => Code::MissingKey,
-            Self::Unreachable { .. } | Self::OtherProcess { .. } => Code::Unreachable,
+            | Self::NoSuchMember { .. } => ErrorCode::MissingReference,
+            Self::NoTarget => ErrorCode::MissingKey,
+            Self::Unreachable { .. } | Self::OtherProcess { .. } => {
+                ErrorCode::Unreachable
+            }
         }
     }
 
--- a/crates/ctl/src/head.rs
+++ b/crates/ctl/src/head.rs
@@ -1,6 +1,6 @@
 //! The configuration as the platform holds it.
 
-use base::{PlatformOp, PlatformResult, Revision, Version};
+use base::{ObjectVersion, PlatformOp, PlatformResult, Revision};
 use conf::{ConfigLog, REVISION_PREFIX, SNAPSHOT_KEY, merge};
 use plat::ObjectApi;
 use prost::Message;
@@ -29,13 +29,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeldSnapshot {
     /// Version of the object.
-    pub version: Version,
+    pub version: ObjectVersion,
     /// Revision of the document in it.
     pub revision: Revision,
 }
 
 /// An object with its version, as read.
-pub type HeldObject = Option<(Version, Vec<u8>)>;
+pub type HeldObject = Option<(ObjectVersion, Vec<u8>)>;
 
 impl Head {
     /// Puts the head together from the snapshot and the list of changes.
@@ -48,7 +48,7 @@
     /// An object can't be decoded, or a revision is missing between others.
     pub fn new(
         snapshot: &HeldObject,
-        objects: &[(String, Version, Vec<u8>)],
+        objects: &[(String, ObjectVersion, Vec<u8>)],
     ) -> Result<Self, CtlError> {
         let changes = decode_changes(objects);
         let mut log = ConfigLog::new();
@@ -166,7 +166,7 @@
 pub async fn list(
     platform: &dyn ObjectApi,
     prefix: &str,
-) -> Result<Vec<(String, Version, Vec<u8>)>, CtlError> {
+) -> Result<Vec<(String, ObjectVersion, Vec<u8>)>, CtlError> {
     let op = PlatformOp::List {
         prefix: prefix.to_owned(),
     };
@@ -179,7 +179,7 @@
 async fn patiently(platform: &dyn ObjectApi, op: &PlatformOp) -> PlatformResult {
     for _ in 1..READ_TRIES {
         match platform.call(op).await {
-            PlatformResult::Away | PlatformResult::Unanswered => {}
+            PlatformResult::Unavailable | PlatformResult::Unanswered => {}
             result => return result,
         }
         sleep(TRY_PAUSE).await;
@@ -187,7 +187,7 @@
     platform.call(op).await
 }
 
-fn decode_changes(objects: &[(String, Version, Vec<u8>)]) -> Vec<ConfigChange> {
+fn decode_changes(objects: &[(String, ObjectVersion, Vec<u8>)]) -> Vec<ConfigChange> {
     let mut changes: Vec<_> = objects
         .iter()
         .filter_map(|(key, _, value)| {
--- a/crates/ctl/src/publish/machine.rs
+++ b/crates/ctl/src/publish/machine.rs
@@ -1,6 +1,6 @@
 //! The decisions of publishing, without I/O.
 
-use base::{Expect, PlatformOp, PlatformResult, Revision};
+use base::{PlatformOp, PlatformResult, Precondition, Revision};
 use conf::{Fault, REVISION_PREFIX, SNAPSHOT_KEY, revision_key};
 use prost::Message;
 use schema::link::ConfigChanges;
@@ -255,7 +255,7 @@
             },
             State::Write(pending) => PlatformOp::Write {
                 key: revision_key(pending.proposal.revision),
-                expect: Expect::Absent,
+                precondition: Precondition::Absent,
                 value: pending.proposal.patch.clone(),
             },
             State::ReadBack(pending) => PlatformOp::Read {
@@ -274,12 +274,12 @@
         base_revision: pending.proposal.revision.0,
         changes: Vec::new(),
     };
-    let expect = pending
-        .snapshot
-        .map_or(Expect::Absent, |held| Expect::Version(held.version));
+    let precondition = pending.snapshot.map_or(Precondition::Absent, |held| {
+        Precondition::Version(held.version)
+    });
     PlatformOp::Write {
         key: SNAPSHOT_KEY.to_owned(),
-        expect,
+        precondition,
         value: changes.encode_to_vec(),
     }
 }
@@ -287,7 +287,10 @@
 /// A snapshot that lost to another's is as good as written; one that failed is
 /// made up for by the next revision.
 fn accepted(pending: Pending, snapshot: &PlatformResult) -> Outcome {
-    let failed = matches!(snapshot, PlatformResult::Away | PlatformResult::Unanswered);
+    let failed = matches!(
+        snapshot,
+        PlatformResult::Unavailable | PlatformResult::Unanswered
+    );
     Outcome::Accepted {
         revision: pending.proposal.revision,
         changes: pending.proposal.changes,
--- a/crates/ctl/src/publish/proposal.rs
+++ b/crates/ctl/src/publish/proposal.rs
@@ -1,6 +1,6 @@
 //! What a document means against the head that the platform holds.
 
-use base::{Code, Revision};
+use base::{ErrorCode, Revision};
 use conf::{Fault, check_document, merge};
 use serde::Serialize;
 use serde_json::Value;
@@ -119,7 +119,7 @@
 
 fn too_large(bytes: usize) -> Fault {
     Fault {
-        code: Code::OutOfRange,
+        code: ErrorCode::OutOfRange,
         line: 0,
         column: 0,
         path: String::new(),
--- a/crates/ctl/tests/ctl/fake.rs
+++ b/crates/ctl/tests/ctl/fake.rs
@@ -1,6 +1,6 @@
 //! A platform in memory whose writes fail as a script says.
 
-use base::{Expect, PlatformOp, PlatformResult, Version};
+use base::{ObjectVersion, PlatformOp, PlatformResult, Precondition};
 use futures::FutureExt;
 use futures::future::BoxFuture;
 use plat::ObjectApi;
@@ -32,7 +32,7 @@
 
 #[derive(Debug, Default)]
 struct State {
-    objects: BTreeMap<String, (Version, Vec<u8>)>,
+    objects: BTreeMap<String, (ObjectVersion, Vec<u8>)>,
     version: u64,
     writes: VecDeque<Fault>,
     reads: VecDeque<Fault>,
@@ -92,7 +92,7 @@
         let late = self.late.take();
         let result = match fault {
             Fault::Pass => self.apply(op),
-            Fault::Away => PlatformResult::Away,
+            Fault::Away => PlatformResult::Unavailable,
             Fault::AnswerLost => {
                 self.apply(op);
                 PlatformResult::Unanswered
@@ -126,14 +126,18 @@
                 let listed = under.map(|(key, (version, value))| {
                     (key.clone(), *version, value.clone())
                 });
-                PlatformResult::Objects(listed.collect(), Version(self.version))
+                PlatformResult::Objects(listed.collect(), ObjectVersion(self.version))
             }
-            PlatformOp::Write { key, expect, value } => {
+            PlatformOp::Write {
+                key,
+                precondition,
+                value,
+            } => {
                 let held = self.objects.get(key).map(|(version, _)| *version);
-                let holds = match expect {
-                    Expect::Any => true,
-                    Expect::Absent => held.is_none(),
-                    Expect::Version(version) => held == Some(*version),
+                let holds = match precondition {
+                    Precondition::Any => true,
+                    Precondition::Absent => held.is_none(),
+                    Precondition::Version(version) => held == Some(*version),
                 };
                 if !holds {
                     return PlatformResult::Conflict;
@@ -144,9 +148,9 @@
         }
     }
 
-    fn put(&mut self, key: &str, value: Vec<u8>) -> Version {
+    fn put(&mut self, key: &str, value: Vec<u8>) -> ObjectVersion {
         self.version += 1;
-        let version = Version(self.version);
+        let version = ObjectVersion(self.version);
         self.objects.insert(key.to_owned(), (version, value));
         version
     }
--- a/crates/ctl/tests/ctl/platform.rs
+++ b/crates/ctl/tests/ctl/platform.rs
@@ -97,7 +97,7 @@
     };
     let op = base::PlatformOp::Write {
         key: format!("live/agent/{id}"),
-        expect: base::Expect::Absent,
+        precondition: base::Precondition::Absent,
         value: member.encode_to_vec(),
     };
     let platform = plat::HttpPlatform::new(at.parse().expect("an address"));
--- a/crates/entry/src/http/error.rs
+++ b/crates/entry/src/http/error.rs
@@ -1,6 +1,6 @@
 //! Error answers.
 
-use base::{Code, Refusal, RequestId};
+use base::{ErrorCode, RequestError, RequestId};
 use bytes::Bytes;
 use hyper::header::{CONNECTION, CONTENT_TYPE, HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
@@ -20,8 +20,8 @@
 
 /// The answer to a request that this process refuses itself.
 pub(crate) fn fault_answer(request: RequestId, fault: Fault) -> Response<ReplyBody> {
-    let mut refusal = Refusal::not_run(fault.code);
-    if matches!(fault.code, Code::NotReady | Code::Overloaded) {
+    let mut refusal = RequestError::not_run(fault.code);
+    if matches!(fault.code, ErrorCode::NotReady | ErrorCode::Overloaded) {
         refusal = refusal.retry_after_ms(RETRY_AFTER_MS);
     }
     error_answer(request, &refusal, fault.message).map(ReplyBody::whole)
@@ -30,7 +30,7 @@
 /// The answer to a request without a whole answer.
 pub(crate) fn refusal_answer(
     request: RequestId,
-    refusal: &Refusal,
+    refusal: &RequestError,
 ) -> Response<ReplyBody> {
     error_answer(request, refusal, None).map(ReplyBody::whole)
 }
@@ -40,7 +40,7 @@
 /// Without a message the code's own text is given.
 pub fn error_answer(
     request: RequestId,
-    refusal: &Refusal,
+    refusal: &RequestError,
     message: Option<&str>,
 ) -> Response<Bytes> {
     let body = Bytes::from(error_json(request, refusal, message));
@@ -53,7 +53,7 @@
     }
     // The balancer in front keeps connections open. Without this a caller would
     // send its next request to the leaving process again.
-    if refusal.code == Code::Leaving {
+    if refusal.code == ErrorCode::Leaving {
         headers.insert(CONNECTION, HeaderValue::from_static("close"));
     }
     response
--- a/crates/entry/src/http/fault.rs
+++ b/crates/entry/src/http/fault.rs
@@ -1,20 +1,20 @@
 //! Faults and their JSON text.
 
-use base::{Code, Refusal, RequestId};
+use base::{ErrorCode, RequestError, RequestId};
 use serde::Serialize;
 
 /// A request that this process refuses before its machine sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Fault {
     /// Code.
-    pub(crate) code: Code,
+    pub(crate) code: ErrorCode,
     /// What is wrong, where the code's own text says too little.
     pub(crate) message: Option<&'static str>,
 }
 
 impl Fault {
     /// A fault that the code's own text explains.
-    pub(crate) const fn new(code: Code) -> Self {
+    pub(crate) const fn new(code: ErrorCode) -> Self {
         Self {
             code,
             message: None,
@@ -24,7 +24,7 @@
     /// A request that can't be read.
     pub(crate) const fn bad_request(message: &'static str) -> Self {
         Self {
-            code: Code::BadRequest,
+            code: ErrorCode::BadRequest,
             message: Some(message),
         }
     }
@@ -49,7 +49,7 @@
 /// The JSON text of an error.
 pub(crate) fn error_json(
     request: RequestId,
-    refusal: &Refusal,
+    refusal: &RequestError,
     message: Option<&str>,
 ) -> Vec<u8> {
     let body = ErrorBody {
@@ -65,46 +65,53 @@
     serde_json::to_vec(&body).expect("strings and numbers always serialise")
 }
 
-fn text(code: Code) -> &'static str {
+fn text(code: ErrorCode) -> &'static str {
     match code {
-        Code::BadRequest => "the request can't be read",
-        Code::UnknownCaller => "no caller has this key",
-        Code::UnknownProfile => {
+        ErrorCode::BadRequest => "the request can't be read",
+        ErrorCode::UnknownCaller => "no caller has this key",
+        ErrorCode::UnknownProfile => {
             "no such profile, or it does not name the model or service"
         }
-        Code::UnknownModel => "no such model or adapter",
-        Code::UnknownService => "no such service",
-        Code::BodyTooLarge => "the body is larger than the limit",
-        Code::KeyReused => "the idempotency key was used before with another body",
-        Code::UnknownPath => "no such path or method",
-        Code::KeyMissing => "this call needs an idempotency-key header",
-        Code::BadDeadline => "x-deadline-ms can't be read or has passed",
-        Code::Overloaded => "the expectation can't be met under the present load",
-        Code::QueueFull => "too many requests are waiting",
-        Code::CallerLimit => "the caller has too many requests in progress",
-        Code::Leaving => "the process is stopping",
-        Code::ModelUnavailable => "the model is not loaded and can't be in time",
-        Code::DeadlineBeforeRun => "the deadline passed before the request was run",
-        Code::Convicted => "the request crashed upstreams and is not run for now",
-        Code::KeyInProgress => "another request with this key is in progress",
-        Code::WrongIncarnation | Code::GateFull | Code::Revoked | Code::NotHeld => {
-            "the upstream did not take the request"
+        ErrorCode::UnknownModel => "no such model or adapter",
+        ErrorCode::UnknownService => "no such service",
+        ErrorCode::BodyTooLarge => "the body is larger than the limit",
+        ErrorCode::KeyReused => "the idempotency key was used before with another body",
+        ErrorCode::UnknownPath => "no such path or method",
+        ErrorCode::KeyMissing => "this call needs an idempotency-key header",
+        ErrorCode::BadDeadline => "x-deadline-ms can't be read or has passed",
+        ErrorCode::Overloaded => "the expectation can't be met under the present load",
+        ErrorCode::QueueFull => "too many requests are waiting",
+        ErrorCode::CallerLimit => "the caller has too many requests in progress",
+        ErrorCode::Leaving => "the process is stopping",
+        ErrorCode::ModelUnavailable => "the model is not loaded and can't be in time",
+        ErrorCode::DeadlineBeforeRun => {
+            "the deadline passed before the request was run"
         }
-        Code::NotReady => "the process has no configuration yet",
-        Code::QuotaSpent => "the workspace has used what it may",
-        Code::QuotaUnknown => {
+        ErrorCode::RequestCrashedUpstreams => {
+            "the request crashed upstreams and is not run for now"
+        }
+        ErrorCode::KeyInProgress => "another request with this key is in progress",
+        ErrorCode::WrongIncarnation
+        | ErrorCode::GateFull
+        | ErrorCode::Revoked
+        | ErrorCode::NotHeld => "the upstream did not take the request",
+        ErrorCode::NotReady => "the process has no configuration yet",
+        ErrorCode::QuotaSpent => "the workspace has used what it may",
+        ErrorCode::QuotaUnknown => {
             "nobody could say whether the workspace has something left"
         }
-        Code::UpstreamLost => "the upstream died with the request in flight",
-        Code::UpstreamFault => "the upstream refused or broke its protocol",
-        Code::DeadlineWhileRunning => "the deadline passed while the request ran",
-        Code::AnswerBroken => "the answer broke off and could not be continued",
-        Code::OutcomeUnknown => {
+        ErrorCode::UpstreamLost => "the upstream died with the request in flight",
+        ErrorCode::UpstreamFault => "the upstream refused or broke its protocol",
+        ErrorCode::DeadlineWhileRunning => "the deadline passed while the request ran",
+        ErrorCode::AnswerBroken => "the answer broke off and could not be continued",
+        ErrorCode::OutcomeUnknown => {
             "the call was handed on and whether it took effect is not known"
         }
-        Code::PlatformAway => "the platform can't be reached and the request needs it",
-        Code::Conflict => "the platform holds another version by now",
-        Code::WriteUnanswered => {
+        ErrorCode::PlatformAway => {
+            "the platform can't be reached and the request needs it"
+        }
+        ErrorCode::Conflict => "the platform holds another version by now",
+        ErrorCode::WriteUnanswered => {
             "whether a write to the platform took effect is not known"
         }
         other => other.name(),
--- a/crates/entry/src/http/head.rs
+++ b/crates/entry/src/http/head.rs
@@ -1,7 +1,7 @@
 //! Paths and headers of a request.
 
 use access::{Credential, credential};
-use base::Code;
+use base::ErrorCode;
 use hyper::header::{AUTHORIZATION, CONTENT_TYPE, HeaderMap};
 use hyper::{Method, Uri};
 
@@ -39,7 +39,7 @@
 ///
 /// # Errors
 ///
-/// [`Code::UnknownPath`].
+/// [`ErrorCode::UnknownPath`].
 pub(crate) fn target<'a>(method: &Method, uri: &'a Uri) -> Result<Target<'a>, Fault> {
     let target = match (method.as_str(), uri.path()) {
         ("POST", "/v1/chat/completions") => Target::Engine(Engine::Chat),
@@ -51,7 +51,7 @@
 }
 
 fn service<'a>(path: &'a str, query: Option<&str>) -> Result<Target<'a>, Fault> {
-    let unknown = Fault::new(Code::UnknownPath);
+    let unknown = Fault::new(ErrorCode::UnknownPath);
     let rest = path.strip_prefix("/svc/").ok_or(unknown)?;
     let name_end = rest.find('/').unwrap_or(rest.len());
     let (name, own_path) = rest.split_at(name_end);
@@ -85,8 +85,8 @@
 ///
 /// # Errors
 ///
-/// [`Code::BadRequest`] for one that is not text, or too long;
-/// [`Code::BadDeadline`].
+/// [`ErrorCode::BadRequest`] for one that is not text, or too long;
+/// [`ErrorCode::BadDeadline`].
 pub(crate) fn head(headers: &HeaderMap, max_bytes: usize) -> Result<Head, Fault> {
     let lengths = headers
         .iter()
@@ -138,6 +138,6 @@
     };
     match text.parse() {
         Ok(ms) if ms > 0 => Ok(Some(ms)),
-        _ => Err(Fault::new(Code::BadDeadline)),
+        _ => Err(Fault::new(ErrorCode::BadDeadline)),
     }
 }
--- a/crates/entry/src/http/serve.rs
+++ b/crates/entry/src/http/serve.rs
@@ -79,7 +79,7 @@
             let call = begin(node, Call::new(body, room, reply), arrival);
             Ok(service_answer(call).await)
         }
-        Target::Models => Err(Fault::new(Code::UnknownPath)),
+        Target::Models => Err(Fault::new(ErrorCode::UnknownPath)),
     }
 }
 
@@ -88,7 +88,7 @@
     body: Incoming,
     max_bytes: usize,
 ) -> Result<(Bytes, BodyRoom), Fault> {
-    let too_large = Fault::new(Code::BodyTooLarge);
+    let too_large = Fault::new(ErrorCode::BodyTooLarge);
     let announced = body.size_hint();
     // What the caller announces is refused without reading it.
     if announced.lower() > max_bytes as u64 {
@@ -100,7 +100,7 @@
     let mut room = node
         .calls()
         .room(most)
-        .ok_or(Fault::new(Code::Overloaded))?;
+        .ok_or(Fault::new(ErrorCode::Overloaded))?;
     let read = Limited::new(body, max_bytes).collect();
     match tokio::time::timeout(BODY_TIMEOUT, read).await {
         Ok(Ok(collected)) => {
@@ -228,10 +228,13 @@
     request: RequestId,
     head: &Head,
 ) -> Result<Response<ReplyBody>, Fault> {
-    let config = node.role().config().ok_or(Fault::new(Code::NotReady))?;
+    let config = node
+        .role()
+        .config()
+        .ok_or(Fault::new(ErrorCode::NotReady))?;
     config
         .caller(&head.credential)
-        .ok_or(Fault::new(Code::UnknownCaller))?;
+        .ok_or(Fault::new(ErrorCode::UnknownCaller))?;
     let named = config.profiles().flat_map(|profile| &profile.models);
     let names: BTreeSet<&str> = named.map(ModelId::as_str).collect();
     let list = ModelList {
--- a/crates/entry/src/http/sse.rs
+++ b/crates/entry/src/http/sse.rs
@@ -1,6 +1,6 @@
 //! Server-sent events in the shape of the OpenAI API.
 
-use base::{Refusal, RequestId};
+use base::{RequestError, RequestId};
 use bytes::{BufMut, BytesMut};
 use serde::Serialize;
 
@@ -131,7 +131,7 @@
 
     /// Writes the end of an answer that broke off. There is no `[DONE]`, so
     /// that no client takes it for whole.
-    pub(crate) fn broken(&self, refusal: &Refusal, out: &mut BytesMut) {
+    pub(crate) fn broken(&self, refusal: &RequestError, out: &mut BytesMut) {
         out.put_slice(b"event: error\ndata: ");
         out.put_slice(&error_json(self.shape.request, refusal, None));
         out.put_slice(b"\n\n");
--- a/crates/entry/src/http/whole.rs
+++ b/crates/entry/src/http/whole.rs
@@ -1,6 +1,6 @@
 //! Answers given in one piece.
 
-use base::Refusal;
+use base::RequestError;
 use bytes::Bytes;
 use hyper::header::{CONTENT_TYPE, HeaderValue};
 use hyper::{Response, StatusCode};
@@ -60,7 +60,7 @@
     response
 }
 
-async fn collect(call: &InProgress) -> Result<Collected, Refusal> {
+async fn collect(call: &InProgress) -> Result<Collected, RequestError> {
     let mut bytes = Vec::new();
     let mut taken = VecDeque::new();
     loop {
--- a/crates/entry/src/links.rs
+++ b/crates/entry/src/links.rs
@@ -1,7 +1,7 @@
 //! Connections to agents and other entries.
 
 use base::prelude::*;
-use line::Recorder;
+use line::EventRecorder;
 use parking_lot::RwLock;
 use role::Peer;
 use role::entry::{EntryAction, EntryEvent};
@@ -13,7 +13,7 @@
 use tokio::runtime::Handle;
 use tokio::task::AbortHandle;
 use tokio_util::sync::CancellationToken;
-use wire::{Greeted, Link, LinkReceiver, LinkSender, Listener, WireError};
+use wire::{EstablishedLink, Link, LinkReceiver, LinkSender, Listener, WireError};
 
 use crate::backoff::Backoff;
 use crate::metrics::Meters;
@@ -36,7 +36,7 @@
     /// The first frame of a connection.
     fn hello(&self) -> Frame;
     /// The time line.
-    fn recorder(&self) -> &Recorder;
+    fn recorder(&self) -> &EventRecorder;
     /// Counters.
     fn meters(&self) -> &Meters;
     /// Cancelled once the process ends.
@@ -191,22 +191,24 @@
         }
     }
 
-    async fn dial(&self) -> Result<Greeted, WireError> {
-        let address: SocketAddr =
-            self.address.parse().map_err(|_| WireError::NoGreeting)?;
+    async fn dial(&self) -> Result<EstablishedLink, WireError> {
+        let address: SocketAddr = self
+            .address
+            .parse()
+            .map_err(|_| WireError::HandshakeFailed)?;
         let max_bytes = self.host.frame_max_bytes();
         let link = wire::connect(address, max_bytes).await?;
-        let greeted = link.greet(self.host.hello()).await?;
+        let greeted = link.handshake(self.host.hello()).await?;
         // An address may have passed to another process since it was told.
         // Frames meant for one agent would reach the upstream of another.
         if peer_of(&greeted.hello).as_ref() != Some(&self.peer) {
-            return Err(WireError::NoGreeting);
+            return Err(WireError::HandshakeFailed);
         }
         Ok(greeted)
     }
 
     /// Carries frames until the link ends; false if it is no longer wanted.
-    async fn carry(&self, link: Greeted) -> bool {
+    async fn carry(&self, link: EstablishedLink) -> bool {
         self.host.recorder().observe(link.clock_us);
         let links = self.host.links();
         if !links.set(&self.peer, self.number, Some(link.sender)) {
@@ -241,8 +243,8 @@
 
 /// Reads what another entry sends on the link that it dialled.
 async fn read_inbound(host: Arc<dyn Host>, link: Link) {
-    let link = link.bounded(host.frame_max_bytes());
-    let Ok(link) = link.greet(host.hello()).await else {
+    let link = link.with_frame_max_bytes(host.frame_max_bytes());
+    let Ok(link) = link.handshake(host.hello()).await else {
         host.meters().bad_frames.inc();
         return;
     };
@@ -273,7 +275,7 @@
             Ok(Some(frame)) => take(host, peer, frame, &mut scratch),
             Ok(None) => return,
             Err(fault) => {
-                if fault.code() == Code::BadFrame {
+                if fault.code() == ErrorCode::BadFrame {
                     host.meters().bad_frames.inc();
                 }
                 return;
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -1,9 +1,9 @@
 //! The machine and everything its actions reach.
 
 use base::prelude::*;
-use base::{PlatformAnswer, PlatformCall};
+use base::{PlatformCall, PlatformResponse};
 use conf::Config;
-use line::Recorder;
+use line::EventRecorder;
 use oper::{Clock, Ticker};
 use parking_lot::Mutex;
 use plat::ObjectApi;
@@ -34,7 +34,7 @@
     links: Links,
     ticker: Ticker,
     platform: Arc<dyn ObjectApi>,
-    recorder: Recorder,
+    recorder: EventRecorder,
     meters: Meters,
     limits_before_config: Limits,
     ready: AtomicBool,
@@ -49,7 +49,7 @@
         options: EntryOptions,
         clock: Clock,
         platform: Arc<dyn ObjectApi>,
-        recorder: Recorder,
+        recorder: EventRecorder,
     ) -> Arc<Self> {
         let mut out = Vec::new();
         let role = EntryRole::new(options.clone(), clock.now(), &mut out);
@@ -105,7 +105,7 @@
     }
 
     /// The time line.
-    pub(crate) const fn recorder(&self) -> &Recorder {
+    pub(crate) const fn recorder(&self) -> &EventRecorder {
         &self.recorder
     }
 
@@ -293,7 +293,7 @@
             // A lost `Cancel` or `Revoke` would leave a request running that
             // nobody waits for. Ending the link makes the loss plain to both
             // sides, and the machine settles what was in flight.
-            if matches!(fault, WireError::Full) && !renewed {
+            if matches!(fault, WireError::QueueFull) && !renewed {
                 sender.close();
             }
         }
@@ -315,14 +315,14 @@
             .unwrap_or(Ok(()));
         match sent {
             Ok(()) => {}
-            Err(WireError::TooLarge { .. }) => {
-                let refusal = Refusal::not_run(Code::BodyTooLarge);
+            Err(WireError::FrameTooLarge { .. }) => {
+                let refusal = RequestError::not_run(ErrorCode::BodyTooLarge);
                 call.reply.end(Ending::Refused(refusal));
                 self.give_up(request);
             }
             Err(fault) => {
                 self.meters.unsent_frames.inc();
-                if matches!(fault, WireError::Full) {
+                if matches!(fault, WireError::QueueFull) {
                     sender.close();
                 }
             }
@@ -336,7 +336,7 @@
                 () = node.exit.cancelled() => return,
                 result = node.platform.call(&call.op) => result,
             };
-            let answer = PlatformAnswer {
+            let answer = PlatformResponse {
                 id: call.id,
                 result,
             };
@@ -381,7 +381,7 @@
         Node::hello(self)
     }
 
-    fn recorder(&self) -> &Recorder {
+    fn recorder(&self) -> &EventRecorder {
         Node::recorder(self)
     }
 
--- a/crates/entry/src/operated.rs
+++ b/crates/entry/src/operated.rs
@@ -1,6 +1,6 @@
 //! What operators see of an entry.
 
-use line::{Event, Filter};
+use line::{Event, EventFilter};
 use oper::{Operated, ProcessUse};
 use role::entry::EntryEvent;
 use std::sync::Arc;
@@ -43,7 +43,7 @@
         metrics::text(self.node.meters(), &seen)
     }
 
-    fn timeline(&self, filter: &Filter) -> Vec<Event> {
+    fn timeline(&self, filter: &EventFilter) -> Vec<Event> {
         self.node.recorder().events(filter)
     }
 
--- a/crates/entry/src/reply.rs
+++ b/crates/entry/src/reply.rs
@@ -1,6 +1,6 @@
 //! The answer to one request on its way from the link to the caller.
 
-use base::{Code, Ran, Refusal};
+use base::{ErrorCode, RequestError, RunStatus};
 use futures::task::AtomicWaker;
 use parking_lot::Mutex;
 use std::collections::VecDeque;
@@ -60,7 +60,7 @@
         total_units: u64,
     },
     /// There is no whole answer.
-    Refused(Refusal),
+    Refused(RequestError),
 }
 
 /// Why an answer was broken off here.
@@ -200,7 +200,7 @@
     }
 
     /// Takes the refusal of an answer that ended without a part.
-    pub fn take_early_refusal(&self) -> Option<Refusal> {
+    pub fn take_early_refusal(&self) -> Option<RequestError> {
         let mut state = self.state.lock();
         if !state.parts.is_empty() {
             return None;
@@ -244,10 +244,10 @@
 }
 
 /// The refusal of an answer that began and can't be continued.
-pub const fn answer_broken() -> Refusal {
-    Refusal {
-        code: Code::AnswerBroken,
-        ran: Ran::Ran,
+pub const fn answer_broken() -> RequestError {
+    RequestError {
+        code: ErrorCode::AnswerBroken,
+        ran: RunStatus::Ran,
         retry_after_ms: Some(RETRY_AFTER_BROKEN_MS),
     }
 }
--- a/crates/entry/src/start.rs
+++ b/crates/entry/src/start.rs
@@ -1,7 +1,7 @@
 //! Starting and ending the process.
 
 use base::prelude::*;
-use line::Recorder;
+use line::EventRecorder;
 use oper::Clock;
 use oper::{LinkListenSnafu, ListenSnafu, StartError, address};
 use plat::{HttpPlatform, ObjectApi};
@@ -120,7 +120,7 @@
     let callers = listen("caller_listen", &settings.caller_listen).await?;
     let operators = listen("operator_listen", &settings.operator_listen).await?;
     let links = address("link_listen", &settings.link_listen)?;
-    let links = Listener::bind(links, wire::FRAME_MAX_BYTES)
+    let links = Listener::bind(links, wire::DEFAULT_FRAME_MAX_BYTES)
         .await
         .context(LinkListenSnafu)?;
     let link_address = links.local_addr().context(LinkListenSnafu)?;
@@ -129,7 +129,7 @@
 
     let clock = Clock::start();
     let options = options(&settings, &clock, link_address, operator_address);
-    let recorder = Recorder::new(&settings.id, settings.timeline_events as usize);
+    let recorder = EventRecorder::new(&settings.id, settings.timeline_events as usize);
     let node = Node::new(options, clock, platform, recorder);
     node.begin();
     log::info!("{}: serves callers on {caller_address}", settings.id);
@@ -188,7 +188,7 @@
     EntryOptions {
         id: EntryId::new(&settings.id),
         incarnation,
-        failure_domain: DomainId::new(&settings.failure_domain),
+        failure_domain: FailureDomainId::new(&settings.failure_domain),
         link_address: link_address.to_string(),
         operator_address: operator_address.to_string(),
         peers: peers.collect(),
--- a/crates/entry/tests/cases/bounds.rs
+++ b/crates/entry/tests/cases/bounds.rs
@@ -2,7 +2,7 @@
 
 use crate::support::caller::{KEY, call, post, raw, start};
 use crate::support::rig::{Rig, metric};
-use base::Code;
+use base::ErrorCode;
 use serde_json::json;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -29,7 +29,7 @@
     let asked = post("/v1/completions", &format!(r#"{{"prompt":"{prompt}"}}"#));
     let whole = call(rig.entry.caller_address, asked).await;
     assert_eq!(whole.status, 413);
-    assert_eq!(whole.code(), u64::from(Code::BodyTooLarge.number()));
+    assert_eq!(whole.code(), u64::from(ErrorCode::BodyTooLarge.number()));
 
     // The same without a length said before.
     let chunk = format!("{BODY_MAX_BYTES:x}\r\n{prompt}\r\n");
@@ -62,7 +62,7 @@
     let key = "k".repeat(257).parse().expect("a header value");
     asked.headers_mut().insert("idempotency-key", key);
     let whole = call(rig.entry.caller_address, asked).await;
-    assert_eq!(whole.code(), u64::from(Code::BadRequest.number()));
+    assert_eq!(whole.code(), u64::from(ErrorCode::BadRequest.number()));
 }
 
 /// One caller stops reading while its answer goes on; another on the same link
@@ -146,13 +146,13 @@
     }
     let prompt = r#"{"prompt":1,"model":"nothing"}"#;
     let whole = call(address, post("/v1/completions", prompt)).await;
-    assert_eq!(whole.code(), u64::from(Code::Overloaded.number()));
+    assert_eq!(whole.code(), u64::from(ErrorCode::Overloaded.number()));
     assert_eq!(whole.header("retry-after"), Some("1"));
 
     drop(waiting);
     let served = async {
         while call(address, post("/v1/completions", prompt)).await.code()
-            != u64::from(Code::UnknownModel.number())
+            != u64::from(ErrorCode::UnknownModel.number())
         {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
--- a/crates/entry/tests/cases/errors.rs
+++ b/crates/entry/tests/cases/errors.rs
@@ -3,7 +3,7 @@
 use crate::support::caller::{Whole, call, post};
 use crate::support::platform::MemoryPlatform;
 use crate::support::rig::{Rig, start_entry};
-use base::{Code, Ran, Refusal, RequestId};
+use base::{ErrorCode, RequestError, RequestId, RunStatus};
 use bytes::Bytes;
 use entry::error_answer;
 use http_body_util::Full;
@@ -13,7 +13,7 @@
 const PROMPT: &str = r#"{"prompt":"x"}"#;
 
 /// Holds an error answer to the documented shape.
-fn assert_error(what: &str, whole: &Whole, code: Code, ran: Ran) {
+fn assert_error(what: &str, whole: &Whole, code: ErrorCode, ran: RunStatus) {
     let json = whole.json();
     let error = &json["error"];
     assert_eq!(error["code"], code.number(), "{what}: {json}");
@@ -40,7 +40,7 @@
     path: &'static str,
     headers: &'static [(&'static str, &'static str)],
     body: &'static str,
-    code: Code,
+    code: ErrorCode,
 }
 
 impl Refused {
@@ -48,7 +48,7 @@
         what: &'static str,
         path: &'static str,
         body: &'static str,
-        code: Code,
+        code: ErrorCode,
     ) -> Self {
         Self {
             what,
@@ -63,7 +63,7 @@
     const fn with(
         what: &'static str,
         headers: &'static [(&'static str, &'static str)],
-        code: Code,
+        code: ErrorCode,
     ) -> Self {
         Self {
             what,
@@ -88,8 +88,8 @@
 
 fn refused() -> Vec<Refused> {
     let completions = "/v1/completions";
-    let bad = Code::BadRequest;
-    let path = Code::UnknownPath;
+    let bad = ErrorCode::BadRequest;
+    let path = ErrorCode::UnknownPath;
     vec![
         Refused::post("no JSON", completions, "prompt", bad),
         Refused::post("no object", completions, "[]", bad),
@@ -106,33 +106,49 @@
             method: Method::GET,
             ..Refused::post("method", completions, "", path)
         },
-        Refused::post("service", "/svc/nothing/x", "", Code::UnknownService),
+        Refused::post("service", "/svc/nothing/x", "", ErrorCode::UnknownService),
         Refused::post(
             "model",
             completions,
             r#"{"prompt":1,"model":"nothing"}"#,
-            Code::UnknownModel,
+            ErrorCode::UnknownModel,
         ),
         Refused::post(
             "model of another profile",
             completions,
             r#"{"prompt":1,"model":"other"}"#,
-            Code::UnknownProfile,
+            ErrorCode::UnknownProfile,
+        ),
+        Refused::with(
+            "profile",
+            &[("x-profile", "none")],
+            ErrorCode::UnknownProfile,
         ),
-        Refused::with("profile", &[("x-profile", "none")], Code::UnknownProfile),
         Refused::with(
             "caller",
             &[("authorization", "Bearer none")],
-            Code::UnknownCaller,
+            ErrorCode::UnknownCaller,
         ),
         Refused::with(
             "scheme",
             &[("authorization", "Basic press-key")],
-            Code::UnknownCaller,
+            ErrorCode::UnknownCaller,
+        ),
+        Refused::with(
+            "deadline",
+            &[("x-deadline-ms", "soon")],
+            ErrorCode::BadDeadline,
+        ),
+        Refused::with(
+            "deadline",
+            &[("x-deadline-ms", "-1")],
+            ErrorCode::BadDeadline,
+        ),
+        Refused::with(
+            "deadline",
+            &[("x-deadline-ms", "0")],
+            ErrorCode::BadDeadline,
         ),
-        Refused::with("deadline", &[("x-deadline-ms", "soon")], Code::BadDeadline),
-        Refused::with("deadline", &[("x-deadline-ms", "-1")], Code::BadDeadline),
-        Refused::with("deadline", &[("x-deadline-ms", "0")], Code::BadDeadline),
         Refused::with("key", &[("idempotency-key", "")], bad),
     ]
 }
@@ -142,7 +158,7 @@
     let rig = Rig::start().await;
     for case in refused() {
         let whole = call(rig.entry.caller_address, case.request()).await;
-        assert_error(case.what, &whole, case.code, Ran::NotRun);
+        assert_error(case.what, &whole, case.code, RunStatus::NotRun);
     }
 }
 
@@ -162,7 +178,7 @@
             asked.headers_mut().append(name, value);
         }
         let whole = call(rig.entry.caller_address, asked).await;
-        assert_error(name, &whole, Code::BadRequest, Ran::NotRun);
+        assert_error(name, &whole, ErrorCode::BadRequest, RunStatus::NotRun);
     }
 }
 
@@ -173,10 +189,10 @@
         origin: 0xabc,
         sequence: 0x12,
     };
-    for code in Code::ALL.iter().filter(|code| code.number() < 5_000) {
-        for ran in [Ran::NotRun, Ran::Ran, Ran::Unknown] {
+    for code in ErrorCode::ALL.iter().filter(|code| code.number() < 5_000) {
+        for ran in [RunStatus::NotRun, RunStatus::Ran, RunStatus::Unknown] {
             for (retry_after_ms, seconds) in RETRIES {
-                let refusal = Refusal {
+                let refusal = RequestError {
                     code: *code,
                     ran,
                     retry_after_ms: *retry_after_ms,
@@ -207,19 +223,47 @@
 ];
 
 /// Codes with which an agent ends a call, and what its caller is told.
-const ENDS: &[(Code, Ran, Code)] = &[
-    (Code::KeyReused, Ran::NotRun, Code::KeyReused),
-    (Code::KeyInProgress, Ran::NotRun, Code::KeyInProgress),
-    (Code::KeyMissing, Ran::NotRun, Code::KeyMissing),
-    (Code::PlatformAway, Ran::NotRun, Code::PlatformAway),
+const ENDS: &[(ErrorCode, RunStatus, ErrorCode)] = &[
+    (
+        ErrorCode::KeyReused,
+        RunStatus::NotRun,
+        ErrorCode::KeyReused,
+    ),
+    (
+        ErrorCode::KeyInProgress,
+        RunStatus::NotRun,
+        ErrorCode::KeyInProgress,
+    ),
+    (
+        ErrorCode::KeyMissing,
+        RunStatus::NotRun,
+        ErrorCode::KeyMissing,
+    ),
+    (
+        ErrorCode::PlatformAway,
+        RunStatus::NotRun,
+        ErrorCode::PlatformAway,
+    ),
+    (
+        ErrorCode::DeadlineWhileRunning,
+        RunStatus::Ran,
+        ErrorCode::DeadlineWhileRunning,
+    ),
+    (
+        ErrorCode::OutcomeUnknown,
+        RunStatus::Unknown,
+        ErrorCode::OutcomeUnknown,
+    ),
+    (
+        ErrorCode::UpstreamLost,
+        RunStatus::Unknown,
+        ErrorCode::OutcomeUnknown,
+    ),
     (
-        Code::DeadlineWhileRunning,
-        Ran::Ran,
-        Code::DeadlineWhileRunning,
+        ErrorCode::UpstreamFault,
+        RunStatus::Ran,
+        ErrorCode::OutcomeUnknown,
     ),
-    (Code::OutcomeUnknown, Ran::Unknown, Code::OutcomeUnknown),
-    (Code::UpstreamLost, Ran::Unknown, Code::OutcomeUnknown),
-    (Code::UpstreamFault, Ran::Ran, Code::OutcomeUnknown),
 ];
 
 /// The agent ends a call that may not be repeated, with or without having run
@@ -235,8 +279,8 @@
         let asking = tokio::spawn(call(rig.entry.caller_address, asked));
         let job = rig.shop.job().await;
         match ran {
-            Ran::NotRun => job.refused(*said, 1_200).await,
-            Ran::Ran | Ran::Unknown => {
+            RunStatus::NotRun => job.refused(*said, 1_200).await,
+            RunStatus::Ran | RunStatus::Unknown => {
                 job.started().await;
                 job.failed(*said, *ran, 1_200).await;
             }
@@ -264,7 +308,7 @@
     ];
     for asked in asked {
         let whole = call(entry.caller_address, asked).await;
-        assert_error("not ready", &whole, Code::NotReady, Ran::NotRun);
+        assert_error("not ready", &whole, ErrorCode::NotReady, RunStatus::NotRun);
         assert!(whole.header("retry-after").is_some());
     }
     assert!(!entry.is_ready());
--- a/crates/entry/tests/cases/faults.rs
+++ b/crates/entry/tests/cases/faults.rs
@@ -3,7 +3,7 @@
 use crate::support::agent::{Order, revoked};
 use crate::support::caller::{begin, call, post, start};
 use crate::support::rig::Rig;
-use base::{Code, Ran};
+use base::{ErrorCode, RunStatus};
 
 const STREAM: &str = r#"{"prompt":"x","stream":true}"#;
 const WHOLE: &str = r#"{"prompt":"x"}"#;
@@ -71,7 +71,10 @@
             job.started().await;
             job.tokens(&["one"]).await;
             match how {
-                Break::Fails => job.failed(Code::UpstreamFault, Ran::Ran, 0).await,
+                Break::Fails => {
+                    job.failed(ErrorCode::UpstreamFault, RunStatus::Ran, 0)
+                        .await;
+                }
                 Break::EndsTooSoon => job.whole(5).await,
                 Break::LinkCut => {
                     rig.until_delivered(3).await;
@@ -130,7 +133,7 @@
         loop {
             match rig.shop.order().await {
                 (Order::Revoke(revoke), sender) => {
-                    revoked(&sender, revoke, Ran::Unknown).await;
+                    revoked(&sender, revoke, RunStatus::Unknown).await;
                 }
                 (Order::Run(run), _) => panic!("sent again: {run:?}"),
                 (Order::Cancel(_), _) => {}
@@ -154,8 +157,8 @@
     let asked = post("/v1/completions", STREAM);
     let asking = tokio::spawn(call(rig.entry.caller_address, asked));
     let job = rig.engine.job().await;
-    job.refused(Code::BadRequest, 0).await;
+    job.refused(ErrorCode::BadRequest, 0).await;
     let whole = asking.await.expect("the task runs");
     assert_eq!(whole.status, 400, "{}", whole.body);
-    assert_eq!(whole.code(), u64::from(Code::BadRequest.number()));
+    assert_eq!(whole.code(), u64::from(ErrorCode::BadRequest.number()));
 }
--- a/crates/entry/tests/cases/reply.rs
+++ b/crates/entry/tests/cases/reply.rs
@@ -1,6 +1,6 @@
 //! The queue between a link and a caller, and the bound on stalled writes.
 
-use base::{Code, Refusal};
+use base::{ErrorCode, RequestError};
 use entry::StallTimeout;
 use entry::reply::{Broken, Ending, Incoming, Reply, Unit};
 use futures::task::noop_waker_ref;
@@ -45,8 +45,8 @@
 fn is_broken(ending: Option<&Ending>) -> bool {
     matches!(
         ending,
-        Some(Ending::Refused(Refusal {
-            code: Code::AnswerBroken,
+        Some(Ending::Refused(RequestError {
+            code: ErrorCode::AnswerBroken,
             ..
         }))
     )
@@ -183,10 +183,12 @@
 #[test]
 fn the_first_ending_counts() {
     let reply = Reply::new(Unit::Token, WINDOW_PARTS);
-    reply.end(Ending::Refused(Refusal::not_run(Code::Overloaded)));
+    reply.end(Ending::Refused(RequestError::not_run(
+        ErrorCode::Overloaded,
+    )));
     reply.end(whole(0));
     let refusal = reply.take_early_refusal().expect("it was refused");
-    assert_eq!(refusal.code, Code::Overloaded);
+    assert_eq!(refusal.code, ErrorCode::Overloaded);
 }
 
 /// A caller keeps its connection open and takes nothing. Its writes fail after
--- a/crates/entry/tests/cases/stopping.rs
+++ b/crates/entry/tests/cases/stopping.rs
@@ -2,7 +2,7 @@
 
 use crate::support::caller::{call, post};
 use crate::support::rig::Rig;
-use base::Code;
+use base::ErrorCode;
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
@@ -22,7 +22,7 @@
     rig.entry.drain();
 
     let late = call(address, post("/v1/completions", r#"{"prompt":"y"}"#)).await;
-    assert_eq!(late.code(), u64::from(Code::Leaving.number()));
+    assert_eq!(late.code(), u64::from(ErrorCode::Leaving.number()));
     assert_eq!(late.json()["error"]["ran"], "not_run");
     assert_eq!(late.header("connection"), Some("close"));
     assert!(late.header("retry-after").is_some());
--- a/crates/entry/tests/support/agent.rs
+++ b/crates/entry/tests/support/agent.rs
@@ -1,6 +1,6 @@
 //! An agent that says what the test tells it to.
 
-use base::{Code, Ran};
+use base::{ErrorCode, RunStatus};
 use schema::link::{
     Answer, Attempt, Cancel, End, Frame, Heartbeat, Hello, Load, Refused, Resident,
     ResidentState, Revoke, Revoked, Run, Started, frame,
@@ -59,7 +59,7 @@
 impl TestAgent {
     pub(crate) async fn start(beside: Beside) -> Self {
         let any = "127.0.0.1:0".parse().expect("a literal address");
-        let listener = Listener::bind(any, wire::FRAME_MAX_BYTES).await;
+        let listener = Listener::bind(any, wire::DEFAULT_FRAME_MAX_BYTES).await;
         let listener = listener.expect("loopback can be bound");
         let address = listener.local_addr().expect("it is bound");
         let (queue, orders) = mpsc::unbounded_channel();
@@ -186,7 +186,7 @@
 
     pub(crate) async fn whole(&self, total_units: u64) {
         self.end(End {
-            ran: Ran::Ran.number(),
+            ran: RunStatus::Ran.number(),
             total_units,
             status: 200,
             ..End::default()
@@ -194,7 +194,12 @@
         .await;
     }
 
-    pub(crate) async fn failed(&self, code: Code, ran: Ran, retry_after_ms: u32) {
+    pub(crate) async fn failed(
+        &self,
+        code: ErrorCode,
+        ran: RunStatus,
+        retry_after_ms: u32,
+    ) {
         self.end(End {
             code: code.number(),
             ran: ran.number(),
@@ -204,7 +209,7 @@
         .await;
     }
 
-    pub(crate) async fn refused(&self, code: Code, retry_after_ms: u32) {
+    pub(crate) async fn refused(&self, code: ErrorCode, retry_after_ms: u32) {
         self.send(frame::Body::Refused(Refused {
             attempt: Some(self.attempt()),
             code: code.number(),
@@ -221,7 +226,7 @@
 }
 
 /// Answers a question for an attempt.
-pub(crate) async fn revoked(sender: &LinkSender, revoke: Revoke, ran: Ran) {
+pub(crate) async fn revoked(sender: &LinkSender, revoke: Revoke, ran: RunStatus) {
     let body = frame::Body::Revoked(Revoked {
         attempt: revoke.attempt,
         ran: ran.number(),
@@ -241,7 +246,7 @@
         incarnation: INCARNATION,
         failure_domain: "east".to_owned(),
     };
-    let Ok(mut link) = link.greet(framed(frame::Body::Hello(hello))).await else {
+    let Ok(mut link) = link.handshake(framed(frame::Body::Hello(hello))).await else {
         return;
     };
     let mut ticks = tokio::time::interval(HEARTBEAT);
--- a/crates/entry/tests/support/platform.rs
+++ b/crates/entry/tests/support/platform.rs
@@ -1,6 +1,6 @@
 //! The platform's objects in memory.
 
-use base::{PlatformOp, PlatformResult, Version};
+use base::{ObjectVersion, PlatformOp, PlatformResult};
 use futures::FutureExt;
 use futures::future::BoxFuture;
 use parking_lot::Mutex;
@@ -21,16 +21,16 @@
 
 #[derive(Debug, Default)]
 struct Objects {
-    by_key: BTreeMap<String, (Version, Vec<u8>)>,
+    by_key: BTreeMap<String, (ObjectVersion, Vec<u8>)>,
     version: u64,
 }
 
 impl MemoryPlatform {
     /// Writes an object.
-    pub(crate) fn put(&self, key: &str, value: Vec<u8>) -> Version {
+    pub(crate) fn put(&self, key: &str, value: Vec<u8>) -> ObjectVersion {
         let mut objects = self.objects.lock();
         objects.version += 1;
-        let version = Version(objects.version);
+        let version = ObjectVersion(objects.version);
         objects.by_key.insert(key.to_owned(), (version, value));
         version
     }
@@ -43,13 +43,13 @@
             .filter(|(key, (version, _))| key.starts_with(prefix) && version.0 > after)
             .map(|(key, (version, value))| (key.clone(), *version, value.clone()))
             .collect();
-        PlatformResult::Objects(held, Version(objects.version))
+        PlatformResult::Objects(held, ObjectVersion(objects.version))
     }
 
     async fn answer(&self, op: &PlatformOp) -> PlatformResult {
         if self.away.load(Ordering::Relaxed) {
             tokio::time::sleep(WATCH_WAIT).await;
-            return PlatformResult::Away;
+            return PlatformResult::Unavailable;
         }
         match op {
             PlatformOp::Read { key } => {
@@ -62,7 +62,7 @@
             }
             PlatformOp::Delete { key, .. } => {
                 self.objects.lock().by_key.remove(key);
-                PlatformResult::Written(Version(0))
+                PlatformResult::Written(ObjectVersion(0))
             }
             PlatformOp::Watch { prefix, after } => {
                 tokio::time::sleep(WATCH_WAIT).await;
--- a/crates/front/src/dispatch.rs
+++ b/crates/front/src/dispatch.rs
@@ -26,7 +26,7 @@
     /// A complete response of an upstream.
     Response(BufferedResponse),
     /// No upstream's response can be forwarded.
-    Refused(Refusal),
+    Refused(RequestError),
 }
 
 /// The dispatch of one request.
@@ -59,7 +59,7 @@
 /// Why no upstream is attempted, and when the caller should come back.
 #[derive(Debug)]
 pub(crate) struct Rejection {
-    pub(crate) code: Code,
+    pub(crate) code: ErrorCode,
     pub(crate) retry_after_ms: u64,
 }
 
@@ -122,7 +122,7 @@
     async fn run_attempts(&mut self) -> DispatchResult {
         loop {
             if self.node.is_convicted(self.request.fingerprint) {
-                return self.end_without_response(Code::Convicted);
+                return self.end_without_response(ErrorCode::RequestCrashedUpstreams);
             }
             let selected = match self.next_upstream().await {
                 Ok(selected) => selected,
@@ -217,20 +217,20 @@
         let now = self.node.now();
         match next {
             _ if self.request.is_expired(self.node.clock) => {
-                Some(self.end_without_response(Code::DeadlineBeforeRun))
+                Some(self.end_without_response(ErrorCode::DeadlineBeforeRun))
             }
             RetryDecision::Resend => None,
             RetryDecision::Retry => {
                 let mut retry_budget = self.node.retry_budget.lock();
                 let granted = retry_budget.try_take(now, &self.request.service);
                 drop(retry_budget);
-                (!granted).then(|| self.end_without_response(Code::Overloaded))
+                (!granted).then(|| self.end_without_response(ErrorCode::Overloaded))
             }
             RetryDecision::FailNotRun => {
-                Some(self.end_without_response(Code::Overloaded))
+                Some(self.end_without_response(ErrorCode::Overloaded))
             }
             RetryDecision::FailMayHaveRun => {
-                Some(self.end_without_response(Code::OutcomeUnknown))
+                Some(self.end_without_response(ErrorCode::OutcomeUnknown))
             }
         }
     }
@@ -251,7 +251,7 @@
     /// whether it may send the request again.
     fn end_for_shutdown(&mut self) -> DispatchResult {
         self.may_have_run |= self.attempt_in_progress;
-        self.end_without_response(Code::Leaving)
+        self.end_without_response(ErrorCode::Leaving)
     }
 
     /// Returns whether the process is about to exit and no part of the response
@@ -264,34 +264,34 @@
     /// Ends a request whose deadline passed while its stream was running.
     pub(crate) fn deadline_passed(&mut self) -> DispatchResult {
         self.may_have_run = true;
-        self.end_without_response(Code::DeadlineWhileRunning)
+        self.end_without_response(ErrorCode::DeadlineWhileRunning)
     }
 
     /// Returns the result of a request that got no usable response.
-    fn end_without_response(&mut self, code: Code) -> DispatchResult {
+    fn end_without_response(&mut self, code: ErrorCode) -> DispatchResult {
         if let Some(upstream_failure) = self.upstream_failure.take() {
             return DispatchResult::Response(upstream_failure);
         }
         if !self.may_have_run {
             let code = match code {
-                Code::DeadlineBeforeRun | Code::Convicted | Code::OutcomeUnknown => {
-                    Code::Overloaded
-                }
+                ErrorCode::DeadlineBeforeRun
+                | ErrorCode::RequestCrashedUpstreams
+                | ErrorCode::OutcomeUnknown => ErrorCode::Overloaded,
                 code => code,
             };
             let retry_after_ms = self.retry_after_ms();
             return DispatchResult::Refused(
-                Refusal::not_run(code).retry_after_ms(retry_after_ms),
+                RequestError::not_run(code).retry_after_ms(retry_after_ms),
             );
         }
         let code = if self.request.is_expired(self.node.clock) {
-            Code::DeadlineWhileRunning
+            ErrorCode::DeadlineWhileRunning
         } else {
-            Code::OutcomeUnknown
+            ErrorCode::OutcomeUnknown
         };
-        DispatchResult::Refused(Refusal {
+        DispatchResult::Refused(RequestError {
             code,
-            ran: Ran::Unknown,
+            ran: RunStatus::Unknown,
             retry_after_ms: None,
         })
     }
@@ -358,7 +358,7 @@
                 refusal_response(&*self.node.protocol, &self.request.head.id, &refusal)
             }
             DispatchResult::Stream(_) => {
-                let refusal = Refusal::not_run(Code::Overloaded);
+                let refusal = RequestError::not_run(ErrorCode::Overloaded);
                 refusal_response(&*self.node.protocol, &self.request.head.id, &refusal)
             }
         }
--- a/crates/front/src/lease_relay.rs
+++ b/crates/front/src/lease_relay.rs
@@ -8,7 +8,7 @@
 //! The holder still counts the validity from before it asked, so the lease is
 //! as safe as with a renewal of its own.
 
-use base::{Expect, PlatformOp, PlatformResult, Version};
+use base::{ObjectVersion, PlatformOp, PlatformResult, Precondition};
 use direct::LeaseRecord;
 use schema::peer::{LeaseAsk, LeaseTold};
 use serde_json::json;
@@ -63,7 +63,7 @@
 async fn write_renewal(node: Arc<Node>, record: LeaseRecord, version: u64) {
     let op = PlatformOp::Write {
         key: node.options.keys.lease.clone(),
-        expect: Expect::Version(Version(version)),
+        precondition: Precondition::Version(ObjectVersion(version)),
         // Strings and numbers always serialize.
         value: serde_json::to_vec(&record).unwrap_or_default(),
     };
--- a/crates/front/src/orders.rs
+++ b/crates/front/src/orders.rs
@@ -1,7 +1,7 @@
 //! Sends orders to upstreams, requests their reports, and maintains the lease
 //! that entitles its holder to send orders.
 
-use base::{Expect, PlatformOp, PlatformResult, Version};
+use base::{ObjectVersion, PlatformOp, PlatformResult, Precondition};
 use bytes::Bytes;
 use direct::{LeaseRecord, LeaseStep, Order, SendOutcome, UpstreamIncarnation};
 use http_body_util::{BodyExt, Full, Limited};
@@ -249,11 +249,12 @@
     let sent_at = node.now();
     // Strings and numbers always serialize.
     let value = serde_json::to_vec(&record).unwrap_or_default();
-    let expect =
-        version.map_or(Expect::Absent, |version| Expect::Version(Version(version)));
+    let precondition = version.map_or(Precondition::Absent, |version| {
+        Precondition::Version(ObjectVersion(version))
+    });
     let op = PlatformOp::Write {
         key: node.options.keys.lease.clone(),
-        expect,
+        precondition,
         value,
     };
     let result = node.store.call(&op).await;
--- a/crates/front/src/peers/register.rs
+++ b/crates/front/src/peers/register.rs
@@ -1,6 +1,6 @@
 //! Finds other entries through the platform's list of entries.
 
-use base::{Expect, PlatformOp, PlatformResult};
+use base::{PlatformOp, PlatformResult, Precondition};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -65,7 +65,7 @@
             let value = serde_json::to_vec(&record).unwrap_or_default();
             let op = PlatformOp::Write {
                 key: key.clone(),
-                expect: Expect::Any,
+                precondition: Precondition::Any,
                 value,
             };
             let result = node.store.call(&op).await;
--- a/crates/front/src/platform_watch.rs
+++ b/crates/front/src/platform_watch.rs
@@ -1,7 +1,7 @@
 //! Watches the configuration and the upstreams' records in the platform.
 
 use base::prelude::*;
-use base::{PlatformOp, PlatformResult, Version};
+use base::{ObjectVersion, PlatformOp, PlatformResult};
 use direct::{ChangedObject, WatchBatch};
 use serde_json::json;
 use std::sync::Arc;
@@ -38,7 +38,7 @@
     Upstreams,
 }
 
-type Object = (String, Version, Vec<u8>);
+type Object = (String, ObjectVersion, Vec<u8>);
 
 /// Applies changes, whether from this entry's own watch or from another
 /// entry's.
@@ -51,7 +51,7 @@
     let objects = objects.map(|object| {
         (
             object.key.clone(),
-            Version(object.version),
+            ObjectVersion(object.version),
             object.value.clone(),
         )
     });
@@ -95,7 +95,7 @@
     node: &Node,
     collection: Collection,
     contact: &mut PlatformContact,
-) -> Option<Version> {
+) -> Option<ObjectVersion> {
     let prefix = collection.prefix(node);
     let result = node.store.call(&PlatformOp::List { prefix }).await;
     count_call(node, collection, "list", &result);
@@ -117,9 +117,9 @@
 async fn watch_once(
     node: &Node,
     collection: Collection,
-    after: Version,
+    after: ObjectVersion,
     contact: &mut PlatformContact,
-) -> Option<Version> {
+) -> Option<ObjectVersion> {
     let prefix = collection.prefix(node);
     let watch = PlatformOp::Watch { prefix, after };
     let result = watch_platform(node, collection, &watch).await;
@@ -237,7 +237,7 @@
 
 const fn outcome_label(result: &PlatformResult) -> &'static str {
     match result {
-        PlatformResult::Away => "away",
+        PlatformResult::Unavailable => "away",
         PlatformResult::Unanswered => "unanswered",
         PlatformResult::Conflict => "conflict",
         _ => "answered",
@@ -295,7 +295,7 @@
     }
 }
 
-fn replace_upstreams(node: &Node, at: Version, objects: &[Object]) {
+fn replace_upstreams(node: &Node, at: ObjectVersion, objects: &[Object]) {
     let mut listed = Vec::new();
     let mut unreadable = Vec::new();
     for object in objects {
--- a/crates/front/src/quota/charge.rs
+++ b/crates/front/src/quota/charge.rs
@@ -48,7 +48,7 @@
     id: &str,
     workspace: &Workspace,
     tokens: Option<u64>,
-) -> Result<Option<Charge>, Refusal> {
+) -> Result<Option<Charge>, RequestError> {
     let Some(allowance) = &workspace.allowance else {
         return Ok(None);
     };
@@ -67,10 +67,11 @@
                 node.workspace_quotas
                     .cache_shortage(node.now(), name, return_ms);
             }
-            Refusal::not_run(Code::QuotaSpent).retry_after_ms(return_ms)
+            RequestError::not_run(ErrorCode::QuotaSpent).retry_after_ms(return_ms)
         }
-        Some(Take::Never) => Refusal::not_run(Code::QuotaSpent),
-        None => Refusal::not_run(Code::QuotaUnknown).retry_after_ms(UNKNOWN_RETRY_MS),
+        Some(Take::Never) => RequestError::not_run(ErrorCode::QuotaSpent),
+        None => RequestError::not_run(ErrorCode::QuotaUnknown)
+            .retry_after_ms(UNKNOWN_RETRY_MS),
     };
     let labels = [&**name, refusal.code.name()];
     node.metrics.quota_refused.with_label_values(&labels).inc();
--- a/crates/front/src/request.rs
+++ b/crates/front/src/request.rs
@@ -35,7 +35,8 @@
 
 /// The process exits before it could execute the request; another entry can
 /// take it at once.
-const SHUTTING_DOWN: Refusal = Refusal::not_run(Code::Leaving).retry_after_ms(0);
+const SHUTTING_DOWN: RequestError =
+    RequestError::not_run(ErrorCode::Leaving).retry_after_ms(0);
 
 /// Handles one request. A request with ambiguous framing is refused, and the
 /// bytes that follow it on its connection are not read.
@@ -54,7 +55,7 @@
             .line("taken_after_end", json!({ "id": id.clone() }));
     }
     let built = if ambiguous_length || has_ambiguous_framing(&parts.headers) {
-        Err(Refusal::not_run(Code::BadRequest))
+        Err(RequestError::not_run(ErrorCode::BadRequest))
     } else {
         let respond_now = node.shutdown.respond_now.clone();
         tokio::select! {
@@ -111,13 +112,14 @@
     parts: hyper::http::request::Parts,
     body: Incoming,
     head: RequestHead,
-) -> Result<CallerRequest, Refusal> {
+) -> Result<CallerRequest, RequestError> {
     // A refusal that leaves part of the body unread resets the connection, and
     // the caller may never read the reason. So the body is read first, and
     // everything that depends on the current time is checked afterwards.
     let body_max_bytes = node.config().unwrap_or_default().limits.body_max_bytes;
     let body = read_body(body, body_max_bytes).await?;
-    let not_ready = Refusal::not_run(Code::NotReady).retry_after_ms(NOT_READY_RETRY_MS);
+    let not_ready =
+        RequestError::not_run(ErrorCode::NotReady).retry_after_ms(NOT_READY_RETRY_MS);
     let config = node.config().ok_or(not_ready)?;
     let host = parts.headers.get(HOST).and_then(|host| host.to_str().ok());
     let host = host.or_else(|| parts.uri.host()).unwrap_or_default();
@@ -127,7 +129,7 @@
         // exist by now.
         let is_current = node.config_is_fresh();
         return Err(if is_current {
-            Refusal::not_run(Code::UnknownPath)
+            RequestError::not_run(ErrorCode::UnknownPath)
         } else {
             not_ready
         });
@@ -189,7 +191,7 @@
     config: &Config,
     route: &Route,
     head: &RequestHead,
-) -> Result<Option<Arc<Workspace>>, Refusal> {
+) -> Result<Option<Arc<Workspace>>, RequestError> {
     let Some(directory) = &config.directory else {
         return Ok(None);
     };
@@ -198,7 +200,7 @@
         Credential::Absent | Credential::Malformed => None,
     };
     if workspace.is_none() && !route.is_public {
-        return Err(Refusal::not_run(Code::UnknownCaller));
+        return Err(RequestError::not_run(ErrorCode::UnknownCaller));
     }
     Ok(workspace)
 }
@@ -213,8 +215,8 @@
     scaled_ms.max(MIN_FIRST_EVENT_WAIT_MS)
 }
 
-async fn read_body(body: Incoming, max_bytes: usize) -> Result<Bytes, Refusal> {
-    let too_large = Refusal::not_run(Code::BodyTooLarge);
+async fn read_body(body: Incoming, max_bytes: usize) -> Result<Bytes, RequestError> {
+    let too_large = RequestError::not_run(ErrorCode::BodyTooLarge);
     // A body that is announced as too large is refused without reading it.
     if body.size_hint().lower() > max_bytes as u64 {
         return Err(too_large);
@@ -222,7 +224,7 @@
     match Limited::new(body, max_bytes).collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => Err(too_large),
-        Err(_) => Err(Refusal::not_run(Code::BadRequest)),
+        Err(_) => Err(RequestError::not_run(ErrorCode::BadRequest)),
     }
 }
 
--- a/crates/front/src/response.rs
+++ b/crates/front/src/response.rs
@@ -55,7 +55,7 @@
 pub(crate) fn refusal_response(
     protocol: &dyn PlatformProtocol,
     id: &str,
-    refusal: &Refusal,
+    refusal: &RequestError,
 ) -> Response<ResponseBody> {
     let body = RefusalBody {
         code: refusal.code.number(),
--- a/crates/front/src/upstream_selection.rs
+++ b/crates/front/src/upstream_selection.rs
@@ -146,7 +146,7 @@
             "queue_ms": admission.queue_ms, "reading_ms": admission.prefill_ms,
             "mean_reading_ms": admission.mean_prefill_ms, "late_ms": late_ms }));
         Err(Rejection {
-            code: Code::Overloaded,
+            code: ErrorCode::Overloaded,
             retry_after_ms: late_ms.max(DEFAULT_RETRY_AFTER_MS),
         })
     }
@@ -335,12 +335,14 @@
     }
 }
 
-const fn refusal_code(reason: SelectionError) -> Code {
+const fn refusal_code(reason: SelectionError) -> ErrorCode {
     match reason {
-        SelectionError::NoModel | SelectionError::NoAdapter => Code::ModelUnavailable,
+        SelectionError::NoModel | SelectionError::NoAdapter => {
+            ErrorCode::ModelUnavailable
+        }
         SelectionError::NoUpstream
         | SelectionError::BackedOff
         | SelectionError::RateSpent
-        | SelectionError::Full => Code::Overloaded,
+        | SelectionError::Full => ErrorCode::Overloaded,
     }
 }
--- a/crates/line/src/clock.rs
+++ b/crates/line/src/clock.rs
@@ -15,7 +15,7 @@
 
 /// The wall clock, in microseconds since the Unix epoch. Nothing else in the
 /// system reads it.
-pub fn wall_us() -> u64 {
+pub fn unix_time_us() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |since| {
         u64::try_from(since.as_micros()).unwrap_or(u64::MAX)
--- a/crates/line/src/filter.rs
+++ b/crates/line/src/filter.rs
@@ -4,7 +4,7 @@
 
 /// Which events are asked for; the default asks for all.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Filter {
+pub struct EventFilter {
     /// Earliest clock, in microseconds since the Unix epoch.
     pub since_us: u64,
     /// Only events of this request, as `origin-sequence` in hexadecimal.
@@ -13,9 +13,9 @@
     pub model: Option<String>,
 }
 
-impl Filter {
+impl EventFilter {
     /// Whether an event is asked for.
-    pub fn takes(&self, event: &Event) -> bool {
+    pub fn matches(&self, event: &Event) -> bool {
         let same = |asked: &Option<String>, held: &str| {
             asked.as_deref().is_none_or(|asked| asked == held)
         };
--- a/crates/line/src/lib.rs
+++ b/crates/line/src/lib.rs
@@ -1,6 +1,6 @@
 //! The time line: what happened, over all processes, in causal order.
 //!
-//! Each process keeps its newest events in a [`Recorder`]. Every event carries a
+//! Each process keeps its newest events in a [`EventRecorder`]. Every event carries a
 //! hybrid logical clock: the wall clock, but never below what the process has
 //! shown or heard. Each frame on a link carries the sender's clock, and its
 //! receiver [observes](Recorder::observe) it, so an effect never sorts before
@@ -19,9 +19,9 @@
 mod recorder;
 mod render;
 
-pub use clock::{WallClock, wall_us};
-pub use filter::Filter;
+pub use clock::{WallClock, unix_time_us};
+pub use filter::EventFilter;
 pub use merge::merge;
-pub use recorder::Recorder;
+pub use recorder::EventRecorder;
 pub use render::render;
 pub use schema::timeline::{Event, EventKind};
--- a/crates/line/src/recorder.rs
+++ b/crates/line/src/recorder.rs
@@ -5,7 +5,7 @@
 use std::collections::VecDeque;
 
 use crate::clock::HybridClock;
-use crate::{Filter, WallClock, wall_us};
+use crate::{EventFilter, WallClock, unix_time_us};
 
 /// Longest text kept in a field of an event. Names in a request are the
 /// caller's and may be as long as its body.
@@ -13,7 +13,7 @@
 
 /// The newest events of one process, and its clock.
 #[derive(Debug)]
-pub struct Recorder {
+pub struct EventRecorder {
     process: String,
     capacity: usize,
     clock: HybridClock,
@@ -27,14 +27,14 @@
     sequence: u32,
 }
 
-impl Recorder {
+impl EventRecorder {
     /// An empty recorder that keeps `capacity` events.
     pub fn new(process: &str, capacity: usize) -> Self {
-        Self::with_wall(process, capacity, wall_us)
+        Self::with_wall_clock(process, capacity, unix_time_us)
     }
 
     /// The same with another wall clock, for tests.
-    pub fn with_wall(process: &str, capacity: usize, wall: WallClock) -> Self {
+    pub fn with_wall_clock(process: &str, capacity: usize, wall: WallClock) -> Self {
         Self {
             process: process.to_owned(),
             capacity,
@@ -78,9 +78,9 @@
     }
 
     /// Kept events that the filter takes, oldest first.
-    pub fn events(&self, filter: &Filter) -> Vec<Event> {
+    pub fn events(&self, filter: &EventFilter) -> Vec<Event> {
         let kept = self.kept.lock();
-        let taken = kept.events.iter().filter(|event| filter.takes(event));
+        let taken = kept.events.iter().filter(|event| filter.matches(event));
         taken.cloned().collect()
     }
 }
--- a/crates/line/src/render.rs
+++ b/crates/line/src/render.rs
@@ -1,6 +1,6 @@
 //! Events as text for operators.
 
-use base::Code;
+use base::ErrorCode;
 use schema::timeline::{Event, EventKind};
 use std::fmt::Write;
 
@@ -33,7 +33,7 @@
 }
 
 fn code(number: u32) -> String {
-    match Code::from_number(number) {
+    match ErrorCode::from_number(number) {
         Some(code) => format!("{number}/{}", code.name()),
         None if number == 0 => String::new(),
         None => number.to_string(),
--- a/crates/line/tests/line.rs
+++ b/crates/line/tests/line.rs
@@ -1,6 +1,6 @@
 //! Clocks, order and text of the time line.
 
-use line::{Event, EventKind, Filter, Recorder, merge, render};
+use line::{Event, EventFilter, EventKind, EventRecorder, merge, render};
 use std::sync::atomic::{AtomicU64, Ordering};
 
 /// 2025-03-01 00:00:00 UTC.
@@ -14,8 +14,8 @@
     }
 }
 
-fn all(recorder: &Recorder) -> Vec<Event> {
-    recorder.events(&Filter::default())
+fn all(recorder: &EventRecorder) -> Vec<Event> {
+    recorder.events(&EventFilter::default())
 }
 
 // The wall clock of a process is set back, as by a correction, while it runs.
@@ -23,7 +23,8 @@
 #[test]
 fn the_clock_never_falls() {
     static WALL_US: AtomicU64 = AtomicU64::new(START_US);
-    let recorder = Recorder::with_wall("a", 10, || WALL_US.load(Ordering::SeqCst));
+    let recorder =
+        EventRecorder::with_wall_clock("a", 10, || WALL_US.load(Ordering::SeqCst));
     recorder.record(event(EventKind::ProcessStarted, "first"));
     WALL_US.store(START_US - 3_000_000, Ordering::SeqCst);
     recorder.record(event(EventKind::ProcessReady, "second"));
@@ -41,8 +42,8 @@
 // seconds before its cause.
 #[test]
 fn an_effect_sorts_behind_its_cause() {
-    let ahead = Recorder::with_wall("ahead", 10, || START_US + 5_000_000);
-    let behind = Recorder::with_wall("behind", 10, || START_US);
+    let ahead = EventRecorder::with_wall_clock("ahead", 10, || START_US + 5_000_000);
+    let behind = EventRecorder::with_wall_clock("behind", 10, || START_US);
     ahead.record(event(EventKind::RequestSent, "cause"));
     behind.observe(ahead.now_us());
     behind.record(event(EventKind::RequestStarted, "effect"));
@@ -56,7 +57,7 @@
 // The others must not follow it: their clocks could not come back.
 #[test]
 fn a_clock_far_ahead_is_not_followed() {
-    let recorder = Recorder::with_wall("a", 10, || START_US);
+    let recorder = EventRecorder::with_wall_clock("a", 10, || START_US);
     for far in [START_US + 86_400_000_000, u64::MAX] {
         recorder.observe(far);
         assert_eq!(recorder.now_us(), START_US);
@@ -65,7 +66,7 @@
 
 #[test]
 fn events_and_their_texts_are_bounded() {
-    let recorder = Recorder::with_wall("a", 3, || START_US);
+    let recorder = EventRecorder::with_wall_clock("a", 3, || START_US);
     for n in 0..10 {
         recorder.record(event(EventKind::LinkUp, &n.to_string()));
     }
@@ -73,14 +74,14 @@
     let events = all(&recorder);
     let details: Vec<&str> = events.iter().map(|e| e.detail.as_str()).collect();
     assert_eq!(details, ["8", "9", &"ü".repeat(128)]);
-    let none = Recorder::new("a", 0);
+    let none = EventRecorder::new("a", 0);
     none.record(event(EventKind::LinkUp, ""));
     assert!(all(&none).is_empty());
 }
 
 #[test]
 fn the_filter_takes_what_is_asked_for() {
-    let recorder = Recorder::with_wall("a", 10, || START_US);
+    let recorder = EventRecorder::with_wall_clock("a", 10, || START_US);
     for (request, model) in [("1-1", "m"), ("1-2", "m"), ("", "n")] {
         recorder.record(Event {
             request: request.to_owned(),
@@ -88,7 +89,7 @@
             ..Event::default()
         });
     }
-    let filter = |since_us, request: Option<&str>, model: Option<&str>| Filter {
+    let filter = |since_us, request: Option<&str>, model: Option<&str>| EventFilter {
         since_us,
         request: request.map(str::to_owned),
         model: model.map(str::to_owned),
@@ -108,8 +109,8 @@
 
 #[test]
 fn events_with_the_same_clock_have_one_order() {
-    let a = Recorder::with_wall("a", 10, || START_US);
-    let b = Recorder::with_wall("b", 10, || START_US);
+    let a = EventRecorder::with_wall_clock("a", 10, || START_US);
+    let b = EventRecorder::with_wall_clock("b", 10, || START_US);
     for recorder in [&a, &b] {
         recorder.record(event(EventKind::LinkUp, "0"));
         recorder.record(event(EventKind::LinkDown, "1"));
@@ -128,7 +129,7 @@
         kind: EventKind::RequestFailed.into(),
         request: "1f-2".to_owned(),
         model: "m".to_owned(),
-        code: base::Code::UpstreamLost.number(),
+        code: base::ErrorCode::UpstreamLost.number(),
         detail: "one\ntwo".to_owned(),
         ..Event::default()
     };
--- a/crates/live/src/agent.rs
+++ b/crates/live/src/agent.rs
@@ -67,7 +67,7 @@
     /// Pool of its upstream.
     pub pool: PoolId,
     /// Failure domain.
-    pub domain: DomainId,
+    pub domain: FailureDomainId,
     /// Memory of each accelerator.
     pub accelerators_mib: Vec<u32>,
     /// What is on the accelerators.
@@ -102,7 +102,7 @@
             incarnation: Incarnation(0),
             sequence: 0,
             pool: PoolId::new(""),
-            domain: DomainId::new(""),
+            domain: FailureDomainId::new(""),
             accelerators_mib: Vec::new(),
             residents: Vec::new(),
             upstream_up: false,
@@ -223,7 +223,7 @@
     pub(crate) fn take(&mut self, now: Instant, beat: Heartbeat) {
         self.sequence = beat.sequence;
         self.pool = PoolId::new(&beat.pool);
-        self.domain = DomainId::new(&beat.failure_domain);
+        self.domain = FailureDomainId::new(&beat.failure_domain);
         self.accelerators_mib.clone_from(&beat.accelerators_mib);
         if self.upstream_up != beat.upstream_up {
             self.upstream_up = beat.upstream_up;
--- a/crates/live/src/entries.rs
+++ b/crates/live/src/entries.rs
@@ -20,7 +20,7 @@
     /// Sequence of the newest gossip.
     pub sequence: u64,
     /// Failure domain.
-    pub domain: DomainId,
+    pub domain: FailureDomainId,
     /// When it was last heard.
     pub heard_at: Instant,
     /// It is stopping.
@@ -75,7 +75,7 @@
             id: id.clone(),
             incarnation: order.0,
             sequence: order.1,
-            domain: DomainId::new(&gossip.failure_domain),
+            domain: FailureDomainId::new(&gossip.failure_domain),
             heard_at: now,
             leaving: gossip.leaving,
         };
--- a/crates/mem/src/ledger.rs
+++ b/crates/mem/src/ledger.rs
@@ -1,7 +1,7 @@
 //! Memory in use on each accelerator.
 
 use crate::{Blocked, OrderEnd, Placement, ReportedResident, TrackedOrder};
-use base::{Epoch, Instant, ModelId};
+use base::{FencingEpoch, Instant, ModelId};
 use schema::store::Intent;
 use std::collections::BTreeMap;
 
@@ -124,7 +124,12 @@
     ///
     /// Its intents pass to `heir`, the agent that knows it: should that die too,
     /// its successor has only to find out about the heir.
-    pub fn giver_died(&mut self, now: Instant, epoch: Epoch, heir: Epoch) {
+    pub fn giver_died(
+        &mut self,
+        now: Instant,
+        epoch: FencingEpoch,
+        heir: FencingEpoch,
+    ) {
         let theirs = |order: &&mut TrackedOrder| order.epoch == epoch;
         for order in self.orders.values_mut().filter(theirs) {
             order.ends_from = Some(now);
@@ -134,7 +139,7 @@
 
     /// Predecessors that are not known dead and whose orders count, each with
     /// its link address as far as that is known.
-    pub fn givers(&self) -> BTreeMap<Epoch, &str> {
+    pub fn givers(&self) -> BTreeMap<FencingEpoch, &str> {
         let open = self
             .orders
             .values()
@@ -152,7 +157,7 @@
     pub fn reserve(
         &mut self,
         id: u64,
-        epoch: Epoch,
+        epoch: FencingEpoch,
         load: bool,
         placement: &Placement,
         size_mib: u32,
@@ -208,7 +213,11 @@
         Ok(())
     }
 
-    fn check_unload(&self, epoch: Epoch, placement: &Placement) -> Result<(), Blocked> {
+    fn check_unload(
+        &self,
+        epoch: FencingEpoch,
+        placement: &Placement,
+    ) -> Result<(), Blocked> {
         if !self.residents.contains_key(placement) {
             return Err(Blocked::Nothing);
         }
--- a/crates/mem/src/order.rs
+++ b/crates/mem/src/order.rs
@@ -1,6 +1,6 @@
 //! Orders as the ledger tracks them.
 
-use base::{Epoch, Instant, ModelId};
+use base::{FencingEpoch, Instant, ModelId};
 use schema::store::Intent;
 
 /// One version of one model or adapter on one accelerator.
@@ -20,7 +20,7 @@
     /// Number, unique over all epochs.
     pub id: u64,
     /// Epoch of the agent that gave it.
-    pub epoch: Epoch,
+    pub epoch: FencingEpoch,
     /// True for a load, false for an unload.
     pub load: bool,
     /// What it concerns.
@@ -43,7 +43,7 @@
     /// or the address is not known.
     pub giver_address: String,
     /// Agent to which the intent passed when its giver was known dead.
-    pub heir: Option<Epoch>,
+    pub heir: Option<FencingEpoch>,
     /// When the last copy of it can have been given, once that is known; from
     /// then on it can take effect for the longest order delay.
     pub ends_from: Option<Instant>,
@@ -94,7 +94,7 @@
     pub(crate) fn adopted(intent: &Intent, now: Instant) -> Self {
         Self {
             id: intent.order,
-            epoch: Epoch(intent.epoch),
+            epoch: FencingEpoch(intent.epoch),
             load: intent.load,
             placement: Placement {
                 accelerator: intent.accelerator,
--- a/crates/mem/tests/ledger/steps.rs
+++ b/crates/mem/tests/ledger/steps.rs
@@ -1,6 +1,6 @@
 //! What happens to a ledger, one step after the other.
 
-use base::{Epoch, Instant, ModelId};
+use base::{FencingEpoch, Instant, ModelId};
 use mem::{
     Blocked, Ledger, Placement, ReportedOrder, ReportedOrderState, ReportedResident,
     UpstreamState,
@@ -9,8 +9,8 @@
 use std::collections::BTreeMap;
 
 pub const DELAY_MS: u32 = 3_000;
-pub const OWN: Epoch = Epoch(2);
-pub const PREDECESSOR: Epoch = Epoch(1);
+pub const OWN: FencingEpoch = FencingEpoch(2);
+pub const PREDECESSOR: FencingEpoch = FencingEpoch(1);
 
 /// One thing that happens, at a time in milliseconds where that matters.
 pub enum Step {
--- a/crates/once/src/calls.rs
+++ b/crates/once/src/calls.rs
@@ -5,8 +5,8 @@
 use crate::shard::{Busy, Known, Shard, shard_key};
 use crate::work::{Begin, Ending, Held};
 use base::{
-    AttemptId, Code, Instant, PlatformCall, PlatformOp, PlatformResult, Refusal,
-    Version,
+    AttemptId, ErrorCode, Instant, ObjectVersion, PlatformCall, PlatformOp,
+    PlatformResult, RequestError,
 };
 use prost::Message as _;
 use schema::store::{ClaimShard, ClaimState};
@@ -39,7 +39,7 @@
             (Busy::Writing(..), PlatformResult::Conflict) => {
                 self.shards[index].known = None;
             }
-            (Busy::Writing(..), PlatformResult::Away) | (Busy::Reading, _) => {
+            (Busy::Writing(..), PlatformResult::Unavailable) | (Busy::Reading, _) => {
                 self.was_away(now, index, out);
             }
             (Busy::Writing(..), _) => self.write_was_lost(index),
@@ -90,7 +90,7 @@
         };
         let op = PlatformOp::Write {
             key: shard_key(index),
-            expect: known.expect(),
+            precondition: known.expect(),
             value: content.encode_to_vec(),
         };
         let id = self.next_call(index);
@@ -109,7 +109,7 @@
         &mut self,
         now: Instant,
         index: usize,
-        object: Option<(Version, Vec<u8>)>,
+        object: Option<(ObjectVersion, Vec<u8>)>,
         out: &mut Vec<ClaimAction>,
     ) {
         let (version, value) = match object {
@@ -143,7 +143,7 @@
     fn learn(
         &mut self,
         index: usize,
-        version: Option<Version>,
+        version: Option<ObjectVersion>,
         content: ClaimShard,
         out: &mut Vec<ClaimAction>,
     ) {
@@ -231,7 +231,8 @@
 }
 
 pub(crate) fn refuse_away(attempt: AttemptId, retry_ms: u64) -> ClaimAction {
-    let refusal = Refusal::not_run(Code::PlatformAway).retry_after_ms(retry_ms);
+    let refusal =
+        RequestError::not_run(ErrorCode::PlatformAway).retry_after_ms(retry_ms);
     let outcome = Outcome::Refused(refusal);
     ClaimAction::Settled { attempt, outcome }
 }
--- a/crates/once/src/outcome.rs
+++ b/crates/once/src/outcome.rs
@@ -1,6 +1,6 @@
 //! What is asked of the claims and what they answer.
 
-use base::{AttemptId, CallerId, PlatformCall, Refusal};
+use base::{AttemptId, CallerId, PlatformCall, RequestError};
 
 /// Asks for the claim of one call.
 #[derive(Debug, Clone)]
@@ -36,7 +36,7 @@
     /// The call ran before; this is its answer.
     Replay(Answer),
     /// The call is not run now; the refusal tells why and what is known.
-    Refused(Refusal),
+    Refused(RequestError),
 }
 
 /// Something the claims ask of their owner.
--- a/crates/once/src/shard.rs
+++ b/crates/once/src/shard.rs
@@ -1,7 +1,9 @@
 //! One shard object and what waits for it.
 
 use crate::work::{Begin, Ending};
-use base::{AttemptId, Code, Expect, Instant, Ran, Refusal, Version};
+use base::{
+    AttemptId, ErrorCode, Instant, ObjectVersion, Precondition, RequestError, RunStatus,
+};
 use prost::Message as _;
 use schema::store::{Claim, ClaimShard, ClaimState};
 use xxhash_rust::xxh3::xxh3_64;
@@ -60,13 +62,14 @@
 #[derive(Debug)]
 pub(crate) struct Known {
     /// `None` if there was no object.
-    pub version: Option<Version>,
+    pub version: Option<ObjectVersion>,
     pub content: ClaimShard,
 }
 
 impl Known {
-    pub(crate) fn expect(&self) -> Expect {
-        self.version.map_or(Expect::Absent, Expect::Version)
+    pub(crate) fn expect(&self) -> Precondition {
+        self.version
+            .map_or(Precondition::Absent, Precondition::Version)
     }
 }
 
@@ -76,12 +79,12 @@
     pub busy: Busy,
     pub known: Option<Known>,
     /// Highest version seen; a read below it shows the past.
-    pub newest: Option<Version>,
+    pub newest: Option<ObjectVersion>,
     pub begins: Vec<Begin>,
     pub endings: Vec<Ending>,
     /// Version which a write without an answer expected: as long as the object
     /// has it, that write may still take effect.
-    pub maybe_written_over: Option<Option<Version>>,
+    pub maybe_written_over: Option<Option<ObjectVersion>>,
     /// No call before this, after the platform was away.
     pub quiet_until: Option<Instant>,
     pub failures: u32,
@@ -227,7 +230,8 @@
         ..Claim::default()
     };
     if planned_bytes(content, &claim, bounds) > SHARD_MAX_BYTES {
-        let refusal = Refusal::not_run(Code::Overloaded).retry_after_ms(FULL_RETRY_MS);
+        let refusal =
+            RequestError::not_run(ErrorCode::Overloaded).retry_after_ms(FULL_RETRY_MS);
         return Step::Settled(Outcome::Refused(refusal));
     }
     content.claims.push(claim);
@@ -246,17 +250,17 @@
         return Step::ReadFirst;
     }
     let refusal = if other_body {
-        Refusal::not_run(Code::KeyReused)
+        RequestError::not_run(ErrorCode::KeyReused)
     } else if abandoned(claim, begin, bounds) {
-        Refusal {
-            code: Code::OutcomeUnknown,
-            ran: Ran::Unknown,
+        RequestError {
+            code: ErrorCode::OutcomeUnknown,
+            ran: RunStatus::Unknown,
             retry_after_ms: None,
         }
     } else {
-        Refusal {
-            code: Code::KeyInProgress,
-            ran: Ran::Unknown,
+        RequestError {
+            code: ErrorCode::KeyInProgress,
+            ran: RunStatus::Unknown,
             retry_after_ms: Some(IN_PROGRESS_RETRY_MS),
         }
     };
@@ -272,9 +276,9 @@
 /// run, and no more.
 fn replay(claim: &Claim) -> Outcome {
     let Some(status) = u16::try_from(claim.status).ok().filter(|s| *s != 0) else {
-        return Outcome::Refused(Refusal {
-            code: Code::OutcomeUnknown,
-            ran: Ran::Ran,
+        return Outcome::Refused(RequestError {
+            code: ErrorCode::OutcomeUnknown,
+            ran: RunStatus::Ran,
             retry_after_ms: None,
         });
     };
--- a/crates/once/tests/claims/agents.rs
+++ b/crates/once/tests/claims/agents.rs
@@ -20,13 +20,31 @@
     one.pump(0, &mut platform);
     two.pump(0, &mut platform);
     assert!(one.granted(1));
-    assert_eq!(two.refused(2), Some((Code::KeyInProgress, Ran::Unknown)));
+    assert_eq!(
+        two.refused(2),
+        Some((ErrorCode::KeyInProgress, RunStatus::Unknown))
+    );
 
     let cases = [
-        (3, 100, BODY, (Code::KeyInProgress, Ran::Unknown)),
-        (4, 11_000, BODY, (Code::KeyInProgress, Ran::Unknown)),
-        (5, 12_001, BODY, (Code::OutcomeUnknown, Ran::Unknown)),
-        (6, 12_001, OTHER_BODY, (Code::KeyReused, Ran::NotRun)),
+        (3, 100, BODY, (ErrorCode::KeyInProgress, RunStatus::Unknown)),
+        (
+            4,
+            11_000,
+            BODY,
+            (ErrorCode::KeyInProgress, RunStatus::Unknown),
+        ),
+        (
+            5,
+            12_001,
+            BODY,
+            (ErrorCode::OutcomeUnknown, RunStatus::Unknown),
+        ),
+        (
+            6,
+            12_001,
+            OTHER_BODY,
+            (ErrorCode::KeyReused, RunStatus::NotRun),
+        ),
     ];
     for (attempt, ms, body, expected) in cases {
         two.begin(ms, attempt, "key", body);
@@ -47,7 +65,10 @@
     );
     two.begin(13_002, 8, "key", OTHER_BODY);
     two.pump(13_002, &mut platform);
-    assert_eq!(two.refused(8), Some((Code::KeyReused, Ran::NotRun)));
+    assert_eq!(
+        two.refused(8),
+        Some((ErrorCode::KeyReused, RunStatus::NotRun))
+    );
 }
 
 /// The same key comes twice to one agent before the first claim is written.
@@ -61,7 +82,10 @@
     agent.begin(0, 2, "key", BODY);
     agent.pump(0, &mut platform);
     assert!(agent.granted(1));
-    assert_eq!(agent.refused(2), Some((Code::KeyInProgress, Ran::Unknown)));
+    assert_eq!(
+        agent.refused(2),
+        Some((ErrorCode::KeyInProgress, RunStatus::Unknown))
+    );
 
     agent.begin(1, 3, "key", BODY);
     agent.release(1, 1);
@@ -87,13 +111,13 @@
     successor.pump(1_000, &mut platform);
     assert_eq!(
         successor.refused(2),
-        Some((Code::KeyInProgress, Ran::Unknown))
+        Some((ErrorCode::KeyInProgress, RunStatus::Unknown))
     );
     successor.begin(60_000, 3, "key", BODY);
     successor.pump(60_000, &mut platform);
     assert_eq!(
         successor.refused(3),
-        Some((Code::OutcomeUnknown, Ran::Unknown))
+        Some((ErrorCode::OutcomeUnknown, RunStatus::Unknown))
     );
 }
 
--- a/crates/once/tests/claims/shards.rs
+++ b/crates/once/tests/claims/shards.rs
@@ -56,7 +56,10 @@
     }
     let granted = (1..=100).filter(|attempt| agent.granted(*attempt)).count();
     assert!((10..20).contains(&granted), "{granted} claims fit");
-    assert_eq!(agent.refused(100), Some((Code::Overloaded, Ran::NotRun)));
+    assert_eq!(
+        agent.refused(100),
+        Some((ErrorCode::Overloaded, RunStatus::NotRun))
+    );
     assert!(platform.largest() < 900_000, "{} bytes", platform.largest());
 
     let later = 3_600_001;
@@ -79,7 +82,10 @@
     agent.pump(1, &mut platform);
     agent.begin(2, 2, "key", BODY);
     agent.pump(2, &mut platform);
-    assert_eq!(agent.refused(2), Some((Code::OutcomeUnknown, Ran::Ran)));
+    assert_eq!(
+        agent.refused(2),
+        Some((ErrorCode::OutcomeUnknown, RunStatus::Ran))
+    );
 }
 
 /// A shard that can't be decoded holds claims that must not be written over:
@@ -92,6 +98,9 @@
     let mut agent = Agent::new("one");
     agent.begin(0, 1, "key", BODY);
     agent.pump(0, &mut platform);
-    assert_eq!(agent.refused(1), Some((Code::PlatformAway, Ran::NotRun)));
+    assert_eq!(
+        agent.refused(1),
+        Some((ErrorCode::PlatformAway, RunStatus::NotRun))
+    );
     assert_eq!(platform.objects[&key].1, vec![0xff; 5]);
 }
--- a/crates/once/tests/claims/stand.rs
+++ b/crates/once/tests/claims/stand.rs
@@ -1,7 +1,7 @@
 //! Stand-ins: a platform that errs, and an agent with claims.
 
 use base::prelude::*;
-use base::{Expect, PlatformCall, PlatformOp, PlatformResult, Version};
+use base::{ObjectVersion, PlatformCall, PlatformOp, PlatformResult, Precondition};
 use once::{Answer, ClaimAction, ClaimRequest, Claims, ClaimsOptions, Outcome};
 use prost::Message as _;
 use schema::store::ClaimShard;
@@ -39,7 +39,7 @@
     pub fn answer(&mut self, call: &PlatformCall) -> PlatformResult {
         match self.fates.pop_front().unwrap_or(Fate::Good) {
             Fate::Good => self.apply(&call.op),
-            Fate::Away => PlatformResult::Away,
+            Fate::Away => PlatformResult::Unavailable,
             Fate::CallLost => PlatformResult::Unanswered,
             Fate::AnswerLost => {
                 self.apply(&call.op);
@@ -58,23 +58,30 @@
             PlatformOp::Read { key } => {
                 let held = self.objects.get(key);
                 PlatformResult::Object(
-                    held.map(|(v, value)| (Version(*v), value.clone())),
+                    held.map(|(v, value)| (ObjectVersion(*v), value.clone())),
                 )
             }
-            PlatformOp::Write { key, expect, value } => {
+            PlatformOp::Write {
+                key,
+                precondition,
+                value,
+            } => {
                 self.writes += 1;
-                let held = self.objects.get(key).map(|(version, _)| Version(*version));
-                let fits = match expect {
-                    Expect::Any => true,
-                    Expect::Absent => held.is_none(),
-                    Expect::Version(version) => held == Some(*version),
+                let held = self
+                    .objects
+                    .get(key)
+                    .map(|(version, _)| ObjectVersion(*version));
+                let fits = match precondition {
+                    Precondition::Any => true,
+                    Precondition::Absent => held.is_none(),
+                    Precondition::Version(version) => held == Some(*version),
                 };
                 if !fits {
                     return PlatformResult::Conflict;
                 }
                 self.last += 1;
                 self.objects.insert(key.clone(), (self.last, value.clone()));
-                PlatformResult::Written(Version(self.last))
+                PlatformResult::Written(ObjectVersion(self.last))
             }
             other => panic!("claims make no such call: {other:?}"),
         }
@@ -204,7 +211,7 @@
 
     /// The code with which an attempt was refused, and what was said to be
     /// known about the run.
-    pub fn refused(&self, attempt: u64) -> Option<(Code, Ran)> {
+    pub fn refused(&self, attempt: u64) -> Option<(ErrorCode, RunStatus)> {
         match self.outcome(attempt)? {
             Outcome::Refused(refusal) => Some((refusal.code, refusal.ran)),
             _ => None,
--- a/crates/once/tests/claims/writes.rs
+++ b/crates/once/tests/claims/writes.rs
@@ -49,7 +49,7 @@
         }
         assert_eq!(
             agent.refused(1),
-            Some((Code::PlatformAway, Ran::NotRun)),
+            Some((ErrorCode::PlatformAway, RunStatus::NotRun)),
             "{name}"
         );
         assert_eq!(platform.claims(), 0, "{name}: the key is not free");
@@ -74,7 +74,10 @@
         agent.tick(ms);
         agent.pump(ms, &mut platform);
     }
-    assert_eq!(agent.refused(1), Some((Code::PlatformAway, Ran::NotRun)));
+    assert_eq!(
+        agent.refused(1),
+        Some((ErrorCode::PlatformAway, RunStatus::NotRun))
+    );
     assert!(agent.claims.is_flushed());
     platform.deliver_late();
     assert_eq!(
--- a/crates/oper/src/answer.rs
+++ b/crates/oper/src/answer.rs
@@ -1,6 +1,6 @@
 //! Answers to operators.
 
-use base::Code;
+use base::ErrorCode;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::http::HeaderValue;
@@ -37,7 +37,7 @@
 }
 
 /// A numbered fault.
-pub(crate) fn fault(code: Code) -> Answer {
+pub(crate) fn fault(code: ErrorCode) -> Answer {
     let status = StatusCode::from_u16(code.http_status());
     let body = Fault {
         code: code.number(),
--- a/crates/oper/src/clock.rs
+++ b/crates/oper/src/clock.rs
@@ -15,7 +15,7 @@
     pub fn start() -> Self {
         Self {
             origin: tokio::time::Instant::now(),
-            unix_us_at_origin: line::wall_us(),
+            unix_us_at_origin: line::unix_time_us(),
         }
     }
 
--- a/crates/oper/src/operated.rs
+++ b/crates/oper/src/operated.rs
@@ -1,6 +1,6 @@
 //! The process behind an operators' listener.
 
-use line::{Event, Filter};
+use line::{Event, EventFilter};
 use std::fmt::Debug;
 
 /// A process that operators look at and may drain.
@@ -15,7 +15,7 @@
     fn metrics(&self) -> String;
 
     /// Events of the time line that the filter takes, oldest first.
-    fn timeline(&self, filter: &Filter) -> Vec<Event>;
+    fn timeline(&self, filter: &EventFilter) -> Vec<Event>;
 
     /// What the process knows on a model and why it is where it is, one
     /// sentence a line.
--- a/crates/oper/src/route.rs
+++ b/crates/oper/src/route.rs
@@ -1,8 +1,8 @@
 //! Paths of the operators' listener.
 
-use base::Code;
+use base::ErrorCode;
 use hyper::{Method, StatusCode, Uri};
-use line::Filter;
+use line::EventFilter;
 use serde::Serialize;
 
 use crate::answer::{Answer, fault, json, text};
@@ -28,7 +28,7 @@
             operated.drain();
             json(StatusCode::ACCEPTED, &Draining { draining: true })
         }
-        _ => fault(Code::UnknownPath),
+        _ => fault(ErrorCode::UnknownPath),
     }
 }
 
@@ -45,10 +45,10 @@
         None => 0,
         Some(text) => match text.parse() {
             Ok(since_us) => since_us,
-            Err(_) => return fault(Code::BadRequest),
+            Err(_) => return fault(ErrorCode::BadRequest),
         },
     };
-    let filter = Filter {
+    let filter = EventFilter {
         since_us,
         request: query_value(query, "request"),
         model: query_value(query, "model"),
@@ -59,6 +59,6 @@
 fn explain(operated: &dyn Operated, query: &str) -> Answer {
     match query_value(query, "model") {
         Some(model) => json(StatusCode::OK, &operated.explain_model(&model)),
-        None => fault(Code::BadRequest),
+        None => fault(ErrorCode::BadRequest),
     }
 }
--- a/crates/oper/src/start.rs
+++ b/crates/oper/src/start.rs
@@ -1,6 +1,6 @@
 //! Why a process can't start.
 
-use base::Code;
+use base::ErrorCode;
 use conf::Fault;
 use snafu::Snafu;
 use std::io;
@@ -13,7 +13,7 @@
 #[snafu(visibility(pub))]
 pub enum StartError {
     /// The settings file can't be read.
-    #[snafu(display("{}: {}: {source}", Code::FileFault, path.display()))]
+    #[snafu(display("{}: {}: {source}", ErrorCode::FileFault, path.display()))]
     File {
         /// File.
         path: PathBuf,
@@ -27,7 +27,7 @@
         faults: Vec<Fault>,
     },
     /// An address of the settings is not `ip:port`.
-    #[snafu(display("{}: {key}: {text} is not ip:port", Code::BadAddress))]
+    #[snafu(display("{}: {key}: {text} is not ip:port", ErrorCode::BadAddress))]
     Address {
         /// Key in the settings.
         key: &'static str,
@@ -35,7 +35,7 @@
         text: String,
     },
     /// A listener can't be bound.
-    #[snafu(display("{}: {key}: {source}", Code::BadAddress))]
+    #[snafu(display("{}: {key}: {source}", ErrorCode::BadAddress))]
     Listen {
         /// Key in the settings.
         key: &'static str,
@@ -52,13 +52,13 @@
 
 impl StartError {
     /// Numbered code of the fault.
-    pub fn code(&self) -> Code {
+    pub fn code(&self) -> ErrorCode {
         match self {
-            Self::File { .. } => Code::FileFault,
-            Self::Settings { faults } => {
-                faults.first().map_or(Code::BadSyntax, |fault| fault.code)
-            }
-            Self::Address { .. } | Self::Listen { .. } => Code::BadAddress,
+            Self::File { .. } => ErrorCode::FileFault,
+            Self::Settings { faults } => faults
+                .first()
+                .map_or(ErrorCode::BadSyntax, |fault| fault.code),
+            Self::Address { .. } | Self::Listen { .. } => ErrorCode::BadAddress,
             Self::LinkListen { source } => source.code(),
         }
     }
--- a/crates/oper/tests/listener.rs
+++ b/crates/oper/tests/listener.rs
@@ -1,6 +1,6 @@
 //! The operators' listener over its protocol.
 
-use line::{Event, Filter, Recorder};
+use line::{Event, EventFilter, EventRecorder};
 use oper::{Operated, query_value, serve};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 #[derive(Debug)]
 struct Process {
     draining: AtomicBool,
-    recorder: Recorder,
+    recorder: EventRecorder,
 }
 
 impl Operated for Process {
@@ -29,7 +29,7 @@
         "requests_total 3\n".to_owned()
     }
 
-    fn timeline(&self, filter: &Filter) -> Vec<Event> {
+    fn timeline(&self, filter: &EventFilter) -> Vec<Event> {
         self.recorder.events(filter)
     }
 
@@ -47,7 +47,7 @@
     let address = listener.local_addr().unwrap();
     let process = Process {
         draining: AtomicBool::new(false),
-        recorder: Recorder::new("p", 10),
+        recorder: EventRecorder::new("p", 10),
     };
     for model in ["m 1", "n"] {
         process.recorder.record(Event {
--- a/crates/place/benches/plan.rs
+++ b/crates/place/benches/plan.rs
@@ -87,7 +87,7 @@
     (0..agents)
         .map(|index| AgentView {
             id: AgentId::new(&format!("s{index:03}")),
-            domain: DomainId::new(&format!("d{}", index % 4)),
+            domain: FailureDomainId::new(&format!("d{}", index % 4)),
             pool: PoolId::new("engines"),
             accelerators_mib: vec![80 * GIB],
             residents: vec![ResidentView {
--- a/crates/place/benches/queue/policies.rs
+++ b/crates/place/benches/queue/policies.rs
@@ -257,7 +257,7 @@
     listed
         .map(|server| AgentView {
             id: AgentId::new(&format!("s{server:02}")),
-            domain: DomainId::new(&format!("d{}", setup.domain(server))),
+            domain: FailureDomainId::new(&format!("d{}", setup.domain(server))),
             pool: PoolId::new("engines"),
             accelerators_mib: vec![setup.capacity_mib],
             residents: cell.servers[server]
--- a/crates/place/src/types.rs
+++ b/crates/place/src/types.rs
@@ -24,7 +24,7 @@
     /// Name of the agent.
     pub id: AgentId,
     /// Failure domain of the agent's instance.
-    pub domain: DomainId,
+    pub domain: FailureDomainId,
     /// Pool of the agent's upstream.
     pub pool: PoolId,
     /// Memory of each accelerator of the instance.
--- a/crates/place/tests/all/leaving.rs
+++ b/crates/place/tests/all/leaving.rs
@@ -56,7 +56,7 @@
 fn a_lost_failure_domain_is_replaced() {
     let mut agents: Vec<_> = (0..9).map(|index| agent(index, &[80 * GIB])).collect();
     for (index, agent) in agents.iter_mut().enumerate() {
-        agent.domain = DomainId::new(&format!("d{}", index / 3));
+        agent.domain = FailureDomainId::new(&format!("d{}", index / 3));
     }
     let mut demands: Vec<_> = (0..8)
         .map(|base| demand(&format!("b{base:02}"), 3.0, 0))
@@ -64,14 +64,14 @@
     demands[0].rate_per_s = 25.0;
     let mut cell = SimulatedCell::new(fleet(8, 0), agents, demands);
     cell.run(20_000);
-    let domains = |cell: &SimulatedCell, name: &str| -> BTreeSet<DomainId> {
+    let domains = |cell: &SimulatedCell, name: &str| -> BTreeSet<FailureDomainId> {
         let holders = cell.holders(name);
         let domains = holders.iter().map(|index| &cell.agents[*index].domain);
         domains.cloned().collect()
     };
     assert_eq!(cell.holders("b00").len(), 2);
     assert_eq!(domains(&cell, "b00").len(), 2);
-    let lost_domain = DomainId::new("d0");
+    let lost_domain = FailureDomainId::new("d0");
     cell.agents.retain(|agent| agent.domain != lost_domain);
     for demand in &mut cell.demands[5..] {
         demand.rate_per_s = 0.0;
--- a/crates/place/tests/all/simulation.rs
+++ b/crates/place/tests/all/simulation.rs
@@ -64,7 +64,7 @@
 pub fn agent(index: usize, accelerators_mib: &[u32]) -> AgentView {
     AgentView {
         id: AgentId::new(&format!("s{index:02}")),
-        domain: DomainId::new(&format!("d{}", index % 3)),
+        domain: FailureDomainId::new(&format!("d{}", index % 3)),
         pool: PoolId::new("engines"),
         accelerators_mib: accelerators_mib.to_vec(),
         residents: Vec::new(),
--- a/crates/plat/src/answer.rs
+++ b/crates/plat/src/answer.rs
@@ -1,6 +1,6 @@
 //! HTTP answers as results of calls.
 
-use base::{Expect, PlatformOp, PlatformResult, Version};
+use base::{ObjectVersion, PlatformOp, PlatformResult, Precondition};
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use bytes::Bytes;
@@ -39,7 +39,7 @@
         PlatformOp::Write { .. } | PlatformOp::Delete { .. } => {
             PlatformResult::Unanswered
         }
-        _ => PlatformResult::Away,
+        _ => PlatformResult::Unavailable,
     }
 }
 
@@ -49,9 +49,11 @@
         PlatformOp::Read { .. } => object(answer),
         PlatformOp::List { .. } | PlatformOp::Watch { .. } => objects(answer),
         PlatformOp::Write { .. } => return written(answer),
-        PlatformOp::Delete { expect, .. } => return deleted(answer, *expect),
+        PlatformOp::Delete { precondition, .. } => {
+            return deleted(answer, *precondition);
+        }
     };
-    read.unwrap_or(PlatformResult::Away)
+    read.unwrap_or(PlatformResult::Unavailable)
 }
 
 fn object(answer: &Answer) -> Option<PlatformResult> {
@@ -70,11 +72,11 @@
         return None;
     }
     let listing: Listing = serde_json::from_slice(&answer.body).ok()?;
-    let upto = Version(listing.version);
+    let upto = ObjectVersion(listing.version);
     let mut objects = Vec::with_capacity(listing.objects.len());
     for listed in listing.objects {
         let value = STANDARD.decode(&listed.value_base64).ok()?;
-        objects.push((listed.key, Version(listed.version), value));
+        objects.push((listed.key, ObjectVersion(listed.version), value));
     }
     for key in listing.deleted {
         objects.push((key, upto, Vec::new()));
@@ -95,11 +97,11 @@
     }
 }
 
-fn deleted(answer: &Answer, expect: Expect) -> PlatformResult {
-    let none = Version(0);
+fn deleted(answer: &Answer, precondition: Precondition) -> PlatformResult {
+    let none = ObjectVersion(0);
     match answer.status {
         StatusCode::OK => PlatformResult::Written(version(answer).unwrap_or(none)),
-        StatusCode::NOT_FOUND if matches!(expect, Expect::Version(_)) => {
+        StatusCode::NOT_FOUND if matches!(precondition, Precondition::Version(_)) => {
             PlatformResult::Conflict
         }
         StatusCode::NOT_FOUND => PlatformResult::Written(none),
@@ -112,13 +114,13 @@
 /// come from something between here and the platform after the write was done.
 fn refused(status: StatusCode) -> PlatformResult {
     if status == StatusCode::SERVICE_UNAVAILABLE || status.is_client_error() {
-        PlatformResult::Away
+        PlatformResult::Unavailable
     } else {
         PlatformResult::Unanswered
     }
 }
 
-fn version(answer: &Answer) -> Option<Version> {
+fn version(answer: &Answer) -> Option<ObjectVersion> {
     let value = answer.headers.get(VERSION_HEADER)?;
-    value.to_str().ok()?.parse().ok().map(Version)
+    value.to_str().ok()?.parse().ok().map(ObjectVersion)
 }
--- a/crates/plat/src/client.rs
+++ b/crates/plat/src/client.rs
@@ -56,7 +56,7 @@
 
     async fn carry_out(&self, op: &PlatformOp) -> PlatformResult {
         let Some(request) = request::request(self.address, op) else {
-            return PlatformResult::Away;
+            return PlatformResult::Unavailable;
         };
         let wait = match op {
             PlatformOp::Watch { .. } => WATCH_WAIT + WATCH_SLACK,
@@ -64,7 +64,7 @@
         };
         match timeout(wait, self.exchange(request)).await {
             Ok(Ok(answer)) => answer::result(op, &answer),
-            Ok(Err(Failure::NotSent)) => PlatformResult::Away,
+            Ok(Err(Failure::NotSent)) => PlatformResult::Unavailable,
             Ok(Err(Failure::Broken)) | Err(_) => answer::unanswered(op),
         }
     }
--- a/crates/plat/src/http.rs
+++ b/crates/plat/src/http.rs
@@ -1,6 +1,6 @@
 //! Small HTTP calls, as to operators' listeners.
 
-use base::Code;
+use base::ErrorCode;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::client::conn::http1;
@@ -58,10 +58,10 @@
 
 impl HttpError {
     /// Numbered code of the fault.
-    pub const fn code(&self) -> Code {
+    pub const fn code(&self) -> ErrorCode {
         match self {
-            Self::BadPath { .. } => Code::UnknownPath,
-            _ => Code::Unreachable,
+            Self::BadPath { .. } => ErrorCode::UnknownPath,
+            _ => ErrorCode::Unreachable,
         }
     }
 }
--- a/crates/plat/src/lib.rs
+++ b/crates/plat/src/lib.rs
@@ -5,13 +5,13 @@
 //!
 //! The invariant that everything else rests on is how a missing answer is told:
 //!
-//! - [`PlatformResult::Away`](base::PlatformResult::Away) says that a call
-//!   provably had no effect. A write is `Away` only if no connection could be
+//! - [`PlatformResult::Unavailable`](base::PlatformResult::Unavailable) says that a call
+//!   provably had no effect. A write is `Unavailable` only if no connection could be
 //!   made or the platform itself refused it.
 //! - Any other write without a whole answer is
 //!   [`PlatformResult::Unanswered`](base::PlatformResult::Unanswered): it may
 //!   have taken effect, and its caller reads back what became of it.
-//! - A read has no effect, so one without an answer is `Away`.
+//! - A read has no effect, so one without an answer is `Unavailable`.
 
 mod answer;
 mod client;
--- a/crates/plat/src/object_api.rs
+++ b/crates/plat/src/object_api.rs
@@ -1,6 +1,6 @@
 //! The border towards the platform.
 
-use base::{PlatformOp, PlatformResult, Version};
+use base::{ObjectVersion, PlatformOp, PlatformResult};
 use futures::FutureExt;
 use futures::future::BoxFuture;
 use std::fmt::Debug;
@@ -27,7 +27,7 @@
     fn watch_within(
         &self,
         prefix: String,
-        after: Version,
+        after: ObjectVersion,
         _wait: Duration,
     ) -> BoxFuture<'_, PlatformResult> {
         async move { self.call(&PlatformOp::Watch { prefix, after }).await }.boxed()
--- a/crates/plat/src/request.rs
+++ b/crates/plat/src/request.rs
@@ -1,6 +1,6 @@
 //! Calls as HTTP requests.
 
-use base::{Expect, PlatformOp, Version};
+use base::{ObjectVersion, PlatformOp, Precondition};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::http::request::Builder;
@@ -22,11 +22,16 @@
         .method(method)
         .uri(format!("http://{address}{path}"));
     let (builder, body) = match op {
-        PlatformOp::Write { expect, value, .. } => {
-            (condition(builder, *expect), Bytes::copy_from_slice(value))
-        }
-        PlatformOp::Delete { expect, .. } => {
-            (condition(builder, *expect), Bytes::new())
+        PlatformOp::Write {
+            precondition,
+            value,
+            ..
+        } => (
+            condition(builder, *precondition),
+            Bytes::copy_from_slice(value),
+        ),
+        PlatformOp::Delete { precondition, .. } => {
+            (condition(builder, *precondition), Bytes::new())
         }
         _ => (builder, Bytes::new()),
     };
@@ -55,11 +60,13 @@
     }
 }
 
-fn condition(builder: Builder, expect: Expect) -> Builder {
-    match expect {
-        Expect::Any => builder,
-        Expect::Absent => builder.header(header::IF_NONE_MATCH, "*"),
-        Expect::Version(Version(version)) => builder.header(header::IF_MATCH, version),
+fn condition(builder: Builder, precondition: Precondition) -> Builder {
+    match precondition {
+        Precondition::Any => builder,
+        Precondition::Absent => builder.header(header::IF_NONE_MATCH, "*"),
+        Precondition::Version(ObjectVersion(version)) => {
+            builder.header(header::IF_MATCH, version)
+        }
     }
 }
 
--- a/crates/plat/tests/platform.rs
+++ b/crates/plat/tests/platform.rs
@@ -1,6 +1,6 @@
 //! The client of the platform against a server that breaks its protocol.
 
-use base::{Expect, PlatformOp, PlatformResult, Version};
+use base::{ObjectVersion, PlatformOp, PlatformResult, Precondition};
 use plat::{HttpPlatform, ObjectApi};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -104,22 +104,22 @@
 fn watch() -> PlatformOp {
     PlatformOp::Watch {
         prefix: "live/".to_owned(),
-        after: Version(7),
+        after: ObjectVersion(7),
     }
 }
 
 fn write() -> PlatformOp {
     PlatformOp::Write {
         key: "agents/a b?%&".to_owned(),
-        expect: Expect::Version(Version(3)),
+        precondition: Precondition::Version(ObjectVersion(3)),
         value: b"value".to_vec(),
     }
 }
 
-fn delete(expect: Expect) -> PlatformOp {
+fn delete(precondition: Precondition) -> PlatformOp {
     PlatformOp::Delete {
         key: "agents/a".to_owned(),
-        expect,
+        precondition,
     }
 }
 
@@ -140,50 +140,50 @@
     {\"version\":1,\"objects\":[{\"key\":\"a\",\"version\":1,\"value_base64\":\"*\"}]}";
 
 // The platform answers, refuses, breaks off or says nothing.
-// A write without a whole answer may have taken effect: were it told as `Away`,
+// A write without a whole answer may have taken effect: were it told as `Unavailable`,
 // its caller would write again or think that a claim was not taken. A read has
-// no effect, so one that fails is `Away`.
+// no effect, so one that fails is `Unavailable`.
 #[tokio::test]
 async fn each_answer_has_its_result() {
-    use PlatformResult::{Away, Conflict, Object, Objects, Unanswered, Written};
-    let any = || delete(Expect::Any);
-    let versioned = || delete(Expect::Version(Version(3)));
+    use PlatformResult::{Conflict, Object, Objects, Unanswered, Unavailable, Written};
+    let any = || delete(Precondition::Any);
+    let versioned = || delete(Precondition::Version(ObjectVersion(3)));
     let listed = || {
         let objects = vec![
-            ("live/a".to_owned(), Version(12), Vec::new()),
-            ("live/b".to_owned(), Version(11), b"hi".to_vec()),
+            ("live/a".to_owned(), ObjectVersion(12), Vec::new()),
+            ("live/b".to_owned(), ObjectVersion(11), b"hi".to_vec()),
         ];
-        Objects(objects, Version(12))
+        Objects(objects, ObjectVersion(12))
     };
     let cases = [
         (
             read(),
             Does::Sends(OK_VALUE),
-            Object(Some((Version(9), b"hi".to_vec()))),
+            Object(Some((ObjectVersion(9), b"hi".to_vec()))),
         ),
         (read(), Does::Sends(NOT_FOUND), Object(None)),
-        (read(), Does::Sends(NO_VERSION), Away),
-        (read(), Does::Sends(REFUSED), Away),
-        (read(), Does::Sends(CUT), Away),
-        (read(), Does::Sends(NOT_HTTP), Away),
-        (read(), Does::Closes, Away),
-        (read(), Does::IsSilent, Away),
+        (read(), Does::Sends(NO_VERSION), Unavailable),
+        (read(), Does::Sends(REFUSED), Unavailable),
+        (read(), Does::Sends(CUT), Unavailable),
+        (read(), Does::Sends(NOT_HTTP), Unavailable),
+        (read(), Does::Closes, Unavailable),
+        (read(), Does::IsSilent, Unavailable),
         (list(), Does::Sends(LISTING), listed()),
-        (list(), Does::Sends(BAD_LISTING), Away),
-        (list(), Does::Sends(BAD_BASE64), Away),
-        (list(), Does::IsSilent, Away),
+        (list(), Does::Sends(BAD_LISTING), Unavailable),
+        (list(), Does::Sends(BAD_BASE64), Unavailable),
+        (list(), Does::IsSilent, Unavailable),
         (watch(), Does::Sends(LISTING), listed()),
-        (watch(), Does::IsSilent, Away),
-        (write(), Does::Sends(OK_EMPTY), Written(Version(9))),
+        (watch(), Does::IsSilent, Unavailable),
+        (write(), Does::Sends(OK_EMPTY), Written(ObjectVersion(9))),
         (write(), Does::Sends(NO_VERSION), Unanswered),
         (write(), Does::Sends(CONFLICT), Conflict),
-        (write(), Does::Sends(REFUSED), Away),
+        (write(), Does::Sends(REFUSED), Unavailable),
         (write(), Does::Sends(BAD_GATEWAY), Unanswered),
         (write(), Does::Sends(NOT_HTTP), Unanswered),
         (write(), Does::Closes, Unanswered),
         (write(), Does::IsSilent, Unanswered),
-        (any(), Does::Sends(OK_EMPTY), Written(Version(9))),
-        (any(), Does::Sends(NOT_FOUND), Written(Version(0))),
+        (any(), Does::Sends(OK_EMPTY), Written(ObjectVersion(9))),
+        (any(), Does::Sends(NOT_FOUND), Written(ObjectVersion(0))),
         (versioned(), Does::Sends(NOT_FOUND), Conflict),
         (versioned(), Does::Sends(CONFLICT), Conflict),
         (versioned(), Does::Closes, Unanswered),
@@ -205,8 +205,12 @@
     let address = listener.local_addr().unwrap();
     drop(listener);
     let platform = HttpPlatform::new(address);
-    for op in [read(), list(), watch(), write(), delete(Expect::Any)] {
-        assert_eq!(platform.call(&op).await, PlatformResult::Away, "{op:?}");
+    for op in [read(), list(), watch(), write(), delete(Precondition::Any)] {
+        assert_eq!(
+            platform.call(&op).await,
+            PlatformResult::Unavailable,
+            "{op:?}"
+        );
     }
 }
 
@@ -214,7 +218,7 @@
 async fn requests_are_as_the_protocol_says() {
     let absent = PlatformOp::Write {
         key: "claims/007".to_owned(),
-        expect: Expect::Absent,
+        precondition: Precondition::Absent,
         value: b"value".to_vec(),
     };
     let cases = [
@@ -236,7 +240,7 @@
             "if-none-match: *",
         ),
         (
-            delete(Expect::Version(Version(3))),
+            delete(Precondition::Version(ObjectVersion(3))),
             "DELETE /objects/agents/a HTTP/1.1",
             "if-match: 3",
         ),
@@ -270,7 +274,7 @@
         match (answer, status) {
             (Ok(answer), Some(status)) => assert_eq!(answer.status, status),
             (Err(fault), None) => {
-                assert_eq!(fault.code(), base::Code::Unreachable, "{fault}");
+                assert_eq!(fault.code(), base::ErrorCode::Unreachable, "{fault}");
             }
             (answer, _) => panic!("server {does:?}: {answer:?}"),
         }
--- a/crates/role/src/agent/admission.rs
+++ b/crates/role/src/agent/admission.rs
@@ -19,21 +19,21 @@
         &self,
         now: Instant,
         run: &Run,
-    ) -> Result<(), Refusal> {
+    ) -> Result<(), RequestError> {
         self.check_agent(now, run)?;
         self.check_resource_available(run)?;
         self.check_slot_available(now, run)?;
         self.check_deadline(run)
     }
 
-    fn check_agent(&self, now: Instant, run: &Run) -> Result<(), Refusal> {
+    fn check_agent(&self, now: Instant, run: &Run) -> Result<(), RequestError> {
         if run.agent_incarnation != self.options.incarnation.0 {
-            return Err(Refusal::not_run(Code::WrongIncarnation));
+            return Err(RequestError::not_run(ErrorCode::WrongIncarnation));
         }
         // A fenced agent drains as well, but its instance still accepts work
         // through the successor, so it does not refuse with `Leaving`.
         if self.drain.is_some() && !self.record.is_fenced() {
-            return Err(Refusal::not_run(Code::Leaving));
+            return Err(RequestError::not_run(ErrorCode::Leaving));
         }
         self.check_can_run()?;
         // A frame received just after a freeze may have waited for the whole
@@ -41,22 +41,27 @@
         // have been answered.
         if now < self.frames_stale_until {
             let retry_ms = self.heartbeat_ms();
-            return Err(Refusal::not_run(Code::NotReady).retry_after_ms(retry_ms));
+            return Err(
+                RequestError::not_run(ErrorCode::NotReady).retry_after_ms(retry_ms)
+            );
         }
         Ok(())
     }
 
     /// Whether the agent can run any attempt at all.
-    pub(super) fn check_can_run(&self) -> Result<(), Refusal> {
+    pub(super) fn check_can_run(&self) -> Result<(), RequestError> {
         let can_run =
             self.pool().is_some() && self.upstream.is_up() && !self.record.is_fenced();
         if can_run {
             return Ok(());
         }
-        Err(Refusal::not_run(Code::NotReady).retry_after_ms(READY_RETRY_MS))
+        Err(RequestError::not_run(ErrorCode::NotReady).retry_after_ms(READY_RETRY_MS))
     }
 
-    pub(super) fn check_resource_available(&self, run: &Run) -> Result<(), Refusal> {
+    pub(super) fn check_resource_available(
+        &self,
+        run: &Run,
+    ) -> Result<(), RequestError> {
         if !run.service.is_empty() {
             return self.check_service(&run.service);
         }
@@ -64,15 +69,15 @@
         if available {
             return Ok(());
         }
-        Err(Refusal::not_run(Code::NotHeld))
+        Err(RequestError::not_run(ErrorCode::NotHeld))
     }
 
-    fn check_service(&self, service: &str) -> Result<(), Refusal> {
+    fn check_service(&self, service: &str) -> Result<(), RequestError> {
         let spec = self.config().and_then(|config| config.service(service));
         if spec.is_some_and(|spec| spec.pool == self.options.pool) {
             return Ok(());
         }
-        Err(Refusal::not_run(Code::UnknownService))
+        Err(RequestError::not_run(ErrorCode::UnknownService))
     }
 
     /// Whether a version of a model is loaded and not about to be unloaded.
@@ -129,7 +134,11 @@
         targets_us.min().unwrap_or(0)
     }
 
-    fn check_slot_available(&self, now: Instant, run: &Run) -> Result<(), Refusal> {
+    fn check_slot_available(
+        &self,
+        now: Instant,
+        run: &Run,
+    ) -> Result<(), RequestError> {
         if self.attempts.any_exclusive() {
             return Err(self.gate_full_refusal());
         }
@@ -144,20 +153,20 @@
 
     /// Refusal for an attempt that finds no free slot, with the predicted time
     /// until one is free.
-    pub(super) fn gate_full_refusal(&self) -> Refusal {
+    pub(super) fn gate_full_refusal(&self) -> RequestError {
         let slots = u64::from(self.max_in_flight().max(1));
         let retry_ms = match self.upstream.service_ms() {
             0 => FULL_RETRY_MS,
             service_ms => (service_ms / slots).max(1),
         };
-        Refusal::not_run(Code::GateFull).retry_after_ms(retry_ms)
+        RequestError::not_run(ErrorCode::GateFull).retry_after_ms(retry_ms)
     }
 
-    fn check_deadline(&self, run: &Run) -> Result<(), Refusal> {
+    fn check_deadline(&self, run: &Run) -> Result<(), RequestError> {
         if run.remaining_ms > self.predicted_wait_ms() {
             return Ok(());
         }
-        Err(Refusal::not_run(Code::DeadlineBeforeRun))
+        Err(RequestError::not_run(ErrorCode::DeadlineBeforeRun))
     }
 
     /// Predicted time until the upstream has processed its current queue.
--- a/crates/role/src/agent/attempt_history.rs
+++ b/crates/role/src/agent/attempt_history.rs
@@ -5,7 +5,7 @@
 //! `Run`. It is given only for an attempt about which this agent would know if
 //! it had run.
 
-use base::{AttemptId, Instant, Ran};
+use base::{AttemptId, Instant, RunStatus};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Maximum number of remembered attempts; at some tens of bytes each, a few
@@ -15,7 +15,7 @@
 /// Attempts that have ended or must never start, each kept for a limited time.
 #[derive(Debug, Default)]
 pub(super) struct AttemptHistory {
-    outcomes: BTreeMap<AttemptId, Ran>,
+    outcomes: BTreeMap<AttemptId, RunStatus>,
     by_expiry: VecDeque<(Instant, AttemptId)>,
     /// Until this time an unknown attempt may be one that was evicted early to
     /// make room.
@@ -29,7 +29,7 @@
         now: Instant,
         retention_ms: u64,
         attempt: AttemptId,
-        ran: Ran,
+        ran: RunStatus,
     ) {
         self.drop_expired(now);
         if self.outcomes.insert(attempt, ran).is_none() {
@@ -45,7 +45,7 @@
     }
 
     /// How an attempt ended, if it is known.
-    pub(super) fn get(&self, attempt: AttemptId) -> Option<Ran> {
+    pub(super) fn get(&self, attempt: AttemptId) -> Option<RunStatus> {
         self.outcomes.get(&attempt).copied()
     }
 
--- a/crates/role/src/agent/attempt_lifecycle.rs
+++ b/crates/role/src/agent/attempt_lifecycle.rs
@@ -43,7 +43,7 @@
             return;
         }
         let checked = if self.revoked.get(id).is_some() {
-            Err(Refusal::not_run(Code::Revoked))
+            Err(RequestError::not_run(ErrorCode::Revoked))
         } else {
             self.check_admission(now, &run)
         };
@@ -123,7 +123,7 @@
         now: Instant,
         entry: Option<&EntryId>,
         id: AttemptId,
-        refusal: Refusal,
+        refusal: RequestError,
         out: &mut Vec<AgentAction>,
     ) {
         self.counters.refused += 1;
@@ -170,7 +170,7 @@
             Phase::WaitingForIdle { .. } | Phase::Claiming => {
                 self.attempts.remove(id);
                 self.counters.cancelled += 1;
-                self.record_ended(now, id, Ran::NotRun);
+                self.record_ended(now, id, RunStatus::NotRun);
             }
             Phase::Starting | Phase::Running if attempt.idempotent => {
                 self.counters.cancelled += 1;
@@ -194,7 +194,7 @@
         Some(attempt)
     }
 
-    pub(super) fn record_ended(&mut self, now: Instant, id: AttemptId, ran: Ran) {
+    pub(super) fn record_ended(&mut self, now: Instant, id: AttemptId, ran: RunStatus) {
         let retention_ms = self.history_retention_ms();
         self.ended.insert(now, retention_ms, id, ran);
     }
@@ -227,7 +227,7 @@
             return;
         };
         let ran = self.revoke_attempt(now, id, revoke.agent_incarnation);
-        if ran == Ran::NotRun {
+        if ran == RunStatus::NotRun {
             self.counters.revoked += 1;
             timeline::attempt_event(EventKind::RequestRevoked, id, 0, out);
         }
@@ -238,10 +238,15 @@
         self.send(Some(entry), body, out);
     }
 
-    fn revoke_attempt(&mut self, now: Instant, id: AttemptId, incarnation: u64) -> Ran {
+    fn revoke_attempt(
+        &mut self,
+        now: Instant,
+        id: AttemptId,
+        incarnation: u64,
+    ) -> RunStatus {
         // What an earlier incarnation of this process did is unknown.
         if incarnation != self.options.incarnation.0 {
-            return Ran::Unknown;
+            return RunStatus::Unknown;
         }
         if let Some(attempt) = self.attempts.get(id) {
             match attempt.phase {
@@ -249,36 +254,37 @@
                     self.attempts.remove(id)
                 }
                 Phase::Releasing { .. } => None,
-                Phase::Starting => return Ran::Unknown,
-                Phase::Running | Phase::Broken { .. } => return Ran::Ran,
+                Phase::Starting => return RunStatus::Unknown,
+                Phase::Running | Phase::Broken { .. } => return RunStatus::Ran,
             };
         } else if let Some(ran) = self.ended.get(id) {
             return ran;
         } else if !self.ended.is_complete(now) {
-            return Ran::Unknown;
+            return RunStatus::Unknown;
         }
         // Without room for the tombstone a late `Run` could not be refused.
         if self.revoked.get(id).is_none() && !self.revoked.has_room(now) {
-            return Ran::Unknown;
+            return RunStatus::Unknown;
         }
         let retention_ms = self.history_retention_ms();
-        self.revoked.insert(now, retention_ms, id, Ran::NotRun);
-        Ran::NotRun
+        self.revoked
+            .insert(now, retention_ms, id, RunStatus::NotRun);
+        RunStatus::NotRun
     }
 }
 
-pub(super) fn retry_after(refusal: &Refusal) -> u32 {
+pub(super) fn retry_after(refusal: &RequestError) -> u32 {
     let retry_ms = refusal.retry_after_ms.unwrap_or(0);
     u32::try_from(retry_ms).unwrap_or(u32::MAX)
 }
 
 /// What is known about whether an attempt in progress ran.
-fn ran_so_far(attempt: &Attempt) -> Ran {
+fn ran_so_far(attempt: &Attempt) -> RunStatus {
     match attempt.phase {
-        Phase::Running | Phase::Broken { .. } => Ran::Ran,
-        Phase::Starting => Ran::Unknown,
+        Phase::Running | Phase::Broken { .. } => RunStatus::Ran,
+        Phase::Starting => RunStatus::Unknown,
         Phase::WaitingForIdle { .. } | Phase::Claiming | Phase::Releasing { .. } => {
-            Ran::NotRun
+            RunStatus::NotRun
         }
     }
 }
--- a/crates/role/src/agent/attempts.rs
+++ b/crates/role/src/agent/attempts.rs
@@ -1,6 +1,6 @@
 //! Table of the attempts in progress.
 
-use base::{AttemptId, EntryId, Instant, ModelId, Refusal};
+use base::{AttemptId, EntryId, Instant, ModelId, RequestError};
 use schema::link::Run;
 use std::collections::BTreeMap;
 
@@ -27,7 +27,7 @@
     /// It was not run, and waits for its claim to be released.
     Releasing {
         /// What to tell the entry.
-        refusal: Refusal,
+        refusal: RequestError,
         /// It was handed over before, so it ends with `End` instead of
         /// `Refused`.
         handed_over: bool,
--- a/crates/role/src/agent/claims.rs
+++ b/crates/role/src/agent/claims.rs
@@ -117,7 +117,7 @@
         };
         let late = attempt.deadline <= now;
         let checked = if late {
-            Err(Refusal::not_run(Code::DeadlineBeforeRun))
+            Err(RequestError::not_run(ErrorCode::DeadlineBeforeRun))
         } else {
             self.check_can_run()
         };
@@ -131,7 +131,7 @@
         &mut self,
         now: Instant,
         id: AttemptId,
-        refusal: Refusal,
+        refusal: RequestError,
         out: &mut Vec<AgentAction>,
     ) {
         let is_claiming = |phase| phase == Phase::Claiming;
@@ -142,10 +142,10 @@
             return;
         };
         self.counters.claims_refused += 1;
-        self.record_ended(now, id, Ran::NotRun);
+        self.record_ended(now, id, RunStatus::NotRun);
         let code = refusal.code.number();
         timeline::attempt_event(EventKind::ClaimRefused, id, code, out);
-        if refusal.ran == Ran::NotRun {
+        if refusal.ran == RunStatus::NotRun {
             self.send_refusal(now, attempt.entry.as_ref(), id, refusal, out);
             return;
         }
@@ -170,7 +170,7 @@
             return;
         };
         self.counters.replays += 1;
-        self.record_ended(now, id, Ran::Ran);
+        self.record_ended(now, id, RunStatus::Ran);
         let entry = attempt.entry.as_ref();
         let units = u32::try_from(answer.body.len()).unwrap_or(u32::MAX);
         if units > 0 {
@@ -187,7 +187,7 @@
             status: u32::from(answer.status),
             content_type: answer.content_type,
             replayed: true,
-            ..self.end_frame(now, id, 0, Ran::Ran)
+            ..self.end_frame(now, id, 0, RunStatus::Ran)
         };
         self.send(entry, frame::Body::End(end), out);
     }
--- a/crates/role/src/agent/config_sync.rs
+++ b/crates/role/src/agent/config_sync.rs
@@ -148,7 +148,9 @@
     }
 }
 
-fn changes_from_objects(objects: &[(String, base::Version, Vec<u8>)]) -> ConfigChanges {
+fn changes_from_objects(
+    objects: &[(String, base::ObjectVersion, Vec<u8>)],
+) -> ConfigChanges {
     let changes = objects.iter().filter_map(|(key, _, value)| {
         let revision = key.strip_prefix(REVISION_PREFIX)?.parse().ok()?;
         Some(ConfigChange {
--- a/crates/role/src/agent/epoch_record.rs
+++ b/crates/role/src/agent/epoch_record.rs
@@ -8,7 +8,10 @@
 
 use super::AgentAction;
 use super::platform_client::{Backoff, PlatformClient};
-use base::{Epoch, Expect, Incarnation, Instant, PlatformOp, PlatformResult, Version};
+use base::{
+    FencingEpoch, Incarnation, Instant, ObjectVersion, PlatformOp, PlatformResult,
+    Precondition,
+};
 use prost::Message as _;
 use schema::store::{AgentRecord, Intent};
 
@@ -54,8 +57,8 @@
     incarnation: Incarnation,
     link_address: String,
     phase: Phase,
-    epoch: Epoch,
-    version: Option<Version>,
+    epoch: FencingEpoch,
+    version: Option<ObjectVersion>,
     intents: Vec<Intent>,
     call: Option<(u64, Call)>,
     /// The record must be read before anything is done that depends on it.
@@ -70,7 +73,7 @@
             incarnation,
             link_address: link_address.to_owned(),
             phase: Phase::AcquiringEpoch,
-            epoch: Epoch(0),
+            epoch: FencingEpoch(0),
             version: None,
             intents: Vec::new(),
             call: None,
@@ -80,7 +83,7 @@
     }
 
     /// Epoch held by this process; 0 before it is taken.
-    pub(super) const fn epoch(&self) -> Epoch {
+    pub(super) const fn epoch(&self) -> FencingEpoch {
         self.epoch
     }
 
@@ -150,7 +153,7 @@
 
     fn send_write(
         &mut self,
-        epoch: Epoch,
+        epoch: FencingEpoch,
         intents: Vec<Intent>,
         client: &mut PlatformClient,
         out: &mut Vec<AgentAction>,
@@ -163,7 +166,9 @@
         };
         let op = PlatformOp::Write {
             key: self.key.clone(),
-            expect: self.version.map_or(Expect::Absent, Expect::Version),
+            precondition: self
+                .version
+                .map_or(Precondition::Absent, Precondition::Version),
             value: record.encode_to_vec(),
         };
         self.call = Some((client.call(op, out), Call::Write(Box::new(record))));
@@ -192,7 +197,7 @@
                 self.backoff.reset();
                 self.on_written(*version, *record)
             }
-            (Call::Write(_), PlatformResult::Away) => {
+            (Call::Write(_), PlatformResult::Unavailable) => {
                 self.backoff.record_failure(now, client);
                 RecordOutcome::NotWritten
             }
@@ -213,16 +218,20 @@
         }
     }
 
-    fn on_written(&mut self, version: Version, record: AgentRecord) -> RecordOutcome {
+    fn on_written(
+        &mut self,
+        version: ObjectVersion,
+        record: AgentRecord,
+    ) -> RecordOutcome {
         self.version = Some(version);
         self.intents = record.intents;
         if self.phase == Phase::AcquiringEpoch {
-            return self.on_epoch_taken(Epoch(record.epoch));
+            return self.on_epoch_taken(FencingEpoch(record.epoch));
         }
         RecordOutcome::Recorded
     }
 
-    fn on_epoch_taken(&mut self, epoch: Epoch) -> RecordOutcome {
+    fn on_epoch_taken(&mut self, epoch: FencingEpoch) -> RecordOutcome {
         self.phase = Phase::EpochHeld;
         self.epoch = epoch;
         self.needs_read = false;
@@ -232,7 +241,7 @@
     fn on_read(
         &mut self,
         now: Instant,
-        object: Option<&(Version, Vec<u8>)>,
+        object: Option<&(ObjectVersion, Vec<u8>)>,
         client: &mut PlatformClient,
         out: &mut Vec<AgentAction>,
     ) -> RecordOutcome {
@@ -259,7 +268,7 @@
             self.phase = Phase::Fenced;
             return RecordOutcome::Fenced;
         }
-        let epoch = Epoch(record.epoch + 1);
+        let epoch = FencingEpoch(record.epoch + 1);
         self.send_write(epoch, intents_with_addresses(record), client, out);
         RecordOutcome::Nothing
     }
@@ -268,7 +277,7 @@
         self.needs_read = false;
         self.intents = record.intents;
         if self.phase == Phase::AcquiringEpoch {
-            return self.on_epoch_taken(Epoch(record.epoch));
+            return self.on_epoch_taken(FencingEpoch(record.epoch));
         }
         RecordOutcome::Recorded
     }
@@ -282,7 +291,7 @@
     ) -> RecordOutcome {
         self.version = None;
         self.needs_read = self.phase != Phase::EpochHeld;
-        let epoch = Epoch(self.epoch.0.max(1));
+        let epoch = FencingEpoch(self.epoch.0.max(1));
         let intents = std::mem::take(&mut self.intents);
         self.send_write(epoch, intents, client, out);
         RecordOutcome::Nothing
--- a/crates/role/src/agent/event.rs
+++ b/crates/role/src/agent/event.rs
@@ -2,7 +2,7 @@
 //! that it carries out.
 
 use base::prelude::*;
-use base::{PlatformAnswer, PlatformCall};
+use base::{PlatformCall, PlatformResponse};
 use schema::link::{Run, frame};
 use schema::timeline;
 
@@ -37,7 +37,7 @@
     /// Something happened at the upstream.
     Upstream(UpstreamEvent),
     /// The platform answered a call, or the call failed.
-    PlatformAnswered(PlatformAnswer),
+    PlatformAnswered(PlatformResponse),
     /// Result of a `ProbePredecessor` action. If the predecessor's listen
     /// address can be bound, the predecessor is dead: a frozen process still
     /// holds its socket. The driver answers each probe once, and the next probe
@@ -98,7 +98,7 @@
         attempt: AttemptId,
         /// Whether the attempt ran: `NotRun` only if none of its bytes were
         /// sent or the upstream itself stated that it refused it.
-        ran: Ran,
+        ran: RunStatus,
         /// HTTP status; 0 if none was received.
         status: u16,
         /// The connection broke, as it does when the upstream dies.
@@ -193,7 +193,7 @@
     pub id: u64,
     /// Fencing epoch: the epoch of the agent that sends the order. An upstream
     /// that checks fencing refuses epochs lower than the highest it has seen.
-    pub fencing_epoch: Epoch,
+    pub fencing_epoch: FencingEpoch,
     /// True for a load, false for an unload.
     pub load: bool,
     /// Model or adapter.
--- a/crates/role/src/agent/exclusive.rs
+++ b/crates/role/src/agent/exclusive.rs
@@ -30,7 +30,7 @@
         &self,
         now: Instant,
         run: &Run,
-    ) -> Result<(), Refusal> {
+    ) -> Result<(), RequestError> {
         if self.attempts.in_flight() == 0 {
             return Ok(());
         }
@@ -82,7 +82,7 @@
                 let Some(attempt) = self.attempts.remove(id) else {
                     return;
                 };
-                self.record_ended(now, id, Ran::NotRun);
+                self.record_ended(now, id, RunStatus::NotRun);
                 self.send_refusal(now, attempt.entry.as_ref(), id, refusal, out);
             }
         }
@@ -94,19 +94,19 @@
         &self,
         now: Instant,
         id: AttemptId,
-    ) -> Result<bool, Refusal> {
+    ) -> Result<bool, RequestError> {
         let Some(attempt) = self.attempts.get(id) else {
             return Ok(false);
         };
         if self.drain.is_some() && !self.record.is_fenced() {
-            return Err(Refusal::not_run(Code::Leaving));
+            return Err(RequestError::not_run(ErrorCode::Leaving));
         }
         self.check_can_run()?;
         if let Some(run) = &attempt.run {
             self.check_resource_available(run)?;
         }
         if attempt.deadline <= now {
-            return Err(Refusal::not_run(Code::DeadlineBeforeRun));
+            return Err(RequestError::not_run(ErrorCode::DeadlineBeforeRun));
         }
         if self.attempts.in_flight() == 0 {
             return Ok(true);
--- a/crates/role/src/agent/options.rs
+++ b/crates/role/src/agent/options.rs
@@ -10,7 +10,7 @@
     /// Incarnation of this process; each restart has a greater one.
     pub incarnation: Incarnation,
     /// Failure domain of the instance.
-    pub failure_domain: DomainId,
+    pub failure_domain: FailureDomainId,
     /// Pool that the upstream belongs to.
     pub pool: PoolId,
     /// `ip:port` on which entries connect; the driver binds it before it
--- a/crates/role/src/agent/orders.rs
+++ b/crates/role/src/agent/orders.rs
@@ -72,7 +72,7 @@
         resend_at.chain(refused).chain(self.cleanup_at).min()
     }
 
-    const fn next_id(&self, epoch: Epoch) -> u64 {
+    const fn next_id(&self, epoch: FencingEpoch) -> u64 {
         (epoch.0 << ORDER_SEQUENCE_BITS) | (self.sequence + 1)
     }
 }
--- a/crates/role/src/agent/probe.rs
+++ b/crates/role/src/agent/probe.rs
@@ -1,7 +1,7 @@
 //! Probes that find out whether predecessors are dead.
 
 use super::{AgentAction, AgentRole};
-use base::{Epoch, Instant};
+use base::{FencingEpoch, Instant};
 use mem::Ledger;
 use std::ops::Bound;
 
@@ -20,9 +20,9 @@
 #[derive(Debug, Default)]
 pub(super) struct PredecessorProbe {
     /// Epoch of the predecessor that is being probed.
-    in_flight: Option<Epoch>,
+    in_flight: Option<FencingEpoch>,
     /// Epoch of the predecessor probed last; the next higher one follows.
-    last_probed: Epoch,
+    last_probed: FencingEpoch,
     next_at: Option<Instant>,
 }
 
@@ -70,7 +70,7 @@
         let predecessors = self.ledger.givers();
         let at_own_address =
             predecessors.iter().filter(|(_, address)| **address == own);
-        let dead: Vec<Epoch> = at_own_address.map(|(epoch, _)| *epoch).collect();
+        let dead: Vec<FencingEpoch> = at_own_address.map(|(epoch, _)| *epoch).collect();
         for epoch in dead {
             self.ledger.giver_died(now, epoch, self.record.epoch());
         }
