--- a/crates/role/src/agent/registration.rs
+++ b/crates/role/src/agent/registration.rs
@@ -2,7 +2,7 @@
 
 use super::platform_client::{Backoff, PlatformClient};
 use super::{AgentAction, AgentOptions};
-use base::{Expect, Instant, PlatformOp, PlatformResult, Version};
+use base::{Instant, ObjectVersion, PlatformOp, PlatformResult, Precondition};
 use prost::Message as _;
 use schema::store::Member;
 
@@ -30,7 +30,7 @@
     desired: DesiredState,
     /// Version in the platform (`Some(None)` if absent); `None` if it must be
     /// read.
-    known_version: Option<Option<Version>>,
+    known_version: Option<Option<ObjectVersion>>,
     written: Option<DesiredState>,
     call: Option<(u64, Call)>,
     backoff: Backoff,
@@ -89,16 +89,23 @@
         let Some(known_version) = self.known_version else {
             return (PlatformOp::Read { key }, Call::Read);
         };
-        let expect = known_version.map_or(Expect::Absent, Expect::Version);
+        let precondition =
+            known_version.map_or(Precondition::Absent, Precondition::Version);
         match self.desired {
-            DesiredState::Absent => (PlatformOp::Delete { key, expect }, Call::Delete),
+            DesiredState::Absent => {
+                (PlatformOp::Delete { key, precondition }, Call::Delete)
+            }
             DesiredState::Present { leaving } => {
                 let member = Member {
                     leaving,
                     ..self.member.clone()
                 };
                 let value = member.encode_to_vec();
-                let op = PlatformOp::Write { key, expect, value };
+                let op = PlatformOp::Write {
+                    key,
+                    precondition,
+                    value,
+                };
                 (op, Call::Write { leaving })
             }
         }
@@ -125,7 +132,9 @@
                 self.backoff.reset();
             }
             (Some(Call::Delete), PlatformResult::Written(_)) => self.on_removed(),
-            (_, PlatformResult::Away) => self.backoff.record_failure(now, client),
+            (_, PlatformResult::Unavailable) => {
+                self.backoff.record_failure(now, client);
+            }
             _ => {
                 self.known_version = None;
                 self.backoff.record_failure(now, client);
@@ -133,7 +142,7 @@
         }
     }
 
-    fn on_read(&mut self, object: Option<&(Version, Vec<u8>)>) {
+    fn on_read(&mut self, object: Option<&(ObjectVersion, Vec<u8>)>) {
         let registered_member =
             object.and_then(|(_, value)| Member::decode(value.as_slice()).ok());
         if registered_member
--- a/crates/role/src/agent/role.rs
+++ b/crates/role/src/agent/role.rs
@@ -16,7 +16,7 @@
 use super::upstream::Upstream;
 use super::{AgentAction, AgentCounters, AgentEvent, AgentOptions, UpstreamEvent};
 use base::prelude::*;
-use base::{PlatformAnswer, PlatformResult};
+use base::{PlatformResponse, PlatformResult};
 use conf::{Config, PoolSpec};
 use mem::Ledger;
 use once::{Claims, ClaimsOptions};
@@ -376,10 +376,10 @@
     fn on_platform_answer(
         &mut self,
         now: Instant,
-        answer: PlatformAnswer,
+        answer: PlatformResponse,
         out: &mut Vec<AgentAction>,
     ) {
-        let PlatformAnswer { id, result } = answer;
+        let PlatformResponse { id, result } = answer;
         if self.claims.owns(id) {
             self.on_claims_answer(now, id, result, out);
         } else if self.config_sync.owns(id) {
--- a/crates/role/src/agent/upstream_events.rs
+++ b/crates/role/src/agent/upstream_events.rs
@@ -114,7 +114,7 @@
         self.counters.finished += 1;
         self.upstream
             .record_service_time(now.ms_since(attempt.began_at));
-        self.record_ended(now, id, Ran::Ran);
+        self.record_ended(now, id, RunStatus::Ran);
         timeline::attempt_event(EventKind::RequestFinished, id, 0, out);
         if attempt.needs_claim {
             let answer = attempt.stored_answer.take().map(|body| Answer {
@@ -129,7 +129,7 @@
             content_type,
             total_units: attempt.offset,
             upstream_incarnation: attempt.upstream_incarnation,
-            ..self.end_frame(now, id, 0, Ran::Ran)
+            ..self.end_frame(now, id, 0, RunStatus::Ran)
         };
         self.send(attempt.entry.as_ref(), frame::Body::End(end), out);
     }
@@ -138,7 +138,7 @@
         &mut self,
         now: Instant,
         id: AttemptId,
-        ran: Ran,
+        ran: RunStatus,
         status: u16,
         broken: bool,
         out: &mut Vec<AgentAction>,
@@ -149,8 +149,8 @@
             return;
         };
         let handed_over = attempt.is_handed_over();
-        if ran == Ran::NotRun {
-            let refusal = Refusal::not_run(Code::UpstreamFault)
+        if ran == RunStatus::NotRun {
+            let refusal = RequestError::not_run(ErrorCode::UpstreamFault)
                 .retry_after_ms(UPSTREAM_REFUSAL_RETRY_MS);
             self.withdraw_attempt(now, id, refusal, handed_over, out);
             return;
@@ -162,9 +162,9 @@
             return;
         }
         let code = if broken {
-            Code::UpstreamLost
+            ErrorCode::UpstreamLost
         } else {
-            Code::UpstreamFault
+            ErrorCode::UpstreamFault
         };
         let end = End {
             status: u32::from(status),
@@ -180,7 +180,7 @@
         &mut self,
         now: Instant,
         id: AttemptId,
-        refusal: Refusal,
+        refusal: RequestError,
         handed_over: bool,
         out: &mut Vec<AgentAction>,
     ) {
@@ -216,7 +216,7 @@
         let Some(attempt) = self.attempts.remove(id) else {
             return;
         };
-        self.record_ended(now, id, Ran::NotRun);
+        self.record_ended(now, id, RunStatus::NotRun);
         if !handed_over {
             self.send_refusal(now, attempt.entry.as_ref(), id, refusal, out);
             return;
@@ -226,7 +226,7 @@
             retry_after_ms: retry_after(&refusal),
             total_units: attempt.offset,
             upstream_incarnation: attempt.upstream_incarnation,
-            ..self.end_frame(now, id, refusal.code.number(), Ran::NotRun)
+            ..self.end_frame(now, id, refusal.code.number(), RunStatus::NotRun)
         };
         self.send(attempt.entry.as_ref(), frame::Body::End(end), out);
     }
@@ -237,7 +237,7 @@
         now: Instant,
         id: AttemptId,
         code: u32,
-        ran: Ran,
+        ran: RunStatus,
     ) -> End {
         End {
             attempt: attempt_frame(id),
@@ -259,7 +259,7 @@
         let Some(attempt) = self.attempts.remove(id) else {
             return;
         };
-        let ran = Ran::from_number(end.ran);
+        let ran = RunStatus::from_number(end.ran);
         self.counters.failed += 1;
         self.record_ended(now, id, ran);
         timeline::attempt_event(EventKind::RequestFailed, id, end.code, out);
@@ -282,16 +282,16 @@
         now: Instant,
         id: AttemptId,
         attempt: &Attempt,
-        ran: Ran,
+        ran: RunStatus,
         out: &mut Vec<AgentAction>,
     ) {
         if !attempt.needs_claim {
             return;
         }
         match ran {
-            Ran::Ran => self.finish_claim(now, id, None, out),
-            Ran::Unknown => self.claims.leave(id),
-            Ran::NotRun => self.release_claim(now, id, out),
+            RunStatus::Ran => self.finish_claim(now, id, None, out),
+            RunStatus::Unknown => self.claims.leave(id),
+            RunStatus::NotRun => self.release_claim(now, id, out),
         }
     }
 
@@ -307,7 +307,12 @@
         }
         let is_broken = |attempt: &Attempt| matches!(attempt.phase, Phase::Broken { until } if until <= now);
         for id in self.attempts.ids_matching(is_broken) {
-            let end = self.end_frame(now, id, Code::UpstreamLost.number(), Ran::Ran);
+            let end = self.end_frame(
+                now,
+                id,
+                ErrorCode::UpstreamLost.number(),
+                RunStatus::Ran,
+            );
             self.end_attempt(now, id, end, out);
         }
         let is_late = |attempt: &Attempt| {
@@ -320,8 +325,12 @@
     }
 
     fn on_deadline(&mut self, now: Instant, id: AttemptId, out: &mut Vec<AgentAction>) {
-        let end =
-            self.end_frame(now, id, Code::DeadlineWhileRunning.number(), Ran::Ran);
+        let end = self.end_frame(
+            now,
+            id,
+            ErrorCode::DeadlineWhileRunning.number(),
+            RunStatus::Ran,
+        );
         let Some(attempt) = self.attempts.get_mut(id) else {
             return;
         };
--- a/crates/role/src/agent/upstream_health.rs
+++ b/crates/role/src/agent/upstream_health.rs
@@ -77,7 +77,12 @@
             let end = End {
                 upstream_crashed: true,
                 crash_fingerprints: fingerprints.clone(),
-                ..self.end_frame(now, id, Code::UpstreamLost.number(), Ran::Ran)
+                ..self.end_frame(
+                    now,
+                    id,
+                    ErrorCode::UpstreamLost.number(),
+                    RunStatus::Ran,
+                )
             };
             self.end_attempt(now, id, end, out);
         }
--- a/crates/role/src/entry/accept.rs
+++ b/crates/role/src/entry/accept.rs
@@ -26,8 +26,8 @@
 pub(super) fn accept(
     ctx: &mut Ctx<'_>,
     incoming: Box<IncomingRequest>,
-) -> Result<Request, Refusal> {
-    let refuse = Refusal::not_run;
+) -> Result<Request, RequestError> {
+    let refuse = RequestError::not_run;
     let name = match &incoming.resource {
         super::RequestedResource::Model(model) => {
             model.as_ref().map_or("", ModelId::as_str)
@@ -39,27 +39,31 @@
         .model(name)
         .record(ctx.out);
     if ctx.control.leaving {
-        return Err(refuse(Code::Leaving).retry_after_ms(RETRY_ELSEWHERE_MS));
+        return Err(refuse(ErrorCode::Leaving).retry_after_ms(RETRY_ELSEWHERE_MS));
     }
     let Some(config) = ctx.control.config().cloned() else {
-        return Err(refuse(Code::NotReady).retry_after_ms(RETRY_ELSEWHERE_MS));
+        return Err(refuse(ErrorCode::NotReady).retry_after_ms(RETRY_ELSEWHERE_MS));
     };
     let caller = config.caller(&incoming.credential);
-    let caller = caller.ok_or_else(|| refuse(Code::UnknownCaller))?;
+    let caller = caller.ok_or_else(|| refuse(ErrorCode::UnknownCaller))?;
     let resolved = resolve(&config, &incoming).map_err(refuse)?;
     let verdict = {
         let mut suspects = ctx.shared.suspects.lock();
         suspects.verdict(ctx.now, resolved.fingerprint)
     };
     if let CrashVerdict::Convicted { remaining_ms } = verdict {
-        return Err(refuse(Code::Convicted).retry_after_ms(remaining_ms));
+        return Err(
+            refuse(ErrorCode::RequestCrashedUpstreams).retry_after_ms(remaining_ms)
+        );
     }
     let max = match caller.concurrent_max {
         0 => u32::MAX,
         max => max,
     };
     if !ctx.shared.callers.lock().try_start_request(&caller.id, max) {
-        return Err(refuse(Code::CallerLimit).retry_after_ms(CALLER_LIMIT_RETRY_MS));
+        return Err(
+            refuse(ErrorCode::CallerLimit).retry_after_ms(CALLER_LIMIT_RETRY_MS)
+        );
     }
     let percent = config.limits().retry_percent;
     ctx.shared.workload.lock().record_arrival(
--- a/crates/role/src/entry/control/cells.rs
+++ b/crates/role/src/entry/control/cells.rs
@@ -53,7 +53,7 @@
 }
 
 /// Region of a failure domain; a domain without a configured region forms its own.
-fn region<'a>(config: &'a Config, domain: &'a DomainId) -> &'a str {
+fn region<'a>(config: &'a Config, domain: &'a FailureDomainId) -> &'a str {
     let configured = config.fleet().failure_domains.get(domain.as_str());
     let configured = configured.filter(|domain| !domain.region.is_empty());
     configured.map_or(domain.as_str(), |domain| domain.region.as_str())
--- a/crates/role/src/entry/control/config.rs
+++ b/crates/role/src/entry/control/config.rs
@@ -1,6 +1,6 @@
 //! The configuration, read from the platform, or from peers during its outages.
 
-use base::Version;
+use base::ObjectVersion;
 use base::prelude::*;
 use conf::REVISION_PREFIX;
 use live::Timing;
@@ -38,7 +38,7 @@
     /// between the revision in force and the oldest newer one.
     pub(super) fn apply_config_changes(
         &mut self,
-        objects: &[(String, Version, Vec<u8>)],
+        objects: &[(String, ObjectVersion, Vec<u8>)],
         shared: &Shared,
         out: &mut Vec<EntryAction>,
         effects: &mut Effects,
@@ -152,7 +152,7 @@
     Counts::add(&shared.counts.config_rejected);
     let detail = format!("configuration change rejected: {error}");
     TimelineEvent::new(EventKind::ConfigRejected, detail)
-        .code(Code::BadSyntax)
+        .code(ErrorCode::BadSyntax)
         .record(out);
 }
 
--- a/crates/role/src/entry/control/freeze.rs
+++ b/crates/role/src/entry/control/freeze.rs
@@ -64,11 +64,11 @@
         };
         // Reset the overdue timers, so that the next event does not find them late.
         let mut late = Vec::new();
-        while let Some(timer) = self.timers.take(now) {
+        while let Some(timer) = self.timers.pop_due(now) {
             late.push(timer);
         }
         for timer in late {
-            self.timers.set(now, timer);
+            self.timers.schedule(now, timer);
         }
     }
 
--- a/crates/role/src/entry/control/gossip.rs
+++ b/crates/role/src/entry/control/gossip.rs
@@ -65,7 +65,7 @@
             Some(_) if self.gossip.send_scheduled => {}
             Some(next) => {
                 self.gossip.send_scheduled = true;
-                self.timers.set(next, Timer::GossipSoon);
+                self.timers.schedule(next, Timer::GossipSoon);
             }
         }
     }
--- a/crates/role/src/entry/control/instances.rs
+++ b/crates/role/src/entry/control/instances.rs
@@ -1,7 +1,7 @@
 //! Instance states published by the platform, and which entries keep watches open.
 
 use base::prelude::*;
-use base::{PlatformOp, Version};
+use base::{ObjectVersion, PlatformOp};
 use live::rendezvous;
 use std::collections::BTreeSet;
 
@@ -61,7 +61,7 @@
         // chain of timers that never ends.
         if self.deferred_watches.insert(call) {
             let at = self.ticked_at.plus_ms(DEFERRED_WATCH_CHECK_MS);
-            self.timers.set(at, Timer::Call(call));
+            self.timers.schedule(at, Timer::Call(call));
         }
         true
     }
@@ -80,8 +80,8 @@
     pub(super) fn instances_listed(
         &mut self,
         now: Instant,
-        objects: &[(String, Version, Vec<u8>)],
-        version: Version,
+        objects: &[(String, ObjectVersion, Vec<u8>)],
+        version: ObjectVersion,
         out: &mut Vec<EntryAction>,
         effects: &mut Effects,
     ) {
@@ -100,7 +100,8 @@
 
     pub(super) fn schedule_instances_list(&mut self, now: Instant) {
         let at = now.plus_ms(INSTANCES_LIST_INTERVAL_MS);
-        self.timers.set(at, Timer::Call(CallKind::InstancesList));
+        self.timers
+            .schedule(at, Timer::Call(CallKind::InstancesList));
     }
 
     /// Handles the end of a watch. If it reported changes, all instance states are
@@ -108,8 +109,8 @@
     pub(super) fn instances_watch_ended(
         &mut self,
         now: Instant,
-        objects: &[(String, Version, Vec<u8>)],
-        version: Version,
+        objects: &[(String, ObjectVersion, Vec<u8>)],
+        version: ObjectVersion,
     ) {
         self.instances_version = self.instances_version.max(version);
         let next = match objects {
--- a/crates/role/src/entry/control/mod.rs
+++ b/crates/role/src/entry/control/mod.rs
@@ -18,7 +18,7 @@
 mod platform;
 
 use base::prelude::*;
-use base::{Timers, Version};
+use base::{ObjectVersion, TimerQueue};
 use conf::{Config, ConfigLog};
 use live::{Agent, Directory, EntryTable, Life, Members, Timing};
 use rand_pcg::Pcg64Mcg;
@@ -108,8 +108,8 @@
     pub(crate) planning: Planning,
     pub(crate) gossip: GossipState,
     own_id: EntryId,
-    failure_domain: DomainId,
-    instances_version: Version,
+    failure_domain: FailureDomainId,
+    instances_version: ObjectVersion,
     /// Watches that are currently left to other entries, with a timer set for each
     /// to check again.
     deferred_watches: BTreeSet<platform::CallKind>,
@@ -119,10 +119,10 @@
     platform: PlatformCalls,
     forecast: LoadForecast,
     freeze: Freeze,
-    timers: Timers<Timer>,
+    timers: TimerQueue<Timer>,
     rng: Pcg64Mcg,
     config_requested_at: Option<Instant>,
-    members_version: Version,
+    members_version: ObjectVersion,
     exited: bool,
     ticked_at: Instant,
 }
@@ -145,7 +145,7 @@
             gossip: GossipState::new(),
             own_id: options.id.clone(),
             failure_domain: options.failure_domain.clone(),
-            instances_version: Version(0),
+            instances_version: ObjectVersion(0),
             deferred_watches: BTreeSet::new(),
             unix_ms_at_zero: options.unix_ms_at_zero,
             started_at: now,
@@ -153,10 +153,10 @@
             platform: PlatformCalls::new(),
             forecast: LoadForecast::default(),
             freeze: Freeze::none(now),
-            timers: Timers::new(),
+            timers: TimerQueue::new(),
             rng: Pcg64Mcg::new(u128::from(options.seed) << 1 | 1),
             config_requested_at: None,
-            members_version: Version(0),
+            members_version: ObjectVersion(0),
             exited: false,
             ticked_at: now,
         };
@@ -164,9 +164,9 @@
         TimelineEvent::new(EventKind::ProcessStarted, detail).record(out);
         control.start_platform_calls(options, out);
         control.dial_peers(options, out);
-        control.timers.set(now, Timer::Liveness);
-        control.timers.set(now, Timer::Heartbeat);
-        control.timers.set(now, Timer::Plan);
+        control.timers.schedule(now, Timer::Liveness);
+        control.timers.schedule(now, Timer::Heartbeat);
+        control.timers.schedule(now, Timer::Plan);
         control.schedule_config_poll(now);
         control
     }
@@ -178,7 +178,7 @@
 
     /// When the next timer of the control state is due.
     pub(crate) fn due(&self) -> Option<Instant> {
-        self.timers.due()
+        self.timers.next_deadline()
     }
 
     /// Time of the last tick, which reports use as the current time.
@@ -251,7 +251,7 @@
         effects: &mut Effects,
     ) {
         self.ticked_at = now;
-        while let Some(timer) = self.timers.take(now) {
+        while let Some(timer) = self.timers.pop_due(now) {
             match timer {
                 Timer::Heartbeat => self.heartbeat_due(now, shared, out, effects),
                 Timer::Liveness => self.liveness_due(now, out, effects),
@@ -279,7 +279,8 @@
         shared.breakers.lock().forget_unknown(&self.directory);
         self.send_gossip(now, shared, out);
         let interval = self.directory.timing().heartbeat_ms();
-        self.timers.set(now.plus_ms(interval), Timer::Heartbeat);
+        self.timers
+            .schedule(now.plus_ms(interval), Timer::Heartbeat);
         effects.wake_all = true;
     }
 
@@ -298,7 +299,7 @@
         let interval =
             self.directory.timing().heartbeat_ms() / LIVENESS_CHECKS_PER_HEARTBEAT;
         self.timers
-            .set(now.plus_ms(interval.max(1)), Timer::Liveness);
+            .schedule(now.plus_ms(interval.max(1)), Timer::Liveness);
     }
 
     /// Starts draining.
@@ -349,7 +350,7 @@
         // Other processes don't depend on the record being deleted, so an outage of
         // the platform must not keep a drained process from ending.
         self.timers
-            .set(now.plus_ms(platform::UNREGISTER_WAIT_MS), Timer::Exit);
+            .schedule(now.plus_ms(platform::UNREGISTER_WAIT_MS), Timer::Exit);
     }
 
     fn exit(&mut self, out: &mut Vec<EntryAction>) {
--- a/crates/role/src/entry/control/plan.rs
+++ b/crates/role/src/entry/control/plan.rs
@@ -152,7 +152,8 @@
         now: Instant,
         shared: &Shared,
     ) -> Option<PlanJob> {
-        self.timers.set(now.plus_ms(PLAN_INTERVAL_MS), Timer::Plan);
+        self.timers
+            .schedule(now.plus_ms(PLAN_INTERVAL_MS), Timer::Plan);
         self.plan_now(now, shared)
     }
 
@@ -176,7 +177,7 @@
     fn schedule_plan(&mut self, at: Instant) {
         if !self.planning.scheduled {
             self.planning.scheduled = true;
-            self.timers.set(at, Timer::PlanSoon);
+            self.timers.schedule(at, Timer::PlanSoon);
         }
     }
 
--- a/crates/role/src/entry/control/platform.rs
+++ b/crates/role/src/entry/control/platform.rs
@@ -1,7 +1,10 @@
 //! Calls to the platform: configuration, member records and instance states.
 
 use base::prelude::*;
-use base::{Expect, PlatformAnswer, PlatformCall, PlatformOp, PlatformResult, Version};
+use base::{
+    ObjectVersion, PlatformCall, PlatformOp, PlatformResponse, PlatformResult,
+    Precondition,
+};
 use conf::{REVISION_PREFIX, SNAPSHOT_KEY, revision_key};
 use prost::Message;
 use rand_core::Rng;
@@ -65,7 +68,7 @@
     pending: BTreeMap<u64, CallKind>,
     failures: BTreeMap<CallKind, u32>,
     away: bool,
-    config_version: Version,
+    config_version: ObjectVersion,
     polls: u32,
     /// Revision requested by the poll in flight. The answer does not name it, and by
     /// then another revision may be the next.
@@ -79,7 +82,7 @@
             pending: BTreeMap::new(),
             failures: BTreeMap::new(),
             away: false,
-            config_version: Version(0),
+            config_version: ObjectVersion(0),
             polls: 0,
             polled_revision: Revision(0),
         }
@@ -186,12 +189,12 @@
             },
             CallKind::Register => PlatformOp::Write {
                 key: member_key(options),
-                expect: Expect::Any,
+                precondition: Precondition::Any,
                 value: self.member(options).encode_to_vec(),
             },
             CallKind::Unregister => PlatformOp::Delete {
                 key: member_key(options),
-                expect: Expect::Any,
+                precondition: Precondition::Any,
             },
         }
     }
@@ -214,7 +217,7 @@
         &mut self,
         now: Instant,
         shared: &Shared,
-        answer: PlatformAnswer,
+        answer: PlatformResponse,
         out: &mut Vec<EntryAction>,
         effects: &mut Effects,
     ) {
@@ -222,7 +225,7 @@
             return;
         };
         match answer.result {
-            PlatformResult::Away | PlatformResult::Unanswered => {
+            PlatformResult::Unavailable | PlatformResult::Unanswered => {
                 self.call_failed(now, call, shared, out);
             }
             result => {
@@ -257,7 +260,7 @@
         // retrying at the same time.
         let jitter_ms = u64::from(self.rng.next_u32()) % wait_ms;
         let at = now.plus_ms(wait_ms / 2 + jitter_ms / 2);
-        self.timers.set(at, Timer::Call(call));
+        self.timers.schedule(at, Timer::Call(call));
     }
 
     fn platform_answered(&mut self, out: &mut Vec<EntryAction>) {
@@ -296,7 +299,7 @@
                     // The missing changes were dropped from the log after a snapshot
                     // was written, so the snapshot is read.
                     let at = now.plus_ms(BACKOFF_MIN_MS);
-                    self.timers.set(at, Timer::Call(CallKind::Snapshot));
+                    self.timers.schedule(at, Timer::Call(CallKind::Snapshot));
                 } else {
                     self.schedule_watch(now, CallKind::ConfigWatch);
                 }
@@ -331,7 +334,7 @@
     fn config_polled(
         &mut self,
         now: Instant,
-        object: Option<(Version, Vec<u8>)>,
+        object: Option<(ObjectVersion, Vec<u8>)>,
         shared: &Shared,
         out: &mut Vec<EntryAction>,
         effects: &mut Effects,
@@ -359,24 +362,24 @@
         let half_ms = CONFIG_POLL_MAX_MS / 2;
         let jitter_ms = u64::from(self.rng.next_u32()) % half_ms;
         let at = now.plus_ms(half_ms + jitter_ms);
-        self.timers.set(at, Timer::Call(CallKind::ConfigPoll));
+        self.timers.schedule(at, Timer::Call(CallKind::ConfigPoll));
     }
 
     /// Keeps the version from decreasing: a watch after an older version would report
     /// the same objects again and again.
-    fn note_config_version(&mut self, version: Version) {
+    fn note_config_version(&mut self, version: ObjectVersion) {
         let newest = &mut self.platform.config_version;
         *newest = (*newest).max(version);
     }
 
     pub(super) fn schedule_watch(&mut self, now: Instant, call: CallKind) {
         let at = now.plus_ms(WATCH_MIN_INTERVAL_MS);
-        self.timers.set(at, Timer::Call(call));
+        self.timers.schedule(at, Timer::Call(call));
     }
 
     fn apply_members(
         &mut self,
-        objects: &[(String, Version, Vec<u8>)],
+        objects: &[(String, ObjectVersion, Vec<u8>)],
         out: &mut Vec<EntryAction>,
     ) {
         for (_, _, value) in objects {
--- a/crates/role/src/entry/counters.rs
+++ b/crates/role/src/entry/counters.rs
@@ -1,7 +1,7 @@
 //! Counters of an entry.
 
 use super::outcome_counts::{DecisionCount, ProfileOutcomes};
-use base::Code;
+use base::ErrorCode;
 use std::sync::atomic::{AtomicU64, Ordering};
 
 /// Counters since the start of the process, and current gauges.
@@ -56,7 +56,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RefusalCount {
     /// Error code.
-    pub code: Code,
+    pub code: ErrorCode,
     /// Number of refusals.
     pub count: u64,
 }
@@ -98,7 +98,7 @@
             plans: AtomicU64::new(0),
             config_rejected: AtomicU64::new(0),
             platform_away: AtomicU64::new(0),
-            refused: Code::ALL.iter().map(|_| AtomicU64::new(0)).collect(),
+            refused: ErrorCode::ALL.iter().map(|_| AtomicU64::new(0)).collect(),
         }
     }
 
@@ -106,8 +106,8 @@
         counter.fetch_add(1, Ordering::Relaxed);
     }
 
-    pub(crate) fn refused(&self, code: Code) {
-        let index = Code::ALL.iter().position(|other| *other == code);
+    pub(crate) fn refused(&self, code: ErrorCode) {
+        let index = ErrorCode::ALL.iter().position(|other| *other == code);
         if let Some(counter) = index.and_then(|index| self.refused.get(index)) {
             Self::add(counter);
         }
@@ -116,7 +116,7 @@
     /// The counters; gauges are left at zero.
     pub(crate) fn snapshot(&self) -> EntryCounters {
         let get = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
-        let by_code = Code::ALL.iter().zip(&self.refused);
+        let by_code = ErrorCode::ALL.iter().zip(&self.refused);
         EntryCounters {
             arrived: get(&self.arrived),
             finished: get(&self.finished),
--- a/crates/role/src/entry/event.rs
+++ b/crates/role/src/entry/event.rs
@@ -3,7 +3,7 @@
 
 use access::Credential;
 use base::prelude::*;
-use base::{PlatformAnswer, PlatformCall};
+use base::{PlatformCall, PlatformResponse};
 use schema::link::{Run, frame};
 use schema::timeline;
 
@@ -58,7 +58,7 @@
         units: u32,
     },
     /// The platform answered a call, or the call failed.
-    PlatformAnswered(PlatformAnswer),
+    PlatformAnswered(PlatformResponse),
     /// The process is to stop: it finishes its requests and accepts no new ones.
     Drain,
 }
@@ -148,7 +148,7 @@
         /// Request.
         request: RequestId,
         /// Error code, whether the request ran, and when to retry.
-        refusal: Refusal,
+        refusal: RequestError,
     },
     /// Establish a link to a process and keep it up.
     Connect {
--- a/crates/role/src/entry/options.rs
+++ b/crates/role/src/entry/options.rs
@@ -10,7 +10,7 @@
     /// Incarnation: differs at each start of the process.
     pub incarnation: Incarnation,
     /// Failure domain the process runs in.
-    pub failure_domain: DomainId,
+    pub failure_domain: FailureDomainId,
     /// `ip:port` on which other entries connect to this one.
     pub link_address: String,
     /// `ip:port` of the operators' HTTP endpoint.
--- a/crates/role/src/entry/requests/answers.rs
+++ b/crates/role/src/entry/requests/answers.rs
@@ -143,7 +143,7 @@
             return;
         };
         Counts::add(&ctx.shared.counts.refused_by_gate);
-        let code = Code::from_number(frame.code).unwrap_or(Code::Overloaded);
+        let code = ErrorCode::from_number(frame.code).unwrap_or(ErrorCode::Overloaded);
         let retry_after_ms = u64::from(frame.retry_after_ms);
         if let Some(request) = self.requests.get(&sequence) {
             TimelineEvent::new(
@@ -165,10 +165,11 @@
         &mut self,
         ctx: &mut Ctx<'_>,
         sequence: u64,
-        code: Code,
+        code: ErrorCode,
         retry_after_ms: u64,
     ) {
-        let Some(attempt) = self.end_attempt(ctx, sequence, Some(Ran::NotRun)) else {
+        let Some(attempt) = self.end_attempt(ctx, sequence, Some(RunStatus::NotRun))
+        else {
             return;
         };
         if !retryable_elsewhere(code) {
@@ -195,7 +196,7 @@
             let retry_at = ctx.now.plus_ms(REFUSAL_BACKOFF_MS * steps);
             request.not_before = retry_at;
             self.timers
-                .set(retry_at, super::timers::Timer::Retry { sequence });
+                .schedule(retry_at, super::timers::Timer::Retry { sequence });
         }
     }
 
@@ -226,8 +227,8 @@
         };
         if frame.total_units != request.delivered {
             let broken = Failure {
-                code: Code::AnswerBroken,
-                ran: Some(Ran::Ran),
+                code: ErrorCode::AnswerBroken,
+                ran: Some(RunStatus::Ran),
                 charge: RetryCharge::Charged,
             };
             self.attempt_failed(ctx, sequence, broken);
@@ -305,19 +306,19 @@
 }
 
 /// Whether another agent may accept a request that one refused with this code.
-const fn retryable_elsewhere(code: Code) -> bool {
+const fn retryable_elsewhere(code: ErrorCode) -> bool {
     matches!(
         code,
-        Code::Leaving
-            | Code::GateFull
-            | Code::WrongIncarnation
-            | Code::NotHeld
-            | Code::NotReady
-            | Code::Overloaded
-            | Code::QueueFull
-            | Code::ModelUnavailable
-            | Code::Revoked
-            | Code::UpstreamLost
-            | Code::UpstreamFault
+        ErrorCode::Leaving
+            | ErrorCode::GateFull
+            | ErrorCode::WrongIncarnation
+            | ErrorCode::NotHeld
+            | ErrorCode::NotReady
+            | ErrorCode::Overloaded
+            | ErrorCode::QueueFull
+            | ErrorCode::ModelUnavailable
+            | ErrorCode::Revoked
+            | ErrorCode::UpstreamLost
+            | ErrorCode::UpstreamFault
     )
 }
--- a/crates/role/src/entry/requests/dispatch.rs
+++ b/crates/role/src/entry/requests/dispatch.rs
@@ -41,7 +41,7 @@
     pub(crate) fn start(&mut self, ctx: &mut Ctx<'_>, request: Request) {
         let sequence = request.id().sequence;
         self.timers
-            .set(request.deadline, Timer::Deadline { sequence });
+            .schedule(request.deadline, Timer::Deadline { sequence });
         {
             let mut workload = ctx.shared.workload.lock();
             workload.record_first_attempt(ctx.now, &request.resolved.resource);
@@ -69,13 +69,13 @@
             return Dispatched::Ended;
         };
         if request.deadline <= ctx.now {
-            return self.refuse(ctx, sequence, Code::DeadlineBeforeRun, None);
+            return self.refuse(ctx, sequence, ErrorCode::DeadlineBeforeRun, None);
         }
         if request.admission_refusals > ADMISSION_REFUSALS_MAX {
             return self.refuse(
                 ctx,
                 sequence,
-                Code::Overloaded,
+                ErrorCode::Overloaded,
                 Some(DEFAULT_RETRY_AFTER_MS),
             );
         }
@@ -84,9 +84,12 @@
         match verdict {
             CrashVerdict::Clear => self.dispatch_with(ctx, sequence, ahead, false),
             CrashVerdict::Suspect => self.dispatch_with(ctx, sequence, ahead, true),
-            CrashVerdict::Convicted { remaining_ms } => {
-                self.refuse(ctx, sequence, Code::Convicted, Some(remaining_ms))
-            }
+            CrashVerdict::Convicted { remaining_ms } => self.refuse(
+                ctx,
+                sequence,
+                ErrorCode::RequestCrashedUpstreams,
+                Some(remaining_ms),
+            ),
         }
     }
 
@@ -111,7 +114,7 @@
         }
         let failing = candidates.take_failing(ctx);
         if cannot_resume(ctx, request, &candidates) {
-            return self.refuse(ctx, sequence, Code::AnswerBroken, None);
+            return self.refuse(ctx, sequence, ErrorCode::AnswerBroken, None);
         }
         let input = admission_input(ctx, request, &candidates, &crashed_agents, ahead);
         if exclusive
@@ -224,7 +227,7 @@
             .record(ctx.out);
         if request.not_before > ctx.now {
             let at = request.not_before;
-            self.timers.set(at, Timer::Retry { sequence });
+            self.timers.schedule(at, Timer::Retry { sequence });
         }
         Dispatched::Waiting
     }
@@ -234,7 +237,7 @@
         let current = self.requests.get(&request.sequence);
         if current.is_some_and(|current| matches!(current.state, State::Waiting(_))) {
             let retry_after = Some(DEFAULT_RETRY_AFTER_MS);
-            self.refuse(ctx, request.sequence, Code::QueueFull, retry_after);
+            self.refuse(ctx, request.sequence, ErrorCode::QueueFull, retry_after);
         }
     }
 
@@ -262,7 +265,7 @@
     ctx: &mut Ctx<'_>,
     request: &Request,
     position: QueuePosition,
-) -> Result<(), Code> {
+) -> Result<(), ErrorCode> {
     let config = ctx.control.config();
     let max = config.map_or(0, |config| config.limits().waiting_max);
     let caller = &request.caller;
@@ -270,7 +273,7 @@
     let queued = {
         let mut wait_queue = ctx.shared.wait_queue.lock();
         if !within_limit && wait_queue.len() < max as usize {
-            return Err(Code::CallerLimit);
+            return Err(ErrorCode::CallerLimit);
         }
         wait_queue.enqueue(&request.resolved.resource, position, ctx.now, max as usize)
     };
@@ -282,7 +285,7 @@
         EnqueueResult::Full | EnqueueResult::Added => {}
     }
     if queued == EnqueueResult::Full {
-        return Err(Code::QueueFull);
+        return Err(ErrorCode::QueueFull);
     }
     if !within_limit {
         ctx.shared.callers.lock().enqueue_displacing(caller);
@@ -375,17 +378,17 @@
     request: &Request,
     input: &AdmissionInput,
     crashed: &[AgentId],
-) -> Option<(Code, u64)> {
+) -> Option<(ErrorCode, u64)> {
     if input.holders == 0 && crashed_all(ctx, request, crashed) {
         let suspects = ctx.shared.suspects.lock();
         let fingerprint = request.resolved.fingerprint;
         let ms = suspects.remaining_ms(ctx.now, fingerprint);
-        return Some((Code::ModelUnavailable, ms));
+        return Some((ErrorCode::ModelUnavailable, ms));
     }
     request.resolved.resource.model()?;
     let turn_ms = ctx.control.exclusive_turn_wait_ms(ctx.now);
     let late = turn_ms.saturating_add(input.answer_time_ms) > input.remaining_ms;
-    late.then_some((Code::Overloaded, turn_ms.max(EXCLUSIVE_RUN_RETRY_MS)))
+    late.then_some((ErrorCode::Overloaded, turn_ms.max(EXCLUSIVE_RUN_RETRY_MS)))
 }
 
 fn try_start_exclusive(ctx: &mut Ctx<'_>, request: &Request) -> bool {
--- a/crates/role/src/entry/requests/end.rs
+++ b/crates/role/src/entry/requests/end.rs
@@ -20,14 +20,14 @@
         &mut self,
         ctx: &mut Ctx<'_>,
         sequence: u64,
-        code: Code,
+        code: ErrorCode,
         retry_after_ms: Option<u64>,
     ) -> Dispatched {
         let Some(request) = self.remove(ctx, sequence) else {
             return Dispatched::Ended;
         };
         let ran = request.history.ran();
-        let refusal = Refusal {
+        let refusal = RequestError {
             code: refusal_code(&request, code, ran),
             ran,
             retry_after_ms,
@@ -117,7 +117,7 @@
         &mut self,
         ctx: &mut Ctx<'_>,
         sequence: u64,
-        reported: Option<Ran>,
+        reported: Option<RunStatus>,
     ) -> Option<Attempt> {
         let request = self.requests.get_mut(&sequence)?;
         let state = std::mem::replace(&mut request.state, State::New);
@@ -134,8 +134,8 @@
             record_outcome(ctx, &attempt.agent, false, true);
         }
         let observed = match attempt.started {
-            true => Ran::Ran,
-            false => Ran::Unknown,
+            true => RunStatus::Ran,
+            false => RunStatus::Unknown,
         };
         // An attempt with answer parts did run, whatever the agent reports.
         let reported = reported.filter(|_| !attempt.answered);
@@ -163,20 +163,23 @@
 /// Two of these codes are kept. A convicted request did run. A key in progress belongs
 /// to another call, whose answer the caller gets by retrying; it would not retry if it
 /// were told that the outcome is unknown.
-fn refusal_code(request: &Request, code: Code, ran: Ran) -> Code {
-    let keeps_code = matches!(code, Code::Convicted | Code::KeyInProgress);
-    if ran == Ran::NotRun || code.number() / 1_000 != 2 || keeps_code {
+fn refusal_code(request: &Request, code: ErrorCode, ran: RunStatus) -> ErrorCode {
+    let keeps_code = matches!(
+        code,
+        ErrorCode::RequestCrashedUpstreams | ErrorCode::KeyInProgress
+    );
+    if ran == RunStatus::NotRun || code.number() / 1_000 != 2 || keeps_code {
         return code;
     }
     if !request.resolved.idempotent {
-        return Code::OutcomeUnknown;
+        return ErrorCode::OutcomeUnknown;
     }
-    if request.delivered > 0 && code != Code::DeadlineBeforeRun {
-        return Code::AnswerBroken;
+    if request.delivered > 0 && code != ErrorCode::DeadlineBeforeRun {
+        return ErrorCode::AnswerBroken;
     }
     match code {
-        Code::DeadlineBeforeRun => Code::DeadlineWhileRunning,
-        _ => request.last_failure_code.unwrap_or(Code::UpstreamLost),
+        ErrorCode::DeadlineBeforeRun => ErrorCode::DeadlineWhileRunning,
+        _ => request.last_failure_code.unwrap_or(ErrorCode::UpstreamLost),
     }
 }
 
--- a/crates/role/src/entry/requests/failures.rs
+++ b/crates/role/src/entry/requests/failures.rs
@@ -40,9 +40,9 @@
 /// How an attempt failed.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Failure {
-    pub(super) code: Code,
+    pub(super) code: ErrorCode,
     /// Whether it ran, if its agent reported that.
-    pub(super) ran: Option<Ran>,
+    pub(super) ran: Option<RunStatus>,
     pub(super) charge: RetryCharge,
 }
 
@@ -54,10 +54,12 @@
         sequence: u64,
         frame: &End,
     ) {
-        let code = Code::from_number(frame.code).unwrap_or(Code::UpstreamFault);
+        let code =
+            ErrorCode::from_number(frame.code).unwrap_or(ErrorCode::UpstreamFault);
         // A crash does not count for the circuit breaker: the upstream is down, and its
         // agent reports it as such.
-        let failing = matches!(code, Code::UpstreamLost | Code::UpstreamFault);
+        let failing =
+            matches!(code, ErrorCode::UpstreamLost | ErrorCode::UpstreamFault);
         let mut probe = false;
         if failing && !frame.upstream_crashed {
             probe = self.record_upstream_outcome(ctx, sequence, false);
@@ -66,12 +68,12 @@
             return;
         };
         let answered = request.attempt().is_some_and(|attempt| attempt.answered);
-        let ran = match Ran::from_number(frame.ran) {
+        let ran = match RunStatus::from_number(frame.ran) {
             // An attempt with answer parts did run, whatever its end reports.
-            Ran::NotRun if answered => Ran::Ran,
+            RunStatus::NotRun if answered => RunStatus::Ran,
             ran => ran,
         };
-        if ran == Ran::NotRun {
+        if ran == RunStatus::NotRun {
             self.attempt_not_run(ctx, sequence, code, u64::from(frame.retry_after_ms));
             return;
         }
@@ -106,8 +108,8 @@
         };
         self.cancel_attempt(ctx, sequence);
         let broken = Failure {
-            code: Code::AnswerBroken,
-            ran: Some(Ran::Ran),
+            code: ErrorCode::AnswerBroken,
+            ran: Some(RunStatus::Ran),
             charge: RetryCharge::Charged,
         };
         self.attempt_failed(ctx, sequence, broken);
@@ -134,11 +136,11 @@
         // A request that is not idempotent and may have run must not run again. The
         // caller is told at once that the outcome is unknown, and decides what to do.
         if !request.resolved.idempotent {
-            self.refuse(ctx, sequence, Code::OutcomeUnknown, None);
+            self.refuse(ctx, sequence, ErrorCode::OutcomeUnknown, None);
             return;
         }
         if !request.can_resume() {
-            self.refuse(ctx, sequence, Code::AnswerBroken, None);
+            self.refuse(ctx, sequence, ErrorCode::AnswerBroken, None);
             return;
         }
         if request.failures > FAILURES_MAX {
@@ -218,7 +220,7 @@
     fn give_up_attempt(&mut self, ctx: &mut Ctx<'_>, sequence: u64) {
         self.cancel_attempt(ctx, sequence);
         let lost = Failure {
-            code: Code::UpstreamLost,
+            code: ErrorCode::UpstreamLost,
             ran: None,
             charge: RetryCharge::Charged,
         };
@@ -287,19 +289,19 @@
             return;
         };
         let started = request.attempt().is_some_and(|attempt| attempt.started);
-        match Ran::from_number(frame.ran) {
-            Ran::NotRun if !started => {
-                self.attempt_not_run(ctx, sequence, Code::Revoked, 0);
+        match RunStatus::from_number(frame.ran) {
+            RunStatus::NotRun if !started => {
+                self.attempt_not_run(ctx, sequence, ErrorCode::Revoked, 0);
             }
-            Ran::Unknown => {
+            RunStatus::Unknown => {
                 let unknown = Failure {
-                    code: Code::OutcomeUnknown,
-                    ran: Some(Ran::Unknown),
+                    code: ErrorCode::OutcomeUnknown,
+                    ran: Some(RunStatus::Unknown),
                     charge: RetryCharge::Charged,
                 };
                 self.attempt_failed(ctx, sequence, unknown);
             }
-            Ran::Ran | Ran::NotRun => {
+            RunStatus::Ran | RunStatus::NotRun => {
                 // It ran, so its answer may still arrive. It is awaited as for any
                 // started attempt.
                 if let Some(attempt) = request.attempt_mut() {
@@ -341,8 +343,8 @@
             return;
         };
         let code = match &request.state {
-            State::Running(_) => Code::DeadlineWhileRunning,
-            _ => Code::DeadlineBeforeRun,
+            State::Running(_) => ErrorCode::DeadlineWhileRunning,
+            _ => ErrorCode::DeadlineBeforeRun,
         };
         // For a call that is not idempotent, a retry is useful only with an idempotency
         // key, by which the stored answer is found.
@@ -382,23 +384,23 @@
 }
 
 /// Whether the attempt would end with the same code at any other upstream.
-const fn fails_on_any_upstream(code: Code) -> bool {
+const fn fails_on_any_upstream(code: ErrorCode) -> bool {
     matches!(
         code,
-        Code::BadRequest
-            | Code::UnknownModel
-            | Code::UnknownService
-            | Code::UnknownPath
-            | Code::BodyTooLarge
-            | Code::KeyReused
-            | Code::KeyInProgress
-            | Code::KeyMissing
-            | Code::BadDeadline
-            | Code::DeadlineWhileRunning
-            | Code::DeadlineBeforeRun
-            | Code::PlatformAway
-            | Code::Conflict
-            | Code::WriteUnanswered
-            | Code::OutcomeUnknown
+        ErrorCode::BadRequest
+            | ErrorCode::UnknownModel
+            | ErrorCode::UnknownService
+            | ErrorCode::UnknownPath
+            | ErrorCode::BodyTooLarge
+            | ErrorCode::KeyReused
+            | ErrorCode::KeyInProgress
+            | ErrorCode::KeyMissing
+            | ErrorCode::BadDeadline
+            | ErrorCode::DeadlineWhileRunning
+            | ErrorCode::DeadlineBeforeRun
+            | ErrorCode::PlatformAway
+            | ErrorCode::Conflict
+            | ErrorCode::WriteUnanswered
+            | ErrorCode::OutcomeUnknown
     )
 }
--- a/crates/role/src/entry/requests/mod.rs
+++ b/crates/role/src/entry/requests/mod.rs
@@ -18,7 +18,7 @@
 mod timers;
 mod upstream_outcome;
 
-use base::Timers;
+use base::TimerQueue;
 use base::prelude::*;
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
@@ -40,7 +40,7 @@
     requests: BTreeMap<u64, Request>,
     /// Sequence number of the request of each attempt in flight.
     attempts: BTreeMap<u64, u64>,
-    timers: Timers<Timer>,
+    timers: TimerQueue<Timer>,
 }
 
 impl Requests {
@@ -54,13 +54,13 @@
             rng: Pcg64Mcg::new(state),
             requests: BTreeMap::new(),
             attempts: BTreeMap::new(),
-            timers: Timers::new(),
+            timers: TimerQueue::new(),
         }
     }
 
     /// When the next timer of the shard is due.
     pub(crate) fn due(&self) -> Option<Instant> {
-        self.timers.due()
+        self.timers.next_deadline()
     }
 
     /// Number of requests in progress.
--- a/crates/role/src/entry/requests/send.rs
+++ b/crates/role/src/entry/requests/send.rs
@@ -80,7 +80,7 @@
         request.attempts_sent += 1;
         self.attempts.insert(id.sequence, sequence);
         let at = ctx.now.plus_ms(wait_ms);
-        self.timers.set(at, Timer::Answer { attempt: id });
+        self.timers.schedule(at, Timer::Answer { attempt: id });
         Counts::add(&ctx.shared.counts.sent);
         ctx.out.push(EntryAction::SendRun {
             request: request.id(),
--- a/crates/role/src/entry/requests/state.rs
+++ b/crates/role/src/entry/requests/state.rs
@@ -15,20 +15,20 @@
 
 impl AttemptHistory {
     /// Adds a finished attempt.
-    pub(crate) const fn add(&mut self, ran: Ran) {
+    pub(crate) const fn add(&mut self, ran: RunStatus) {
         match ran {
-            Ran::NotRun => {}
-            Ran::Ran => self.started = true,
-            Ran::Unknown => self.unknown = true,
+            RunStatus::NotRun => {}
+            RunStatus::Ran => self.started = true,
+            RunStatus::Unknown => self.unknown = true,
         }
     }
 
     /// Whether the request ran, as far as is known.
-    pub(crate) const fn ran(self) -> Ran {
+    pub(crate) const fn ran(self) -> RunStatus {
         match (self.started, self.unknown) {
-            (true, _) => Ran::Ran,
-            (false, true) => Ran::Unknown,
-            (false, false) => Ran::NotRun,
+            (true, _) => RunStatus::Ran,
+            (false, true) => RunStatus::Unknown,
+            (false, false) => RunStatus::NotRun,
         }
     }
 }
@@ -58,7 +58,7 @@
     /// Failed attempts that may have run.
     pub(crate) failures: u32,
     /// Code of the last failure.
-    pub(crate) last_failure_code: Option<Code>,
+    pub(crate) last_failure_code: Option<ErrorCode>,
     /// Earliest time of the next attempt.
     pub(crate) not_before: Instant,
     pub(crate) state: State,
--- a/crates/role/src/entry/requests/timers.rs
+++ b/crates/role/src/entry/requests/timers.rs
@@ -43,7 +43,7 @@
 impl Requests {
     /// Handles the timers that are due.
     pub(crate) fn tick(&mut self, ctx: &mut Ctx<'_>) {
-        while let Some(timer) = self.timers.take(ctx.now) {
+        while let Some(timer) = self.timers.pop_due(ctx.now) {
             match timer {
                 Timer::Deadline { sequence } => self.deadline_passed(ctx, sequence),
                 Timer::Answer { attempt } => self.answer_due(ctx, attempt),
@@ -59,7 +59,7 @@
 
     pub(super) fn wait_for_revoked(&mut self, now: Instant, attempt: AttemptId) {
         let at = now.plus_ms(REVOKED_WAIT_MS);
-        self.timers.set(at, Timer::Answer { attempt });
+        self.timers.schedule(at, Timer::Answer { attempt });
     }
 
     /// Checks whether the attempt has been silent for too long; if not, sets the timer to
@@ -78,7 +78,7 @@
         let limit =
             silence_limit(ctx, request, current).max(ctx.control.backlog_read_by());
         if limit > ctx.now {
-            self.timers.set(limit, Timer::Answer { attempt });
+            self.timers.schedule(limit, Timer::Answer { attempt });
             return;
         }
         self.answer_missing(ctx, sequence);
--- a/crates/role/src/entry/resolve.rs
+++ b/crates/role/src/entry/resolve.rs
@@ -70,7 +70,7 @@
 pub(crate) fn resolve(
     config: &Config,
     incoming: &IncomingRequest,
-) -> Result<ResolvedRequest, Code> {
+) -> Result<ResolvedRequest, ErrorCode> {
     let named_profile = find_named_profile(config, incoming)?;
     let (resource, profile) = match &incoming.resource {
         RequestedResource::Model(Some(model)) => {
@@ -108,35 +108,35 @@
 fn find_named_profile<'a>(
     config: &'a Config,
     incoming: &IncomingRequest,
-) -> Result<Option<&'a ProfileSpec>, Code> {
+) -> Result<Option<&'a ProfileSpec>, ErrorCode> {
     let Some(name) = &incoming.profile else {
         return Ok(None);
     };
     let found = config.profile(name.as_str());
-    found.map(Some).ok_or(Code::UnknownProfile)
+    found.map(Some).ok_or(ErrorCode::UnknownProfile)
 }
 
 fn resolve_model<'a>(
     config: &'a Config,
     named_profile: Option<&'a ProfileSpec>,
     model: &ModelId,
-) -> Result<ResourceAndProfile<'a>, Code> {
+) -> Result<ResourceAndProfile<'a>, ErrorCode> {
     if config.model(model.as_str()).is_none() {
-        return Err(Code::UnknownModel);
+        return Err(ErrorCode::UnknownModel);
     }
     let mut candidates = config.profiles();
     let profile = match named_profile {
         Some(profile) => Some(profile).filter(|profile| profile.models.contains(model)),
         None => candidates.find(|profile| profile.models.contains(model)),
     };
-    let profile = profile.ok_or(Code::UnknownProfile)?;
+    let profile = profile.ok_or(ErrorCode::UnknownProfile)?;
     Ok((Resource::Model(model.clone()), Some(profile)))
 }
 
 fn resolve_default_model<'a>(
     config: &'a Config,
     named_profile: Option<&'a ProfileSpec>,
-) -> Result<ResourceAndProfile<'a>, Code> {
+) -> Result<ResourceAndProfile<'a>, ErrorCode> {
     let mut with_models = config
         .profiles()
         .filter(|profile| !profile.models.is_empty());
@@ -145,10 +145,10 @@
         // Without a named_profile profile there has to be exactly one with models.
         None => with_models.next().filter(|_| with_models.next().is_none()),
     };
-    let profile = profile.ok_or(Code::UnknownProfile)?;
-    let model = profile.models.first().ok_or(Code::UnknownProfile)?;
+    let profile = profile.ok_or(ErrorCode::UnknownProfile)?;
+    let model = profile.models.first().ok_or(ErrorCode::UnknownProfile)?;
     if config.model(model.as_str()).is_none() {
-        return Err(Code::UnknownModel);
+        return Err(ErrorCode::UnknownModel);
     }
     Ok((Resource::Model(model.clone()), Some(profile)))
 }
@@ -157,9 +157,9 @@
     config: &'a Config,
     named_profile: Option<&'a ProfileSpec>,
     service: &ServiceId,
-) -> Result<ResourceAndProfile<'a>, Code> {
+) -> Result<ResourceAndProfile<'a>, ErrorCode> {
     if config.service(service.as_str()).is_none() {
-        return Err(Code::UnknownService);
+        return Err(ErrorCode::UnknownService);
     }
     let lists_service =
         |profile: &&ProfileSpec| profile.service.as_ref() == Some(service);
@@ -167,7 +167,7 @@
         Some(profile) => Some(
             Some(profile)
                 .filter(lists_service)
-                .ok_or(Code::UnknownProfile)?,
+                .ok_or(ErrorCode::UnknownProfile)?,
         ),
         None => config.profiles().find(lists_service),
     };
@@ -177,10 +177,10 @@
 fn deadline_ms(
     incoming: &IncomingRequest,
     profile: Option<&ProfileSpec>,
-) -> Result<u64, Code> {
+) -> Result<u64, ErrorCode> {
     let default_ms = profile.map_or(0, |profile| u64::from(profile.deadline_ms));
     match incoming.deadline_ms {
-        Some(0) => Err(Code::BadDeadline),
+        Some(0) => Err(ErrorCode::BadDeadline),
         Some(ms) => Ok(ms.min(DEADLINE_MAX_MS)),
         None if default_ms == 0 => Ok(DEADLINE_DEFAULT_MS),
         None => Ok(default_ms),
--- a/crates/role/src/entry/role.rs
+++ b/crates/role/src/entry/role.rs
@@ -290,7 +290,7 @@
     fn refuse_on_arrival(
         &self,
         id: RequestId,
-        refusal: Refusal,
+        refusal: RequestError,
         out: &mut Vec<EntryAction>,
     ) {
         self.shared.counts.refused(refusal.code);
--- a/crates/role/src/entry/suspect_events.rs
+++ b/crates/role/src/entry/suspect_events.rs
@@ -63,7 +63,10 @@
         out: &mut Vec<EntryAction>,
     ) {
         let (kind, code) = match self.convicted {
-            true => (EventKind::RequestConvicted, Some(Code::Convicted)),
+            true => (
+                EventKind::RequestConvicted,
+                Some(ErrorCode::RequestCrashedUpstreams),
+            ),
             false => (EventKind::RequestSuspected, None),
         };
         let mut event = TimelineEvent::new(kind, self.description());
--- a/crates/role/src/entry/timeline.rs
+++ b/crates/role/src/entry/timeline.rs
@@ -39,7 +39,7 @@
     }
 
     /// Sets the error code.
-    pub(crate) const fn code(mut self, code: Code) -> Self {
+    pub(crate) const fn code(mut self, code: ErrorCode) -> Self {
         self.0.code = code.number();
         self
     }
--- a/crates/role/tests/agent/admission.rs
+++ b/crates/role/tests/agent/admission.rs
@@ -36,7 +36,7 @@
 
 /// Case name, preparation of the agent, change of the `Run` frame, and the
 /// expected refusal.
-type Case = (&'static str, fn(&mut TestAgent), fn(&mut Run), Code);
+type Case = (&'static str, fn(&mut TestAgent), fn(&mut Run), ErrorCode);
 
 /// Every refusal says `not_run`, and the caller then sends the request again.
 /// No path to a refusal may therefore hand the attempt to the upstream, not
@@ -48,62 +48,62 @@
             "leaving",
             |agent| agent.handle(AgentEvent::Drain),
             |_| {},
-            Code::Leaving,
+            ErrorCode::Leaving,
         ),
         (
             "wrong incarnation",
             |_| {},
             |run| run.agent_incarnation = 9,
-            Code::WrongIncarnation,
+            ErrorCode::WrongIncarnation,
         ),
         (
             "model not held",
             |_| {},
             |run| run.model = "b".into(),
-            Code::NotHeld,
+            ErrorCode::NotHeld,
         ),
         (
             "version not held",
             |_| {},
             |run| run.version = 2,
-            Code::NotHeld,
+            ErrorCode::NotHeld,
         ),
         (
             "no such service",
             |_| {},
             |run| run.service = "parts".into(),
-            Code::UnknownService,
+            ErrorCode::UnknownService,
         ),
         (
             "upstream down",
             |agent| agent.upstream_event(UpstreamEvent::Down),
             |_| {},
-            Code::NotReady,
+            ErrorCode::NotReady,
         ),
         (
             "no time left",
             |_| {},
             |run| run.remaining_ms = 0,
-            Code::DeadlineBeforeRun,
+            ErrorCode::DeadlineBeforeRun,
         ),
         (
             "queue longer than the remaining time",
             queue_requests,
             |run| run.remaining_ms = 900,
-            Code::DeadlineBeforeRun,
+            ErrorCode::DeadlineBeforeRun,
         ),
-        ("full", fill_slots, |_| {}, Code::GateFull),
+        ("full", fill_slots, |_| {}, ErrorCode::GateFull),
         (
             "exclusive, beside a long attempt",
             |agent| run_long(agent, 12_000),
             |run| (run.alone, run.remaining_ms) = (true, 60_000),
-            Code::GateFull,
+            ErrorCode::GateFull,
         ),
         (
             "exclusive, with less time than the running attempt",
             |agent| run_long(agent, 1_000),
             |run| (run.alone, run.remaining_ms) = (true, 900),
-            Code::GateFull,
+            ErrorCode::GateFull,
         ),
         (
             "exclusive, with another waiting",
@@ -114,21 +114,21 @@
                 send_run(agent, waiting);
             },
             |run| run.alone = true,
-            Code::GateFull,
+            ErrorCode::GateFull,
         ),
         (
             "beside an exclusive run",
             send_exclusive_run,
             |_| {},
-            Code::GateFull,
+            ErrorCode::GateFull,
         ),
         (
             "revoked",
             |agent| send_revoke(agent, 99, 10),
             |_| {},
-            Code::Revoked,
+            ErrorCode::Revoked,
         ),
-        ("woken from a freeze", freeze, |_| {}, Code::NotReady),
+        ("woken from a freeze", freeze, |_| {}, ErrorCode::NotReady),
     ];
     for (name, arrange, alter, code) in cases {
         let (mut platform, mut engine, mut agent) = agent_with_model_a();
@@ -198,13 +198,13 @@
     agent.answer_all_calls(&mut platform);
     agent.report_from(&Engine::new());
     send_run(&mut agent, model_run(1, 10, "a"));
-    assert_eq!(agent.refusal(1), Some(Code::NotReady));
+    assert_eq!(agent.refusal(1), Some(ErrorCode::NotReady));
     assert!(!agent.ready && agent.starts.is_empty());
 }
 
 /// Case name, preparation of the agent, the incarnation in the `Revoke`, and
 /// the expected answer.
-type RevocationCase = (&'static str, fn(&mut TestAgent), u64, Ran);
+type RevocationCase = (&'static str, fn(&mut TestAgent), u64, RunStatus);
 
 /// An entry received no answer and revokes the attempt. The agent says
 /// `not_run` only of an attempt that was not handed over and never will be;
@@ -212,19 +212,24 @@
 #[test]
 fn a_revocation_answers_not_run_only_if_certain() {
     let cases: &[RevocationCase] = &[
-        ("never seen", |_| {}, 10, Ran::NotRun),
-        ("of another incarnation", |_| {}, 9, Ran::Unknown),
-        ("running", |agent| start_attempt(agent, 99), 10, Ran::Ran),
+        ("never seen", |_| {}, 10, RunStatus::NotRun),
+        ("of another incarnation", |_| {}, 9, RunStatus::Unknown),
+        (
+            "running",
+            |agent| start_attempt(agent, 99),
+            10,
+            RunStatus::Ran,
+        ),
         (
             "given to the driver",
             |agent| send_run(agent, model_run(99, 10, "a")),
             10,
-            Ran::Unknown,
+            RunStatus::Unknown,
         ),
-        ("done", done, 10, Ran::Ran),
-        ("cancelled", cancelled, 10, Ran::Ran),
-        ("refused", refused, 10, Ran::NotRun),
-        ("failed without being run", not_run, 10, Ran::NotRun),
+        ("done", done, 10, RunStatus::Ran),
+        ("cancelled", cancelled, 10, RunStatus::Ran),
+        ("refused", refused, 10, RunStatus::NotRun),
+        ("failed without being run", not_run, 10, RunStatus::NotRun),
     ];
     for (name, arrange, incarnation, ran) in cases {
         let (_, _, mut agent) = agent_with_model_a();
@@ -254,11 +259,11 @@
     send_run(agent, model_run(99, 10, "a"));
     agent.upstream_event(UpstreamEvent::Failed {
         attempt: attempt_id(99),
-        ran: Ran::NotRun,
+        ran: RunStatus::NotRun,
         status: 503,
         broken: false,
     });
-    assert_eq!(agent.refusal(99), Some(Code::UpstreamFault));
+    assert_eq!(agent.refusal(99), Some(ErrorCode::UpstreamFault));
 }
 
 /// The connection to an entry breaks. An idempotent attempt is stopped, which
@@ -315,7 +320,7 @@
         for sequence in [1, 2] {
             agent.upstream_event(UpstreamEvent::Failed {
                 attempt: attempt_id(sequence),
-                ran: Ran::Ran,
+                ran: RunStatus::Ran,
                 status: 0,
                 broken: true,
             });
@@ -345,7 +350,7 @@
             let end = agent.end_frame(sequence).expect(name);
             assert!(end.upstream_crashed, "{name}");
             assert_eq!(end.crash_fingerprints, [1_001, 1_002], "{name}");
-            assert_eq!(end.code, Code::UpstreamLost.number(), "{name}");
+            assert_eq!(end.code, ErrorCode::UpstreamLost.number(), "{name}");
             assert_eq!(
                 end.upstream_incarnation, 7,
                 "{name}: not the incarnation that died"
@@ -362,7 +367,7 @@
     start_attempt(&mut agent, 1);
     agent.upstream_event(UpstreamEvent::Failed {
         attempt: attempt_id(1),
-        ran: Ran::Ran,
+        ran: RunStatus::Ran,
         status: 0,
         broken: true,
     });
@@ -380,6 +385,6 @@
     agent.run_for(10_100, &mut platform, &mut engine);
     assert_eq!(agent.stops, [attempt_id(1)]);
     let end = agent.end_frame(1).expect("an end");
-    assert_eq!(end.code, Code::DeadlineWhileRunning.number());
+    assert_eq!(end.code, ErrorCode::DeadlineWhileRunning.number());
     assert_eq!(agent.role.status().attempts, 0);
 }
--- a/crates/role/tests/agent/concurrency_limit.rs
+++ b/crates/role/tests/agent/concurrency_limit.rs
@@ -42,7 +42,7 @@
     start_attempt(&mut agent, 1);
     start_attempt(&mut agent, 2);
     send_run(&mut agent, model_run(3, 10, "a"));
-    assert_eq!(agent.refusal(3), Some(Code::GateFull));
+    assert_eq!(agent.refusal(3), Some(ErrorCode::GateFull));
     report_step_times(&mut agent, &engine, 20_000, 24);
     assert_eq!(advertised_limit(&mut agent), 3);
 }
--- a/crates/role/tests/agent/exclusive.rs
+++ b/crates/role/tests/agent/exclusive.rs
@@ -46,13 +46,13 @@
         "entries would keep sending work"
     );
     send_run(&mut agent, model_run(3, 10, "a"));
-    assert_eq!(agent.refusal(3), Some(Code::GateFull));
+    assert_eq!(agent.refusal(3), Some(ErrorCode::GateFull));
     agent.complete_attempt(1);
     assert!(!agent.started(99), "one attempt still runs");
     agent.complete_attempt(2);
     assert!(agent.started(99), "the batch is empty");
     send_run(&mut agent, model_run(4, 10, "a"));
-    assert_eq!(agent.refusal(4), Some(Code::GateFull));
+    assert_eq!(agent.refusal(4), Some(ErrorCode::GateFull));
     agent.complete_attempt(99);
     assert_eq!(agent.end_frame(99).map(|end| end.code), Some(0));
     assert_eq!(last_load(&agent).running_max, 4);
@@ -61,7 +61,7 @@
 
 /// Case name, remaining time in milliseconds, what happens while the run waits,
 /// and the expected refusal.
-type WaitingCase = (&'static str, u64, fn(&mut TestAgent), Option<Code>);
+type WaitingCase = (&'static str, u64, fn(&mut TestAgent), Option<ErrorCode>);
 
 /// A waiting run either starts, or its entry is told at once that it was not
 /// run. Whatever ends the wait, the run must not start later, because by then
@@ -73,27 +73,27 @@
             "waited too long",
             60_000,
             |agent| agent.advance_time(10_000),
-            Some(Code::GateFull),
+            Some(ErrorCode::GateFull),
         ),
         (
             "deadline",
             900,
             |agent| agent.advance_time(900),
-            Some(Code::DeadlineBeforeRun),
+            Some(ErrorCode::DeadlineBeforeRun),
         ),
         (
             "drain",
             9_000,
             |agent| agent.handle(AgentEvent::Drain),
-            Some(Code::Leaving),
+            Some(ErrorCode::Leaving),
         ),
         (
             "down",
             9_000,
             |agent| agent.upstream_event(UpstreamEvent::Down),
-            Some(Code::NotReady),
+            Some(ErrorCode::NotReady),
         ),
-        ("unloaded", 9_000, restart_empty, Some(Code::NotHeld)),
+        ("unloaded", 9_000, restart_empty, Some(ErrorCode::NotHeld)),
         ("link lost", 9_000, |agent| agent.link_down(ENTRY), None),
         ("cancelled", 9_000, cancel, None),
         ("revoked", 9_000, |agent| send_revoke(agent, 99, 10), None),
@@ -122,7 +122,7 @@
         agent.run_for(3_000, &mut platform, &mut engine);
         assert!(!agent.started(99), "{name}: run after its refusal");
         send_revoke(&mut agent, 99, 10);
-        assert_eq!(agent.revoked(99), Some(Ran::NotRun), "{name}");
+        assert_eq!(agent.revoked(99), Some(RunStatus::NotRun), "{name}");
     }
 }
 
--- a/crates/role/tests/agent/idempotency_keys.rs
+++ b/crates/role/tests/agent/idempotency_keys.rs
@@ -49,7 +49,7 @@
     platform.away = true;
     send_call(&mut agent, 1, "key");
     agent.answer_all_calls(&mut platform);
-    assert_eq!(agent.refusal(1), Some(Code::PlatformAway));
+    assert_eq!(agent.refusal(1), Some(ErrorCode::PlatformAway));
     platform.away = false;
     for _ in 0..100 {
         agent.advance_time(100);
@@ -76,7 +76,7 @@
             attempt,
             agent_incarnation,
         }));
-        assert_eq!(agent.revoked(1), Some(Ran::NotRun));
+        assert_eq!(agent.revoked(1), Some(RunStatus::NotRun));
     }),
     ("its link lost", |agent| agent.link_down(ENTRY)),
 ];
@@ -115,7 +115,7 @@
     agent.advance_time(1_100);
     agent.answer_all_calls(&mut platform);
     assert!(agent.starts.is_empty());
-    assert_eq!(agent.refusal(1), Some(Code::DeadlineBeforeRun));
+    assert_eq!(agent.refusal(1), Some(ErrorCode::DeadlineBeforeRun));
     send_call(&mut agent, 2, "key");
     agent.answer_all_calls(&mut platform);
     assert!(agent.started(2), "the key is not free");
@@ -131,13 +131,13 @@
     agent.answer_all_calls(&mut platform);
     agent.upstream_event(UpstreamEvent::Failed {
         attempt: attempt_id(1),
-        ran: Ran::NotRun,
+        ran: RunStatus::NotRun,
         status: 503,
         broken: false,
     });
     assert_eq!(agent.refusal(1), None, "refused before the key was free");
     agent.answer_all_calls(&mut platform);
-    assert_eq!(agent.refusal(1), Some(Code::UpstreamFault));
+    assert_eq!(agent.refusal(1), Some(ErrorCode::UpstreamFault));
     send_call(&mut agent, 2, "key");
     agent.answer_all_calls(&mut platform);
     assert!(agent.started(2));
@@ -163,13 +163,13 @@
         send_call(&mut next, 2, "key");
         next.answer_all_calls(&mut platform);
         let end = next.end_frame(2).expect("an end");
-        assert_eq!(end.code, Code::KeyInProgress.number());
-        assert_eq!(Ran::from_number(end.ran), Ran::Unknown);
+        assert_eq!(end.code, ErrorCode::KeyInProgress.number());
+        assert_eq!(RunStatus::from_number(end.ran), RunStatus::Unknown);
         next.advance_time(20_000);
         send_call(&mut next, 3, "key");
         next.answer_all_calls(&mut platform);
         let end = next.end_frame(3).expect("an end");
-        assert_eq!(end.code, Code::OutcomeUnknown.number());
+        assert_eq!(end.code, ErrorCode::OutcomeUnknown.number());
         assert!(next.starts.is_empty(), "run a second time");
     }
 }
@@ -212,8 +212,8 @@
     send_call(&mut agent, 2, "key");
     agent.answer_all_calls(&mut platform);
     let end = agent.end_frame(2).expect("an end");
-    assert_eq!(end.code, Code::OutcomeUnknown.number());
-    assert_eq!(Ran::from_number(end.ran), Ran::Ran);
+    assert_eq!(end.code, ErrorCode::OutcomeUnknown.number());
+    assert_eq!(RunStatus::from_number(end.ran), RunStatus::Ran);
     assert_eq!(agent.starts.len(), 1);
 }
 
--- a/crates/role/tests/agent/orders.rs
+++ b/crates/role/tests/agent/orders.rs
@@ -1,7 +1,7 @@
 //! Orders and intents under faults, with one agent.
 
 use crate::fixtures::*;
-use base::{Epoch, Instant, ModelId, PlatformResult};
+use base::{FencingEpoch, Instant, ModelId, PlatformResult};
 use role::agent::{Order, UpstreamEvent};
 use schema::link::frame;
 
@@ -124,7 +124,7 @@
     agent.run_for(1_000, &mut platform, &mut engine);
     assert!(engine.has_loaded("a"), "unloaded during an attempt");
     agent.receive_frame(frame::Body::Run(model_run(2, 10, "a")));
-    assert_eq!(agent.refusal(2), Some(base::Code::NotHeld));
+    assert_eq!(agent.refusal(2), Some(base::ErrorCode::NotHeld));
     agent.complete_attempt(1);
     agent.run_for(1_000, &mut platform, &mut engine);
     assert!(engine.has_loaded("b") && !engine.has_loaded("a"));
@@ -230,7 +230,7 @@
     agent.receive_target("p", 1, &[("a", 1)]);
     engine.accept_order(&Order {
         id: 1,
-        fencing_epoch: Epoch(1),
+        fencing_epoch: FencingEpoch(1),
         load: true,
         model: ModelId::new("b"),
         version: 1,
--- a/crates/role/tests/agent/random/keys.rs
+++ b/crates/role/tests/agent/random/keys.rs
@@ -98,7 +98,7 @@
             return Ok(());
         };
         let result = match u.int_in_range(0..=7)? {
-            0 => PlatformResult::Away,
+            0 => PlatformResult::Unavailable,
             1 => PlatformResult::Unanswered,
             2 => {
                 self.platform.apply(&call.op);
@@ -131,7 +131,7 @@
         match u.int_in_range(0..=2)? {
             0 => agent.upstream_event(UpstreamEvent::Failed {
                 attempt: attempt_id(attempt),
-                ran: Ran::Ran,
+                ran: RunStatus::Ran,
                 status: 500,
                 broken: false,
             }),
--- a/crates/role/tests/agent/random/memory.rs
+++ b/crates/role/tests/agent/random/memory.rs
@@ -104,7 +104,7 @@
             return Ok(());
         };
         let result = match u.int_in_range(0..=12)? {
-            0 => PlatformResult::Away,
+            0 => PlatformResult::Unavailable,
             1 => PlatformResult::Unanswered,
             2 => {
                 self.platform.apply(&call.op);
--- a/crates/role/tests/agent/replaced.rs
+++ b/crates/role/tests/agent/replaced.rs
@@ -61,7 +61,11 @@
         frozen.receive_target("p", 1, &[("a", 1)]);
         frozen.advance_time(5_000);
         frozen.receive_frame(frame::Body::Run(model_run(1, 10, "c")));
-        assert_eq!(frozen.refusal(1), Some(base::Code::NotReady), "{wake:?}");
+        assert_eq!(
+            frozen.refusal(1),
+            Some(base::ErrorCode::NotReady),
+            "{wake:?}"
+        );
         assert!(frozen.orders.is_empty() && frozen.starts.is_empty());
         assert_eq!(frozen.role.counters().freezes, 1);
         assert!(
@@ -131,7 +135,7 @@
     platform.apply(&write.op);
     agent.answer_call(write.id, PlatformResult::Unanswered);
     let read = agent.calls.pop_front().expect("read back");
-    let old = (base::Version(old.0), old.1);
+    let old = (base::ObjectVersion(old.0), old.1);
     agent.answer_call(read.id, PlatformResult::Object(Some(old)));
     assert!(!agent.role.status().fenced && agent.ready);
     assert!(agent.orders.is_empty(), "it has not seen its own record");
--- a/crates/role/tests/entry/answers.rs
+++ b/crates/role/tests/entry/answers.rs
@@ -79,7 +79,7 @@
         (
             "refusal of the old attempt, again",
             |r, old, new| {
-                r.refuse(old, Code::GateFull);
+                r.refuse(old, ErrorCode::GateFull);
                 r.part(new, 0, 5);
             },
             &[0],
@@ -122,7 +122,7 @@
         rig.agent("a2", &["m1"]);
         let request = rig.request_model("m1");
         let old = rig.run(request);
-        rig.refuse(&old, Code::GateFull);
+        rig.refuse(&old, ErrorCode::GateFull);
         let new = rig.run(request);
         assert_ne!(old.agent, new.agent, "{name}");
         rig.started(&new);
@@ -142,17 +142,17 @@
     type Fault = fn(&mut Rig, &SentRun);
     let rows: &[(&str, Fault)] = &[
         ("upstream lost", |r, run| {
-            r.fail(run, Code::UpstreamLost, Ran::Ran);
+            r.fail(run, ErrorCode::UpstreamLost, RunStatus::Ran);
         }),
         ("outcome unknown", |r, run| {
-            r.fail(run, Code::UpstreamLost, Ran::Unknown);
+            r.fail(run, ErrorCode::UpstreamLost, RunStatus::Unknown);
         }),
         ("clean end, too short", |r, run| r.end(run, 2)),
         ("clean end, too long", |r, run| r.end(run, 9)),
         ("gap", |r, run| r.part(run, 5, 1)),
         ("link down", |r, run| r.link_down(&run.agent.clone())),
         ("not run, yet it answered", |r, run| {
-            r.fail(run, Code::UpstreamFault, Ran::NotRun);
+            r.fail(run, ErrorCode::UpstreamFault, RunStatus::NotRun);
         }),
         ("agent restarted", |r, run| {
             let agent = r.agents.get_mut(&run.agent).expect("known");
@@ -208,8 +208,8 @@
         fault(&mut rig, &only);
         rig.advance(100);
         let refusal = rig.refusal(request);
-        assert_eq!(refusal.code, Code::AnswerBroken, "{name}");
-        assert_eq!(refusal.ran, Ran::Ran, "{name}");
+        assert_eq!(refusal.code, ErrorCode::AnswerBroken, "{name}");
+        assert_eq!(refusal.ran, RunStatus::Ran, "{name}");
         assert_eq!(rig.finished(request), None, "{name}");
     }
 }
@@ -227,8 +227,8 @@
     let request = rig.submit(incoming);
     let run = rig.run(request);
     rig.part(&run, 0, 10);
-    rig.fail(&run, Code::UpstreamLost, Ran::Ran);
-    assert_eq!(rig.refusal(request).code, Code::AnswerBroken);
+    rig.fail(&run, ErrorCode::UpstreamLost, RunStatus::Ran);
+    assert_eq!(rig.refusal(request).code, ErrorCode::AnswerBroken);
     assert_eq!(rig.runs(request).len(), 1);
 }
 
--- a/crates/role/tests/entry/control.rs
+++ b/crates/role/tests/entry/control.rs
@@ -2,7 +2,7 @@
 
 use crate::rig::{Rig, agent_peer, document, entry_peer, options};
 use base::prelude::*;
-use base::{PlatformAnswer, PlatformOp, PlatformResult, Version};
+use base::{ObjectVersion, PlatformOp, PlatformResponse, PlatformResult};
 use role::entry::{EntryAction, EntryEvent};
 use schema::link::{self, ConfigChange, ConfigChanges, Goodbye, Gossip, frame};
 use schema::timeline::EventKind;
@@ -80,10 +80,14 @@
         },
         _ => None,
     });
-    let old = ("config/000000000001".to_owned(), Version(1), b"{}".to_vec());
-    rig.handle(EntryEvent::PlatformAnswered(PlatformAnswer {
+    let old = (
+        "config/000000000001".to_owned(),
+        ObjectVersion(1),
+        b"{}".to_vec(),
+    );
+    rig.handle(EntryEvent::PlatformAnswered(PlatformResponse {
         id: id.expect("the configuration is watched"),
-        result: PlatformResult::Objects(vec![old], Version(0)),
+        result: PlatformResult::Objects(vec![old], ObjectVersion(0)),
     }));
     assert_eq!(rig.role.revision(), Revision(2));
 }
@@ -104,7 +108,7 @@
     rig.start();
     rig.advance(3_000);
     let request = rig.request_model("m1");
-    assert_eq!(rig.refusal(request).code, Code::NotReady);
+    assert_eq!(rig.refusal(request).code, ErrorCode::NotReady);
     rig.handle(EntryEvent::LinkUp {
         peer: entry_peer("e2"),
         incarnation: Incarnation(9),
@@ -223,7 +227,10 @@
     rig.handle(EntryEvent::Drain);
     let new = rig.request_model("m1");
     let refusal = rig.refusal(new);
-    assert_eq!((refusal.code, refusal.ran), (Code::Leaving, Ran::NotRun));
+    assert_eq!(
+        (refusal.code, refusal.ran),
+        (ErrorCode::Leaving, RunStatus::NotRun)
+    );
     assert!(refusal.retry_after_ms.is_some());
     rig.advance(1_000);
     assert_eq!(rig.exits(), 0);
--- a/crates/role/tests/entry/crashes.rs
+++ b/crates/role/tests/entry/crashes.rs
@@ -170,12 +170,15 @@
     }
     for (index, request) in sent {
         let refusal = pair.rigs[index].refusal(request);
-        assert_eq!(refusal.code, Code::Convicted);
+        assert_eq!(refusal.code, ErrorCode::RequestCrashedUpstreams);
     }
     for index in 0..2 {
         let last = pair.send_poison(index);
         let refusal = pair.rigs[index].refusal(last);
-        assert_eq!((refusal.code, refusal.ran), (Code::Convicted, Ran::NotRun));
+        assert_eq!(
+            (refusal.code, refusal.ran),
+            (ErrorCode::RequestCrashedUpstreams, RunStatus::NotRun)
+        );
         assert!(refusal.retry_after_ms.is_some());
     }
 }
@@ -202,7 +205,10 @@
         }
         assert_eq!(pair.crashes, 2, "phase {phase_ms}");
         for (rig, request) in pair.rigs.iter().zip(again) {
-            assert_eq!(rig.refusal(request).code, Code::Convicted);
+            assert_eq!(
+                rig.refusal(request).code,
+                ErrorCode::RequestCrashedUpstreams
+            );
         }
     }
 }
--- a/crates/role/tests/entry/early_refusals.rs
+++ b/crates/role/tests/entry/early_refusals.rs
@@ -47,8 +47,8 @@
     set_up: fn(&mut Rig) -> RequestId,
     /// Time within which the request has to be refused.
     within_ms: u64,
-    code: Code,
-    ran: Ran,
+    code: ErrorCode,
+    ran: RunStatus,
 }
 
 fn make_suspect(rig: &mut Rig) -> RequestId {
@@ -68,8 +68,8 @@
                 make_suspect(rig)
             },
             within_ms: 0,
-            code: Code::UpstreamLost,
-            ran: Ran::Ran,
+            code: ErrorCode::UpstreamLost,
+            ran: RunStatus::Ran,
         },
         Case {
             name: "the same request sent again",
@@ -79,8 +79,8 @@
                 request_with(rig, "m1", 30_000, 666)
             },
             within_ms: 0,
-            code: Code::ModelUnavailable,
-            ran: Ran::NotRun,
+            code: ErrorCode::ModelUnavailable,
+            ran: RunStatus::NotRun,
         },
         Case {
             name: "a suspect request whose model is held only by the upstream it crashed",
@@ -90,8 +90,8 @@
                 make_suspect(rig)
             },
             within_ms: 600,
-            code: Code::UpstreamLost,
-            ran: Ran::Ran,
+            code: ErrorCode::UpstreamLost,
+            ran: RunStatus::Ran,
         },
         Case {
             name: "a suspect request whose entry's turn comes too late",
@@ -108,8 +108,8 @@
                 request_with(rig, "m1", 2_500, 666)
             },
             within_ms: 0,
-            code: Code::Overloaded,
-            ran: Ran::NotRun,
+            code: ErrorCode::Overloaded,
+            ran: RunStatus::NotRun,
         },
         Case {
             name: "a call of a service that has been down for long",
@@ -123,8 +123,8 @@
                 rig.submit(incoming)
             },
             within_ms: 0,
-            code: Code::ModelUnavailable,
-            ran: Ran::NotRun,
+            code: ErrorCode::ModelUnavailable,
+            ran: RunStatus::NotRun,
         },
         Case {
             name: "a model that fits on no accelerator",
@@ -133,8 +133,8 @@
                 rig.request_model("huge")
             },
             within_ms: 0,
-            code: Code::ModelUnavailable,
-            ran: Ran::NotRun,
+            code: ErrorCode::ModelUnavailable,
+            ran: RunStatus::NotRun,
         },
         Case {
             name: "a load behind many loads awaited at another entry",
@@ -151,8 +151,8 @@
                 request_with(rig, "m1", 20_000, 1)
             },
             within_ms: 0,
-            code: Code::ModelUnavailable,
-            ran: Ran::NotRun,
+            code: ErrorCode::ModelUnavailable,
+            ran: RunStatus::NotRun,
         },
         Case {
             name: "a batch request behind later interactive ones",
@@ -171,8 +171,8 @@
                 request
             },
             within_ms: 600,
-            code: Code::Overloaded,
-            ran: Ran::NotRun,
+            code: ErrorCode::Overloaded,
+            ran: RunStatus::NotRun,
         },
     ]
 }
@@ -228,7 +228,7 @@
     let refusal = rig.refusal(new);
     assert_eq!(
         refusal.code,
-        Code::Overloaded,
+        ErrorCode::Overloaded,
         "a new request would miss its target"
     );
     rig.advance(600);
@@ -260,7 +260,7 @@
     let refusal = rig.refusal(burst[11]);
     assert_eq!(
         (refusal.code, refusal.ran),
-        (Code::CallerLimit, Ran::NotRun)
+        (ErrorCode::CallerLimit, RunStatus::NotRun)
     );
     assert!(refusal.retry_after_ms.is_some());
     let mut incoming = rig.incoming(RequestedResource::Model(Some(ModelId::new("m1"))));
@@ -293,7 +293,7 @@
         rig.started(&run);
         rig.advance(1_100);
         let refusal = rig.refusal(request);
-        assert_eq!(refusal.ran, Ran::Ran);
+        assert_eq!(refusal.ran, RunStatus::Ran);
         assert_eq!(refusal.retry_after_ms.is_some(), idempotent || key);
     }
 }
--- a/crates/role/tests/entry/failing.rs
+++ b/crates/role/tests/entry/failing.rs
@@ -47,7 +47,7 @@
         let run = rig.run(request);
         if run.agent == names[0] {
             rig.started(&run);
-            rig.fail(&run, Code::UpstreamFault, Ran::Ran);
+            rig.fail(&run, ErrorCode::UpstreamFault, RunStatus::Ran);
         }
         if rig.refusals(request).is_empty() {
             let run = rig.run(request);
@@ -83,7 +83,7 @@
     rig.agent_in("s2", "desk", "d1", &[]);
     for _ in 0..30 {
         let run = call(&mut rig, "parts");
-        rig.refuse(&run, Code::GateFull);
+        rig.refuse(&run, ErrorCode::GateFull);
         let run = call(&mut rig, "parts");
         rig.started(&run);
         rig.crash(&run, &[run.run.fingerprint]);
@@ -167,7 +167,7 @@
         let request = submit_call(&mut rig, "parts");
         let run = rig.run(request);
         rig.started(&run);
-        rig.fail(&run, Code::AnswerBroken, Ran::Ran);
+        rig.fail(&run, ErrorCode::AnswerBroken, RunStatus::Ran);
         if !rig.refusals(request).is_empty() {
             break;
         }
@@ -181,7 +181,7 @@
     let run = rig.run(request);
     assert_eq!(run.agent, "s1");
     rig.started(&run);
-    rig.fail(&run, Code::UpstreamFault, Ran::Ran);
+    rig.fail(&run, ErrorCode::UpstreamFault, RunStatus::Ran);
     let run = rig.run(request);
     assert_eq!(run.agent, "s2");
     answer(&mut rig, &run);
--- a/crates/role/tests/entry/forecast.rs
+++ b/crates/role/tests/entry/forecast.rs
@@ -211,7 +211,7 @@
                     "{load:?} {refused_after_ms}"
                 );
                 let refusal = rig.refusal(request);
-                assert_eq!(refusal.code, Code::ModelUnavailable, "{load:?}");
+                assert_eq!(refusal.code, ErrorCode::ModelUnavailable, "{load:?}");
                 assert!(refusal.retry_after_ms > Some(1_000), "{load:?}");
             }
         }
--- a/crates/role/tests/entry/freeze.rs
+++ b/crates/role/tests/entry/freeze.rs
@@ -2,7 +2,7 @@
 
 use crate::rig::{Rig, entry_peer};
 use base::prelude::*;
-use base::{PlatformAnswer, PlatformResult};
+use base::{PlatformResponse, PlatformResult};
 use role::entry::{EntryEvent, RequestedResource};
 use schema::link::{Gossip, frame};
 use schema::timeline::EventKind;
@@ -34,8 +34,11 @@
     ("tick", |rig| rig.handle(EntryEvent::Tick)),
     ("gossip", receive_gossip),
     ("answer of the platform", |rig| {
-        let (id, result) = (u64::MAX, PlatformResult::Away);
-        rig.handle(EntryEvent::PlatformAnswered(PlatformAnswer { id, result }));
+        let (id, result) = (u64::MAX, PlatformResult::Unavailable);
+        rig.handle(EntryEvent::PlatformAnswered(PlatformResponse {
+            id,
+            result,
+        }));
         rig.handle(EntryEvent::Tick);
     }),
     ("tick, and a second freeze", |rig| {
--- a/crates/role/tests/entry/missed_changes.rs
+++ b/crates/role/tests/entry/missed_changes.rs
@@ -2,7 +2,7 @@
 
 use crate::rig::{Rig, entry_peer};
 use base::prelude::*;
-use base::{PlatformAnswer, PlatformOp, PlatformResult, Version};
+use base::{ObjectVersion, PlatformOp, PlatformResponse, PlatformResult};
 use role::entry::{EntryAction, EntryEvent};
 use schema::link::{ConfigChange, ConfigChanges, frame};
 use serde_json::json;
@@ -50,9 +50,9 @@
             ..ConfigChanges::default()
         }),
     });
-    rig.handle(EntryEvent::PlatformAnswered(PlatformAnswer {
+    rig.handle(EntryEvent::PlatformAnswered(PlatformResponse {
         id,
-        result: PlatformResult::Object(Some((Version(1), value))),
+        result: PlatformResult::Object(Some((ObjectVersion(1), value))),
     }));
     assert_eq!(rig.role.revision(), Revision(4));
 }
--- a/crates/role/tests/entry/outcome_counts.rs
+++ b/crates/role/tests/entry/outcome_counts.rs
@@ -63,7 +63,11 @@
     let request = rig.call_orders();
     let run = rig.run(request);
     rig.started(&run);
-    rig.fail(&run, base::Code::UpstreamLost, base::Ran::Unknown);
+    rig.fail(
+        &run,
+        base::ErrorCode::UpstreamLost,
+        base::RunStatus::Unknown,
+    );
     assert!(!rig.refusals(request).is_empty());
     let counters = rig.role.counters();
     let found = counters.profiles.first().expect("one profile was used");
--- a/crates/role/tests/entry/random.rs
+++ b/crates/role/tests/entry/random.rs
@@ -71,7 +71,7 @@
                     self.end(*request);
                 }
                 EntryAction::Refuse { request, refusal } => {
-                    if refusal.ran == Ran::NotRun {
+                    if refusal.ran == RunStatus::NotRun {
                         assert!(!self.started.contains(request), "it had started");
                     }
                     self.end(*request);
@@ -182,7 +182,11 @@
     match u.int_in_range(0..=6)? {
         0 if !started => {
             agents.over.insert(id);
-            let codes = [Code::GateFull, Code::NotHeld, Code::KeyInProgress];
+            let codes = [
+                ErrorCode::GateFull,
+                ErrorCode::NotHeld,
+                ErrorCode::KeyInProgress,
+            ];
             rig.refuse(&run, *u.choose(&codes)?);
         }
         1 if !agents.over.contains(&id) => {
@@ -212,13 +216,17 @@
             rig.end(&run, total + u64::from(u.ratio(1, 8)?));
         }
         5 if started => {
-            let codes = [Code::UpstreamLost, Code::UpstreamFault, Code::BadRequest];
-            rig.fail(&run, *u.choose(&codes)?, Ran::Ran);
+            let codes = [
+                ErrorCode::UpstreamLost,
+                ErrorCode::UpstreamFault,
+                ErrorCode::BadRequest,
+            ];
+            rig.fail(&run, *u.choose(&codes)?, RunStatus::Ran);
         }
         6 => {
             let ran = match started {
-                true => Ran::Ran,
-                false => Ran::NotRun,
+                true => RunStatus::Ran,
+                false => RunStatus::NotRun,
             };
             agents.over.insert(id);
             rig.revoked(&run, ran);
--- a/crates/role/tests/entry/retries.rs
+++ b/crates/role/tests/entry/retries.rs
@@ -7,7 +7,7 @@
 #[derive(Debug, PartialEq)]
 enum Outcome {
     Retried,
-    Refused(Code, Ran),
+    Refused(ErrorCode, RunStatus),
     /// The agent was queried by `Revoke`, and the entry waits for the reply.
     Queried,
 }
@@ -70,13 +70,15 @@
                     // It was queried when its answer was missing, without reply.
                     (false, false, _) if name == "agent silent" => {
                         assert_eq!(rig.revokes(&run), 1);
-                        Refused(Code::OutcomeUnknown, Ran::Unknown)
+                        Refused(ErrorCode::OutcomeUnknown, RunStatus::Unknown)
                     }
                     (false, false, true) => Queried,
                     (false, false, false) => {
-                        Refused(Code::OutcomeUnknown, Ran::Unknown)
+                        Refused(ErrorCode::OutcomeUnknown, RunStatus::Unknown)
+                    }
+                    (false, true, _) => {
+                        Refused(ErrorCode::OutcomeUnknown, RunStatus::Ran)
                     }
-                    (false, true, _) => Refused(Code::OutcomeUnknown, Ran::Ran),
                 };
                 let row = format!("{name}, idempotent {idempotent}, started {started}");
                 if expected == Queried {
@@ -86,7 +88,7 @@
                     // Without a reply of the agent the request still ends.
                     rig.advance(1_200);
                     let refusal = rig.refusal(request);
-                    assert_eq!(refusal.ran, Ran::Unknown, "{row}");
+                    assert_eq!(refusal.ran, RunStatus::Unknown, "{row}");
                 }
                 assert_eq!(outcome, expected, "{row}");
             }
@@ -103,24 +105,28 @@
     type Check = fn(&Rig, RequestId, &SentRun);
     let resent: Check = |rig, request, _| assert_eq!(rig.runs(request).len(), 2);
     let rows: &[(&str, Steps, Check)] = &[
-        ("not run", |r, run| r.revoked(run, Ran::NotRun), resent),
+        (
+            "not run",
+            |r, run| r.revoked(run, RunStatus::NotRun),
+            resent,
+        ),
         (
             "the late run is refused",
-            |r, run| r.refuse(run, Code::Revoked),
+            |r, run| r.refuse(run, ErrorCode::Revoked),
             resent,
         ),
         (
             "unknown",
-            |r, run| r.revoked(run, Ran::Unknown),
+            |r, run| r.revoked(run, RunStatus::Unknown),
             |r, request, _| {
-                assert_eq!(r.refusal(request).ran, Ran::Unknown);
+                assert_eq!(r.refusal(request).ran, RunStatus::Unknown);
                 assert_eq!(r.runs(request).len(), 1);
             },
         ),
         (
             "ran, and its answer comes",
             |r, run| {
-                r.revoked(run, Ran::Ran);
+                r.revoked(run, RunStatus::Ran);
                 r.part(run, 0, 5);
                 r.end(run, 5);
             },
@@ -133,7 +139,7 @@
             "started before the reply not run",
             |r, run| {
                 r.started(run);
-                r.revoked(run, Ran::NotRun);
+                r.revoked(run, RunStatus::NotRun);
                 r.end(run, 0);
             },
             |r, request, _| {
@@ -146,7 +152,7 @@
             |r, run| {
                 r.started(run);
                 r.end(run, 0);
-                r.revoked(run, Ran::NotRun);
+                r.revoked(run, RunStatus::NotRun);
             },
             |r, request, _| {
                 assert_eq!(r.finished(request), Some(0));
@@ -172,7 +178,7 @@
 #[test]
 fn not_run_is_reported_only_without_open_attempts() {
     type Steps = fn(&mut Rig) -> RequestId;
-    let rows: &[(&str, Steps, Code, Ran)] = &[
+    let rows: &[(&str, Steps, ErrorCode, RunStatus)] = &[
         (
             "unknown caller",
             |r| {
@@ -181,8 +187,8 @@
                 incoming.credential = access::Credential::of("other");
                 r.submit(incoming)
             },
-            Code::UnknownCaller,
-            Ran::NotRun,
+            ErrorCode::UnknownCaller,
+            RunStatus::NotRun,
         ),
         (
             "no default profile",
@@ -190,25 +196,25 @@
                 let incoming = r.incoming(role::entry::RequestedResource::Model(None));
                 r.submit(incoming)
             },
-            Code::UnknownProfile,
-            Ran::NotRun,
+            ErrorCode::UnknownProfile,
+            RunStatus::NotRun,
         ),
         (
             "unknown model",
             |r| r.request_model("m9"),
-            Code::UnknownModel,
-            Ran::NotRun,
+            ErrorCode::UnknownModel,
+            RunStatus::NotRun,
         ),
         (
             "final refusal by the agent",
             |r| {
                 let request = r.call_orders();
                 let run = r.run(request);
-                r.refuse(&run, Code::KeyInProgress);
+                r.refuse(&run, ErrorCode::KeyInProgress);
                 request
             },
-            Code::KeyInProgress,
-            Ran::NotRun,
+            ErrorCode::KeyInProgress,
+            RunStatus::NotRun,
         ),
         (
             "it waits until it can no longer meet its deadline",
@@ -219,8 +225,8 @@
                 r.advance(31_000);
                 request
             },
-            Code::Overloaded,
-            Ran::NotRun,
+            ErrorCode::Overloaded,
+            RunStatus::NotRun,
         ),
         (
             "deadline before the agent reported a start",
@@ -235,8 +241,8 @@
                 assert_eq!((r.revokes(&run), r.cancels(&run)), (1, 1));
                 request
             },
-            Code::DeadlineWhileRunning,
-            Ran::Unknown,
+            ErrorCode::DeadlineWhileRunning,
+            RunStatus::Unknown,
         ),
         (
             "deadline while it runs",
@@ -251,8 +257,8 @@
                 r.advance(1_600);
                 request
             },
-            Code::DeadlineWhileRunning,
-            Ran::Ran,
+            ErrorCode::DeadlineWhileRunning,
+            RunStatus::Ran,
         ),
         (
             "it waits again after it ran",
@@ -262,12 +268,12 @@
                 r.started(&run);
                 r.agents.get_mut("a1").expect("known").running = 9;
                 r.send_heartbeat("a1");
-                r.fail(&run, Code::UpstreamLost, Ran::Ran);
+                r.fail(&run, ErrorCode::UpstreamLost, RunStatus::Ran);
                 r.advance(31_000);
                 request
             },
-            Code::UpstreamLost,
-            Ran::Ran,
+            ErrorCode::UpstreamLost,
+            RunStatus::Ran,
         ),
     ];
     for (name, steps, code, ran) in rows {
@@ -295,13 +301,13 @@
         let request = rig.request_model("m1");
         if index % 2 == 0 {
             let run = rig.run(request);
-            rig.refuse(&run, Code::GateFull);
+            rig.refuse(&run, ErrorCode::GateFull);
             refused_by_gate += 1;
         }
         for _ in 0..10 {
             let run = rig.run(request);
             rig.started(&run);
-            rig.fail(&run, Code::UpstreamFault, Ran::Ran);
+            rig.fail(&run, ErrorCode::UpstreamFault, RunStatus::Ran);
             let resent = rig.run(request).id() != run.id();
             if !resent && rig.refusals(request).is_empty() {
                 rig.advance(150);
@@ -326,12 +332,12 @@
     let second = rig.call_orders();
     let (run1, run2) = (rig.run(first), rig.run(second));
     assert_eq!(run1.run.idempotency_key, run2.run.idempotency_key);
-    rig.refuse(&run2, Code::KeyInProgress);
+    rig.refuse(&run2, ErrorCode::KeyInProgress);
     rig.started(&run1);
     rig.part(&run1, 0, 4);
     rig.end(&run1, 4);
     assert_eq!(rig.finished(first), Some(4));
-    assert_eq!(rig.refusal(second).code, Code::KeyInProgress);
+    assert_eq!(rig.refusal(second).code, ErrorCode::KeyInProgress);
 }
 
 /// The first call with a key is in progress at a frozen agent, and its caller retries
@@ -350,15 +356,18 @@
         }
         let body = frame::Body::End(End {
             attempt: run.run.attempt,
-            code: Code::KeyInProgress.number(),
-            ran: Ran::Unknown.number(),
+            code: ErrorCode::KeyInProgress.number(),
+            ran: RunStatus::Unknown.number(),
             retry_after_ms: 1_000,
             ..End::default()
         });
         rig.frame(&run.agent, body);
         let refusal = rig.refusal(request);
         let reported = (refusal.code, refusal.ran, refusal.retry_after_ms);
-        assert_eq!(reported, (Code::KeyInProgress, Ran::Unknown, Some(1_000)));
+        assert_eq!(
+            reported,
+            (ErrorCode::KeyInProgress, RunStatus::Unknown, Some(1_000))
+        );
         assert_eq!(rig.runs(request).len(), 1);
     }
 }
@@ -383,7 +392,7 @@
             let request = rig.request_model("m1");
             let run = rig.run(request);
             rig.started(&run);
-            rig.fail(&run, Code::AnswerBroken, Ran::Ran);
+            rig.fail(&run, ErrorCode::AnswerBroken, RunStatus::Ran);
             rig.advance(100);
             again += rig.runs(request).len() - 1;
             if rig.refusals(request).is_empty() {
--- a/crates/role/tests/entry/rig/agents.rs
+++ b/crates/role/tests/entry/rig/agents.rs
@@ -98,7 +98,7 @@
         self.frame(&run.agent, body);
     }
 
-    pub fn refuse(&mut self, run: &SentRun, code: Code) {
+    pub fn refuse(&mut self, run: &SentRun, code: ErrorCode) {
         let body = frame::Body::Refused(link::Refused {
             attempt: run.run.attempt,
             code: code.number(),
@@ -120,14 +120,14 @@
     pub fn end(&mut self, run: &SentRun, total_units: u64) {
         let body = frame::Body::End(link::End {
             attempt: run.run.attempt,
-            ran: Ran::Ran.number(),
+            ran: RunStatus::Ran.number(),
             total_units,
             ..link::End::default()
         });
         self.frame(&run.agent, body);
     }
 
-    pub fn fail(&mut self, run: &SentRun, code: Code, ran: Ran) {
+    pub fn fail(&mut self, run: &SentRun, code: ErrorCode, ran: RunStatus) {
         let body = frame::Body::End(link::End {
             attempt: run.run.attempt,
             code: code.number(),
@@ -140,8 +140,8 @@
     pub fn crash(&mut self, run: &SentRun, fingerprints: &[u64]) {
         let body = frame::Body::End(link::End {
             attempt: run.run.attempt,
-            code: Code::UpstreamLost.number(),
-            ran: Ran::Ran.number(),
+            code: ErrorCode::UpstreamLost.number(),
+            ran: RunStatus::Ran.number(),
             upstream_crashed: true,
             crash_fingerprints: fingerprints.to_vec(),
             ..link::End::default()
@@ -149,7 +149,7 @@
         self.frame(&run.agent, body);
     }
 
-    pub fn revoked(&mut self, run: &SentRun, ran: Ran) {
+    pub fn revoked(&mut self, run: &SentRun, ran: RunStatus) {
         let body = frame::Body::Revoked(link::Revoked {
             attempt: run.run.attempt,
             ran: ran.number(),
--- a/crates/role/tests/entry/rig/mod.rs
+++ b/crates/role/tests/entry/rig/mod.rs
@@ -10,7 +10,7 @@
 pub use settings::{document, options};
 
 use base::prelude::*;
-use base::{PlatformAnswer, PlatformOp, PlatformResult, Version};
+use base::{ObjectVersion, PlatformOp, PlatformResponse, PlatformResult};
 use role::entry::{EntryAction, EntryEvent, EntryOptions, EntryRole};
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -78,9 +78,12 @@
             _ => false,
         });
         for id in watches.map(|call| call.id).collect::<Vec<_>>() {
-            let changes = vec![(key.to_owned(), Version(2), value.to_vec())];
-            let result = PlatformResult::Objects(changes, Version(2));
-            self.handle(EntryEvent::PlatformAnswered(PlatformAnswer { id, result }));
+            let changes = vec![(key.to_owned(), ObjectVersion(2), value.to_vec())];
+            let result = PlatformResult::Objects(changes, ObjectVersion(2));
+            self.handle(EntryEvent::PlatformAnswered(PlatformResponse {
+                id,
+                result,
+            }));
         }
     }
 
@@ -96,22 +99,24 @@
             if let EntryAction::CallPlatform(call) = action {
                 let id = call.id;
                 let result = match (&call.op, self.platform_away) {
-                    (_, true) => PlatformResult::Away,
+                    (_, true) => PlatformResult::Unavailable,
                     (PlatformOp::Read { .. }, _) if self.hold_reads => continue,
                     (PlatformOp::Read { key }, _) => {
                         let object = self.objects.get(key);
-                        PlatformResult::Object(object.map(|v| (Version(1), v.clone())))
+                        PlatformResult::Object(
+                            object.map(|v| (ObjectVersion(1), v.clone())),
+                        )
                     }
                     (PlatformOp::List { prefix }, _) => self.list(prefix),
                     (PlatformOp::Write { .. }, _) => {
-                        PlatformResult::Written(Version(1))
+                        PlatformResult::Written(ObjectVersion(1))
                     }
                     (PlatformOp::Delete { .. }, _) => {
-                        PlatformResult::Written(Version(2))
+                        PlatformResult::Written(ObjectVersion(2))
                     }
                     (PlatformOp::Watch { .. }, _) => continue,
                 };
-                self.handle(EntryEvent::PlatformAnswered(PlatformAnswer {
+                self.handle(EntryEvent::PlatformAnswered(PlatformResponse {
                     id,
                     result,
                 }));
@@ -125,8 +130,8 @@
             .iter()
             .filter(|(key, _)| key.starts_with(prefix));
         let objects =
-            objects.map(|(key, value)| (key.clone(), Version(1), value.clone()));
-        PlatformResult::Objects(objects.collect(), Version(1))
+            objects.map(|(key, value)| (key.clone(), ObjectVersion(1), value.clone()));
+        PlatformResult::Objects(objects.collect(), ObjectVersion(1))
     }
 
     /// Advances the time, with ticks when they are due and heartbeats of all agents that
--- a/crates/role/tests/entry/rig/observed.rs
+++ b/crates/role/tests/entry/rig/observed.rs
@@ -29,7 +29,7 @@
         self.runs(request).pop().expect("the request was sent")
     }
 
-    pub fn refusals(&self, request: RequestId) -> Vec<Refusal> {
+    pub fn refusals(&self, request: RequestId) -> Vec<RequestError> {
         let refused = self.actions.iter().filter_map(|action| match action {
             EntryAction::Refuse {
                 request: of,
@@ -40,7 +40,7 @@
         refused.collect()
     }
 
-    pub fn refusal(&self, request: RequestId) -> Refusal {
+    pub fn refusal(&self, request: RequestId) -> RequestError {
         let refusals = self.refusals(request);
         assert_eq!(refusals.len(), 1, "one refusal of {request}: {refusals:?}");
         refusals[0]
--- a/crates/role/tests/entry/rig/settings.rs
+++ b/crates/role/tests/entry/rig/settings.rs
@@ -37,7 +37,7 @@
     EntryOptions {
         id: EntryId::new(id),
         incarnation: Incarnation(incarnation),
-        failure_domain: DomainId::new("d1"),
+        failure_domain: FailureDomainId::new("d1"),
         link_address: format!("10.0.0.1:{incarnation}"),
         operator_address: String::new(),
         peers: Vec::new(),
--- a/crates/role/tests/entry/suspects.rs
+++ b/crates/role/tests/entry/suspects.rs
@@ -23,8 +23,8 @@
     rig.started(&run);
     let body = frame::Body::End(End {
         attempt: run.run.attempt,
-        code: Code::UpstreamLost.number(),
-        ran: Ran::Ran.number(),
+        code: ErrorCode::UpstreamLost.number(),
+        ran: RunStatus::Ran.number(),
         upstream_crashed: true,
         crash_fingerprints: vec![run.run.fingerprint],
         upstream_incarnation,
@@ -80,10 +80,16 @@
     assert_ne!(first, second);
     let convicted = events(&rig, EventKind::RequestConvicted);
     assert_eq!(convicted.len(), 1);
-    assert_eq!(convicted[0].code, Code::Convicted.number());
+    assert_eq!(
+        convicted[0].code,
+        ErrorCode::RequestCrashedUpstreams.number()
+    );
     assert_eq!(convicted[0].peer, second);
     assert_eq!(events(&rig, EventKind::RequestSuspected).len(), 1);
-    assert_eq!(rig.refusal(request).code, Code::Convicted);
+    assert_eq!(
+        rig.refusal(request).code,
+        ErrorCode::RequestCrashedUpstreams
+    );
 }
 
 /// When gossip of another entry convicts a suspect request, a waiting copy is refused at
@@ -119,12 +125,18 @@
         });
     }
     let refusal = rig.refusal(request);
-    assert_eq!((refusal.code, refusal.ran), (Code::Convicted, Ran::Ran));
+    assert_eq!(
+        (refusal.code, refusal.ran),
+        (ErrorCode::RequestCrashedUpstreams, RunStatus::Ran)
+    );
     assert!(refusal.retry_after_ms.is_some());
     assert_eq!(events(&rig, EventKind::RequestConvicted).len(), 1);
     let later = send_poison(&mut rig);
     let refusal = rig.refusal(later);
-    assert_eq!((refusal.code, refusal.ran), (Code::Convicted, Ran::NotRun));
+    assert_eq!(
+        (refusal.code, refusal.ran),
+        (ErrorCode::RequestCrashedUpstreams, RunStatus::NotRun)
+    );
 }
 
 /// A crash right after a gossip message is still gossiped within 20 ms. Until then the
--- a/crates/role/tests/entry/waiting.rs
+++ b/crates/role/tests/entry/waiting.rs
@@ -53,11 +53,14 @@
         batch_request(&mut rig),
         batch_request(&mut rig),
     );
-    assert_eq!(rig.refusal(third).code, Code::QueueFull);
+    assert_eq!(rig.refusal(third).code, ErrorCode::QueueFull);
     let urgent = rig.request_model("m1");
     assert!(rig.refusals(urgent).is_empty() && rig.refusals(first).is_empty());
     let refusal = rig.refusal(second);
-    assert_eq!((refusal.code, refusal.ran), (Code::QueueFull, Ran::NotRun));
+    assert_eq!(
+        (refusal.code, refusal.ran),
+        (ErrorCode::QueueFull, RunStatus::NotRun)
+    );
     assert!(refusal.retry_after_ms.is_some());
     assert_eq!(rig.role.counters().waiting, 2);
 }
@@ -101,7 +104,7 @@
         match rig.refusals(*request).as_slice() {
             [] => {}
             [refusal] => {
-                assert_eq!(refusal.ran, Ran::NotRun);
+                assert_eq!(refusal.ran, RunStatus::NotRun);
                 assert!(refusal.retry_after_ms.is_some());
             }
             more => panic!("refused {} times", more.len()),
@@ -149,6 +152,6 @@
     incoming.deadline_ms = Some(300);
     let request = rig.submit(incoming);
     let refusal = rig.refusal(request);
-    assert_eq!(refusal.code, Code::ModelUnavailable);
+    assert_eq!(refusal.code, ErrorCode::ModelUnavailable);
     assert!(refusal.retry_after_ms.is_some_and(|ms| ms > 0));
 }
--- a/crates/role/tests/entry/watchers.rs
+++ b/crates/role/tests/entry/watchers.rs
@@ -2,7 +2,7 @@
 
 use crate::rig::{Rig, entry_peer};
 use base::prelude::*;
-use base::{PlatformAnswer, PlatformOp, PlatformResult, Version};
+use base::{ObjectVersion, PlatformOp, PlatformResponse, PlatformResult};
 use role::entry::{EntryAction, EntryEvent};
 use schema::link::{Gossip, frame};
 
@@ -34,8 +34,11 @@
     let ids = open_watches(rig);
     rig.clear();
     for id in ids {
-        let result = PlatformResult::Objects(Vec::new(), Version(1));
-        rig.handle(EntryEvent::PlatformAnswered(PlatformAnswer { id, result }));
+        let result = PlatformResult::Objects(Vec::new(), ObjectVersion(1));
+        rig.handle(EntryEvent::PlatformAnswered(PlatformResponse {
+            id,
+            result,
+        }));
     }
 }
 
--- a/crates/route/benches/choose.rs
+++ b/crates/route/benches/choose.rs
@@ -12,7 +12,7 @@
 /// Number of choices in the plain measurement.
 const PLAIN_CHOICES: u32 = 200_000;
 
-fn holders<'a>(agents: &'a [AgentId], domain: &'a DomainId) -> Vec<Holder<'a>> {
+fn holders<'a>(agents: &'a [AgentId], domain: &'a FailureDomainId) -> Vec<Holder<'a>> {
     let agents = agents.iter().enumerate();
     let holder = |(index, agent)| Holder {
         agent,
@@ -29,7 +29,7 @@
 }
 
 fn measure(criterion: &mut Criterion) {
-    let domain = DomainId::new("d0");
+    let domain = FailureDomainId::new("d0");
     for count in COUNTS {
         let agents: Vec<AgentId> = (0..count)
             .map(|n| AgentId::new(&format!("agent-{n}")))
--- a/crates/route/benches/policy/routing.rs
+++ b/crates/route/benches/policy/routing.rs
@@ -100,7 +100,7 @@
 struct Pool {
     setting: Setting,
     agents: Vec<AgentId>,
-    domains: Vec<DomainId>,
+    domains: Vec<FailureDomainId>,
     engines: Vec<Engine>,
     reports: Vec<LoadReport>,
     events: Events<Event>,
@@ -129,7 +129,7 @@
                 .map(|n| AgentId::new(&format!("a{n}")))
                 .collect(),
             domains: (0..ENTRIES)
-                .map(|n| DomainId::new(&format!("d{n}")))
+                .map(|n| FailureDomainId::new(&format!("d{n}")))
                 .collect(),
             engines: (0..HOLDERS).map(engine).collect(),
             reports: vec![LoadReport::default(); HOLDERS],
--- a/crates/route/src/admission.rs
+++ b/crates/route/src/admission.rs
@@ -53,7 +53,7 @@
         predicted_ms: u64,
     },
     /// The request can't be in time.
-    Refuse(Refusal),
+    Refuse(RequestError),
 }
 
 /// Predicts whether a request can meet its deadline and, if it is interactive, its
@@ -70,7 +70,7 @@
     let wait_ms = wait_for_slot_ms(input);
     let late_ms = lateness_ms(input, wait_ms);
     if late_ms > 0 {
-        return refuse(Code::Overloaded, late_ms);
+        return refuse(ErrorCode::Overloaded, late_ms);
     }
     if wait_ms == 0 {
         return Admission::Send;
@@ -82,10 +82,10 @@
 
 fn admit_without_holder(input: &AdmissionInput) -> Admission {
     let Some(load_wait_ms) = input.load_wait_ms else {
-        return refuse(Code::ModelUnavailable, RETRY_AFTER_DEFAULT_MS);
+        return refuse(ErrorCode::ModelUnavailable, RETRY_AFTER_DEFAULT_MS);
     };
     if load_wait_ms.saturating_add(input.answer_time_ms) > input.remaining_ms {
-        return refuse(Code::ModelUnavailable, load_wait_ms);
+        return refuse(ErrorCode::ModelUnavailable, load_wait_ms);
     }
     Admission::Wait {
         predicted_ms: load_wait_ms,
@@ -122,7 +122,7 @@
         .max(1)
 }
 
-fn refuse(code: Code, retry_after_ms: u64) -> Admission {
+fn refuse(code: ErrorCode, retry_after_ms: u64) -> Admission {
     let retry_after_ms = retry_after_ms.max(RETRY_AFTER_MIN_MS);
-    Admission::Refuse(Refusal::not_run(code).retry_after_ms(retry_after_ms))
+    Admission::Refuse(RequestError::not_run(code).retry_after_ms(retry_after_ms))
 }
--- a/crates/route/src/choose.rs
+++ b/crates/route/src/choose.rs
@@ -38,7 +38,7 @@
     /// Name of the agent.
     pub agent: &'a AgentId,
     /// Failure domain of the agent.
-    pub domain: &'a DomainId,
+    pub domain: &'a FailureDomainId,
     /// Number of requests running at the time of the last load report.
     pub running: u32,
     /// Number of requests waiting at the upstream at the time of the last load
@@ -63,7 +63,7 @@
     /// Hash of the prompt's prefix; 0 for none.
     pub prefix_hash: u64,
     /// Failure domain of this entry.
-    pub domain: &'a DomainId,
+    pub domain: &'a FailureDomainId,
     /// Agents that the request has already been sent to.
     pub excluded: &'a [AgentId],
 }
--- a/crates/route/tests/all/admission.rs
+++ b/crates/route/tests/all/admission.rs
@@ -17,8 +17,8 @@
     }
 }
 
-fn refused(code: Code, ms: u64) -> Admission {
-    Admission::Refuse(Refusal::not_run(code).retry_after_ms(ms))
+fn refused(code: ErrorCode, ms: u64) -> Admission {
+    Admission::Refuse(RequestError::not_run(code).retry_after_ms(ms))
 }
 
 /// The decision follows from the state of the fleet and the request's deadline.
@@ -56,7 +56,7 @@
                 queued_ahead: 5,
                 ..input()
             },
-            refused(Code::Overloaded, 100),
+            refused(ErrorCode::Overloaded, 100),
         ),
         (
             "the first token would be late",
@@ -64,7 +64,7 @@
                 queued_ahead: 19,
                 ..input()
             },
-            refused(Code::Overloaded, 1_500),
+            refused(ErrorCode::Overloaded, 1_500),
         ),
         (
             "no first token is expected",
@@ -91,7 +91,7 @@
                 first_token_ms: 0,
                 ..input()
             },
-            refused(Code::Overloaded, 2_000),
+            refused(ErrorCode::Overloaded, 2_000),
         ),
         (
             "late even without waiting",
@@ -100,7 +100,7 @@
                 answer_time_ms: 9_000,
                 ..input()
             },
-            refused(Code::Overloaded, 1_000),
+            refused(ErrorCode::Overloaded, 1_000),
         ),
         (
             "no holder, and no predicted load",
@@ -108,7 +108,7 @@
                 holders: 0,
                 ..input()
             },
-            refused(Code::ModelUnavailable, 5_000),
+            refused(ErrorCode::ModelUnavailable, 5_000),
         ),
         (
             "a predicted load in time",
@@ -126,7 +126,7 @@
                 load_wait_ms: Some(6_001),
                 ..input()
             },
-            refused(Code::ModelUnavailable, 6_001),
+            refused(ErrorCode::ModelUnavailable, 6_001),
         ),
         (
             "a load that never ends",
@@ -135,7 +135,7 @@
                 load_wait_ms: Some(u64::MAX),
                 ..input()
             },
-            refused(Code::ModelUnavailable, u64::MAX),
+            refused(ErrorCode::ModelUnavailable, u64::MAX),
         ),
         (
             "out-of-range numbers",
@@ -146,7 +146,7 @@
                 answer_time_ms: u64::MAX,
                 ..input()
             },
-            refused(Code::Overloaded, u64::MAX - 8_000),
+            refused(ErrorCode::Overloaded, u64::MAX - 8_000),
         ),
     ];
     for (name, input, expected) in cases {
--- a/crates/route/tests/all/choice.rs
+++ b/crates/route/tests/all/choice.rs
@@ -6,16 +6,16 @@
 /// Owns the names that holders borrow.
 struct Ids {
     agents: Vec<AgentId>,
-    here: DomainId,
-    there: DomainId,
+    here: FailureDomainId,
+    there: FailureDomainId,
 }
 
 impl Ids {
     fn new(count: usize) -> Self {
         Self {
             agents: (0..count).map(|n| AgentId::new(&format!("a{n}"))).collect(),
-            here: DomainId::new("here"),
-            there: DomainId::new("there"),
+            here: FailureDomainId::new("here"),
+            there: FailureDomainId::new("there"),
         }
     }
 
--- a/crates/scenario/src/parse/value.rs
+++ b/crates/scenario/src/parse/value.rs
@@ -1,6 +1,6 @@
 //! Reads words as times, numbers and bounds.
 
-use base::{Instant, Ran};
+use base::{Instant, RunStatus};
 
 use super::ScriptError;
 use super::line::{Word, Words};
@@ -68,8 +68,8 @@
     }
 }
 
-pub(super) fn ran(words: &Words<'_>, word: Word<'_>) -> Result<Ran, ScriptError> {
-    [Ran::NotRun, Ran::Ran, Ran::Unknown]
+pub(super) fn ran(words: &Words<'_>, word: Word<'_>) -> Result<RunStatus, ScriptError> {
+    [RunStatus::NotRun, RunStatus::Ran, RunStatus::Unknown]
         .into_iter()
         .find(|ran| ran.as_str() == word.text)
         .ok_or_else(|| words.error(word, "not `not_run`, `ran` or `unknown`"))
--- a/crates/scenario/src/parse/verb.rs
+++ b/crates/scenario/src/parse/verb.rs
@@ -273,7 +273,9 @@
     let request = name(words)?;
     let code = words.named("code");
     if let Some(word) = code {
-        let known = base::Code::ALL.iter().any(|code| code.name() == word.text);
+        let known = base::ErrorCode::ALL
+            .iter()
+            .any(|code| code.name() == word.text);
         if !known {
             return Err(words.error(word, "no such code"));
         }
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -1,6 +1,6 @@
 //! A parsed script.
 
-use base::{Instant, Ran};
+use base::{Instant, RunStatus};
 use schema::settings::Fleet;
 
 /// A deployment, the faults that befall it and what must be seen.
@@ -249,7 +249,7 @@
         /// Name of the code, if stated.
         code: Option<String>,
         /// What it said about having run, if stated.
-        ran: Option<Ran>,
+        ran: Option<RunStatus>,
     },
     /// The request got its final answer, whole or not.
     Final {
--- a/crates/scenario/src/world/caller.rs
+++ b/crates/scenario/src/world/caller.rs
@@ -39,7 +39,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum End {
     Whole,
-    Refused(Refusal),
+    Refused(RequestError),
     /// The connection to the entry broke.
     Broken,
     /// The caller went away itself.
--- a/crates/scenario/src/world/check.rs
+++ b/crates/scenario/src/world/check.rs
@@ -173,7 +173,7 @@
         broken.push(format!("{name} ended cleanly with `{}`", sent.received));
     }
     if let Some(End::Refused(refusal)) = sent.end
-        && refusal.ran == Ran::NotRun
+        && refusal.ran == RunStatus::NotRun
         && sent.runs > 0
     {
         broken.push(format!("{name} was refused as not run and ran"));
--- a/crates/scenario/src/world/mod.rs
+++ b/crates/scenario/src/world/mod.rs
@@ -116,7 +116,7 @@
                 start,
                 call,
             } => self.platform_call(process, start, call),
-            Happening::PlatformAnswer {
+            Happening::PlatformResponse {
                 process,
                 start,
                 answer,
--- a/crates/scenario/src/world/platform.rs
+++ b/crates/scenario/src/world/platform.rs
@@ -1,7 +1,10 @@
 //! A fake of the platform's object API.
 
 use base::prelude::*;
-use base::{Expect, PlatformAnswer, PlatformCall, PlatformOp, PlatformResult, Version};
+use base::{
+    ObjectVersion, PlatformCall, PlatformOp, PlatformResponse, PlatformResult,
+    Precondition,
+};
 use schema::settings::Fleet;
 use std::collections::BTreeMap;
 
@@ -35,9 +38,9 @@
 
 #[derive(Debug)]
 struct Object {
-    version: Version,
+    version: ObjectVersion,
     value: Option<Vec<u8>>,
-    before: Option<(Version, Vec<u8>)>,
+    before: Option<(ObjectVersion, Vec<u8>)>,
 }
 
 #[derive(Debug)]
@@ -46,7 +49,7 @@
     start: Start,
     call: u64,
     prefix: String,
-    after: Version,
+    after: ObjectVersion,
 }
 
 impl FakePlatform {
@@ -67,9 +70,9 @@
         platform
     }
 
-    fn put(&mut self, key: &str, value: Option<Vec<u8>>) -> Version {
+    fn put(&mut self, key: &str, value: Option<Vec<u8>>) -> ObjectVersion {
         self.version += 1;
-        let version = Version(self.version);
+        let version = ObjectVersion(self.version);
         let before = self.objects.remove(key);
         let before = before.and_then(|old| Some((old.version, old.value?)));
         let object = Object {
@@ -81,15 +84,15 @@
         version
     }
 
-    fn holds(&self, key: &str, expect: Expect) -> bool {
+    fn holds(&self, key: &str, precondition: Precondition) -> bool {
         let present = self
             .objects
             .get(key)
             .filter(|object| object.value.is_some());
-        match expect {
-            Expect::Any => true,
-            Expect::Absent => present.is_none(),
-            Expect::Version(version) => {
+        match precondition {
+            Precondition::Any => true,
+            Precondition::Absent => present.is_none(),
+            Precondition::Version(version) => {
                 present.is_some_and(|object| object.version == version)
             }
         }
@@ -107,11 +110,11 @@
         PlatformResult::Object(value.map(|value| (object.version, value)))
     }
 
-    fn list(&mut self, prefix: &str, after: Version) -> PlatformResult {
+    fn list(&mut self, prefix: &str, after: ObjectVersion) -> PlatformResult {
         let objects = self.objects.iter();
         let within = objects
             .filter(|(key, object)| key.starts_with(prefix) && object.version > after);
-        let watching = after > Version(0);
+        let watching = after > ObjectVersion(0);
         let found = within.filter_map(|(key, object)| match &object.value {
             Some(value) => Some((key.clone(), object.version, value.clone())),
             // A watch tells of a deletion by an empty value.
@@ -123,18 +126,23 @@
             self.old_reads -= 1;
             found.pop();
         }
-        PlatformResult::Objects(found, Version(self.version))
+        PlatformResult::Objects(found, ObjectVersion(self.version))
     }
 
-    fn news(&self, prefix: &str, after: Version) -> bool {
+    fn news(&self, prefix: &str, after: ObjectVersion) -> bool {
         let mut objects = self.objects.iter();
         !self.miss_watches
             && objects
                 .any(|(key, object)| key.starts_with(prefix) && object.version > after)
     }
 
-    fn write(&mut self, key: &str, expect: Expect, value: Option<Vec<u8>>) -> Effect {
-        if !self.holds(key, expect) {
+    fn write(
+        &mut self,
+        key: &str,
+        precondition: Precondition,
+        value: Option<Vec<u8>>,
+    ) -> Effect {
+        if !self.holds(key, precondition) {
             return Effect::answered(PlatformResult::Conflict);
         }
         let version = self.put(key, value);
@@ -176,7 +184,7 @@
             let result = if Self::is_write(&call.op) {
                 PlatformResult::Unanswered
             } else {
-                PlatformResult::Away
+                PlatformResult::Unavailable
             };
             self.answer_platform(process, start, call.id, result, CUT_TIMEOUT_MS);
             return;
@@ -203,10 +211,10 @@
         result: PlatformResult,
         after_ms: u64,
     ) {
-        let happening = Happening::PlatformAnswer {
+        let happening = Happening::PlatformResponse {
             process: process.to_owned(),
             start,
-            answer: PlatformAnswer { id, result },
+            answer: PlatformResponse { id, result },
         };
         self.queue.add(self.now.plus_ms(after_ms), happening);
     }
@@ -220,20 +228,22 @@
     ) {
         let delay_ms = self.platform.delay_ms;
         if self.platform.away {
-            let result = PlatformResult::Away;
+            let result = PlatformResult::Unavailable;
             self.answer_platform(&process, start, call.id, result, delay_ms);
             return;
         }
         let effect = match call.op {
             PlatformOp::Read { key } => Effect::answered(self.platform.read(&key)),
             PlatformOp::List { prefix } => {
-                Effect::answered(self.platform.list(&prefix, Version(0)))
-            }
-            PlatformOp::Write { key, expect, value } => {
-                self.platform.write(&key, expect, Some(value))
+                Effect::answered(self.platform.list(&prefix, ObjectVersion(0)))
             }
-            PlatformOp::Delete { key, expect } => {
-                self.platform.write(&key, expect, None)
+            PlatformOp::Write {
+                key,
+                precondition,
+                value,
+            } => self.platform.write(&key, precondition, Some(value)),
+            PlatformOp::Delete { key, precondition } => {
+                self.platform.write(&key, precondition, None)
             }
             PlatformOp::Watch { prefix, after } => {
                 let waiting = Waiting {
@@ -283,9 +293,9 @@
             return;
         };
         let result = if self.platform.away {
-            PlatformResult::Away
+            PlatformResult::Unavailable
         } else if self.platform.miss_watches {
-            PlatformResult::Objects(Vec::new(), Version(self.platform.version))
+            PlatformResult::Objects(Vec::new(), ObjectVersion(self.platform.version))
         } else {
             self.platform.list(&waiting.prefix, waiting.after)
         };
@@ -326,7 +336,7 @@
     /// An operator creates a revision, if nobody was first.
     pub(crate) fn publish(&mut self, revision: u64, patch: &str) {
         let key = conf::revision_key(Revision(revision));
-        let taken = !self.platform.holds(&key, Expect::Absent);
+        let taken = !self.platform.holds(&key, Precondition::Absent);
         if self.platform.away || taken {
             self.log("operator", &format!("revision {revision} is refused"));
             return;
--- a/crates/scenario/src/world/process/deliver.rs
+++ b/crates/scenario/src/world/process/deliver.rs
@@ -1,6 +1,6 @@
 //! Giving processes their events, and keeping those of frozen ones.
 
-use base::PlatformAnswer;
+use base::PlatformResponse;
 use base::prelude::*;
 use role::agent::{AgentAction, AgentEvent, AgentRole};
 use role::entry::{EntryAction, EntryEvent, EntryRole};
@@ -151,13 +151,13 @@
         &mut self,
         process: &str,
         start: Start,
-        answer: PlatformAnswer,
+        answer: PlatformResponse,
     ) {
         let process = &self.current_name(process, start);
         match self.runs(process, start) {
             Running::Gone => {}
             Running::Frozen => {
-                let happening = Happening::PlatformAnswer {
+                let happening = Happening::PlatformResponse {
                     process: process.clone(),
                     start,
                     answer,
--- a/crates/scenario/src/world/process/mod.rs
+++ b/crates/scenario/src/world/process/mod.rs
@@ -64,7 +64,7 @@
         let options = EntryOptions {
             id: EntryId::new(name),
             incarnation: Incarnation(start.0),
-            failure_domain: DomainId::new(&decl.domain),
+            failure_domain: FailureDomainId::new(&decl.domain),
             link_address: address.clone(),
             operator_address: format!("{address}/op"),
             peers: peers.collect(),
@@ -104,7 +104,7 @@
         let options = AgentOptions {
             id: AgentId::new(instance),
             incarnation: Incarnation(start.0),
-            failure_domain: DomainId::new(&decl.domain),
+            failure_domain: FailureDomainId::new(&decl.domain),
             pool: PoolId::new(&decl.pool),
             link_address: address.clone(),
             operator_address: format!("{address}/op"),
@@ -275,7 +275,7 @@
 fn renamed(mut happening: Happening, name: &str) -> Happening {
     match &mut happening {
         Happening::Tick { process, .. }
-        | Happening::PlatformAnswer { process, .. }
+        | Happening::PlatformResponse { process, .. }
         | Happening::Agent { process, .. } => *process = name.to_owned(),
         Happening::Passage { to, .. } => *to = name.to_owned(),
         _ => {}
--- a/crates/scenario/src/world/queue.rs
+++ b/crates/scenario/src/world/queue.rs
@@ -1,7 +1,7 @@
 //! What is going to happen, in order.
 
 use base::prelude::*;
-use base::{PlatformAnswer, PlatformCall};
+use base::{PlatformCall, PlatformResponse};
 use role::Peer;
 use role::agent::{AgentEvent, Order};
 use schema::link::{Run, frame};
@@ -35,10 +35,10 @@
         start: Start,
         call: PlatformCall,
     },
-    PlatformAnswer {
+    PlatformResponse {
         process: String,
         start: Start,
-        answer: PlatformAnswer,
+        answer: PlatformResponse,
     },
     WatchEnd {
         id: u64,
--- a/crates/scenario/src/world/upstream/mod.rs
+++ b/crates/scenario/src/world/upstream/mod.rs
@@ -234,7 +234,7 @@
         for running in lost {
             let event = UpstreamEvent::Failed {
                 attempt: running.attempt,
-                ran: Ran::Ran,
+                ran: RunStatus::Ran,
                 status: 0,
                 broken: true,
             };
--- a/crates/scenario/src/world/upstream/serve.rs
+++ b/crates/scenario/src/world/upstream/serve.rs
@@ -30,7 +30,7 @@
         if !upstream.up || !upstream.serves(&run) {
             let event = UpstreamEvent::Failed {
                 attempt,
-                ran: Ran::NotRun,
+                ran: RunStatus::NotRun,
                 status: 503,
                 broken: false,
             };
@@ -52,7 +52,7 @@
             self.log(&instance, &format!("upstream fails attempt {attempt}"));
             let event = UpstreamEvent::Failed {
                 attempt,
-                ran: Ran::Ran,
+                ran: RunStatus::Ran,
                 status: 500,
                 broken: false,
             };
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -1,6 +1,6 @@
 //! Faults of links.
 
-use base::Code;
+use base::ErrorCode;
 use snafu::Snafu;
 use std::io;
 use std::net::SocketAddr;
@@ -27,28 +27,28 @@
     },
     /// The connection broke.
     #[snafu(display("link broke: {source}"))]
-    Broken {
+    Io {
         /// Fault of the operating system.
         source: io::Error,
     },
     /// A frame is larger than the bound.
     #[snafu(display("frame is larger than {max_bytes} bytes"))]
-    TooLarge {
+    FrameTooLarge {
         /// Bound.
         max_bytes: u32,
     },
     /// A frame is not a `link.Frame`.
     #[snafu(display("frame can't be decoded: {source}"))]
-    Malformed {
+    MalformedFrame {
         /// Fault found by the decoder.
         source: prost::DecodeError,
     },
     /// The first frame is not the expected `Hello`, or did not come in time.
     #[snafu(display("no greeting from the far end"))]
-    NoGreeting,
+    HandshakeFailed,
     /// The queue towards the far end is full.
     #[snafu(display("queue of the link is full"))]
-    Full,
+    QueueFull,
     /// The link has ended.
     #[snafu(display("link has ended"))]
     Closed,
@@ -56,16 +56,16 @@
 
 impl WireError {
     /// Numbered code of the fault.
-    pub const fn code(&self) -> Code {
+    pub const fn code(&self) -> ErrorCode {
         match self {
-            Self::Bind { .. } => Code::BadAddress,
-            Self::Connect { .. } | Self::Broken { .. } | Self::Closed => {
-                Code::Unreachable
+            Self::Bind { .. } => ErrorCode::BadAddress,
+            Self::Connect { .. } | Self::Io { .. } | Self::Closed => {
+                ErrorCode::Unreachable
             }
-            Self::TooLarge { .. } | Self::Malformed { .. } | Self::NoGreeting => {
-                Code::BadFrame
-            }
-            Self::Full => Code::QueueFull,
+            Self::FrameTooLarge { .. }
+            | Self::MalformedFrame { .. }
+            | Self::HandshakeFailed => ErrorCode::BadFrame,
+            Self::QueueFull => ErrorCode::QueueFull,
         }
     }
 }
--- a/crates/wire/src/greet.rs
+++ b/crates/wire/src/handshake.rs
@@ -12,7 +12,7 @@
 
 /// A link whose two ends have said who they are.
 #[derive(Debug)]
-pub struct Greeted {
+pub struct EstablishedLink {
     /// What the far end said.
     pub hello: Hello,
     /// The far end's clock, in microseconds since the Unix epoch.
@@ -32,17 +32,17 @@
     ///
     /// The far end sends another frame first, or nothing within five seconds,
     /// or the link ends.
-    pub async fn greet(self, hello: Frame) -> Result<Greeted, WireError> {
+    pub async fn handshake(self, hello: Frame) -> Result<EstablishedLink, WireError> {
         let (sender, mut receiver) = self.split();
         sender.send(hello).await?;
         let frame = timeout(GREETING_TIMEOUT, receiver.recv())
             .await
-            .map_err(|_| WireError::NoGreeting)??
+            .map_err(|_| WireError::HandshakeFailed)??
             .ok_or(WireError::Closed)?;
         let Some(frame::Body::Hello(hello)) = frame.body else {
-            return Err(WireError::NoGreeting);
+            return Err(WireError::HandshakeFailed);
         };
-        Ok(Greeted {
+        Ok(EstablishedLink {
             hello,
             clock_us: frame.clock_us,
             revision: frame.revision,
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -16,20 +16,20 @@
 //!   either side fails, or at [`LinkSender::close`]. No task outlives it.
 
 mod error;
-mod greet;
+mod handshake;
 mod link;
 mod listener;
 mod receiver;
 mod sender;
 
 pub use error::WireError;
-pub use greet::Greeted;
+pub use handshake::EstablishedLink;
 pub use link::{Link, connect};
 pub use listener::Listener;
 pub use receiver::LinkReceiver;
-pub use sender::{LinkSender, Room};
+pub use sender::{LinkSender, SendPermit};
 
 /// Bound on one frame, in bytes, while no configuration is in force.
 ///
 /// It is the default of `limits.frame_max_bytes`.
-pub const FRAME_MAX_BYTES: u32 = 2 << 20;
+pub const DEFAULT_FRAME_MAX_BYTES: u32 = 2 << 20;
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -9,7 +9,7 @@
 use tokio_util::codec::LengthDelimitedCodec;
 use tokio_util::sync::CancellationToken;
 
-use crate::error::{BrokenSnafu, ConnectSnafu};
+use crate::error::{ConnectSnafu, IoSnafu};
 use crate::{LinkReceiver, LinkSender, WireError};
 
 /// Longest wait for a connection. A host that is gone answers nothing, and the
@@ -47,8 +47,8 @@
     ) -> Result<Self, WireError> {
         // Batches are made by the writer task; the kernel's own would hold each
         // token of a stream back until the one before it is acknowledged.
-        stream.set_nodelay(true).context(BrokenSnafu)?;
-        let peer = stream.peer_addr().context(BrokenSnafu)?;
+        stream.set_nodelay(true).context(IoSnafu)?;
+        let peer = stream.peer_addr().context(IoSnafu)?;
         Ok(Self {
             stream,
             peer,
@@ -64,7 +64,7 @@
     /// The same link with another bound on frames, as when a configuration has
     /// come into force since the listener was bound.
     #[must_use]
-    pub const fn bounded(mut self, frame_max_bytes: u32) -> Self {
+    pub const fn with_frame_max_bytes(mut self, frame_max_bytes: u32) -> Self {
         self.frame_max_bytes = frame_max_bytes;
         self
     }
--- a/crates/wire/src/listener.rs
+++ b/crates/wire/src/listener.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use tokio::net::TcpListener;
 
-use crate::error::{BindSnafu, BrokenSnafu};
+use crate::error::{BindSnafu, IoSnafu};
 use crate::{Link, WireError};
 
 /// A listening socket for links.
@@ -39,7 +39,7 @@
     ///
     /// The operating system does not tell.
     pub fn local_addr(&self) -> Result<SocketAddr, WireError> {
-        self.inner.local_addr().context(BrokenSnafu)
+        self.inner.local_addr().context(IoSnafu)
     }
 
     /// Waits for the next link.
@@ -49,7 +49,7 @@
     /// The operating system has no descriptor or memory left; the listener
     /// stays usable, and its caller waits a moment before it tries again.
     pub async fn accept(&self) -> Result<Link, WireError> {
-        let (stream, _) = self.inner.accept().await.context(BrokenSnafu)?;
+        let (stream, _) = self.inner.accept().await.context(IoSnafu)?;
         Link::new(stream, self.frame_max_bytes)
     }
 }
--- a/crates/wire/src/receiver.rs
+++ b/crates/wire/src/receiver.rs
@@ -11,7 +11,7 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::WireError;
-use crate::error::MalformedSnafu;
+use crate::error::MalformedFrameSnafu;
 use crate::link::codec;
 
 /// The receiving half of a link.
@@ -65,15 +65,15 @@
             None => Ok(None),
             Some(Ok(bytes)) => {
                 let frame =
-                    Frame::decode(Bytes::from(bytes)).context(MalformedSnafu)?;
+                    Frame::decode(Bytes::from(bytes)).context(MalformedFrameSnafu)?;
                 Ok(Some(frame))
             }
             Some(Err(fault)) if fault.kind() == io::ErrorKind::InvalidData => {
-                Err(WireError::TooLarge {
+                Err(WireError::FrameTooLarge {
                     max_bytes: self.frame_max_bytes,
                 })
             }
-            Some(Err(source)) => Err(WireError::Broken { source }),
+            Some(Err(source)) => Err(WireError::Io { source }),
         }
     }
 }
--- a/crates/wire/src/sender.rs
+++ b/crates/wire/src/sender.rs
@@ -56,12 +56,12 @@
 
 /// Room in a link's queue, kept for one frame.
 #[derive(Debug)]
-pub struct Room {
+pub struct SendPermit {
     sender: LinkSender,
     share: OwnedSemaphorePermit,
 }
 
-impl Room {
+impl SendPermit {
     /// Queues the frame, without waiting.
     ///
     /// # Errors
@@ -109,7 +109,7 @@
     /// # Errors
     ///
     /// The link has ended.
-    pub async fn reserve(&self, payload_bytes: usize) -> Result<Room, WireError> {
+    pub async fn reserve(&self, payload_bytes: usize) -> Result<SendPermit, WireError> {
         let bytes = u32::try_from(payload_bytes).unwrap_or(u32::MAX);
         let size = bytes.clamp(BULK_SHARE_MIN_BYTES, BULK_BYTES);
         let share = tokio::select! {
@@ -117,7 +117,7 @@
             () = self.ended.cancelled() => return Err(WireError::Closed),
             share = self.bulk.clone().acquire_many_owned(size) => share,
         };
-        Ok(Room {
+        Ok(SendPermit {
             sender: self.clone(),
             share: share.map_err(|_| WireError::Closed)?,
         })
@@ -160,7 +160,7 @@
             .room
             .clone()
             .try_acquire_many_owned(size)
-            .map_err(|_| WireError::Full)?;
+            .map_err(|_| WireError::QueueFull)?;
         self.queue_now(Queued { bytes, share })
     }
 
@@ -196,13 +196,13 @@
 
     fn queue_now(&self, queued: Queued) -> Result<(), WireError> {
         self.queue.try_send(queued).map_err(|fault| match fault {
-            mpsc::error::TrySendError::Full(_) => WireError::Full,
+            mpsc::error::TrySendError::Full(_) => WireError::QueueFull,
             mpsc::error::TrySendError::Closed(_) => WireError::Closed,
         })
     }
 
     fn encode(&self, frame: &Frame) -> Result<(Bytes, u32), WireError> {
-        let too_large = WireError::TooLarge {
+        let too_large = WireError::FrameTooLarge {
             max_bytes: self.frame_max_bytes,
         };
         match u32::try_from(frame.encoded_len()) {
--- a/crates/wire/tests/link.rs
+++ b/crates/wire/tests/link.rs
@@ -1,6 +1,6 @@
 //! Links between two ends on loopback.
 
-use base::Code;
+use base::ErrorCode;
 use prost::Message;
 use schema::link::{ConfigAsk, Frame, Hello, frame};
 use std::net::SocketAddr;
@@ -81,7 +81,7 @@
 struct Fault {
     name: &'static str,
     bytes: Vec<u8>,
-    code: Code,
+    code: ErrorCode,
 }
 
 fn framed(length: u32, body: &[u8]) -> Vec<u8> {
@@ -101,33 +101,33 @@
         Fault {
             name: "length over the bound",
             bytes: framed(FRAME_MAX_BYTES + 1, &[]),
-            code: Code::BadFrame,
+            code: ErrorCode::BadFrame,
         },
         Fault {
             name: "length of four gigabytes",
             bytes: framed(u32::MAX, &[]),
-            code: Code::BadFrame,
+            code: ErrorCode::BadFrame,
         },
         Fault {
             name: "not a message",
             bytes: framed(4, &[0xff; 4]),
-            code: Code::BadFrame,
+            code: ErrorCode::BadFrame,
         },
         Fault {
             name: "field longer than its message",
             bytes: framed(3, &[0x1a, 0x7f, 0x00]),
-            code: Code::BadFrame,
+            code: ErrorCode::BadFrame,
         },
         Fault {
             name: "end within a frame",
             bytes: framed(100, &[0x08]),
-            code: Code::Unreachable,
+            code: ErrorCode::Unreachable,
         },
     ];
     for fault in faults {
         let (sender, mut receiver, mut raw) = with_raw_peer().await;
         raw.write_all(&fault.bytes).await.unwrap();
-        if fault.code == Code::BadFrame {
+        if fault.code == ErrorCode::BadFrame {
             let next = framed(u32::try_from(good.len()).unwrap(), &good);
             raw.write_all(&next).await.unwrap();
         } else {
@@ -149,7 +149,7 @@
     let (_, mut far_receiver) = far.split();
     let large = hello("near", FRAME_MAX_BYTES as usize);
     let seen = sender.send(large).await.expect_err("over the bound");
-    assert_eq!(seen.code(), Code::BadFrame);
+    assert_eq!(seen.code(), ErrorCode::BadFrame);
     sender.send(ask(7)).await.unwrap();
     assert_eq!(far_receiver.recv().await.unwrap(), Some(ask(7)));
 }
@@ -165,7 +165,10 @@
         let (sender, _receiver, _raw) = with_raw_peer().await;
         let sent = (0..FRAMES_MAX).map(|_| sender.try_send(hello("near", bytes)));
         let full = sent.filter_map(Result::err).next();
-        assert!(matches!(full, Some(WireError::Full)), "{bytes}: {full:?}");
+        assert!(
+            matches!(full, Some(WireError::QueueFull)),
+            "{bytes}: {full:?}"
+        );
     }
     let (sender, _receiver, _raw) = with_raw_peer().await;
     tokio::time::pause();
@@ -262,8 +265,10 @@
 #[tokio::test]
 async fn both_ends_learn_who_the_other_is() {
     let (near, far) = pair().await;
-    let (near, far) =
-        tokio::join!(near.greet(hello("near", 0)), far.greet(hello("far", 0)));
+    let (near, far) = tokio::join!(
+        near.handshake(hello("near", 0)),
+        far.handshake(hello("far", 0))
+    );
     assert_eq!(near.unwrap().hello.id, "far");
     assert_eq!(far.unwrap().hello.id, "near");
 }
@@ -279,9 +284,9 @@
             sender.send(frame).await.unwrap();
         }
         tokio::time::pause();
-        let greeted = tokio::time::timeout(HOUR, far.greet(hello("far", 0))).await;
+        let greeted = tokio::time::timeout(HOUR, far.handshake(hello("far", 0))).await;
         let seen = greeted.expect("waits for ever").expect_err("no greeting");
-        assert_eq!(seen.code(), Code::BadFrame);
+        assert_eq!(seen.code(), ErrorCode::BadFrame);
         tokio::time::resume();
     }
 }
@@ -292,8 +297,11 @@
     let taken = TcpListener::bind("127.0.0.18:0").await.unwrap();
     let address = taken.local_addr().unwrap();
     let seen = Listener::bind(address, FRAME_MAX_BYTES).await;
-    assert_eq!(seen.expect_err("taken").code(), Code::BadAddress);
+    assert_eq!(seen.expect_err("taken").code(), ErrorCode::BadAddress);
     drop(taken);
     let seen = connect(address, FRAME_MAX_BYTES).await;
-    assert_eq!(seen.expect_err("nobody there").code(), Code::Unreachable);
+    assert_eq!(
+        seen.expect_err("nobody there").code(),
+        ErrorCode::Unreachable
+    );
 }
--- a/tests/all/docs.rs
+++ b/tests/all/docs.rs
@@ -1,7 +1,7 @@
 //! The book says what the code does: every result code stands in its table,
 //! and the table of contents leads to every page.
 
-use base::Code;
+use base::ErrorCode;
 use libtest_mimic::{Failed, Trial};
 use std::path::{Path, PathBuf};
 
@@ -25,7 +25,7 @@
 
 fn every_code_is_listed() -> Result<(), Failed> {
     let table = std::fs::read_to_string(docs().join("errors.md"))?;
-    for code in Code::ALL {
+    for code in ErrorCode::ALL {
         let row = format!(
             "| {} | `{}` | {} |",
             code.number(),
