--- a/crates/agent/src/node.rs
+++ b/crates/agent/src/node.rs
@@ -163,7 +163,7 @@
     pub(crate) fn is_engine(&self) -> Option<bool> {
         let config = self.config()?;
         let pool = config.pool(self.options.pool.as_str())?;
-        Some(pool.engine)
+        Some(pool.is_engine)
     }
 
     /// Longest time for which an order to the upstream can be under way; `None`
--- a/crates/cap/src/measure/entry_rig.rs
+++ b/crates/cap/src/measure/entry_rig.rs
@@ -233,7 +233,7 @@
 fn answer_to(call: &PlatformCall, document: &[u8]) -> Option<PlatformResult> {
     match &call.op {
         PlatformOp::Read { .. } => Some(PlatformResult::Object(None)),
-        PlatformOp::List { prefix } if prefix == conf::REVISION_PREFIX => {
+        PlatformOp::List { prefix } if prefix == conf::REVISION_KEY_PREFIX => {
             let key = conf::revision_key(Revision(1));
             let held = vec![(key, Version(1), document.to_vec())];
             Some(PlatformResult::Objects(held, Version(1)))
--- a/crates/cap/src/measure/messages.rs
+++ b/crates/cap/src/measure/messages.rs
@@ -76,7 +76,7 @@
         "profiles": {"desk": {"kind": "interactive", "models": names,
             "first_token_ms": 1_400, "between_tokens_ms": 64,
             "deadline_ms": 60_000, "priority": 100, "value": 10.0}},
-        "callers": {"press-desk": {"key_sha256": conf::key_hash(KEY),
+        "callers": {"press-desk": {"key_sha256": conf::sha256_hex(KEY),
             "concurrent_max": 100_000}},
         "weights": {"attainment": 1.0, "move_cost": 1.0,
             "min_residence_ms": 5_000, "wait_max_ms": 60_000},
--- a/crates/conf/src/check.rs
+++ b/crates/conf/src/check.rs
@@ -11,7 +11,9 @@
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-use crate::document::{Fault, Findings, Node, Path, from_text, from_value, keep_known};
+use crate::document::{
+    Diagnostic, Findings, Node, Path, from_text, from_value, keep_known,
+};
 use crate::{defaults, rules};
 
 /// Checks a fleet configuration as an operator writes it.
@@ -22,8 +24,8 @@
 /// # Errors
 ///
 /// All faults of the document in the order of the text, at most
-/// [`FAULTS_MAX`](crate::FAULTS_MAX).
-pub fn check_fleet(text: &str) -> Result<(Fleet, Value), Vec<Fault>> {
+/// [`DIAGNOSTICS_MAX`](crate::DIAGNOSTICS_MAX).
+pub fn check_fleet(text: &str) -> Result<(Fleet, Value), Vec<Diagnostic>> {
     check_text(text, "Fleet", rules::fleet)
 }
 
@@ -32,7 +34,7 @@
 /// # Errors
 ///
 /// All faults of the document, as for [`check_fleet`].
-pub fn check_entry_settings(text: &str) -> Result<EntrySettings, Vec<Fault>> {
+pub fn check_entry_settings(text: &str) -> Result<EntrySettings, Vec<Diagnostic>> {
     let (mut settings, _) = check_text(text, "EntrySettings", rules::entry)?;
     defaults::entry_settings(&mut settings);
     Ok(settings)
@@ -43,7 +45,7 @@
 /// # Errors
 ///
 /// All faults of the document, as for [`check_fleet`].
-pub fn check_agent_settings(text: &str) -> Result<AgentSettings, Vec<Fault>> {
+pub fn check_agent_settings(text: &str) -> Result<AgentSettings, Vec<Diagnostic>> {
     let (mut settings, _) = check_text(text, "AgentSettings", rules::agent)?;
     defaults::agent_settings(&mut settings);
     Ok(settings)
@@ -53,7 +55,7 @@
 ///
 /// The faults carry no line or column. An empty list means that the document
 /// may be published.
-pub fn check_document(value: &Value) -> Vec<Fault> {
+pub fn check_fleet_value(value: &Value) -> Vec<Diagnostic> {
     let mut findings = Findings::without_text();
     let node = from_value(value, &mut findings);
     if let Some(node) = node {
@@ -66,7 +68,7 @@
     text: &str,
     shape: &str,
     rules: fn(&T, &mut Findings<'_>),
-) -> Result<(T, Value), Vec<Fault>> {
+) -> Result<(T, Value), Vec<Diagnostic>> {
     let mut findings = Findings::of_text(text);
     let checked = from_text(text, &mut findings)
         .and_then(|node| check_node(&node, shape, rules, &mut findings));
--- a/crates/conf/src/config.rs
+++ b/crates/conf/src/config.rs
@@ -89,7 +89,7 @@
     /// Name.
     pub id: PoolId,
     /// Whether the upstreams are model engines.
-    pub engine: bool,
+    pub is_engine: bool,
     /// Failure domains the instances are spread over.
     pub failure_domains: Vec<DomainId>,
     /// Number of instances held.
@@ -205,7 +205,7 @@
 }
 
 /// SHA-256 of a caller's key in hexadecimal, as the configuration holds it.
-pub fn key_hash(key: &str) -> String {
+pub fn sha256_hex(key: &str) -> String {
     use std::fmt::Write as _;
     let mut text = String::with_capacity(64);
     for byte in Sha256::digest(key.as_bytes()) {
@@ -275,7 +275,7 @@
 fn pools(fleet: &Fleet) -> BTreeMap<PoolId, PoolSpec> {
     let specs = fleet.pools.iter().map(|(name, pool)| PoolSpec {
         id: PoolId::new(name),
-        engine: pool.kind != "service",
+        is_engine: pool.kind != "service",
         failure_domains: pool
             .failure_domains
             .iter()
--- a/crates/conf/src/document/findings.rs
+++ b/crates/conf/src/document/findings.rs
@@ -3,7 +3,7 @@
 use base::Code;
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::{FAULTS_MAX, Fault, Path};
+use super::{DIAGNOSTICS_MAX, Diagnostic, Path};
 
 /// Collects the faults of one document.
 #[derive(Debug)]
@@ -13,7 +13,7 @@
     places: BTreeMap<String, usize>,
     /// Values already told as faulty.
     broken: BTreeSet<String>,
-    faults: Vec<(usize, Fault)>,
+    faults: Vec<(usize, Diagnostic)>,
 }
 
 impl<'a> Findings<'a> {
@@ -52,7 +52,7 @@
 
     /// Marks a value as faulty, so that nothing more is told of it.
     pub(crate) fn mark_broken(&mut self, path: &Path) {
-        if self.faults.len() < FAULTS_MAX {
+        if self.faults.len() < DIAGNOSTICS_MAX {
             self.broken.insert(path.as_str().to_owned());
         }
     }
@@ -81,11 +81,11 @@
         offset: usize,
         message: impl Into<String>,
     ) {
-        if self.faults.len() >= FAULTS_MAX {
+        if self.faults.len() >= DIAGNOSTICS_MAX {
             return;
         }
         let (line, column) = self.line_and_column(offset);
-        let fault = Fault {
+        let fault = Diagnostic {
             code,
             line,
             column,
@@ -96,7 +96,7 @@
     }
 
     /// All faults in the order of the text.
-    pub(crate) fn into_faults(mut self) -> Vec<Fault> {
+    pub(crate) fn into_faults(mut self) -> Vec<Diagnostic> {
         self.faults.sort_by_key(|(offset, _)| *offset);
         self.faults.into_iter().map(|(_, fault)| fault).collect()
     }
--- a/crates/conf/src/document/mod.rs
+++ b/crates/conf/src/document/mod.rs
@@ -31,11 +31,11 @@
 pub const NAME_MAX_BYTES: usize = 64;
 
 /// Most faults told of one document.
-pub const FAULTS_MAX: usize = 100;
+pub const DIAGNOSTICS_MAX: usize = 100;
 
 /// One fault of a document.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Fault {
+pub struct Diagnostic {
     /// What kind of fault.
     pub code: Code,
     /// Line, counted from 1; 0 for a document that has no text.
@@ -48,7 +48,7 @@
     pub message: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for Diagnostic {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if self.line > 0 {
             write!(f, "{}:{}: ", self.line, self.column)?;
--- a/crates/conf/src/document/shape.rs
+++ b/crates/conf/src/document/shape.rs
@@ -5,7 +5,7 @@
 
 use base::Code;
 use schema::settings::MESSAGES;
-use schema::{FieldKind, FieldShape, Holding, MessageShape};
+use schema::{Cardinality, FieldDescriptor, FieldKind, MessageDescriptor};
 use serde_json::{Map, Value};
 use std::collections::BTreeSet;
 
@@ -64,7 +64,7 @@
 fn tell_unknown(
     member: &Member,
     members: &[Member],
-    shape: &MessageShape,
+    shape: &MessageDescriptor,
     path: &Path,
     findings: &mut Findings<'_>,
 ) {
@@ -99,14 +99,14 @@
 
 fn keep_field(
     node: &Node,
-    field: &FieldShape,
+    field: &FieldDescriptor,
     path: &Path,
     findings: &mut Findings<'_>,
 ) -> Option<Value> {
-    match field.holds {
-        Holding::One => keep_one(node, field.kind, path, findings),
-        Holding::List => keep_list(node, field.kind, path, findings),
-        Holding::Named => keep_named(node, field.kind, path, findings),
+    match field.cardinality {
+        Cardinality::Single => keep_one(node, field.kind, path, findings),
+        Cardinality::List => keep_list(node, field.kind, path, findings),
+        Cardinality::Map => keep_named(node, field.kind, path, findings),
     }
 }
 
@@ -162,16 +162,16 @@
     }
     let (fits, wanted) = match (&node.body, kind) {
         (Body::HugeNumber, _) => return tell_range(path, findings, "any number held"),
-        (Body::Scalar(value), FieldKind::Text) => (value.is_string(), "a string"),
-        (Body::Scalar(value), FieldKind::Flag) => {
+        (Body::Scalar(value), FieldKind::String) => (value.is_string(), "a string"),
+        (Body::Scalar(value), FieldKind::Bool) => {
             (value.is_boolean(), "`true` or `false`")
         }
-        (Body::Scalar(value), FieldKind::Number) => (value.is_number(), "a number"),
+        (Body::Scalar(value), FieldKind::Double) => (value.is_number(), "a number"),
         (Body::Scalar(value), _) => {
             return keep_whole(node, value, kind, path, findings);
         }
-        (_, FieldKind::Text) => (false, "a string"),
-        (_, FieldKind::Flag) => (false, "`true` or `false`"),
+        (_, FieldKind::String) => (false, "a string"),
+        (_, FieldKind::Bool) => (false, "`true` or `false`"),
         _ => (false, "a number"),
     };
     match &node.body {
@@ -191,7 +191,7 @@
     findings: &mut Findings<'_>,
 ) -> Option<Value> {
     let max = match kind {
-        FieldKind::Whole32 => u64::from(u32::MAX),
+        FieldKind::Uint32 => u64::from(u32::MAX),
         _ => u64::MAX,
     };
     if value.is_i64() && !value.is_u64() {
--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -17,17 +17,18 @@
 mod defaults;
 mod document;
 mod log;
-pub mod merge;
+pub mod merge_patch;
 mod rules;
 
 pub use check::{
-    check_agent_settings, check_document, check_entry_settings, check_fleet,
+    check_agent_settings, check_entry_settings, check_fleet, check_fleet_value,
 };
 pub use config::{
     CallerSpec, Config, ModelSpec, PoolSpec, ProfileKind, ProfileSpec, ServiceSpec,
-    key_hash,
+    sha256_hex,
 };
 pub use document::{
-    DEPTH_MAX, DOCUMENT_MAX_BYTES, FAULTS_MAX, Fault, NAME_MAX_BYTES, VALUES_MAX,
+    DEPTH_MAX, DIAGNOSTICS_MAX, DOCUMENT_MAX_BYTES, Diagnostic, NAME_MAX_BYTES,
+    VALUES_MAX,
 };
-pub use log::{ConfigLog, LogError, REVISION_PREFIX, SNAPSHOT_KEY, revision_key};
+pub use log::{ApplyError, ConfigLog, REVISION_KEY_PREFIX, SNAPSHOT_KEY, revision_key};
--- a/crates/conf/src/log.rs
+++ b/crates/conf/src/log.rs
@@ -14,7 +14,7 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-use crate::{Config, merge};
+use crate::{Config, merge_patch};
 
 /// Changes kept for peers that are behind; one further back gets a snapshot.
 const KEPT_CHANGES: usize = 256;
@@ -25,22 +25,22 @@
 const KEPT_BYTES: usize = 256 << 10;
 
 /// Start of the keys of all changes.
-pub const REVISION_PREFIX: &str = "config/";
+pub const REVISION_KEY_PREFIX: &str = "config/";
 
 /// Key of the newest snapshot: a whole document with its revision.
 pub const SNAPSHOT_KEY: &str = "config-snapshot";
 
 /// Key of the object that holds one change.
 pub fn revision_key(revision: Revision) -> String {
-    format!("{REVISION_PREFIX}{:012}", revision.0)
+    format!("{REVISION_KEY_PREFIX}{:012}", revision.0)
 }
 
 /// Why a change can't be applied.
 #[derive(Debug, Snafu)]
-pub enum LogError {
+pub enum ApplyError {
     /// The change is not a JSON document.
     #[snafu(display("change {revision} is not JSON: {source}"))]
-    Syntax {
+    InvalidJson {
         /// Revision of the change.
         revision: u64,
         /// Fault found by the decoder.
@@ -57,7 +57,7 @@
     },
     /// The document after the change is not shaped as the schema says.
     #[snafu(display("document {revision} breaks the schema: {source}"))]
-    Shape {
+    SchemaMismatch {
         /// Revision of the document.
         revision: u64,
         /// Fault found by the decoder.
@@ -104,10 +104,10 @@
     /// # Errors
     ///
     /// A change that can't be applied leaves what came before it in force.
-    pub fn offer(
+    pub fn apply_newer(
         &mut self,
         offered: &ConfigChanges,
-    ) -> Result<Option<Arc<Config>>, LogError> {
+    ) -> Result<Option<Arc<Config>>, ApplyError> {
         let before = self.revision();
         if !offered.snapshot.is_empty() && offered.base_revision > before.0 {
             self.take_snapshot(offered)?;
@@ -145,7 +145,7 @@
         }
     }
 
-    fn take_snapshot(&mut self, offered: &ConfigChanges) -> Result<(), LogError> {
+    fn take_snapshot(&mut self, offered: &ConfigChanges) -> Result<(), ApplyError> {
         let revision = offered.base_revision;
         let document = read_object(revision, &offered.snapshot)?;
         self.put_in_force(revision, document)?;
@@ -171,14 +171,14 @@
     /// Resolving costs as much as the document is large, and a process that
     /// comes back may be hundreds of changes behind. If one of them can't be
     /// applied nothing is done here, and they are taken one by one.
-    fn apply_together(&mut self, changes: &[&ConfigChange]) -> Result<(), LogError> {
+    fn apply_together(&mut self, changes: &[&ConfigChange]) -> Result<(), ApplyError> {
         let Some(last) = changes.last() else {
             return Ok(());
         };
         let mut document = self.document.clone();
         for change in changes {
             let patch = read_object(change.revision, &change.patch)?;
-            merge::apply(&mut document, &patch);
+            merge_patch::apply(&mut document, &patch);
         }
         self.put_in_force(last.revision, document)?;
         self.changes.extend(changes.iter().copied().cloned());
@@ -186,7 +186,7 @@
         Ok(())
     }
 
-    fn apply(&mut self, change: &ConfigChange) -> Result<(), LogError> {
+    fn apply(&mut self, change: &ConfigChange) -> Result<(), ApplyError> {
         self.apply_together(&[change])
     }
 
@@ -200,21 +200,25 @@
         }
     }
 
-    fn put_in_force(&mut self, revision: u64, document: Value) -> Result<(), LogError> {
+    fn put_in_force(
+        &mut self,
+        revision: u64,
+        document: Value,
+    ) -> Result<(), ApplyError> {
         let fleet: Fleet = serde_json::from_value(document.clone())
-            .map_err(|source| LogError::Shape { revision, source })?;
+            .map_err(|source| ApplyError::SchemaMismatch { revision, source })?;
         self.current = Some(Arc::new(Config::new(Revision(revision), fleet)));
         self.document = document;
         Ok(())
     }
 }
 
-fn read_object(revision: u64, bytes: &[u8]) -> Result<Value, LogError> {
+fn read_object(revision: u64, bytes: &[u8]) -> Result<Value, ApplyError> {
     let value: Value = serde_json::from_slice(bytes)
-        .map_err(|source| LogError::Syntax { revision, source })?;
+        .map_err(|source| ApplyError::InvalidJson { revision, source })?;
     if value.is_object() {
         Ok(value)
     } else {
-        Err(LogError::NotObject { revision })
+        Err(ApplyError::NotObject { revision })
     }
 }
--- a/crates/conf/src/merge.rs
+++ b/crates/conf/src/merge_patch.rs
@@ -24,7 +24,7 @@
 }
 
 /// The patch that makes `after` out of `before`; an empty object if equal.
-pub fn between(before: &Value, after: &Value) -> Value {
+pub fn diff(before: &Value, after: &Value) -> Value {
     let (Value::Object(old), Value::Object(new)) = (before, after) else {
         return after.clone();
     };
@@ -36,7 +36,7 @@
         match old.get(key) {
             Some(held) if held == value => {}
             Some(held) => {
-                patch.insert(key.clone(), between(held, value));
+                patch.insert(key.clone(), diff(held, value));
             }
             None => {
                 patch.insert(key.clone(), value.clone());
--- a/crates/conf/tests/bounds.rs
+++ b/crates/conf/tests/bounds.rs
@@ -5,8 +5,8 @@
 use arbtest::arbitrary::{Result, Unstructured};
 use base::Code;
 use conf::{
-    DOCUMENT_MAX_BYTES, FAULTS_MAX, Fault, VALUES_MAX, check_agent_settings,
-    check_document, check_entry_settings, check_fleet,
+    DIAGNOSTICS_MAX, DOCUMENT_MAX_BYTES, Diagnostic, VALUES_MAX, check_agent_settings,
+    check_entry_settings, check_fleet, check_fleet_value,
 };
 use seeds::each_seed;
 use serde_json::Value;
@@ -20,13 +20,13 @@
     "é", "\r", "\n", "\\ud800", "\"\\u0000\":",
 ];
 
-fn codes(faults: &[Fault]) -> Vec<Code> {
+fn codes(faults: &[Diagnostic]) -> Vec<Code> {
     faults.iter().map(|fault| fault.code).collect()
 }
 
-fn assert_bounded(faults: &[Fault]) {
+fn assert_bounded(faults: &[Diagnostic]) {
     assert!(!faults.is_empty(), "refused without a fault");
-    assert!(faults.len() <= FAULTS_MAX);
+    assert!(faults.len() <= DIAGNOSTICS_MAX);
     for fault in faults {
         assert!(fault.message.len() < 1_000, "{fault:?}");
         assert!(fault.path.len() < 1_000, "{fault:?}");
@@ -121,7 +121,7 @@
 fn the_number_of_faults_is_bounded() {
     let unknown: String = (0..5_000).map(|n| format!("\"x{n}\":1,")).collect();
     let faults = check_fleet(&format!("{{{unknown}}}")).expect_err("all unknown");
-    assert_eq!(faults.len(), FAULTS_MAX);
+    assert_eq!(faults.len(), DIAGNOSTICS_MAX);
 }
 
 #[test]
@@ -130,9 +130,9 @@
     for _ in 0..100 {
         deep = serde_json::json!({ "models": deep });
     }
-    assert_eq!(codes(&check_document(&deep)), [Code::OutOfRange]);
+    assert_eq!(codes(&check_fleet_value(&deep)), [Code::OutOfRange]);
     let large = Value::String("x".repeat(DOCUMENT_MAX_BYTES));
-    assert_eq!(codes(&check_document(&large)), [Code::OutOfRange]);
+    assert_eq!(codes(&check_fleet_value(&large)), [Code::OutOfRange]);
 }
 
 /// A value of half a megabyte in the wrong place is not repeated whole.
--- a/crates/conf/tests/check.rs
+++ b/crates/conf/tests/check.rs
@@ -2,7 +2,8 @@
 
 use base::Code;
 use conf::{
-    Fault, check_agent_settings, check_document, check_entry_settings, check_fleet,
+    Diagnostic, check_agent_settings, check_entry_settings, check_fleet,
+    check_fleet_value,
 };
 
 const FLEET: &str = r#"// A small fleet.
@@ -118,7 +119,7 @@
 fn check_cases<T>(
     text: &str,
     cases: &[Case],
-    check: impl Fn(&str) -> Result<T, Vec<Fault>>,
+    check: impl Fn(&str) -> Result<T, Vec<Diagnostic>>,
 ) {
     for Case {
         from,
@@ -140,7 +141,7 @@
 fn good_documents_have_no_fault() {
     let (fleet, value) = check_fleet(FLEET).expect("the fleet is good");
     assert_eq!(fleet.models["oracle-a"].size_mib, 66_560);
-    assert_eq!(check_document(&value), []);
+    assert_eq!(check_fleet_value(&value), []);
     check_entry_settings(ENTRY).expect("the entry's settings are good");
     check_agent_settings(AGENT).expect("the agent's settings are good");
 }
@@ -306,8 +307,8 @@
 fn a_patched_document_is_checked_without_lines() {
     let (_, mut document) = check_fleet(FLEET).expect("good");
     let patch = serde_json::json!({ "models": { "oracle-a": null } });
-    conf::merge::apply(&mut document, &patch);
-    let faults = check_document(&document);
+    conf::merge_patch::apply(&mut document, &patch);
+    let faults = check_fleet_value(&document);
     let told: Vec<_> = faults.iter().map(|f| (f.line, f.path.as_str())).collect();
     let expected = [
         (0, "adapters.oracle-a-kin.base"),
--- a/crates/conf/tests/log.rs
+++ b/crates/conf/tests/log.rs
@@ -4,7 +4,7 @@
 
 use arbtest::arbitrary::{Result, Unstructured};
 use base::Revision;
-use conf::{ConfigLog, merge};
+use conf::{ConfigLog, merge_patch};
 use schema::link::{ConfigChange, ConfigChanges};
 use seeds::each_seed;
 use serde_json::{Value, json};
@@ -46,7 +46,8 @@
 
 fn log_at(revision: u64) -> ConfigLog {
     let mut log = ConfigLog::new();
-    log.offer(&changes(1..=revision)).expect("good changes");
+    log.apply_newer(&changes(1..=revision))
+        .expect("good changes");
     assert_eq!(log.revision(), Revision(revision));
     log
 }
@@ -88,7 +89,7 @@
     for (name, offer) in offers {
         let mut log = log_at(4);
         let before = Arc::clone(log.current().expect("in force"));
-        let taken = log.offer(&offer).expect(name);
+        let taken = log.apply_newer(&offer).expect(name);
         assert!(taken.is_none(), "{name}");
         assert!(
             Arc::ptr_eq(&before, log.current().expect("in force")),
@@ -111,7 +112,7 @@
     ];
     for (name, offer, revision) in offers {
         let mut log = log_at(4);
-        let taken = log.offer(&offer).expect(name).expect(name);
+        let taken = log.apply_newer(&offer).expect(name).expect(name);
         assert_eq!(taken.revision(), Revision(revision), "{name}");
         assert_whole(&log);
     }
@@ -145,13 +146,13 @@
     for offer in offers {
         let mut log = log_at(4);
         let before = Arc::clone(log.current().expect("in force"));
-        log.offer(&offer).expect_err("a damaged offer");
+        log.apply_newer(&offer).expect_err("a damaged offer");
         assert!(
             Arc::ptr_eq(&before, log.current().expect("in force")),
             "{offer:?}"
         );
         assert_whole(&log);
-        log.offer(&changes([5])).expect("the log goes on");
+        log.apply_newer(&changes([5])).expect("the log goes on");
         assert_whole(&log);
     }
 }
@@ -162,7 +163,7 @@
     let mut log = log_at(4);
     let mut offer = changes([5]);
     offer.changes.push(raw(6, "{"));
-    log.offer(&offer).expect_err("change 6 is damaged");
+    log.apply_newer(&offer).expect_err("change 6 is damaged");
     assert_eq!(log.revision(), Revision(5));
     assert_whole(&log);
 }
@@ -172,8 +173,9 @@
 #[test]
 fn the_last_revision_does_not_overflow() {
     let mut log = ConfigLog::new();
-    log.offer(&snapshot(u64::MAX)).expect("a good snapshot");
-    assert!(log.offer(&changes([0, 1])).expect("old").is_none());
+    log.apply_newer(&snapshot(u64::MAX))
+        .expect("a good snapshot");
+    assert!(log.apply_newer(&changes([0, 1])).expect("old").is_none());
     assert_eq!(
         log.changes_after(Revision(u64::MAX)),
         ConfigChanges::default()
@@ -184,15 +186,15 @@
 #[test]
 fn a_peer_behind_catches_up_from_any_revision() {
     let mut log = ConfigLog::new();
-    log.offer(&snapshot(3)).expect("good");
-    log.offer(&changes(4..=400)).expect("good");
+    log.apply_newer(&snapshot(3)).expect("good");
+    log.apply_newer(&changes(4..=400)).expect("good");
     for behind in [0, 1, 3, 10, 143, 144, 145, 399] {
         let mut peer = ConfigLog::new();
         if behind > 0 {
-            peer.offer(&snapshot(behind)).expect("good");
+            peer.apply_newer(&snapshot(behind)).expect("good");
         }
         let missing = log.changes_after(Revision(behind));
-        peer.offer(&missing).expect("good");
+        peer.apply_newer(&missing).expect("good");
         assert_eq!(peer.revision(), Revision(400), "from {behind}");
         assert_eq!(peer.document(), log.document(), "from {behind}");
     }
@@ -213,7 +215,7 @@
             changes: vec![raw(revision, &patch.to_string())],
             ..ConfigChanges::default()
         };
-        log.offer(&large).expect("good");
+        log.apply_newer(&large).expect("good");
     }
     for behind in 0..20 {
         let sent = log.changes_after(Revision(behind));
@@ -254,7 +256,7 @@
         for _ in 0..u.int_in_range(1..=12)? {
             let before = log.revision();
             let odd = odd_offer(u)?;
-            let _ = log.offer(&odd);
+            let _ = log.apply_newer(&odd);
             assert!(log.revision() >= before);
             assert_eq!(
                 log.current()
@@ -289,7 +291,7 @@
         let before = document(u, 4)?;
         let after = document(u, 4)?;
         let mut patched = before.clone();
-        merge::apply(&mut patched, &merge::between(&before, &after));
+        merge_patch::apply(&mut patched, &merge_patch::diff(&before, &after));
         assert_eq!(patched, after, "from {before}");
         Ok(())
     });
--- a/crates/ctl/src/commands/check.rs
+++ b/crates/ctl/src/commands/check.rs
@@ -1,6 +1,6 @@
 //! `check`: all faults of a document.
 
-use conf::{Fault, check_agent_settings, check_entry_settings, check_fleet};
+use conf::{Diagnostic, check_agent_settings, check_entry_settings, check_fleet};
 
 use super::{faults_report, read_file};
 use crate::options::{CheckOptions, DocumentKind};
@@ -20,7 +20,7 @@
     })
 }
 
-fn faults(kind: DocumentKind, text: &str) -> Result<(), Vec<Fault>> {
+fn faults(kind: DocumentKind, text: &str) -> Result<(), Vec<Diagnostic>> {
     match kind {
         DocumentKind::Fleet => check_fleet(text).map(|_| ()),
         DocumentKind::Entry => check_entry_settings(text).map(|_| ()),
--- a/crates/ctl/src/commands/mod.rs
+++ b/crates/ctl/src/commands/mod.rs
@@ -10,7 +10,7 @@
 mod status;
 mod timeline;
 
-use conf::Fault;
+use conf::Diagnostic;
 use plat::{HttpPlatform, ObjectApi};
 use serde::Serialize;
 use snafu::ResultExt;
@@ -56,7 +56,7 @@
 }
 
 /// Reports faults of a document; `name` stands before each line.
-fn faults_report(name: &str, faults: &[Fault], json: bool) -> Report {
+fn faults_report(name: &str, faults: &[Diagnostic], json: bool) -> Report {
     if json {
         let lines: Vec<_> = faults.iter().map(fault_line).collect();
         return Report::json(&lines, Exit::Faults);
@@ -72,7 +72,7 @@
     Report::lines(lines, Exit::Faults)
 }
 
-fn fault_line(fault: &Fault) -> FaultLine<'_> {
+fn fault_line(fault: &Diagnostic) -> FaultLine<'_> {
     FaultLine {
         code: fault.code.number(),
         name: fault.code.name(),
--- a/crates/ctl/src/head.rs
+++ b/crates/ctl/src/head.rs
@@ -1,7 +1,7 @@
 //! The configuration as the platform holds it.
 
 use base::{PlatformOp, PlatformResult, Revision, Version};
-use conf::{ConfigLog, REVISION_PREFIX, SNAPSHOT_KEY, merge};
+use conf::{ConfigLog, REVISION_KEY_PREFIX, SNAPSHOT_KEY, merge_patch};
 use plat::ObjectApi;
 use prost::Message;
 use schema::link::{ConfigChange, ConfigChanges};
@@ -107,7 +107,7 @@
             }
             let patch = serde_json::from_slice(&change.patch)
                 .map_err(|source| damaged(source.to_string()))?;
-            merge::apply(&mut document, &patch);
+            merge_patch::apply(&mut document, &patch);
             reached = Revision(change.revision);
         }
         if reached == revision {
@@ -139,7 +139,7 @@
 /// The platform can't be reached, or what it holds is damaged.
 pub async fn read_head(platform: &dyn ObjectApi) -> Result<Head, CtlError> {
     let snapshot = read(platform, SNAPSHOT_KEY).await?;
-    let objects = list(platform, REVISION_PREFIX).await?;
+    let objects = list(platform, REVISION_KEY_PREFIX).await?;
     Head::new(&snapshot, &objects)
 }
 
@@ -191,7 +191,7 @@
     let mut changes: Vec<_> = objects
         .iter()
         .filter_map(|(key, _, value)| {
-            let revision = key.strip_prefix(REVISION_PREFIX)?.parse().ok()?;
+            let revision = key.strip_prefix(REVISION_KEY_PREFIX)?.parse().ok()?;
             Some(ConfigChange {
                 revision,
                 patch: value.clone(),
@@ -203,7 +203,7 @@
 }
 
 fn offer(log: &mut ConfigLog, changes: &ConfigChanges) -> Result<(), CtlError> {
-    log.offer(changes)
+    log.apply_newer(changes)
         .map(|_| ())
         .map_err(|source| damaged(source.to_string()))
 }
--- a/crates/ctl/src/publish/machine.rs
+++ b/crates/ctl/src/publish/machine.rs
@@ -1,7 +1,7 @@
 //! The decisions of publishing, without I/O.
 
 use base::{Expect, PlatformOp, PlatformResult, Revision};
-use conf::{Fault, REVISION_PREFIX, SNAPSHOT_KEY, revision_key};
+use conf::{Diagnostic, REVISION_KEY_PREFIX, SNAPSHOT_KEY, revision_key};
 use prost::Message;
 use schema::link::ConfigChanges;
 
@@ -47,7 +47,7 @@
     /// Others published first; nothing was written.
     Conflict(Conflict),
     /// The document has faults together with the head; nothing was written.
-    Faults(Vec<Fault>),
+    Faults(Vec<Diagnostic>),
     /// Nothing was written: the platform is away or the head is unusable.
     Failed(CtlError),
     /// The write may or may not have been accepted as this revision.
@@ -251,7 +251,7 @@
                 key: SNAPSHOT_KEY.to_owned(),
             },
             State::ListChanges(_) => PlatformOp::List {
-                prefix: REVISION_PREFIX.to_owned(),
+                prefix: REVISION_KEY_PREFIX.to_owned(),
             },
             State::Write(pending) => PlatformOp::Write {
                 key: revision_key(pending.proposal.revision),
--- a/crates/ctl/src/publish/proposal.rs
+++ b/crates/ctl/src/publish/proposal.rs
@@ -1,7 +1,7 @@
 //! What a document means against the head that the platform holds.
 
 use base::{Code, Revision};
-use conf::{Fault, check_document, merge};
+use conf::{Diagnostic, check_fleet_value, merge_patch};
 use serde::Serialize;
 use serde_json::Value;
 
@@ -58,7 +58,7 @@
     /// Others published since, and the operator has to look.
     Conflict(Conflict),
     /// Together with what others published it has faults.
-    Faults(Vec<Fault>),
+    Faults(Vec<Diagnostic>),
 }
 
 /// Revision that a document was made from.
@@ -72,10 +72,10 @@
 
 /// Judges a request against the head.
 pub(super) fn judge(request: &Request, base: &Base, head: &Head) -> Verdict {
-    let ours = merge::between(&base.document, &request.document);
+    let ours = merge_patch::diff(&base.document, &request.document);
     let moved = head.revision() != base.revision;
     if moved && request.document != *head.document() {
-        let theirs = merge::between(&base.document, head.document());
+        let theirs = merge_patch::diff(&base.document, head.document());
         let conflict = Conflict {
             base: base.revision.0,
             head: head.revision().0,
@@ -89,7 +89,7 @@
         }
     }
     let mut document = head.document().clone();
-    merge::apply(&mut document, &ours);
+    merge_patch::apply(&mut document, &ours);
     propose(document, head)
 }
 
@@ -100,8 +100,8 @@
     if document == *head.document() {
         return Verdict::Unchanged;
     }
-    let mut faults = check_document(&document);
-    let patch = merge::between(head.document(), &document);
+    let mut faults = check_fleet_value(&document);
+    let patch = merge_patch::diff(head.document(), &document);
     let patch = patch.to_string().into_bytes();
     if patch.len() > OBJECT_MAX_BYTES {
         faults.push(too_large(patch.len()));
@@ -117,8 +117,8 @@
     })
 }
 
-fn too_large(bytes: usize) -> Fault {
-    Fault {
+fn too_large(bytes: usize) -> Diagnostic {
+    Diagnostic {
         code: Code::OutOfRange,
         line: 0,
         column: 0,
--- a/crates/ctl/tests/ctl/publish.rs
+++ b/crates/ctl/tests/ctl/publish.rs
@@ -2,7 +2,7 @@
 
 use crate::fake::{FakePlatform, Fault};
 use base::Revision;
-use conf::{SNAPSHOT_KEY, check_fleet, merge};
+use conf::{SNAPSHOT_KEY, check_fleet, merge_patch};
 use ctl::CtlError;
 use ctl::head::read_head;
 use ctl::publish::{Conflict, Outcome, Request, publish};
@@ -21,7 +21,7 @@
 /// The document with a patch applied.
 fn patched(patch: &Value) -> Value {
     let mut document = document();
-    merge::apply(&mut document, patch);
+    merge_patch::apply(&mut document, patch);
     document
 }
 
--- a/crates/entry/tests/support/rig.rs
+++ b/crates/entry/tests/support/rig.rs
@@ -215,7 +215,7 @@
             "lookup": {"pool": "shops", "idempotent": true, "timeout_ms": 20000},
         },
         "callers": {
-            "press": {"key_sha256": conf::key_hash(KEY), "concurrent_max": 64},
+            "press": {"key_sha256": conf::sha256_hex(KEY), "concurrent_max": 64},
         },
         "limits": limits,
     })
--- a/crates/gen/src/main.rs
+++ b/crates/gen/src/main.rs
@@ -72,22 +72,22 @@
         .map_err(|error| error.to_string())?;
     let mut code = String::from(
         "/// Fields of every settings message, for checking documents.\n\
-         pub static MESSAGES: &[crate::MessageShape] = &[\n",
+         pub static MESSAGES: &[crate::MessageDescriptor] = &[\n",
     );
     for message in set.all_messages() {
         if message.package_name() != "sesame.settings" || message.is_map_entry() {
             continue;
         }
         code.push_str(&format!(
-            "    crate::MessageShape {{\n        name: {:?},\n        fields: &[\n",
+            "    crate::MessageDescriptor {{\n        name: {:?},\n        fields: &[\n",
             message.name()
         ));
         for field in message.fields() {
             code.push_str(&format!(
-                "            crate::FieldShape {{ name: {:?}, kind: {}, holds: {} }},\n",
+                "            crate::FieldDescriptor {{ name: {:?}, kind: {}, cardinality: {} }},\n",
                 field.name(),
                 kind_of(&field),
-                holding_of(&field)
+                cardinality_of(&field)
             ));
         }
         code.push_str("        ],\n    },\n");
@@ -106,20 +106,20 @@
         Kind::Message(message) => {
             format!("crate::FieldKind::Message({:?})", message.name())
         }
-        Kind::String => "crate::FieldKind::Text".into(),
-        Kind::Bool => "crate::FieldKind::Flag".into(),
-        Kind::Double => "crate::FieldKind::Number".into(),
-        Kind::Uint32 => "crate::FieldKind::Whole32".into(),
-        _ => "crate::FieldKind::Whole64".into(),
+        Kind::String => "crate::FieldKind::String".into(),
+        Kind::Bool => "crate::FieldKind::Bool".into(),
+        Kind::Double => "crate::FieldKind::Double".into(),
+        Kind::Uint32 => "crate::FieldKind::Uint32".into(),
+        _ => "crate::FieldKind::Uint64".into(),
     }
 }
 
-fn holding_of(field: &prost_reflect::FieldDescriptor) -> &'static str {
+fn cardinality_of(field: &prost_reflect::FieldDescriptor) -> &'static str {
     if field.is_map() {
-        "crate::Holding::Named"
+        "crate::Cardinality::Map"
     } else if field.is_list() {
-        "crate::Holding::List"
+        "crate::Cardinality::List"
     } else {
-        "crate::Holding::One"
+        "crate::Cardinality::Single"
     }
 }
--- a/crates/oper/src/program.rs
+++ b/crates/oper/src/program.rs
@@ -1,6 +1,6 @@
 //! What the programs of entry and agent do before and around their shell.
 
-use conf::Fault;
+use conf::Diagnostic;
 use std::future::Future;
 use std::path::Path;
 use std::process::ExitCode;
@@ -15,7 +15,7 @@
 /// faults if it has some.
 pub fn read_settings<T>(
     file: &Path,
-    check: impl FnOnce(&str) -> Result<T, Vec<Fault>>,
+    check: impl FnOnce(&str) -> Result<T, Vec<Diagnostic>>,
 ) -> Result<T, StartError> {
     let text = std::fs::read_to_string(file).map_err(|source| StartError::File {
         path: file.to_owned(),
--- a/crates/oper/src/start.rs
+++ b/crates/oper/src/start.rs
@@ -1,7 +1,7 @@
 //! Why a process can't start.
 
 use base::Code;
-use conf::Fault;
+use conf::Diagnostic;
 use snafu::Snafu;
 use std::io;
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
     #[snafu(display("{}", lines(faults)))]
     Settings {
         /// All of them.
-        faults: Vec<Fault>,
+        faults: Vec<Diagnostic>,
     },
     /// An address of the settings is not `ip:port`.
     #[snafu(display("{}: {key}: {text} is not ip:port", Code::BadAddress))]
@@ -64,8 +64,8 @@
     }
 }
 
-fn lines(faults: &[Fault]) -> String {
-    let lines: Vec<String> = faults.iter().map(Fault::to_string).collect();
+fn lines(faults: &[Diagnostic]) -> String {
+    let lines: Vec<String> = faults.iter().map(Diagnostic::to_string).collect();
     lines.join("\n")
 }
 
--- a/crates/role/src/agent/admission.rs
+++ b/crates/role/src/agent/admission.rs
@@ -96,7 +96,7 @@
     /// Maximum number of attempts in progress at once.
     pub(super) fn max_in_flight(&self) -> u32 {
         match self.pool() {
-            Some(pool) if pool.engine => self.concurrency_limit.limit(),
+            Some(pool) if pool.is_engine => self.concurrency_limit.limit(),
             Some(pool) => pool.concurrent_max.max(1),
             None => 0,
         }
--- a/crates/role/src/agent/config_sync.rs
+++ b/crates/role/src/agent/config_sync.rs
@@ -4,7 +4,7 @@
 use super::AgentAction;
 use super::platform_client::{Backoff, PlatformClient};
 use base::{Instant, PlatformOp, PlatformResult, Revision};
-use conf::{Config, ConfigLog, REVISION_PREFIX, SNAPSHOT_KEY};
+use conf::{Config, ConfigLog, REVISION_KEY_PREFIX, SNAPSHOT_KEY};
 use prost::Message as _;
 use schema::link::{ConfigChange, ConfigChanges};
 use std::sync::Arc;
@@ -75,7 +75,7 @@
     /// Applies changes from the platform or from an entry.
     pub(super) fn apply(&mut self, changes: &ConfigChanges) -> ConfigUpdate {
         let before = self.revision();
-        let undecodable = self.log.offer(changes).is_err();
+        let undecodable = self.log.apply_newer(changes).is_err();
         let advanced = self.revision() > before;
         ConfigUpdate {
             applied: advanced.then(|| self.log.current().cloned()).flatten(),
@@ -117,7 +117,7 @@
                 if let Some((_, value)) = object {
                     update = self.apply_snapshot(value);
                 }
-                let prefix = REVISION_PREFIX.to_owned();
+                let prefix = REVISION_KEY_PREFIX.to_owned();
                 let id = client.call(PlatformOp::List { prefix }, out);
                 self.call = Some((id, ReadStep::Changes));
             }
@@ -150,7 +150,7 @@
 
 fn changes_from_objects(objects: &[(String, base::Version, Vec<u8>)]) -> ConfigChanges {
     let changes = objects.iter().filter_map(|(key, _, value)| {
-        let revision = key.strip_prefix(REVISION_PREFIX)?.parse().ok()?;
+        let revision = key.strip_prefix(REVISION_KEY_PREFIX)?.parse().ok()?;
         Some(ConfigChange {
             revision,
             patch: value.clone(),
--- a/crates/role/src/agent/heartbeat.rs
+++ b/crates/role/src/agent/heartbeat.rs
@@ -102,7 +102,7 @@
     pub(super) fn build_heartbeat(&mut self, now: Instant) -> Heartbeat {
         self.heartbeat_state.sequence += 1;
         let residents = self.build_residents(now);
-        let pool = self.pool().filter(|pool| pool.engine);
+        let pool = self.pool().filter(|pool| pool.is_engine);
         Heartbeat {
             agent: self.options.id.as_str().to_owned(),
             incarnation: self.options.incarnation.0,
--- a/crates/role/src/agent/role.rs
+++ b/crates/role/src/agent/role.rs
@@ -197,7 +197,7 @@
     }
 
     pub(super) fn is_engine(&self) -> bool {
-        self.pool().is_some_and(|pool| pool.engine)
+        self.pool().is_some_and(|pool| pool.is_engine)
     }
 
     pub(super) fn heartbeat_ms(&self) -> u64 {
--- a/crates/role/src/entry/control/cells.rs
+++ b/crates/role/src/entry/control/cells.rs
@@ -33,7 +33,7 @@
         let Some(pool) = config.pool(agent.pool.as_str()) else {
             continue;
         };
-        if !pool.engine || !agent.upstream_up {
+        if !pool.is_engine || !agent.upstream_up {
             continue;
         }
         let key = (agent.pool.as_str(), region(config, &agent.domain));
--- a/crates/role/src/entry/control/config.rs
+++ b/crates/role/src/entry/control/config.rs
@@ -2,7 +2,7 @@
 
 use base::Version;
 use base::prelude::*;
-use conf::REVISION_PREFIX;
+use conf::REVISION_KEY_PREFIX;
 use live::Timing;
 use prost::Message;
 use schema::link::{ConfigAsk, ConfigChange, ConfigChanges, frame};
@@ -72,7 +72,7 @@
         effects: &mut Effects,
     ) {
         let before = self.config_log.revision();
-        if let Err(error) = self.config_log.offer(offered) {
+        if let Err(error) = self.config_log.apply_newer(offered) {
             record_rejected(shared, &error, out);
         }
         if self.config_log.revision() == before {
@@ -157,7 +157,7 @@
 }
 
 fn parse_change(key: &str, value: &[u8]) -> Option<ConfigChange> {
-    let revision = key.strip_prefix(REVISION_PREFIX)?.parse().ok()?;
+    let revision = key.strip_prefix(REVISION_KEY_PREFIX)?.parse().ok()?;
     Some(ConfigChange {
         revision,
         patch: value.to_vec(),
--- a/crates/role/src/entry/control/platform.rs
+++ b/crates/role/src/entry/control/platform.rs
@@ -2,7 +2,7 @@
 
 use base::prelude::*;
 use base::{Expect, PlatformAnswer, PlatformCall, PlatformOp, PlatformResult, Version};
-use conf::{REVISION_PREFIX, SNAPSHOT_KEY, revision_key};
+use conf::{REVISION_KEY_PREFIX, SNAPSHOT_KEY, revision_key};
 use prost::Message;
 use rand_core::Rng;
 use schema::store::Member;
@@ -168,13 +168,13 @@
             CallKind::Snapshot => PlatformOp::Read {
                 key: SNAPSHOT_KEY.to_owned(),
             },
-            CallKind::ConfigList => list(REVISION_PREFIX),
+            CallKind::ConfigList => list(REVISION_KEY_PREFIX),
             CallKind::MembersList => list(MEMBERS_PREFIX),
             CallKind::InstancesList
             | CallKind::InstancesChangedList
             | CallKind::InstancesWatch => self.instances_operation(call),
             CallKind::ConfigWatch => PlatformOp::Watch {
-                prefix: REVISION_PREFIX.to_owned(),
+                prefix: REVISION_KEY_PREFIX.to_owned(),
                 after: self.platform.config_version,
             },
             CallKind::ConfigPoll => PlatformOp::Read {
--- a/crates/role/tests/entry/early_refusals.rs
+++ b/crates/role/tests/entry/early_refusals.rs
@@ -248,7 +248,7 @@
 fn one_caller_does_not_fill_the_queue() {
     let mut config = document();
     config["limits"] = json!({"heartbeat_ms": 500, "waiting_max": 12});
-    let other = json!({"key_sha256": conf::key_hash("other"), "concurrent_max": 500});
+    let other = json!({"key_sha256": conf::sha256_hex("other"), "concurrent_max": 500});
     config["callers"]["c2"] = other;
     let mut rig = configured(&config);
     rig.agent("a1", &[]);
--- a/crates/role/tests/entry/missed_changes.rs
+++ b/crates/role/tests/entry/missed_changes.rs
@@ -78,7 +78,7 @@
         calls(&|op| matches!(op, PlatformOp::List { prefix } if prefix == "live/"));
     assert!((2..=4).contains(&members), "{members}");
     let lists = calls(
-        &|op| matches!(op, PlatformOp::List { prefix } if prefix == conf::REVISION_PREFIX),
+        &|op| matches!(op, PlatformOp::List { prefix } if prefix == conf::REVISION_KEY_PREFIX),
     );
     assert!((2..=4).contains(&lists), "{lists}");
 }
--- a/crates/role/tests/entry/rig/settings.rs
+++ b/crates/role/tests/entry/rig/settings.rs
@@ -28,7 +28,7 @@
             "orders": {"pool": "desk", "idempotent": false, "timeout_ms": 2000},
             "parts": {"pool": "desk", "idempotent": true, "timeout_ms": 2000},
         },
-        "callers": {"c1": {"key_sha256": conf::key_hash(KEY), "concurrent_max": 500}},
+        "callers": {"c1": {"key_sha256": conf::sha256_hex(KEY), "concurrent_max": 500}},
         "limits": {"heartbeat_ms": 500},
     })
 }
--- a/crates/scenario/src/parse/decl.rs
+++ b/crates/scenario/src/parse/decl.rs
@@ -289,7 +289,7 @@
         None => 1_000,
     };
     let caller = Caller {
-        key_sha256: conf::key_hash(&format!("key-{name}")),
+        key_sha256: conf::sha256_hex(&format!("key-{name}")),
         concurrent_max,
     };
     fleet.callers.insert(name, caller);
--- a/crates/scenario/src/world/caller.rs
+++ b/crates/scenario/src/world/caller.rs
@@ -201,7 +201,7 @@
         Some(service) => RequestedResource::Service(ServiceId::new(service)),
         None => RequestedResource::Model(decl.model.as_deref().map(ModelId::new)),
     };
-    let hash = conf::key_hash(&decl.body);
+    let hash = conf::sha256_hex(&decl.body);
     let hash = u64::from_str_radix(&hash[..16], 16).unwrap_or_default();
     IncomingRequest {
         request,
--- a/crates/schema/src/shape.rs
+++ b/crates/schema/src/descriptor.rs
@@ -2,55 +2,55 @@
 
 /// One settings message.
 #[derive(Debug)]
-pub struct MessageShape {
+pub struct MessageDescriptor {
     /// Name in the schema.
     pub name: &'static str,
     /// Fields in the order of the schema.
-    pub fields: &'static [FieldShape],
+    pub fields: &'static [FieldDescriptor],
 }
 
 /// One field of a settings message.
 #[derive(Debug)]
-pub struct FieldShape {
+pub struct FieldDescriptor {
     /// Key in the document.
     pub name: &'static str,
     /// Type of the value, or of each value held.
     pub kind: FieldKind,
     /// How many values the field holds.
-    pub holds: Holding,
+    pub cardinality: Cardinality,
 }
 
 /// Type of a settings value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FieldKind {
     /// A string.
-    Text,
+    String,
     /// `true` or `false`.
-    Flag,
+    Bool,
     /// A number with a fraction.
-    Number,
+    Double,
     /// A whole number up to 2^32 - 1.
-    Whole32,
+    Uint32,
     /// A whole number up to 2^64 - 1.
-    Whole64,
+    Uint64,
     /// An object shaped as the named message.
     Message(&'static str),
 }
 
 /// How many values a field holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Holding {
+pub enum Cardinality {
     /// One value.
-    One,
+    Single,
     /// An array of values.
     List,
     /// An object whose keys are names chosen by the operator.
-    Named,
+    Map,
 }
 
-impl MessageShape {
+impl MessageDescriptor {
     /// Finds a field by its key.
-    pub fn field(&self, name: &str) -> Option<&'static FieldShape> {
+    pub fn field(&self, name: &str) -> Option<&'static FieldDescriptor> {
         self.fields.iter().find(|field| field.name == name)
     }
 }
--- a/crates/schema/src/lib.rs
+++ b/crates/schema/src/lib.rs
@@ -10,9 +10,9 @@
 //! of settings fields by which the `conf` crate reports every unknown key and
 //! wrong type of a document in one go.
 
-mod shape;
+mod descriptor;
 
-pub use shape::{FieldKind, FieldShape, Holding, MessageShape};
+pub use descriptor::{Cardinality, FieldDescriptor, FieldKind, MessageDescriptor};
 
 /// Settings of processes and the configuration of the fleet.
 #[allow(missing_docs, clippy::all)]
