--- a/crates/conf/tests/check.rs
+++ b/crates/conf/tests/check.rs
@@ -1,8 +1,9 @@
 //! Checking of documents: each kind of fault, all of them in one go.
 
-use base::Code;
+use base::ErrorCode;
 use conf::{
-    Fault, check_agent_settings, check_document, check_entry_settings, check_fleet,
+    Diagnostic, check_agent_settings, check_entry_settings, check_fleet,
+    check_fleet_value,
 };
 
 const FLEET: &str = r#"// A small fleet.
@@ -91,14 +92,14 @@
 struct Case {
     from: &'static str,
     to: &'static str,
-    code: Code,
+    code: ErrorCode,
     path: &'static str,
 }
 
 const fn case(
     from: &'static str,
     to: &'static str,
-    code: Code,
+    code: ErrorCode,
     path: &'static str,
 ) -> Case {
     Case {
@@ -118,7 +119,7 @@
 fn check_cases<T>(
     text: &str,
     cases: &[Case],
-    check: impl Fn(&str) -> Result<T, Vec<Fault>>,
+    check: impl Fn(&str) -> Result<T, Vec<Diagnostic>>,
 ) {
     for Case {
         from,
@@ -140,7 +141,7 @@
 fn good_documents_have_no_fault() {
     let (fleet, value) = check_fleet(FLEET).expect("the fleet is good");
     assert_eq!(fleet.models["oracle-a"].size_mib, 66_560);
-    assert_eq!(check_document(&value), []);
+    assert_eq!(check_fleet_value(&value), []);
     check_entry_settings(ENTRY).expect("the entry's settings are good");
     check_agent_settings(AGENT).expect("the agent's settings are good");
 }
@@ -160,7 +161,7 @@
 
 #[test]
 fn each_fault_of_a_fleet_is_told_once() {
-    use Code::*;
+    use ErrorCode::*;
     #[rustfmt::skip]
     let cases = [
         // Shape.
@@ -227,7 +228,7 @@
 
 #[test]
 fn each_fault_of_settings_is_told_once() {
-    use Code::*;
+    use ErrorCode::*;
     #[rustfmt::skip]
     let cases = [
         case(r#""id": "entry-1","#, "", MissingKey, "id"),
@@ -278,18 +279,28 @@
         .map(|fault| (fault.code, fault.line, fault.column, fault.path.as_str()))
         .collect();
     let expected = [
-        (Code::WrongType, 3, 17, "deployment"),
-        (Code::WrongUnit, 11, 7, "pools.engines.step_time_ms"),
-        (Code::ModelTooLarge, 24, 31, "models.oracle-a.size_mib"),
-        (Code::MissingReference, 27, 31, "adapters.oracle-a-kin.base"),
+        (ErrorCode::WrongType, 3, 17, "deployment"),
+        (ErrorCode::WrongUnit, 11, 7, "pools.engines.step_time_ms"),
+        (ErrorCode::ModelTooLarge, 24, 31, "models.oracle-a.size_mib"),
         (
-            Code::MissingReference,
+            ErrorCode::MissingReference,
+            27,
+            31,
+            "adapters.oracle-a-kin.base",
+        ),
+        (
+            ErrorCode::MissingReference,
             32,
             18,
             "profiles.diagnosis.models[0]",
         ),
-        (Code::UnknownKey, 45, 79, "services.parts-order.retries"),
-        (Code::OutOfRange, 56, 29, "store.loads_per_s"),
+        (
+            ErrorCode::UnknownKey,
+            45,
+            79,
+            "services.parts-order.retries",
+        ),
+        (ErrorCode::OutOfRange, 56, 29, "store.loads_per_s"),
     ];
     assert_eq!(told, expected, "{faults:?}");
 }
@@ -306,8 +317,8 @@
 fn a_patched_document_is_checked_without_lines() {
     let (_, mut document) = check_fleet(FLEET).expect("good");
     let patch = serde_json::json!({ "models": { "oracle-a": null } });
-    conf::merge::apply(&mut document, &patch);
-    let faults = check_document(&document);
+    conf::merge_patch::apply(&mut document, &patch);
+    let faults = check_fleet_value(&document);
     let told: Vec<_> = faults.iter().map(|f| (f.line, f.path.as_str())).collect();
     let expected = [
         (0, "adapters.oracle-a-kin.base"),
--- a/crates/live/src/agent.rs
+++ b/crates/live/src/agent.rs
@@ -67,7 +67,7 @@
     /// Pool of its upstream.
     pub pool: PoolId,
     /// Failure domain of its instance.
-    pub failure_domain: DomainId,
+    pub failure_domain: FailureDomainId,
     /// Memory of each accelerator, in MiB.
     pub accelerators_mib: Vec<u32>,
     /// Models and adapters on its accelerators.
@@ -102,7 +102,7 @@
             incarnation: Incarnation(0),
             sequence: 0,
             pool: PoolId::new(""),
-            failure_domain: DomainId::new(""),
+            failure_domain: FailureDomainId::new(""),
             accelerators_mib: Vec::new(),
             residents: Vec::new(),
             upstream_up: false,
@@ -240,7 +240,7 @@
     pub(crate) fn apply_heartbeat(&mut self, now: Instant, heartbeat: Heartbeat) {
         self.sequence = heartbeat.sequence;
         self.pool = PoolId::new(&heartbeat.pool);
-        self.failure_domain = DomainId::new(&heartbeat.failure_domain);
+        self.failure_domain = FailureDomainId::new(&heartbeat.failure_domain);
         self.accelerators_mib
             .clone_from(&heartbeat.accelerators_mib);
         if self.upstream_up != heartbeat.upstream_up {
--- a/crates/live/src/entries.rs
+++ b/crates/live/src/entries.rs
@@ -20,7 +20,7 @@
     /// Sequence number of its newest gossip message.
     pub sequence: u64,
     /// Failure domain of its instance.
-    pub failure_domain: DomainId,
+    pub failure_domain: FailureDomainId,
     /// When it was last heard.
     pub last_heard_at: Instant,
     /// It is stopping.
@@ -78,7 +78,7 @@
             id: id.clone(),
             incarnation: order.0,
             sequence: order.1,
-            failure_domain: DomainId::new(&gossip.failure_domain),
+            failure_domain: FailureDomainId::new(&gossip.failure_domain),
             last_heard_at: now,
             leaving: gossip.leaving,
         };
--- a/crates/mem/src/ledger.rs
+++ b/crates/mem/src/ledger.rs
@@ -1,7 +1,7 @@
 //! Memory that is, or may come to be, in use on each accelerator.
 
 use crate::{EndedOrder, Placement, ReportedResident, ReserveError, TrackedOrder};
-use base::{Epoch, Instant, ModelId};
+use base::{FencingEpoch, Instant, ModelId};
 use schema::store::Intent;
 use std::collections::BTreeMap;
 
@@ -128,7 +128,12 @@
     /// Its intents pass to `inheritor`, the agent that knows of the death. If
     /// the inheritor dies too, its successor only has to find out whether the
     /// inheritor is dead.
-    pub fn issuer_died(&mut self, now: Instant, epoch: Epoch, inheritor: Epoch) {
+    pub fn issuer_died(
+        &mut self,
+        now: Instant,
+        epoch: FencingEpoch,
+        inheritor: FencingEpoch,
+    ) {
         let issued_by_epoch = |order: &&mut TrackedOrder| order.epoch == epoch;
         for order in self.orders.values_mut().filter(issued_by_epoch) {
             order.no_send_after = Some(now);
@@ -138,7 +143,7 @@
 
     /// Predecessors that may still be alive and whose orders count, with their
     /// link addresses. An address is empty if it is unknown.
-    pub fn issuers_not_known_dead(&self) -> BTreeMap<Epoch, &str> {
+    pub fn issuers_not_known_dead(&self) -> BTreeMap<FencingEpoch, &str> {
         let not_known_dead = self
             .orders
             .values()
@@ -157,7 +162,7 @@
     pub fn reserve(
         &mut self,
         id: u64,
-        epoch: Epoch,
+        epoch: FencingEpoch,
         load: bool,
         placement: &Placement,
         size_mib: u32,
@@ -219,7 +224,7 @@
 
     fn check_unload(
         &self,
-        epoch: Epoch,
+        epoch: FencingEpoch,
         placement: &Placement,
     ) -> Result<(), ReserveError> {
         if !self.residents.contains_key(placement) {
--- a/crates/mem/src/order.rs
+++ b/crates/mem/src/order.rs
@@ -1,6 +1,6 @@
 //! Orders that the ledger tracks.
 
-use base::{Epoch, Instant, ModelId};
+use base::{FencingEpoch, Instant, ModelId};
 use schema::store::Intent;
 
 /// One version of a model or adapter on one accelerator.
@@ -20,7 +20,7 @@
     /// Order number, unique over all epochs.
     pub id: u64,
     /// Epoch of the agent that issued the order.
-    pub epoch: Epoch,
+    pub epoch: FencingEpoch,
     /// True for a load, false for an unload.
     pub load: bool,
     /// The model and accelerator to load to or unload from.
@@ -44,7 +44,7 @@
     /// agent issued it or the address is unknown.
     pub issuer_address: String,
     /// Agent that took over the intent when the issuer was known to be dead.
-    pub inherited_by: Option<Epoch>,
+    pub inherited_by: Option<FencingEpoch>,
     /// Time after which no copy of the order is sent any more, if known. From
     /// then on the order can take effect for the longest order delay.
     pub no_send_after: Option<Instant>,
@@ -96,7 +96,7 @@
     pub(crate) fn from_intent(intent: &Intent, now: Instant) -> Self {
         Self {
             id: intent.order,
-            epoch: Epoch(intent.epoch),
+            epoch: FencingEpoch(intent.epoch),
             load: intent.load,
             placement: Placement {
                 accelerator: intent.accelerator,
--- a/crates/mem/tests/ledger/steps.rs
+++ b/crates/mem/tests/ledger/steps.rs
@@ -1,6 +1,6 @@
 //! Steps that the test cases apply to a ledger.
 
-use base::{Epoch, Instant, ModelId};
+use base::{FencingEpoch, Instant, ModelId};
 use mem::{
     Ledger, MemoryReport, Placement, ReportedOrder, ReportedOrderState,
     ReportedResident, ReserveError,
@@ -9,8 +9,8 @@
 use std::collections::BTreeMap;
 
 pub const ORDER_DELAY_MAX_MS: u32 = 3_000;
-pub const OWN_EPOCH: Epoch = Epoch(2);
-pub const PREDECESSOR_EPOCH: Epoch = Epoch(1);
+pub const OWN_EPOCH: FencingEpoch = FencingEpoch(2);
+pub const PREDECESSOR_EPOCH: FencingEpoch = FencingEpoch(1);
 
 /// One step. Times are in milliseconds, sizes in MiB.
 pub enum Step {
--- a/crates/once/src/claims.rs
+++ b/crates/once/src/claims.rs
@@ -3,7 +3,7 @@
 use crate::outcome::{ClaimAction, ClaimRequest, StoredResponse};
 use crate::pending::{ClaimEnd, GrantedClaim, PendingClaim};
 use crate::platform_calls::{
-    BACKOFF_MAX_MS, BACKOFF_MIN_MS, refuse_platform_away, release_if_staged,
+    BACKOFF_MAX_MS, BACKOFF_MIN_MS, refuse_platform_unavailable, release_if_staged,
 };
 use crate::shard::{SHARDS, Shard, StagingLimits, shard_of};
 use base::{AgentId, AttemptId, Incarnation, Instant};
@@ -100,7 +100,7 @@
         let shard = &mut self.shards[index];
         if let Some(until) = shard.backoff_until.filter(|until| *until > now) {
             let retry_ms = until.ms_since(now).max(BACKOFF_MIN_MS);
-            out.push(refuse_platform_away(
+            out.push(refuse_platform_unavailable(
                 pending_claim.request.attempt,
                 retry_ms,
             ));
@@ -204,7 +204,7 @@
                 shard.pending_claims.push(pending_claim);
                 continue;
             }
-            out.push(refuse_platform_away(
+            out.push(refuse_platform_unavailable(
                 pending_claim.request.attempt,
                 BACKOFF_MAX_MS,
             ));
--- a/crates/once/src/outcome.rs
+++ b/crates/once/src/outcome.rs
@@ -1,6 +1,6 @@
 //! Requests for claims, their outcomes, and actions.
 
-use base::{AttemptId, CallerId, PlatformCall, Refusal};
+use base::{AttemptId, CallerId, PlatformCall, RequestError};
 
 /// Request for a claim.
 #[derive(Debug, Clone)]
@@ -39,7 +39,7 @@
     Replay(StoredResponse),
     /// The request is not run now. The refusal says why, and what is known
     /// about an earlier run.
-    Refused(Refusal),
+    Refused(RequestError),
 }
 
 /// An action that the owner of [`Claims`](crate::Claims) has to perform.
--- a/crates/once/src/platform_calls.rs
+++ b/crates/once/src/platform_calls.rs
@@ -5,8 +5,8 @@
 use crate::pending::{ClaimEnd, GrantedClaim, PendingClaim};
 use crate::shard::{CallState, Shard, ShardSnapshot, shard_key};
 use base::{
-    AttemptId, Code, Instant, PlatformCall, PlatformOp, PlatformResult, Refusal,
-    Version,
+    AttemptId, ErrorCode, Instant, ObjectVersion, PlatformCall, PlatformOp,
+    PlatformResult, RequestError,
 };
 use prost::Message as _;
 use schema::store::{ClaimShard, ClaimState};
@@ -41,9 +41,9 @@
             (CallState::Writing(..), PlatformResult::Conflict) => {
                 self.shards[index].snapshot = None;
             }
-            (CallState::Writing(..), PlatformResult::Away)
+            (CallState::Writing(..), PlatformResult::Unavailable)
             | (CallState::Reading, _) => {
-                self.on_platform_away(now, index, out);
+                self.on_platform_unavailable(now, index, out);
             }
             (CallState::Writing(..), _) => self.on_write_unanswered(index),
             (CallState::Idle, _) => {}
@@ -94,7 +94,7 @@
         };
         let op = PlatformOp::Write {
             key: shard_key(index),
-            expect: snapshot.expect(),
+            precondition: snapshot.write_precondition(),
             value: content.encode_to_vec(),
         };
         let id = self.allocate_call_id(index);
@@ -113,7 +113,7 @@
         &mut self,
         now: Instant,
         index: usize,
-        object: Option<(Version, Vec<u8>)>,
+        object: Option<(ObjectVersion, Vec<u8>)>,
         out: &mut Vec<ClaimAction>,
     ) {
         let (version, value) = match object {
@@ -125,13 +125,13 @@
         // would be lost, and a resend would be told that the outcome is
         // unknown. Versions come from one counter, so a lower version is older.
         if version < self.shards[index].highest_version {
-            self.on_platform_away(now, index, out);
+            self.on_platform_unavailable(now, index, out);
             return;
         }
         // A shard that can't be decoded must not be overwritten: it contains
         // claims.
         let Ok(content) = ClaimShard::decode(value.as_slice()) else {
-            self.on_platform_away(now, index, out);
+            self.on_platform_unavailable(now, index, out);
             return;
         };
         let shard = &mut self.shards[index];
@@ -149,7 +149,7 @@
     fn apply_content(
         &mut self,
         index: usize,
-        version: Option<Version>,
+        version: Option<ObjectVersion>,
         content: ClaimShard,
         out: &mut Vec<ClaimAction>,
     ) {
@@ -210,7 +210,7 @@
     /// Pending requests are refused at once, except those whose unanswered
     /// write has yet to be read back. Finishes and releases stay pending and
     /// are retried after the backoff.
-    fn on_platform_away(
+    fn on_platform_unavailable(
         &mut self,
         now: Instant,
         index: usize,
@@ -227,7 +227,7 @@
                 shard.pending_claims.push(pending_claim);
                 continue;
             }
-            out.push(refuse_platform_away(
+            out.push(refuse_platform_unavailable(
                 pending_claim.request.attempt,
                 backoff_ms,
             ));
@@ -248,8 +248,12 @@
     }
 }
 
-pub(crate) fn refuse_platform_away(attempt: AttemptId, retry_ms: u64) -> ClaimAction {
-    let refusal = Refusal::not_run(Code::PlatformAway).retry_after_ms(retry_ms);
+pub(crate) fn refuse_platform_unavailable(
+    attempt: AttemptId,
+    retry_ms: u64,
+) -> ClaimAction {
+    let refusal =
+        RequestError::not_run(ErrorCode::PlatformAway).retry_after_ms(retry_ms);
     let outcome = ClaimOutcome::Refused(refusal);
     ClaimAction::Settled { attempt, outcome }
 }
--- a/crates/once/src/shard.rs
+++ b/crates/once/src/shard.rs
@@ -1,7 +1,9 @@
 //! One shard object of claims, and what is pending for it.
 
 use crate::pending::{ClaimEnd, PendingClaim};
-use base::{AttemptId, Code, Expect, Instant, Ran, Refusal, Version};
+use base::{
+    AttemptId, ErrorCode, Instant, ObjectVersion, Precondition, RequestError, RunStatus,
+};
 use prost::Message as _;
 use schema::store::{Claim, ClaimShard, ClaimState};
 use xxhash_rust::xxh3::xxh3_64;
@@ -64,13 +66,14 @@
 #[derive(Debug)]
 pub(crate) struct ShardSnapshot {
     /// `None` if the object does not exist.
-    pub version: Option<Version>,
+    pub version: Option<ObjectVersion>,
     pub content: ClaimShard,
 }
 
 impl ShardSnapshot {
-    pub(crate) fn expect(&self) -> Expect {
-        self.version.map_or(Expect::Absent, Expect::Version)
+    pub(crate) fn write_precondition(&self) -> Precondition {
+        self.version
+            .map_or(Precondition::Absent, Precondition::Version)
     }
 }
 
@@ -80,12 +83,12 @@
     pub call_state: CallState,
     pub snapshot: Option<ShardSnapshot>,
     /// Highest version seen. A read of a lower version is stale.
-    pub highest_version: Option<Version>,
+    pub highest_version: Option<ObjectVersion>,
     pub pending_claims: Vec<PendingClaim>,
     pub pending_ends: Vec<ClaimEnd>,
     /// Version that an unanswered write expected. As long as the object has
     /// this version, the write may still take effect.
-    pub unanswered_write_expects: Option<Option<Version>>,
+    pub unanswered_write_expects: Option<Option<ObjectVersion>>,
     /// No platform call is made before this time, because the platform was
     /// unavailable.
     pub backoff_until: Option<Instant>,
@@ -263,7 +266,8 @@
         ..Claim::default()
     };
     if planned_bytes(content, &claim, limits) > SHARD_MAX_BYTES {
-        let refusal = Refusal::not_run(Code::Overloaded).retry_after_ms(FULL_RETRY_MS);
+        let refusal =
+            RequestError::not_run(ErrorCode::Overloaded).retry_after_ms(FULL_RETRY_MS);
         return ClaimDecision::Settled(ClaimOutcome::Refused(refusal));
     }
     content.claims.push(claim);
@@ -286,17 +290,17 @@
         return ClaimDecision::ReadFirst;
     }
     let refusal = if differs_in_body {
-        Refusal::not_run(Code::KeyReused)
+        RequestError::not_run(ErrorCode::KeyReused)
     } else if is_abandoned(claim, pending_claim, limits) {
-        Refusal {
-            code: Code::OutcomeUnknown,
-            ran: Ran::Unknown,
+        RequestError {
+            code: ErrorCode::OutcomeUnknown,
+            ran: RunStatus::Unknown,
             retry_after_ms: None,
         }
     } else {
-        Refusal {
-            code: Code::KeyInProgress,
-            ran: Ran::Unknown,
+        RequestError {
+            code: ErrorCode::KeyInProgress,
+            ran: RunStatus::Unknown,
             retry_after_ms: Some(IN_PROGRESS_RETRY_MS),
         }
     };
@@ -317,9 +321,9 @@
 /// says only that it ran if the response was too large to store.
 fn stored_outcome(claim: &Claim) -> ClaimOutcome {
     let Some(status) = u16::try_from(claim.status).ok().filter(|s| *s != 0) else {
-        return ClaimOutcome::Refused(Refusal {
-            code: Code::OutcomeUnknown,
-            ran: Ran::Ran,
+        return ClaimOutcome::Refused(RequestError {
+            code: ErrorCode::OutcomeUnknown,
+            ran: RunStatus::Ran,
             retry_after_ms: None,
         });
     };
--- a/crates/once/tests/claims/agents.rs
+++ b/crates/once/tests/claims/agents.rs
@@ -20,13 +20,31 @@
     one.answer_all(0, &mut platform);
     two.answer_all(0, &mut platform);
     assert!(one.granted(1));
-    assert_eq!(two.refused(2), Some((Code::KeyInProgress, Ran::Unknown)));
+    assert_eq!(
+        two.refused(2),
+        Some((ErrorCode::KeyInProgress, RunStatus::Unknown))
+    );
 
     let cases = [
-        (3, 100, BODY, (Code::KeyInProgress, Ran::Unknown)),
-        (4, 11_000, BODY, (Code::KeyInProgress, Ran::Unknown)),
-        (5, 12_001, BODY, (Code::OutcomeUnknown, Ran::Unknown)),
-        (6, 12_001, OTHER_BODY, (Code::KeyReused, Ran::NotRun)),
+        (3, 100, BODY, (ErrorCode::KeyInProgress, RunStatus::Unknown)),
+        (
+            4,
+            11_000,
+            BODY,
+            (ErrorCode::KeyInProgress, RunStatus::Unknown),
+        ),
+        (
+            5,
+            12_001,
+            BODY,
+            (ErrorCode::OutcomeUnknown, RunStatus::Unknown),
+        ),
+        (
+            6,
+            12_001,
+            OTHER_BODY,
+            (ErrorCode::KeyReused, RunStatus::NotRun),
+        ),
     ];
     for (attempt, ms, body, expected) in cases {
         two.request_claim(ms, attempt, "key", body);
@@ -47,7 +65,10 @@
     );
     two.request_claim(13_002, 8, "key", OTHER_BODY);
     two.answer_all(13_002, &mut platform);
-    assert_eq!(two.refused(8), Some((Code::KeyReused, Ran::NotRun)));
+    assert_eq!(
+        two.refused(8),
+        Some((ErrorCode::KeyReused, RunStatus::NotRun))
+    );
 }
 
 /// Two requests with the same key reach one agent before the first claim is
@@ -61,7 +82,10 @@
     agent.request_claim(0, 2, "key", BODY);
     agent.answer_all(0, &mut platform);
     assert!(agent.granted(1));
-    assert_eq!(agent.refused(2), Some((Code::KeyInProgress, Ran::Unknown)));
+    assert_eq!(
+        agent.refused(2),
+        Some((ErrorCode::KeyInProgress, RunStatus::Unknown))
+    );
 
     agent.request_claim(1, 3, "key", BODY);
     agent.release(1, 1);
@@ -87,13 +111,13 @@
     successor.answer_all(1_000, &mut platform);
     assert_eq!(
         successor.refused(2),
-        Some((Code::KeyInProgress, Ran::Unknown))
+        Some((ErrorCode::KeyInProgress, RunStatus::Unknown))
     );
     successor.request_claim(60_000, 3, "key", BODY);
     successor.answer_all(60_000, &mut platform);
     assert_eq!(
         successor.refused(3),
-        Some((Code::OutcomeUnknown, Ran::Unknown))
+        Some((ErrorCode::OutcomeUnknown, RunStatus::Unknown))
     );
 }
 
@@ -117,7 +141,9 @@
 
     agent.request_claim(20, 2, "key", BODY);
     agent.answer_all(20, &mut platform);
-    platform.behaviors.extend([PlatformBehavior::Away; 3]);
+    platform
+        .behaviors
+        .extend([PlatformBehavior::Unavailable; 3]);
     agent.release(30, 2);
     for ms in (30..1_030).step_by(100) {
         agent.tick(ms);
--- a/crates/once/tests/claims/shards.rs
+++ b/crates/once/tests/claims/shards.rs
@@ -64,7 +64,10 @@
     }
     let granted = (1..=100).filter(|attempt| agent.granted(*attempt)).count();
     assert!((10..20).contains(&granted), "{granted} claims fit");
-    assert_eq!(agent.refused(100), Some((Code::Overloaded, Ran::NotRun)));
+    assert_eq!(
+        agent.refused(100),
+        Some((ErrorCode::Overloaded, RunStatus::NotRun))
+    );
     assert!(
         platform.largest_object_bytes() < 900_000,
         "{} bytes",
@@ -91,7 +94,10 @@
     agent.answer_all(1, &mut platform);
     agent.request_claim(2, 2, "key", BODY);
     agent.answer_all(2, &mut platform);
-    assert_eq!(agent.refused(2), Some((Code::OutcomeUnknown, Ran::Ran)));
+    assert_eq!(
+        agent.refused(2),
+        Some((ErrorCode::OutcomeUnknown, RunStatus::Ran))
+    );
 }
 
 /// A shard that can't be decoded contains claims that must not be overwritten:
@@ -104,6 +110,9 @@
     let mut agent = Agent::new("one");
     agent.request_claim(0, 1, "key", BODY);
     agent.answer_all(0, &mut platform);
-    assert_eq!(agent.refused(1), Some((Code::PlatformAway, Ran::NotRun)));
+    assert_eq!(
+        agent.refused(1),
+        Some((ErrorCode::PlatformAway, RunStatus::NotRun))
+    );
     assert_eq!(platform.objects[&key].1, vec![0xff; 5]);
 }
--- a/crates/once/tests/claims/stand.rs
+++ b/crates/once/tests/claims/stand.rs
@@ -1,7 +1,7 @@
 //! Test doubles: a platform with faults, and an agent that makes claims.
 
 use base::prelude::*;
-use base::{Expect, PlatformCall, PlatformOp, PlatformResult, Version};
+use base::{ObjectVersion, PlatformCall, PlatformOp, PlatformResult, Precondition};
 use once::{
     ClaimAction, ClaimOutcome, ClaimRequest, Claims, ClaimsOptions, StoredResponse,
 };
@@ -17,7 +17,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlatformBehavior {
     Normal,
-    Away,
+    Unavailable,
     /// The call takes effect, but its response is lost.
     AnswerLost,
     /// The call is lost and has no effect.
@@ -45,7 +45,7 @@
             .unwrap_or(PlatformBehavior::Normal)
         {
             PlatformBehavior::Normal => self.apply(&call.op),
-            PlatformBehavior::Away => PlatformResult::Away,
+            PlatformBehavior::Unavailable => PlatformResult::Unavailable,
             PlatformBehavior::CallLost => PlatformResult::Unanswered,
             PlatformBehavior::AnswerLost => {
                 self.apply(&call.op);
@@ -64,17 +64,23 @@
             PlatformOp::Read { key } => {
                 let object = self.objects.get(key);
                 PlatformResult::Object(
-                    object.map(|(v, value)| (Version(*v), value.clone())),
+                    object.map(|(v, value)| (ObjectVersion(*v), value.clone())),
                 )
             }
-            PlatformOp::Write { key, expect, value } => {
+            PlatformOp::Write {
+                key,
+                precondition,
+                value,
+            } => {
                 self.writes += 1;
-                let current =
-                    self.objects.get(key).map(|(version, _)| Version(*version));
-                let version_matches = match expect {
-                    Expect::Any => true,
-                    Expect::Absent => current.is_none(),
-                    Expect::Version(version) => current == Some(*version),
+                let current = self
+                    .objects
+                    .get(key)
+                    .map(|(version, _)| ObjectVersion(*version));
+                let version_matches = match precondition {
+                    Precondition::Any => true,
+                    Precondition::Absent => current.is_none(),
+                    Precondition::Version(version) => current == Some(*version),
                 };
                 if !version_matches {
                     return PlatformResult::Conflict;
@@ -82,7 +88,7 @@
                 self.last_version += 1;
                 self.objects
                     .insert(key.clone(), (self.last_version, value.clone()));
-                PlatformResult::Written(Version(self.last_version))
+                PlatformResult::Written(ObjectVersion(self.last_version))
             }
             other => panic!("unexpected platform call: {other:?}"),
         }
@@ -216,7 +222,7 @@
 
     /// The code with which an attempt was refused, and what the refusal says
     /// about the run.
-    pub fn refused(&self, attempt: u64) -> Option<(Code, Ran)> {
+    pub fn refused(&self, attempt: u64) -> Option<(ErrorCode, RunStatus)> {
         match self.outcome(attempt)? {
             ClaimOutcome::Refused(refusal) => Some((refusal.code, refusal.ran)),
             _ => None,
--- a/crates/once/tests/claims/writes.rs
+++ b/crates/once/tests/claims/writes.rs
@@ -11,12 +11,20 @@
 /// the platform is available.
 #[test]
 fn unanswered_writes_are_granted_or_released() {
-    use PlatformBehavior::{AnswerLost, Away, CallLost, Late, Normal};
+    use PlatformBehavior::{AnswerLost, CallLost, Late, Normal, Unavailable};
     let cases: &[(&str, &[PlatformBehavior], bool)] = &[
         ("no fault", &[], true),
-        ("platform unavailable at the first read", &[Away], false),
+        (
+            "platform unavailable at the first read",
+            &[Unavailable],
+            false,
+        ),
         ("first read unanswered", &[CallLost], false),
-        ("platform unavailable at the write", &[Normal, Away], false),
+        (
+            "platform unavailable at the write",
+            &[Normal, Unavailable],
+            false,
+        ),
         ("write applied, response lost", &[Normal, AnswerLost], true),
         ("write lost", &[Normal, CallLost], true),
         ("write applied late", &[Normal, Late], true),
@@ -27,12 +35,22 @@
         ),
         (
             "response lost, platform unavailable at the first read back",
-            &[Normal, AnswerLost, Away],
+            &[Normal, AnswerLost, Unavailable],
             true,
         ),
         (
             "response lost, platform unavailable for long",
-            &[Normal, AnswerLost, Away, Away, Away, Away, Away, Away, Away],
+            &[
+                Normal,
+                AnswerLost,
+                Unavailable,
+                Unavailable,
+                Unavailable,
+                Unavailable,
+                Unavailable,
+                Unavailable,
+                Unavailable,
+            ],
             false,
         ),
     ];
@@ -53,7 +71,7 @@
         }
         assert_eq!(
             agent.refused(1),
-            Some((Code::PlatformAway, Ran::NotRun)),
+            Some((ErrorCode::PlatformAway, RunStatus::NotRun)),
             "{name}"
         );
         assert_eq!(platform.claim_count(), 0, "{name}: the key is not free");
@@ -73,14 +91,19 @@
     platform
         .behaviors
         .extend([PlatformBehavior::Normal, PlatformBehavior::Late]);
-    platform.behaviors.extend([PlatformBehavior::Away; 8]);
+    platform
+        .behaviors
+        .extend([PlatformBehavior::Unavailable; 8]);
     let mut agent = Agent::new("one");
     agent.request_claim(0, 1, "key", BODY);
     for ms in (0..=20_000).step_by(100) {
         agent.tick(ms);
         agent.answer_all(ms, &mut platform);
     }
-    assert_eq!(agent.refused(1), Some((Code::PlatformAway, Ran::NotRun)));
+    assert_eq!(
+        agent.refused(1),
+        Some((ErrorCode::PlatformAway, RunStatus::NotRun))
+    );
     assert!(agent.claims.is_flushed());
     platform.deliver_late();
     assert_eq!(
--- a/crates/role/src/entry/control/cells.rs
+++ b/crates/role/src/entry/control/cells.rs
@@ -36,7 +36,7 @@
         let Some(pool) = config.pool(agent.pool.as_str()) else {
             continue;
         };
-        if !pool.engine || !agent.upstream_up {
+        if !pool.is_engine || !agent.upstream_up {
             continue;
         }
         let key = (agent.pool.as_str(), region(config, &agent.failure_domain));
@@ -56,7 +56,7 @@
 }
 
 /// Region of a failure domain; a domain without a configured region forms its own.
-fn region<'a>(config: &'a Config, domain: &'a DomainId) -> &'a str {
+fn region<'a>(config: &'a Config, domain: &'a FailureDomainId) -> &'a str {
     let configured = config.fleet().failure_domains.get(domain.as_str());
     let configured = configured.filter(|domain| !domain.region.is_empty());
     configured.map_or(domain.as_str(), |domain| domain.region.as_str())
