--- a/crates/role/src/agent/orders.rs
+++ b/crates/role/src/agent/orders.rs
@@ -6,7 +6,7 @@
 //! 1. The ledger reserves memory; a load that could overcommit is not started.
 //! 2. Its intent is written into the agent's record, conditional on the version
 //!    last seen; an agent that was replaced gets no further.
-//! 3. It is sent to the upstream with the agent's epoch as fencing token.
+//! 3. It is sent to the upstream with the agent's epoch as fencing epoch.
 //! 4. It stays counted until the upstream shows its end, and is resent under
 //!    the same number while no answer comes.
 
@@ -185,7 +185,7 @@
         if wanted.contains(placement) {
             return true;
         }
-        let here = wanted
+        let on_same_accelerator = wanted
             .iter()
             .filter(|other| other.accelerator == placement.accelerator);
         let is_base = |other: &Placement| {
@@ -198,7 +198,8 @@
                     .orders()
                     .any(|order| order.load && order.placement == *other)
         };
-        here.into_iter()
+        on_same_accelerator
+            .into_iter()
             .any(|other| is_base(other) || is_being_replaced(other))
     }
 
