--- a/crates/base/src/code.rs
+++ b/crates/base/src/code.rs
@@ -1,20 +1,20 @@
-//! Numbered result codes.
+//! Numbered error codes, and errors that end a request.
 
 use std::fmt;
 
 /// What is known about whether a request was run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RunStatus {
-    /// It provably was not run and never will be.
+    /// The request certainly did not run and never will.
     NotRun,
-    /// It was handed to an upstream.
+    /// The request was passed to an upstream.
     Ran,
-    /// Neither can be shown.
+    /// The request may or may not have run.
     Unknown,
 }
 
 impl RunStatus {
-    /// The word used towards callers.
+    /// Returns the text used in responses to callers.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::NotRun => "not_run",
@@ -23,7 +23,7 @@
         }
     }
 
-    /// The number used on links.
+    /// Returns the number used in frames between processes.
     pub const fn number(self) -> u32 {
         match self {
             Self::NotRun => 0,
@@ -32,7 +32,8 @@
         }
     }
 
-    /// Reads the number used on links; an unknown number shows nothing.
+    /// Converts a number from a frame. A number that this version does not know
+    /// is `Unknown`.
     pub const fn from_number(number: u32) -> Self {
         match number {
             0 => Self::NotRun,
@@ -42,44 +43,45 @@
     }
 }
 
-macro_rules! codes {
+macro_rules! error_codes {
     ($($(#[$doc:meta])* $name:ident = $number:literal, $text:literal, $status:literal;)*) => {
-        /// A numbered result code.
+        /// A numbered error code.
         ///
-        /// 1xxx blame the request, 2xxx are refusals under load, 3xxx are faults
-        /// of upstreams, 4xxx of the platform, 5xxx of settings and operators'
-        /// commands. `docs/errors.md` tells what to do about each.
+        /// The ranges are: 1xxx invalid requests; 2xxx requests refused because of
+        /// load or the state of the system; 3xxx failures of upstreams; 4xxx
+        /// failures of the platform; 5xxx errors in settings, operators' commands
+        /// and links. `docs/errors.md` says how to handle each.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub enum ErrorCode {
             $($(#[$doc])* $name,)*
         }
 
         impl ErrorCode {
-            /// Every code, in order of number.
+            /// All codes in ascending order of their numbers.
             pub const ALL: &'static [Self] = &[$(Self::$name,)*];
 
-            /// The code's number.
+            /// Returns the code's number.
             pub const fn number(self) -> u32 {
                 match self {
                     $(Self::$name => $number,)*
                 }
             }
 
-            /// The code's name.
+            /// Returns the code's name, as callers and operators see it.
             pub const fn name(self) -> &'static str {
                 match self {
                     $(Self::$name => $text,)*
                 }
             }
 
-            /// HTTP status with which callers are told.
+            /// Returns the HTTP status of a response with this code.
             pub const fn http_status(self) -> u16 {
                 match self {
                     $(Self::$name => $status,)*
                 }
             }
 
-            /// Finds a code by its number.
+            /// Returns the code with a number, if there is one.
             pub fn from_number(number: u32) -> Option<Self> {
                 Self::ALL.iter().copied().find(|code| code.number() == number)
             }
@@ -87,99 +89,99 @@
     };
 }
 
-codes! {
-    /// The request's body or headers can't be read.
+error_codes! {
+    /// The request's body or headers can't be parsed.
     BadRequest = 1001, "bad_request", 400;
-    /// No caller has the key that the request carries.
+    /// The request's API key belongs to no caller.
     UnknownCaller = 1002, "unknown_caller", 401;
-    /// No such profile, or it does not name the model or service.
+    /// The profile does not exist or does not include the model or service.
     UnknownProfile = 1003, "unknown_profile", 400;
-    /// No such model or adapter.
+    /// The model or adapter does not exist.
     UnknownModel = 1004, "unknown_model", 404;
-    /// No such plain service.
+    /// The plain service does not exist.
     UnknownService = 1005, "unknown_service", 404;
     /// The body is larger than the limit.
     BodyTooLarge = 1006, "body_too_large", 413;
-    /// The key was used before with another body.
+    /// The idempotency key was used before with another body.
     KeyReused = 1007, "key_reused", 422;
-    /// No such path or method.
+    /// The path does not exist or does not support the method.
     UnknownPath = 1008, "unknown_path", 404;
-    /// A non-idempotent call came without an idempotency key where one is
-    /// needed.
+    /// A request that is not idempotent lacks the idempotency key it needs.
     KeyMissing = 1009, "key_missing", 400;
-    /// The deadline header can't be read or has passed.
+    /// The deadline header can't be parsed, or the deadline has passed.
     BadDeadline = 1010, "bad_deadline", 400;
-    /// The expectation can't be met under the present load.
+    /// The request's latency target or deadline can't be met under the current
+    /// load.
     Overloaded = 2001, "overloaded", 503;
-    /// The entry holds as many waiting requests as it may.
+    /// The queue of waiting requests, or of frames on a link, is full.
     QueueFull = 2002, "queue_full", 503;
-    /// The caller has as many requests in progress as it may.
+    /// The caller has reached its limit of concurrent requests.
     CallerLimit = 2003, "caller_limit", 429;
-    /// The process is stopping.
+    /// The process is shutting down.
     Leaving = 2004, "leaving", 503;
-    /// The model is not loaded and can't be in time.
+    /// The model is not loaded and can't be loaded before the deadline.
     ModelUnavailable = 2005, "model_unavailable", 503;
-    /// The deadline passed before the request was run.
+    /// The deadline passed before the request started to run.
     DeadlineBeforeRun = 2006, "deadline_before_run", 504;
-    /// The request crashed upstreams and is not run again for now.
+    /// The request crashed upstreams and is refused for some time.
     RequestCrashedUpstreams = 2007, "request_crashed_upstreams", 422;
-    /// The same key is being run by another request.
+    /// Another request with the same idempotency key is in progress.
     KeyInProgress = 2008, "key_in_progress", 409;
-    /// The agent was addressed by an old incarnation.
+    /// The request names an earlier incarnation of the agent.
     WrongIncarnation = 2009, "wrong_incarnation", 503;
-    /// The agent's gate is full.
+    /// The agent's admission control has no free slot.
     GateFull = 2010, "gate_full", 503;
-    /// The attempt was revoked before it started.
+    /// The entry revoked the attempt before it started.
     Revoked = 2011, "revoked", 503;
-    /// The agent's upstream does not hold the model.
+    /// The model is not loaded on the agent's upstream.
     NotHeld = 2012, "not_held", 503;
     /// The process has no configuration yet.
     NotReady = 2013, "not_ready", 503;
-    /// The workspace has used what it may.
+    /// The workspace has used up its quota.
     QuotaSpent = 2014, "quota_spent", 429;
-    /// Nobody could say whether the workspace has something left.
+    /// The remaining quota of the workspace can't be determined.
     QuotaUnknown = 2015, "quota_unknown", 503;
-    /// The upstream died with the request in flight.
+    /// The connection to the upstream was lost with the request in flight.
     UpstreamLost = 3001, "upstream_lost", 502;
-    /// The upstream refused or broke its protocol.
+    /// The upstream refused the request or violated its protocol.
     UpstreamFault = 3002, "upstream_fault", 502;
-    /// The deadline passed while the request ran.
+    /// The deadline passed while the request was running.
     DeadlineWhileRunning = 3003, "deadline_while_running", 504;
-    /// The answer broke off and could not be continued.
+    /// The answer was cut off and could not be resumed.
     AnswerBroken = 3004, "answer_broken", 502;
-    /// The call ran before; whether it took effect is not known.
+    /// The request was passed on, and whether it took effect is unknown.
     OutcomeUnknown = 3005, "outcome_unknown", 502;
-    /// The platform can't be reached, and the request needs it.
+    /// The request needs the platform, which can't be reached.
     PlatformAway = 4001, "platform_away", 503;
-    /// A conditional write found another version.
+    /// The object of a conditional write has another version.
     Conflict = 4002, "conflict", 409;
-    /// A write got no answer and its effect is not known.
+    /// A write got no response, and whether it took effect is unknown.
     WriteUnanswered = 4003, "write_unanswered", 502;
-    /// The document is not JSON with comments.
+    /// The document is not valid JSON with comments.
     BadSyntax = 5001, "bad_syntax", 400;
-    /// No such key in the schema.
+    /// The key is not in the schema.
     UnknownKey = 5002, "unknown_key", 400;
     /// The value has the wrong type.
     WrongType = 5003, "wrong_type", 400;
-    /// The key has the name of a known one with another unit.
+    /// The key is a known one with another unit suffix.
     WrongUnit = 5004, "wrong_unit", 400;
-    /// The name stands twice.
+    /// The name is used twice.
     DuplicateName = 5005, "duplicate_name", 400;
-    /// Something named does not exist.
+    /// The document refers to something that does not exist.
     MissingReference = 5006, "missing_reference", 400;
-    /// The model is larger than any accelerator it may use.
+    /// The model is larger than every accelerator that it may use.
     ModelTooLarge = 5007, "model_too_large", 400;
-    /// The value is outside its range.
+    /// The value is out of range.
     OutOfRange = 5008, "out_of_range", 400;
-    /// A needed key is missing.
+    /// A required key is missing.
     MissingKey = 5009, "missing_key", 400;
     /// A file can't be read or written.
     FileFault = 5010, "file_fault", 500;
-    /// An address can't be read or bound.
+    /// An address can't be parsed or bound.
     BadAddress = 5011, "bad_address", 500;
-    /// A process could not be reached.
+    /// A process can't be reached.
     Unreachable = 5012, "unreachable", 502;
-    /// A frame on a link can't be decoded or breaks a bound.
+    /// A frame on a link can't be decoded or exceeds the size limit.
     BadFrame = 5013, "bad_frame", 400;
 }
 
@@ -189,19 +191,20 @@
     }
 }
 
-/// A final answer other than a whole one.
+/// The error that ends a request without a complete answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestError {
-    /// Why.
+    /// What went wrong.
     pub code: ErrorCode,
-    /// Whether the request was run.
+    /// Whether the request ran.
     pub ran: RunStatus,
-    /// When to come back; `None` where coming back does not help.
+    /// Milliseconds after which the caller may retry; `None` if a retry would
+    /// not help.
     pub retry_after_ms: Option<u64>,
 }
 
 impl RequestError {
-    /// A refusal of a request that was not run.
+    /// Creates an error for a request that did not run.
     pub const fn not_run(code: ErrorCode) -> Self {
         Self {
             code,
@@ -210,7 +213,7 @@
         }
     }
 
-    /// The same refusal with a time to come back.
+    /// Sets the time after which the caller may retry.
     #[must_use]
     pub const fn retry_after_ms(mut self, ms: u64) -> Self {
         self.retry_after_ms = Some(ms);
--- a/crates/base/src/id.rs
+++ b/crates/base/src/id.rs
@@ -1,25 +1,28 @@
-//! Identifiers that the processes give out.
+//! Identifiers assigned by the processes.
 
 use std::fmt;
 
-/// One run of one process; a restarted process has a greater one.
+/// Identifies one run of a process; each restart yields a greater value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Incarnation(pub u64);
 
-/// Fencing number of the agent beside one upstream.
+/// Fencing epoch of an upstream's agent; each new agent process takes a higher one.
+///
+/// An upstream that checks fencing refuses orders from lower epochs than the
+/// highest it has seen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct FencingEpoch(pub u64);
 
-/// Number of an accepted configuration; each accepted change adds one.
+/// Revision of the configuration; each accepted change increments it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Revision(pub u64);
 
-/// Identifies one request: the entry's incarnation and a sequence within it.
+/// Identifies a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId {
-    /// Incarnation of the entry that took the request.
+    /// Incarnation of the entry that received the request.
     pub origin: u64,
-    /// Sequence within the incarnation.
+    /// Sequence number within the incarnation.
     pub sequence: u64,
 }
 
@@ -28,7 +31,7 @@
 pub struct AttemptId {
     /// Incarnation of the entry that made the attempt.
     pub origin: u64,
-    /// Sequence within the incarnation.
+    /// Sequence number within the incarnation.
     pub sequence: u64,
 }
 
--- a/crates/base/src/lib.rs
+++ b/crates/base/src/lib.rs
@@ -1,21 +1,21 @@
-//! Common types of every crate: names, identifiers, time and result codes.
+//! Types shared by all crates: names, identifiers, time and error codes.
 //!
-//! The crate has no I/O and no clock. Decisions take an [`Instant`] that the
-//! caller read from the runtime's clock, so tests pause and advance it, and the
-//! same input gives the same output on every run.
+//! The crate does no I/O and reads no clock. State machines take an [`Instant`]
+//! that their driver read from the runtime's clock, so tests can pause and advance
+//! time, and the same input gives the same output on every run.
 //!
-//! Two types carry promises of the whole system:
+//! Two types are part of the system's contract with its callers:
 //!
-//! - [`RunStatus`] is what the system says about a request that got no whole answer.
-//!   `NotRun` is only used where the request provably was not run.
-//! - [`ErrorCode`] is the numbered result code; `docs/errors.md` lists every one.
+//! - [`RunStatus`] says whether a request without a complete answer has run. It is
+//!   `NotRun` only if the request certainly did not run.
+//! - [`ErrorCode`] is the numbered error code; `docs/errors.md` lists all of them.
 
 mod code;
 mod id;
 mod name;
 mod platform;
 mod time;
-mod timers;
+mod timer_queue;
 
 pub use code::{ErrorCode, RequestError, RunStatus};
 pub use id::{AttemptId, FencingEpoch, Incarnation, RequestId, Revision};
@@ -27,9 +27,9 @@
     Precondition,
 };
 pub use time::Instant;
-pub use timers::TimerQueue;
+pub use timer_queue::TimerQueue;
 
-/// The types that most modules need.
+/// Types that most modules need.
 pub mod prelude {
     pub use crate::{
         AgentId, AttemptId, CallerId, EntryId, ErrorCode, FailureDomainId,
--- a/crates/base/src/name.rs
+++ b/crates/base/src/name.rs
@@ -1,4 +1,4 @@
-//! Names chosen by operators, one type for each kind of thing named.
+//! Names chosen by operators, with a separate type for each kind of object.
 
 use std::borrow::Borrow;
 use std::fmt;
@@ -11,12 +11,12 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Makes a name from its text.
+            /// Creates a name from text.
             pub fn new(text: &str) -> Self {
                 Self(Arc::from(text))
             }
 
-            /// The name's text.
+            /// Returns the name as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -43,34 +43,34 @@
 }
 
 name_type! {
-    /// An instance that holds an upstream, and the agent beside it.
+    /// Name of an instance: an upstream and its agent.
     AgentId
 }
 name_type! {
-    /// An entry process.
+    /// Name of an entry process.
     EntryId
 }
 name_type! {
-    /// A model or an adapter; both share one space of names.
+    /// Name of a model or an adapter; both share one namespace.
     ModelId
 }
 name_type! {
-    /// A profile.
+    /// Name of a profile.
     ProfileId
 }
 name_type! {
-    /// A plain service.
+    /// Name of a plain service.
     ServiceId
 }
 name_type! {
-    /// An identity that sends requests.
+    /// Name of a caller: an identity that sends requests.
     CallerId
 }
 name_type! {
-    /// A failure domain.
+    /// Name of a failure domain.
     FailureDomainId
 }
 name_type! {
-    /// A pool of like upstreams.
+    /// Name of a pool of identical upstreams.
     PoolId
 }
--- a/crates/base/src/platform.rs
+++ b/crates/base/src/platform.rs
@@ -1,19 +1,19 @@
-//! Calls to the platform's object API, as the decisions see them.
+//! Calls of the platform's object API, as state machines issue them.
 
-/// Version of an object; the platform raises it with each write.
+/// Version of an object; the platform increases it with each write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ObjectVersion(pub u64);
 
 /// A call that a state machine asks its driver to make.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlatformCall {
-    /// Number by which the answer is matched; unique within the machine.
+    /// Identifies the call in its response; unique within the state machine.
     pub id: u64,
-    /// What to do.
+    /// The operation.
     pub op: PlatformOp,
 }
 
-/// What to do with the platform's objects.
+/// An operation on the platform's objects.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PlatformOp {
     /// Reads one object.
@@ -23,36 +23,36 @@
     },
     /// Reads all objects whose key starts with `prefix`.
     List {
-        /// Start of the keys.
+        /// Prefix of the keys.
         prefix: String,
     },
-    /// Writes one object if it is as expected.
+    /// Writes one object if the precondition holds.
     Write {
         /// Key of the object.
         key: String,
-        /// What must hold for the write to be done.
+        /// Condition under which the write takes effect.
         precondition: Precondition,
         /// The new value.
         value: Vec<u8>,
     },
-    /// Deletes one object if it is as expected.
+    /// Deletes one object if the precondition holds.
     Delete {
         /// Key of the object.
         key: String,
-        /// What must hold for the deletion to be done.
+        /// Condition under which the deletion takes effect.
         precondition: Precondition,
     },
     /// Waits until an object whose key starts with `prefix` has a version above
-    /// `after`, or until the platform ends the wait.
+    /// `after`, or until the platform's own timeout.
     Watch {
-        /// Start of the keys.
+        /// Prefix of the keys.
         prefix: String,
-        /// Version already seen.
+        /// Latest version that the client has seen.
         after: ObjectVersion,
     },
 }
 
-/// Condition of a write.
+/// Condition of a write or a deletion.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Precondition {
     /// No condition.
@@ -63,29 +63,30 @@
     Version(ObjectVersion),
 }
 
-/// Answer to a [`PlatformCall`].
+/// Response to a [`PlatformCall`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlatformResponse {
-    /// Number of the call.
+    /// `id` of the call.
     pub id: u64,
-    /// What came of it.
+    /// Result of the call.
     pub result: PlatformResult,
 }
 
-/// What came of a call.
+/// Result of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PlatformResult {
-    /// One object, or none.
+    /// Version and value of the object, if it exists.
     Object(Option<(ObjectVersion, Vec<u8>)>),
-    /// Objects by key in order, and the version up to which the list holds.
+    /// Key, version and value of each object, sorted by key, and the version up to
+    /// which the list is complete.
     Objects(Vec<(String, ObjectVersion, Vec<u8>)>, ObjectVersion),
-    /// The write took effect and gave this version.
+    /// The write took effect and produced this version.
     Written(ObjectVersion),
-    /// The condition did not hold; nothing was written.
+    /// The precondition did not hold; nothing was written.
     Conflict,
-    /// The call provably had no effect: the platform refused it or was not
+    /// The call certainly had no effect: the platform refused it or could not be
     /// reached.
     Unavailable,
-    /// No answer came: a write may or may not have taken effect.
+    /// No response arrived; a write may or may not have taken effect.
     Unanswered,
 }
--- a/crates/base/src/time.rs
+++ b/crates/base/src/time.rs
@@ -1,13 +1,13 @@
-//! Time as the decisions see it.
+//! Time as state machines see it.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
-/// A point on the runtime's clock: microseconds since an origin that one
-/// process chose at its start.
+/// A point in time on the runtime's clock: microseconds since an origin that the
+/// process sets at its start.
 ///
-/// A type of its own instead of `std::time::Instant`, because that one can't be
-/// made from a number: a scenario would print other times on every run.
+/// `std::time::Instant` can't be constructed from a number, so scenarios would
+/// print different times on every run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Instant(u64);
 
@@ -15,37 +15,38 @@
     /// The origin.
     pub const ZERO: Self = Self(0);
 
-    /// A point `us` microseconds after the origin.
+    /// Creates a point `us` microseconds after the origin.
     pub const fn from_us(us: u64) -> Self {
         Self(us)
     }
 
-    /// A point `ms` milliseconds after the origin.
+    /// Creates a point `ms` milliseconds after the origin.
     pub const fn from_ms(ms: u64) -> Self {
         Self(ms * 1_000)
     }
 
-    /// Microseconds since the origin.
+    /// Returns the microseconds since the origin.
     pub const fn as_us(self) -> u64 {
         self.0
     }
 
-    /// Whole milliseconds since the origin.
+    /// Returns the whole milliseconds since the origin.
     pub const fn as_ms(self) -> u64 {
         self.0 / 1_000
     }
 
-    /// Time since `earlier`, or zero if that is in the future.
+    /// Returns the time since `earlier`, or zero if `earlier` is later than `self`.
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 
-    /// Whole milliseconds since `earlier`, or zero if that is in the future.
+    /// Returns the whole milliseconds since `earlier`, or zero if `earlier` is later
+    /// than `self`.
     pub fn ms_since(self, earlier: Self) -> u64 {
         self.0.saturating_sub(earlier.0) / 1_000
     }
 
-    /// A point `ms` milliseconds later.
+    /// Returns the point `ms` milliseconds after `self`, saturating on overflow.
     #[must_use]
     pub fn plus_ms(self, ms: u64) -> Self {
         Self(self.0.saturating_add(ms.saturating_mul(1_000)))
--- a/crates/base/src/timers.rs
+++ b/crates/base/src/timer_queue.rs
@@ -1,41 +1,42 @@
-//! Timers of a state machine that has no clock.
+//! Timers for state machines that read no clock.
 
 use crate::Instant;
 use std::collections::BTreeMap;
 
-/// Things due later, in order of time and then of setting.
+/// Pending timers, ordered by due time and then by insertion.
 ///
-/// A machine keeps its timers here, tells its driver the earliest with
-/// [`TimerQueue::next_deadline`], and takes what is due when the driver says that time has
-/// come. A timer is never cancelled: its receiver looks whether it still
-/// matters, which costs less than finding it again.
+/// A state machine reports the earliest due time to its driver with
+/// [`TimerQueue::next_deadline`] and removes due timers with
+/// [`TimerQueue::pop_due`] once that time has come. Timers are never cancelled:
+/// whoever handles one checks whether it still applies, which is cheaper than
+/// searching the queue.
 #[derive(Debug)]
 pub struct TimerQueue<T> {
     pending: BTreeMap<(Instant, u64), T>,
-    next: u64,
+    next_sequence: u64,
 }
 
 impl<T> TimerQueue<T> {
-    /// No timers.
+    /// Creates an empty queue.
     pub const fn new() -> Self {
         Self {
             pending: BTreeMap::new(),
-            next: 0,
+            next_sequence: 0,
         }
     }
 
-    /// Adds a timer.
+    /// Adds a timer that is due at `at`.
     pub fn schedule(&mut self, at: Instant, timer: T) {
-        self.pending.insert((at, self.next), timer);
-        self.next += 1;
+        self.pending.insert((at, self.next_sequence), timer);
+        self.next_sequence += 1;
     }
 
-    /// When the earliest timer is due.
+    /// Returns the time at which the earliest timer is due.
     pub fn next_deadline(&self) -> Option<Instant> {
         self.pending.first_key_value().map(|((at, _), _)| *at)
     }
 
-    /// Takes the earliest timer that is due at `now`.
+    /// Removes and returns the earliest timer if it is due at `now`.
     pub fn pop_due(&mut self, now: Instant) -> Option<T> {
         if self.next_deadline()? > now {
             return None;
@@ -43,12 +44,12 @@
         self.pending.pop_first().map(|(_, timer)| timer)
     }
 
-    /// Number of timers pending.
+    /// Returns the number of pending timers.
     pub fn len(&self) -> usize {
         self.pending.len()
     }
 
-    /// Whether no timer is pending.
+    /// Returns whether no timer is pending.
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
