--- a/crates/line/src/clock.rs
+++ b/crates/line/src/clock.rs
@@ -3,18 +3,19 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Furthest that a heard clock may be ahead of the wall clock.
+/// Maximum lead of an observed remote clock over the local wall clock.
 ///
-/// One process with a wall clock set years ahead would otherwise drag the clock
-/// of every other along, and for good, since clocks never fall. What such a
-/// process sends is then ordered by the wall clocks alone.
-const AHEAD_MAX_US: u64 = 60 * 1_000_000;
+/// Clocks never go backwards, so one process whose wall clock is years ahead would
+/// otherwise advance the clocks of all others permanently. Events caused by such a
+/// process are ordered by wall clocks alone.
+const REMOTE_LEAD_MAX_US: u64 = 60 * 1_000_000;
 
 /// A source of wall clock time, in microseconds since the Unix epoch.
 pub type WallClock = fn() -> u64;
 
-/// The wall clock, in microseconds since the Unix epoch. Nothing else in the
-/// system reads it.
+/// Returns the wall clock time, in microseconds since the Unix epoch.
+///
+/// Nothing else in the system reads the wall clock.
 pub fn unix_time_us() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |since| {
@@ -22,33 +23,35 @@
     })
 }
 
-/// A clock that never falls.
+/// A clock that follows the wall clock and never goes backwards.
 #[derive(Debug)]
 pub(crate) struct HybridClock {
-    wall: WallClock,
-    newest_us: AtomicU64,
+    wall_clock: WallClock,
+    latest_us: AtomicU64,
 }
 
 impl HybridClock {
-    pub(crate) const fn new(wall: WallClock) -> Self {
+    pub(crate) const fn new(wall_clock: WallClock) -> Self {
         Self {
-            wall,
-            newest_us: AtomicU64::new(0),
+            wall_clock,
+            latest_us: AtomicU64::new(0),
         }
     }
 
-    /// The present.
+    /// Returns the current time, in microseconds since the Unix epoch.
     pub(crate) fn now_us(&self) -> u64 {
-        let wall = (self.wall)();
-        self.newest_us.fetch_max(wall, Ordering::Relaxed).max(wall)
+        let wall_us = (self.wall_clock)();
+        self.latest_us
+            .fetch_max(wall_us, Ordering::Relaxed)
+            .max(wall_us)
     }
 
-    /// Takes note of another process's clock: what happens here from now on
-    /// happens after it.
+    /// Advances the clock past another process's clock, so that later local events
+    /// sort after the events observed there.
     pub(crate) fn observe(&self, clock_us: u64) {
-        if clock_us <= (self.wall)().saturating_add(AHEAD_MAX_US) {
+        if clock_us <= (self.wall_clock)().saturating_add(REMOTE_LEAD_MAX_US) {
             let after = clock_us.saturating_add(1);
-            self.newest_us.fetch_max(after, Ordering::Relaxed);
+            self.latest_us.fetch_max(after, Ordering::Relaxed);
         }
     }
 }
--- a/crates/line/src/filter.rs
+++ b/crates/line/src/filter.rs
@@ -1,26 +1,27 @@
-//! Choosing events.
+//! Selection of timeline events.
 
 use schema::timeline::Event;
 
-/// Which events are asked for; the default asks for all.
+/// Criteria that selected events must meet; the default selects all events.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct EventFilter {
-    /// Earliest clock, in microseconds since the Unix epoch.
+    /// Earliest clock value, in microseconds since the Unix epoch.
     pub since_us: u64,
-    /// Only events of this request, as `origin-sequence` in hexadecimal.
+    /// Select only events of this request, written as `origin-sequence` in
+    /// hexadecimal.
     pub request: Option<String>,
-    /// Only events of this model.
+    /// Select only events of this model.
     pub model: Option<String>,
 }
 
 impl EventFilter {
-    /// Whether an event is asked for.
+    /// Returns whether the event meets all criteria.
     pub fn matches(&self, event: &Event) -> bool {
-        let same = |asked: &Option<String>, held: &str| {
-            asked.as_deref().is_none_or(|asked| asked == held)
+        let equals = |wanted: &Option<String>, actual: &str| {
+            wanted.as_deref().is_none_or(|wanted| wanted == actual)
         };
         event.clock_us >= self.since_us
-            && same(&self.request, &event.request)
-            && same(&self.model, &event.model)
+            && equals(&self.request, &event.request)
+            && equals(&self.model, &event.model)
     }
 }
--- a/crates/line/src/lib.rs
+++ b/crates/line/src/lib.rs
@@ -1,17 +1,17 @@
-//! The time line: what happened, over all processes, in causal order.
+//! The timeline: events of all processes, in causal order.
 //!
-//! Each process keeps its newest events in a [`EventRecorder`]. Every event carries a
-//! hybrid logical clock: the wall clock, but never below what the process has
-//! shown or heard. Each frame on a link carries the sender's clock, and its
-//! receiver [observes](Recorder::observe) it, so an effect never sorts before
-//! its cause however far two wall clocks are apart. [`merge`] puts the events of
-//! several processes into one line.
+//! Each process keeps its latest events in an [`EventRecorder`]. Every event has
+//! the time of a hybrid logical clock: the wall clock, but never less than any time
+//! that the process has issued or received before. Each frame on a link carries the
+//! sender's clock, and the receiver [observes](EventRecorder::observe) it, so an
+//! effect sorts after its cause even if the wall clocks of two processes differ
+//! (up to a limit). [`merge`] combines the events of several processes.
 //!
 //! Invariants:
 //!
-//! - The clock of a process never falls.
-//! - Memory is bounded: the recorder keeps a fixed number of events, and their
-//!   texts are cut.
+//! - The clock of a process never goes backwards.
+//! - Memory is bounded: the recorder keeps a fixed number of events and truncates
+//!   their texts.
 
 mod clock;
 mod filter;
--- a/crates/line/src/recorder.rs
+++ b/crates/line/src/recorder.rs
@@ -1,4 +1,4 @@
-//! The newest events of one process.
+//! Recording of a process's events.
 
 use parking_lot::Mutex;
 use schema::timeline::Event;
@@ -7,86 +7,95 @@
 use crate::clock::HybridClock;
 use crate::{EventFilter, WallClock, unix_time_us};
 
-/// Longest text kept in a field of an event. Names in a request are the
-/// caller's and may be as long as its body.
+/// Maximum length of a text field of a recorded event. Names in a request come from
+/// the caller and can be as long as the request's body.
 const TEXT_MAX_BYTES: usize = 256;
 
-/// The newest events of one process, and its clock.
+/// The clock of a process and a bounded buffer of its latest events.
 #[derive(Debug)]
 pub struct EventRecorder {
     process: String,
     capacity: usize,
     clock: HybridClock,
-    kept: Mutex<Kept>,
+    buffer: Mutex<EventBuffer>,
 }
 
 #[derive(Debug, Default)]
-struct Kept {
+struct EventBuffer {
     events: VecDeque<Event>,
+    /// Clock value of the latest event, in microseconds since the Unix epoch.
     clock_us: u64,
+    /// Position of the latest event among those with the same clock value.
     sequence: u32,
 }
 
 impl EventRecorder {
-    /// An empty recorder that keeps `capacity` events.
+    /// Creates an empty recorder that keeps up to `capacity` events.
     pub fn new(process: &str, capacity: usize) -> Self {
         Self::with_wall_clock(process, capacity, unix_time_us)
     }
 
-    /// The same with another wall clock, for tests.
-    pub fn with_wall_clock(process: &str, capacity: usize, wall: WallClock) -> Self {
+    /// Creates a recorder with another wall clock, for tests.
+    pub fn with_wall_clock(
+        process: &str,
+        capacity: usize,
+        wall_clock: WallClock,
+    ) -> Self {
         Self {
             process: process.to_owned(),
             capacity,
-            clock: HybridClock::new(wall),
-            kept: Mutex::default(),
+            clock: HybridClock::new(wall_clock),
+            buffer: Mutex::default(),
         }
     }
 
-    /// Keeps an event; its clock, sequence and process are filled in here.
+    /// Records an event and sets its clock, sequence and process. If the recorder is
+    /// full, the oldest event is dropped.
     pub fn record(&self, mut event: Event) {
-        cut(&mut event.request);
-        cut(&mut event.model);
-        cut(&mut event.peer);
-        cut(&mut event.detail);
+        truncate(&mut event.request);
+        truncate(&mut event.model);
+        truncate(&mut event.peer);
+        truncate(&mut event.detail);
         event.process.clone_from(&self.process);
-        let mut kept = self.kept.lock();
-        // Read under the lock: events are kept in the order of their clocks.
+        let mut buffer = self.buffer.lock();
+        // The clock is read under the lock so that events are stored in clock order.
         let clock_us = self.clock.now_us();
-        kept.sequence = if clock_us == kept.clock_us {
-            kept.sequence.saturating_add(1)
+        buffer.sequence = if clock_us == buffer.clock_us {
+            buffer.sequence.saturating_add(1)
         } else {
             0
         };
-        kept.clock_us = clock_us;
+        buffer.clock_us = clock_us;
         event.clock_us = clock_us;
-        event.sequence = kept.sequence;
-        kept.events.push_back(event);
-        if kept.events.len() > self.capacity {
-            kept.events.pop_front();
+        event.sequence = buffer.sequence;
+        buffer.events.push_back(event);
+        if buffer.events.len() > self.capacity {
+            buffer.events.pop_front();
         }
     }
 
-    /// Takes note of the clock of a received frame.
+    /// Advances the clock past the clock of a received frame, in microseconds since
+    /// the Unix epoch.
     pub fn observe(&self, clock_us: u64) {
         self.clock.observe(clock_us);
     }
 
-    /// The process's clock, in microseconds since the Unix epoch; never falls.
+    /// Returns the time of the process's clock, in microseconds since the Unix epoch.
+    /// It never goes backwards.
     pub fn now_us(&self) -> u64 {
         self.clock.now_us()
     }
 
-    /// Kept events that the filter takes, oldest first.
+    /// Returns the recorded events that match the filter, oldest first.
     pub fn events(&self, filter: &EventFilter) -> Vec<Event> {
-        let kept = self.kept.lock();
-        let taken = kept.events.iter().filter(|event| filter.matches(event));
-        taken.cloned().collect()
+        let buffer = self.buffer.lock();
+        let matching = buffer.events.iter().filter(|event| filter.matches(event));
+        matching.cloned().collect()
     }
 }
 
-/// Cuts a text to the bound, at the end of a character.
-fn cut(text: &mut String) {
+/// Truncates a text to `TEXT_MAX_BYTES` at a character boundary.
+fn truncate(text: &mut String) {
     if text.len() > TEXT_MAX_BYTES {
         text.truncate(text.floor_char_boundary(TEXT_MAX_BYTES));
         text.shrink_to_fit();
--- a/crates/line/tests/line.rs
+++ b/crates/line/tests/line.rs
@@ -1,4 +1,4 @@
-//! Clocks, order and text of the time line.
+//! Clocks, ordering and formatting of timeline events.
 
 use line::{Event, EventFilter, EventKind, EventRecorder, merge, render};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -14,21 +14,21 @@
     }
 }
 
-fn all(recorder: &EventRecorder) -> Vec<Event> {
+fn all_events(recorder: &EventRecorder) -> Vec<Event> {
     recorder.events(&EventFilter::default())
 }
 
-// The wall clock of a process is set back, as by a correction, while it runs.
-// Its events must keep the order in which they happened.
+// The wall clock is set back while the process runs. Events must keep the order in
+// which they happened.
 #[test]
-fn the_clock_never_falls() {
+fn the_clock_never_goes_backwards() {
     static WALL_US: AtomicU64 = AtomicU64::new(START_US);
     let recorder =
         EventRecorder::with_wall_clock("a", 10, || WALL_US.load(Ordering::SeqCst));
     recorder.record(event(EventKind::ProcessStarted, "first"));
     WALL_US.store(START_US - 3_000_000, Ordering::SeqCst);
     recorder.record(event(EventKind::ProcessReady, "second"));
-    let events = all(&recorder);
+    let events = all_events(&recorder);
     assert_eq!(events[0].clock_us, events[1].clock_us);
     assert_eq!((events[0].sequence, events[1].sequence), (0, 1));
     assert_eq!(
@@ -37,29 +37,29 @@
     );
 }
 
-// Two processes whose wall clocks are five seconds apart; the one behind gets a
-// frame and acts on it. Read by wall clocks alone, the effect would stand five
-// seconds before its cause.
+// The wall clocks of two processes differ by five seconds, and the process that is
+// behind acts on a frame from the other. By wall clocks alone, the effect would sort
+// five seconds before its cause.
 #[test]
-fn an_effect_sorts_behind_its_cause() {
+fn an_effect_sorts_after_its_cause() {
     let ahead = EventRecorder::with_wall_clock("ahead", 10, || START_US + 5_000_000);
     let behind = EventRecorder::with_wall_clock("behind", 10, || START_US);
     ahead.record(event(EventKind::RequestSent, "cause"));
     behind.observe(ahead.now_us());
     behind.record(event(EventKind::RequestStarted, "effect"));
-    let events = merge(vec![all(&behind), all(&ahead)]);
+    let events = merge(vec![all_events(&behind), all_events(&ahead)]);
     let details: Vec<&str> = events.iter().map(|e| e.detail.as_str()).collect();
     assert_eq!(details, ["cause", "effect"]);
     assert!(events[0].clock_us < events[1].clock_us);
 }
 
-// A process with a wall clock years ahead, or a broken one, sends frames.
-// The others must not follow it: their clocks could not come back.
+// A process whose wall clock is far ahead or broken sends frames. Other processes
+// must ignore its clock, because theirs could never return to the right time.
 #[test]
-fn a_clock_far_ahead_is_not_followed() {
+fn a_clock_far_ahead_is_ignored() {
     let recorder = EventRecorder::with_wall_clock("a", 10, || START_US);
-    for far in [START_US + 86_400_000_000, u64::MAX] {
-        recorder.observe(far);
+    for remote_us in [START_US + 86_400_000_000, u64::MAX] {
+        recorder.observe(remote_us);
         assert_eq!(recorder.now_us(), START_US);
     }
 }
@@ -71,16 +71,16 @@
         recorder.record(event(EventKind::LinkUp, &n.to_string()));
     }
     recorder.record(event(EventKind::LinkDown, &"ü".repeat(10_000)));
-    let events = all(&recorder);
+    let events = all_events(&recorder);
     let details: Vec<&str> = events.iter().map(|e| e.detail.as_str()).collect();
     assert_eq!(details, ["8", "9", &"ü".repeat(128)]);
-    let none = EventRecorder::new("a", 0);
-    none.record(event(EventKind::LinkUp, ""));
-    assert!(all(&none).is_empty());
+    let empty = EventRecorder::new("a", 0);
+    empty.record(event(EventKind::LinkUp, ""));
+    assert!(all_events(&empty).is_empty());
 }
 
 #[test]
-fn the_filter_takes_what_is_asked_for() {
+fn the_filter_selects_events_that_meet_all_criteria() {
     let recorder = EventRecorder::with_wall_clock("a", 10, || START_US);
     for (request, model) in [("1-1", "m"), ("1-2", "m"), ("", "n")] {
         recorder.record(Event {
@@ -108,22 +108,22 @@
 }
 
 #[test]
-fn events_with_the_same_clock_have_one_order() {
+fn events_with_the_same_clock_merge_in_a_fixed_order() {
     let a = EventRecorder::with_wall_clock("a", 10, || START_US);
     let b = EventRecorder::with_wall_clock("b", 10, || START_US);
     for recorder in [&a, &b] {
         recorder.record(event(EventKind::LinkUp, "0"));
         recorder.record(event(EventKind::LinkDown, "1"));
     }
-    let one = merge(vec![all(&a), all(&b)]);
-    let other = merge(vec![all(&b), all(&a)]);
-    assert_eq!(one, other);
-    assert_eq!(one[1].detail, "1");
+    let a_first = merge(vec![all_events(&a), all_events(&b)]);
+    let b_first = merge(vec![all_events(&b), all_events(&a)]);
+    assert_eq!(a_first, b_first);
+    assert_eq!(a_first[1].detail, "1");
 }
 
 #[test]
 fn text_shows_time_codes_and_no_line_breaks() {
-    let mut shown = Event {
+    let mut event = Event {
         clock_us: START_US + 3_723_000_004,
         process: "entry-1".to_owned(),
         kind: EventKind::RequestFailed.into(),
@@ -134,7 +134,7 @@
         ..Event::default()
     };
     assert_eq!(
-        render(&shown),
+        render(&event),
         "2025-03-01T01:02:03.000004Z entry-1 request_failed request=1f-2 model=m \
          code=3001/upstream_lost one two"
     );
@@ -145,10 +145,10 @@
         (1_767_225_599_000_000, "2025-12-31T23:59:59.000000Z"),
     ];
     for (clock_us, text) in days {
-        shown.clock_us = clock_us;
-        assert!(render(&shown).starts_with(text), "{}", render(&shown));
+        event.clock_us = clock_us;
+        assert!(render(&event).starts_with(text), "{}", render(&event));
     }
-    shown.clock_us = u64::MAX;
-    shown.kind = i32::MAX;
-    assert!(render(&shown).contains("unspecified"));
+    event.clock_us = u64::MAX;
+    event.kind = i32::MAX;
+    assert!(render(&event).contains("unspecified"));
 }
