--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -1,61 +1,61 @@
-//! Faults of links.
+//! Errors of links.
 
 use base::ErrorCode;
 use snafu::Snafu;
 use std::io;
 use std::net::SocketAddr;
 
-/// Why a link can't be had or used.
+/// An error on a link or its listener.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum WireError {
     /// The listen address can't be bound.
     #[snafu(display("can't listen on {address}: {source}"))]
     Bind {
-        /// Address.
+        /// The listen address.
         address: SocketAddr,
-        /// Fault of the operating system.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The far end can't be reached.
+    /// The peer can't be reached.
     #[snafu(display("can't connect to {address}: {source}"))]
     Connect {
-        /// Address.
+        /// The peer's address.
         address: SocketAddr,
-        /// Fault of the operating system.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The connection broke.
-    #[snafu(display("link broke: {source}"))]
+    /// An operation on a socket failed, for example because the connection was lost.
+    #[snafu(display("I/O error on link: {source}"))]
     Io {
-        /// Fault of the operating system.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A frame is larger than the bound.
+    /// A frame exceeds the maximum size.
     #[snafu(display("frame is larger than {max_bytes} bytes"))]
     FrameTooLarge {
-        /// Bound.
+        /// Maximum size of an encoded frame, in bytes.
         max_bytes: u32,
     },
-    /// A frame is not a `link.Frame`.
+    /// A received frame is not a valid `link.Frame` message.
     #[snafu(display("frame can't be decoded: {source}"))]
     MalformedFrame {
-        /// Fault found by the decoder.
+        /// Error of the decoder.
         source: prost::DecodeError,
     },
-    /// The first frame is not the expected `Hello`, or did not come in time.
-    #[snafu(display("no greeting from the far end"))]
+    /// The peer's first frame was not the expected `Hello` or did not arrive in time.
+    #[snafu(display("no valid Hello frame from the peer"))]
     HandshakeFailed,
-    /// The queue towards the far end is full.
-    #[snafu(display("queue of the link is full"))]
+    /// The send queue has no room for the frame.
+    #[snafu(display("send queue of the link is full"))]
     QueueFull,
-    /// The link has ended.
-    #[snafu(display("link has ended"))]
+    /// The link is closed.
+    #[snafu(display("link is closed"))]
     Closed,
 }
 
 impl WireError {
-    /// Numbered code of the fault.
+    /// Returns the error code that corresponds to the error.
     pub const fn code(&self) -> ErrorCode {
         match self {
             Self::Bind { .. } => ErrorCode::BadAddress,
--- a/crates/wire/src/handshake.rs
+++ b/crates/wire/src/handshake.rs
@@ -1,4 +1,4 @@
-//! The first frame in each direction.
+//! The handshake: the first frame in each direction.
 
 use schema::link::{Frame, Hello, frame};
 use std::time::Duration;
@@ -6,18 +6,19 @@
 
 use crate::{Link, LinkReceiver, LinkSender, WireError};
 
-/// Longest wait for the far end's `Hello`. Without it, a connection that says
-/// nothing would hold its descriptor for ever.
-const GREETING_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum wait for the peer's `Hello`. Without it, a peer that sends nothing would
+/// hold the connection's file descriptor forever.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A link whose two ends have said who they are.
+/// A link whose two ends have exchanged `Hello` frames.
 #[derive(Debug)]
 pub struct EstablishedLink {
-    /// What the far end said.
+    /// The peer's `Hello`.
     pub hello: Hello,
-    /// The far end's clock, in microseconds since the Unix epoch.
+    /// The peer's clock when it sent its `Hello`, in microseconds since the Unix
+    /// epoch.
     pub clock_us: u64,
-    /// Configuration revision that the far end has in force.
+    /// Configuration revision that the peer had in force.
     pub revision: u64,
     /// Sending half.
     pub sender: LinkSender,
@@ -26,16 +27,16 @@
 }
 
 impl Link {
-    /// Sends `hello`, waits for the far end's and splits the link.
+    /// Sends `hello`, waits for the peer's `Hello` and splits the link.
     ///
     /// # Errors
     ///
-    /// The far end sends another frame first, or nothing within five seconds,
-    /// or the link ends.
+    /// Fails if the peer sends another frame first or nothing within five seconds, or
+    /// if the link closes.
     pub async fn handshake(self, hello: Frame) -> Result<EstablishedLink, WireError> {
         let (sender, mut receiver) = self.split();
         sender.send(hello).await?;
-        let frame = timeout(GREETING_TIMEOUT, receiver.recv())
+        let frame = timeout(HANDSHAKE_TIMEOUT, receiver.recv())
             .await
             .map_err(|_| WireError::HandshakeFailed)??
             .ok_or(WireError::Closed)?;
--- a/crates/wire/src/link.rs
+++ b/crates/wire/src/link.rs
@@ -1,4 +1,4 @@
-//! One connection, before it is split.
+//! Links that have not been split yet.
 
 use snafu::ResultExt;
 use std::io;
@@ -12,11 +12,11 @@
 use crate::error::{ConnectSnafu, IoSnafu};
 use crate::{LinkReceiver, LinkSender, WireError};
 
-/// Longest wait for a connection. A host that is gone answers nothing, and the
-/// operating system would try for minutes.
+/// Maximum time to establish a connection. A host that is down does not respond, and
+/// the operating system would retry for minutes.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// One connection that carries frames both ways.
+/// A connection that carries frames in both directions.
 #[derive(Debug)]
 pub struct Link {
     stream: TcpStream,
@@ -24,11 +24,11 @@
     frame_max_bytes: u32,
 }
 
-/// Connects to a listener.
+/// Connects to the listener of another process.
 ///
 /// # Errors
 ///
-/// The address refuses, or does not answer within two seconds.
+/// Fails if the connection is refused or not established within two seconds.
 pub async fn connect(
     address: SocketAddr,
     frame_max_bytes: u32,
@@ -45,8 +45,8 @@
         stream: TcpStream,
         frame_max_bytes: u32,
     ) -> Result<Self, WireError> {
-        // Batches are made by the writer task; the kernel's own would hold each
-        // token of a stream back until the one before it is acknowledged.
+        // The writer task batches frames itself. Nagle's algorithm would delay each
+        // token of a stream until the previous one is acknowledged.
         stream.set_nodelay(true).context(IoSnafu)?;
         let peer = stream.peer_addr().context(IoSnafu)?;
         Ok(Self {
@@ -56,13 +56,13 @@
         })
     }
 
-    /// Address of the far end.
+    /// Returns the peer's address.
     pub const fn peer_addr(&self) -> SocketAddr {
         self.peer
     }
 
-    /// The same link with another bound on frames, as when a configuration has
-    /// come into force since the listener was bound.
+    /// Sets the maximum frame size, in bytes. It may differ from the listener's if a
+    /// configuration has come into force since the listener was bound.
     #[must_use]
     pub const fn with_frame_max_bytes(mut self, frame_max_bytes: u32) -> Self {
         self.frame_max_bytes = frame_max_bytes;
@@ -72,14 +72,14 @@
     /// Splits the link and starts its writer task.
     pub fn split(self) -> (LinkSender, LinkReceiver) {
         let (read, write) = self.stream.into_split();
-        let ended = CancellationToken::new();
-        let sender = LinkSender::start(write, self.frame_max_bytes, ended.clone());
-        let receiver = LinkReceiver::new(read, self.frame_max_bytes, ended);
+        let closed = CancellationToken::new();
+        let sender = LinkSender::spawn(write, self.frame_max_bytes, closed.clone());
+        let receiver = LinkReceiver::new(read, self.frame_max_bytes, closed);
         (sender, receiver)
     }
 }
 
-/// The framing of both directions.
+/// Creates the codec for the length prefix of frames.
 pub(crate) fn codec(frame_max_bytes: u32) -> LengthDelimitedCodec {
     let max = usize::try_from(frame_max_bytes).unwrap_or(usize::MAX);
     LengthDelimitedCodec::builder()
--- a/crates/wire/src/listener.rs
+++ b/crates/wire/src/listener.rs
@@ -1,4 +1,4 @@
-//! Accepting links.
+//! Accepting links from other processes.
 
 use snafu::ResultExt;
 use std::net::SocketAddr;
@@ -7,49 +7,49 @@
 use crate::error::{BindSnafu, IoSnafu};
 use crate::{Link, WireError};
 
-/// A listening socket for links.
+/// A listening socket that accepts links.
 #[derive(Debug)]
 pub struct Listener {
-    inner: TcpListener,
+    socket: TcpListener,
     frame_max_bytes: u32,
 }
 
 impl Listener {
-    /// Listens on an address; port 0 takes a free one.
+    /// Listens on an address; port 0 selects a free port.
     ///
     /// # Errors
     ///
-    /// The address can't be bound.
+    /// Fails if the address can't be bound.
     pub async fn bind(
         address: SocketAddr,
         frame_max_bytes: u32,
     ) -> Result<Self, WireError> {
-        let inner = TcpListener::bind(address)
+        let socket = TcpListener::bind(address)
             .await
             .context(BindSnafu { address })?;
         Ok(Self {
-            inner,
+            socket,
             frame_max_bytes,
         })
     }
 
-    /// Address listened on.
+    /// Returns the address on which the listener accepts links.
     ///
     /// # Errors
     ///
-    /// The operating system does not tell.
+    /// Fails if the operating system can't determine the address.
     pub fn local_addr(&self) -> Result<SocketAddr, WireError> {
-        self.inner.local_addr().context(IoSnafu)
+        self.socket.local_addr().context(IoSnafu)
     }
 
     /// Waits for the next link.
     ///
     /// # Errors
     ///
-    /// The operating system has no descriptor or memory left; the listener
-    /// stays usable, and its caller waits a moment before it tries again.
+    /// Fails if the operating system has run out of file descriptors or memory. The
+    /// listener stays usable; the caller should pause before it retries.
     pub async fn accept(&self) -> Result<Link, WireError> {
-        let (stream, _) = self.inner.accept().await.context(IoSnafu)?;
+        let (stream, _) = self.socket.accept().await.context(IoSnafu)?;
         Link::new(stream, self.frame_max_bytes)
     }
 }
--- a/crates/wire/src/receiver.rs
+++ b/crates/wire/src/receiver.rs
@@ -19,56 +19,56 @@
 pub struct LinkReceiver {
     frames: FramedRead<OwnedReadHalf, LengthDelimitedCodec>,
     frame_max_bytes: u32,
-    ended: CancellationToken,
+    closed: CancellationToken,
 }
 
 impl LinkReceiver {
     pub(crate) fn new(
         read: OwnedReadHalf,
         frame_max_bytes: u32,
-        ended: CancellationToken,
+        closed: CancellationToken,
     ) -> Self {
         Self {
             frames: FramedRead::new(read, codec(frame_max_bytes)),
             frame_max_bytes,
-            ended,
+            closed,
         }
     }
 
-    /// Waits for the next frame; `None` once the far end has closed the link in
-    /// good order or this end has.
+    /// Waits for the next frame; returns `None` once the peer has closed the link
+    /// between two frames or this process has closed it.
     ///
-    /// Dropping the future before it is done loses nothing.
+    /// The future is cancellation safe: dropping it loses no data.
     ///
     /// # Errors
     ///
-    /// A frame breaks the bound or can't be decoded, or the connection broke.
-    /// The link has then ended, for its senders too.
+    /// Fails if a frame is too large or can't be decoded, or if the connection was
+    /// lost. The link is then closed, also for its senders.
     pub async fn recv(&mut self) -> Result<Option<Frame>, WireError> {
-        let read = tokio::select! {
+        let received = tokio::select! {
             biased;
-            () = self.ended.cancelled() => return Ok(None),
-            read = self.frames.next() => read,
+            () = self.closed.cancelled() => return Ok(None),
+            received = self.frames.next() => received,
         };
-        let frame = self.decode(read);
+        let frame = self.decode(received);
         if !matches!(frame, Ok(Some(_))) {
-            self.ended.cancel();
+            self.closed.cancel();
         }
         frame
     }
 
     fn decode(
         &self,
-        read: Option<Result<BytesMut, io::Error>>,
+        received: Option<Result<BytesMut, io::Error>>,
     ) -> Result<Option<Frame>, WireError> {
-        match read {
+        match received {
             None => Ok(None),
             Some(Ok(bytes)) => {
                 let frame =
                     Frame::decode(Bytes::from(bytes)).context(MalformedFrameSnafu)?;
                 Ok(Some(frame))
             }
-            Some(Err(fault)) if fault.kind() == io::ErrorKind::InvalidData => {
+            Some(Err(error)) if error.kind() == io::ErrorKind::InvalidData => {
                 Err(WireError::FrameTooLarge {
                     max_bytes: self.frame_max_bytes,
                 })
--- a/crates/wire/src/sender.rs
+++ b/crates/wire/src/sender.rs
@@ -1,4 +1,4 @@
-//! The sending half of a link, and the task that writes.
+//! The sending half of a link and its writer task.
 
 use bytes::Bytes;
 use futures::SinkExt;
@@ -16,191 +16,202 @@
 use crate::WireError;
 use crate::link::codec;
 
-/// Frames that may wait for the writer.
-const QUEUE_FRAMES: usize = 1_024;
+/// Maximum number of frames in the send queue.
+const QUEUE_MAX_FRAMES: usize = 1_024;
 
-/// Bytes that may wait for the writer, or one frame of the largest size if that
-/// is more.
-const QUEUE_BYTES: u32 = 4 << 20;
+/// Maximum bytes of queued frames that were sent without a permit, or the maximum
+/// size of a frame if that is larger.
+const QUEUE_MAX_BYTES: u32 = 4 << 20;
 
-/// Bytes of the queue that parts of answers may take.
+/// Maximum bytes of queued frames that were sent with a permit, such as parts of
+/// answers.
 ///
-/// The rest stays free for small frames, which their senders don't wait with: a
-/// far end that reads slowly holds back answers, and still gets heartbeats.
-const BULK_BYTES: u32 = 2 << 20;
+/// They have their own budget because small frames are sent without waiting: a peer
+/// that reads slowly delays answers but still receives heartbeats.
+const RESERVED_MAX_BYTES: u32 = 2 << 20;
 
-/// Least share of a frame that was reserved for. It bounds the number of such
-/// frames well below that of the queue.
-const BULK_SHARE_MIN_BYTES: u32 = 4 << 10;
+/// Minimum bytes reserved by a permit. It limits the number of frames with a permit
+/// to half of the queue.
+const RESERVATION_MIN_BYTES: u32 = 4 << 10;
 
-/// Frames written with one flush.
-const BATCH_FRAMES: usize = 64;
+/// Maximum number of frames written between two flushes.
+const BATCH_MAX_FRAMES: usize = 64;
 
-/// Longest time in which the far end takes nothing.
+/// Maximum duration of one write to the connection; then the link is closed.
 ///
-/// A frozen process keeps its connections open and reads nothing; without this
-/// bound the writer would hold its queue and every waiting sender for ever. The
-/// link then ends, which its owner treats like any lost link.
+/// A frozen process keeps its connections open but reads nothing. Without this limit
+/// the writer would keep its queue and block all waiting senders forever.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The sending half of a link; clones share one queue.
+/// The sending half of a link; clones share one send queue.
 #[derive(Debug, Clone)]
 pub struct LinkSender {
-    queue: mpsc::Sender<Queued>,
-    room: Arc<Semaphore>,
-    room_bytes: u32,
-    bulk: Arc<Semaphore>,
+    queue: mpsc::Sender<QueuedFrame>,
+    /// Free bytes for frames without a permit.
+    queue_budget: Arc<Semaphore>,
+    /// Size of `queue_budget` while the queue is empty.
+    queue_max_bytes: u32,
+    /// Free bytes for frames with a permit.
+    reserved_budget: Arc<Semaphore>,
     frame_max_bytes: u32,
-    ended: CancellationToken,
+    closed: CancellationToken,
 }
 
-/// Room in a link's queue, kept for one frame.
+/// Reserved capacity of a link's send queue for one frame.
 #[derive(Debug)]
 pub struct SendPermit {
     sender: LinkSender,
-    share: OwnedSemaphorePermit,
+    budget: OwnedSemaphorePermit,
 }
 
 impl SendPermit {
-    /// Queues the frame, without waiting.
+    /// Enqueues the frame without waiting.
     ///
     /// # Errors
     ///
-    /// The frame is too large, or the link has ended.
+    /// Fails if the frame is too large or the link is closed.
     pub fn send(self, frame: &Frame) -> Result<(), WireError> {
         let (bytes, _) = self.sender.encode(frame)?;
-        let share = self.share;
-        self.sender.queue_now(Queued { bytes, share })
+        let budget = self.budget;
+        self.sender.try_enqueue(QueuedFrame { bytes, budget })
     }
 }
 
-/// An encoded frame and its share of the queue's bytes.
+/// An encoded frame and the part of a byte budget that it occupies.
 #[derive(Debug)]
-struct Queued {
+struct QueuedFrame {
     bytes: Bytes,
-    share: OwnedSemaphorePermit,
+    budget: OwnedSemaphorePermit,
 }
 
 impl LinkSender {
-    pub(crate) fn start(
+    /// Creates the sending half and spawns its writer task.
+    pub(crate) fn spawn(
         write: OwnedWriteHalf,
         frame_max_bytes: u32,
-        ended: CancellationToken,
+        closed: CancellationToken,
     ) -> Self {
-        let (queue, queued) = mpsc::channel(QUEUE_FRAMES);
-        let room_bytes = QUEUE_BYTES.max(frame_max_bytes);
+        let (queue, queued_frames) = mpsc::channel(QUEUE_MAX_FRAMES);
+        let queue_max_bytes = QUEUE_MAX_BYTES.max(frame_max_bytes);
         let frames = FramedWrite::new(write, codec(frame_max_bytes));
-        tokio::spawn(write_all(frames, queued, ended.clone()));
+        tokio::spawn(run_writer(frames, queued_frames, closed.clone()));
         Self {
             queue,
-            room: Arc::new(Semaphore::new(room_bytes as usize)),
-            room_bytes,
-            bulk: Arc::new(Semaphore::new(BULK_BYTES as usize)),
+            queue_budget: Arc::new(Semaphore::new(queue_max_bytes as usize)),
+            queue_max_bytes,
+            reserved_budget: Arc::new(Semaphore::new(RESERVED_MAX_BYTES as usize)),
             frame_max_bytes,
-            ended,
+            closed,
         }
     }
 
-    /// Waits for room for a frame with a payload of some bytes.
+    /// Waits until the queue has capacity for a frame with a payload of this size.
     ///
-    /// What may have to wait is waited for here, so that the frame itself can
-    /// be queued under a lock and in the order of what is decided there.
+    /// All waiting happens here, so that the caller can enqueue the frame while it
+    /// holds a lock, in the order of the decisions made under that lock.
     ///
     /// # Errors
     ///
-    /// The link has ended.
+    /// Fails if the link is closed.
     pub async fn reserve(&self, payload_bytes: usize) -> Result<SendPermit, WireError> {
         let bytes = u32::try_from(payload_bytes).unwrap_or(u32::MAX);
-        let size = bytes.clamp(BULK_SHARE_MIN_BYTES, BULK_BYTES);
-        let share = tokio::select! {
+        let size = bytes.clamp(RESERVATION_MIN_BYTES, RESERVED_MAX_BYTES);
+        let budget = tokio::select! {
             biased;
-            () = self.ended.cancelled() => return Err(WireError::Closed),
-            share = self.bulk.clone().acquire_many_owned(size) => share,
+            () = self.closed.cancelled() => return Err(WireError::Closed),
+            budget = self.reserved_budget.clone().acquire_many_owned(size) => budget,
         };
         Ok(SendPermit {
             sender: self.clone(),
-            share: share.map_err(|_| WireError::Closed)?,
+            budget: budget.map_err(|_| WireError::Closed)?,
         })
     }
 
-    /// Queues a frame, waiting for room.
+    /// Waits until the queue has capacity for a frame, then enqueues it.
     ///
     /// # Errors
     ///
-    /// The frame is too large, or the link has ended.
+    /// Fails if the frame is too large or the link is closed.
     pub async fn send(&self, frame: Frame) -> Result<(), WireError> {
         let (bytes, size) = self.encode(&frame)?;
-        let share = tokio::select! {
+        let budget = tokio::select! {
             biased;
-            () = self.ended.cancelled() => return Err(WireError::Closed),
-            share = self.room.clone().acquire_many_owned(size) => share,
+            () = self.closed.cancelled() => return Err(WireError::Closed),
+            budget = self.queue_budget.clone().acquire_many_owned(size) => budget,
         };
-        let share = share.map_err(|_| WireError::Closed)?;
+        let budget = budget.map_err(|_| WireError::Closed)?;
         self.queue
-            .send(Queued { bytes, share })
+            .send(QueuedFrame { bytes, budget })
             .await
             .map_err(|_| WireError::Closed)
     }
 
-    /// Queues a frame if there is room.
+    /// Enqueues a frame if the queue has capacity for it.
     ///
     /// # Errors
     ///
-    /// The queue is full, the frame is too large, or the link has ended.
+    /// Fails if the queue is full, the frame is too large or the link is closed.
     #[expect(
         clippy::needless_pass_by_value,
-        reason = "taken like in `send`, so that callers may change between the two"
+        reason = "same signature as `send`, so that callers can switch between the two"
     )]
     pub fn try_send(&self, frame: Frame) -> Result<(), WireError> {
         if self.is_closed() {
             return Err(WireError::Closed);
         }
         let (bytes, size) = self.encode(&frame)?;
-        let share = self
-            .room
+        let budget = self
+            .queue_budget
             .clone()
             .try_acquire_many_owned(size)
             .map_err(|_| WireError::QueueFull)?;
-        self.queue_now(Queued { bytes, share })
+        self.try_enqueue(QueuedFrame { bytes, budget })
     }
 
-    /// Waits until everything queued so far is with the operating system, or
-    /// the link has ended.
+    /// Waits until all frames enqueued so far have been passed to the operating
+    /// system, or the link is closed.
     pub async fn flushed(&self) {
         tokio::select! {
-            () = self.ended.cancelled() => {}
-            _ = self.emptied() => {}
+            () = self.closed.cancelled() => {}
+            _ = self.all_written() => {}
         }
     }
 
-    /// Ends the link at once; what is queued is lost.
+    /// Closes the link immediately; queued frames are lost.
     pub fn close(&self) {
-        self.ended.cancel();
+        self.closed.cancel();
     }
 
-    /// Whether the link has ended.
+    /// Returns whether the link is closed.
     pub fn is_closed(&self) -> bool {
-        self.ended.is_cancelled()
+        self.closed.is_cancelled()
     }
 
-    /// Waits until the link has ended.
+    /// Waits until the link is closed.
     pub async fn closed(&self) {
-        self.ended.cancelled().await;
+        self.closed.cancelled().await;
     }
 
-    async fn emptied(&self) -> Result<(), AcquireError> {
-        drop(self.room.acquire_many(self.room_bytes).await?);
-        drop(self.bulk.acquire_many(BULK_BYTES).await?);
+    /// Waits until both budgets are entirely free: no permit is outstanding and all
+    /// enqueued frames have been written.
+    async fn all_written(&self) -> Result<(), AcquireError> {
+        drop(self.queue_budget.acquire_many(self.queue_max_bytes).await?);
+        drop(
+            self.reserved_budget
+                .acquire_many(RESERVED_MAX_BYTES)
+                .await?,
+        );
         Ok(())
     }
 
-    fn queue_now(&self, queued: Queued) -> Result<(), WireError> {
-        self.queue.try_send(queued).map_err(|fault| match fault {
+    fn try_enqueue(&self, frame: QueuedFrame) -> Result<(), WireError> {
+        self.queue.try_send(frame).map_err(|error| match error {
             mpsc::error::TrySendError::Full(_) => WireError::QueueFull,
             mpsc::error::TrySendError::Closed(_) => WireError::Closed,
         })
     }
 
+    /// Encodes a frame; returns its bytes and the budget that it needs.
     fn encode(&self, frame: &Frame) -> Result<(Bytes, u32), WireError> {
         let too_large = WireError::FrameTooLarge {
             max_bytes: self.frame_max_bytes,
@@ -214,33 +225,33 @@
     }
 }
 
-/// Writes until every sender is gone or the link has ended.
-async fn write_all(
+/// Writes queued frames until all senders are dropped or the link is closed.
+async fn run_writer(
     mut frames: FramedWrite<OwnedWriteHalf, LengthDelimitedCodec>,
-    mut queued: mpsc::Receiver<Queued>,
-    ended: CancellationToken,
+    mut queued_frames: mpsc::Receiver<QueuedFrame>,
+    closed: CancellationToken,
 ) {
-    let mut batch = Vec::with_capacity(BATCH_FRAMES);
+    let mut batch = Vec::with_capacity(BATCH_MAX_FRAMES);
     loop {
-        let taken = tokio::select! {
+        let received = tokio::select! {
             biased;
-            () = ended.cancelled() => return,
-            taken = queued.recv_many(&mut batch, BATCH_FRAMES) => taken,
+            () = closed.cancelled() => return,
+            received = queued_frames.recv_many(&mut batch, BATCH_MAX_FRAMES) => received,
         };
-        if taken == 0 {
-            // The receiver may still listen: only when both halves are gone is
-            // the connection closed.
+        if received == 0 {
+            // The receiving half may still be in use, so the write half must not shut
+            // the connection down when it is dropped.
             frames.into_inner().forget();
             return;
         }
         let written = tokio::select! {
             biased;
-            () = ended.cancelled() => return,
+            () = closed.cancelled() => return,
             written = write_batch(&mut frames, &mut batch) => written,
         };
-        if let Err(fault) = written {
-            log::debug!("link ended: {fault}");
-            ended.cancel();
+        if let Err(error) = written {
+            log::debug!("link closed, write failed: {error}");
+            closed.cancel();
             return;
         }
     }
@@ -248,17 +259,19 @@
 
 async fn write_batch(
     frames: &mut FramedWrite<OwnedWriteHalf, LengthDelimitedCodec>,
-    batch: &mut Vec<Queued>,
+    batch: &mut Vec<QueuedFrame>,
 ) -> Result<(), io::Error> {
-    let mut shares = Vec::with_capacity(batch.len());
+    // The budget is released only after the flush.
+    let mut budgets = Vec::with_capacity(batch.len());
     for queued in batch.drain(..) {
-        in_time(frames.feed(queued.bytes)).await?;
-        shares.push(queued.share);
+        with_timeout(frames.feed(queued.bytes)).await?;
+        budgets.push(queued.budget);
     }
-    in_time(SinkExt::<Bytes>::flush(frames)).await
+    with_timeout(SinkExt::<Bytes>::flush(frames)).await
 }
 
-async fn in_time(
+/// Fails with `TimedOut` if a write does not complete within [`WRITE_TIMEOUT`].
+async fn with_timeout(
     write: impl Future<Output = Result<(), io::Error>>,
 ) -> Result<(), io::Error> {
     timeout(WRITE_TIMEOUT, write)
--- a/crates/wire/tests/decoder.rs
+++ b/crates/wire/tests/decoder.rs
@@ -1,4 +1,4 @@
-//! The decoder against bytes that no encoder made.
+//! Property tests: decoding of arbitrary and corrupted bytes.
 
 use arbtest::arbitrary::{Result, Unstructured};
 use arbtest::arbtest;
@@ -13,13 +13,13 @@
 const FRAME_MAX_BYTES: u32 = 1_024;
 const CASES: u64 = 300;
 
-/// Most bytes drawn for one case.
-const SIZE_BYTES: u64 = 4_096;
+/// Maximum size of the input of one case, in bytes.
+const CASE_MAX_BYTES: u64 = 4_096;
 
-/// Runs a property on fixed seeds: the same cases on every run.
-fn on_fixed_seeds(mut property: impl FnMut(&mut Unstructured<'_>) -> Result<()>) {
+/// Checks a property on fixed seeds, so that every run checks the same cases.
+fn check_on_fixed_seeds(mut property: impl FnMut(&mut Unstructured<'_>) -> Result<()>) {
     for case in 0..CASES {
-        let size = (case + 1) * SIZE_BYTES / CASES;
+        let size = (case + 1) * CASE_MAX_BYTES / CASES;
         arbtest(&mut property).seed(case << 32 | size).run();
     }
 }
@@ -28,22 +28,22 @@
     Builder::new_current_thread()
         .enable_all()
         .build()
-        .expect("a runtime can be had in tests")
+        .expect("the runtime starts")
 }
 
-/// Frames received from a far end that sends `bytes` and closes.
-async fn received(bytes: Vec<u8>) -> Vec<Frame> {
-    let any: SocketAddr = "127.0.0.1:0".parse().expect("a literal address");
-    let listener = Listener::bind(any, FRAME_MAX_BYTES).await.unwrap();
+/// Returns the frames received from a peer that sends `bytes` and closes.
+async fn receive_all(bytes: Vec<u8>) -> Vec<Frame> {
+    let any_port: SocketAddr = "127.0.0.1:0".parse().expect("a literal address");
+    let listener = Listener::bind(any_port, FRAME_MAX_BYTES).await.unwrap();
     let address = listener.local_addr().unwrap();
-    let (raw, link) = tokio::join!(TcpStream::connect(address), listener.accept());
+    let (peer, link) = tokio::join!(TcpStream::connect(address), listener.accept());
     let (_sender, mut receiver) = link.unwrap().split();
-    let mut raw = raw.unwrap();
+    let mut peer = peer.unwrap();
     let write = async move {
-        // The receiver closes at the first bad frame, which may break this off.
-        let _ = raw.write_all(&bytes).await;
-        let _ = raw.shutdown().await;
-        raw
+        // The receiver closes the link at the first bad frame, so the write may fail.
+        let _ = peer.write_all(&bytes).await;
+        let _ = peer.shutdown().await;
+        peer
     };
     let read = async {
         let mut frames = Vec::new();
@@ -52,38 +52,38 @@
         }
         frames
     };
-    let (_raw, frames) = tokio::join!(write, read);
+    let (_peer, frames) = tokio::join!(write, read);
     frames
 }
 
 #[test]
-fn any_bytes_end_the_link_without_a_panic() {
+fn arbitrary_bytes_close_the_link_without_a_panic() {
     let runtime = runtime();
-    on_fixed_seeds(|u| {
+    check_on_fixed_seeds(|u| {
         let mut bytes = Vec::new();
         while !u.is_empty() {
-            let drawn = u.arbitrary_len::<u8>()?.min(64);
-            let body = u.bytes(drawn)?;
+            let body_bytes = u.arbitrary_len::<u8>()?.min(64);
+            let body = u.bytes(body_bytes)?;
             let length = u32::try_from(body.len()).expect("at most 64");
-            let told = if u.ratio(1, 8)? {
+            let length_prefix = if u.ratio(1, 8)? {
                 u.arbitrary()?
             } else {
                 length
             };
-            bytes.extend_from_slice(&told.to_be_bytes());
+            bytes.extend_from_slice(&length_prefix.to_be_bytes());
             bytes.extend_from_slice(body);
         }
-        runtime.block_on(received(bytes));
+        runtime.block_on(receive_all(bytes));
         Ok(())
     });
 }
 
-// A good frame, changed in one byte, may decode to something else or not at
-// all; the frame before it must have arrived whole.
+// A frame with one corrupted byte may decode to another frame or not at all. The
+// frame before it must still arrive intact.
 #[test]
-fn a_changed_byte_harms_no_earlier_frame() {
+fn a_corrupted_byte_does_not_affect_earlier_frames() {
     let runtime = runtime();
-    on_fixed_seeds(|u| {
+    check_on_fixed_seeds(|u| {
         let frame = Frame {
             clock_us: u.arbitrary()?,
             revision: u.arbitrary()?,
@@ -93,15 +93,15 @@
                 ..Hello::default()
             })),
         };
-        let mut one = Vec::new();
+        let mut intact = Vec::new();
         let body = frame.encode_to_vec();
-        let length = u32::try_from(body.len()).expect("far below the bound");
-        one.extend_from_slice(&length.to_be_bytes());
-        one.extend_from_slice(&body);
-        let mut changed = one.clone();
-        let at = u.choose_index(changed.len())?;
-        changed[at] ^= u.int_in_range(1..=u8::MAX)?;
-        let frames = runtime.block_on(received([one, changed].concat()));
+        let length = u32::try_from(body.len()).expect("the body is far below 4 GiB");
+        intact.extend_from_slice(&length.to_be_bytes());
+        intact.extend_from_slice(&body);
+        let mut corrupted = intact.clone();
+        let at = u.choose_index(corrupted.len())?;
+        corrupted[at] ^= u.int_in_range(1..=u8::MAX)?;
+        let frames = runtime.block_on(receive_all([intact, corrupted].concat()));
         assert_eq!(frames.first(), Some(&frame));
         Ok(())
     });
