--- a/crates/agent/src/node.rs
+++ b/crates/agent/src/node.rs
@@ -4,7 +4,7 @@
 use base::{PlatformCall, PlatformResponse};
 use conf::Config;
 use line::{EventFilter, EventRecorder};
-use oper::{Clock, Ticker};
+use oper::{Clock, DeadlineTimer};
 use parking_lot::{Mutex, MutexGuard};
 use plat::ObjectApi;
 use role::agent::{AgentAction, AgentEvent, AgentOptions, AgentRole, UpstreamEvent};
@@ -32,7 +32,7 @@
     links: Links,
     attempts: Arc<Attempts>,
     upstream: Upstream,
-    ticker: Ticker,
+    ticker: DeadlineTimer,
     platform: Arc<dyn ObjectApi>,
     recorder: EventRecorder,
     meters: Meters,
@@ -76,7 +76,7 @@
             links: Links::default(),
             attempts: Arc::default(),
             upstream: Upstream::new(outside.upstream),
-            ticker: Ticker::new(),
+            ticker: DeadlineTimer::new(),
             platform: outside.platform,
             recorder: outside.recorder,
             meters: Meters::new(),
@@ -163,7 +163,7 @@
     pub(crate) fn is_engine(&self) -> Option<bool> {
         let config = self.config()?;
         let pool = config.pool(self.options.pool.as_str())?;
-        Some(pool.engine)
+        Some(pool.is_engine)
     }
 
     /// Longest time for which an order to the upstream can be under way; `None`
--- a/crates/oper/src/start.rs
+++ b/crates/oper/src/start.rs
@@ -1,7 +1,7 @@
 //! Why a process can't start.
 
 use base::ErrorCode;
-use conf::Fault;
+use conf::Diagnostic;
 use snafu::Snafu;
 use std::io;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 pub enum StartError {
     /// The settings file can't be read.
     #[snafu(display("{}: {}: {source}", ErrorCode::FileFault, path.display()))]
-    File {
+    ReadSettings {
         /// File.
         path: PathBuf,
         /// Fault of the operating system.
@@ -22,13 +22,13 @@
     },
     /// The settings have faults.
     #[snafu(display("{}", lines(faults)))]
-    Settings {
+    InvalidSettings {
         /// All of them.
-        faults: Vec<Fault>,
+        faults: Vec<Diagnostic>,
     },
     /// An address of the settings is not `ip:port`.
     #[snafu(display("{}: {key}: {text} is not ip:port", ErrorCode::BadAddress))]
-    Address {
+    InvalidAddress {
         /// Key in the settings.
         key: &'static str,
         /// What stands there.
@@ -36,7 +36,7 @@
     },
     /// A listener can't be bound.
     #[snafu(display("{}: {key}: {source}", ErrorCode::BadAddress))]
-    Listen {
+    BindListener {
         /// Key in the settings.
         key: &'static str,
         /// Fault of the operating system.
@@ -44,7 +44,7 @@
     },
     /// The link listener can't be bound.
     #[snafu(display("{}: link_listen: {source}", source.code()))]
-    LinkListen {
+    BindLinkListener {
         /// Fault of the listener.
         source: WireError,
     },
@@ -54,18 +54,20 @@
     /// Numbered code of the fault.
     pub fn code(&self) -> ErrorCode {
         match self {
-            Self::File { .. } => ErrorCode::FileFault,
-            Self::Settings { faults } => faults
+            Self::ReadSettings { .. } => ErrorCode::FileFault,
+            Self::InvalidSettings { faults } => faults
                 .first()
                 .map_or(ErrorCode::BadSyntax, |fault| fault.code),
-            Self::Address { .. } | Self::Listen { .. } => ErrorCode::BadAddress,
-            Self::LinkListen { source } => source.code(),
+            Self::InvalidAddress { .. } | Self::BindListener { .. } => {
+                ErrorCode::BadAddress
+            }
+            Self::BindLinkListener { source } => source.code(),
         }
     }
 }
 
-fn lines(faults: &[Fault]) -> String {
-    let lines: Vec<String> = faults.iter().map(Fault::to_string).collect();
+fn lines(faults: &[Diagnostic]) -> String {
+    let lines: Vec<String> = faults.iter().map(Diagnostic::to_string).collect();
     lines.join("\n")
 }
 
@@ -73,9 +75,9 @@
 ///
 /// # Errors
 ///
-/// [`StartError::Address`] if the text is something else.
-pub fn address(key: &'static str, text: &str) -> Result<SocketAddr, StartError> {
-    text.parse().map_err(|_| StartError::Address {
+/// [`StartError::InvalidAddress`] if the text is something else.
+pub fn parse_address(key: &'static str, text: &str) -> Result<SocketAddr, StartError> {
+    text.parse().map_err(|_| StartError::InvalidAddress {
         key,
         text: text.to_owned(),
     })
