--- a/crates/conf/src/check.rs
+++ b/crates/conf/src/check.rs
@@ -1,10 +1,10 @@
-//! Checking of documents: all faults in one go.
+//! Checks documents and reports all their errors together.
 //!
-//! A document passes three stages: it is read into a bounded tree, the tree is held
-//! against the schema ([`crate::document`]), and [`crate::rules`] looks at the
-//! meaning of what has the right shape. A stage works on what the one before could
-//! keep, so one wrong key does not hide the others, and what follows only from a
-//! fault already told is left out.
+//! A document passes three stages: it is parsed into a tree of bounded size, the
+//! tree is validated against the schema ([`crate::document`]), and [`crate::rules`]
+//! checks ranges, references and required keys. Each stage works on the part that
+//! the previous one found valid, so one wrong key does not hide other errors.
+//! Errors that only follow from one already reported are left out.
 
 use base::Code;
 use schema::settings::{AgentSettings, EntrySettings, Fleet};
@@ -12,31 +12,32 @@
 use serde_json::Value;
 
 use crate::document::{
-    Diagnostic, Findings, Node, Path, from_text, from_value, keep_known,
+    Diagnostic, DiagnosticSink, Node, ValuePath, from_value, parse_text, retain_valid,
 };
 use crate::{defaults, rules};
 
-/// Checks a fleet configuration as an operator writes it.
+/// Checks the text of a fleet configuration: JSON with comments.
 ///
 /// Returns the decoded configuration and the document without comments, which
-/// is what is published.
+/// is the form that is published.
 ///
 /// # Errors
 ///
-/// All faults of the document in the order of the text, at most
-/// [`DIAGNOSTICS_MAX`](crate::DIAGNOSTICS_MAX).
+/// The errors of the document in the order of the text, at most
+/// [`DIAGNOSTICS_MAX`](crate::DIAGNOSTICS_MAX) of them.
 pub fn check_fleet(text: &str) -> Result<(Fleet, Value), Vec<Diagnostic>> {
-    check_text(text, "Fleet", rules::fleet)
+    check_text(text, "Fleet", rules::check_fleet)
 }
 
 /// Checks the settings of an entry and fills in the defaults.
 ///
 /// # Errors
 ///
-/// All faults of the document, as for [`check_fleet`].
+/// The errors of the document, as for [`check_fleet`].
 pub fn check_entry_settings(text: &str) -> Result<EntrySettings, Vec<Diagnostic>> {
-    let (mut settings, _) = check_text(text, "EntrySettings", rules::entry)?;
-    defaults::entry_settings(&mut settings);
+    let (mut settings, _) =
+        check_text(text, "EntrySettings", rules::check_entry_settings)?;
+    defaults::fill_entry_settings(&mut settings);
     Ok(settings)
 }
 
@@ -44,60 +45,62 @@
 ///
 /// # Errors
 ///
-/// All faults of the document, as for [`check_fleet`].
+/// The errors of the document, as for [`check_fleet`].
 pub fn check_agent_settings(text: &str) -> Result<AgentSettings, Vec<Diagnostic>> {
-    let (mut settings, _) = check_text(text, "AgentSettings", rules::agent)?;
-    defaults::agent_settings(&mut settings);
+    let (mut settings, _) =
+        check_text(text, "AgentSettings", rules::check_agent_settings)?;
+    defaults::fill_agent_settings(&mut settings);
     Ok(settings)
 }
 
-/// Checks a fleet configuration that was put together from a patch.
+/// Checks a decoded fleet configuration, such as the result of a merge patch.
 ///
-/// The faults carry no line or column. An empty list means that the document
-/// may be published.
+/// The diagnostics have no line or column, since there is no text. An empty list
+/// means that the document may be published.
 pub fn check_fleet_value(value: &Value) -> Vec<Diagnostic> {
-    let mut findings = Findings::without_text();
-    let node = from_value(value, &mut findings);
+    let mut sink = DiagnosticSink::without_text();
+    let node = from_value(value, &mut sink);
     if let Some(node) = node {
-        check_node::<Fleet>(&node, "Fleet", rules::fleet, &mut findings);
+        validate_tree::<Fleet>(&node, "Fleet", rules::check_fleet, &mut sink);
     }
-    findings.into_faults()
+    sink.into_diagnostics()
 }
 
 fn check_text<T: DeserializeOwned>(
     text: &str,
-    shape: &str,
-    rules: fn(&T, &mut Findings<'_>),
+    message_name: &str,
+    rules: fn(&T, &mut DiagnosticSink<'_>),
 ) -> Result<(T, Value), Vec<Diagnostic>> {
-    let mut findings = Findings::of_text(text);
-    let checked = from_text(text, &mut findings)
-        .and_then(|node| check_node(&node, shape, rules, &mut findings));
-    let faults = findings.into_faults();
+    let mut sink = DiagnosticSink::for_text(text);
+    let checked = parse_text(text, &mut sink)
+        .and_then(|node| validate_tree(&node, message_name, rules, &mut sink));
+    let diagnostics = sink.into_diagnostics();
     match checked {
-        Some(checked) if faults.is_empty() => Ok(checked),
-        _ => Err(faults),
+        Some(checked) if diagnostics.is_empty() => Ok(checked),
+        _ => Err(diagnostics),
     }
 }
 
-/// Runs the shape and the rules over a tree; `None` only besides a fault.
-fn check_node<T: DeserializeOwned>(
+/// Validates a tree against the schema and the rules. Returns `None` only if an
+/// error was reported.
+fn validate_tree<T: DeserializeOwned>(
     node: &Node,
-    shape: &str,
-    rules: fn(&T, &mut Findings<'_>),
-    findings: &mut Findings<'_>,
+    message_name: &str,
+    rules: fn(&T, &mut DiagnosticSink<'_>),
+    sink: &mut DiagnosticSink<'_>,
 ) -> Option<(T, Value)> {
-    let kept = keep_known(node, shape, findings);
-    // What was kept has the schema's shape, so decoding fails only where the
-    // table and the generated types differ. That is told as a fault, since a
-    // silent `None` would accept nothing and explain nothing.
+    let kept = retain_valid(node, message_name, sink);
+    // The retained part matches the schema, so decoding fails only if the field
+    // table and the generated types differ. That is reported: a bare `None` would
+    // reject the document without an explanation.
     match serde_json::from_value::<T>(kept.clone()) {
         Ok(decoded) => {
-            rules(&decoded, findings);
+            rules(&decoded, sink);
             Some((decoded, kept))
         }
         Err(error) => {
-            let message = format!("does not fit the schema: {error}");
-            findings.add(Code::WrongType, &Path::default(), message);
+            let message = format!("does not match the schema: {error}");
+            sink.report(Code::WrongType, &ValuePath::default(), message);
             None
         }
     }
--- a/crates/conf/src/config.rs
+++ b/crates/conf/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration in force, resolved for the decisions that read it.
+//! The configuration in force, resolved for lookups.
 
 use access::{Credential, KeyDigest};
 use base::prelude::*;
@@ -8,7 +8,8 @@
 
 use crate::defaults;
 
-/// One accepted configuration, with names resolved and defaults filled in.
+/// One accepted fleet configuration, with references resolved and defaults filled
+/// in.
 #[derive(Debug)]
 pub struct Config {
     revision: Revision,
@@ -23,164 +24,166 @@
     store: Store,
 }
 
-/// A base model, or an adapter resolved against its base.
+/// A base model, or an adapter resolved against its base model.
 #[derive(Debug, Clone)]
 pub struct ModelSpec {
     /// Name.
     pub id: ModelId,
     /// Version that requests are sent to.
     pub version: u32,
-    /// Accelerator memory it takes.
+    /// Accelerator memory it takes, without its base model's.
     pub size_mib: u32,
-    /// Pool whose engines may hold it.
+    /// Pool whose engines may load it; an adapter has that of its base model.
     pub pool: PoolId,
     /// Base model, if this is an adapter.
     pub base: Option<ModelId>,
 }
 
-/// What a class of work expects.
+/// Service level of a class of requests.
 #[derive(Debug, Clone)]
 pub struct ProfileSpec {
     /// Name.
     pub id: ProfileId,
-    /// Whether somebody waits for the answer.
+    /// Whether a user waits for the response.
     pub kind: ProfileKind,
-    /// Models that may be named; the first is the default.
+    /// Models and adapters that requests may name; the first is the default.
     pub models: Vec<ModelId>,
-    /// Service called in place of models.
+    /// Plain service that requests call, instead of models.
     pub service: Option<ServiceId>,
-    /// Expected time to the first token; 0 for none.
+    /// Target for the time to the first token; 0 for none.
     pub first_token_ms: u32,
-    /// Expected time between tokens; 0 for none.
+    /// Target for the time between tokens; 0 for none.
     pub between_tokens_ms: u32,
-    /// Time within which the whole answer is expected.
+    /// Target for the time to the complete response.
     pub deadline_ms: u32,
-    /// Priority given to the engine; higher runs first.
+    /// Priority passed to the engine; higher runs first.
     pub priority: u32,
-    /// Worth of one request that meets its expectation.
+    /// Weight of one request that meets its targets.
     pub value: f64,
 }
 
-/// Whether somebody waits for the answer.
+/// Whether a user waits for the response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProfileKind {
-    /// Somebody waits.
+    /// A user waits.
     Interactive,
-    /// The work only has to be done by its deadline.
+    /// The response is only needed by the deadline.
     Batch,
 }
 
-/// A plain service.
+/// A plain service, which runs without a model.
 #[derive(Debug, Clone)]
 pub struct ServiceSpec {
     /// Name.
     pub id: ServiceId,
     /// Pool of its upstreams.
     pub pool: PoolId,
-    /// Whether a call may be repeated.
+    /// Whether a call may safely run more than once.
     pub idempotent: bool,
-    /// Longest time one call is expected to take.
+    /// Maximum expected duration of one call.
     pub timeout_ms: u32,
 }
 
-/// Like upstreams that can stand in for one another.
+/// A pool of interchangeable upstreams.
 #[derive(Debug, Clone)]
 pub struct PoolSpec {
     /// Name.
     pub id: PoolId,
-    /// Whether the upstreams are model engines.
+    /// Whether the upstreams are model engines rather than plain services.
     pub is_engine: bool,
     /// Failure domains the instances are spread over.
     pub failure_domains: Vec<DomainId>,
-    /// Number of instances held.
+    /// Number of instances that the operators run.
     pub instances: u32,
     /// Memory of each accelerator of one instance.
     pub accelerators_mib: Vec<u32>,
     /// Expected duration of one engine step.
     pub step_time_us: u32,
-    /// Requests per accelerator, or calls per plain service, run at once.
+    /// Requests that one accelerator runs at once, or calls that one instance of a
+    /// plain service runs at once.
     pub concurrent_max: u32,
-    /// Whether the upstream refuses an order with an old fencing number.
+    /// Whether the upstreams refuse load and unload orders with an outdated fencing
+    /// epoch.
     pub checks_fencing: bool,
-    /// Longest time after which an order can still take effect.
+    /// Maximum time after its sending at which an order can still take effect.
     pub order_delay_max_ms: u32,
 }
 
-/// An identity that sends requests.
+/// A client identity, recognized by its key.
 #[derive(Debug, Clone)]
 pub struct CallerSpec {
     /// Name.
     pub id: CallerId,
-    /// Requests in progress at one entry.
+    /// Maximum number of its requests in progress at one entry.
     pub concurrent_max: u32,
 }
 
 impl Config {
-    /// Resolves a checked document.
+    /// Resolves a configuration that has passed the checks.
     ///
-    /// References are taken as they are: `check` has shown that they lead
-    /// somewhere before the document was accepted.
+    /// References are not validated again: a document with a dangling reference is
+    /// not accepted.
     pub fn new(revision: Revision, fleet: Fleet) -> Self {
         Self {
             revision,
-            models: models(&fleet),
-            profiles: profiles(&fleet),
-            services: services(&fleet),
-            pools: pools(&fleet),
-            callers: callers(&fleet),
-            limits: defaults::limits(fleet.limits.as_ref()),
-            weights: defaults::weights(fleet.weights.as_ref()),
-            store: defaults::store(fleet.store.as_ref()),
+            models: resolve_models(&fleet),
+            profiles: resolve_profiles(&fleet),
+            services: resolve_services(&fleet),
+            pools: resolve_pools(&fleet),
+            callers: resolve_callers(&fleet),
+            limits: defaults::limits_or_default(fleet.limits.as_ref()),
+            weights: defaults::weights_or_default(fleet.weights.as_ref()),
+            store: defaults::store_or_default(fleet.store.as_ref()),
             fleet,
         }
     }
 
-    /// Number of the configuration.
+    /// Revision of the configuration.
     pub const fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// The document as accepted.
+    /// The decoded document as accepted, without defaults.
     pub const fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
-    /// Finds a model or an adapter.
+    /// Finds a model or an adapter by name.
     pub fn model(&self, id: &str) -> Option<&ModelSpec> {
         self.models.get(id)
     }
 
-    /// Models and adapters in order of name.
+    /// Models and adapters, sorted by name.
     pub fn models(&self) -> impl Iterator<Item = &ModelSpec> {
         self.models.values()
     }
 
-    /// Finds a profile.
+    /// Finds a profile by name.
     pub fn profile(&self, id: &str) -> Option<&ProfileSpec> {
         self.profiles.get(id)
     }
 
-    /// Profiles in order of name.
+    /// Profiles, sorted by name.
     pub fn profiles(&self) -> impl Iterator<Item = &ProfileSpec> {
         self.profiles.values()
     }
 
-    /// Finds a plain service.
+    /// Finds a plain service by name.
     pub fn service(&self, id: &str) -> Option<&ServiceSpec> {
         self.services.get(id)
     }
 
-    /// Finds a pool.
+    /// Finds a pool by name.
     pub fn pool(&self, id: &str) -> Option<&PoolSpec> {
         self.pools.get(id)
     }
 
-    /// Pools in order of name.
+    /// Pools, sorted by name.
     pub fn pools(&self) -> impl Iterator<Item = &PoolSpec> {
         self.pools.values()
     }
 
-    /// Finds the caller whose key a request carries.
+    /// Finds the caller by the key that a request carries.
     pub fn caller(&self, credential: &Credential) -> Option<&CallerSpec> {
         match credential {
             Credential::Key(key) => self.callers.get(key),
@@ -188,34 +191,35 @@
         }
     }
 
-    /// Bounds, with defaults filled in.
+    /// Limits of each process, with defaults filled in.
     pub const fn limits(&self) -> &Limits {
         &self.limits
     }
 
-    /// What the operators weigh, with defaults filled in.
+    /// Planning weights, with defaults filled in.
     pub const fn weights(&self) -> &Weights {
         &self.weights
     }
 
-    /// Limits of the weight store, with defaults filled in.
+    /// Capacity of the weight store, with defaults filled in.
     pub const fn store(&self) -> &Store {
         &self.store
     }
 }
 
-/// SHA-256 of a caller's key in hexadecimal, as the configuration holds it.
+/// SHA-256 of a text in lowercase hexadecimal, the form in which the configuration
+/// has callers' keys.
 pub fn sha256_hex(key: &str) -> String {
     use std::fmt::Write as _;
     let mut text = String::with_capacity(64);
     for byte in Sha256::digest(key.as_bytes()) {
-        // Writing to a string does not fail.
+        // Writing to a string never fails.
         let _ = write!(text, "{byte:02x}");
     }
     text
 }
 
-fn models(fleet: &Fleet) -> BTreeMap<ModelId, ModelSpec> {
+fn resolve_models(fleet: &Fleet) -> BTreeMap<ModelId, ModelSpec> {
     let bases = fleet.models.iter().map(|(name, model)| ModelSpec {
         id: ModelId::new(name),
         version: model.version,
@@ -239,7 +243,7 @@
         .collect()
 }
 
-fn profiles(fleet: &Fleet) -> BTreeMap<ProfileId, ProfileSpec> {
+fn resolve_profiles(fleet: &Fleet) -> BTreeMap<ProfileId, ProfileSpec> {
     let specs = fleet.profiles.iter().map(|(name, profile)| ProfileSpec {
         id: ProfileId::new(name),
         kind: match profile.kind.as_str() {
@@ -262,7 +266,7 @@
     specs.map(|spec| (spec.id.clone(), spec)).collect()
 }
 
-fn services(fleet: &Fleet) -> BTreeMap<ServiceId, ServiceSpec> {
+fn resolve_services(fleet: &Fleet) -> BTreeMap<ServiceId, ServiceSpec> {
     let specs = fleet.services.iter().map(|(name, service)| ServiceSpec {
         id: ServiceId::new(name),
         pool: PoolId::new(&service.pool),
@@ -272,7 +276,7 @@
     specs.map(|spec| (spec.id.clone(), spec)).collect()
 }
 
-fn pools(fleet: &Fleet) -> BTreeMap<PoolId, PoolSpec> {
+fn resolve_pools(fleet: &Fleet) -> BTreeMap<PoolId, PoolSpec> {
     let specs = fleet.pools.iter().map(|(name, pool)| PoolSpec {
         id: PoolId::new(name),
         is_engine: pool.kind != "service",
@@ -291,13 +295,13 @@
     specs.map(|spec| (spec.id.clone(), spec)).collect()
 }
 
-fn callers(fleet: &Fleet) -> BTreeMap<KeyDigest, CallerSpec> {
+fn resolve_callers(fleet: &Fleet) -> BTreeMap<KeyDigest, CallerSpec> {
     let specs = fleet.callers.iter().filter_map(|(name, caller)| {
         let spec = CallerSpec {
             id: CallerId::new(name),
             concurrent_max: caller.concurrent_max,
         };
-        // `check` has shown that it is one.
+        // Never `None`: the checks refuse a hash that can't be decoded.
         Some((KeyDigest::from_hex(&caller.key_sha256)?, spec))
     });
     specs.collect()
--- a/crates/conf/src/document/mod.rs
+++ b/crates/conf/src/document/mod.rs
@@ -1,50 +1,50 @@
-//! Documents and what is found wrong in them.
+//! Parsing of documents and validation against the schema.
 //!
-//! `node` reads a text into a bounded tree, and `shape` holds the tree against the
-//! generated table of settings fields.
+//! `node` parses a text into a tree of bounded size, and `schema` validates the tree
+//! against the generated table of settings fields.
 
-mod findings;
+mod diagnostic_sink;
 mod node;
 mod path;
-mod shape;
-mod spelling;
+mod schema;
+mod suggestion;
 
-pub(crate) use findings::Findings;
-pub(crate) use node::{Node, from_text, from_value};
-pub(crate) use path::Path;
-pub(crate) use shape::{keep_known, quote};
+pub(crate) use diagnostic_sink::DiagnosticSink;
+pub(crate) use node::{Node, from_value, parse_text};
+pub(crate) use path::ValuePath;
+pub(crate) use schema::{excerpt, retain_valid};
 
 use base::Code;
 use std::fmt;
 
-/// Largest document taken; the platform's objects hold a megabyte, and a
-/// snapshot needs room for its envelope.
+/// Largest document accepted, in bytes. A platform object holds at most one
+/// megabyte, and a snapshot adds an envelope to the document.
 pub const DOCUMENT_MAX_BYTES: usize = 900_000;
 
-/// Deepest nesting of objects and arrays; the schema needs four.
+/// Maximum nesting depth of objects and arrays; the schema needs four levels.
 pub const DEPTH_MAX: usize = 16;
 
-/// Most values of one document, counting objects and arrays.
+/// Maximum number of values in one document, counting objects and arrays.
 pub const VALUES_MAX: usize = 50_000;
 
-/// Longest key or name.
+/// Maximum length of a key or a name.
 pub const NAME_MAX_BYTES: usize = 64;
 
-/// Most faults told of one document.
+/// Maximum number of diagnostics reported for one document.
 pub const DIAGNOSTICS_MAX: usize = 100;
 
-/// One fault of a document.
+/// One error in a document.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Diagnostic {
-    /// What kind of fault.
+    /// Kind of error.
     pub code: Code,
-    /// Line, counted from 1; 0 for a document that has no text.
+    /// Line, counted from 1; 0 if the document was checked without its text.
     pub line: u32,
-    /// Character in the line, counted from 1; 0 without a text.
+    /// Character in the line, counted from 1; 0 if there is no text.
     pub column: u32,
-    /// Where in the document, such as `models.oracle-a.size_mib`.
+    /// Path of the value in the document, such as `models.oracle-a.size_mib`.
     pub path: String,
-    /// What is wrong and what would be right, in one sentence.
+    /// What is wrong and what is expected, in one sentence.
     pub message: String,
 }
 
--- a/crates/conf/src/document/node.rs
+++ b/crates/conf/src/document/node.rs
@@ -1,8 +1,9 @@
-//! A bounded tree of a document's values with their places.
+//! A size-bounded tree of a document's values with their text offsets.
 //!
-//! Texts and decoded documents both become this tree, so one check serves both.
-//! The bounds stand here: a text that is too large, too deep or has too many
-//! values ends as one fault, before anything else is built from it.
+//! Texts and decoded documents are both converted into this tree, so the same
+//! checks apply to both. The size limits are enforced here: a document that is too
+//! large, too deeply nested or has too many values gets a single diagnostic, before
+//! anything else is built from it.
 
 use base::Code;
 use jsonc_parser::ast;
@@ -12,29 +13,30 @@
 use std::str::FromStr;
 
 use super::{
-    DEPTH_MAX, DOCUMENT_MAX_BYTES, Findings, NAME_MAX_BYTES, Path, VALUES_MAX,
+    DEPTH_MAX, DOCUMENT_MAX_BYTES, DiagnosticSink, NAME_MAX_BYTES, VALUES_MAX,
+    ValuePath,
 };
 
 /// One value of a document.
 #[derive(Debug)]
 pub(crate) struct Node {
-    /// Byte offset in the text; 0 without one.
+    /// Byte offset in the text; 0 if there is no text.
     pub(super) offset: usize,
     /// The value.
-    pub(super) body: Body,
+    pub(super) content: NodeContent,
 }
 
 /// Content of a value.
 #[derive(Debug)]
-pub(crate) enum Body {
-    /// Keys in the order of the text; one may stand twice.
+pub(crate) enum NodeContent {
+    /// Members in the order of the text; keys may be duplicated.
     Object(Vec<Member>),
-    /// Values in order.
+    /// Elements in order.
     Array(Vec<Node>),
-    /// Anything else.
+    /// A string, number, boolean or null.
     Scalar(Value),
-    /// A number that no type can hold.
-    HugeNumber,
+    /// A number that neither a 64-bit integer nor a 64-bit float can represent.
+    UnrepresentableNumber,
 }
 
 /// One key of an object and its value.
@@ -48,7 +50,7 @@
     pub(super) node: Node,
 }
 
-/// JSON with comments and trailing commas, and nothing else besides.
+/// JSON with comments and trailing commas; no other extension of JSON.
 const OPTIONS: ParseOptions = ParseOptions {
     allow_comments: true,
     allow_loose_object_property_names: false,
@@ -62,103 +64,117 @@
     allow_extended_string_escapes: false,
 };
 
-/// Reads a text; `None` only besides a fault.
-pub(crate) fn from_text(text: &str, findings: &mut Findings<'_>) -> Option<Node> {
-    let root = Path::default();
+/// Parses a text. Returns `None` only if an error was reported.
+pub(crate) fn parse_text(text: &str, sink: &mut DiagnosticSink<'_>) -> Option<Node> {
+    let root = ValuePath::default();
     if text.len() > DOCUMENT_MAX_BYTES {
-        findings.add(Code::OutOfRange, &root, size_message(text.len()));
+        sink.report(Code::OutOfRange, &root, size_limit_message(text.len()));
         return None;
     }
     let parsed = match parse_to_ast(text, &CollectOptions::default(), &OPTIONS) {
         Ok(parsed) => parsed,
         Err(error) => {
             let offset = error.range().start;
-            findings.add_at(Code::BadSyntax, &root, offset, error.kind().to_string());
+            sink.report_at(Code::BadSyntax, &root, offset, error.kind().to_string());
             return None;
         }
     };
     let Some(value) = parsed.value else {
-        findings.add(Code::BadSyntax, &root, "the document is empty");
+        sink.report(Code::BadSyntax, &root, "the document is empty");
         return None;
     };
-    let mut builder = Builder::default();
+    let mut builder = TreeBuilder::default();
     let node = builder.build_ast(&value, 0);
-    builder.finish(node, findings)
+    builder.finish(node, sink)
 }
 
-/// Takes a decoded document; `None` only besides a fault.
-pub(crate) fn from_value(value: &Value, findings: &mut Findings<'_>) -> Option<Node> {
-    let mut builder = Builder::default();
+/// Converts a decoded document. Returns `None` only if an error was reported.
+pub(crate) fn from_value(value: &Value, sink: &mut DiagnosticSink<'_>) -> Option<Node> {
+    let mut builder = TreeBuilder::default();
     let node = builder.build_value(value, 0);
-    let node = builder.finish(node, findings)?;
-    // The text is made only once the depth is known to be bounded.
+    let node = builder.finish(node, sink)?;
+    // Serializing recurses, so it has to come after the check of the depth.
     let bytes = value.to_string().len();
     if bytes > DOCUMENT_MAX_BYTES {
-        findings.add(Code::OutOfRange, &Path::default(), size_message(bytes));
+        sink.report(
+            Code::OutOfRange,
+            &ValuePath::default(),
+            size_limit_message(bytes),
+        );
         return None;
     }
     Some(node)
 }
 
-fn size_message(bytes: usize) -> String {
-    format!("the document has {bytes} bytes; at most {DOCUMENT_MAX_BYTES} are taken")
+fn size_limit_message(bytes: usize) -> String {
+    format!("the document has {bytes} bytes; the limit is {DOCUMENT_MAX_BYTES}")
 }
 
-/// Counts what it builds and stops at the first bound broken.
+/// Builds the tree, and stops when the first limit is exceeded.
 #[derive(Debug, Default)]
-struct Builder {
+struct TreeBuilder {
+    /// Number of values built so far.
     values: usize,
-    broken: Option<(usize, String)>,
+    /// Text offset and message of the first limit exceeded.
+    exceeded: Option<(usize, String)>,
 }
 
-impl Builder {
-    fn finish(self, node: Node, findings: &mut Findings<'_>) -> Option<Node> {
-        let Some((offset, message)) = self.broken else {
+impl TreeBuilder {
+    fn finish(self, node: Node, sink: &mut DiagnosticSink<'_>) -> Option<Node> {
+        let Some((offset, message)) = self.exceeded else {
             return Some(node);
         };
-        findings.add_at(Code::OutOfRange, &Path::default(), offset, message);
+        sink.report_at(Code::OutOfRange, &ValuePath::default(), offset, message);
         None
     }
 
     fn build_ast(&mut self, value: &ast::Value<'_>, depth: usize) -> Node {
         let offset = value.range().start;
-        if !self.admit(offset, depth) {
+        if !self.count_value(offset, depth) {
             return Node::null(offset);
         }
-        let body = match value {
+        let content = match value {
             ast::Value::StringLit(text) => {
-                Body::Scalar(Value::String(text.value.clone().into_owned()))
+                NodeContent::Scalar(Value::String(text.value.clone().into_owned()))
             }
-            ast::Value::NumberLit(number) => read_number(number.value),
-            ast::Value::BooleanLit(flag) => Body::Scalar(Value::Bool(flag.value)),
-            ast::Value::NullKeyword(_) => Body::Scalar(Value::Null),
+            ast::Value::NumberLit(number) => parse_number(number.value),
+            ast::Value::BooleanLit(flag) => {
+                NodeContent::Scalar(Value::Bool(flag.value))
+            }
+            ast::Value::NullKeyword(_) => NodeContent::Scalar(Value::Null),
             ast::Value::Array(array) => {
                 let nodes = array.elements.iter();
-                Body::Array(nodes.map(|node| self.build_ast(node, depth + 1)).collect())
+                NodeContent::Array(
+                    nodes.map(|node| self.build_ast(node, depth + 1)).collect(),
+                )
             }
             ast::Value::Object(object) => {
                 let members = object.properties.iter();
-                Body::Object(members.map(|member| self.member(member, depth)).collect())
+                NodeContent::Object(
+                    members
+                        .map(|member| self.build_member(member, depth))
+                        .collect(),
+                )
             }
         };
-        Node { offset, body }
+        Node { offset, content }
     }
 
-    fn member(&mut self, member: &ast::ObjectProp<'_>, depth: usize) -> Member {
+    fn build_member(&mut self, member: &ast::ObjectProp<'_>, depth: usize) -> Member {
         let offset = member.range.start;
-        let name = self.name(member.name.as_str(), offset);
+        let name = self.bounded_key(member.name.as_str(), offset);
         let node = self.build_ast(&member.value, depth + 1);
         Member { name, offset, node }
     }
 
     fn build_value(&mut self, value: &Value, depth: usize) -> Node {
-        if !self.admit(0, depth) {
+        if !self.count_value(0, depth) {
             return Node::null(0);
         }
-        let body = match value {
+        let content = match value {
             Value::Array(values) => {
                 let nodes = values.iter();
-                Body::Array(
+                NodeContent::Array(
                     nodes
                         .map(|value| self.build_value(value, depth + 1))
                         .collect(),
@@ -166,42 +182,42 @@
             }
             Value::Object(map) => {
                 let members = map.iter().map(|(name, value)| Member {
-                    name: self.name(name, 0),
+                    name: self.bounded_key(name, 0),
                     offset: 0,
                     node: self.build_value(value, depth + 1),
                 });
-                Body::Object(members.collect())
+                NodeContent::Object(members.collect())
             }
-            scalar => Body::Scalar(scalar.clone()),
+            scalar => NodeContent::Scalar(scalar.clone()),
         };
-        Node { offset: 0, body }
+        Node { offset: 0, content }
     }
 
-    /// Counts a value; false once a bound is broken.
-    fn admit(&mut self, offset: usize, depth: usize) -> bool {
+    /// Counts a value. Returns false once a limit is exceeded.
+    fn count_value(&mut self, offset: usize, depth: usize) -> bool {
         self.values += 1;
-        if self.broken.is_none() && self.values > VALUES_MAX {
+        if self.exceeded.is_none() && self.values > VALUES_MAX {
             let message = format!("the document has more than {VALUES_MAX} values");
-            self.broken = Some((offset, message));
+            self.exceeded = Some((offset, message));
         }
-        if self.broken.is_none() && depth >= DEPTH_MAX {
+        if self.exceeded.is_none() && depth >= DEPTH_MAX {
             let message = format!("values are nested more than {DEPTH_MAX} deep");
-            self.broken = Some((offset, message));
+            self.exceeded = Some((offset, message));
         }
-        self.broken.is_none()
+        self.exceeded.is_none()
     }
 
-    /// Takes a key if its length is bounded.
+    /// Returns the key if its length is within the limit.
     ///
-    /// Each value's path holds the keys around it: a key of half a megabyte
-    /// around ten thousand values would take gigabytes.
-    fn name(&mut self, name: &str, offset: usize) -> String {
+    /// The path of each value repeats the keys of all objects around it: a key of
+    /// half a megabyte around ten thousand values would take gigabytes.
+    fn bounded_key(&mut self, name: &str, offset: usize) -> String {
         if name.len() <= NAME_MAX_BYTES {
             return name.to_owned();
         }
-        if self.broken.is_none() {
+        if self.exceeded.is_none() {
             let message = format!("a key is longer than {NAME_MAX_BYTES} bytes");
-            self.broken = Some((offset, message));
+            self.exceeded = Some((offset, message));
         }
         String::new()
     }
@@ -211,14 +227,14 @@
     const fn null(offset: usize) -> Self {
         Self {
             offset,
-            body: Body::Scalar(Value::Null),
+            content: NodeContent::Scalar(Value::Null),
         }
     }
 }
 
-fn read_number(text: &str) -> Body {
+fn parse_number(text: &str) -> NodeContent {
     match serde_json::Number::from_str(text) {
-        Ok(number) => Body::Scalar(Value::Number(number)),
-        Err(_) => Body::HugeNumber,
+        Ok(number) => NodeContent::Scalar(Value::Number(number)),
+        Err(_) => NodeContent::UnrepresentableNumber,
     }
 }
--- a/crates/conf/src/lib.rs
+++ b/crates/conf/src/lib.rs
@@ -1,22 +1,22 @@
-//! Configuration: what operators write, how it is checked and how it is kept.
+//! Validation and storage format of the configuration that operators write.
 //!
 //! There are two kinds of document. Each process reads its own *settings* from
-//! a file at start. The *fleet configuration* is one document per deployment,
-//! held by the platform as a log of changes ([`ConfigLog`]) and resolved for
-//! the decisions ([`Config`]).
+//! a file at startup. The *fleet configuration* is one document per deployment.
+//! The platform stores it as a log of changes ([`ConfigLog`]), and each process
+//! resolves it into a [`Config`] for lookups.
 //!
 //! Invariants:
 //!
-//! - A document is checked whole; all its faults are reported in one go, each
-//!   with a number, a line and a column.
-//! - A revision, once accepted, is never replaced, and no process goes back to
-//!   an older one.
+//! - A document is always checked as a whole. All its errors are reported
+//!   together, each with an error code, a line and a column.
+//! - An accepted revision is never replaced, and no process goes back to an
+//!   older one.
 
 mod check;
 mod config;
+mod config_log;
 mod defaults;
 mod document;
-mod log;
 pub mod merge_patch;
 mod rules;
 
@@ -27,8 +27,10 @@
     CallerSpec, Config, ModelSpec, PoolSpec, ProfileKind, ProfileSpec, ServiceSpec,
     sha256_hex,
 };
+pub use config_log::{
+    ApplyError, ConfigLog, REVISION_KEY_PREFIX, SNAPSHOT_KEY, revision_key,
+};
 pub use document::{
     DEPTH_MAX, DIAGNOSTICS_MAX, DOCUMENT_MAX_BYTES, Diagnostic, NAME_MAX_BYTES,
     VALUES_MAX,
 };
-pub use log::{ApplyError, ConfigLog, REVISION_KEY_PREFIX, SNAPSHOT_KEY, revision_key};
--- a/crates/conf/src/merge_patch.rs
+++ b/crates/conf/src/merge_patch.rs
@@ -1,4 +1,4 @@
-//! JSON merge patches (RFC 7386): how one document becomes the next.
+//! JSON merge patches (RFC 7386).
 
 use serde_json::{Map, Value};
 
@@ -23,7 +23,10 @@
     }
 }
 
-/// The patch that makes `after` out of `before`; an empty object if equal.
+/// Returns the patch that turns `before` into `after`.
+///
+/// For two equal objects it is an empty object. A patch can't set an object member
+/// to null, since null stands for its removal.
 pub fn diff(before: &Value, after: &Value) -> Value {
     let (Value::Object(old), Value::Object(new)) = (before, after) else {
         return after.clone();
@@ -34,9 +37,9 @@
     }
     for (key, value) in new {
         match old.get(key) {
-            Some(held) if held == value => {}
-            Some(held) => {
-                patch.insert(key.clone(), diff(held, value));
+            Some(old_value) if old_value == value => {}
+            Some(old_value) => {
+                patch.insert(key.clone(), diff(old_value, value));
             }
             None => {
                 patch.insert(key.clone(), value.clone());
--- a/crates/conf/src/rules/bounds.rs
+++ b/crates/conf/src/rules/bounds.rs
@@ -1,114 +1,119 @@
-//! Ranges of numbers and texts, and keys that must be given.
+//! Checks of required keys, numeric ranges and enumerated strings.
 
 use base::Code;
 
-use crate::document::{Findings, Path};
+use crate::document::{DiagnosticSink, ValuePath};
 
-/// Range of a whole number, with its ends.
+/// Inclusive range of an unsigned integer.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Range {
     pub(super) min: u64,
     pub(super) max: u64,
 }
 
-/// A range with its ends.
+/// Returns an inclusive range.
 pub(super) const fn range(min: u64, max: u64) -> Range {
     Range { min, max }
 }
 
+/// Accelerator memory, or the share of it that a model takes.
 pub(super) const SIZE_MIB: Range = range(1, 16 << 20);
 
-/// Tells a key that is missing; true if it is given.
-pub(super) fn needed(object: &Path, key: &str, findings: &mut Findings<'_>) -> bool {
+/// Returns whether a required key is present, and reports it if not.
+pub(super) fn require(
+    object: &ValuePath,
+    key: &str,
+    sink: &mut DiagnosticSink<'_>,
+) -> bool {
     let path = object.key(key);
-    if findings.is_given(&path) {
+    if sink.is_present(&path) {
         return true;
     }
-    findings.add(Code::MissingKey, &path, format!("`{key}` must be given"));
+    sink.report(Code::MissingKey, &path, format!("`{key}` is required"));
     false
 }
 
-/// A number that must be given and lie in a range.
-pub(super) fn needed_whole(
-    object: &Path,
+/// Checks a required integer against a range.
+pub(super) fn require_in_range(
+    object: &ValuePath,
     key: &str,
     value: impl Into<u64>,
     range: Range,
-    findings: &mut Findings<'_>,
+    sink: &mut DiagnosticSink<'_>,
 ) {
-    if needed(object, key, findings) {
-        whole(&object.key(key), value, range, findings);
+    if require(object, key, sink) {
+        check_range(&object.key(key), value, range, sink);
     }
 }
 
-/// A number that must lie in a range if it is given.
-pub(super) fn given_whole(
-    object: &Path,
+/// Checks an optional integer against a range, if it is present.
+pub(super) fn check_optional_range(
+    object: &ValuePath,
     key: &str,
     value: impl Into<u64>,
     range: Range,
-    findings: &mut Findings<'_>,
+    sink: &mut DiagnosticSink<'_>,
 ) {
     let path = object.key(key);
-    if findings.is_given(&path) {
-        whole(&path, value, range, findings);
+    if sink.is_present(&path) {
+        check_range(&path, value, range, sink);
     }
 }
 
-/// A number that must lie in a range.
-pub(super) fn whole(
-    path: &Path,
+/// Checks an integer against a range.
+pub(super) fn check_range(
+    path: &ValuePath,
     value: impl Into<u64>,
     Range { min, max }: Range,
-    findings: &mut Findings<'_>,
+    sink: &mut DiagnosticSink<'_>,
 ) {
     let value = value.into();
     if value < min || value > max {
         let message = format!("{value} is outside {min} to {max}");
-        findings.add(Code::OutOfRange, path, message);
+        sink.report(Code::OutOfRange, path, message);
     }
 }
 
-/// A number with a fraction that must be given and lie in a range.
-pub(super) fn needed_number(
-    object: &Path,
+/// Checks a required floating-point number against an inclusive range.
+pub(super) fn require_float_in_range(
+    object: &ValuePath,
     key: &str,
     value: f64,
     (min, max): (f64, f64),
-    findings: &mut Findings<'_>,
+    sink: &mut DiagnosticSink<'_>,
 ) {
-    if !needed(object, key, findings) {
+    if !require(object, key, sink) {
         return;
     }
-    // Written so that a value that is not a number is outside too.
+    // The negated form reports NaN as well, for which every comparison is false.
     if !(value >= min && value <= max) {
         let message = format!("{value} is outside {min} to {max}");
-        findings.add(Code::OutOfRange, &object.key(key), message);
+        sink.report(Code::OutOfRange, &object.key(key), message);
     }
 }
 
-/// A text that must be given and be one of a few words.
-pub(super) fn needed_word(
-    object: &Path,
+/// Checks that a required string is one of a fixed set.
+pub(super) fn require_one_of(
+    object: &ValuePath,
     key: &str,
     value: &str,
-    words: &[&str],
-    findings: &mut Findings<'_>,
+    allowed: &[&str],
+    sink: &mut DiagnosticSink<'_>,
 ) {
-    if needed(object, key, findings) {
-        word(&object.key(key), value, words, findings);
+    if require(object, key, sink) {
+        check_one_of(&object.key(key), value, allowed, sink);
     }
 }
 
-/// A text that must be one of a few words.
-pub(super) fn word(
-    path: &Path,
+/// Checks that a string is one of a fixed set.
+pub(super) fn check_one_of(
+    path: &ValuePath,
     value: &str,
-    words: &[&str],
-    findings: &mut Findings<'_>,
+    allowed: &[&str],
+    sink: &mut DiagnosticSink<'_>,
 ) {
-    if !words.contains(&value) {
-        let message = format!("must be one of: {}", words.join(", "));
-        findings.add(Code::OutOfRange, path, message);
+    if !allowed.contains(&value) {
+        let message = format!("must be one of: {}", allowed.join(", "));
+        sink.report(Code::OutOfRange, path, message);
     }
 }
--- a/crates/conf/src/rules/mod.rs
+++ b/crates/conf/src/rules/mod.rs
@@ -1,4 +1,4 @@
-//! Rules of meaning: ranges, references, and what must be given.
+//! Rules beyond the schema: ranges, references and required keys.
 
 mod bounds;
 mod fleet;
@@ -7,5 +7,5 @@
 mod process;
 mod profiles;
 
-pub(crate) use fleet::fleet;
-pub(crate) use process::{agent, entry};
+pub(crate) use fleet::check_fleet;
+pub(crate) use process::{check_agent_settings, check_entry_settings};
--- a/crates/conf/src/rules/names.rs
+++ b/crates/conf/src/rules/names.rs
@@ -1,12 +1,12 @@
-//! Names that operators choose, and references to them.
+//! Rules of names chosen by operators, and of references to them.
 
 use base::Code;
 
 use super::bounds;
-use crate::document::{Findings, NAME_MAX_BYTES, Path, quote};
+use crate::document::{DiagnosticSink, NAME_MAX_BYTES, ValuePath, excerpt};
 
-/// Checks a name; it ends up in object keys, paths of URLs and metrics.
-pub(super) fn name(path: &Path, name: &str, findings: &mut Findings<'_>) {
+/// Checks a name. Names are used in object keys, URL paths and metrics.
+pub(super) fn check_name(path: &ValuePath, name: &str, sink: &mut DiagnosticSink<'_>) {
     let allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
     let starts = name.starts_with(|c: char| c.is_ascii_alphanumeric());
     if !starts || name.len() > NAME_MAX_BYTES || !name.chars().all(allowed) {
@@ -14,64 +14,65 @@
             "a name has 1 to {NAME_MAX_BYTES} letters, digits, `-`, `_` or `.`, and \
              starts with a letter or digit"
         );
-        findings.add(Code::OutOfRange, path, message);
+        sink.report(Code::OutOfRange, path, message);
     }
 }
 
-/// Checks all names of an object.
-pub(super) fn names<'a>(
-    object: &Path,
+/// Checks all keys of an object as names.
+pub(super) fn check_names<'a>(
+    object: &ValuePath,
     names: impl Iterator<Item = &'a String>,
-    findings: &mut Findings<'_>,
+    sink: &mut DiagnosticSink<'_>,
 ) {
     for chosen in names {
-        name(&object.key(chosen), chosen, findings);
+        check_name(&object.key(chosen), chosen, sink);
     }
 }
 
-/// Checks a name that must be given.
-pub(super) fn needed_name(
-    object: &Path,
+/// Checks a required name.
+pub(super) fn require_name(
+    object: &ValuePath,
     key: &str,
     value: &str,
-    findings: &mut Findings<'_>,
+    sink: &mut DiagnosticSink<'_>,
 ) {
-    if bounds::needed(object, key, findings) {
-        name(&object.key(key), value, findings);
+    if bounds::require(object, key, sink) {
+        check_name(&object.key(key), value, sink);
     }
 }
 
-/// Tells a reference to `section` that leads nowhere.
+/// Reports a reference to a name that `section` does not define.
 ///
-/// A section that was itself told as faulty is no ground for a fault here.
-pub(super) fn missing(
-    path: &Path,
+/// Nothing is reported if the section, or its member of that name, is itself known
+/// to be invalid: the reference may be correct.
+pub(super) fn report_missing_reference(
+    path: &ValuePath,
     section: &str,
     name: &str,
-    findings: &mut Findings<'_>,
+    sink: &mut DiagnosticSink<'_>,
 ) {
-    if findings.is_broken(&Path::default().key(section).key(name)) {
+    if sink.is_suppressed(&ValuePath::default().key(section).key(name)) {
         return;
     }
-    let message = format!("`{}` is not in `{section}`", quote(name));
-    findings.add(Code::MissingReference, path, message);
+    let message = format!("`{}` is not defined in `{section}`", excerpt(name));
+    sink.report(Code::MissingReference, path, message);
 }
 
-/// Checks a list of references: none missing, none twice.
-pub(super) fn references(
-    list: &Path,
+/// Checks that each reference in a list is defined and occurs only once.
+pub(super) fn check_references(
+    list: &ValuePath,
     section: &str,
     names: &[String],
     known: impl Fn(&str) -> bool,
-    findings: &mut Findings<'_>,
+    sink: &mut DiagnosticSink<'_>,
 ) {
     for (index, name) in names.iter().enumerate() {
         let path = list.index(index);
         if !known(name) {
-            missing(&path, section, name, findings);
+            report_missing_reference(&path, section, name, sink);
         } else if names[..index].contains(name) {
-            let message = format!("`{}` stands twice in this list", quote(name));
-            findings.add(Code::DuplicateName, &path, message);
+            let message = format!("duplicate `{}` in this list", excerpt(name));
+            sink.report(Code::DuplicateName, &path, message);
         }
     }
 }
--- a/crates/conf/src/rules/process.rs
+++ b/crates/conf/src/rules/process.rs
@@ -1,4 +1,4 @@
-//! Settings of one process.
+//! Rules of the settings of one entry or agent process.
 
 use base::Code;
 use schema::settings::{AgentSettings, EntrySettings};
@@ -6,115 +6,138 @@
 
 use super::bounds::{self, Range, range};
 use super::names;
-use crate::document::{Findings, Path, quote};
+use crate::document::{DiagnosticSink, ValuePath, excerpt};
 
-/// Shards of one entry; a power of two, since ids carry the shard in their low
-/// bits.
+/// Number of request shards of an entry. It must also be a power of two, since
+/// request ids have the shard in their low bits.
 const REQUEST_SHARDS: Range = range(1, 256);
 const WORKER_THREADS: Range = range(1, 256);
 const TIMELINE_EVENTS: Range = range(1, 1_000_000);
 const LOG_LEVELS: &[&str] = &["error", "warn", "info", "debug"];
 
-/// Whether an address is listened on or connected to.
+/// What the process does with an address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Use {
-    /// Port 0 lets the kernel choose.
+enum AddressUse {
+    /// Listens on it; with port 0 the kernel chooses the port.
     Listen,
-    /// The port must be known.
+    /// Connects to it; port 0 is invalid.
     Connect,
 }
 
-/// Rules of an entry's settings.
-pub(crate) fn entry(settings: &EntrySettings, findings: &mut Findings<'_>) {
-    let root = Path::default();
-    names::needed_name(&root, "id", &settings.id, findings);
-    names::needed_name(&root, "failure_domain", &settings.failure_domain, findings);
+/// Checks the settings of an entry.
+pub(crate) fn check_entry_settings(
+    settings: &EntrySettings,
+    sink: &mut DiagnosticSink<'_>,
+) {
+    let root = ValuePath::default();
+    names::require_name(&root, "id", &settings.id, sink);
+    names::require_name(&root, "failure_domain", &settings.failure_domain, sink);
     let listeners = [
         ("caller_listen", &settings.caller_listen),
         ("link_listen", &settings.link_listen),
         ("operator_listen", &settings.operator_listen),
     ];
     for (key, value) in listeners {
-        needed_address(key, value, Use::Listen, findings);
+        require_address(key, value, AddressUse::Listen, sink);
     }
-    needed_address("platform", &settings.platform, Use::Connect, findings);
+    require_address("platform", &settings.platform, AddressUse::Connect, sink);
     let peers = root.key("peers");
-    names::names(&peers, settings.peers.keys(), findings);
+    names::check_names(&peers, settings.peers.keys(), sink);
     for (name, value) in &settings.peers {
-        address(&peers.key(name), value, Use::Connect, findings);
+        check_address(&peers.key(name), value, AddressUse::Connect, sink);
     }
     let shards = settings.request_shards;
-    bounds::given_whole(&root, "request_shards", shards, REQUEST_SHARDS, findings);
+    bounds::check_optional_range(&root, "request_shards", shards, REQUEST_SHARDS, sink);
     if shards != 0 && !shards.is_power_of_two() {
         let message = format!("{shards} is not a power of two");
-        findings.add(Code::OutOfRange, &root.key("request_shards"), message);
+        sink.report(Code::OutOfRange, &root.key("request_shards"), message);
     }
     let threads = settings.worker_threads;
-    runtime(
-        threads,
-        &settings.log_level,
-        settings.timeline_events,
-        findings,
-    );
+    check_runtime(threads, &settings.log_level, settings.timeline_events, sink);
 }
 
-/// Rules of an agent's settings.
-pub(crate) fn agent(settings: &AgentSettings, findings: &mut Findings<'_>) {
-    let root = Path::default();
-    names::needed_name(&root, "id", &settings.id, findings);
-    names::needed_name(&root, "failure_domain", &settings.failure_domain, findings);
-    names::needed_name(&root, "pool", &settings.pool, findings);
-    needed_address("link_listen", &settings.link_listen, Use::Listen, findings);
+/// Checks the settings of an agent.
+pub(crate) fn check_agent_settings(
+    settings: &AgentSettings,
+    sink: &mut DiagnosticSink<'_>,
+) {
+    let root = ValuePath::default();
+    names::require_name(&root, "id", &settings.id, sink);
+    names::require_name(&root, "failure_domain", &settings.failure_domain, sink);
+    names::require_name(&root, "pool", &settings.pool, sink);
+    require_address(
+        "link_listen",
+        &settings.link_listen,
+        AddressUse::Listen,
+        sink,
+    );
     let operator = &settings.operator_listen;
-    needed_address("operator_listen", operator, Use::Listen, findings);
-    needed_address("platform", &settings.platform, Use::Connect, findings);
-    needed_address("upstream", &settings.upstream, Use::Connect, findings);
+    require_address("operator_listen", operator, AddressUse::Listen, sink);
+    require_address("platform", &settings.platform, AddressUse::Connect, sink);
+    require_address("upstream", &settings.upstream, AddressUse::Connect, sink);
     let threads = settings.worker_threads;
-    runtime(
-        threads,
-        &settings.log_level,
-        settings.timeline_events,
-        findings,
-    );
+    check_runtime(threads, &settings.log_level, settings.timeline_events, sink);
 }
 
-fn runtime(
+fn check_runtime(
     worker_threads: u32,
     log_level: &str,
     timeline_events: u32,
-    findings: &mut Findings<'_>,
+    sink: &mut DiagnosticSink<'_>,
 ) {
-    let root = Path::default();
+    let root = ValuePath::default();
     let threads = WORKER_THREADS;
-    bounds::given_whole(&root, "worker_threads", worker_threads, threads, findings);
+    bounds::check_optional_range(
+        &root,
+        "worker_threads",
+        worker_threads,
+        threads,
+        sink,
+    );
     let events = TIMELINE_EVENTS;
-    bounds::given_whole(&root, "timeline_events", timeline_events, events, findings);
+    bounds::check_optional_range(
+        &root,
+        "timeline_events",
+        timeline_events,
+        events,
+        sink,
+    );
     let level = root.key("log_level");
-    if findings.is_given(&level) {
-        bounds::word(&level, log_level, LOG_LEVELS, findings);
+    if sink.is_present(&level) {
+        bounds::check_one_of(&level, log_level, LOG_LEVELS, sink);
     }
 }
 
-fn needed_address(key: &str, value: &str, used: Use, findings: &mut Findings<'_>) {
-    let root = Path::default();
-    if bounds::needed(&root, key, findings) {
-        address(&root.key(key), value, used, findings);
+fn require_address(
+    key: &str,
+    value: &str,
+    address_use: AddressUse,
+    sink: &mut DiagnosticSink<'_>,
+) {
+    let root = ValuePath::default();
+    if bounds::require(&root, key, sink) {
+        check_address(&root.key(key), value, address_use, sink);
     }
 }
 
-fn address(path: &Path, value: &str, used: Use, findings: &mut Findings<'_>) {
+fn check_address(
+    path: &ValuePath,
+    value: &str,
+    address_use: AddressUse,
+    sink: &mut DiagnosticSink<'_>,
+) {
     match value.parse::<SocketAddr>() {
-        Ok(address) if address.port() == 0 && used == Use::Connect => {
-            let message = "the port may be 0 only where the process listens";
-            findings.add(Code::BadAddress, path, message);
+        Ok(address) if address.port() == 0 && address_use == AddressUse::Connect => {
+            let message = "port 0 is only valid for an address to listen on";
+            sink.report(Code::BadAddress, path, message);
         }
         Ok(_) => {}
         Err(_) => {
             let message = format!(
                 "`{}` is not `ip:port`, such as `10.0.0.7:7400`",
-                quote(value)
+                excerpt(value)
             );
-            findings.add(Code::BadAddress, path, message);
+            sink.report(Code::BadAddress, path, message);
         }
     }
 }
--- a/crates/conf/tests/bounds.rs
+++ b/crates/conf/tests/bounds.rs
@@ -1,4 +1,4 @@
-//! No text makes the checks panic or grow without bound.
+//! The checks don't panic on any input, and their output is bounded.
 
 mod seeds;
 
@@ -11,79 +11,83 @@
 use seeds::each_seed;
 use serde_json::Value;
 
-/// Pieces out of which texts close to documents are made.
+/// Fragments that are joined to texts that resemble documents.
 #[rustfmt::skip]
-const PIECES: &[&str] = &[
+const FRAGMENTS: &[&str] = &[
     "{", "}", "[", "]", ":", ",", "\"", "\\", "// x\n", "/* ", "*/", "null", "true",
     "-1", "1e999", "0.5", "18446744073709551616", "\"models\"", "\"pools\"",
     "\"profiles\"", "\"size_mib\"", "\"size_gib\"", "\"a\":", "{}", "[]", "\u{feff}",
     "é", "\r", "\n", "\\ud800", "\"\\u0000\":",
 ];
 
-fn codes(faults: &[Diagnostic]) -> Vec<Code> {
-    faults.iter().map(|fault| fault.code).collect()
+fn codes(diagnostics: &[Diagnostic]) -> Vec<Code> {
+    diagnostics
+        .iter()
+        .map(|diagnostic| diagnostic.code)
+        .collect()
 }
 
-fn assert_bounded(faults: &[Diagnostic]) {
-    assert!(!faults.is_empty(), "refused without a fault");
-    assert!(faults.len() <= DIAGNOSTICS_MAX);
-    for fault in faults {
-        assert!(fault.message.len() < 1_000, "{fault:?}");
-        assert!(fault.path.len() < 1_000, "{fault:?}");
+fn assert_bounded(diagnostics: &[Diagnostic]) {
+    assert!(!diagnostics.is_empty(), "rejected without a diagnostic");
+    assert!(diagnostics.len() <= DIAGNOSTICS_MAX);
+    for diagnostic in diagnostics {
+        assert!(diagnostic.message.len() < 1_000, "{diagnostic:?}");
+        assert!(diagnostic.path.len() < 1_000, "{diagnostic:?}");
     }
 }
 
-fn check_all(text: &str) {
+fn check_as_each_document(text: &str) {
     let results = [
         check_fleet(text).map(|_| ()),
         check_entry_settings(text).map(|_| ()),
         check_agent_settings(text).map(|_| ()),
     ];
     for result in results {
-        if let Err(faults) = result {
-            assert_bounded(&faults);
+        if let Err(diagnostics) = result {
+            assert_bounded(&diagnostics);
         }
     }
 }
 
-fn pieces(u: &mut Unstructured<'_>) -> Result<String> {
+fn random_fragments(u: &mut Unstructured<'_>) -> Result<String> {
     let mut text = String::new();
     for _ in 0..u.int_in_range(0..=60)? {
-        text.push_str(u.choose(PIECES)?);
+        text.push_str(u.choose(FRAGMENTS)?);
     }
     Ok(text)
 }
 
 #[test]
-fn odd_texts_are_refused_with_a_fault() {
+fn arbitrary_text_gets_bounded_diagnostics() {
     each_seed(2_000, 2_000, |u| {
         let text: String = u.arbitrary()?;
-        check_all(&text);
-        check_all(&pieces(u)?);
+        check_as_each_document(&text);
+        check_as_each_document(&random_fragments(u)?);
         Ok(())
     });
 }
 
-/// A good document with a few bytes changed, which reaches the deeper rules.
+/// A valid document with a few bytes replaced, which reaches the rules behind the
+/// parser.
 #[test]
-fn damaged_documents_are_refused_with_a_fault() {
-    let good = include_str!("../../../deploy/harbourline.jsonc");
+fn damaged_documents_get_bounded_diagnostics() {
+    let valid = include_str!("../../../deploy/harbourline.jsonc");
     each_seed(100, 200, |u| {
-        let mut text = good.to_owned();
+        let mut text = valid.to_owned();
         for _ in 0..u.int_in_range(1..=4)? {
             let at = u.int_in_range(0..=text.len() - 1)?;
             let to = u.int_in_range(at..=text.len().min(at + 20))?;
             if text.is_char_boundary(at) && text.is_char_boundary(to) {
-                text.replace_range(at..to, u.choose(PIECES)?);
+                text.replace_range(at..to, u.choose(FRAGMENTS)?);
             }
         }
-        check_all(&text);
+        check_as_each_document(&text);
         Ok(())
     });
 }
 
 #[test]
-fn too_large_too_deep_or_too_many_is_one_fault() {
+fn exceeding_a_size_limit_is_one_diagnostic() {
     let long_key = "k".repeat(500_000);
     let members = "\"a\":1,".repeat(10_000);
     let cases = [
@@ -97,7 +101,7 @@
             format!("{}{}", "[".repeat(400), "]".repeat(400)),
             Code::OutOfRange,
         ),
-        ("bottomless", "[".repeat(800_000), Code::BadSyntax),
+        ("unterminated", "[".repeat(800_000), Code::BadSyntax),
         (
             "many",
             format!("[{}1]", "1,".repeat(VALUES_MAX)),
@@ -111,21 +115,21 @@
         ("empty", String::new(), Code::BadSyntax),
     ];
     for (name, text, code) in cases {
-        let faults = check_fleet(&text).expect_err(name);
-        assert_eq!(codes(&faults), [code], "{name}");
-        assert_bounded(&faults);
+        let diagnostics = check_fleet(&text).expect_err(name);
+        assert_eq!(codes(&diagnostics), [code], "{name}");
+        assert_bounded(&diagnostics);
     }
 }
 
 #[test]
-fn the_number_of_faults_is_bounded() {
+fn the_number_of_diagnostics_is_bounded() {
     let unknown: String = (0..5_000).map(|n| format!("\"x{n}\":1,")).collect();
-    let faults = check_fleet(&format!("{{{unknown}}}")).expect_err("all unknown");
-    assert_eq!(faults.len(), DIAGNOSTICS_MAX);
+    let diagnostics = check_fleet(&format!("{{{unknown}}}")).expect_err("all unknown");
+    assert_eq!(diagnostics.len(), DIAGNOSTICS_MAX);
 }
 
 #[test]
-fn a_deep_or_large_patched_document_is_one_fault() {
+fn a_deep_or_large_decoded_document_is_one_diagnostic() {
     let mut deep = Value::Null;
     for _ in 0..100 {
         deep = serde_json::json!({ "models": deep });
@@ -135,7 +139,8 @@
     assert_eq!(codes(&check_fleet_value(&large)), [Code::OutOfRange]);
 }
 
-/// A value of half a megabyte in the wrong place is not repeated whole.
+/// A message quotes only an excerpt of an invalid value, which may be half a
+/// megabyte long.
 #[test]
 fn messages_stay_short() {
     let long = "x".repeat(500_000);
@@ -146,8 +151,8 @@
         format!(r#"{{ "deployment": "{long}" }}"#),
     ];
     for text in texts {
-        assert_bounded(&check_fleet(&text).expect_err("faults"));
+        assert_bounded(&check_fleet(&text).expect_err("diagnostics"));
         let agent = text.replace("deployment", "platform");
-        assert_bounded(&check_agent_settings(&agent).expect_err("faults"));
+        assert_bounded(&check_agent_settings(&agent).expect_err("diagnostics"));
     }
 }
--- a/crates/conf/tests/check.rs
+++ b/crates/conf/tests/check.rs
@@ -1,4 +1,4 @@
-//! Checking of documents: each kind of fault, all of them in one go.
+//! Checks of documents: each kind of error, and several errors at once.
 
 use base::Code;
 use conf::{
@@ -88,7 +88,7 @@
 }
 "#;
 
-/// One replacement in a good document, and the fault that it makes.
+/// One replacement in a valid document, and the expected diagnostic.
 struct Case {
     from: &'static str,
     to: &'static str,
@@ -111,11 +111,11 @@
 }
 
 fn replaced(text: &str, from: &str, to: &str) -> String {
-    assert_eq!(text.matches(from).count(), 1, "{from} must stand once");
+    assert_eq!(text.matches(from).count(), 1, "{from} must occur once");
     text.replace(from, to)
 }
 
-/// Each change makes exactly the one fault, where its new text stands.
+/// Asserts that each replacement results in exactly its one diagnostic.
 fn check_cases<T>(
     text: &str,
     cases: &[Case],
@@ -129,42 +129,45 @@
     } in cases
     {
         let changed = replaced(text, from, to);
-        let Err(faults) = check(&changed) else {
-            panic!("{to}: no fault");
+        let Err(diagnostics) = check(&changed) else {
+            panic!("{to}: no diagnostic");
         };
-        let told: Vec<_> = faults.iter().map(|f| (f.code, f.path.as_str())).collect();
-        assert_eq!(told, [(*code, *path)], "{to}: {faults:?}");
+        let reported: Vec<_> = diagnostics
+            .iter()
+            .map(|f| (f.code, f.path.as_str()))
+            .collect();
+        assert_eq!(reported, [(*code, *path)], "{to}: {diagnostics:?}");
     }
 }
 
 #[test]
-fn good_documents_have_no_fault() {
-    let (fleet, value) = check_fleet(FLEET).expect("the fleet is good");
+fn valid_documents_have_no_diagnostics() {
+    let (fleet, value) = check_fleet(FLEET).expect("the fleet is valid");
     assert_eq!(fleet.models["oracle-a"].size_mib, 66_560);
     assert_eq!(check_fleet_value(&value), []);
-    check_entry_settings(ENTRY).expect("the entry's settings are good");
-    check_agent_settings(AGENT).expect("the agent's settings are good");
+    check_entry_settings(ENTRY).expect("the entry's settings are valid");
+    check_agent_settings(AGENT).expect("the agent's settings are valid");
 }
 
 #[test]
 fn defaults_are_filled_in() {
-    let entry = check_entry_settings(ENTRY).expect("good");
+    let entry = check_entry_settings(ENTRY).expect("valid settings");
     assert_eq!(entry.request_shards, 8);
     assert_eq!(entry.worker_threads, 4);
     assert_eq!(entry.log_level, "info");
     assert_eq!(entry.timeline_events, 20_000);
-    let agent = check_agent_settings(AGENT).expect("good");
+    let agent = check_agent_settings(AGENT).expect("valid settings");
     assert_eq!(agent.worker_threads, 4);
     assert_eq!(agent.log_level, "info");
     assert_eq!(agent.timeline_events, 20_000);
 }
 
 #[test]
-fn each_fault_of_a_fleet_is_told_once() {
+fn each_fleet_error_is_reported_once() {
     use Code::*;
     #[rustfmt::skip]
     let cases = [
-        // Shape.
+        // Schema.
         case(r#""size_mib": 66560"#, r#""size_mib": 66560,,"#, BadSyntax, ""),
         case(r#""size_mib": 66560"#, r#"size_mib: 66560"#, BadSyntax, ""),
         case(r#""size_mib": 66560"#, r#""size_gib": 65"#, WrongUnit, "models.oracle-a.size_gib"),
@@ -212,7 +215,7 @@
         case(r#""value": 10.0"#, r#""value": 0"#, OutOfRange, "profiles.diagnosis.value"),
         case(r#""idempotent": false, "#, "", MissingKey, "services.parts-order.idempotent"),
         case(r#""pool": "desk""#, r#""pool": "engines""#, MissingReference, "services.parts-order.pool"),
-        // The rest.
+        // Deployment, callers, weights, store and limits.
         case(r#""deployment": "small","#, "", MissingKey, "deployment"),
         case(r#""key_sha256": "a"#, r#""key_sha256": "x"#, OutOfRange, "callers.desk.key_sha256"),
         case(r#""callers": {"#, r#""callers": { "twin": { "key_sha256": "AAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAAA", "concurrent_max": 8 },"#, DuplicateName, "callers.twin.key_sha256"),
@@ -227,7 +230,7 @@
 }
 
 #[test]
-fn each_fault_of_settings_is_told_once() {
+fn each_settings_error_is_reported_once() {
     use Code::*;
     #[rustfmt::skip]
     let cases = [
@@ -251,10 +254,10 @@
     check_cases(AGENT, &cases, check_agent_settings);
 }
 
-/// The operator mends a document once and not ten times: faults of shape and of
-/// meaning in different places are all told, in order, each at its place.
+/// The operator can correct all errors at once: errors found by the schema and by
+/// the rules are reported together, in the order of the text, each at its position.
 #[test]
-fn all_faults_come_in_one_go() {
+fn all_errors_are_reported_together() {
     let changes = [
         (r#""deployment": "small","#, r#""deployment": 1,"#),
         (r#""step_time_us": 10000"#, r#""step_time_ms": 10"#),
@@ -273,10 +276,17 @@
     let text = changes.iter().fold(FLEET.to_owned(), |text, (from, to)| {
         replaced(&text, from, to)
     });
-    let faults = check_fleet(&text).expect_err("seven faults");
-    let told: Vec<_> = faults
+    let diagnostics = check_fleet(&text).expect_err("seven errors");
+    let reported: Vec<_> = diagnostics
         .iter()
-        .map(|fault| (fault.code, fault.line, fault.column, fault.path.as_str()))
+        .map(|diagnostic| {
+            (
+                diagnostic.code,
+                diagnostic.line,
+                diagnostic.column,
+                diagnostic.path.as_str(),
+            )
+        })
         .collect();
     let expected = [
         (Code::WrongType, 3, 17, "deployment"),
@@ -292,27 +302,34 @@
         (Code::UnknownKey, 45, 79, "services.parts-order.retries"),
         (Code::OutOfRange, 56, 29, "store.loads_per_s"),
     ];
-    assert_eq!(told, expected, "{faults:?}");
+    assert_eq!(reported, expected, "{diagnostics:?}");
 }
 
 #[test]
-fn an_unknown_key_names_the_nearest() {
+fn an_unknown_key_suggests_the_nearest_known_key() {
     let text = replaced(FLEET, r#""instances": 2"#, r#""instnaces": 2"#);
-    let faults = check_fleet(&text).expect_err("a fault");
-    assert!(faults[0].message.contains("`instances`"), "{faults:?}");
+    let diagnostics = check_fleet(&text).expect_err("an unknown key");
+    assert!(
+        diagnostics[0].message.contains("`instances`"),
+        "{diagnostics:?}"
+    );
 }
 
-/// A patch may be right for itself and wrong for the document it leads to.
+/// A patch with valid values may still result in an invalid document, here one with
+/// references to a removed model.
 #[test]
-fn a_patched_document_is_checked_without_lines() {
-    let (_, mut document) = check_fleet(FLEET).expect("good");
+fn a_patched_document_is_checked_without_line_numbers() {
+    let (_, mut document) = check_fleet(FLEET).expect("the fleet is valid");
     let patch = serde_json::json!({ "models": { "oracle-a": null } });
     conf::merge_patch::apply(&mut document, &patch);
-    let faults = check_fleet_value(&document);
-    let told: Vec<_> = faults.iter().map(|f| (f.line, f.path.as_str())).collect();
+    let diagnostics = check_fleet_value(&document);
+    let reported: Vec<_> = diagnostics
+        .iter()
+        .map(|f| (f.line, f.path.as_str()))
+        .collect();
     let expected = [
         (0, "adapters.oracle-a-kin.base"),
         (0, "profiles.diagnosis.models[0]"),
     ];
-    assert_eq!(told, expected);
+    assert_eq!(reported, expected);
 }
--- a/crates/conf/tests/deploy.rs
+++ b/crates/conf/tests/deploy.rs
@@ -1,4 +1,5 @@
-//! The deployments' own files.
+//! The configuration files under `deploy/` are valid and match the users'
+//! requirements.
 
 use access::Credential;
 use conf::{Config, check_agent_settings, check_entry_settings, check_fleet};
@@ -8,7 +9,7 @@
 const GIB_MIB: u32 = 1_024;
 
 fn fleet(text: &str) -> Fleet {
-    let (fleet, _) = check_fleet(text).expect("the file has no fault");
+    let (fleet, _) = check_fleet(text).expect("the file is valid");
     fleet
 }
 
@@ -21,7 +22,7 @@
 }
 
 #[test]
-fn sizes_are_those_of_the_users() {
+fn deployment_sizes_match_the_users_figures() {
     let cases = [
         (harbourline(), 3, [("oracle", 18), ("deskapp", 3)], 100, 6),
         (naskhah(), 4, [("pembaca", 18), ("portal", 4)], 95, 23),
@@ -49,14 +50,14 @@
     for fleet in [harbourline(), naskhah()] {
         let profiles = fleet.profiles.values();
         let named: BTreeSet<_> = profiles.flat_map(|p| &p.models).collect();
-        let held: BTreeSet<_> =
+        let defined: BTreeSet<_> =
             fleet.models.keys().chain(fleet.adapters.keys()).collect();
-        assert_eq!(named, held, "{}", fleet.deployment);
+        assert_eq!(named, defined, "{}", fleet.deployment);
     }
 }
 
 #[test]
-fn users_weigh_as_they_said_and_may_not_repeat_calls() {
+fn weights_and_idempotency_match_the_users_requirements() {
     let (harbourline, naskhah) = (harbourline(), naskhah());
     let weights = harbourline.weights.expect("given");
     assert!(weights.attainment > weights.move_cost);
@@ -71,7 +72,7 @@
 }
 
 #[test]
-fn settings_of_processes_have_no_fault() {
+fn process_settings_are_valid() {
     check_entry_settings(include_str!("../../../deploy/entry.jsonc")).expect("entry");
     check_agent_settings(include_str!("../../../deploy/agent.jsonc")).expect("agent");
 }
--- a/crates/conf/tests/log.rs
+++ b/crates/conf/tests/log.rs
@@ -1,4 +1,5 @@
-//! The configuration log: never back, and all or nothing.
+//! The configuration log never goes back to an older revision, and applies each
+//! change completely or not at all.
 
 mod seeds;
 
@@ -10,9 +11,10 @@
 use serde_json::{Value, json};
 use std::sync::Arc;
 
-const REVISIONS: u64 = 6;
+const REVISION_MAX: u64 = 6;
 
-/// Change `n` of the one true history; names the deployment after itself.
+/// The change with this revision, which sets the deployment's name to `r` and the
+/// revision's number.
 fn change(revision: u64) -> ConfigChange {
     let patch = json!({ "deployment": format!("r{revision}") });
     ConfigChange {
@@ -21,7 +23,7 @@
     }
 }
 
-fn raw(revision: u64, patch: &str) -> ConfigChange {
+fn change_with_patch(revision: u64, patch: &str) -> ConfigChange {
     ConfigChange {
         revision,
         patch: patch.as_bytes().to_vec(),
@@ -47,13 +49,13 @@
 fn log_at(revision: u64) -> ConfigLog {
     let mut log = ConfigLog::new();
     log.apply_newer(&changes(1..=revision))
-        .expect("good changes");
+        .expect("valid changes");
     assert_eq!(log.revision(), Revision(revision));
     log
 }
 
-/// Revision, document and configuration belong together.
-fn assert_whole(log: &ConfigLog) {
+/// Asserts that revision, document and configuration match one another.
+fn assert_consistent(log: &ConfigLog) {
     let revision = log.revision();
     if revision == Revision(0) {
         assert!(log.current().is_none());
@@ -65,16 +67,16 @@
     assert_eq!(log.document()["deployment"], format!("r{revision}"));
 }
 
-/// An operator sees an accepted setting in force and then the old one again. A
-/// lagging read of the platform, a late frame of a peer and a doubled list all
-/// offer revisions that are in force already; taking one up would step back.
+/// Guards against an old setting coming back into force. A stale read of the
+/// platform, a late frame of a peer or a duplicated list may deliver revisions that
+/// are not newer than the one in force.
 #[test]
-fn old_offers_change_nothing() {
-    let offers = [
-        ("doubled", changes(1..=4)),
-        ("old", changes(1..=2)),
+fn stale_changes_are_ignored() {
+    let cases = [
+        ("duplicated", changes(1..=4)),
+        ("stale", changes(1..=2)),
         ("gap", changes([6])),
-        ("backwards", changes([4, 3, 2, 1])),
+        ("descending order", changes([4, 3, 2, 1])),
         ("older snapshot", snapshot(3)),
         ("same snapshot", snapshot(4)),
         ("nothing", ConfigChanges::default()),
@@ -86,53 +88,53 @@
             },
         ),
     ];
-    for (name, offer) in offers {
+    for (name, received) in cases {
         let mut log = log_at(4);
         let before = Arc::clone(log.current().expect("in force"));
-        let taken = log.apply_newer(&offer).expect(name);
-        assert!(taken.is_none(), "{name}");
+        let applied = log.apply_newer(&received).expect(name);
+        assert!(applied.is_none(), "{name}");
         assert!(
             Arc::ptr_eq(&before, log.current().expect("in force")),
             "{name}"
         );
-        assert_whole(&log);
+        assert_consistent(&log);
     }
 }
 
 #[test]
-fn newer_offers_are_taken_up_to_a_gap() {
+fn newer_changes_are_applied_up_to_a_gap() {
     let mut with_snapshot = snapshot(5);
     with_snapshot.changes = vec![change(4), change(6)];
-    let offers = [
+    let cases = [
         ("next", changes([5]), 5),
         ("overlapping", changes(2..=6), 6),
         ("gap inside", changes([5, 7, 8]), 5),
         ("newer snapshot", snapshot(9), 9),
         ("snapshot and change", with_snapshot, 6),
     ];
-    for (name, offer, revision) in offers {
+    for (name, received, revision) in cases {
         let mut log = log_at(4);
-        let taken = log.apply_newer(&offer).expect(name).expect(name);
-        assert_eq!(taken.revision(), Revision(revision), "{name}");
-        assert_whole(&log);
+        let applied = log.apply_newer(&received).expect(name).expect(name);
+        assert_eq!(applied.revision(), Revision(revision), "{name}");
+        assert_consistent(&log);
     }
 }
 
-/// A damaged change reaches a process. If it were taken in part, the document
-/// would no longer belong to the revision in force, and the next change would
-/// build on a document that nobody accepted.
+/// Guards against the partial application of an invalid change: the document would
+/// no longer match the revision in force, and the next change would be applied to a
+/// document that was never accepted.
 #[test]
-fn a_rejected_change_leaves_all_as_it_was() {
+fn a_rejected_change_leaves_the_log_unchanged() {
     let bad_snapshot = |text: &str| ConfigChanges {
         snapshot: text.as_bytes().to_vec(),
         base_revision: 9,
         changes: Vec::new(),
     };
     let bad_change = |patch: &str| ConfigChanges {
-        changes: vec![raw(5, patch)],
+        changes: vec![change_with_patch(5, patch)],
         ..ConfigChanges::default()
     };
-    let offers = [
+    let cases = [
         bad_change("{"),
         bad_change(""),
         bad_change("[]"),
@@ -143,58 +145,62 @@
         bad_snapshot(r#"{ "deployment": 5 }"#),
         bad_snapshot("{"),
     ];
-    for offer in offers {
+    for received in cases {
         let mut log = log_at(4);
         let before = Arc::clone(log.current().expect("in force"));
-        log.apply_newer(&offer).expect_err("a damaged offer");
+        log.apply_newer(&received).expect_err("an invalid change");
         assert!(
             Arc::ptr_eq(&before, log.current().expect("in force")),
-            "{offer:?}"
+            "{received:?}"
         );
-        assert_whole(&log);
-        log.apply_newer(&changes([5])).expect("the log goes on");
-        assert_whole(&log);
+        assert_consistent(&log);
+        log.apply_newer(&changes([5])).expect("a valid change");
+        assert_consistent(&log);
     }
 }
 
-/// What came before a damaged change in the same offer stays in force.
+/// Changes before an invalid one in the same message stay in force.
 #[test]
-fn changes_before_a_damaged_one_stay() {
+fn changes_before_an_invalid_one_stay_in_force() {
     let mut log = log_at(4);
-    let mut offer = changes([5]);
-    offer.changes.push(raw(6, "{"));
-    log.apply_newer(&offer).expect_err("change 6 is damaged");
+    let mut received = changes([5]);
+    received.changes.push(change_with_patch(6, "{"));
+    log.apply_newer(&received).expect_err("change 6 is invalid");
     assert_eq!(log.revision(), Revision(5));
-    assert_whole(&log);
+    assert_consistent(&log);
 }
 
-/// The last possible revision is in force. Counting on from it would overflow
-/// and end the process.
+/// Guards against an overflow, and so a panic, when the next revision is computed
+/// while the largest possible one is in force.
 #[test]
-fn the_last_revision_does_not_overflow() {
+fn the_maximum_revision_does_not_overflow() {
     let mut log = ConfigLog::new();
     log.apply_newer(&snapshot(u64::MAX))
-        .expect("a good snapshot");
-    assert!(log.apply_newer(&changes([0, 1])).expect("old").is_none());
+        .expect("a valid snapshot");
+    assert!(
+        log.apply_newer(&changes([0, 1]))
+            .expect("stale changes")
+            .is_none()
+    );
     assert_eq!(
         log.changes_after(Revision(u64::MAX)),
         ConfigChanges::default()
     );
-    assert_whole(&log);
+    assert_consistent(&log);
 }
 
 #[test]
 fn a_peer_behind_catches_up_from_any_revision() {
     let mut log = ConfigLog::new();
-    log.apply_newer(&snapshot(3)).expect("good");
-    log.apply_newer(&changes(4..=400)).expect("good");
+    log.apply_newer(&snapshot(3)).expect("valid changes");
+    log.apply_newer(&changes(4..=400)).expect("valid changes");
     for behind in [0, 1, 3, 10, 143, 144, 145, 399] {
         let mut peer = ConfigLog::new();
         if behind > 0 {
-            peer.apply_newer(&snapshot(behind)).expect("good");
+            peer.apply_newer(&snapshot(behind)).expect("valid changes");
         }
         let missing = log.changes_after(Revision(behind));
-        peer.apply_newer(&missing).expect("good");
+        peer.apply_newer(&missing).expect("valid changes");
         assert_eq!(peer.revision(), Revision(400), "from {behind}");
         assert_eq!(peer.document(), log.document(), "from {behind}");
     }
@@ -202,20 +208,20 @@
     assert_eq!(none, ConfigChanges::default());
 }
 
-/// A peer is away during a few large changes. Sent as they are, they would not
-/// fit a frame, so the peer would never catch up; a snapshot does.
+/// Guards against a peer that never catches up: several large changes together
+/// don't fit a frame, so the peer must be sent a snapshot instead.
 #[test]
-fn what_a_peer_is_sent_stays_bounded() {
+fn the_size_of_a_catch_up_is_bounded() {
     const SENT_MAX_BYTES: usize = 512 << 10;
     let mut log = log_at(1);
     for revision in 2..=20 {
         let text = "x".repeat(200 << 10);
         let patch = json!({ "deployment": format!("r{revision}{text}") });
         let large = ConfigChanges {
-            changes: vec![raw(revision, &patch.to_string())],
+            changes: vec![change_with_patch(revision, &patch.to_string())],
             ..ConfigChanges::default()
         };
-        log.apply_newer(&large).expect("good");
+        log.apply_newer(&large).expect("valid changes");
     }
     for behind in 0..20 {
         let sent = log.changes_after(Revision(behind));
@@ -225,9 +231,9 @@
     }
 }
 
-fn odd_offer(u: &mut Unstructured<'_>) -> Result<ConfigChanges> {
-    let mut offer = match u.int_in_range(0..=3)? {
-        0 => snapshot(u.int_in_range(0..=REVISIONS)?),
+fn arbitrary_changes(u: &mut Unstructured<'_>) -> Result<ConfigChanges> {
+    let mut received = match u.int_in_range(0..=3)? {
+        0 => snapshot(u.int_in_range(0..=REVISION_MAX)?),
         1 => ConfigChanges {
             snapshot: u.arbitrary()?,
             base_revision: u.arbitrary()?,
@@ -236,27 +242,27 @@
         _ => ConfigChanges::default(),
     };
     for _ in 0..u.int_in_range(0..=6)? {
-        offer.changes.push(match u.int_in_range(0..=4)? {
-            0 => raw(
-                u.int_in_range(0..=REVISIONS + 1)?,
+        received.changes.push(match u.int_in_range(0..=4)? {
+            0 => change_with_patch(
+                u.int_in_range(0..=REVISION_MAX + 1)?,
                 &u.arbitrary::<String>()?,
             ),
-            _ => change(u.int_in_range(1..=REVISIONS)?),
+            _ => change(u.int_in_range(1..=REVISION_MAX)?),
         });
     }
-    Ok(offer)
+    Ok(received)
 }
 
-/// Old reads, gaps, doubled and damaged offers come in any order: the revision
-/// never falls, and revision, document and configuration stay together.
+/// Stale, missing, duplicated and invalid changes arrive in any order. The revision
+/// never decreases, and the configuration in force always has that revision.
 #[test]
-fn no_sequence_of_offers_goes_back() {
+fn no_sequence_of_changes_lowers_the_revision() {
     each_seed(1_000, 1_000, |u| {
         let mut log = ConfigLog::new();
         for _ in 0..u.int_in_range(1..=12)? {
             let before = log.revision();
-            let odd = odd_offer(u)?;
-            let _ = log.apply_newer(&odd);
+            let received = arbitrary_changes(u)?;
+            let _ = log.apply_newer(&received);
             assert!(log.revision() >= before);
             assert_eq!(
                 log.current()
@@ -269,7 +275,7 @@
     });
 }
 
-fn document(u: &mut Unstructured<'_>, depth: u32) -> Result<Value> {
+fn random_document(u: &mut Unstructured<'_>, depth: u32) -> Result<Value> {
     Ok(match u.int_in_range(0..=if depth > 0 { 5 } else { 2 })? {
         0 => json!(u.int_in_range(0..=3)?),
         1 => json!(u.choose(&["a", "b"])?),
@@ -278,7 +284,7 @@
             let mut map = serde_json::Map::new();
             for _ in 0..u.int_in_range(0..=3)? {
                 let key = (*u.choose(&["k", "l", "m"])?).to_owned();
-                map.insert(key, document(u, depth - 1)?);
+                map.insert(key, random_document(u, depth - 1)?);
             }
             Value::Object(map)
         }
@@ -286,10 +292,10 @@
 }
 
 #[test]
-fn the_patch_between_two_documents_leads_from_one_to_the_other() {
+fn applying_a_diff_yields_the_second_document() {
     each_seed(1_000, 1_000, |u| {
-        let before = document(u, 4)?;
-        let after = document(u, 4)?;
+        let before = random_document(u, 4)?;
+        let after = random_document(u, 4)?;
         let mut patched = before.clone();
         merge_patch::apply(&mut patched, &merge_patch::diff(&before, &after));
         assert_eq!(patched, after, "from {before}");
