--- a/crates/conf/src/check.rs
+++ b/crates/conf/src/check.rs
@@ -6,7 +6,7 @@
 //! the previous one found valid, so one wrong key does not hide other errors.
 //! Errors that only follow from one already reported are left out.
 
-use base::Code;
+use base::ErrorCode;
 use schema::settings::{AgentSettings, EntrySettings, Fleet};
 use serde::de::DeserializeOwned;
 use serde_json::Value;
@@ -100,7 +100,7 @@
         }
         Err(error) => {
             let message = format!("does not match the schema: {error}");
-            sink.report(Code::WrongType, &ValuePath::default(), message);
+            sink.report(ErrorCode::WrongType, &ValuePath::default(), message);
             None
         }
     }
--- a/crates/conf/src/config.rs
+++ b/crates/conf/src/config.rs
@@ -92,7 +92,7 @@
     /// Whether the upstreams are model engines rather than plain services.
     pub is_engine: bool,
     /// Failure domains the instances are spread over.
-    pub failure_domains: Vec<DomainId>,
+    pub failure_domains: Vec<FailureDomainId>,
     /// Number of instances that the operators run.
     pub instances: u32,
     /// Memory of each accelerator of one instance.
@@ -283,7 +283,7 @@
         failure_domains: pool
             .failure_domains
             .iter()
-            .map(|name| DomainId::new(name))
+            .map(|name| FailureDomainId::new(name))
             .collect(),
         instances: pool.instances,
         accelerators_mib: pool.accelerators_mib.clone(),
--- a/crates/conf/src/document/diagnostic_sink.rs
+++ b/crates/conf/src/document/diagnostic_sink.rs
@@ -1,6 +1,6 @@
 //! Collection of diagnostics, and the text offset of each value of the document.
 
-use base::Code;
+use base::ErrorCode;
 use std::collections::{BTreeMap, BTreeSet};
 
 use super::{DIAGNOSTICS_MAX, Diagnostic, ValuePath};
@@ -67,7 +67,7 @@
     /// from one that was already reported.
     pub(crate) fn report(
         &mut self,
-        code: Code,
+        code: ErrorCode,
         path: &ValuePath,
         message: impl Into<String>,
     ) {
@@ -86,7 +86,7 @@
     /// suppressed.
     pub(crate) fn report_at(
         &mut self,
-        code: Code,
+        code: ErrorCode,
         path: &ValuePath,
         offset: usize,
         message: impl Into<String>,
--- a/crates/conf/src/document/mod.rs
+++ b/crates/conf/src/document/mod.rs
@@ -14,7 +14,7 @@
 pub(crate) use path::ValuePath;
 pub(crate) use schema::{excerpt, retain_valid};
 
-use base::Code;
+use base::ErrorCode;
 use std::fmt;
 
 /// Largest document accepted, in bytes. A platform object holds at most one
@@ -37,7 +37,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Diagnostic {
     /// Kind of error.
-    pub code: Code,
+    pub code: ErrorCode,
     /// Line, counted from 1; 0 if the document was checked without its text.
     pub line: u32,
     /// Character in the line, counted from 1; 0 if there is no text.
--- a/crates/conf/src/document/node.rs
+++ b/crates/conf/src/document/node.rs
@@ -5,7 +5,7 @@
 //! large, too deeply nested or has too many values gets a single diagnostic, before
 //! anything else is built from it.
 
-use base::Code;
+use base::ErrorCode;
 use jsonc_parser::ast;
 use jsonc_parser::common::Ranged;
 use jsonc_parser::{CollectOptions, ParseOptions, parse_to_ast};
@@ -68,19 +68,24 @@
 pub(crate) fn parse_text(text: &str, sink: &mut DiagnosticSink<'_>) -> Option<Node> {
     let root = ValuePath::default();
     if text.len() > DOCUMENT_MAX_BYTES {
-        sink.report(Code::OutOfRange, &root, size_limit_message(text.len()));
+        sink.report(ErrorCode::OutOfRange, &root, size_limit_message(text.len()));
         return None;
     }
     let parsed = match parse_to_ast(text, &CollectOptions::default(), &OPTIONS) {
         Ok(parsed) => parsed,
         Err(error) => {
             let offset = error.range().start;
-            sink.report_at(Code::BadSyntax, &root, offset, error.kind().to_string());
+            sink.report_at(
+                ErrorCode::BadSyntax,
+                &root,
+                offset,
+                error.kind().to_string(),
+            );
             return None;
         }
     };
     let Some(value) = parsed.value else {
-        sink.report(Code::BadSyntax, &root, "the document is empty");
+        sink.report(ErrorCode::BadSyntax, &root, "the document is empty");
         return None;
     };
     let mut builder = TreeBuilder::default();
@@ -97,7 +102,7 @@
     let bytes = value.to_string().len();
     if bytes > DOCUMENT_MAX_BYTES {
         sink.report(
-            Code::OutOfRange,
+            ErrorCode::OutOfRange,
             &ValuePath::default(),
             size_limit_message(bytes),
         );
@@ -124,7 +129,12 @@
         let Some((offset, message)) = self.exceeded else {
             return Some(node);
         };
-        sink.report_at(Code::OutOfRange, &ValuePath::default(), offset, message);
+        sink.report_at(
+            ErrorCode::OutOfRange,
+            &ValuePath::default(),
+            offset,
+            message,
+        );
         None
     }
 
--- a/crates/conf/src/document/schema.rs
+++ b/crates/conf/src/document/schema.rs
@@ -3,7 +3,7 @@
 //! Values that match the schema are retained. The others are reported and left
 //! out, so that the rules can still check the retained part.
 
-use base::Code;
+use base::ErrorCode;
 use schema::settings::MESSAGES;
 use schema::{Cardinality, FieldDescriptor, FieldKind, MessageDescriptor};
 use serde_json::{Map, Value};
@@ -43,7 +43,7 @@
     else {
         // Reached only if the generated table lacks one of the schema's messages.
         sink.report(
-            Code::WrongType,
+            ErrorCode::WrongType,
             path,
             format!("{message} is not in the schema"),
         );
@@ -78,18 +78,18 @@
         KeySuggestion::OtherUnit(known) => {
             suppress_missing_key(known, members, path, sink);
             let message = format!("missing or wrong unit in the key: write `{known}`");
-            (Code::WrongUnit, message)
+            (ErrorCode::WrongUnit, message)
         }
         KeySuggestion::Similar(known) => {
             suppress_missing_key(known, members, path, sink);
             let message = format!("unknown key; did you mean `{known}`?");
-            (Code::UnknownKey, message)
+            (ErrorCode::UnknownKey, message)
         }
         KeySuggestion::NoMatch => {
             let known: Vec<_> =
                 descriptor.fields.iter().map(|field| field.name).collect();
             let message = format!("unknown key; known keys are {}", known.join(", "));
-            (Code::UnknownKey, message)
+            (ErrorCode::UnknownKey, message)
         }
     };
     sink.report_at(code, &inner, member.offset, message);
@@ -230,7 +230,7 @@
     expected: &str,
 ) -> Option<Value> {
     sink.report(
-        Code::OutOfRange,
+        ErrorCode::OutOfRange,
         path,
         format!("the number must be {expected}"),
     );
@@ -245,7 +245,7 @@
     sink: &mut DiagnosticSink<'_>,
 ) {
     let message = format!("expected {expected}, found {}", describe(&node.content));
-    sink.report(Code::WrongType, path, message);
+    sink.report(ErrorCode::WrongType, path, message);
     sink.suppress(path);
 }
 
@@ -296,7 +296,7 @@
         }
         let message = "duplicate key in this object";
         let inner = path.key(&member.name);
-        sink.report_at(Code::DuplicateName, &inner, member.offset, message);
+        sink.report_at(ErrorCode::DuplicateName, &inner, member.offset, message);
     }
     first
 }
--- a/crates/conf/src/rules/bounds.rs
+++ b/crates/conf/src/rules/bounds.rs
@@ -1,6 +1,6 @@
 //! Checks of required keys, numeric ranges and enumerated strings.
 
-use base::Code;
+use base::ErrorCode;
 
 use crate::document::{DiagnosticSink, ValuePath};
 
@@ -29,7 +29,7 @@
     if sink.is_present(&path) {
         return true;
     }
-    sink.report(Code::MissingKey, &path, format!("`{key}` is required"));
+    sink.report(ErrorCode::MissingKey, &path, format!("`{key}` is required"));
     false
 }
 
@@ -70,7 +70,7 @@
     let value = value.into();
     if value < min || value > max {
         let message = format!("{value} is outside {min} to {max}");
-        sink.report(Code::OutOfRange, path, message);
+        sink.report(ErrorCode::OutOfRange, path, message);
     }
 }
 
@@ -88,7 +88,7 @@
     // The negated form reports NaN as well, for which every comparison is false.
     if !(value >= min && value <= max) {
         let message = format!("{value} is outside {min} to {max}");
-        sink.report(Code::OutOfRange, &object.key(key), message);
+        sink.report(ErrorCode::OutOfRange, &object.key(key), message);
     }
 }
 
@@ -114,6 +114,6 @@
 ) {
     if !allowed.contains(&value) {
         let message = format!("must be one of: {}", allowed.join(", "));
-        sink.report(Code::OutOfRange, path, message);
+        sink.report(ErrorCode::OutOfRange, path, message);
     }
 }
--- a/crates/conf/src/rules/fleet.rs
+++ b/crates/conf/src/rules/fleet.rs
@@ -1,7 +1,7 @@
 //! Rules of the fleet configuration: failure domains, pools, callers, planning
 //! weights, the weight store and limits.
 
-use base::Code;
+use base::ErrorCode;
 use schema::settings::{Caller, Fleet, Limits, Pool, Store, Weights};
 use std::collections::BTreeSet;
 
@@ -72,7 +72,11 @@
     if bounds::require(path, "failure_domains", sink) {
         let list = path.key("failure_domains");
         if pool.failure_domains.is_empty() {
-            sink.report(Code::OutOfRange, &list, "at least one entry is required");
+            sink.report(
+                ErrorCode::OutOfRange,
+                &list,
+                "at least one entry is required",
+            );
         }
         let known = |name: &str| fleet.failure_domains.contains_key(name);
         let named = &pool.failure_domains;
@@ -82,7 +86,11 @@
         check_engine_pool(pool, path, sink);
     } else if pool.kind == "service" && !pool.accelerators_mib.is_empty() {
         let message = "a pool of plain services has no accelerators";
-        sink.report(Code::OutOfRange, &path.key("accelerators_mib"), message);
+        sink.report(
+            ErrorCode::OutOfRange,
+            &path.key("accelerators_mib"),
+            message,
+        );
     }
 }
 
@@ -122,7 +130,7 @@
             && !caller.key_sha256.is_empty()
         {
             let message = "another caller has the same key";
-            sink.report(Code::DuplicateName, &path.key("key_sha256"), message);
+            sink.report(ErrorCode::DuplicateName, &path.key("key_sha256"), message);
         }
     }
 }
@@ -135,7 +143,7 @@
     let hex = hash.chars().all(|c| c.is_ascii_hexdigit());
     if !hex || hash.len() != KEY_HASH_LENGTH {
         let message = "expected the SHA-256 of the key as 64 hexadecimal digits";
-        sink.report(Code::OutOfRange, &path.key("key_sha256"), message);
+        sink.report(ErrorCode::OutOfRange, &path.key("key_sha256"), message);
     }
 }
 
@@ -194,6 +202,6 @@
             "a frame must carry a body or document of up to {carried} bytes, which \
              needs {needed} bytes"
         );
-        sink.report(Code::OutOfRange, &path.key("frame_max_bytes"), message);
+        sink.report(ErrorCode::OutOfRange, &path.key("frame_max_bytes"), message);
     }
 }
--- a/crates/conf/src/rules/models.rs
+++ b/crates/conf/src/rules/models.rs
@@ -1,6 +1,6 @@
 //! Rules of models and adapters: pools, base models and sizes.
 
-use base::Code;
+use base::ErrorCode;
 use schema::settings::{Adapter, Fleet, Model};
 
 use super::bounds::{self, Range, range};
@@ -27,7 +27,7 @@
         if fleet.models.contains_key(name) {
             let message =
                 "a model has the same name; requests use one namespace for both";
-            sink.report(Code::DuplicateName, &path, message);
+            sink.report(ErrorCode::DuplicateName, &path, message);
         }
         check_adapter(fleet, adapter, &path, sink);
     }
@@ -50,7 +50,7 @@
         Some(found) if found.kind == "service" => {
             let message =
                 format!("`{}` is not a pool of engines", excerpt(&model.pool));
-            sink.report(Code::MissingReference, &pool, message);
+            sink.report(ErrorCode::MissingReference, &pool, message);
         }
         Some(_) => {
             let size = &path.key("size_mib");
@@ -118,7 +118,7 @@
              MiB",
             excerpt(pool)
         );
-        sink.report(Code::ModelTooLarge, path, message);
+        sink.report(ErrorCode::ModelTooLarge, path, message);
     }
 }
 
--- a/crates/conf/src/rules/names.rs
+++ b/crates/conf/src/rules/names.rs
@@ -1,6 +1,6 @@
 //! Rules of names chosen by operators, and of references to them.
 
-use base::Code;
+use base::ErrorCode;
 
 use super::bounds;
 use crate::document::{DiagnosticSink, NAME_MAX_BYTES, ValuePath, excerpt};
@@ -14,7 +14,7 @@
             "a name has 1 to {NAME_MAX_BYTES} letters, digits, `-`, `_` or `.`, and \
              starts with a letter or digit"
         );
-        sink.report(Code::OutOfRange, path, message);
+        sink.report(ErrorCode::OutOfRange, path, message);
     }
 }
 
@@ -55,7 +55,7 @@
         return;
     }
     let message = format!("`{}` is not defined in `{section}`", excerpt(name));
-    sink.report(Code::MissingReference, path, message);
+    sink.report(ErrorCode::MissingReference, path, message);
 }
 
 /// Checks that each reference in a list is defined and occurs only once.
@@ -72,7 +72,7 @@
             report_missing_reference(&path, section, name, sink);
         } else if names[..index].contains(name) {
             let message = format!("duplicate `{}` in this list", excerpt(name));
-            sink.report(Code::DuplicateName, &path, message);
+            sink.report(ErrorCode::DuplicateName, &path, message);
         }
     }
 }
--- a/crates/conf/src/rules/process.rs
+++ b/crates/conf/src/rules/process.rs
@@ -1,6 +1,6 @@
 //! Rules of the settings of one entry or agent process.
 
-use base::Code;
+use base::ErrorCode;
 use schema::settings::{AgentSettings, EntrySettings};
 use std::net::SocketAddr;
 
@@ -50,7 +50,7 @@
     bounds::check_optional_range(&root, "request_shards", shards, REQUEST_SHARDS, sink);
     if shards != 0 && !shards.is_power_of_two() {
         let message = format!("{shards} is not a power of two");
-        sink.report(Code::OutOfRange, &root.key("request_shards"), message);
+        sink.report(ErrorCode::OutOfRange, &root.key("request_shards"), message);
     }
     let threads = settings.worker_threads;
     check_runtime(threads, &settings.log_level, settings.timeline_events, sink);
@@ -129,7 +129,7 @@
     match value.parse::<SocketAddr>() {
         Ok(address) if address.port() == 0 && address_use == AddressUse::Connect => {
             let message = "port 0 is only valid for an address to listen on";
-            sink.report(Code::BadAddress, path, message);
+            sink.report(ErrorCode::BadAddress, path, message);
         }
         Ok(_) => {}
         Err(_) => {
@@ -137,7 +137,7 @@
                 "`{}` is not `ip:port`, such as `10.0.0.7:7400`",
                 excerpt(value)
             );
-            sink.report(Code::BadAddress, path, message);
+            sink.report(ErrorCode::BadAddress, path, message);
         }
     }
 }
--- a/crates/conf/src/rules/profiles.rs
+++ b/crates/conf/src/rules/profiles.rs
@@ -1,6 +1,6 @@
 //! Rules of profiles and of plain services.
 
-use base::Code;
+use base::ErrorCode;
 use schema::settings::{Fleet, Profile};
 
 use super::bounds::{self, Range, range};
@@ -37,7 +37,7 @@
             Some(pool) if pool.kind == "engine" => {
                 let name = excerpt(&service.pool);
                 let message = format!("`{name}` is not a pool of plain services");
-                sink.report(Code::MissingReference, &path.key("pool"), message);
+                sink.report(ErrorCode::MissingReference, &path.key("pool"), message);
             }
             Some(_) => {}
         }
@@ -73,7 +73,7 @@
     for (key, value) in parts {
         if deadline != 0 && value > deadline {
             let message = format!("{value} is more than `deadline_ms`, {deadline}");
-            sink.report(Code::OutOfRange, &path.key(key), message);
+            sink.report(ErrorCode::OutOfRange, &path.key(key), message);
         }
     }
 }
@@ -90,11 +90,11 @@
     match (sink.is_present(&models), sink.is_present(&service)) {
         (true, true) => {
             let message = "a profile names models or a service, not both";
-            sink.report(Code::OutOfRange, &service, message);
+            sink.report(ErrorCode::OutOfRange, &service, message);
         }
         (false, false) if !sink.is_suppressed(&models) => {
             let message = "`models` or `service` is required";
-            sink.report(Code::MissingKey, &service, message);
+            sink.report(ErrorCode::MissingKey, &service, message);
         }
         _ => {}
     }
@@ -103,7 +103,11 @@
     };
     names::check_references(&models, "models", &profile.models, known, sink);
     if sink.is_present(&models) && profile.models.is_empty() {
-        sink.report(Code::OutOfRange, &models, "at least one entry is required");
+        sink.report(
+            ErrorCode::OutOfRange,
+            &models,
+            "at least one entry is required",
+        );
     }
     let called = &profile.service;
     if sink.is_present(&service) && !fleet.services.contains_key(called) {
--- a/crates/conf/tests/bounds.rs
+++ b/crates/conf/tests/bounds.rs
@@ -3,7 +3,7 @@
 mod seeds;
 
 use arbtest::arbitrary::{Result, Unstructured};
-use base::Code;
+use base::ErrorCode;
 use conf::{
     DIAGNOSTICS_MAX, DOCUMENT_MAX_BYTES, Diagnostic, VALUES_MAX, check_agent_settings,
     check_entry_settings, check_fleet, check_fleet_value,
@@ -20,7 +20,7 @@
     "é", "\r", "\n", "\\ud800", "\"\\u0000\":",
 ];
 
-fn codes(diagnostics: &[Diagnostic]) -> Vec<Code> {
+fn codes(diagnostics: &[Diagnostic]) -> Vec<ErrorCode> {
     diagnostics
         .iter()
         .map(|diagnostic| diagnostic.code)
@@ -94,25 +94,25 @@
         (
             "large",
             " ".repeat(DOCUMENT_MAX_BYTES + 1),
-            Code::OutOfRange,
+            ErrorCode::OutOfRange,
         ),
         (
             "deep",
             format!("{}{}", "[".repeat(400), "]".repeat(400)),
-            Code::OutOfRange,
+            ErrorCode::OutOfRange,
         ),
-        ("unterminated", "[".repeat(800_000), Code::BadSyntax),
+        ("unterminated", "[".repeat(800_000), ErrorCode::BadSyntax),
         (
             "many",
             format!("[{}1]", "1,".repeat(VALUES_MAX)),
-            Code::OutOfRange,
+            ErrorCode::OutOfRange,
         ),
         (
             "long key",
             format!("{{\"{long_key}\":{{{members}}}}}"),
-            Code::OutOfRange,
+            ErrorCode::OutOfRange,
         ),
-        ("empty", String::new(), Code::BadSyntax),
+        ("empty", String::new(), ErrorCode::BadSyntax),
     ];
     for (name, text, code) in cases {
         let diagnostics = check_fleet(&text).expect_err(name);
@@ -134,9 +134,9 @@
     for _ in 0..100 {
         deep = serde_json::json!({ "models": deep });
     }
-    assert_eq!(codes(&check_fleet_value(&deep)), [Code::OutOfRange]);
+    assert_eq!(codes(&check_fleet_value(&deep)), [ErrorCode::OutOfRange]);
     let large = Value::String("x".repeat(DOCUMENT_MAX_BYTES));
-    assert_eq!(codes(&check_fleet_value(&large)), [Code::OutOfRange]);
+    assert_eq!(codes(&check_fleet_value(&large)), [ErrorCode::OutOfRange]);
 }
 
 /// A message quotes only an excerpt of an invalid value, which may be half a
--- a/crates/conf/tests/check.rs
+++ b/crates/conf/tests/check.rs
@@ -1,6 +1,6 @@
 //! Checks of documents: each kind of error, and several errors at once.
 
-use base::Code;
+use base::ErrorCode;
 use conf::{
     Diagnostic, check_agent_settings, check_entry_settings, check_fleet,
     check_fleet_value,
@@ -92,14 +92,14 @@
 struct Case {
     from: &'static str,
     to: &'static str,
-    code: Code,
+    code: ErrorCode,
     path: &'static str,
 }
 
 const fn case(
     from: &'static str,
     to: &'static str,
-    code: Code,
+    code: ErrorCode,
     path: &'static str,
 ) -> Case {
     Case {
@@ -164,7 +164,7 @@
 
 #[test]
 fn each_fleet_error_is_reported_once() {
-    use Code::*;
+    use ErrorCode::*;
     #[rustfmt::skip]
     let cases = [
         // Schema.
@@ -231,7 +231,7 @@
 
 #[test]
 fn each_settings_error_is_reported_once() {
-    use Code::*;
+    use ErrorCode::*;
     #[rustfmt::skip]
     let cases = [
         case(r#""id": "entry-1","#, "", MissingKey, "id"),
@@ -289,18 +289,28 @@
         })
         .collect();
     let expected = [
-        (Code::WrongType, 3, 17, "deployment"),
-        (Code::WrongUnit, 11, 7, "pools.engines.step_time_ms"),
-        (Code::ModelTooLarge, 24, 31, "models.oracle-a.size_mib"),
-        (Code::MissingReference, 27, 31, "adapters.oracle-a-kin.base"),
+        (ErrorCode::WrongType, 3, 17, "deployment"),
+        (ErrorCode::WrongUnit, 11, 7, "pools.engines.step_time_ms"),
+        (ErrorCode::ModelTooLarge, 24, 31, "models.oracle-a.size_mib"),
         (
-            Code::MissingReference,
+            ErrorCode::MissingReference,
+            27,
+            31,
+            "adapters.oracle-a-kin.base",
+        ),
+        (
+            ErrorCode::MissingReference,
             32,
             18,
             "profiles.diagnosis.models[0]",
         ),
-        (Code::UnknownKey, 45, 79, "services.parts-order.retries"),
-        (Code::OutOfRange, 56, 29, "store.loads_per_s"),
+        (
+            ErrorCode::UnknownKey,
+            45,
+            79,
+            "services.parts-order.retries",
+        ),
+        (ErrorCode::OutOfRange, 56, 29, "store.loads_per_s"),
     ];
     assert_eq!(reported, expected, "{diagnostics:?}");
 }
--- a/crates/entry/src/operated.rs
+++ b/crates/entry/src/operated.rs
@@ -1,7 +1,7 @@
 //! What operators see of an entry.
 
-use line::{Event, Filter};
-use oper::{Operated, ProcessUse};
+use line::{Event, EventFilter};
+use oper::{OperatorApi, ProcessUsage};
 use role::entry::EntryEvent;
 use std::sync::Arc;
 
@@ -21,7 +21,7 @@
     }
 }
 
-impl Operated for OperatedEntry {
+impl OperatorApi for OperatedEntry {
     fn ready(&self) -> bool {
         self.node.is_ready()
     }
@@ -38,12 +38,12 @@
             in_progress: self.node.calls().len(),
             revision: self.node.role().revision(),
             ready: self.node.is_ready(),
-            process: ProcessUse::read(),
+            process: ProcessUsage::read(),
         };
         metrics::text(self.node.meters(), &seen)
     }
 
-    fn timeline(&self, filter: &Filter) -> Vec<Event> {
+    fn timeline(&self, filter: &EventFilter) -> Vec<Event> {
         self.node.recorder().events(filter)
     }
 
--- a/crates/oper/src/start.rs
+++ b/crates/oper/src/start.rs
@@ -1,6 +1,6 @@
 //! Why a process can't start.
 
-use base::Code;
+use base::ErrorCode;
 use conf::Diagnostic;
 use snafu::Snafu;
 use std::io;
@@ -13,8 +13,8 @@
 #[snafu(visibility(pub))]
 pub enum StartError {
     /// The settings file can't be read.
-    #[snafu(display("{}: {}: {source}", Code::FileFault, path.display()))]
-    File {
+    #[snafu(display("{}: {}: {source}", ErrorCode::FileFault, path.display()))]
+    ReadSettings {
         /// File.
         path: PathBuf,
         /// Fault of the operating system.
@@ -22,21 +22,21 @@
     },
     /// The settings have faults.
     #[snafu(display("{}", lines(faults)))]
-    Settings {
+    InvalidSettings {
         /// All of them.
         faults: Vec<Diagnostic>,
     },
     /// An address of the settings is not `ip:port`.
-    #[snafu(display("{}: {key}: {text} is not ip:port", Code::BadAddress))]
-    Address {
+    #[snafu(display("{}: {key}: {text} is not ip:port", ErrorCode::BadAddress))]
+    InvalidAddress {
         /// Key in the settings.
         key: &'static str,
         /// What stands there.
         text: String,
     },
     /// A listener can't be bound.
-    #[snafu(display("{}: {key}: {source}", Code::BadAddress))]
-    Listen {
+    #[snafu(display("{}: {key}: {source}", ErrorCode::BadAddress))]
+    BindListener {
         /// Key in the settings.
         key: &'static str,
         /// Fault of the operating system.
@@ -44,7 +44,7 @@
     },
     /// The link listener can't be bound.
     #[snafu(display("{}: link_listen: {source}", source.code()))]
-    LinkListen {
+    BindLinkListener {
         /// Fault of the listener.
         source: WireError,
     },
@@ -52,14 +52,16 @@
 
 impl StartError {
     /// Numbered code of the fault.
-    pub fn code(&self) -> Code {
+    pub fn code(&self) -> ErrorCode {
         match self {
-            Self::File { .. } => Code::FileFault,
-            Self::Settings { faults } => {
-                faults.first().map_or(Code::BadSyntax, |fault| fault.code)
+            Self::ReadSettings { .. } => ErrorCode::FileFault,
+            Self::InvalidSettings { faults } => faults
+                .first()
+                .map_or(ErrorCode::BadSyntax, |fault| fault.code),
+            Self::InvalidAddress { .. } | Self::BindListener { .. } => {
+                ErrorCode::BadAddress
             }
-            Self::Address { .. } | Self::Listen { .. } => Code::BadAddress,
-            Self::LinkListen { source } => source.code(),
+            Self::BindLinkListener { source } => source.code(),
         }
     }
 }
@@ -73,9 +75,9 @@
 ///
 /// # Errors
 ///
-/// [`StartError::Address`] if the text is something else.
-pub fn address(key: &'static str, text: &str) -> Result<SocketAddr, StartError> {
-    text.parse().map_err(|_| StartError::Address {
+/// [`StartError::InvalidAddress`] if the text is something else.
+pub fn parse_address(key: &'static str, text: &str) -> Result<SocketAddr, StartError> {
+    text.parse().map_err(|_| StartError::InvalidAddress {
         key,
         text: text.to_owned(),
     })
