--- a/crates/live/src/directory.rs
+++ b/crates/live/src/directory.rs
@@ -218,9 +218,10 @@
         }
     }
 
-    /// Updates the liveness of all agents and removes those that have been
-    /// silent for very long. `only_entry` is true if no other entry is alive,
-    /// so that no report of another entry is needed to consider an agent lost.
+    /// Updates the liveness of all agents and removes those whose silence has
+    /// reached the limit for removal. `only_entry` is true if no other entry is
+    /// alive, so that no report of another entry is needed to consider an agent
+    /// lost.
     pub fn tick(
         &mut self,
         now: Instant,
--- a/crates/live/src/entries.rs
+++ b/crates/live/src/entries.rs
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Removes entries that have been silent for very long.
+    /// Removes entries whose silence has reached the limit for removal.
     pub fn tick(&mut self, now: Instant) {
         let forget_ms = self.silence_limits.forget_ms();
         self.entries
@@ -107,16 +107,16 @@
         self.entries.values()
     }
 
-    /// Whether an entry is known and was heard recently.
+    /// Whether an entry is known and its silence is below the limit.
     pub fn is_alive(&self, now: Instant, id: &EntryId) -> bool {
         let entry = self.entries.get(id);
-        entry.is_some_and(|entry| self.is_recently_heard(now, entry))
+        entry.is_some_and(|entry| self.is_below_silence_limit(now, entry))
     }
 
-    /// Whether any other entry was heard recently.
+    /// Whether the silence of any other entry is below the limit.
     pub fn any_alive(&self, now: Instant) -> bool {
         let mut entries = self.entries.values();
-        entries.any(|entry| self.is_recently_heard(now, entry))
+        entries.any(|entry| self.is_below_silence_limit(now, entry))
     }
 
     /// Whether `me` has the greatest rank for a key among the entries that are
@@ -125,13 +125,13 @@
         let own_rank = (rendezvous_rank(key, me.as_str()), me);
         let others = self.entries.values();
         others
-            .filter(|entry| self.is_recently_heard(now, entry) && !entry.leaving)
+            .filter(|entry| self.is_below_silence_limit(now, entry) && !entry.leaving)
             .all(|entry| {
                 (rendezvous_rank(key, entry.id.as_str()), &entry.id) <= own_rank
             })
     }
 
-    fn is_recently_heard(&self, now: Instant, entry: &EntryInfo) -> bool {
+    fn is_below_silence_limit(&self, now: Instant, entry: &EntryInfo) -> bool {
         now.ms_since(entry.last_heard_at) < self.silence_limits.entry_down_ms()
     }
 }
--- a/crates/mem/tests/ledger/main.rs
+++ b/crates/mem/tests/ledger/main.rs
@@ -1,6 +1,6 @@
 //! Tests of the ledger with orders that are lost, late, sent twice or issued by a
 //! predecessor.
 
-mod counting;
-mod orders;
+mod memory_in_use;
+mod reservations;
 mod steps;
--- a/crates/once/src/shard.rs
+++ b/crates/once/src/shard.rs
@@ -120,8 +120,9 @@
 /// Inputs that limit what the next write may contain.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct StagingLimits {
-    /// Current wall-clock time.
+    /// Current wall-clock time, in milliseconds since the Unix epoch.
     pub unix_ms: u64,
+    /// Time for which claims are kept, in milliseconds.
     pub retention_ms: u64,
     /// Largest response that is stored.
     pub response_max_bytes: usize,
--- a/crates/once/tests/claims/agents.rs
+++ b/crates/once/tests/claims/agents.rs
@@ -1,6 +1,6 @@
 //! One key at several agents, one after the other or at the same time.
 
-use crate::stand::{Agent, BODY, OTHER_BODY, Platform, PlatformBehavior};
+use crate::test_doubles::{Agent, BODY, OTHER_BODY, Platform, PlatformBehavior};
 use base::prelude::*;
 use once::ClaimOutcome;
 
@@ -56,11 +56,11 @@
     one.answer_all(13_000, &mut platform);
     two.request_claim(13_001, 7, "key", BODY);
     two.answer_all(13_001, &mut platform);
-    let Some(ClaimOutcome::Replay(answer)) = two.outcome(7) else {
+    let Some(ClaimOutcome::Replay(response)) = two.outcome(7) else {
         panic!("no stored response: {:?}", two.outcome(7));
     };
     assert_eq!(
-        (answer.status, answer.body.as_slice()),
+        (response.status, response.body.as_slice()),
         (201, &b"two cylinders"[..])
     );
     two.request_claim(13_002, 8, "key", OTHER_BODY);
--- a/crates/once/tests/claims/main.rs
+++ b/crates/once/tests/claims/main.rs
@@ -3,5 +3,5 @@
 
 mod agents;
 mod shards;
-mod stand;
+mod test_doubles;
 mod writes;
--- a/crates/once/tests/claims/shards.rs
+++ b/crates/once/tests/claims/shards.rs
@@ -1,7 +1,7 @@
 //! Shards: shared writes, limited size, and content that can't be stored or
 //! decoded.
 
-use crate::stand::{Agent, BODY, OTHER_BODY, Platform};
+use crate::test_doubles::{Agent, BODY, OTHER_BODY, Platform};
 use base::prelude::*;
 use once::{shard_key, shard_of};
 
--- a/crates/once/tests/claims/stand.rs
+++ b/crates/once/tests/claims/test_doubles.rs
@@ -152,14 +152,15 @@
     }
 
     pub fn finish(&mut self, ms: u64, attempt: u64, body: &[u8]) {
-        let answer = StoredResponse {
+        let response = StoredResponse {
             status: 201,
             content_type: "text/plain".to_owned(),
             body: body.to_vec(),
         };
         let mut out = Vec::new();
         let now = Instant::from_ms(ms);
-        self.claims.finish(now, id(attempt), Some(answer), &mut out);
+        self.claims
+            .finish(now, id(attempt), Some(response), &mut out);
         self.collect(out);
     }
 
--- a/crates/once/tests/claims/writes.rs
+++ b/crates/once/tests/claims/writes.rs
@@ -1,6 +1,6 @@
 //! Writes and reads of claims that are lost, late or stale.
 
-use crate::stand::{Agent, BODY, Platform, PlatformBehavior};
+use crate::test_doubles::{Agent, BODY, Platform, PlatformBehavior};
 use base::prelude::*;
 use once::ClaimOutcome;
 use std::collections::VecDeque;
--- a/crates/quota/src/rate_limit.rs
+++ b/crates/quota/src/rate_limit.rs
@@ -6,9 +6,9 @@
 /// the burst.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RateLimit {
-    /// Units a second.
+    /// Tokens or requests a second.
     pub rate_per_s: f64,
-    /// Units that may be used at once after a time without use.
+    /// Tokens or requests that may be used at once after a time without use.
     pub burst: f64,
 }
 
@@ -17,9 +17,9 @@
 const BASE_BURST: f64 = 3.0;
 
 impl RateLimit {
-    /// Limits a rate of requests with the smallest burst that allows all of the rate to
-    /// be used, however many entries refill it: the tokens refilled between two feeds
-    /// need a place.
+    /// Creates a limit on the rate of requests with the smallest burst that allows all
+    /// of the rate to be used, however many entries refill it: the tokens refilled
+    /// between two feeds must fit into the burst.
     pub fn with_min_burst(rate_per_s: f64) -> Self {
         let feed_interval_s = FEED_INTERVAL_MAX_MS as f64 / 1_000.0;
         Self {
--- a/crates/quota/tests/all/main.rs
+++ b/crates/quota/tests/all/main.rs
@@ -1,6 +1,6 @@
 //! Tests of token pools, feeds and rate limits.
 
-mod asked;
-mod hot;
-mod pools;
-mod upstreams;
+mod hot_workspace;
+mod recent_answers;
+mod token_pools;
+mod upstream_rates;
--- a/crates/quota/tests/all/upstreams.rs
+++ b/crates/quota/tests/all/upstream_rates.rs
@@ -132,7 +132,7 @@
 }
 
 /// Entries that reach each other use four fifths of what an upstream accepts, although
-/// the share of each is less than a request a minute.
+/// the share of one of 300 entries can be a single request in five minutes.
 #[test]
 fn entries_use_most_of_what_an_upstream_accepts() {
     for count in [4, 24, 300] {
