--- a/crates/front/src/quota/receive.rs
+++ b/crates/front/src/quota/receive.rs
@@ -2,7 +2,7 @@
 
 use base::prelude::*;
 use prost::Message;
-use quota::{Feed, Take};
+use quota::{Feed, TakeOutcome};
 use schema::peer::{
     PeerNews, TokenAnswer, TokenAsk, TokenFeed, TokenLevel, TokenVerdict, Tokens,
 };
@@ -37,7 +37,7 @@
         let mut pools = quotas.pools.lock();
         let keeper = incarnation_name(&message.entry, message.start);
         for level in &tokens.levels {
-            pools.told(&keeper, &level.workspace, level.tokens);
+            pools.set_keeper_level(&keeper, &level.workspace, level.tokens);
         }
     }
     if let Some(ask) = &tokens.ask {
@@ -65,7 +65,7 @@
         let feed = Feed {
             workspace: fed.workspace.as_str().into(),
             tokens: fed.tokens,
-            owed: (fed.owed < 0.0).then_some(fed.owed),
+            previous_keeper_level: (fed.owed < 0.0).then_some(fed.owed),
         };
         let tokens = pools.receive(now, from, &feed)?;
         Some(TokenLevel {
@@ -85,15 +85,17 @@
 ) -> TokenAnswer {
     let request_id = (Arc::clone(sender), started_unix_ms, ask.id);
     let mut answered = quotas.answered_requests.lock();
-    let take = answered.answer(now, request_id, || {
+    let take = answered.get_or_decide(now, request_id, || {
         let mut pools = quotas.pools.lock();
         pools.take(now, &ask.workspace, ask.cost)
     });
     let (verdict, return_ms) = match take {
-        Take::Taken => (TokenVerdict::Taken, 0),
-        Take::Short { return_ms } => (TokenVerdict::Short, return_ms),
-        Take::Never => (TokenVerdict::Never, 0),
-        Take::Unbounded => (TokenVerdict::Unbounded, 0),
+        TakeOutcome::Taken => (TokenVerdict::Taken, 0),
+        TakeOutcome::Insufficient {
+            retry_after_ms: return_ms,
+        } => (TokenVerdict::Short, return_ms),
+        TakeOutcome::ExceedsLimit => (TokenVerdict::Never, 0),
+        TakeOutcome::Unlimited => (TokenVerdict::Unbounded, 0),
     };
     TokenAnswer {
         id: ask.id,
@@ -102,13 +104,13 @@
     }
 }
 
-fn decode_verdict(answer: &TokenAnswer) -> Take {
+fn decode_verdict(answer: &TokenAnswer) -> TakeOutcome {
     match answer.verdict() {
-        TokenVerdict::Taken => Take::Taken,
-        TokenVerdict::Short => Take::Short {
-            return_ms: answer.return_ms,
+        TokenVerdict::Taken => TakeOutcome::Taken,
+        TokenVerdict::Short => TakeOutcome::Insufficient {
+            retry_after_ms: answer.return_ms,
         },
-        TokenVerdict::Never => Take::Never,
-        TokenVerdict::Unbounded => Take::Unbounded,
+        TokenVerdict::Never => TakeOutcome::ExceedsLimit,
+        TokenVerdict::Unbounded => TakeOutcome::Unlimited,
     }
 }
--- a/crates/front/src/state/peers.rs
+++ b/crates/front/src/state/peers.rs
@@ -3,7 +3,7 @@
 use base::prelude::*;
 use direct::{DemandEstimate, PeerEntry, has_successor};
 use parking_lot::Mutex;
-use quota::keeper;
+use quota::select_keeper;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -156,7 +156,7 @@
             .live_peers(now)
             .filter(|(name, peer)| peer.keeps_tokens && !is_unresponsive(name));
         let others = others.map(|(name, _)| name.as_str());
-        let keeper_name = keeper(workspace, others.chain(this_entry))?;
+        let keeper_name = select_keeper(workspace, others.chain(this_entry))?;
         let other = table.peers.get(keeper_name)?;
         Some((keeper_name.to_owned(), other.address))
     }
--- a/crates/live/src/directory.rs
+++ b/crates/live/src/directory.rs
@@ -1,72 +1,72 @@
-//! All agents that are known, and which of them hold what.
+//! All known agents, and which models they hold.
 
 use base::prelude::*;
 use schema::link::Heartbeat;
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::{Agent, Life, Residency, Timing};
+use crate::{Agent, Liveness, Residency, SilenceLimits};
 
-/// Agents kept at most, whatever peers relay.
+/// Most agents kept, however many other entries relay.
 const AGENTS_MAX: usize = 16_384;
 
-/// Something that changed and matters to work in flight or waiting.
+/// A change of an agent that affects running or waiting requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Change {
-    /// It is silent or its link is down.
+pub enum AgentChange {
+    /// The agent is silent or its link is down.
     Suspected(AgentId),
-    /// It is given up.
+    /// The agent is considered dead.
     Lost(AgentId),
-    /// It is heard again.
-    Back(AgentId),
-    /// It began to leave.
+    /// The agent is heard again over a link that is up.
+    Recovered(AgentId),
+    /// The agent has begun to stop.
     Leaving(AgentId),
-    /// A new run of the agent took the place of the old one.
+    /// A new incarnation of the agent has replaced the old one.
     Restarted(AgentId),
-    /// Its upstream answers again.
+    /// The agent's upstream responds again.
     UpstreamUp(AgentId),
-    /// Its upstream does not answer.
+    /// The agent's upstream does not respond.
     UpstreamDown(AgentId),
-    /// What it can serve changed.
-    Residency(AgentId),
-    /// It was forgotten.
-    Forgotten(AgentId),
+    /// The models that the agent has loaded changed.
+    ResidentsChanged(AgentId),
+    /// The agent was removed from the directory.
+    Removed(AgentId),
 }
 
-/// How a heartbeat came.
+/// How a heartbeat was received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Heard {
-    /// Over this entry's own link.
+pub enum HeartbeatSource {
+    /// Over this entry's own link to the agent.
     Direct,
-    /// Through another entry.
+    /// Relayed by another entry.
     Relayed,
 }
 
-/// The agents.
+/// All known agents, indexed by name and by the models that they have loaded.
 #[derive(Debug)]
-pub struct Directory {
-    timing: Timing,
+pub struct AgentDirectory {
+    silence_limits: SilenceLimits,
     agents: BTreeMap<AgentId, Agent>,
     holders: BTreeMap<ModelId, BTreeSet<AgentId>>,
 }
 
-impl Directory {
-    /// An empty directory.
-    pub const fn new(timing: Timing) -> Self {
+impl AgentDirectory {
+    /// Creates an empty directory.
+    pub const fn new(silence_limits: SilenceLimits) -> Self {
         Self {
-            timing,
+            silence_limits,
             agents: BTreeMap::new(),
             holders: BTreeMap::new(),
         }
     }
 
-    /// Bounds on silence in use.
-    pub const fn timing(&self) -> Timing {
-        self.timing
+    /// The silence limits in use.
+    pub const fn silence_limits(&self) -> SilenceLimits {
+        self.silence_limits
     }
 
-    /// Changes the bounds on silence, as a new configuration may.
-    pub const fn set_timing(&mut self, timing: Timing) {
-        self.timing = timing;
+    /// Sets the silence limits, after a change of configuration.
+    pub const fn set_silence_limits(&mut self, silence_limits: SilenceLimits) {
+        self.silence_limits = silence_limits;
     }
 
     /// Finds an agent.
@@ -74,193 +74,201 @@
         self.agents.get(id)
     }
 
-    /// Agents in order of name.
+    /// All agents, ordered by name.
     pub fn agents(&self) -> impl Iterator<Item = &Agent> {
         self.agents.values()
     }
 
-    /// Agents that have a model or adapter loaded, in order of name, whether
-    /// they may be sent work or not.
+    /// Agents that have a model or adapter loaded, ordered by name, including
+    /// those that may not be sent work.
     pub fn holders<'a>(&'a self, model: &str) -> impl Iterator<Item = &'a Agent> {
-        let held = self.holders.get(model).into_iter().flatten();
-        held.filter_map(|id| self.agents.get(id))
+        let holders = self.holders.get(model).into_iter().flatten();
+        holders.filter_map(|id| self.agents.get(id))
     }
 
     /// Whether an agent may be sent work now.
     pub fn usable(&self, now: Instant, agent: &Agent) -> bool {
-        agent.usable(now, self.timing)
+        agent.usable(now, self.silence_limits)
     }
 
-    /// Takes a heartbeat; an old one changes nothing.
-    ///
-    /// Returns whether it was news.
-    pub fn hear(
+    /// Applies a heartbeat. Returns false if it is not newer than the last one, in
+    /// which case at most the state of the link and the time when the agent was
+    /// last heard change, or if the directory is full.
+    pub fn record_heartbeat(
         &mut self,
         now: Instant,
-        beat: Heartbeat,
-        heard: Heard,
-        changes: &mut Vec<Change>,
+        heartbeat: Heartbeat,
+        source: HeartbeatSource,
+        changes: &mut Vec<AgentChange>,
     ) -> bool {
-        let Some(agent) = self.slot(now, &beat.agent) else {
+        let Some(agent) = self.get_or_insert(now, &heartbeat.agent) else {
             return false;
         };
-        let incarnation = Incarnation(beat.incarnation);
+        let incarnation = Incarnation(heartbeat.incarnation);
         if incarnation < agent.incarnation {
             return false;
         }
-        let before = Shown::of(agent);
+        let before = AgentSnapshot::of(agent);
         let restarted = incarnation > agent.incarnation;
         if restarted {
-            let known = agent.incarnation.0 > 0;
+            let was_known = agent.incarnation.0 > 0;
             agent.restart(incarnation);
-            if known {
-                changes.push(Change::Restarted(agent.id.clone()));
+            if was_known {
+                changes.push(AgentChange::Restarted(agent.id.clone()));
             }
         }
-        // The same heartbeat comes both directly and through each peer. The
-        // direct copy still shows that the link works.
-        if heard == Heard::Direct && beat.sequence >= agent.sequence {
+        // The same heartbeat arrives both directly and through each peer. The
+        // direct copy shows that the link works even if a relayed one was
+        // faster.
+        if source == HeartbeatSource::Direct && heartbeat.sequence >= agent.sequence {
             agent.connected = true;
-            agent.direct_at = Some(now);
-            agent.heard_at = now;
+            agent.last_heard_directly_at = Some(now);
+            agent.last_heard_at = now;
         }
-        if !restarted && beat.sequence <= agent.sequence {
+        if !restarted && heartbeat.sequence <= agent.sequence {
             return false;
         }
-        agent.take(now, beat);
-        before.compare(agent, changes);
+        agent.apply_heartbeat(now, heartbeat);
+        before.push_changes(agent, changes);
         let id = agent.id.clone();
-        let gone = before.models(&self.agents[&id].residents);
-        self.reindex(&id, &gone);
+        let affected = before.affected_models(&self.agents[&id].residents);
+        self.update_index(&id, &affected);
         true
     }
 
-    /// Notes that the far end of a link said hello.
+    /// Records that the agent at the other end of a link sent its hello.
     pub fn link_up(
         &mut self,
         now: Instant,
         id: &AgentId,
         incarnation: Incarnation,
-        changes: &mut Vec<Change>,
+        changes: &mut Vec<AgentChange>,
     ) {
-        let Some(agent) = self.slot(now, id.as_str()) else {
+        let Some(agent) = self.get_or_insert(now, id.as_str()) else {
             return;
         };
         if incarnation > agent.incarnation {
-            let known = agent.incarnation.0 > 0;
-            let held: Vec<ModelId> = models_of(&agent.residents).cloned().collect();
+            let was_known = agent.incarnation.0 > 0;
+            let models: Vec<ModelId> = models_of(&agent.residents).cloned().collect();
             agent.restart(incarnation);
-            if known {
-                changes.push(Change::Restarted(id.clone()));
+            if was_known {
+                changes.push(AgentChange::Restarted(id.clone()));
             }
-            self.unindex(id, &held);
+            self.remove_from_index(id, &models);
         }
         if let Some(agent) = self.agents.get_mut(id) {
             agent.connected = agent.incarnation == incarnation;
         }
     }
 
-    /// Notes that a link ended.
+    /// Records that the link to an agent ended.
     pub fn link_down(&mut self, id: &AgentId) {
         if let Some(agent) = self.agents.get_mut(id) {
             agent.connected = false;
-            agent.direct_at = None;
+            agent.last_heard_directly_at = None;
         }
     }
 
-    /// An agent said that it stops.
-    pub fn goodbye(
+    /// Records that an agent announced its shutdown.
+    pub fn mark_leaving(
         &mut self,
         id: &AgentId,
         incarnation: Incarnation,
-        changes: &mut Vec<Change>,
+        changes: &mut Vec<AgentChange>,
     ) {
         let Some(agent) = self.agents.get_mut(id) else {
             return;
         };
         if agent.incarnation == incarnation && !agent.leaving() {
-            agent.say_leaving();
-            changes.push(Change::Leaving(id.clone()));
+            agent.announce_leaving();
+            changes.push(AgentChange::Leaving(id.clone()));
         }
     }
 
-    /// Takes the platform's word on which instances are leaving.
-    pub fn platform_leaving(
+    /// Applies the platform's list of instances that are leaving.
+    pub fn set_platform_leaving(
         &mut self,
         leaving: &BTreeSet<AgentId>,
-        changes: &mut Vec<Change>,
+        changes: &mut Vec<AgentChange>,
     ) {
         for (id, agent) in &mut self.agents {
             let before = agent.leaving();
             agent.platform_leaving = leaving.contains(id);
             if agent.leaving() && !before {
-                changes.push(Change::Leaving(id.clone()));
+                changes.push(AgentChange::Leaving(id.clone()));
             }
         }
     }
 
-    /// Takes all that another entry says about silences, in place of what it
-    /// said before.
-    pub fn silences(
+    /// Records which agents another entry reports as silent. Replaces its
+    /// earlier reports.
+    pub fn record_silences(
         &mut self,
         now: Instant,
         by: &EntryId,
-        said: &[(AgentId, Incarnation)],
+        reports: &[(AgentId, Incarnation)],
     ) {
         for agent in self.agents.values_mut() {
-            agent.forget_silences_of(by);
+            agent.remove_silence_report_by(by);
         }
-        for (id, incarnation) in said {
+        for (id, incarnation) in reports {
             if let Some(agent) = self.agents.get_mut(id) {
-                agent.note_silence(now, by, *incarnation);
+                agent.add_silence_report(now, by, *incarnation);
             }
         }
     }
 
-    /// Judges every agent anew. `alone` tells that no other entry is alive, so
-    /// this one's word is enough.
-    pub fn tick(&mut self, now: Instant, alone: bool, changes: &mut Vec<Change>) {
-        let timing = self.timing;
+    /// Updates the liveness of all agents and removes those whose silence has
+    /// reached the limit for removal. `only_entry` is true if no other entry is
+    /// alive, so that no report of another entry is needed to consider an agent
+    /// lost.
+    pub fn tick(
+        &mut self,
+        now: Instant,
+        only_entry: bool,
+        changes: &mut Vec<AgentChange>,
+    ) {
+        let silence_limits = self.silence_limits;
         let mut forgotten = Vec::new();
         for (id, agent) in &mut self.agents {
-            changes.extend(judged(now, timing, alone, id, agent));
-            if now.ms_since(agent.heard_at) >= timing.forget_ms() {
+            changes.extend(update_agent(now, silence_limits, only_entry, id, agent));
+            if now.ms_since(agent.last_heard_at) >= silence_limits.forget_ms() {
                 forgotten.push(id.clone());
             }
         }
         for id in forgotten {
-            self.forget(&id);
-            changes.push(Change::Forgotten(id));
+            self.remove_agent(&id);
+            changes.push(AgentChange::Removed(id));
         }
     }
 
-    /// Judges one agent anew, after something was heard of it.
+    /// Updates the liveness of one agent, after a message of it or about it.
     ///
-    /// Judging all of them for each heartbeat would cost an entry the square of
-    /// the number of its agents; those not heard of are judged by
-    /// [`Directory::tick`].
-    pub fn judge(
+    /// Updating all agents for each heartbeat would cost time proportional to
+    /// the square of their number. [`AgentDirectory::tick`] updates those that
+    /// send nothing.
+    pub fn update_liveness(
         &mut self,
         now: Instant,
         id: &AgentId,
-        alone: bool,
-        changes: &mut Vec<Change>,
+        only_entry: bool,
+        changes: &mut Vec<AgentChange>,
     ) {
-        let timing = self.timing;
+        let silence_limits = self.silence_limits;
         if let Some(agent) = self.agents.get_mut(id) {
-            changes.extend(judged(now, timing, alone, id, agent));
+            changes.extend(update_agent(now, silence_limits, only_entry, id, agent));
         }
     }
 
-    /// When a verdict may change if nothing more is heard.
-    pub fn due(&self, now: Instant) -> Option<Instant> {
-        let verdicts = self.agents.values();
-        verdicts
-            .filter_map(|agent| agent.next_verdict(now, self.timing))
+    /// When the liveness of an agent may change if nothing more is heard.
+    pub fn next_deadline(&self, now: Instant) -> Option<Instant> {
+        let agents = self.agents.values();
+        agents
+            .filter_map(|agent| agent.next_liveness_change(now, self.silence_limits))
             .min()
     }
 
-    fn slot(&mut self, now: Instant, id: &str) -> Option<&mut Agent> {
+    fn get_or_insert(&mut self, now: Instant, id: &str) -> Option<&mut Agent> {
         if id.is_empty() {
             return None;
         }
@@ -272,31 +280,33 @@
         Some(agent.or_insert_with(|| Agent::new(id, now)))
     }
 
-    fn forget(&mut self, id: &AgentId) {
+    fn remove_agent(&mut self, id: &AgentId) {
         let Some(agent) = self.agents.remove(id) else {
             return;
         };
-        let held: Vec<ModelId> = models_of(&agent.residents).cloned().collect();
-        self.unindex(id, &held);
+        let models: Vec<ModelId> = models_of(&agent.residents).cloned().collect();
+        self.remove_from_index(id, &models);
     }
 
-    fn reindex(&mut self, id: &AgentId, gone: &[ModelId]) {
-        self.unindex(id, gone);
+    fn update_index(&mut self, id: &AgentId, models: &[ModelId]) {
+        self.remove_from_index(id, models);
         let Some(agent) = self.agents.get(id) else {
             return;
         };
         let loaded = models_of(&agent.residents);
-        for model in loaded.filter(|model| agent.serves(model.as_str()).is_some()) {
-            let held = self.holders.entry(model.clone()).or_default();
-            held.insert(id.clone());
+        for model in
+            loaded.filter(|model| agent.loaded_version(model.as_str()).is_some())
+        {
+            let holders = self.holders.entry(model.clone()).or_default();
+            holders.insert(id.clone());
         }
     }
 
-    fn unindex(&mut self, id: &AgentId, gone: &[ModelId]) {
-        for model in gone {
-            if let Some(held) = self.holders.get_mut(model) {
-                held.remove(id);
-                if held.is_empty() {
+    fn remove_from_index(&mut self, id: &AgentId, models: &[ModelId]) {
+        for model in models {
+            if let Some(holders) = self.holders.get_mut(model) {
+                holders.remove(id);
+                if holders.is_empty() {
                     self.holders.remove(model);
                 }
             }
@@ -304,74 +314,74 @@
     }
 }
 
-/// What was shown of an agent before a heartbeat.
-struct Shown {
+/// State of an agent before a heartbeat is applied.
+struct AgentSnapshot {
     leaving: bool,
     upstream_up: bool,
     loaded: BTreeSet<(ModelId, u32)>,
-    all: BTreeSet<ModelId>,
+    all_models: BTreeSet<ModelId>,
 }
 
-impl Shown {
+impl AgentSnapshot {
     fn of(agent: &Agent) -> Self {
         Self {
             leaving: agent.leaving(),
             upstream_up: agent.upstream_up,
-            loaded: loaded(agent),
-            all: models_of(&agent.residents).cloned().collect(),
+            loaded: loaded_versions(agent),
+            all_models: models_of(&agent.residents).cloned().collect(),
         }
     }
 
-    fn compare(&self, agent: &Agent, changes: &mut Vec<Change>) {
+    fn push_changes(&self, agent: &Agent, changes: &mut Vec<AgentChange>) {
         if agent.leaving() && !self.leaving {
-            changes.push(Change::Leaving(agent.id.clone()));
+            changes.push(AgentChange::Leaving(agent.id.clone()));
         }
         if agent.upstream_up && !self.upstream_up {
-            changes.push(Change::UpstreamUp(agent.id.clone()));
+            changes.push(AgentChange::UpstreamUp(agent.id.clone()));
         }
         if !agent.upstream_up && self.upstream_up {
-            changes.push(Change::UpstreamDown(agent.id.clone()));
+            changes.push(AgentChange::UpstreamDown(agent.id.clone()));
         }
-        if loaded(agent) != self.loaded {
-            changes.push(Change::Residency(agent.id.clone()));
+        if loaded_versions(agent) != self.loaded {
+            changes.push(AgentChange::ResidentsChanged(agent.id.clone()));
         }
     }
 
-    /// Models whose place in the index has to be looked at.
-    fn models(&self, now: &[Residency]) -> Vec<ModelId> {
-        let both = self.all.iter().chain(models_of(now));
-        both.cloned().collect()
+    /// Models whose index entries may have to change.
+    fn affected_models(&self, current: &[Residency]) -> Vec<ModelId> {
+        let models = self.all_models.iter().chain(models_of(current));
+        models.cloned().collect()
     }
 }
 
-fn loaded(agent: &Agent) -> BTreeSet<(ModelId, u32)> {
+fn loaded_versions(agent: &Agent) -> BTreeSet<(ModelId, u32)> {
     let residents = agent.residents.iter();
     residents
-        .filter(|held| held.state == crate::ResidencyState::Loaded)
-        .map(|held| (held.model.clone(), held.version))
+        .filter(|resident| resident.state == crate::ResidencyState::Loaded)
+        .map(|resident| (resident.model.clone(), resident.version))
         .collect()
 }
 
 fn models_of(residents: &[Residency]) -> impl Iterator<Item = &ModelId> {
-    residents.iter().map(|held| &held.model)
+    residents.iter().map(|resident| &resident.model)
 }
 
-/// Judges an agent anew; the change of its life, if there is one.
-fn judged(
+/// Updates the liveness of an agent and returns the change, if any.
+fn update_agent(
     now: Instant,
-    timing: Timing,
-    alone: bool,
+    silence_limits: SilenceLimits,
+    only_entry: bool,
     id: &AgentId,
     agent: &mut Agent,
-) -> Option<Change> {
-    let life = agent.judge(now, timing, alone);
-    if life == agent.life {
+) -> Option<AgentChange> {
+    let liveness = agent.assess_liveness(now, silence_limits, only_entry);
+    if liveness == agent.liveness {
         return None;
     }
-    agent.life = life;
-    Some(match life {
-        Life::Up => Change::Back(id.clone()),
-        Life::Suspected => Change::Suspected(id.clone()),
-        Life::Lost => Change::Lost(id.clone()),
+    agent.liveness = liveness;
+    Some(match liveness {
+        Liveness::Up => AgentChange::Recovered(id.clone()),
+        Liveness::Suspected => AgentChange::Suspected(id.clone()),
+        Liveness::Lost => AgentChange::Lost(id.clone()),
     })
 }
--- a/crates/role/tests/entry/control.rs
+++ b/crates/role/tests/entry/control.rs
@@ -266,11 +266,11 @@
         assert_eq!(cells, ["gpu/d1/0"], "the only entry plans");
         // An entry that ranks before this one.
         let cell = "gpu/d1/0";
-        let own_weight = live::rendezvous(cell, "e1");
+        let own_weight = live::rendezvous_rank(cell, "e1");
         let names = (2..).map(|n| format!("e{n}"));
         let before = names
             .into_iter()
-            .find(|name| live::rendezvous(cell, name) > own_weight);
+            .find(|name| live::rendezvous_rank(cell, name) > own_weight);
         let before = before.expect("there is always another name");
         let mut gossip = Gossip {
             entry: before.clone(),
