--- a/crates/agent/src/node.rs
+++ b/crates/agent/src/driver.rs
@@ -19,7 +19,7 @@
 use crate::attempts::Attempts;
 use crate::links::Links;
 use crate::metrics::Meters;
-use crate::probe;
+use crate::predecessor;
 use crate::upstream::{self, Upstream};
 
 /// One agent: the machine, and what carries out its actions.
@@ -335,7 +335,7 @@
     fn probe(self: &Arc<Self>, address: String) {
         let node = Arc::clone(self);
         self.runtime.spawn(async move {
-            let dead = probe::is_dead(&address, node.link_address).await;
+            let dead = predecessor::is_dead(&address, node.link_address).await;
             node.tell(AgentEvent::PredecessorProbed { dead });
         });
     }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -16,13 +16,13 @@
 //!   upstream's connection, or the upstream itself said so.
 //! - Payloads never enter the machine, but for the answers it is to keep.
 
-mod accept;
 mod attempts;
+mod driver;
+mod link_listener;
 mod links;
 mod metrics;
-mod node;
-mod operated;
-mod probe;
+mod operator_api;
+mod predecessor;
 mod start;
 mod upstream;
 
--- a/crates/agent/src/accept.rs
+++ b/crates/agent/src/link_listener.rs
@@ -7,7 +7,7 @@
 use tokio::sync::Semaphore;
 use wire::{EstablishedLink, Link, LinkReceiver, Listener};
 
-use crate::node::Node;
+use crate::driver::Node;
 
 /// Connections held at once, greeted or not; a cell has a few entries.
 ///
--- a/crates/agent/src/operated.rs
+++ b/crates/agent/src/operator_api.rs
@@ -5,8 +5,8 @@
 use role::agent::{AgentEvent, AgentStatus};
 use std::sync::Arc;
 
+use crate::driver::Node;
 use crate::metrics::{self, Seen};
-use crate::node::Node;
 
 /// Newest events told in an explanation.
 const EVENTS_TOLD: usize = 20;
--- a/crates/agent/src/start.rs
+++ b/crates/agent/src/start.rs
@@ -14,9 +14,9 @@
 use tokio::task::JoinHandle;
 use wire::Listener;
 
-use crate::accept::accept;
-use crate::node::{Node, Outside};
-use crate::operated::OperatedAgent;
+use crate::driver::{Node, Outside};
+use crate::link_listener::accept;
+use crate::operator_api::OperatedAgent;
 
 /// Longest wait, once drained, for the last frames to reach the entries.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(5);
--- a/crates/agent/src/upstream/answer.rs
+++ b/crates/agent/src/upstream/answer_reader.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 use super::connection::Answering;
-use crate::node::{Node, Part};
+use crate::driver::{Node, Part};
 
 /// An answer that is being read and passed on.
 #[derive(Debug)]
--- a/crates/agent/src/upstream/run.rs
+++ b/crates/agent/src/upstream/attempt.rs
@@ -6,12 +6,12 @@
 use schema::link::Run;
 use std::sync::Arc;
 
-use super::answer::Answer;
+use super::answer_reader::Answer;
 use super::connection::{Answering, Connection, NoAnswer};
-use super::ending::Ending;
-use super::{engine, request, service};
+use super::outcome::Ending;
+use super::{engine_answer, request, service_answer};
 use crate::attempts::Running;
-use crate::node::Node;
+use crate::driver::Node;
 
 /// Header by which an upstream says that a refused request was not run.
 const NOT_RUN_HEADER: &str = "x-not-run";
@@ -75,8 +75,8 @@
     }
     let answer = Answer::new(node, attempt, run, answering);
     if run.service.is_empty() {
-        engine::read(answer, run.resume_offset).await
+        engine_answer::read(answer, run.resume_offset).await
     } else {
-        service::read(answer).await
+        service_answer::read(answer).await
     }
 }
--- a/crates/agent/src/upstream/engine.rs
+++ b/crates/agent/src/upstream/engine_answer.rs
@@ -2,8 +2,8 @@
 
 use hyper::StatusCode;
 
-use super::answer::{Answer, Next};
-use super::ending::Ending;
+use super::answer_reader::{Answer, Next};
+use super::outcome::Ending;
 use super::sse::{Event, Fault, Reader};
 
 /// How far an answer has come.
--- a/crates/agent/src/upstream/mod.rs
+++ b/crates/agent/src/upstream/mod.rs
@@ -1,20 +1,20 @@
 //! The upstream's protocol: attempts, orders and state.
 
-mod answer;
-mod asking;
+mod answer_reader;
+mod attempt;
 mod connection;
-mod ending;
-mod engine;
+mod engine_answer;
 mod orders;
+mod outcome;
 mod request;
-mod run;
-mod service;
+mod service_answer;
 mod sse;
-mod state;
+mod state_client;
+mod state_poll;
 
+pub(crate) use attempt::run;
 pub(crate) use orders::order;
-pub(crate) use run::run;
-pub(crate) use state::poll;
+pub(crate) use state_poll::poll;
 
 use std::net::SocketAddr;
 use tokio::sync::Notify;
--- a/crates/agent/src/upstream/orders.rs
+++ b/crates/agent/src/upstream/orders.rs
@@ -11,7 +11,7 @@
 use tokio::time::timeout;
 
 use super::connection::Connection;
-use crate::node::Node;
+use crate::driver::Node;
 
 /// Longest wait for the answer to an order.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
--- a/crates/agent/src/upstream/service.rs
+++ b/crates/agent/src/upstream/service_answer.rs
@@ -1,7 +1,7 @@
 //! Answers of a plain service: bytes, passed on as they come.
 
-use super::answer::{Answer, Next};
-use super::ending::Ending;
+use super::answer_reader::{Answer, Next};
+use super::outcome::Ending;
 
 /// Largest part passed on in one frame.
 const PART_MAX_BYTES: usize = 64 << 10;
--- a/crates/agent/src/upstream/state.rs
+++ b/crates/agent/src/upstream/state_poll.rs
@@ -12,8 +12,8 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout};
 
-use super::asking::{Asking, NoState};
-use crate::node::Node;
+use super::state_client::{Asking, NoState};
+use crate::driver::Node;
 
 /// Pause between two questions.
 const INTERVAL: Duration = Duration::from_millis(150);
--- a/crates/agent/tests/shell/main.rs
+++ b/crates/agent/tests/shell/main.rs
@@ -3,6 +3,6 @@
 
 mod engine;
 mod orders;
-mod questions;
 mod service;
+mod state_poll;
 mod support;
