--- a/crates/gen/src/main.rs
+++ b/crates/gen/src/main.rs
@@ -1,14 +1,14 @@
-//! Writes the generated half of the `schema` crate from its proto files.
+//! Generates the code of the `schema` crate from its proto files.
 //!
 //! Run `cargo run -p schema-gen` after changing a file under
-//! `crates/schema/proto`. With `--check` nothing is written and the exit code
-//! is 1 when the committed code is not what the schema gives.
+//! `crates/schema/proto`. With `--check` the committed code is only compared, and
+//! the exit code is 1 if it is out of date.
 
 use prost::Message as _;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-const SCHEMAS: [&str; 5] = ["settings", "link", "store", "timeline", "peer"];
+const PROTO_NAMES: [&str; 5] = ["settings", "link", "store", "timeline", "peer"];
 
 fn main() -> ExitCode {
     let check = std::env::args().any(|arg| arg == "--check");
@@ -26,23 +26,25 @@
     if !check {
         return ExitCode::SUCCESS;
     }
-    let same = SCHEMAS.iter().all(|name| {
+    let up_to_date = PROTO_NAMES.iter().all(|name| {
         let file = format!("sesame.{name}.rs");
         std::fs::read(committed.join(&file)).ok()
             == std::fs::read(target.join(&file)).ok()
     });
-    // The check's verdict does not depend on whether the clean-up succeeds.
+    // The result of the check does not depend on whether the cleanup succeeds.
     let _ = std::fs::remove_dir_all(&target);
-    if same {
+    if up_to_date {
         return ExitCode::SUCCESS;
     }
-    eprintln!("schema-gen: the committed code is not what the schema gives");
+    eprintln!(
+        "schema-gen: the generated code is out of date; run `cargo run -p schema-gen`"
+    );
     ExitCode::FAILURE
 }
 
 fn generate(proto: &Path, target: &PathBuf) -> Result<(), String> {
     std::fs::create_dir_all(target).map_err(|error| error.to_string())?;
-    let files = SCHEMAS.map(|name| format!("{name}.proto"));
+    let files = PROTO_NAMES.map(|name| format!("{name}.proto"));
     let descriptors =
         protox::compile(files, [proto]).map_err(|error| error.to_string())?;
     let mut config = prost_build::Config::new();
@@ -58,7 +60,7 @@
     config
         .compile_fds(descriptors.clone())
         .map_err(|error| error.to_string())?;
-    let fields = field_table(&descriptors.encode_to_vec())?;
+    let fields = render_field_table(&descriptors.encode_to_vec())?;
     let table = target.join("sesame.settings.rs");
     let mut code =
         std::fs::read_to_string(&table).map_err(|error| error.to_string())?;
@@ -66,12 +68,12 @@
     std::fs::write(&table, code).map_err(|error| error.to_string())
 }
 
-/// Renders the table of settings fields by which `conf` checks a document.
-fn field_table(descriptors: &[u8]) -> Result<String, String> {
+/// Renders the table of settings fields, against which `conf` validates documents.
+fn render_field_table(descriptors: &[u8]) -> Result<String, String> {
     let set = prost_reflect::DescriptorPool::decode(descriptors)
         .map_err(|error| error.to_string())?;
     let mut code = String::from(
-        "/// Fields of every settings message, for checking documents.\n\
+        "/// Descriptors of all settings messages, for the validation of documents.\n\
          pub static MESSAGES: &[crate::MessageDescriptor] = &[\n",
     );
     for message in set.all_messages() {
@@ -86,8 +88,8 @@
             code.push_str(&format!(
                 "            crate::FieldDescriptor {{ name: {:?}, kind: {}, cardinality: {} }},\n",
                 field.name(),
-                kind_of(&field),
-                cardinality_of(&field)
+                render_kind(&field),
+                render_cardinality(&field)
             ));
         }
         code.push_str("        ],\n    },\n");
@@ -96,7 +98,7 @@
     Ok(code)
 }
 
-fn kind_of(field: &prost_reflect::FieldDescriptor) -> String {
+fn render_kind(field: &prost_reflect::FieldDescriptor) -> String {
     use prost_reflect::Kind;
     let kind = match field.kind() {
         Kind::Message(entry) if field.is_map() => entry.map_entry_value_field().kind(),
@@ -114,7 +116,7 @@
     }
 }
 
-fn cardinality_of(field: &prost_reflect::FieldDescriptor) -> &'static str {
+fn render_cardinality(field: &prost_reflect::FieldDescriptor) -> &'static str {
     if field.is_map() {
         "crate::Cardinality::Map"
     } else if field.is_list() {
--- a/crates/schema/src/descriptor.rs
+++ b/crates/schema/src/descriptor.rs
@@ -1,50 +1,50 @@
-//! Shapes of settings messages, as the generated table states them.
+//! Types of the generated table of settings fields.
 
-/// One settings message.
+/// Descriptor of a settings message.
 #[derive(Debug)]
 pub struct MessageDescriptor {
-    /// Name in the schema.
+    /// Name of the message in the schema.
     pub name: &'static str,
-    /// Fields in the order of the schema.
+    /// Fields, in the order of the schema.
     pub fields: &'static [FieldDescriptor],
 }
 
-/// One field of a settings message.
+/// Descriptor of one field of a settings message.
 #[derive(Debug)]
 pub struct FieldDescriptor {
-    /// Key in the document.
+    /// Key of the field in a document.
     pub name: &'static str,
-    /// Type of the value, or of each value held.
+    /// Type of the value, or of each value of a list or map.
     pub kind: FieldKind,
-    /// How many values the field holds.
+    /// Whether the field is a single value, a list or a map.
     pub cardinality: Cardinality,
 }
 
-/// Type of a settings value.
+/// Type of a value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FieldKind {
     /// A string.
     String,
     /// `true` or `false`.
     Bool,
-    /// A number with a fraction.
+    /// A 64-bit floating-point number.
     Double,
-    /// A whole number up to 2^32 - 1.
+    /// An integer from 0 to 2^32 - 1.
     Uint32,
-    /// A whole number up to 2^64 - 1.
+    /// An integer from 0 to 2^64 - 1.
     Uint64,
-    /// An object shaped as the named message.
+    /// An object that matches the named message.
     Message(&'static str),
 }
 
-/// How many values a field holds.
+/// Whether a field is a single value, a list or a map.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Cardinality {
-    /// One value.
+    /// A single value.
     Single,
     /// An array of values.
     List,
-    /// An object whose keys are names chosen by the operator.
+    /// An object whose keys are names chosen by operators.
     Map,
 }
 
