--- a/crates/conf/src/config_log.rs
+++ b/crates/conf/src/config_log.rs
@@ -196,6 +196,7 @@
         self.apply_batch(&[change])
     }
 
+    /// Drops the oldest changes until the rest are within the limits.
     fn trim_changes(&mut self) {
         let mut bytes: usize =
             self.changes.iter().map(|change| change.patch.len()).sum();
@@ -207,6 +208,7 @@
         }
     }
 
+    /// Decodes and resolves a document and puts it in force.
     fn install(&mut self, revision: u64, document: Value) -> Result<(), ApplyError> {
         let fleet: Fleet = serde_json::from_value(document.clone())
             .map_err(|source| ApplyError::SchemaMismatch { revision, source })?;
--- a/crates/conf/src/document/schema.rs
+++ b/crates/conf/src/document/schema.rs
@@ -95,7 +95,7 @@
     sink.report_at(code, &inner, member.offset, message);
 }
 
-/// Avoids reporting the suggested key as missing too, if it is absent.
+/// Prevents a diagnostic that the suggested key is missing, if it is absent.
 fn suppress_missing_key(
     known: &str,
     members: &[Member],
@@ -218,7 +218,7 @@
         Some(whole) if whole <= max => Some(value.clone()),
         Some(_) => report_out_of_range(path, sink, &format!("at most {max}")),
         None => {
-            report_wrong_type(node, "a whole number", path, sink);
+            report_wrong_type(node, "an integer", path, sink);
             None
         }
     }
--- a/crates/conf/tests/bounds.rs
+++ b/crates/conf/tests/bounds.rs
@@ -11,7 +11,7 @@
 use seeds::each_seed;
 use serde_json::Value;
 
-/// Fragments that are joined to texts that resemble documents.
+/// Fragments that are concatenated into texts that resemble documents.
 #[rustfmt::skip]
 const FRAGMENTS: &[&str] = &[
     "{", "}", "[", "]", ":", ",", "\"", "\\", "// x\n", "/* ", "*/", "null", "true",
