--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/driver.rs
@@ -1,4 +1,5 @@
-//! The machine and everything its actions reach.
+//! The driver of the entry's state machine: passes events to it and runs its
+//! actions.
 
 use base::prelude::*;
 use base::{PlatformAnswer, PlatformCall};
@@ -17,94 +18,97 @@
 use tokio_util::sync::CancellationToken;
 use wire::WireError;
 
-use crate::calls::Calls;
-use crate::links::{Host, Links};
-use crate::metrics::Meters;
-use crate::reply::{Ending, Incoming};
+use crate::active_requests::ActiveRequests;
+use crate::links::{LinkHandler, Links};
+use crate::metrics::ProcessMetrics;
+use crate::response_queue::{ReceivedPart, ResponseEnd};
 
-/// One entry: the machine, and what carries out its actions.
+/// One entry process: the state machine, and all that its actions work on.
 ///
-/// No lock is held while the machine is called, nor while one waits.
+/// No lock is held while the state machine is called, nor across an await.
 #[derive(Debug)]
-pub(crate) struct Node {
+pub(crate) struct Driver {
     options: EntryOptions,
     role: EntryRole,
     clock: Clock,
-    calls: Calls,
+    active_requests: ActiveRequests,
     links: Links,
-    ticker: DeadlineTimer,
+    timer: DeadlineTimer,
     platform: Arc<dyn ObjectApi>,
     recorder: Recorder,
-    meters: Meters,
-    limits_before_config: Limits,
+    metrics: ProcessMetrics,
+    default_limits: Limits,
     ready: AtomicBool,
     exit: CancellationToken,
     runtime: Handle,
-    first_actions: Mutex<Vec<EntryAction>>,
+    initial_actions: Mutex<Vec<EntryAction>>,
 }
 
-impl Node {
-    /// Makes the machine; [`Node::begin`] carries out its first actions.
+impl Driver {
+    /// Creates the state machine; [`Driver::start`] runs its first actions.
     pub(crate) fn new(
         options: EntryOptions,
         clock: Clock,
         platform: Arc<dyn ObjectApi>,
         recorder: Recorder,
     ) -> Arc<Self> {
-        let mut out = Vec::new();
-        let role = EntryRole::new(options.clone(), clock.now(), &mut out);
+        let mut actions = Vec::new();
+        let role = EntryRole::new(options.clone(), clock.now(), &mut actions);
         let before = Config::new(Revision(0), Fleet::default());
         Arc::new(Self {
             links: Links::new(options.seed),
             options,
             role,
             clock,
-            calls: Calls::new(),
-            ticker: DeadlineTimer::new(),
+            active_requests: ActiveRequests::new(),
+            timer: DeadlineTimer::new(),
             platform,
             recorder,
-            meters: Meters::new(),
-            limits_before_config: *before.limits(),
+            metrics: ProcessMetrics::new(),
+            default_limits: *before.limits(),
             ready: AtomicBool::new(false),
             exit: CancellationToken::new(),
             runtime: Handle::current(),
-            first_actions: Mutex::new(out),
+            initial_actions: Mutex::new(actions),
         })
     }
 
-    /// Carries out the machine's first actions and starts its timer.
-    pub(crate) fn begin(self: &Arc<Self>) {
-        let mut out = std::mem::take(&mut *self.first_actions.lock());
-        self.perform(&mut out, None);
-        let node = Arc::clone(self);
+    /// Runs the first actions of the state machine and starts its timer.
+    pub(crate) fn start(self: &Arc<Self>) {
+        let mut actions = std::mem::take(&mut *self.initial_actions.lock());
+        self.run_actions(&mut actions, None);
+        let driver = Arc::clone(self);
         self.runtime.spawn(async move {
-            let due = || node.role().due();
-            let tick = || node.tell(EntryEvent::Tick);
-            node.ticker.run(&node.clock, &node.exit, due, tick).await;
+            let due = || driver.role().due();
+            let tick = || driver.handle_event(EntryEvent::Tick);
+            driver
+                .timer
+                .run(&driver.clock, &driver.exit, due, tick)
+                .await;
         });
     }
 
-    /// The machine.
+    /// The state machine.
     pub(crate) const fn role(&self) -> &EntryRole {
         &self.role
     }
 
     /// Requests in progress.
-    pub(crate) const fn calls(&self) -> &Calls {
-        &self.calls
+    pub(crate) const fn active_requests(&self) -> &ActiveRequests {
+        &self.active_requests
     }
 
-    /// Seconds since the Unix epoch.
+    /// The current time in seconds since the Unix epoch.
     pub(crate) fn unix_s(&self) -> u64 {
         (self.clock.unix_ms_at_zero() + self.clock.now().as_ms()) / 1_000
     }
 
-    /// Counters of the shell.
-    pub(crate) const fn meters(&self) -> &Meters {
-        &self.meters
+    /// Metrics counted outside the state machine.
+    pub(crate) const fn metrics(&self) -> &ProcessMetrics {
+        &self.metrics
     }
 
-    /// The time line.
+    /// Records events of the timeline.
     pub(crate) const fn recorder(&self) -> &Recorder {
         &self.recorder
     }
@@ -114,52 +118,53 @@
         &self.links
     }
 
-    /// Cancelled once the machine has drained.
+    /// Cancelled once the state machine has drained.
     pub(crate) const fn exit(&self) -> &CancellationToken {
         &self.exit
     }
 
-    /// Name of the process.
+    /// Id of the process.
     pub(crate) const fn id(&self) -> &EntryId {
         &self.options.id
     }
 
-    /// Runs a task on the process's runtime, from any thread.
+    /// The process's runtime, for spawning tasks from any thread.
     pub(crate) const fn runtime(&self) -> &Handle {
         &self.runtime
     }
 
-    /// Whether the process takes work.
+    /// Whether the process accepts requests.
     pub(crate) fn is_ready(&self) -> bool {
         self.ready.load(Ordering::Relaxed)
     }
 
-    /// Bounds in force.
+    /// Limits of the configuration in force, or the defaults before there is one.
     pub(crate) fn limits(&self) -> Limits {
         match self.role.config() {
             Some(config) => *config.limits(),
-            None => self.limits_before_config,
+            None => self.default_limits,
         }
     }
 
-    /// Tells the machine an event and carries out what it asks for.
-    pub(crate) fn tell(self: &Arc<Self>, event: EntryEvent) {
-        let mut out = Vec::new();
-        self.role.handle(self.clock.now(), event, &mut out);
-        self.perform(&mut out, None);
-        self.ticker.rearm(self.role.due());
+    /// Passes an event to the state machine and runs the actions that it returns.
+    pub(crate) fn handle_event(self: &Arc<Self>, event: EntryEvent) {
+        let mut actions = Vec::new();
+        self.role.handle(self.clock.now(), event, &mut actions);
+        self.run_actions(&mut actions, None);
+        self.timer.rearm(self.role.due());
     }
 
-    /// Tells the machine of a part of an answer. `scratch` is empty before and
-    /// after; its memory is used again for each part.
-    pub(crate) fn tell_part(
+    /// Passes a part of an answer to the state machine and runs the actions that
+    /// it returns. `scratch` is empty before and after; its memory is reused for
+    /// each part.
+    pub(crate) fn handle_answer_part(
         self: &Arc<Self>,
         agent: &AgentId,
         answer: Answer,
         scratch: &mut Vec<EntryAction>,
     ) {
         let Some(attempt) = answer.attempt else {
-            self.meters.bad_frames.inc();
+            self.metrics.bad_frames.inc();
             return;
         };
         let event = EntryEvent::AnswerPart {
@@ -171,17 +176,17 @@
             offset: answer.offset,
             units: answer.units,
         };
-        let held = Incoming {
+        let part = ReceivedPart {
             offset: answer.offset,
             units: answer.units,
             payload: answer.payload,
         };
         self.role.handle(self.clock.now(), event, scratch);
-        self.perform(scratch, Some(held));
-        self.ticker.rearm(self.role.due());
+        self.run_actions(scratch, Some(part));
+        self.timer.rearm(self.role.due());
     }
 
-    /// A frame with this process's clock and revision.
+    /// A frame stamped with this process's clock and configuration revision.
     pub(crate) fn frame(&self, body: frame::Body) -> Frame {
         Frame {
             clock_us: self.recorder.now_us(),
@@ -200,24 +205,28 @@
         }))
     }
 
-    fn perform(
+    fn run_actions(
         self: &Arc<Self>,
         actions: &mut Vec<EntryAction>,
-        mut held: Option<Incoming>,
+        mut part: Option<ReceivedPart>,
     ) {
         for action in actions.drain(..) {
-            self.carry_out(action, &mut held);
+            self.run_action(action, &mut part);
         }
     }
 
-    fn carry_out(self: &Arc<Self>, action: EntryAction, held: &mut Option<Incoming>) {
+    fn run_action(
+        self: &Arc<Self>,
+        action: EntryAction,
+        part: &mut Option<ReceivedPart>,
+    ) {
         match action {
             EntryAction::DeliverPart {
                 request,
                 skip_units,
             } => {
-                if let Some(part) = held.take() {
-                    self.deliver(request, part, skip_units);
+                if let Some(part) = part.take() {
+                    self.deliver_part(request, part, skip_units);
                 }
             }
             EntryAction::Finish {
@@ -225,26 +234,26 @@
                 status,
                 content_type,
                 total_units,
-            } => self.end(
+            } => self.end_request(
                 request,
-                Ending::Whole {
+                ResponseEnd::Complete {
                     status,
                     content_type,
                     total_units,
                 },
             ),
             EntryAction::Refuse { request, refusal } => {
-                self.end(request, Ending::Refused(refusal));
+                self.end_request(request, ResponseEnd::Failed(refusal));
             }
-            EntryAction::SendFrame { peer, body } => self.send(&peer, body),
+            EntryAction::SendFrame { peer, body } => self.send_frame(&peer, body),
             EntryAction::SendRun {
                 request,
                 agent,
                 run,
             } => self.send_run(request, agent, *run),
             EntryAction::Connect { peer, address } => {
-                let host = Arc::new(Arc::clone(self));
-                self.links.connect(host, peer, address);
+                let handler = Arc::new(Arc::clone(self));
+                self.links.connect(handler, peer, address);
             }
             EntryAction::Disconnect { peer } => self.links.disconnect(&peer),
             EntryAction::CallPlatform(call) => self.call_platform(call),
@@ -254,75 +263,80 @@
         }
     }
 
-    fn deliver(self: &Arc<Self>, request: RequestId, part: Incoming, skip_units: u32) {
-        let Some(call) = self.calls.get(request) else {
+    fn deliver_part(
+        self: &Arc<Self>,
+        request: RequestId,
+        part: ReceivedPart,
+        skip_units: u32,
+    ) {
+        let Some(active) = self.active_requests.get(request) else {
             return;
         };
-        self.meters
+        self.metrics
             .delivered_bytes
             .inc_by(part.payload.len() as u64);
-        let Err(broken) = call.reply.push(part, skip_units) else {
+        let Err(reason) = active.queue.push(part, skip_units) else {
             return;
         };
-        self.meters.broken(broken);
-        self.give_up(request);
+        self.metrics.count_abort(reason);
+        self.abort_request(request);
     }
 
-    /// Ends a request whose answer this process broke off: for the machine it
-    /// is as if the caller had gone.
-    fn give_up(self: &Arc<Self>, request: RequestId) {
-        if self.calls.remove(request).is_some() {
-            self.tell(EntryEvent::CallerDisconnected { request });
+    /// Ends a request whose response this process aborted. The state machine
+    /// handles it as if the caller had disconnected.
+    fn abort_request(self: &Arc<Self>, request: RequestId) {
+        if self.active_requests.remove(request).is_some() {
+            self.handle_event(EntryEvent::CallerDisconnected { request });
         }
     }
 
-    fn end(&self, request: RequestId, ending: Ending) {
-        if let Some(call) = self.calls.remove(request) {
-            call.reply.end(ending);
+    fn end_request(&self, request: RequestId, end: ResponseEnd) {
+        if let Some(active) = self.active_requests.remove(request) {
+            active.queue.end(end);
         }
     }
 
-    fn send(&self, peer: &Peer, body: frame::Body) {
+    fn send_frame(&self, peer: &Peer, body: frame::Body) {
         let Some(sender) = self.links.sender(peer) else {
-            self.meters.unsent_frames.inc();
+            self.metrics.unsent_frames.inc();
             return;
         };
-        let renewed = is_renewed(&body);
-        if let Err(fault) = sender.try_send(self.frame(body)) {
-            self.meters.unsent_frames.inc();
+        let periodic = is_periodic(&body);
+        if let Err(error) = sender.try_send(self.frame(body)) {
+            self.metrics.unsent_frames.inc();
             // A lost `Cancel` or `Revoke` would leave a request running that
-            // nobody waits for. Ending the link makes the loss plain to both
-            // sides, and the machine settles what was in flight.
-            if matches!(fault, WireError::Full) && !renewed {
+            // nobody waits for. Closing the link shows the loss to both
+            // sides, and the state machine then handles what was in flight.
+            if matches!(error, WireError::Full) && !periodic {
                 sender.close();
             }
         }
     }
 
     fn send_run(self: &Arc<Self>, request: RequestId, agent: AgentId, mut run: Run) {
-        let Some(call) = self.calls.get(request) else {
+        let Some(active) = self.active_requests.get(request) else {
             return;
         };
         let Some(sender) = self.links.sender(&Peer::Agent(agent)) else {
-            self.meters.unsent_frames.inc();
+            self.metrics.unsent_frames.inc();
             return;
         };
-        run.body = call.body.to_vec();
+        run.body = active.body.to_vec();
         let frame = self.frame(frame::Body::Run(run));
         let sent = self
-            .calls
-            .while_open(request, || sender.try_send(frame))
+            .active_requests
+            .with_active(request, || sender.try_send(frame))
             .unwrap_or(Ok(()));
         match sent {
             Ok(()) => {}
             Err(WireError::TooLarge { .. }) => {
                 let refusal = Refusal::not_run(Code::BodyTooLarge);
-                call.reply.end(Ending::Refused(refusal));
-                self.give_up(request);
+                active.queue.end(ResponseEnd::Failed(refusal));
+                self.abort_request(request);
             }
-            Err(fault) => {
-                self.meters.unsent_frames.inc();
-                if matches!(fault, WireError::Full) {
+            Err(error) => {
+                self.metrics.unsent_frames.inc();
+                if matches!(error, WireError::Full) {
                     sender.close();
                 }
             }
@@ -330,30 +344,31 @@
     }
 
     fn call_platform(self: &Arc<Self>, call: PlatformCall) {
-        let node = Arc::clone(self);
+        let driver = Arc::clone(self);
         self.runtime.spawn(async move {
             let result = tokio::select! {
-                () = node.exit.cancelled() => return,
-                result = node.platform.call(&call.op) => result,
+                () = driver.exit.cancelled() => return,
+                result = driver.platform.call(&call.op) => result,
             };
             let answer = PlatformAnswer {
                 id: call.id,
                 result,
             };
-            node.tell(EntryEvent::PlatformAnswered(answer));
+            driver.handle_event(EntryEvent::PlatformAnswered(answer));
         });
     }
 
     fn set_ready(&self, ready: bool) {
         if self.ready.swap(ready, Ordering::Relaxed) != ready {
-            let word = if ready { "takes" } else { "does not take" };
+            let word = if ready { "accepts" } else { "does not accept" };
             log::info!("{}: {word} requests", self.options.id);
         }
     }
 }
 
-/// Whether a lost frame is made up for by the next one of its kind.
-const fn is_renewed(body: &frame::Body) -> bool {
+/// Whether a frame is sent periodically, so that the next one of its kind
+/// replaces a lost one.
+const fn is_periodic(body: &frame::Body) -> bool {
     matches!(
         body,
         frame::Body::Heartbeat(_)
@@ -364,13 +379,13 @@
     )
 }
 
-impl Host for Arc<Node> {
+impl LinkHandler for Arc<Driver> {
     fn id(&self) -> &EntryId {
-        Node::id(self)
+        Driver::id(self)
     }
 
     fn links(&self) -> &Links {
-        Node::links(self)
+        Driver::links(self)
     }
 
     fn frame_max_bytes(&self) -> u32 {
@@ -378,35 +393,35 @@
     }
 
     fn hello(&self) -> Frame {
-        Node::hello(self)
+        Driver::hello(self)
     }
 
     fn recorder(&self) -> &Recorder {
-        Node::recorder(self)
+        Driver::recorder(self)
     }
 
-    fn meters(&self) -> &Meters {
-        Node::meters(self)
+    fn metrics(&self) -> &ProcessMetrics {
+        Driver::metrics(self)
     }
 
     fn exit(&self) -> &CancellationToken {
-        Node::exit(self)
+        Driver::exit(self)
     }
 
     fn runtime(&self) -> &Handle {
-        Node::runtime(self)
+        Driver::runtime(self)
     }
 
-    fn tell(&self, event: EntryEvent) {
-        Node::tell(self, event);
+    fn handle_event(&self, event: EntryEvent) {
+        Driver::handle_event(self, event);
     }
 
-    fn tell_part(
+    fn handle_answer_part(
         &self,
         agent: &AgentId,
         answer: Answer,
         scratch: &mut Vec<EntryAction>,
     ) {
-        Node::tell_part(self, agent, answer, scratch);
+        Driver::handle_answer_part(self, agent, answer, scratch);
     }
 }
--- a/crates/entry/src/http/error.rs
+++ b/crates/entry/src/http/error.rs
@@ -1,74 +1,78 @@
-//! Error answers.
+//! Error responses, and the headers and helpers common to all JSON responses.
 
 use base::{Code, Refusal, RequestId};
 use bytes::Bytes;
 use hyper::header::{CONNECTION, CONTENT_TYPE, HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 
-use super::body::ReplyBody;
-use super::fault::{Fault, error_json};
+use super::rejection::{Rejection, error_json};
+use super::response_body::ResponseBody;
 
-/// Header that names the request in answers and in the time line.
+/// Header with the request's id, by which the timeline names the request.
 pub(crate) const REQUEST_ID: &str = "x-request-id";
 
-/// Content type of all JSON answers.
+/// Content type of all JSON responses.
 pub(crate) const JSON: HeaderValue = HeaderValue::from_static("application/json");
 
-/// When a caller should come back to a process that has no configuration yet or
-/// no room for its body.
+/// Retry time for callers when the process has no configuration yet, or no memory
+/// left for request bodies.
 const RETRY_AFTER_MS: u64 = 1_000;
 
-/// The answer to a request that this process refuses itself.
-pub(crate) fn fault_answer(request: RequestId, fault: Fault) -> Response<ReplyBody> {
-    let mut refusal = Refusal::not_run(fault.code);
-    if matches!(fault.code, Code::NotReady | Code::Overloaded) {
+/// The response to a request that this process rejects before the state machine
+/// receives it.
+pub(crate) fn rejection_response(
+    request: RequestId,
+    rejection: Rejection,
+) -> Response<ResponseBody> {
+    let mut refusal = Refusal::not_run(rejection.code);
+    if matches!(rejection.code, Code::NotReady | Code::Overloaded) {
         refusal = refusal.retry_after_ms(RETRY_AFTER_MS);
     }
-    error_answer(request, &refusal, fault.message).map(ReplyBody::whole)
+    error_response(request, &refusal, rejection.message).map(ResponseBody::buffered)
 }
 
-/// The answer to a request without a whole answer.
-pub(crate) fn refusal_answer(
+/// The response to a request that was refused or that failed.
+pub(crate) fn refusal_response(
     request: RequestId,
     refusal: &Refusal,
-) -> Response<ReplyBody> {
-    error_answer(request, refusal, None).map(ReplyBody::whole)
+) -> Response<ResponseBody> {
+    error_response(request, refusal, None).map(ResponseBody::buffered)
 }
 
-/// An error as callers get it: status, headers and JSON body.
+/// The error response for a refusal: status, headers and JSON body.
 ///
-/// Without a message the code's own text is given.
-pub fn error_answer(
+/// If `message` is `None`, the default message of the code is used.
+pub fn error_response(
     request: RequestId,
     refusal: &Refusal,
     message: Option<&str>,
 ) -> Response<Bytes> {
     let body = Bytes::from(error_json(request, refusal, message));
-    let mut response = json_answer(request, body);
+    let mut response = json_response(request, body);
     *response.status_mut() = StatusCode::from_u16(refusal.code.http_status())
         .unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let headers = response.headers_mut();
     if let Some(ms) = refusal.retry_after_ms {
         headers.insert(RETRY_AFTER, HeaderValue::from(ms.div_ceil(1_000)));
     }
-    // The balancer in front keeps connections open. Without this a caller would
-    // send its next request to the leaving process again.
+    // The load balancer in front keeps connections open. Without this header the
+    // next request on the connection would reach the draining process again.
     if refusal.code == Code::Leaving {
         headers.insert(CONNECTION, HeaderValue::from_static("close"));
     }
     response
 }
 
-/// An answer with status 200 and a JSON body.
-pub(crate) fn json_answer(request: RequestId, body: Bytes) -> Response<Bytes> {
+/// A response with status 200 and a JSON body.
+pub(crate) fn json_response(request: RequestId, body: Bytes) -> Response<Bytes> {
     let mut response = Response::new(body);
     response.headers_mut().insert(CONTENT_TYPE, JSON);
-    name_request(&mut response, request);
+    set_request_id(&mut response, request);
     response
 }
 
-/// Adds the request's name to an answer.
-pub(crate) fn name_request<T>(response: &mut Response<T>, request: RequestId) {
+/// Adds the request's id to a response.
+pub(crate) fn set_request_id<T>(response: &mut Response<T>, request: RequestId) {
     let name = HeaderValue::try_from(request.to_string())
         .expect("hexadecimal digits and a dash are a header value");
     response.headers_mut().insert(REQUEST_ID, name);
--- a/crates/entry/src/http/mod.rs
+++ b/crates/entry/src/http/mod.rs
@@ -1,17 +1,17 @@
-//! HTTP towards callers.
+//! The HTTP server for callers.
 
-mod ask;
-mod body;
+mod buffered;
+mod engine_request;
 mod error;
-mod fault;
-mod guard;
-mod head;
-mod serve;
+mod handler;
+mod rejection;
+mod request_guard;
+mod request_head;
+mod response_body;
 mod server;
 mod sse;
-mod stall;
-mod whole;
+mod write_timeout;
 
-pub use error::error_answer;
+pub use error::error_response;
 pub(crate) use server::CallerServer;
-pub use stall::StallTimeout;
+pub use write_timeout::WriteTimeout;
--- a/crates/entry/src/http/fault.rs
+++ b/crates/entry/src/http/rejection.rs
@@ -1,19 +1,19 @@
-//! Faults and their JSON text.
+//! Rejected requests, and the JSON body of all error responses.
 
 use base::{Code, Refusal, RequestId};
 use serde::Serialize;
 
-/// A request that this process refuses before its machine sees it.
+/// Why this process rejects a request before the state machine receives it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Fault {
-    /// Code.
+pub(crate) struct Rejection {
+    /// Error code.
     pub(crate) code: Code,
-    /// What is wrong, where the code's own text says too little.
+    /// A message more specific than the default message of the code.
     pub(crate) message: Option<&'static str>,
 }
 
-impl Fault {
-    /// A fault that the code's own text explains.
+impl Rejection {
+    /// A rejection with the default message of its code.
     pub(crate) const fn new(code: Code) -> Self {
         Self {
             code,
@@ -21,7 +21,7 @@
         }
     }
 
-    /// A request that can't be read.
+    /// A rejection with the code `BadRequest` and a message.
     pub(crate) const fn bad_request(message: &'static str) -> Self {
         Self {
             code: Code::BadRequest,
@@ -46,7 +46,7 @@
     message: &'a str,
 }
 
-/// The JSON text of an error.
+/// The JSON body of an error response.
 pub(crate) fn error_json(
     request: RequestId,
     refusal: &Refusal,
@@ -59,13 +59,13 @@
             ran: refusal.ran.as_str(),
             retry_after_ms: refusal.retry_after_ms,
             request: &request.to_string(),
-            message: message.unwrap_or_else(|| text(refusal.code)),
+            message: message.unwrap_or_else(|| default_message(refusal.code)),
         },
     };
     serde_json::to_vec(&body).expect("strings and numbers always serialise")
 }
 
-fn text(code: Code) -> &'static str {
+fn default_message(code: Code) -> &'static str {
     match code {
         Code::BadRequest => "the request can't be read",
         Code::UnknownCaller => "no caller has this key",
--- a/crates/entry/src/http/server.rs
+++ b/crates/entry/src/http/server.rs
@@ -1,4 +1,4 @@
-//! The callers' listener.
+//! The listener for callers.
 
 use base::prelude::Duration;
 use hyper::server::conn::http1;
@@ -11,146 +11,153 @@
 use tokio_util::sync::{CancellationToken, DropGuard};
 use tokio_util::task::TaskTracker;
 
-use super::serve::serve;
-use super::stall::StallTimeout;
-use crate::node::Node;
+use super::handler::handle;
+use super::write_timeout::WriteTimeout;
+use crate::driver::Driver;
 
-/// Longest time for a request's head, and for which a connection may idle.
+/// Longest time for a request's head, and longest time a connection may be idle.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Longest time in which a caller takes nothing of what is written to it.
+/// Longest time for which a write to a caller may make no progress.
 const STALL_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Room for a head above its limit. Up to there this process reads the head and
-/// refuses it with a code; beyond, the HTTP library answers 431 without a body.
-/// The library takes no buffer smaller than this.
-const HEAD_SPARE_BYTES: usize = 8 << 10;
+/// Bytes by which a request's head may exceed its limit and still be read. Such
+/// a head is rejected with an error code; to a larger one the HTTP library
+/// responds with 431 and no body. This is also the smallest buffer that the
+/// library accepts.
+const HEAD_MARGIN_BYTES: usize = 8 << 10;
 
-/// Most headers in a request.
+/// Largest number of headers in a request.
 const HEADERS_MAX: usize = 64;
 
-/// Pause after the operating system could not accept a connection.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after the operating system could not accept a connection.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Serves callers on a listener.
+/// Serves callers over HTTP/1.1.
 #[derive(Debug)]
 pub(crate) struct CallerServer {
-    node: Arc<Node>,
+    driver: Arc<Driver>,
     connections: TaskTracker,
-    stop: CancellationToken,
-    /// Cuts what is still open when the server is dropped, so that no
-    /// connection outlives its process.
-    cut: DropGuard,
+    shutdown: CancellationToken,
+    /// Closes all open connections when the server is dropped, so that none
+    /// outlives an entry that was aborted.
+    abort: DropGuard,
 }
 
 impl CallerServer {
-    /// A server that serves nobody yet.
-    pub(crate) fn new(node: Arc<Node>) -> Self {
+    /// A server without connections.
+    pub(crate) fn new(driver: Arc<Driver>) -> Self {
         Self {
-            node,
+            driver,
             connections: TaskTracker::new(),
-            stop: CancellationToken::new(),
-            cut: CancellationToken::new().drop_guard(),
+            shutdown: CancellationToken::new(),
+            abort: CancellationToken::new().drop_guard(),
         }
     }
 
     /// Accepts connections until the process has drained.
     ///
-    /// While it drains, callers are still accepted and told that the process is
-    /// leaving: a closed port would leave them with an error without a code. Once
-    /// drained, the listener closes: while the last connections ended, callers
-    /// still connected, and nobody read their requests.
+    /// While the process drains, connections are still accepted and their
+    /// requests refused with the code `leaving`; a closed port would give callers
+    /// an error without a code. The listener is closed once the process has
+    /// drained, before the last connections end: callers that connected in that
+    /// time would otherwise wait, as nothing would read their requests.
     pub(crate) async fn accept(&self, listener: TcpListener) {
         loop {
             let accepted = tokio::select! {
-                () = self.node.exit().cancelled() => break,
+                () = self.driver.exit().cancelled() => break,
                 accepted = listener.accept() => accepted,
             };
             match accepted {
-                Ok((stream, _)) => self.start(stream),
-                // Out of descriptors: those open now have to end first.
-                Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+                Ok((stream, _)) => self.spawn_connection(stream),
+                // Out of descriptors: open connections have to end first.
+                Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
             }
         }
-        self.take_last(listener);
+        self.accept_pending(listener);
     }
 
-    /// Takes the connections that the operating system holds ready. Closing the
-    /// listener would reset them, with requests that their callers have sent.
-    fn take_last(&self, listener: TcpListener) {
-        // Only a listener that is not registered any more fails here; it holds none.
+    /// Accepts the connections that are still in the operating system's accept
+    /// queue, then closes the listener. Closing it at once would reset them,
+    /// although their callers may have sent requests.
+    fn accept_pending(&self, listener: TcpListener) {
+        // Fails only if the runtime no longer has the listener registered; then
+        // there are no connections to accept.
         let Ok(listener) = listener.into_std() else {
             return;
         };
         while let Ok((stream, _)) = listener.accept() {
             let stream = stream.set_nonblocking(true).map(|()| stream);
             if let Ok(stream) = stream.and_then(TcpStream::from_std) {
-                self.start(stream);
+                self.spawn_connection(stream);
             }
         }
     }
 
-    /// Lets open connections finish what they are answering, for at most
-    /// `wait`.
+    /// Lets open connections finish their current responses, for at most `wait`.
     pub(crate) async fn close(self, wait: Duration) {
-        self.stop.cancel();
+        self.shutdown.cancel();
         self.connections.close();
         let _ = tokio::time::timeout(wait, self.connections.wait()).await;
     }
 
-    fn start(&self, stream: TcpStream) {
-        // The kernel would hold each token back until the one before it is
-        // acknowledged.
+    fn spawn_connection(&self, stream: TcpStream) {
+        // With Nagle's algorithm, the kernel would delay each token until the
+        // previous one is acknowledged.
         let _ = stream.set_nodelay(true);
-        let node = Arc::clone(&self.node);
-        let stop = self.stop.clone();
-        let cut = self.cut.token().clone();
+        let driver = Arc::clone(&self.driver);
+        let shutdown = self.shutdown.clone();
+        let abort = self.abort.token().clone();
         self.connections.spawn(async move {
             tokio::select! {
-                () = cut.cancelled() => {}
-                () = connection(node, stop, stream) => {}
+                () = abort.cancelled() => {}
+                () = serve_connection(driver, shutdown, stream) => {}
             }
         });
     }
 }
 
-/// Counts an open connection.
-struct Open(Arc<Node>);
+/// Counts a connection in the metrics while it is open.
+struct OpenConnection(Arc<Driver>);
 
-impl Open {
-    fn new(node: Arc<Node>) -> Self {
-        node.meters().accepted.inc();
-        node.meters().connections.inc();
-        Self(node)
+impl OpenConnection {
+    fn new(driver: Arc<Driver>) -> Self {
+        driver.metrics().accepted_connections.inc();
+        driver.metrics().connections.inc();
+        Self(driver)
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenConnection {
     fn drop(&mut self) {
-        self.0.meters().connections.dec();
+        self.0.metrics().connections.dec();
     }
 }
 
-async fn connection(node: Arc<Node>, stop: CancellationToken, stream: TcpStream) {
-    let _open = Open::new(Arc::clone(&node));
-    let header_max_bytes = node.limits().header_max_bytes as usize;
+async fn serve_connection(
+    driver: Arc<Driver>,
+    shutdown: CancellationToken,
+    stream: TcpStream,
+) {
+    let _open_connection = OpenConnection::new(Arc::clone(&driver));
+    let header_max_bytes = driver.limits().header_max_bytes as usize;
     let service = service_fn(move |request| {
-        let node = Arc::clone(&node);
-        async move { Ok::<_, Infallible>(serve(node, request).await) }
+        let driver = Arc::clone(&driver);
+        async move { Ok::<_, Infallible>(handle(driver, request).await) }
     });
-    let io = TokioIo::new(StallTimeout::new(stream, STALL_TIMEOUT));
+    let io = TokioIo::new(WriteTimeout::new(stream, STALL_TIMEOUT));
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(HEAD_TIMEOUT)
         .max_headers(HEADERS_MAX)
-        .max_buf_size(header_max_bytes + HEAD_SPARE_BYTES)
+        .max_buf_size(header_max_bytes + HEAD_MARGIN_BYTES)
         .serve_connection(io, service);
     let mut connection = pin!(connection);
-    // A connection's fault is its caller's going; its requests' guards have
-    // told the machine.
+    // An error means that the caller disconnected; the guards of its requests have
+    // informed the state machine.
     tokio::select! {
         _ = connection.as_mut() => return,
-        () = stop.cancelled() => connection.as_mut().graceful_shutdown(),
+        () = shutdown.cancelled() => connection.as_mut().graceful_shutdown(),
     }
     let _ = connection.await;
 }
--- a/crates/entry/src/http/sse.rs
+++ b/crates/entry/src/http/sse.rs
@@ -1,30 +1,31 @@
-//! Server-sent events in the shape of the OpenAI API.
+//! Server-sent events in the format of the OpenAI API.
 
 use base::{Refusal, RequestId};
 use bytes::{BufMut, BytesMut};
 use serde::Serialize;
 
-use super::fault::error_json;
-use super::head::Engine;
+use super::rejection::error_json;
+use super::request_head::EngineApi;
 
-/// What all chunks and the whole answer of one request have in common.
+/// What is common to all chunks of a streamed response, and is also needed for a
+/// response in one piece.
 #[derive(Debug)]
-pub(crate) struct Shape {
-    /// Request.
+pub(crate) struct CompletionInfo {
+    /// Id of the request.
     pub(crate) request: RequestId,
-    /// Which call it is.
-    pub(crate) engine: Engine,
-    /// Model as the caller named it; empty for the profile's default.
+    /// The API that the request is for.
+    pub(crate) engine: EngineApi,
+    /// Model as the caller named it; empty if it uses the profile's default.
     pub(crate) model: String,
-    /// When the request came, in seconds since the Unix epoch.
+    /// When the request was received, in seconds since the Unix epoch.
     pub(crate) created_s: u64,
-    /// Estimated tokens in the prompt.
+    /// Estimated number of tokens in the prompt.
     pub(crate) prompt_tokens: u32,
-    /// Most tokens in the answer; 0 for none said.
+    /// Largest number of tokens in the answer; 0 if the caller gave none.
     pub(crate) tokens_max: u32,
 }
 
-/// Tokens of a request and its answer.
+/// Numbers of tokens of a request and its answer.
 #[derive(Debug, Serialize)]
 pub(crate) struct Usage {
     prompt_tokens: u64,
@@ -32,16 +33,16 @@
     total_tokens: u64,
 }
 
-impl Shape {
-    /// The answer's own name.
+impl CompletionInfo {
+    /// Id of the response.
     pub(crate) fn id(&self) -> String {
         match self.engine {
-            Engine::Chat => format!("chatcmpl-{}", self.request),
-            Engine::Completion => format!("cmpl-{}", self.request),
+            EngineApi::Chat => format!("chatcmpl-{}", self.request),
+            EngineApi::Completion => format!("cmpl-{}", self.request),
         }
     }
 
-    /// Tokens of an answer.
+    /// Token counts for an answer of `total_units` tokens.
     pub(crate) fn usage(&self, total_units: u64) -> Usage {
         let prompt_tokens = u64::from(self.prompt_tokens);
         Usage {
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Why the answer ended: it is as long as it may be, or the model stopped.
+    /// Why the answer ended: it reached its largest length, or the model stopped.
     pub(crate) fn finish_reason(&self, total_units: u64) -> &'static str {
         if self.tokens_max > 0 && total_units >= u64::from(self.tokens_max) {
             "length"
@@ -61,83 +62,85 @@
     }
 }
 
-/// Writes the events of one answer.
+/// Encodes the events of one response.
 ///
-/// All that is the same in each chunk is made once: an entry writes many
-/// thousand chunks a second.
+/// The prefix that all chunks share is encoded once, as an entry writes many
+/// thousand chunks per second.
 #[derive(Debug)]
 pub(crate) struct SseWriter {
-    shape: Shape,
-    start: Vec<u8>,
-    begun: bool,
+    info: CompletionInfo,
+    chunk_prefix: Vec<u8>,
+    role_sent: bool,
 }
 
 impl SseWriter {
-    /// A writer that has written nothing.
-    pub(crate) fn new(shape: Shape) -> Self {
-        let object = match shape.engine {
-            Engine::Chat => "chat.completion.chunk",
-            Engine::Completion => "text_completion",
+    /// A writer for a response of which nothing has been written.
+    pub(crate) fn new(info: CompletionInfo) -> Self {
+        let object = match info.engine {
+            EngineApi::Chat => "chat.completion.chunk",
+            EngineApi::Completion => "text_completion",
         };
-        let mut start = Vec::with_capacity(160);
-        start.extend_from_slice(b"data: {\"id\":");
-        put_json(&mut start, &shape.id());
-        start.extend_from_slice(b",\"object\":");
-        put_json(&mut start, object);
-        start.extend_from_slice(b",\"created\":");
-        start.extend_from_slice(shape.created_s.to_string().as_bytes());
-        start.extend_from_slice(b",\"model\":");
-        put_json(&mut start, &shape.model);
-        start.extend_from_slice(b",\"choices\":[{\"index\":0,");
+        let mut chunk_prefix = Vec::with_capacity(160);
+        chunk_prefix.extend_from_slice(b"data: {\"id\":");
+        write_json(&mut chunk_prefix, &info.id());
+        chunk_prefix.extend_from_slice(b",\"object\":");
+        write_json(&mut chunk_prefix, object);
+        chunk_prefix.extend_from_slice(b",\"created\":");
+        chunk_prefix.extend_from_slice(info.created_s.to_string().as_bytes());
+        chunk_prefix.extend_from_slice(b",\"model\":");
+        write_json(&mut chunk_prefix, &info.model);
+        chunk_prefix.extend_from_slice(b",\"choices\":[{\"index\":0,");
         Self {
-            shape,
-            start,
-            begun: false,
+            info,
+            chunk_prefix,
+            role_sent: false,
         }
     }
 
-    /// Writes the text of some tokens.
-    pub(crate) fn part(&mut self, text: &str, out: &mut BytesMut) {
-        out.reserve(self.start.len() + text.len() + 64);
-        out.put_slice(&self.start);
-        match self.shape.engine {
-            Engine::Chat if self.begun => out.put_slice(b"\"delta\":{\"content\":"),
-            Engine::Chat => {
+    /// Writes a chunk with the text of one or more tokens.
+    pub(crate) fn write_part(&mut self, text: &str, out: &mut BytesMut) {
+        out.reserve(self.chunk_prefix.len() + text.len() + 64);
+        out.put_slice(&self.chunk_prefix);
+        match self.info.engine {
+            EngineApi::Chat if self.role_sent => {
+                out.put_slice(b"\"delta\":{\"content\":");
+            }
+            EngineApi::Chat => {
                 out.put_slice(b"\"delta\":{\"role\":\"assistant\",\"content\":");
             }
-            Engine::Completion => out.put_slice(b"\"text\":"),
+            EngineApi::Completion => out.put_slice(b"\"text\":"),
         }
-        put_json(&mut out.writer(), text);
-        if self.shape.engine == Engine::Chat {
+        write_json(&mut out.writer(), text);
+        if self.info.engine == EngineApi::Chat {
             out.put_slice(b"}");
         }
         out.put_slice(b",\"finish_reason\":null}]}\n\n");
-        self.begun = true;
+        self.role_sent = true;
     }
 
-    /// Writes the end of a whole answer.
-    pub(crate) fn whole(&self, total_units: u64, out: &mut BytesMut) {
-        out.put_slice(&self.start);
-        match self.shape.engine {
-            Engine::Chat => out.put_slice(b"\"delta\":{}"),
-            Engine::Completion => out.put_slice(b"\"text\":\"\""),
+    /// Writes the end of a complete response.
+    pub(crate) fn write_end(&self, total_units: u64, out: &mut BytesMut) {
+        out.put_slice(&self.chunk_prefix);
+        match self.info.engine {
+            EngineApi::Chat => out.put_slice(b"\"delta\":{}"),
+            EngineApi::Completion => out.put_slice(b"\"text\":\"\""),
         }
         out.put_slice(b",\"finish_reason\":");
-        put_json(&mut out.writer(), self.shape.finish_reason(total_units));
+        write_json(&mut out.writer(), self.info.finish_reason(total_units));
         out.put_slice(b"}],\"usage\":");
-        put_json(&mut out.writer(), &self.shape.usage(total_units));
+        write_json(&mut out.writer(), &self.info.usage(total_units));
         out.put_slice(b"}\n\ndata: [DONE]\n\n");
     }
 
-    /// Writes the end of an answer that broke off. There is no `[DONE]`, so
-    /// that no client takes it for whole.
-    pub(crate) fn broken(&self, refusal: &Refusal, out: &mut BytesMut) {
+    /// Writes the end of a response that failed. It has no `[DONE]`, so that no
+    /// client takes the response as complete.
+    pub(crate) fn write_error(&self, refusal: &Refusal, out: &mut BytesMut) {
         out.put_slice(b"event: error\ndata: ");
-        out.put_slice(&error_json(self.shape.request, refusal, None));
+        out.put_slice(&error_json(self.info.request, refusal, None));
         out.put_slice(b"\n\n");
     }
 }
 
-fn put_json<T: Serialize + ?Sized>(out: &mut impl std::io::Write, value: &T) {
+fn write_json<T: Serialize + ?Sized>(out: &mut impl std::io::Write, value: &T) {
     serde_json::to_writer(out, value).expect("writing to memory does not fail");
 }
--- a/crates/entry/src/http/stall.rs
+++ b/crates/entry/src/http/write_timeout.rs
@@ -1,4 +1,4 @@
-//! A bound on how long a caller may take nothing.
+//! A timeout for writes to callers that do not read.
 
 use std::future::Future;
 use std::io;
@@ -8,44 +8,44 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::{Instant, Sleep, sleep};
 
-/// A connection that fails once a write has waited too long.
+/// A connection whose writes fail if they make no progress for `limit`.
 ///
-/// A caller that stops reading but keeps its connection open would otherwise
-/// hold the connection and the parts queued for it for ever. Its request has
-/// been given up when its queue was full; this ends the connection too.
+/// A caller that stops reading but keeps its connection open would otherwise hold
+/// the connection and the parts queued for it forever. Its request is aborted when
+/// the queue is full; this timeout ends the connection too.
 #[derive(Debug)]
-pub struct StallTimeout<S> {
+pub struct WriteTimeout<S> {
     stream: S,
     limit: Duration,
     timer: Option<Pin<Box<Sleep>>>,
-    waiting: bool,
+    pending: bool,
 }
 
-impl<S> StallTimeout<S> {
-    /// Bounds the writes of a connection.
+impl<S> WriteTimeout<S> {
+    /// Adds the timeout to a connection.
     pub const fn new(stream: S, limit: Duration) -> Self {
         Self {
             stream,
             limit,
             timer: None,
-            waiting: false,
+            pending: false,
         }
     }
 
-    /// Passes on what a write gave, or fails if it has waited too long.
-    fn bound<T>(
+    /// Returns the result of a write, or an error if it has been pending too long.
+    fn fail_if_stalled<T>(
         &mut self,
         cx: &mut Context<'_>,
-        written: Poll<io::Result<T>>,
+        result: Poll<io::Result<T>>,
     ) -> Poll<io::Result<T>> {
-        if written.is_ready() {
-            self.waiting = false;
-            return written;
+        if result.is_ready() {
+            self.pending = false;
+            return result;
         }
         let limit = self.limit;
         let timer = self.timer.get_or_insert_with(|| Box::pin(sleep(limit)));
-        if !self.waiting {
-            self.waiting = true;
+        if !self.pending {
+            self.pending = true;
             timer.as_mut().reset(Instant::now() + limit);
         }
         ready!(timer.as_mut().poll(cx));
@@ -53,7 +53,7 @@
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for StallTimeout<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for WriteTimeout<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -63,14 +63,14 @@
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for StallTimeout<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for WriteTimeout<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        let written = Pin::new(&mut self.stream).poll_write(cx, bytes);
-        self.bound(cx, written)
+        let result = Pin::new(&mut self.stream).poll_write(cx, bytes);
+        self.fail_if_stalled(cx, result)
     }
 
     fn poll_write_vectored(
@@ -78,8 +78,8 @@
         cx: &mut Context<'_>,
         slices: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        let written = Pin::new(&mut self.stream).poll_write_vectored(cx, slices);
-        self.bound(cx, written)
+        let result = Pin::new(&mut self.stream).poll_write_vectored(cx, slices);
+        self.fail_if_stalled(cx, result)
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,29 +1,32 @@
-//! The entry's process: callers' HTTP on one side, links on the other.
+//! The entry process: it serves callers over HTTP and talks to agents and other
+//! entries over links (framed TCP connections).
 //!
-//! Every decision is taken by [`role::entry::EntryRole`]. The shell turns what
-//! it hears into the machine's events, and carries out the machine's actions.
-//! The bytes of a request and its answer never enter the machine: the shell
-//! holds them, and the machine says which go where.
+//! Every decision is made by the state machine [`role::entry::EntryRole`], which
+//! does no I/O. The driver in this crate turns what it receives into events of
+//! the state machine, and runs the actions that the state machine returns. The
+//! bytes of a request and its answer never enter the state machine: the driver
+//! holds them, and the actions say where they go.
 //!
 //! Invariants:
 //!
-//! - An answer ends cleanly only if the machine said that it is whole and every
-//!   unit of it was queued for the caller in order. All else ends with an error.
-//! - A caller that is gone is told to the machine at once, by a guard that the
-//!   HTTP library drops with the connection.
-//! - The reader of a link never waits for a caller: between them is a bounded
-//!   queue, and over its bound that one request is broken off.
-//! - No lock is held across an await, nor while the machine is called.
+//! - A response ends cleanly only if the state machine reported it complete and
+//!   every unit of it was queued for the caller in order. Otherwise it ends with
+//!   an error.
+//! - The state machine learns at once that a caller has disconnected, from a
+//!   guard that the HTTP library drops with the connection.
+//! - The task that reads a link never waits for a caller: between them is a
+//!   bounded queue, and a request whose queue overflows is aborted.
+//! - No lock is held across an await, nor while the state machine is called.
 
+mod active_requests;
 mod backoff;
-mod calls;
+mod driver;
 mod http;
 mod links;
 mod metrics;
-mod node;
-mod operated;
-pub mod reply;
+mod operator_api;
+pub mod response_queue;
 mod start;
 
-pub use http::{StallTimeout, error_answer};
-pub use start::{EntryHandle, run, start, start_with};
+pub use http::{WriteTimeout, error_response};
+pub use start::{EntryHandle, run, start, start_with_platform};
--- a/crates/entry/src/links.rs
+++ b/crates/entry/src/links.rs
@@ -1,4 +1,5 @@
-//! Connections to agents and other entries.
+//! Links to agents and other entries: dialed ones, on which this process sends
+//! and agents answer, and accepted ones, on which other entries send.
 
 use base::prelude::*;
 use line::Recorder;
@@ -16,38 +17,38 @@
 use wire::{Greeted, Link, LinkReceiver, LinkSender, Listener, WireError};
 
 use crate::backoff::Backoff;
-use crate::metrics::Meters;
+use crate::metrics::ProcessMetrics;
 
-/// A link that lasted this long is taken for a good one: its end does not raise
-/// the time until the next try.
-const GOOD_LINK: Duration = Duration::from_secs(5);
+/// After a link that lasted this long, the backoff starts again with the shortest
+/// delay.
+const STABLE_LINK_DURATION: Duration = Duration::from_secs(5);
 
-/// Pause after the operating system could not accept a connection.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after the operating system could not accept a connection.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// The process that connections belong to.
-pub(crate) trait Host: Send + Sync {
-    /// Name of the process.
+/// What links need of the process that they belong to.
+pub(crate) trait LinkHandler: Send + Sync {
+    /// Id of the process.
     fn id(&self) -> &EntryId;
-    /// Its connections.
+    /// The links that it dials.
     fn links(&self) -> &Links;
-    /// Largest frame taken.
+    /// Largest frame that is accepted.
     fn frame_max_bytes(&self) -> u32;
-    /// The first frame of a connection.
+    /// The first frame sent on each link.
     fn hello(&self) -> Frame;
-    /// The time line.
+    /// Records events of the timeline, and follows the clocks of received frames.
     fn recorder(&self) -> &Recorder;
-    /// Counters.
-    fn meters(&self) -> &Meters;
-    /// Cancelled once the process ends.
+    /// Metrics counted outside the state machine.
+    fn metrics(&self) -> &ProcessMetrics;
+    /// Cancelled once the process has drained.
     fn exit(&self) -> &CancellationToken;
-    /// Where connections' tasks run.
+    /// The runtime on which the tasks of links run.
     fn runtime(&self) -> &Handle;
-    /// Tells the machine an event.
-    fn tell(&self, event: EntryEvent);
-    /// Tells the machine of a part of an answer. `scratch` is empty before and
-    /// after; its memory is used again for each part.
-    fn tell_part(
+    /// Passes an event to the state machine.
+    fn handle_event(&self, event: EntryEvent);
+    /// Passes a part of an answer to the state machine. `scratch` is empty before
+    /// and after; its memory is reused for each part.
+    fn handle_answer_part(
         &self,
         agent: &AgentId,
         answer: Answer,
@@ -55,109 +56,120 @@
     );
 }
 
-/// The connections this process keeps, by far end.
+/// The links that this process dials, by peer.
 #[derive(Debug)]
 pub(crate) struct Links {
-    by_peer: RwLock<HashMap<Peer, Kept>>,
-    next: AtomicU64,
+    by_peer: RwLock<HashMap<Peer, OutboundLink>>,
+    next_generation: AtomicU64,
     seed: u64,
 }
 
-/// One connection that is kept, whether up or not.
+/// A link that this process dials, whether it is up or not.
 #[derive(Debug)]
-struct Kept {
-    /// Tells a connection from an earlier one to the same far end.
-    number: u64,
+struct OutboundLink {
+    /// Distinguishes a link from earlier ones to the same peer.
+    generation: u64,
     address: String,
     sender: Option<LinkSender>,
     task: AbortHandle,
 }
 
-impl Drop for Kept {
+impl Drop for OutboundLink {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
 impl Links {
-    /// No connections.
+    /// No links; `seed` determines the jitter of their backoffs.
     pub(crate) fn new(seed: u64) -> Self {
         Self {
             by_peer: RwLock::new(HashMap::new()),
-            next: AtomicU64::new(0),
+            next_generation: AtomicU64::new(0),
             seed,
         }
     }
 
-    /// Keeps a connection to an address; one to another address is ended.
-    pub(crate) fn connect(&self, host: Arc<dyn Host>, peer: Peer, address: String) {
+    /// Dials an address and redials it whenever the link ends. An existing link
+    /// to another address of the same peer is ended.
+    pub(crate) fn connect(
+        &self,
+        handler: Arc<dyn LinkHandler>,
+        peer: Peer,
+        address: String,
+    ) {
         let mut by_peer = self.by_peer.write();
         let same = by_peer
             .get(&peer)
-            .is_some_and(|kept| kept.address == address);
+            .is_some_and(|link| link.address == address);
         if same {
             return;
         }
-        let number = self.next.fetch_add(1, Ordering::Relaxed);
-        let runtime = host.runtime().clone();
+        let generation = self.next_generation.fetch_add(1, Ordering::Relaxed);
+        let runtime = handler.runtime().clone();
         let dialer = Dialer {
-            host,
+            handler,
             peer: peer.clone(),
             address: address.clone(),
-            number,
+            generation,
         };
-        let backoff = Backoff::new(self.seed ^ number);
-        let task = runtime.spawn(dialer.keep(backoff)).abort_handle();
-        let kept = Kept {
-            number,
+        let backoff = Backoff::new(self.seed ^ generation);
+        let task = runtime.spawn(dialer.maintain(backoff)).abort_handle();
+        let link = OutboundLink {
+            generation,
             address,
             sender: None,
             task,
         };
-        by_peer.insert(peer, kept);
+        by_peer.insert(peer, link);
     }
 
-    /// Ends the connection to a far end.
+    /// Ends the link to a peer.
     pub(crate) fn disconnect(&self, peer: &Peer) {
         self.by_peer.write().remove(peer);
     }
 
-    /// Ends all connections at once.
-    pub(crate) fn cut(&self) {
+    /// Ends all links at once, without sending what is queued.
+    pub(crate) fn abort_all(&self) {
         self.by_peer.write().clear();
     }
 
-    /// Ends all connections, once what is queued has been sent or `wait` is over.
+    /// Ends all links once their queued frames are sent, or after `wait`.
     pub(crate) async fn close(&self, wait: Duration) {
-        let kept = std::mem::take(&mut *self.by_peer.write());
-        let flushed = kept
+        let link = std::mem::take(&mut *self.by_peer.write());
+        let flushed = link
             .values()
-            .filter_map(|kept| kept.sender.as_ref())
+            .filter_map(|link| link.sender.as_ref())
             .map(LinkSender::flushed);
-        // A far end that reads nothing must not keep this process from ending.
+        // A peer that does not read must not keep this process from ending.
         let _ = tokio::time::timeout(wait, futures::future::join_all(flushed)).await;
     }
 
-    /// The sending half of the connection to a far end, while it is up.
+    /// The sending half of the link to a peer, while it is up.
     pub(crate) fn sender(&self, peer: &Peer) -> Option<LinkSender> {
         self.by_peer.read().get(peer)?.sender.clone()
     }
 
-    /// Number of connections that are up.
-    pub(crate) fn up(&self) -> usize {
+    /// Number of dialed links that are up.
+    pub(crate) fn up_count(&self) -> usize {
         let by_peer = self.by_peer.read();
         by_peer
             .values()
-            .filter(|kept| kept.sender.is_some())
+            .filter(|link| link.sender.is_some())
             .count()
     }
 
-    /// Sets the sending half; false if the connection is no longer wanted.
-    fn set(&self, peer: &Peer, number: u64, sender: Option<LinkSender>) -> bool {
+    /// Sets the sending half; false if the link has been replaced or removed.
+    fn set_sender(
+        &self,
+        peer: &Peer,
+        generation: u64,
+        sender: Option<LinkSender>,
+    ) -> bool {
         let mut by_peer = self.by_peer.write();
         match by_peer.get_mut(peer) {
-            Some(kept) if kept.number == number => {
-                kept.sender = sender;
+            Some(link) if link.generation == generation => {
+                link.sender = sender;
                 true
             }
             _ => false,
@@ -165,28 +177,28 @@
     }
 }
 
-/// The task that keeps one connection.
+/// The task that dials one peer and keeps the link up.
 struct Dialer {
-    host: Arc<dyn Host>,
+    handler: Arc<dyn LinkHandler>,
     peer: Peer,
     address: String,
-    number: u64,
+    generation: u64,
 }
 
 impl Dialer {
-    async fn keep(self, mut backoff: Backoff) {
+    async fn maintain(self, mut backoff: Backoff) {
         loop {
             if let Ok(link) = self.dial().await {
-                let since = tokio::time::Instant::now();
-                if !self.carry(link).await {
+                let connected_at = tokio::time::Instant::now();
+                if !self.run_link(link).await {
                     return;
                 }
-                if since.elapsed() >= GOOD_LINK {
+                if connected_at.elapsed() >= STABLE_LINK_DURATION {
                     backoff.reset();
                 }
             }
             let peer = self.peer.clone();
-            self.host.tell(EntryEvent::LinkDown { peer });
+            self.handler.handle_event(EntryEvent::LinkDown { peer });
             tokio::time::sleep(backoff.next()).await;
         }
     }
@@ -194,70 +206,73 @@
     async fn dial(&self) -> Result<Greeted, WireError> {
         let address: SocketAddr =
             self.address.parse().map_err(|_| WireError::NoGreeting)?;
-        let max_bytes = self.host.frame_max_bytes();
+        let max_bytes = self.handler.frame_max_bytes();
         let link = wire::connect(address, max_bytes).await?;
-        let greeted = link.greet(self.host.hello()).await?;
-        // An address may have passed to another process since it was told.
-        // Frames meant for one agent would reach the upstream of another.
-        if peer_of(&greeted.hello).as_ref() != Some(&self.peer) {
+        let greeted = link.greet(self.handler.hello()).await?;
+        // The address may belong to another process by now. Frames meant for
+        // one agent would otherwise reach the upstream of another.
+        if peer_from_hello(&greeted.hello).as_ref() != Some(&self.peer) {
             return Err(WireError::NoGreeting);
         }
         Ok(greeted)
     }
 
-    /// Carries frames until the link ends; false if it is no longer wanted.
-    async fn carry(&self, link: Greeted) -> bool {
-        self.host.recorder().observe(link.clock_us);
-        let links = self.host.links();
-        if !links.set(&self.peer, self.number, Some(link.sender)) {
+    /// Runs an established link until it ends; false if the link has been replaced
+    /// or removed.
+    async fn run_link(&self, link: Greeted) -> bool {
+        self.handler.recorder().observe(link.clock_us);
+        let links = self.handler.links();
+        if !links.set_sender(&self.peer, self.generation, Some(link.sender)) {
             return false;
         }
-        log::info!("{}: link to {} is up", self.host.id(), self.peer);
-        self.host.tell(EntryEvent::LinkUp {
+        log::info!("{}: link to {} is up", self.handler.id(), self.peer);
+        self.handler.handle_event(EntryEvent::LinkUp {
             peer: self.peer.clone(),
             incarnation: Incarnation(link.hello.incarnation),
         });
-        read_all(&*self.host, &self.peer, link.receiver).await;
-        log::info!("{}: link to {} is down", self.host.id(), self.peer);
-        links.set(&self.peer, self.number, None)
+        read_frames(&*self.handler, &self.peer, link.receiver).await;
+        log::info!("{}: link to {} is down", self.handler.id(), self.peer);
+        links.set_sender(&self.peer, self.generation, None)
     }
 }
 
-/// Takes connections of other entries until the process ends.
-pub(crate) async fn accept(host: Arc<dyn Host>, listener: Listener) {
+/// Accepts links of other entries until the process has drained.
+pub(crate) async fn accept_inbound(handler: Arc<dyn LinkHandler>, listener: Listener) {
     loop {
         let accepted = tokio::select! {
-            () = host.exit().cancelled() => return,
+            () = handler.exit().cancelled() => return,
             accepted = listener.accept() => accepted,
         };
         match accepted {
             Ok(link) => {
-                host.runtime().spawn(read_inbound(Arc::clone(&host), link));
+                handler
+                    .runtime()
+                    .spawn(read_inbound(Arc::clone(&handler), link));
             }
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
 
-/// Reads what another entry sends on the link that it dialled.
-async fn read_inbound(host: Arc<dyn Host>, link: Link) {
-    let link = link.bounded(host.frame_max_bytes());
-    let Ok(link) = link.greet(host.hello()).await else {
-        host.meters().bad_frames.inc();
+/// Reads the frames that another entry sends on a link that it dialed.
+async fn read_inbound(handler: Arc<dyn LinkHandler>, link: Link) {
+    let link = link.bounded(handler.frame_max_bytes());
+    let Ok(link) = link.greet(handler.hello()).await else {
+        handler.metrics().bad_frames.inc();
         return;
     };
-    host.recorder().observe(link.clock_us);
-    let Some(peer @ Peer::Entry(_)) = peer_of(&link.hello) else {
-        host.meters().bad_frames.inc();
+    handler.recorder().observe(link.clock_us);
+    let Some(peer @ Peer::Entry(_)) = peer_from_hello(&link.hello) else {
+        handler.metrics().bad_frames.inc();
         return;
     };
     tokio::select! {
-        () = host.exit().cancelled() => {}
-        () = read_all(&*host, &peer, link.receiver) => {}
+        () = handler.exit().cancelled() => {}
+        () = read_frames(&*handler, &peer, link.receiver) => {}
     }
 }
 
-fn peer_of(hello: &Hello) -> Option<Peer> {
+fn peer_from_hello(hello: &Hello) -> Option<Peer> {
     match hello.kind.as_str() {
         "agent" => Some(Peer::Agent(AgentId::new(&hello.id))),
         "entry" => Some(Peer::Entry(EntryId::new(&hello.id))),
@@ -265,16 +280,20 @@
     }
 }
 
-/// Hands on frames until the link ends.
-async fn read_all(host: &dyn Host, peer: &Peer, mut receiver: LinkReceiver) {
+/// Passes the frames of a peer to the state machine until the link ends.
+async fn read_frames(
+    handler: &dyn LinkHandler,
+    peer: &Peer,
+    mut receiver: LinkReceiver,
+) {
     let mut scratch = Vec::new();
     loop {
         match receiver.recv().await {
-            Ok(Some(frame)) => take(host, peer, frame, &mut scratch),
+            Ok(Some(frame)) => handle_frame(handler, peer, frame, &mut scratch),
             Ok(None) => return,
-            Err(fault) => {
-                if fault.code() == Code::BadFrame {
-                    host.meters().bad_frames.inc();
+            Err(error) => {
+                if error.code() == Code::BadFrame {
+                    handler.metrics().bad_frames.inc();
                 }
                 return;
             }
@@ -282,19 +301,24 @@
     }
 }
 
-fn take(host: &dyn Host, peer: &Peer, frame: Frame, scratch: &mut Vec<EntryAction>) {
-    host.recorder().observe(frame.clock_us);
+fn handle_frame(
+    handler: &dyn LinkHandler,
+    peer: &Peer,
+    frame: Frame,
+    scratch: &mut Vec<EntryAction>,
+) {
+    handler.recorder().observe(frame.clock_us);
     let revision = Revision(frame.revision);
     match (frame.body, peer) {
         (Some(frame::Body::Answer(answer)), Peer::Agent(agent)) => {
-            host.tell_part(agent, answer, scratch);
+            handler.handle_answer_part(agent, answer, scratch);
         }
-        (Some(body), _) => host.tell(EntryEvent::Frame {
+        (Some(body), _) => handler.handle_event(EntryEvent::Frame {
             peer: peer.clone(),
             revision,
             body,
         }),
-        // A kind of frame from a later version of the schema.
-        (None, _) => host.meters().bad_frames.inc(),
+        // A frame type that a later version of the schema added.
+        (None, _) => handler.metrics().bad_frames.inc(),
     }
 }
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -1,4 +1,5 @@
-//! Metrics of the shell, besides those of the machine.
+//! Metrics of the entry process in the text format of Prometheus: those counted
+//! by the driver and those read from the state machine.
 
 use base::Revision;
 use oper::ProcessUsage;
@@ -7,35 +8,35 @@
 use prometheus::{IntCounter, IntCounterVec, IntGauge, Opts, Registry, TextEncoder};
 use role::entry::{DecisionCount, EntryCounters, ProfileOutcomes, RefusalCount};
 
-use crate::reply::Broken;
+use crate::response_queue::AbortReason;
 
 /// A counter of bytes or events.
 type Counter = GenericCounter<AtomicU64>;
 
-/// What the shell counts.
+/// Metrics that the driver counts.
 #[derive(Debug)]
-pub(crate) struct Meters {
+pub(crate) struct ProcessMetrics {
     registry: Registry,
-    /// Requests refused before the machine saw them.
-    pub(crate) faults: Counter,
-    /// Bytes of bodies received from callers.
+    /// Requests rejected before the state machine received them.
+    pub(crate) rejected_requests: Counter,
+    /// Bytes of request bodies received from callers.
     pub(crate) received_bytes: Counter,
-    /// Bytes of answers delivered towards callers.
+    /// Bytes of answers queued for callers.
     pub(crate) delivered_bytes: Counter,
     /// Open connections of callers.
     pub(crate) connections: IntGauge,
-    /// Connections of callers since the start.
-    pub(crate) accepted: Counter,
+    /// Connections of callers accepted since the start.
+    pub(crate) accepted_connections: Counter,
     /// Frames that could not be queued on a link.
     pub(crate) unsent_frames: Counter,
-    /// Frames and greetings that could not be read.
+    /// Frames and handshakes that could not be decoded.
     pub(crate) bad_frames: Counter,
-    too_slow: Counter,
-    misfits: Counter,
+    slow_callers: Counter,
+    invalid_parts: Counter,
 }
 
-impl Meters {
-    /// Counters at zero.
+impl ProcessMetrics {
+    /// Registers all counters, at zero.
     pub(crate) fn new() -> Self {
         let registry = Registry::new();
         let counter = |name, help| {
@@ -53,7 +54,7 @@
             .register(Box::new(connections.clone()))
             .expect("each name is registered once");
         Self {
-            faults: counter(
+            rejected_requests: counter(
                 "sesame_entry_faults_total",
                 "Requests refused before the machine saw them.",
             ),
@@ -66,7 +67,7 @@
                 "Bytes of answers delivered towards callers.",
             ),
             connections,
-            accepted: counter(
+            accepted_connections: counter(
                 "sesame_entry_accepted_connections_total",
                 "Connections of callers.",
             ),
@@ -78,11 +79,11 @@
                 "sesame_entry_bad_frames_total",
                 "Frames and greetings that could not be read.",
             ),
-            too_slow: counter(
+            slow_callers: counter(
                 "sesame_entry_slow_callers_total",
                 "Answers broken off because the caller read too slowly.",
             ),
-            misfits: counter(
+            invalid_parts: counter(
                 "sesame_entry_misfit_parts_total",
                 "Answers broken off because a part did not fit.",
             ),
@@ -90,195 +91,209 @@
         }
     }
 
-    /// Counts an answer that was broken off here.
-    pub(crate) fn broken(&self, broken: Broken) {
-        match broken {
-            Broken::CallerTooSlow => self.too_slow.inc(),
-            Broken::PartDoesNotFit => self.misfits.inc(),
+    /// Counts a response that this process aborted.
+    pub(crate) fn count_abort(&self, reason: AbortReason) {
+        match reason {
+            AbortReason::CallerTooSlow => self.slow_callers.inc(),
+            AbortReason::InvalidPart => self.invalid_parts.inc(),
         }
     }
 }
 
 /// All metrics in the text format of Prometheus.
-pub(crate) fn text(meters: &Meters, seen: &Seen) -> String {
-    let mut families = meters.registry.gather();
-    let counters = &seen.counters;
-    families.extend(TOTALS.iter().flat_map(|line| counter_family(line, seen)));
-    families.extend(GAUGES.iter().flat_map(|line| gauge_family(line, seen)));
+pub(crate) fn render(metrics: &ProcessMetrics, snapshot: &MetricsSnapshot) -> String {
+    let mut families = metrics.registry.gather();
+    let counters = &snapshot.counters;
+    families.extend(
+        COUNTERS
+            .iter()
+            .flat_map(|definition| counter_family(definition, snapshot)),
+    );
+    families.extend(
+        GAUGES
+            .iter()
+            .flat_map(|definition| gauge_family(definition, snapshot)),
+    );
     families.extend(refused_family(&counters.refused));
     families.extend(profile_families(&counters.profiles));
     families.extend(decision_family(&counters.decisions));
-    // The encoder refuses all of them for one family without a value.
+    // The encoder rejects all families if one has no value.
     families.retain(|family| !family.get_metric().is_empty());
     TextEncoder::new()
         .encode_to_string(&families)
         .unwrap_or_default()
 }
 
-/// What else the metrics are read from.
+/// Values from the rest of the process at the time of a scrape.
 #[derive(Debug)]
-pub(crate) struct Seen {
-    /// The machine's counters.
+pub(crate) struct MetricsSnapshot {
+    /// Counters of the state machine.
     pub(crate) counters: EntryCounters,
-    /// Links that are up.
+    /// Dialed links that are up.
     pub(crate) links_up: usize,
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub(crate) in_progress: usize,
-    /// Configuration in force.
+    /// Revision of the configuration in force.
     pub(crate) revision: Revision,
-    /// Whether the process takes work.
+    /// Whether the process accepts requests.
     pub(crate) ready: bool,
-    /// What the process uses.
+    /// Processor time and memory of the process.
     pub(crate) process: ProcessUsage,
 }
 
-/// One metric without labels.
+/// A metric without labels, and how its value is read.
 #[derive(Debug)]
-struct Line {
+struct MetricDefinition {
     name: &'static str,
     help: &'static str,
-    value: fn(&Seen) -> f64,
+    value: fn(&MetricsSnapshot) -> f64,
 }
 
 /// Counts since the start of the process.
-const TOTALS: &[Line] = &[
-    Line {
+const COUNTERS: &[MetricDefinition] = &[
+    MetricDefinition {
         name: "sesame_entry_requests_total",
         help: "Requests that arrived.",
-        value: |seen| seen.counters.arrived as f64,
+        value: |snapshot| snapshot.counters.arrived as f64,
     },
-    Line {
+    MetricDefinition {
         name: "sesame_entry_finished_total",
         help: "Requests whose whole answer was given.",
-        value: |seen| seen.counters.finished as f64,
+        value: |snapshot| snapshot.counters.finished as f64,
     },
-    Line {
+    MetricDefinition {
         name: "sesame_entry_cancelled_total",
         help: "Requests whose caller went away.",
-        value: |seen| seen.counters.cancelled as f64,
+        value: |snapshot| snapshot.counters.cancelled as f64,
     },
-    Line {
+    MetricDefinition {
         name: "sesame_entry_sent_total",
         help: "Runs sent to agents.",
-        value: |seen| seen.counters.sent as f64,
+        value: |snapshot| snapshot.counters.sent as f64,
     },
-    Line {
+    MetricDefinition {
         name: "sesame_entry_refused_by_gate_total",
         help: "Refusals by agents' gates.",
-        value: |seen| seen.counters.refused_by_gate as f64,
+        value: |snapshot| snapshot.counters.refused_by_gate as f64,
     },
-    Line {
+    MetricDefinition {
         name: "sesame_entry_retried_total",
         help: "Attempts made again after a failure.",
-        value: |seen| seen.counters.retried as f64,
+        value: |snapshot| snapshot.counters.retried as f64,
     },
-    Line {
+    MetricDefinition {
         name: "sesame_entry_resumed_total",
         help: "Answers continued on another upstream.",
-        value: |seen| seen.counters.resumed as f64,
+        value: |snapshot| snapshot.counters.resumed as f64,
     },
-    Line {
+    MetricDefinition {
         name: "sesame_entry_revoked_total",
         help: "Attempts revoked because an answer was missing.",
-        value: |seen| seen.counters.revoked as f64,
+        value: |snapshot| snapshot.counters.revoked as f64,
     },
-    Line {
+    MetricDefinition {
         name: "sesame_entry_stray_frames_total",
         help: "Frames dropped as late, doubled or of another attempt.",
-        value: |seen| seen.counters.stray_frames as f64,
+        value: |snapshot| snapshot.counters.stray_frames as f64,
     },
-    Line {
+    MetricDefinition {
         name: "sesame_entry_retries_denied_total",
         help: "Retries not made because the budget was used up.",
-        value: |seen| seen.counters.retries_denied as f64,
+        value: |snapshot| snapshot.counters.retries_denied as f64,
     },
-    Line {
+    MetricDefinition {
         name: "sesame_entry_targets_total",
         help: "Targets sent to agents.",
-        value: |seen| seen.counters.targets_sent as f64,
+        value: |snapshot| snapshot.counters.targets_sent as f64,
     },
-    Line {
+    MetricDefinition {
         name: "sesame_entry_plans_total",
         help: "Plans made.",
-        value: |seen| seen.counters.plans as f64,
+        value: |snapshot| snapshot.counters.plans as f64,
     },
-    Line {
+    MetricDefinition {
         name: "sesame_entry_config_rejected_total",
         help: "Configuration changes that could not be applied.",
-        value: |seen| seen.counters.config_rejected as f64,
+        value: |snapshot| snapshot.counters.config_rejected as f64,
     },
-    Line {
+    MetricDefinition {
         name: "sesame_entry_platform_away_total",
         help: "Calls that the platform did not answer.",
-        value: |seen| seen.counters.platform_away as f64,
+        value: |snapshot| snapshot.counters.platform_away as f64,
     },
-    Line {
+    MetricDefinition {
         name: "process_cpu_seconds_total",
         help: "Processor time used.",
-        value: |seen| seen.process.cpu_s,
+        value: |snapshot| snapshot.process.cpu_s,
     },
 ];
 
-/// Measures of the present.
-const GAUGES: &[Line] = &[
-    Line {
+/// Current values.
+const GAUGES: &[MetricDefinition] = &[
+    MetricDefinition {
         name: "sesame_entry_waiting",
         help: "Requests that wait for a model or an upstream.",
-        value: |seen| seen.counters.waiting as f64,
+        value: |snapshot| snapshot.counters.waiting as f64,
     },
-    Line {
+    MetricDefinition {
         name: "sesame_entry_running",
         help: "Requests with an attempt in flight.",
-        value: |seen| seen.counters.running as f64,
+        value: |snapshot| snapshot.counters.running as f64,
     },
-    Line {
+    MetricDefinition {
         name: "sesame_entry_agents_up",
         help: "Agents that may be sent work.",
-        value: |seen| seen.counters.agents_up as f64,
+        value: |snapshot| snapshot.counters.agents_up as f64,
     },
-    Line {
+    MetricDefinition {
         name: "sesame_entry_agents_known",
         help: "Agents known.",
-        value: |seen| seen.counters.agents_known as f64,
+        value: |snapshot| snapshot.counters.agents_known as f64,
     },
-    Line {
+    MetricDefinition {
         name: "sesame_entry_links_up",
         help: "Links that are up.",
-        value: |seen| seen.links_up as f64,
+        value: |snapshot| snapshot.links_up as f64,
     },
-    Line {
+    MetricDefinition {
         name: "sesame_entry_in_progress",
         help: "Requests in progress.",
-        value: |seen| seen.in_progress as f64,
+        value: |snapshot| snapshot.in_progress as f64,
     },
-    Line {
+    MetricDefinition {
         name: "sesame_entry_revision",
         help: "Configuration revision in force.",
-        value: |seen| seen.revision.0 as f64,
+        value: |snapshot| snapshot.revision.0 as f64,
     },
-    Line {
+    MetricDefinition {
         name: "sesame_entry_ready",
         help: "1 if the process takes work.",
-        value: |seen| f64::from(u8::from(seen.ready)),
+        value: |snapshot| f64::from(u8::from(snapshot.ready)),
     },
-    Line {
+    MetricDefinition {
         name: "process_resident_memory_bytes",
         help: "Resident memory.",
-        value: |seen| seen.process.resident_bytes as f64,
+        value: |snapshot| snapshot.process.resident_bytes as f64,
     },
 ];
 
-fn counter_family(line: &Line, seen: &Seen) -> Vec<MetricFamily> {
-    let counter = prometheus::Counter::new(line.name, line.help);
+fn counter_family(
+    definition: &MetricDefinition,
+    snapshot: &MetricsSnapshot,
+) -> Vec<MetricFamily> {
+    let counter = prometheus::Counter::new(definition.name, definition.help);
     let counter = counter.expect("the names are valid");
-    counter.inc_by((line.value)(seen));
+    counter.inc_by((definition.value)(snapshot));
     counter.collect()
 }
 
-fn gauge_family(line: &Line, seen: &Seen) -> Vec<MetricFamily> {
-    let gauge = prometheus::Gauge::new(line.name, line.help);
+fn gauge_family(
+    definition: &MetricDefinition,
+    snapshot: &MetricsSnapshot,
+) -> Vec<MetricFamily> {
+    let gauge = prometheus::Gauge::new(definition.name, definition.help);
     let gauge = gauge.expect("the names are valid");
-    gauge.set((line.value)(seen));
+    gauge.set((definition.value)(snapshot));
     gauge.collect()
 }
 
@@ -288,55 +303,55 @@
         "Requests refused or failed, by code.",
     );
     let family = IntCounterVec::new(opts, &["code"]).expect("the name is valid");
-    for held in refused {
+    for refusal in refused {
         family
-            .with_label_values(&[held.code.name()])
-            .inc_by(held.count);
+            .with_label_values(&[refusal.code.name()])
+            .inc_by(refusal.count);
     }
     family.collect()
 }
 
-/// One count of the work of a profile.
-type OfProfile = fn(&ProfileOutcomes) -> u64;
+/// Reads one count from the outcomes of a profile.
+type ProfileCount = fn(&ProfileOutcomes) -> u64;
 
-/// Counts of the work of each profile.
-const PROFILE_TOTALS: &[(&str, &str, OfProfile)] = &[
+/// Counters with the label `profile`: name, help text and value.
+const PROFILE_COUNTERS: &[(&str, &str, ProfileCount)] = &[
     (
         "sesame_entry_profile_finished_total",
         "Whole answers, by profile.",
-        |held| held.finished,
+        |outcomes| outcomes.finished,
     ),
     (
         "sesame_entry_profile_attained_total",
         "Whole answers that met their profile's expectation, by profile.",
-        |held| held.attained,
+        |outcomes| outcomes.attained,
     ),
     (
         "sesame_entry_profile_first_unit_late_total",
         "Whole answers whose first unit came late, by profile.",
-        |held| held.first_unit_late,
+        |outcomes| outcomes.first_unit_late,
     ),
     (
         "sesame_entry_profile_between_units_late_total",
         "Whole answers whose units came too far apart, by profile.",
-        |held| held.between_units_late,
+        |outcomes| outcomes.between_units_late,
     ),
     (
         "sesame_entry_profile_refused_total",
         "Requests that got no whole answer, by profile.",
-        |held| held.refused,
+        |outcomes| outcomes.refused,
     ),
 ];
 
 fn profile_families(profiles: &[ProfileOutcomes]) -> Vec<MetricFamily> {
     let mut families = Vec::new();
-    for (name, help, value) in PROFILE_TOTALS {
+    for (name, help, value) in PROFILE_COUNTERS {
         let opts = Opts::new(*name, *help);
         let family = IntCounterVec::new(opts, &["profile"]).expect("the name is valid");
-        for held in profiles {
+        for outcomes in profiles {
             family
-                .with_label_values(&[held.profile.as_str()])
-                .inc_by(value(held));
+                .with_label_values(&[outcomes.profile.as_str()])
+                .inc_by(value(outcomes));
         }
         families.extend(family.collect());
     }
@@ -350,10 +365,10 @@
     );
     let family =
         IntCounterVec::new(opts, &["decision", "reason"]).expect("the name is valid");
-    for held in decisions {
+    for decision in decisions {
         family
-            .with_label_values(&[held.decision, held.reason])
-            .inc_by(held.count);
+            .with_label_values(&[decision.decision, decision.reason])
+            .inc_by(decision.count);
     }
     family.collect()
 }
--- a/crates/entry/src/start.rs
+++ b/crates/entry/src/start.rs
@@ -1,4 +1,4 @@
-//! Starting and ending the process.
+//! Startup and shutdown of the process.
 
 use base::prelude::*;
 use line::Recorder;
@@ -16,83 +16,83 @@
 use wire::Listener;
 use xxhash_rust::xxh3::xxh3_64;
 
+use crate::driver::Driver;
 use crate::http::CallerServer;
 use crate::links;
-use crate::node::Node;
-use crate::operated::OperatedEntry;
+use crate::operator_api::EntryOperatorApi;
 
-/// Longest wait, once drained, for the last bytes to reach callers and links.
+/// Longest time after the drain for the last bytes to reach callers and peers.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Low bits of an incarnation that come from the process's name.
-const NAME_BITS: u32 = 12;
+/// Low bits of an incarnation that hold a hash of the process's id.
+const ID_HASH_BITS: u32 = 12;
 
 /// A running entry.
 #[derive(Debug)]
 pub struct EntryHandle {
-    /// Address on which callers are served.
+    /// Address on which callers are served over HTTP.
     pub caller_address: SocketAddr,
-    /// Address on which other entries connect.
+    /// Address on which links of other entries are accepted.
     pub link_address: SocketAddr,
-    /// Address for operators.
+    /// Address of the operators' listener.
     pub operator_address: SocketAddr,
-    node: Arc<Node>,
-    done: JoinHandle<()>,
+    driver: Arc<Driver>,
+    task: JoinHandle<()>,
 }
 
 impl EntryHandle {
-    /// Starts to drain; a second call changes nothing.
+    /// Starts draining; a second call has no effect.
     pub fn drain(&self) {
-        self.node.tell(EntryEvent::Drain);
+        self.driver.handle_event(EntryEvent::Drain);
     }
 
-    /// Whether the process takes work.
+    /// Whether the process accepts requests.
     pub fn is_ready(&self) -> bool {
-        self.node.is_ready()
+        self.driver.is_ready()
     }
 
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub fn in_progress(&self) -> usize {
-        self.node.calls().len()
+        self.driver.active_requests().len()
     }
 
     /// Waits until the process has drained and closed its connections.
     pub async fn finished(self) {
-        // The task ends by itself; a panic in it has been reported.
-        let _ = self.done.await;
+        // An error means that the task panicked, which the panic hook reported.
+        let _ = self.task.await;
     }
 
-    /// Ends the process at once, as a crash would: links and callers'
-    /// connections are cut without a word.
+    /// Ends the entry at once, as a crash would: links and callers' connections
+    /// are closed without draining.
     pub fn abort(self) {
-        self.node.exit().cancel();
-        self.node.links().cut();
-        self.done.abort();
+        self.driver.exit().cancel();
+        self.driver.links().abort_all();
+        self.task.abort();
     }
 }
 
-/// Runs an entry until it has drained, which `shutdown` asks for.
+/// Runs an entry until it has drained. The drain starts when `shutdown` completes.
 ///
 /// # Errors
 ///
-/// An address of the settings can't be read or bound.
+/// An address in the settings is invalid or can't be bound.
 pub async fn run(
     settings: EntrySettings,
     shutdown: impl Future<Output = ()> + Send,
 ) -> Result<(), StartError> {
     let mut shutdown = pin!(shutdown);
-    // Polled before anything is started: waiting for a signal installs its
-    // handler then. A signal that came between the first line of the log and
-    // the handler would kill the process without a goodbye.
+    // Polled before anything is started, as the first poll installs the signal
+    // handlers. Without them, a signal that arrives after the first log line
+    // would kill the process without a drain.
     let entry = tokio::select! {
         biased;
         () = shutdown.as_mut() => return Ok(()),
         entry = start(settings) => entry?,
     };
-    let node = Arc::clone(&entry.node);
+    let driver = Arc::clone(&entry.driver);
     tokio::select! {
-        () = shutdown => node.tell(EntryEvent::Drain),
-        () = node.exit().cancelled() => {}
+        () = shutdown => driver.handle_event(EntryEvent::Drain),
+        () = driver.exit().cancelled() => {}
     }
     entry.finished().await;
     Ok(())
@@ -105,33 +105,33 @@
 /// As for [`run`].
 pub async fn start(settings: EntrySettings) -> Result<EntryHandle, StartError> {
     let platform = parse_address("platform", &settings.platform)?;
-    start_with(settings, Arc::new(HttpPlatform::new(platform))).await
+    start_with_platform(settings, Arc::new(HttpPlatform::new(platform))).await
 }
 
-/// Starts an entry on another platform than the one of its settings.
+/// Starts an entry that uses `platform` instead of the address in its settings.
 ///
 /// # Errors
 ///
 /// As for [`run`].
-pub async fn start_with(
+pub async fn start_with_platform(
     settings: EntrySettings,
     platform: Arc<dyn ObjectApi>,
 ) -> Result<EntryHandle, StartError> {
-    let callers = listen("caller_listen", &settings.caller_listen).await?;
-    let operators = listen("operator_listen", &settings.operator_listen).await?;
+    let callers = bind_listener("caller_listen", &settings.caller_listen).await?;
+    let operators = bind_listener("operator_listen", &settings.operator_listen).await?;
     let links = parse_address("link_listen", &settings.link_listen)?;
     let links = Listener::bind(links, wire::FRAME_MAX_BYTES)
         .await
         .context(BindLinkListenerSnafu)?;
     let link_address = links.local_addr().context(BindLinkListenerSnafu)?;
-    let operator_address = bound("operator_listen", &operators)?;
-    let caller_address = bound("caller_listen", &callers)?;
+    let operator_address = local_address("operator_listen", &operators)?;
+    let caller_address = local_address("caller_listen", &callers)?;
 
     let clock = Clock::start();
-    let options = options(&settings, &clock, link_address, operator_address);
+    let options = entry_options(&settings, &clock, link_address, operator_address);
     let recorder = Recorder::new(&settings.id, settings.timeline_events as usize);
-    let node = Node::new(options, clock, platform, recorder);
-    node.begin();
+    let driver = Driver::new(options, clock, platform, recorder);
+    driver.start();
     log::info!("{}: serves callers on {caller_address}", settings.id);
     let listeners = Listeners {
         callers,
@@ -142,12 +142,12 @@
         caller_address,
         link_address,
         operator_address,
-        done: tokio::spawn(listeners.serve(Arc::clone(&node))),
-        node,
+        task: tokio::spawn(listeners.serve(Arc::clone(&driver))),
+        driver,
     })
 }
 
-/// The three listeners.
+/// The three listeners of an entry.
 struct Listeners {
     callers: TcpListener,
     links: Listener,
@@ -155,22 +155,25 @@
 }
 
 impl Listeners {
-    /// Serves until the process has drained.
-    async fn serve(self, node: Arc<Node>) {
-        let operated = Arc::new(OperatedEntry::new(Arc::clone(&node)));
-        // Both end when the set is dropped, also if this future is.
-        let mut beside = JoinSet::new();
-        beside.spawn(oper::serve(self.operators, operated));
-        beside.spawn(links::accept(Arc::new(Arc::clone(&node)), self.links));
-        let callers = CallerServer::new(Arc::clone(&node));
+    /// Serves until the process has drained, then closes all connections.
+    async fn serve(self, driver: Arc<Driver>) {
+        let operator_api = Arc::new(EntryOperatorApi::new(Arc::clone(&driver)));
+        // Dropping the set aborts both tasks, also when this future is dropped.
+        let mut background = JoinSet::new();
+        background.spawn(oper::serve(self.operators, operator_api));
+        background.spawn(links::accept_inbound(
+            Arc::new(Arc::clone(&driver)),
+            self.links,
+        ));
+        let callers = CallerServer::new(Arc::clone(&driver));
         callers.accept(self.callers).await;
-        log::info!("{}: drained", node.id());
+        log::info!("{}: drained", driver.id());
         callers.close(CLOSE_TIMEOUT).await;
-        node.links().close(CLOSE_TIMEOUT).await;
+        driver.links().close(CLOSE_TIMEOUT).await;
     }
 }
 
-fn options(
+fn entry_options(
     settings: &EntrySettings,
     clock: &Clock,
     link_address: SocketAddr,
@@ -180,7 +183,7 @@
     let peers = settings
         .peers
         .iter()
-        .map(|(name, address)| (EntryId::new(name), address.clone()));
+        .map(|(id, address)| (EntryId::new(id), address.clone()));
     let seed = match settings.seed {
         0 => incarnation.0,
         seed => seed,
@@ -198,23 +201,30 @@
     }
 }
 
-/// This run of the process: its start time, with some bits of its name.
+/// Incarnation of this run of the process: its start time, with some bits of a
+/// hash of its id.
 ///
-/// Attempts carry the incarnation alone. Two entries started in the same
-/// microsecond would otherwise give out the same attempt names, and an agent
-/// would take one's `Cancel` for the other's.
+/// Attempt ids contain the incarnation but not the entry's id. Without the hash,
+/// two entries started in the same microsecond would use the same attempt ids,
+/// and an agent would apply the `Cancel` of one to an attempt of the other.
 fn incarnation(id: &str, clock: &Clock) -> Incarnation {
-    let name = xxh3_64(id.as_bytes()) >> (u64::BITS - NAME_BITS);
-    Incarnation((clock.unix_us_at_zero() << NAME_BITS) | name)
+    let id_hash = xxh3_64(id.as_bytes()) >> (u64::BITS - ID_HASH_BITS);
+    Incarnation((clock.unix_us_at_zero() << ID_HASH_BITS) | id_hash)
 }
 
-async fn listen(key: &'static str, text: &str) -> Result<TcpListener, StartError> {
+async fn bind_listener(
+    key: &'static str,
+    text: &str,
+) -> Result<TcpListener, StartError> {
     let address = parse_address(key, text)?;
     TcpListener::bind(address)
         .await
         .context(BindListenerSnafu { key })
 }
 
-fn bound(key: &'static str, listener: &TcpListener) -> Result<SocketAddr, StartError> {
+fn local_address(
+    key: &'static str,
+    listener: &TcpListener,
+) -> Result<SocketAddr, StartError> {
     listener.local_addr().context(BindListenerSnafu { key })
 }
--- a/crates/entry/tests/all.rs
+++ b/crates/entry/tests/all.rs
@@ -1,5 +1,5 @@
-//! Tests of the entry's process on loopback, with stand-ins for agents and the
-//! platform in the test's own process.
+//! Tests of the entry process over loopback connections, with fake agents and a
+//! fake platform in the test's own process.
 
 mod cases;
 mod support;
--- a/crates/entry/tests/cases/errors.rs
+++ b/crates/entry/tests/cases/errors.rs
@@ -1,27 +1,27 @@
-//! What callers are told when there is no whole answer.
+//! Error responses to requests that are refused or fail.
 
-use crate::support::caller::{Whole, call, post};
+use crate::support::caller::{ReceivedResponse, fetch, post};
+use crate::support::harness::{Harness, start_entry};
 use crate::support::platform::MemoryPlatform;
-use crate::support::rig::{Rig, start_entry};
 use base::{Code, Ran, Refusal, RequestId};
 use bytes::Bytes;
-use entry::error_answer;
+use entry::error_response;
 use http_body_util::Full;
 use hyper::{Method, Request};
 use std::sync::Arc;
 
 const PROMPT: &str = r#"{"prompt":"x"}"#;
 
-/// Holds an error answer to the documented shape.
-fn assert_error(what: &str, whole: &Whole, code: Code, ran: Ran) {
-    let json = whole.json();
+/// Checks that an error response has the documented format.
+fn assert_error(what: &str, response: &ReceivedResponse, code: Code, ran: Ran) {
+    let json = response.json();
     let error = &json["error"];
     assert_eq!(error["code"], code.number(), "{what}: {json}");
     assert_eq!(error["name"], code.name(), "{what}");
     assert_eq!(error["ran"], ran.as_str(), "{what}");
-    assert_eq!(whole.status, code.http_status(), "{what}");
-    assert_eq!(whole.header("content-type"), Some("application/json"));
-    assert_eq!(error["request"].as_str(), whole.header("x-request-id"));
+    assert_eq!(response.status, code.http_status(), "{what}");
+    assert_eq!(response.header("content-type"), Some("application/json"));
+    assert_eq!(error["request"].as_str(), response.header("x-request-id"));
     assert!(
         error["message"]
             .as_str()
@@ -30,11 +30,11 @@
     let seconds = error["retry_after_ms"]
         .as_u64()
         .map(|ms| ms.div_ceil(1_000).to_string());
-    assert_eq!(whole.header("retry-after"), seconds.as_deref(), "{what}");
+    assert_eq!(response.header("retry-after"), seconds.as_deref(), "{what}");
 }
 
-/// One request that the entry refuses by itself.
-struct Refused {
+/// A request that the entry rejects without an agent.
+struct Rejected {
     what: &'static str,
     method: Method,
     path: &'static str,
@@ -43,7 +43,7 @@
     code: Code,
 }
 
-impl Refused {
+impl Rejected {
     const fn post(
         what: &'static str,
         path: &'static str,
@@ -86,89 +86,89 @@
     }
 }
 
-fn refused() -> Vec<Refused> {
+fn rejected_requests() -> Vec<Rejected> {
     let completions = "/v1/completions";
     let bad = Code::BadRequest;
     let path = Code::UnknownPath;
     vec![
-        Refused::post("no JSON", completions, "prompt", bad),
-        Refused::post("no object", completions, "[]", bad),
-        Refused::post("no prompt", completions, "{}", bad),
-        Refused::post("no messages", "/v1/chat/completions", PROMPT, bad),
-        Refused::post("twice", completions, r#"{"prompt":1,"prompt":2}"#, bad),
-        Refused::post("stream", completions, r#"{"prompt":1,"stream":1}"#, bad),
-        Refused::post("n", completions, r#"{"prompt":1,"n":2}"#, bad),
-        Refused::post("model", completions, r#"{"prompt":1,"model":7}"#, bad),
-        Refused::post("path", "/v1/nothing", "", path),
-        Refused::post("root", "/", "", path),
-        Refused::post("no service named", "/svc/", "", path),
-        Refused {
+        Rejected::post("no JSON", completions, "prompt", bad),
+        Rejected::post("no object", completions, "[]", bad),
+        Rejected::post("no prompt", completions, "{}", bad),
+        Rejected::post("no messages", "/v1/chat/completions", PROMPT, bad),
+        Rejected::post("twice", completions, r#"{"prompt":1,"prompt":2}"#, bad),
+        Rejected::post("stream", completions, r#"{"prompt":1,"stream":1}"#, bad),
+        Rejected::post("n", completions, r#"{"prompt":1,"n":2}"#, bad),
+        Rejected::post("model", completions, r#"{"prompt":1,"model":7}"#, bad),
+        Rejected::post("path", "/v1/nothing", "", path),
+        Rejected::post("root", "/", "", path),
+        Rejected::post("no service named", "/svc/", "", path),
+        Rejected {
             method: Method::GET,
-            ..Refused::post("method", completions, "", path)
+            ..Rejected::post("method", completions, "", path)
         },
-        Refused::post("service", "/svc/nothing/x", "", Code::UnknownService),
-        Refused::post(
+        Rejected::post("service", "/svc/nothing/x", "", Code::UnknownService),
+        Rejected::post(
             "model",
             completions,
             r#"{"prompt":1,"model":"nothing"}"#,
             Code::UnknownModel,
         ),
-        Refused::post(
+        Rejected::post(
             "model of another profile",
             completions,
             r#"{"prompt":1,"model":"other"}"#,
             Code::UnknownProfile,
         ),
-        Refused::with("profile", &[("x-profile", "none")], Code::UnknownProfile),
-        Refused::with(
+        Rejected::with("profile", &[("x-profile", "none")], Code::UnknownProfile),
+        Rejected::with(
             "caller",
             &[("authorization", "Bearer none")],
             Code::UnknownCaller,
         ),
-        Refused::with(
+        Rejected::with(
             "scheme",
             &[("authorization", "Basic press-key")],
             Code::UnknownCaller,
         ),
-        Refused::with("deadline", &[("x-deadline-ms", "soon")], Code::BadDeadline),
-        Refused::with("deadline", &[("x-deadline-ms", "-1")], Code::BadDeadline),
-        Refused::with("deadline", &[("x-deadline-ms", "0")], Code::BadDeadline),
-        Refused::with("key", &[("idempotency-key", "")], bad),
+        Rejected::with("deadline", &[("x-deadline-ms", "soon")], Code::BadDeadline),
+        Rejected::with("deadline", &[("x-deadline-ms", "-1")], Code::BadDeadline),
+        Rejected::with("deadline", &[("x-deadline-ms", "0")], Code::BadDeadline),
+        Rejected::with("key", &[("idempotency-key", "")], bad),
     ]
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn requests_that_the_entry_refuses_were_not_run() {
-    let rig = Rig::start().await;
-    for case in refused() {
-        let whole = call(rig.entry.caller_address, case.request()).await;
-        assert_error(case.what, &whole, case.code, Ran::NotRun);
+    let harness = Harness::start().await;
+    for case in rejected_requests() {
+        let response = fetch(harness.entry.caller_address, case.request()).await;
+        assert_error(case.what, &response, case.code, Ran::NotRun);
     }
 }
 
-/// Two deadlines, of which each reader could take another one.
+/// Two values of a header, of which different programs could use different ones.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_header_that_stands_twice_is_refused() {
-    let rig = Rig::start().await;
+async fn a_repeated_header_is_refused() {
+    let harness = Harness::start().await;
     for name in [
         "x-deadline-ms",
         "x-profile",
         "idempotency-key",
         "authorization",
     ] {
-        let mut asked = post("/v1/completions", PROMPT);
+        let mut request = post("/v1/completions", PROMPT);
         for _ in 0..2 {
             let value = "1000".parse().expect("a header value");
-            asked.headers_mut().append(name, value);
+            request.headers_mut().append(name, value);
         }
-        let whole = call(rig.entry.caller_address, asked).await;
-        assert_error(name, &whole, Code::BadRequest, Ran::NotRun);
+        let response = fetch(harness.entry.caller_address, request).await;
+        assert_error(name, &response, Code::BadRequest, Ran::NotRun);
     }
 }
 
-/// Every code, every state of knowledge, with and without a time to come back.
+/// Checks the format for each code, run status and retry time.
 #[test]
-fn every_error_has_the_documented_shape() {
+fn every_error_has_the_documented_format() {
     let request = RequestId {
         origin: 0xabc,
         sequence: 0x12,
@@ -181,23 +181,23 @@
                     ran,
                     retry_after_ms: *retry_after_ms,
                 };
-                let (head, body) = error_answer(request, &refusal, None).into_parts();
-                let whole = Whole {
+                let (head, body) = error_response(request, &refusal, None).into_parts();
+                let response = ReceivedResponse {
                     status: head.status.as_u16(),
                     headers: head.headers,
                     body: String::from_utf8(body.to_vec()).expect("UTF-8"),
                 };
-                assert_error(code.name(), &whole, *code, ran);
-                assert_eq!(whole.header("retry-after"), *seconds);
-                assert_eq!(whole.header("x-request-id"), Some("abc-12"));
-                let message = &whole.json()["error"]["message"];
+                assert_error(code.name(), &response, *code, ran);
+                assert_eq!(response.header("retry-after"), *seconds);
+                assert_eq!(response.header("x-request-id"), Some("abc-12"));
+                let message = &response.json()["error"]["message"];
                 assert_ne!(message, code.name(), "a sentence for the caller");
             }
         }
     }
 }
 
-/// Milliseconds to come back after, and the header that says so.
+/// Retry times in milliseconds, and the `retry-after` header in seconds.
 const RETRIES: &[(Option<u64>, Option<&str>)] = &[
     (None, None),
     (Some(0), Some("0")),
@@ -206,7 +206,8 @@
     (Some(1_001), Some("2")),
 ];
 
-/// Codes with which an agent ends a call, and what its caller is told.
+/// Codes with which an agent ends a request, whether the request ran, and the code
+/// that the caller gets.
 const ENDS: &[(Code, Ran, Code)] = &[
     (Code::KeyReused, Ran::NotRun, Code::KeyReused),
     (Code::KeyInProgress, Ran::NotRun, Code::KeyInProgress),
@@ -222,35 +223,40 @@
     (Code::UpstreamFault, Ran::Ran, Code::OutcomeUnknown),
 ];
 
-/// The agent ends a call that may not be repeated, with or without having run
-/// it. The caller gets the code, whether the call ran, and the agent's time to
-/// come back; nothing is sent a second time.
+/// The agent ends a request that may not be retried, with or without having run
+/// it. The caller gets the code, whether the request ran, and the agent's retry
+/// time; the request is not sent again.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn what_an_agent_says_reaches_the_caller() {
-    let rig = Rig::start().await;
-    for (index, (said, ran, told)) in ENDS.iter().enumerate() {
-        let mut asked = post("/svc/orders/parts", "cylinder");
+async fn an_agents_error_reaches_the_caller() {
+    let harness = Harness::start().await;
+    for (index, (agent_code, ran, reported_code)) in ENDS.iter().enumerate() {
+        let mut request = post("/svc/orders/parts", "cylinder");
         let key = format!("key-{index}").parse().expect("a header value");
-        asked.headers_mut().insert("idempotency-key", key);
-        let asking = tokio::spawn(call(rig.entry.caller_address, asked));
-        let job = rig.shop.job().await;
+        request.headers_mut().insert("idempotency-key", key);
+        let response_task = tokio::spawn(fetch(harness.entry.caller_address, request));
+        let attempt = harness.service.next_attempt().await;
         match ran {
-            Ran::NotRun => job.refused(*said, 1_200).await,
+            Ran::NotRun => attempt.send_refused(*agent_code, 1_200).await,
             Ran::Ran | Ran::Unknown => {
-                job.started().await;
-                job.failed(*said, *ran, 1_200).await;
+                attempt.send_started().await;
+                attempt.send_failed(*agent_code, *ran, 1_200).await;
             }
         }
-        let whole = asking.await.expect("the task runs");
-        assert_error(said.name(), &whole, *told, *ran);
-        if said == told {
-            assert_eq!(whole.header("retry-after"), Some("2"), "{}", said.name());
+        let response = response_task.await.expect("the task runs");
+        assert_error(agent_code.name(), &response, *reported_code, *ran);
+        if agent_code == reported_code {
+            assert_eq!(
+                response.header("retry-after"),
+                Some("2"),
+                "{}",
+                agent_code.name()
+            );
         }
     }
 }
 
-/// The caller gets 503 and a time to come back while the process has no
-/// configuration: the platform is away from its start on, and it has no peers.
+/// The platform is unreachable from the start and the entry has no peers, so it
+/// has no configuration. Callers get status 503 and a retry time.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn without_a_configuration_nothing_is_run() {
     let platform = Arc::new(MemoryPlatform::default());
@@ -258,14 +264,14 @@
         .away
         .store(true, std::sync::atomic::Ordering::Relaxed);
     let entry = start_entry(&platform).await;
-    let asked = [
+    let request = [
         post("/v1/completions", PROMPT),
         post("/svc/orders/x", "cylinder"),
     ];
-    for asked in asked {
-        let whole = call(entry.caller_address, asked).await;
-        assert_error("not ready", &whole, Code::NotReady, Ran::NotRun);
-        assert!(whole.header("retry-after").is_some());
+    for request in request {
+        let response = fetch(entry.caller_address, request).await;
+        assert_error("not ready", &response, Code::NotReady, Ran::NotRun);
+        assert!(response.header("retry-after").is_some());
     }
     assert!(!entry.is_ready());
 }
--- /dev/null
+++ b/crates/entry/tests/cases/limits.rs
@@ -0,0 +1,177 @@
+//! Limits on what callers send, and on how slowly they read.
+
+use crate::support::caller::{KEY, fetch, post, send, send_raw};
+use crate::support::harness::{Harness, metric};
+use base::Code;
+use serde_json::json;
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+
+const BODY_MAX_BYTES: usize = 4_096;
+const HEADER_MAX_BYTES: usize = 2_048;
+const WINDOW_PARTS: usize = 8;
+const ERROR: &[u8] = b"event: error\ndata: {";
+
+async fn harness() -> Harness {
+    Harness::with_limits(json!({
+        "body_max_bytes": BODY_MAX_BYTES,
+        "header_max_bytes": HEADER_MAX_BYTES,
+        "answer_window_frames": WINDOW_PARTS,
+    }))
+    .await
+}
+
+#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
+async fn a_body_over_the_limit_is_refused() {
+    let harness = harness().await;
+    let prompt = "x".repeat(BODY_MAX_BYTES);
+    let request = post("/v1/completions", &format!(r#"{{"prompt":"{prompt}"}}"#));
+    let response = fetch(harness.entry.caller_address, request).await;
+    assert_eq!(response.status, 413);
+    assert_eq!(response.code(), u64::from(Code::BodyTooLarge.number()));
+
+    // The same with a chunked body, whose length is not announced.
+    let chunk = format!("{BODY_MAX_BYTES:x}\r\n{prompt}\r\n");
+    let head = format!(
+        "POST /v1/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {KEY}\r\n\
+         x-profile: chat\r\ntransfer-encoding: chunked\r\n\r\n{chunk}{chunk}0\r\n\r\n"
+    );
+    let read = send_raw(harness.entry.caller_address, head.as_bytes()).await;
+    assert!(read.starts_with("HTTP/1.1 413 "), "{read}");
+    assert_eq!(harness.entry.in_progress(), 0);
+}
+
+#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
+async fn headers_over_the_limit_are_refused() {
+    let harness = harness().await;
+    for (bytes, status) in [(HEADER_MAX_BYTES, 400), (64 << 10, 431)] {
+        let mut request = post("/v1/completions", r#"{"prompt":"x"}"#);
+        let value = "x".repeat(bytes).parse().expect("a header value");
+        request.headers_mut().insert("x-more", value);
+        let response = fetch(harness.entry.caller_address, request).await;
+        assert_eq!(response.status, status, "{bytes} bytes");
+    }
+    assert_eq!(harness.entry.in_progress(), 0);
+}
+
+#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
+async fn a_long_idempotency_key_is_refused() {
+    let harness = harness().await;
+    let mut request = post("/svc/orders/x", "cylinder");
+    let key = "k".repeat(257).parse().expect("a header value");
+    request.headers_mut().insert("idempotency-key", key);
+    let response = fetch(harness.entry.caller_address, request).await;
+    assert_eq!(response.code(), u64::from(Code::BadRequest.number()));
+}
+
+/// One caller stops reading while its answer is still being generated. Its queue
+/// fills up, so its request is cancelled at the agent, and its response ends with
+/// an error event and without `[DONE]`, as tokens were lost. A second caller whose
+/// answer comes over the same link must still get its response.
+#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
+async fn a_slow_caller_is_aborted_without_stalling_others() {
+    let harness = harness().await;
+    let body = r#"{"prompt":"slow","stream":true}"#;
+    let mut slow = TcpStream::connect(harness.entry.caller_address)
+        .await
+        .expect("the entry listens");
+    let length = body.len();
+    let request = format!(
+        "POST /v1/completions HTTP/1.1\r\nhost: x\r\nauthorization: Bearer {KEY}\r\n\
+         x-profile: chat\r\ncontent-length: {length}\r\n\r\n{body}"
+    );
+    slow.write_all(request.as_bytes())
+        .await
+        .expect("the entry reads");
+    let slow_attempt = harness.engine.next_attempt().await;
+    slow_attempt.send_started().await;
+
+    // Large tokens fill the sockets' buffers soon. The pause after each token lets
+    // the entry write it, so that these buffers fill up before the queue does, and
+    // the checks below do not depend on what the caller has read.
+    let token = vec![b'x'; 64 << 10];
+    let mut sent = 0;
+    while metric(&harness.entry, "sesame_entry_slow_callers_total").await < 1.0 {
+        slow_attempt.send_part(sent, 1, &token).await;
+        tokio::time::sleep(Duration::from_millis(5)).await;
+        sent += 1;
+        assert!(sent < 4_096, "the queue never fills up");
+    }
+    harness.engine.wait_cancelled(slow_attempt.id()).await;
+
+    let request = post("/v1/completions", r#"{"prompt":"quick","stream":true}"#);
+    let (quick, _connection) = send(harness.entry.caller_address, request).await;
+    let quick_attempt = harness.engine.next_attempt().await;
+    quick_attempt.send_started().await;
+    quick_attempt.send_tokens(&["a"]).await;
+    quick_attempt.send_complete(1).await;
+    assert_eq!(quick.await.expect("the task runs").status(), 200);
+
+    let mut read = Vec::new();
+    while !read.windows(ERROR.len()).any(|bytes| bytes == ERROR) {
+        let got = slow
+            .read_buf(&mut read)
+            .await
+            .expect("the connection is open");
+        assert_ne!(got, 0, "the response ends without an error event");
+    }
+    let read = String::from_utf8_lossy(&read);
+    assert!(
+        !read.contains("[DONE]"),
+        "an aborted response must not end cleanly"
+    );
+}
+
+/// Callers announce large bodies and send nothing, which reserves all memory for
+/// bodies. A further caller is refused with a retry time, and is served once the
+/// others have disconnected.
+#[tokio::test(flavor = "multi_thread", worker_threads = 2)]
+async fn memory_for_all_request_bodies_is_limited() {
+    const LARGE_BYTES: usize = 64 << 20;
+    let harness = Harness::with_limits(json!({
+        "body_max_bytes": LARGE_BYTES,
+        "frame_max_bytes": LARGE_BYTES + (1 << 20),
+    }))
+    .await;
+    let address = harness.entry.caller_address;
+    let head = format!(
+        "POST /v1/completions HTTP/1.1\r\nhost: x\r\nexpect: 100-continue\r\n\
+         content-length: {LARGE_BYTES}\r\n\r\n"
+    );
+    let mut waiting = Vec::new();
+    for _ in 0..4 {
+        let mut stream = TcpStream::connect(address)
+            .await
+            .expect("the entry listens");
+        stream
+            .write_all(head.as_bytes())
+            .await
+            .expect("the entry reads");
+        // The entry asks for the body once it has reserved memory for it.
+        let mut interim = [0; 12];
+        stream
+            .read_exact(&mut interim)
+            .await
+            .expect("the entry responds");
+        assert_eq!(&interim, b"HTTP/1.1 100");
+        waiting.push(stream);
+    }
+    let prompt = r#"{"prompt":1,"model":"nothing"}"#;
+    let response = fetch(address, post("/v1/completions", prompt)).await;
+    assert_eq!(response.code(), u64::from(Code::Overloaded.number()));
+    assert_eq!(response.header("retry-after"), Some("1"));
+
+    drop(waiting);
+    let served = async {
+        while fetch(address, post("/v1/completions", prompt)).await.code()
+            != u64::from(Code::UnknownModel.number())
+        {
+            tokio::time::sleep(Duration::from_millis(10)).await;
+        }
+    };
+    let patience = Duration::from_secs(20);
+    tokio::time::timeout(patience, served)
+        .await
+        .expect("the memory is released");
+}
--- a/crates/entry/tests/cases/garbage.rs
+++ b/crates/entry/tests/cases/malformed_input.rs
@@ -1,7 +1,7 @@
-//! Bytes that no well-meant caller sends.
+//! Randomly generated input on the callers' listener.
 
-use crate::support::caller::{KEY, call, post, raw};
-use crate::support::rig::Rig;
+use crate::support::caller::{KEY, fetch, post, send_raw};
+use crate::support::harness::Harness;
 use arbtest::arbitrary::{Result, Unstructured};
 use arbtest::arbtest;
 use std::panic;
@@ -10,11 +10,11 @@
 
 const CASES: u64 = 300;
 
-/// Most bytes drawn for one case.
+/// Largest number of random bytes for one case.
 const SIZE_BYTES: u64 = 2_048;
 
-/// Panics outside of test files. A panic in a connection's task ends that task
-/// only, so that a test would not see it otherwise.
+/// Number of panics outside test files. A panic in a connection's task ends only
+/// that task, so the test would not notice it otherwise.
 static PANICS: AtomicUsize = AtomicUsize::new(0);
 
 fn count_panics() {
@@ -59,8 +59,8 @@
     r#"{"prompt":1,"max_tokens":-1}"#,
 ];
 
-/// A request that is nearly right: its parts are known ones, each with drawn
-/// bytes behind it.
+/// Generates an almost valid request: known elements, each followed by random
+/// bytes.
 fn nearly_http(u: &mut Unstructured<'_>) -> Result<Vec<u8>> {
     let mut bytes = Vec::new();
     let method = *u.choose(METHODS)?;
@@ -86,18 +86,18 @@
     Ok(bytes)
 }
 
-/// Whatever comes on the callers' listener, the entry does not panic, holds
-/// nothing back of it, and answers the next caller.
+/// Whatever is sent to the callers' listener, the entry does not panic, keeps no
+/// request in progress, and serves the next caller.
 #[test]
-fn garbage_does_no_harm() {
+fn random_input_neither_panics_nor_blocks_callers() {
     count_panics();
     let runtime = Builder::new_multi_thread()
         .worker_threads(2)
         .enable_all()
         .build()
         .expect("a runtime");
-    let rig = runtime.block_on(Rig::start());
-    let address = rig.entry.caller_address;
+    let harness = runtime.block_on(Harness::start());
+    let address = harness.entry.caller_address;
     for case in 0..CASES {
         let size = (case + 1) * SIZE_BYTES / CASES;
         arbtest(|u| {
@@ -105,26 +105,26 @@
                 true => u.bytes(u.len())?.to_vec(),
                 false => nearly_http(u)?,
             };
-            runtime.block_on(raw(address, &bytes));
+            runtime.block_on(send_raw(address, &bytes));
             Ok(())
         })
         .seed(case << 32 | size)
         .run();
     }
     runtime.block_on(async {
-        rig.until_idle().await;
-        let asked = post("/v1/completions", r#"{"prompt":"x"}"#);
-        let asking = tokio::spawn(call(address, asked));
-        // Orders of requests that happened to be right came before.
+        harness.wait_idle().await;
+        let request = post("/v1/completions", r#"{"prompt":"x"}"#);
+        let response_task = tokio::spawn(fetch(address, request));
+        // Runs of generated requests that happened to be valid come first.
         loop {
-            let job = rig.engine.job().await;
-            if job.run.body == br#"{"stream":true,"prompt":"x"}"# {
-                job.started().await;
-                job.whole(0).await;
+            let attempt = harness.engine.next_attempt().await;
+            if attempt.run.body == br#"{"stream":true,"prompt":"x"}"# {
+                attempt.send_started().await;
+                attempt.send_complete(0).await;
                 break;
             }
         }
-        assert_eq!(asking.await.expect("the task runs").status, 200);
+        assert_eq!(response_task.await.expect("the task runs").status, 200);
     });
     assert_eq!(PANICS.load(Ordering::Relaxed), 0);
 }
--- a/crates/entry/tests/cases/mod.rs
+++ b/crates/entry/tests/cases/mod.rs
@@ -1,11 +1,11 @@
-//! The tests.
+//! Test cases by subject.
 
-mod answers;
-mod bounds;
 mod errors;
-mod faults;
-mod garbage;
+mod failures;
+mod limits;
 mod links;
+mod malformed_input;
 mod program;
-mod reply;
-mod stopping;
+mod response_queue;
+mod responses;
+mod shutdown;
--- a/crates/entry/tests/cases/program.rs
+++ b/crates/entry/tests/cases/program.rs
@@ -1,4 +1,5 @@
-//! The program: its settings, its faults, and the signal to stop.
+//! The program `sesame-entry`: its settings, its start errors and its termination
+//! by a signal.
 
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -16,7 +17,9 @@
 }
 
 fn output(name: &str, settings: &str) -> Output {
-    command(name, settings).output().expect("it can be started")
+    command(name, settings)
+        .output()
+        .expect("the program starts")
 }
 
 const GOOD: &str = r#"{
@@ -27,7 +30,7 @@
 }"#;
 
 #[test]
-fn faults_of_the_settings_are_numbered() {
+fn settings_errors_have_codes() {
     let taken = std::net::TcpListener::bind("127.0.0.1:0").expect("loopback");
     let taken = taken.local_addr().expect("it is bound").to_string();
     let in_use = GOOD.replacen("127.0.0.1:0", &taken, 1);
@@ -37,24 +40,24 @@
         ("unknown.json", r#"{"idd": "x"}"#, "5009 missing_key"),
         ("in-use.json", &in_use, "5011 bad_address"),
     ];
-    for (name, settings, said) in cases {
+    for (name, settings, message) in cases {
         let output = output(name, settings);
         let error = String::from_utf8_lossy(&output.stderr).into_owned();
         assert_eq!(output.status.code(), Some(1), "{name}: {error}");
-        assert!(error.contains(said), "{name}: {error}");
+        assert!(error.contains(message), "{name}: {error}");
     }
 }
 
 #[test]
-fn a_missing_file_is_a_numbered_fault() {
+fn a_missing_settings_file_has_a_code() {
     let mut command = Command::new(env!("CARGO_BIN_EXE_sesame-entry"));
     let output = command.args(["--settings", "/nowhere"]).output();
-    let output = output.expect("it can be started");
+    let output = output.expect("the program starts");
     let error = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(error.starts_with("5010 file_fault"), "{error}");
 }
 
-/// Ends the program if a test fails before it has ended by itself.
+/// Kills the program if a test fails while it is running.
 struct Running(Child);
 
 impl Drop for Running {
@@ -64,24 +67,24 @@
     }
 }
 
-/// The program gets SIGTERM while nothing is in progress, and the platform
-/// can't be reached: it says goodbye to whom it can and ends with success.
+/// The program gets SIGTERM while no request is in progress and the platform can't
+/// be reached. It must still drain and exit with success.
 #[test]
-fn a_signal_to_stop_ends_the_program() {
+fn sigterm_ends_the_program() {
     let child = command("good.json", GOOD).spawn();
-    let mut running = Running(child.expect("it can be started"));
-    let errors = running.0.stderr.take().expect("it is piped");
+    let mut running = Running(child.expect("the program starts"));
+    let errors = running.0.stderr.take().expect("stderr is piped");
     let mut errors = BufReader::new(errors);
     let mut line = String::new();
     while !line.contains("serves callers") {
         line.clear();
-        let read = errors.read_line(&mut line).expect("it logs");
-        assert_ne!(read, 0, "it ended before it served");
+        let read = errors.read_line(&mut line).expect("the program logs");
+        assert_ne!(read, 0, "the program ended before it served callers");
     }
     let id = i32::try_from(running.0.id()).expect("a process id");
-    kill(Pid::from_raw(id), Signal::SIGTERM).expect("it lives");
+    kill(Pid::from_raw(id), Signal::SIGTERM).expect("the program is running");
     let mut rest = String::new();
-    errors.read_to_string(&mut rest).expect("it logs");
-    let status = running.0.wait().expect("it ends");
+    errors.read_to_string(&mut rest).expect("the program logs");
+    let status = running.0.wait().expect("the program ends");
     assert!(status.success(), "{status}: {rest}");
 }
--- a/crates/entry/tests/support/agent.rs
+++ b/crates/entry/tests/support/agent.rs
@@ -1,4 +1,4 @@
-//! An agent that says what the test tells it to.
+//! A fake agent whose frames are chosen by the test.
 
 use base::{Code, Ran};
 use schema::link::{
@@ -15,38 +15,38 @@
 
 const INCARNATION: u64 = 7;
 const HEARTBEAT: Duration = Duration::from_millis(50);
-const PATIENCE: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What an agent stands beside.
+/// Id of an agent, its pool, and the model that its upstream holds.
 #[derive(Debug, Clone)]
-pub(crate) struct Beside {
+pub(crate) struct AgentConfig {
     pub(crate) id: &'static str,
     pub(crate) pool: &'static str,
     pub(crate) model: Option<&'static str>,
 }
 
-/// A frame that an entry sent for a request.
+/// A frame about a request, received from an entry.
 #[derive(Debug)]
-pub(crate) enum Order {
+pub(crate) enum RequestFrame {
     Run(Box<Run>),
     Cancel(Cancel),
     Revoke(Revoke),
 }
 
-/// The agent's side of one attempt.
+/// One attempt as its agent sees it.
 #[derive(Debug)]
-pub(crate) struct Job {
+pub(crate) struct TestAttempt {
     pub(crate) run: Box<Run>,
     sender: LinkSender,
 }
 
-/// A listening agent.
+/// An agent that listens for links.
 #[derive(Debug)]
 pub(crate) struct TestAgent {
     pub(crate) address: SocketAddr,
-    dialled: watch::Receiver<u32>,
+    dial_count: watch::Receiver<u32>,
     id: watch::Sender<&'static str>,
-    orders: Mutex<mpsc::UnboundedReceiver<(Order, LinkSender)>>,
+    frames: Mutex<mpsc::UnboundedReceiver<(RequestFrame, LinkSender)>>,
     task: tokio::task::JoinHandle<()>,
 }
 
@@ -57,110 +57,118 @@
 }
 
 impl TestAgent {
-    pub(crate) async fn start(beside: Beside) -> Self {
+    pub(crate) async fn start(config: AgentConfig) -> Self {
         let any = "127.0.0.1:0".parse().expect("a literal address");
         let listener = Listener::bind(any, wire::FRAME_MAX_BYTES).await;
         let listener = listener.expect("loopback can be bound");
         let address = listener.local_addr().expect("it is bound");
-        let (queue, orders) = mpsc::unbounded_channel();
+        let (queue, frames) = mpsc::unbounded_channel();
         let sequence = Arc::new(AtomicU64::new(1));
-        let (count, dialled) = watch::channel(0);
-        let (id, named) = watch::channel(beside.id);
+        let (count, dial_count) = watch::channel(0);
+        let (id, id_changes) = watch::channel(config.id);
         let task = tokio::spawn(async move {
             let mut links = tokio::task::JoinSet::new();
             while let Ok(link) = listener.accept().await {
                 count.send_modify(|count| *count += 1);
                 let sequence = Arc::clone(&sequence);
-                let mut named = named.clone();
-                let beside = Beside {
-                    id: *named.borrow_and_update(),
-                    ..beside.clone()
+                let mut id_changes = id_changes.clone();
+                let config = AgentConfig {
+                    id: *id_changes.borrow_and_update(),
+                    ..config.clone()
                 };
                 let queue = queue.clone();
                 links.spawn(async move {
                     tokio::select! {
-                        () = serve(link, beside, sequence, queue) => {}
-                        _ = named.changed() => {}
+                        () = serve(link, config, sequence, queue) => {}
+                        _ = id_changes.changed() => {}
                     }
                 });
             }
         });
         Self {
             address,
-            dialled,
+            dial_count,
             id,
-            orders: Mutex::new(orders),
+            frames: Mutex::new(frames),
             task,
         }
     }
 
-    /// The next frame for a request.
-    pub(crate) async fn order(&self) -> (Order, LinkSender) {
-        let mut orders = self.orders.lock().await;
-        let order = timeout(PATIENCE, orders.recv()).await;
-        order.expect("an order comes").expect("the agent lives")
+    /// Waits for the next frame about a request.
+    pub(crate) async fn next_frame(&self) -> (RequestFrame, LinkSender) {
+        let mut frames = self.frames.lock().await;
+        let frame = timeout(WAIT_TIMEOUT, frames.recv()).await;
+        frame
+            .expect("a frame arrives")
+            .expect("the agent is running")
     }
 
-    /// Cuts all links and says another name on those that come.
+    /// Closes all links, and sends another id on those accepted later.
     pub(crate) fn rename(&self, id: &'static str) {
         self.id.send_replace(id);
     }
 
-    /// Waits until it has been dialled so often again.
-    pub(crate) async fn until_dialled(&self, times: u32) {
-        let mut dialled = self.dialled.clone();
-        let enough = *dialled.borrow() + times;
-        let enough = dialled.wait_for(|count| *count >= enough);
-        let enough = timeout(PATIENCE, enough).await.expect("it is dialled");
-        enough.expect("the agent lives");
+    /// Waits until the agent has been dialed `additional` more times.
+    pub(crate) async fn wait_dialed(&self, additional: u32) {
+        let mut dial_count = self.dial_count.clone();
+        let enough = *dial_count.borrow() + additional;
+        let enough = dial_count.wait_for(|count| *count >= enough);
+        let enough = timeout(WAIT_TIMEOUT, enough)
+            .await
+            .expect("the agent is dialed");
+        enough.expect("the agent is running");
     }
 
-    /// Whether no frame for a request has come.
+    /// Whether no frame about a request is queued.
     pub(crate) async fn is_idle(&self) -> bool {
-        self.orders.lock().await.is_empty()
+        self.frames.lock().await.is_empty()
     }
 
-    /// The next run, which the test then answers.
-    pub(crate) async fn job(&self) -> Job {
+    /// Waits for the next `Run`; the test then answers it.
+    pub(crate) async fn next_attempt(&self) -> TestAttempt {
         loop {
-            if let (Order::Run(run), sender) = self.order().await {
-                return Job { run, sender };
+            if let (RequestFrame::Run(run), sender) = self.next_frame().await {
+                return TestAttempt { run, sender };
             }
         }
     }
 
-    /// Waits for the cancellation of an attempt.
-    pub(crate) async fn cancelled(&self, attempt: Attempt) {
+    /// Waits for the `Cancel` of an attempt.
+    pub(crate) async fn wait_cancelled(&self, attempt: Attempt) {
         loop {
-            match self.order().await {
-                (Order::Cancel(cancel), _) if cancel.attempt == Some(attempt) => return,
+            match self.next_frame().await {
+                (RequestFrame::Cancel(cancel), _)
+                    if cancel.attempt == Some(attempt) =>
+                {
+                    return;
+                }
                 (other, _) => drop(other),
             }
         }
     }
 }
 
-impl Job {
-    pub(crate) fn attempt(&self) -> Attempt {
-        self.run.attempt.expect("a run names its attempt")
+impl TestAttempt {
+    pub(crate) fn id(&self) -> Attempt {
+        self.run.attempt.expect("a run has an attempt")
     }
 
     async fn send(&self, body: frame::Body) {
-        let sent = self.sender.send(framed(body)).await;
-        sent.expect("the entry holds the link");
+        let sent = self.sender.send(frame_with_body(body)).await;
+        sent.expect("the link is up");
     }
 
-    pub(crate) async fn started(&self) {
+    pub(crate) async fn send_started(&self) {
         self.send(frame::Body::Started(Started {
-            attempt: Some(self.attempt()),
+            attempt: Some(self.id()),
             load: Some(load()),
         }))
         .await;
     }
 
-    pub(crate) async fn part(&self, offset: u64, units: u32, payload: &[u8]) {
+    pub(crate) async fn send_part(&self, offset: u64, units: u32, payload: &[u8]) {
         self.send(frame::Body::Answer(Answer {
-            attempt: Some(self.attempt()),
+            attempt: Some(self.id()),
             offset,
             units,
             payload: payload.to_vec(),
@@ -168,24 +176,24 @@
         .await;
     }
 
-    /// One token for each text, from offset 0.
-    pub(crate) async fn tokens(&self, texts: &[&str]) {
+    /// Sends each text as one token, from offset 0.
+    pub(crate) async fn send_tokens(&self, texts: &[&str]) {
         for (offset, text) in texts.iter().enumerate() {
-            self.part(offset as u64, 1, text.as_bytes()).await;
+            self.send_part(offset as u64, 1, text.as_bytes()).await;
         }
     }
 
-    pub(crate) async fn end(&self, end: End) {
+    pub(crate) async fn send_end(&self, end: End) {
         self.send(frame::Body::End(End {
-            attempt: Some(self.attempt()),
+            attempt: Some(self.id()),
             load: Some(load()),
             ..end
         }))
         .await;
     }
 
-    pub(crate) async fn whole(&self, total_units: u64) {
-        self.end(End {
+    pub(crate) async fn send_complete(&self, total_units: u64) {
+        self.send_end(End {
             ran: Ran::Ran.number(),
             total_units,
             status: 200,
@@ -194,8 +202,8 @@
         .await;
     }
 
-    pub(crate) async fn failed(&self, code: Code, ran: Ran, retry_after_ms: u32) {
-        self.end(End {
+    pub(crate) async fn send_failed(&self, code: Code, ran: Ran, retry_after_ms: u32) {
+        self.send_end(End {
             code: code.number(),
             ran: ran.number(),
             retry_after_ms,
@@ -204,9 +212,9 @@
         .await;
     }
 
-    pub(crate) async fn refused(&self, code: Code, retry_after_ms: u32) {
+    pub(crate) async fn send_refused(&self, code: Code, retry_after_ms: u32) {
         self.send(frame::Body::Refused(Refused {
-            attempt: Some(self.attempt()),
+            attempt: Some(self.id()),
             code: code.number(),
             retry_after_ms,
             load: Some(load()),
@@ -214,34 +222,38 @@
         .await;
     }
 
-    /// Cuts the link in the middle of whatever is going on.
-    pub(crate) fn cut(&self) {
+    /// Closes the link at once.
+    pub(crate) fn cut_link(&self) {
         self.sender.close();
     }
 }
 
-/// Answers a question for an attempt.
-pub(crate) async fn revoked(sender: &LinkSender, revoke: Revoke, ran: Ran) {
+/// Answers a `Revoke`.
+pub(crate) async fn send_revoked(sender: &LinkSender, revoke: Revoke, ran: Ran) {
     let body = frame::Body::Revoked(Revoked {
         attempt: revoke.attempt,
         ran: ran.number(),
     });
-    sender.send(framed(body)).await.expect("the link is up");
+    sender
+        .send(frame_with_body(body))
+        .await
+        .expect("the link is up");
 }
 
 async fn serve(
     link: Link,
-    beside: Beside,
+    config: AgentConfig,
     sequence: Arc<AtomicU64>,
-    queue: mpsc::UnboundedSender<(Order, LinkSender)>,
+    queue: mpsc::UnboundedSender<(RequestFrame, LinkSender)>,
 ) {
     let hello = Hello {
         kind: "agent".to_owned(),
-        id: beside.id.to_owned(),
+        id: config.id.to_owned(),
         incarnation: INCARNATION,
         failure_domain: "east".to_owned(),
     };
-    let Ok(mut link) = link.greet(framed(frame::Body::Hello(hello))).await else {
+    let Ok(mut link) = link.greet(frame_with_body(frame::Body::Hello(hello))).await
+    else {
         return;
     };
     let mut ticks = tokio::time::interval(HEARTBEAT);
@@ -249,23 +261,23 @@
         tokio::select! {
             _ = ticks.tick() => {
                 let number = sequence.fetch_add(1, Ordering::Relaxed);
-                let _ = link.sender.try_send(heartbeat(&beside, number));
+                let _ = link.sender.try_send(heartbeat(&config, number));
             }
             frame = link.receiver.recv() => {
                 let Ok(Some(frame)) = frame else { return };
-                let order = match frame.body {
-                    Some(frame::Body::Run(run)) => Order::Run(Box::new(run)),
-                    Some(frame::Body::Cancel(cancel)) => Order::Cancel(cancel),
-                    Some(frame::Body::Revoke(revoke)) => Order::Revoke(revoke),
+                let frame = match frame.body {
+                    Some(frame::Body::Run(run)) => RequestFrame::Run(Box::new(run)),
+                    Some(frame::Body::Cancel(cancel)) => RequestFrame::Cancel(cancel),
+                    Some(frame::Body::Revoke(revoke)) => RequestFrame::Revoke(revoke),
                     _ => continue,
                 };
-                let _ = queue.send((order, link.sender.clone()));
+                let _ = queue.send((frame, link.sender.clone()));
             }
         }
     }
 }
 
-fn framed(body: frame::Body) -> Frame {
+fn frame_with_body(body: frame::Body) -> Frame {
     Frame {
         clock_us: 1,
         revision: 0,
@@ -283,8 +295,8 @@
     }
 }
 
-fn heartbeat(beside: &Beside, sequence: u64) -> Frame {
-    let resident = beside.model.map(|model| Resident {
+fn heartbeat(config: &AgentConfig, sequence: u64) -> Frame {
+    let resident = config.model.map(|model| Resident {
         model: model.to_owned(),
         version: 1,
         accelerator: 0,
@@ -292,11 +304,11 @@
         size_mib: 60,
         age_ms: 1_000,
     });
-    framed(frame::Body::Heartbeat(Heartbeat {
-        agent: beside.id.to_owned(),
+    frame_with_body(frame::Body::Heartbeat(Heartbeat {
+        agent: config.id.to_owned(),
         incarnation: INCARNATION,
         epoch: 1,
-        pool: beside.pool.to_owned(),
+        pool: config.pool.to_owned(),
         failure_domain: "east".to_owned(),
         residents: resident.into_iter().collect(),
         load: Some(load()),
--- a/crates/entry/tests/support/caller.rs
+++ b/crates/entry/tests/support/caller.rs
@@ -1,4 +1,4 @@
-//! A caller's HTTP.
+//! A caller's HTTP client.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -16,17 +16,17 @@
 use tokio::time::timeout;
 
 pub(crate) const KEY: &str = "press-key";
-const PATIENCE: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A whole answer.
+/// A completely received response.
 #[derive(Debug)]
-pub(crate) struct Whole {
+pub(crate) struct ReceivedResponse {
     pub(crate) status: u16,
     pub(crate) headers: HeaderMap,
     pub(crate) body: String,
 }
 
-impl Whole {
+impl ReceivedResponse {
     pub(crate) fn json(&self) -> Value {
         serde_json::from_str(&self.body).expect("the body is JSON")
     }
@@ -40,44 +40,48 @@
     }
 }
 
-/// An answer whose head has come.
+/// A response of which the head has been received.
 #[derive(Debug)]
-pub(crate) struct Begun {
+pub(crate) struct PartialResponse {
     pub(crate) response: Response<Incoming>,
     connection: AbortHandle,
 }
 
-impl Begun {
-    /// Reads until the text has come, and gives all that was read.
+impl PartialResponse {
+    /// Reads until `text` has been received, and returns all that was read.
     pub(crate) async fn read_until(&mut self, text: &str) -> String {
         let mut read = String::new();
         while !read.contains(text) {
-            let frame = timeout(PATIENCE, self.response.frame()).await;
-            let frame = frame.expect("more comes").expect("not the end");
-            let data = frame.expect("the connection holds").into_data();
+            let frame = timeout(WAIT_TIMEOUT, self.response.frame()).await;
+            let frame = frame
+                .expect("more data arrives")
+                .expect("the body has not ended");
+            let data = frame.expect("the connection is open").into_data();
             read.push_str(std::str::from_utf8(&data.expect("data")).expect("UTF-8"));
         }
         read
     }
 
-    pub(crate) async fn rest(self) -> Whole {
+    pub(crate) async fn read_rest(self) -> ReceivedResponse {
         let (parts, body) = self.response.into_parts();
-        let body = timeout(PATIENCE, body.collect()).await.expect("it ends");
-        let body = body.expect("the connection holds").to_bytes();
-        Whole {
+        let body = timeout(WAIT_TIMEOUT, body.collect())
+            .await
+            .expect("the body ends");
+        let body = body.expect("the connection is open").to_bytes();
+        ReceivedResponse {
             status: parts.status.as_u16(),
             headers: parts.headers,
             body: String::from_utf8_lossy(&body).into_owned(),
         }
     }
 
-    /// Cuts the connection.
-    pub(crate) fn leave(self) {
+    /// Closes the connection.
+    pub(crate) fn disconnect(self) {
         self.connection.abort();
     }
 }
 
-/// A request with the caller's key and profile.
+/// A POST request with the caller's key and the profile that matches the path.
 pub(crate) fn post(path: &str, body: &str) -> Request<Full<Bytes>> {
     let profile = if path.starts_with("/svc/") {
         "orders"
@@ -92,48 +96,63 @@
         .expect("a valid request")
 }
 
-/// Sends a request and waits for the answer's head.
-pub(crate) async fn begin(address: SocketAddr, request: Request<Full<Bytes>>) -> Begun {
-    let (response, connection) = start(address, request).await;
-    let response = timeout(PATIENCE, response).await.expect("an answer comes");
-    Begun {
+/// Sends a request and waits for the head of the response.
+pub(crate) async fn send_until_head(
+    address: SocketAddr,
+    request: Request<Full<Bytes>>,
+) -> PartialResponse {
+    let (response, connection) = send(address, request).await;
+    let response = timeout(WAIT_TIMEOUT, response)
+        .await
+        .expect("a response arrives");
+    PartialResponse {
         response: response.expect("the task runs"),
         connection,
     }
 }
 
-/// Sends a request on a connection of its own; the answer comes by the task.
-pub(crate) async fn start(
+/// Sends a request on a new connection. Returns the task that receives the
+/// response's head, and a handle that closes the connection.
+pub(crate) async fn send(
     address: SocketAddr,
     mut request: Request<Full<Bytes>>,
 ) -> (tokio::task::JoinHandle<Response<Incoming>>, AbortHandle) {
-    let stream = TcpStream::connect(address).await.expect("it listens");
+    let stream = TcpStream::connect(address)
+        .await
+        .expect("the entry listens");
     let io = TokioIo::new(stream);
-    let (mut sender, connection) = http1::handshake(io).await.expect("a connection");
+    let (mut sender, connection) =
+        http1::handshake(io).await.expect("the handshake succeeds");
     let connection = tokio::spawn(connection).abort_handle();
     let host = "loopback".parse().expect("a header value");
     request.headers_mut().insert("host", host);
     let response = tokio::spawn(async move {
         let response = sender.send_request(request).await;
-        response.expect("the entry answers")
+        response.expect("the entry responds")
     });
     (response, connection)
 }
 
-/// Sends a request and waits for the whole answer.
-pub(crate) async fn call(address: SocketAddr, request: Request<Full<Bytes>>) -> Whole {
-    begin(address, request).await.rest().await
+/// Sends a request and waits for the complete response.
+pub(crate) async fn fetch(
+    address: SocketAddr,
+    request: Request<Full<Bytes>>,
+) -> ReceivedResponse {
+    send_until_head(address, request).await.read_rest().await
 }
 
-/// Writes bytes that need not be HTTP and reads what comes until the end.
-pub(crate) async fn raw(address: SocketAddr, bytes: &[u8]) -> String {
-    let mut stream = TcpStream::connect(address).await.expect("it listens");
-    // The entry may close before all is written; what it said counts.
+/// Writes bytes, which need not be HTTP, and reads until the connection closes.
+pub(crate) async fn send_raw(address: SocketAddr, bytes: &[u8]) -> String {
+    let mut stream = TcpStream::connect(address)
+        .await
+        .expect("the entry listens");
+    // The entry may close the connection before all is written; only its
+    // response matters.
     let _ = stream.write_all(bytes).await;
     let _ = stream.shutdown().await;
     let mut read = Vec::new();
-    let _ = timeout(PATIENCE, stream.read_to_end(&mut read))
+    let _ = timeout(WAIT_TIMEOUT, stream.read_to_end(&mut read))
         .await
-        .expect("the entry closes");
+        .expect("the entry closes the connection");
     String::from_utf8_lossy(&read).into_owned()
 }
--- a/crates/entry/tests/support/rig.rs
+++ b/crates/entry/tests/support/harness.rs
@@ -1,4 +1,4 @@
-//! An entry with its stand-ins.
+//! An entry with fake agents and a fake platform.
 
 use entry::EntryHandle;
 use prost::Message;
@@ -9,36 +9,36 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-use super::agent::{Beside, TestAgent};
+use super::agent::{AgentConfig, TestAgent};
 use super::caller::KEY;
 use super::platform::MemoryPlatform;
 
-const PATIENCE: Duration = Duration::from_secs(20);
-const LOOK_AGAIN: Duration = Duration::from_millis(10);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// One entry, the agent of an engine that holds `alpha`, and the agent of a
-/// plain service.
-pub(crate) struct Rig {
+/// One entry, the agent of an engine that holds the model `alpha`, and the agent
+/// of a plain service.
+pub(crate) struct Harness {
     pub(crate) entry: EntryHandle,
     pub(crate) engine: TestAgent,
-    pub(crate) shop: TestAgent,
+    pub(crate) service: TestAgent,
     pub(crate) platform: Arc<MemoryPlatform>,
 }
 
-impl Rig {
-    /// Starts all and waits until both agents can be sent work.
+impl Harness {
+    /// Starts all and waits until both agents are up.
     pub(crate) async fn start() -> Self {
         Self::with_limits(json!({})).await
     }
 
     pub(crate) async fn with_limits(limits: Value) -> Self {
-        let engine = TestAgent::start(Beside {
+        let engine = TestAgent::start(AgentConfig {
             id: "engine-1",
             pool: "engines",
             model: Some("alpha"),
         })
         .await;
-        let shop = TestAgent::start(Beside {
+        let service = TestAgent::start(AgentConfig {
             id: "shop-1",
             pool: "shops",
             model: None,
@@ -46,38 +46,40 @@
         .await;
         let platform = Arc::new(MemoryPlatform::default());
         put_member(&platform, "engine-1", "engines", &engine);
-        put_member(&platform, "shop-1", "shops", &shop);
-        let document = fleet(&limits).to_string().into_bytes();
+        put_member(&platform, "shop-1", "shops", &service);
+        let document = config_document(&limits).to_string().into_bytes();
         platform.put("config/000000000001", document);
         let entry = start_entry(&platform).await;
-        let rig = Self {
+        let harness = Self {
             entry,
             engine,
-            shop,
+            service,
             platform,
         };
-        rig.until_up().await;
-        rig
+        harness.wait_agents_up().await;
+        harness
     }
 
-    /// Waits until both agents can be sent work.
-    pub(crate) async fn until_up(&self) {
+    /// Waits until the entry is ready and reports both agents as up.
+    pub(crate) async fn wait_agents_up(&self) {
         let up = async {
             while !self.agents_up().await {
-                sleep(LOOK_AGAIN).await;
+                sleep(POLL_INTERVAL).await;
             }
         };
-        timeout(PATIENCE, up).await.expect("the agents come up");
+        timeout(WAIT_TIMEOUT, up).await.expect("the agents come up");
     }
 
-    /// Waits until the connection to an agent has been noticed to be gone.
-    pub(crate) async fn until_down(&self) {
+    /// Waits until the entry no longer reports both agents as up.
+    pub(crate) async fn wait_agent_down(&self) {
         let down = async {
             while self.agents_up().await {
-                sleep(LOOK_AGAIN).await;
+                sleep(POLL_INTERVAL).await;
             }
         };
-        timeout(PATIENCE, down).await.expect("an agent goes down");
+        timeout(WAIT_TIMEOUT, down)
+            .await
+            .expect("an agent goes down");
     }
 
     async fn agents_up(&self) -> bool {
@@ -87,53 +89,55 @@
         self.entry.is_ready() && agents.iter().filter(up).count() == 2
     }
 
-    /// Waits until so many bytes of answers have come.
-    pub(crate) async fn until_delivered(&self, bytes: u32) {
+    /// Waits until the entry has queued this many bytes of answers for callers.
+    pub(crate) async fn wait_delivered(&self, bytes: u32) {
         let name = "sesame_entry_delivered_bytes_total";
         let delivered = async {
             while metric(&self.entry, name).await < f64::from(bytes) {
-                sleep(LOOK_AGAIN).await;
+                sleep(POLL_INTERVAL).await;
             }
         };
-        timeout(PATIENCE, delivered).await.expect("parts come");
+        timeout(WAIT_TIMEOUT, delivered)
+            .await
+            .expect("parts arrive");
     }
 
     /// Waits until no request is in progress.
-    pub(crate) async fn until_idle(&self) {
+    pub(crate) async fn wait_idle(&self) {
         let idle = async {
             while self.entry.in_progress() > 0 {
-                sleep(LOOK_AGAIN).await;
+                sleep(POLL_INTERVAL).await;
             }
         };
-        timeout(PATIENCE, idle).await.expect("requests end");
+        timeout(WAIT_TIMEOUT, idle).await.expect("requests end");
     }
 }
 
-/// Starts an entry on the platform.
+/// Starts an entry with the default settings.
 pub(crate) async fn start_entry(platform: &Arc<MemoryPlatform>) -> EntryHandle {
-    start_with(settings(), platform).await
+    start_entry_with(settings(), platform).await
 }
 
-/// Starts an entry with settings of its own.
-pub(crate) async fn start_with(
+/// Starts an entry with the given settings.
+pub(crate) async fn start_entry_with(
     settings: EntrySettings,
     platform: &Arc<MemoryPlatform>,
 ) -> EntryHandle {
     let api = Arc::clone(platform) as Arc<dyn plat::ObjectApi>;
-    let started = entry::start_with(settings, api).await;
+    let started = entry::start_with_platform(settings, api).await;
     started.expect("loopback can be bound")
 }
 
-/// What the entry tells operators.
+/// The status that the entry reports to operators.
 pub(crate) async fn status(entry: &EntryHandle) -> Value {
     let answer = plat::http::get(entry.operator_address, "/status").await;
-    serde_json::from_slice(&answer.expect("it answers").body).expect("JSON")
+    serde_json::from_slice(&answer.expect("the entry responds").body).expect("JSON")
 }
 
-/// One metric's value.
+/// The value of the first metric whose name starts with `name`.
 pub(crate) async fn metric(entry: &EntryHandle, name: &str) -> f64 {
     let answer = plat::http::get(entry.operator_address, "/metrics").await;
-    let body = answer.expect("it answers").body;
+    let body = answer.expect("the entry responds").body;
     let text = String::from_utf8_lossy(&body).into_owned();
     let line = text.lines().find(|line| line.starts_with(name));
     let value = line.and_then(|line| line.rsplit(' ').next());
@@ -175,7 +179,7 @@
     platform.put(&format!("live/agent/{id}"), member.encode_to_vec());
 }
 
-fn fleet(limits: &Value) -> Value {
+fn config_document(limits: &Value) -> Value {
     json!({
         "deployment": "test",
         "failure_domains": {"east": {"region": "here"}},
--- a/crates/entry/tests/support/mod.rs
+++ b/crates/entry/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! Stand-ins and helpers.
+//! Fake peers and helpers.
 
 pub(crate) mod agent;
 pub(crate) mod caller;
+pub(crate) mod harness;
 pub(crate) mod platform;
-pub(crate) mod rig;
--- a/crates/entry/tests/support/platform.rs
+++ b/crates/entry/tests/support/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's objects in memory.
+//! A fake platform that keeps objects in memory.
 
 use base::{PlatformOp, PlatformResult, Version};
 use futures::FutureExt;
@@ -9,10 +9,10 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-/// Longest wait of a watch without news.
+/// Time after which a watch answers, and any operation while away.
 const WATCH_WAIT: Duration = Duration::from_millis(20);
 
-/// Objects by key; conditions are not checked, no test here needs them.
+/// Objects by key. Preconditions are not checked, as no test here needs them.
 #[derive(Debug, Default)]
 pub(crate) struct MemoryPlatform {
     objects: Mutex<Objects>,
