--- a/crates/conf/src/document/shape.rs
+++ b/crates/conf/src/document/shape.rs
@@ -3,9 +3,9 @@
 //! What has the right shape is kept, the rest is told as faults and left out,
 //! so that the rules can still look at the part that was kept.
 
-use base::Code;
+use base::ErrorCode;
 use schema::settings::MESSAGES;
-use schema::{FieldKind, FieldShape, Holding, MessageShape};
+use schema::{Cardinality, FieldDescriptor, FieldKind, MessageDescriptor};
 use serde_json::{Map, Value};
 use std::collections::BTreeSet;
 
@@ -39,7 +39,7 @@
     let Some(shape) = MESSAGES.iter().find(|shape| shape.name == message) else {
         // Only a schema whose table lacks one of its own messages comes here.
         findings.add(
-            Code::WrongType,
+            ErrorCode::WrongType,
             path,
             format!("{message} is not in the schema"),
         );
@@ -64,7 +64,7 @@
 fn tell_unknown(
     member: &Member,
     members: &[Member],
-    shape: &MessageShape,
+    shape: &MessageDescriptor,
     path: &Path,
     findings: &mut Findings<'_>,
 ) {
@@ -74,17 +74,17 @@
         Spelling::OtherUnit(known) => {
             excuse(known, members, path, findings);
             let message = format!("the unit is part of the key: write `{known}`");
-            (Code::WrongUnit, message)
+            (ErrorCode::WrongUnit, message)
         }
         Spelling::Near(known) => {
             excuse(known, members, path, findings);
             let message = format!("no such key; did you mean `{known}`?");
-            (Code::UnknownKey, message)
+            (ErrorCode::UnknownKey, message)
         }
         Spelling::Foreign => {
             let known: Vec<_> = shape.fields.iter().map(|field| field.name).collect();
             let message = format!("no such key; known are {}", known.join(", "));
-            (Code::UnknownKey, message)
+            (ErrorCode::UnknownKey, message)
         }
     };
     findings.add_at(code, &inner, member.offset, message);
@@ -99,14 +99,14 @@
 
 fn keep_field(
     node: &Node,
-    field: &FieldShape,
+    field: &FieldDescriptor,
     path: &Path,
     findings: &mut Findings<'_>,
 ) -> Option<Value> {
-    match field.holds {
-        Holding::One => keep_one(node, field.kind, path, findings),
-        Holding::List => keep_list(node, field.kind, path, findings),
-        Holding::Named => keep_named(node, field.kind, path, findings),
+    match field.cardinality {
+        Cardinality::Single => keep_one(node, field.kind, path, findings),
+        Cardinality::List => keep_list(node, field.kind, path, findings),
+        Cardinality::Map => keep_named(node, field.kind, path, findings),
     }
 }
 
@@ -162,16 +162,16 @@
     }
     let (fits, wanted) = match (&node.body, kind) {
         (Body::HugeNumber, _) => return tell_range(path, findings, "any number held"),
-        (Body::Scalar(value), FieldKind::Text) => (value.is_string(), "a string"),
-        (Body::Scalar(value), FieldKind::Flag) => {
+        (Body::Scalar(value), FieldKind::String) => (value.is_string(), "a string"),
+        (Body::Scalar(value), FieldKind::Bool) => {
             (value.is_boolean(), "`true` or `false`")
         }
-        (Body::Scalar(value), FieldKind::Number) => (value.is_number(), "a number"),
+        (Body::Scalar(value), FieldKind::Double) => (value.is_number(), "a number"),
         (Body::Scalar(value), _) => {
             return keep_whole(node, value, kind, path, findings);
         }
-        (_, FieldKind::Text) => (false, "a string"),
-        (_, FieldKind::Flag) => (false, "`true` or `false`"),
+        (_, FieldKind::String) => (false, "a string"),
+        (_, FieldKind::Bool) => (false, "`true` or `false`"),
         _ => (false, "a number"),
     };
     match &node.body {
@@ -191,7 +191,7 @@
     findings: &mut Findings<'_>,
 ) -> Option<Value> {
     let max = match kind {
-        FieldKind::Whole32 => u64::from(u32::MAX),
+        FieldKind::Uint32 => u64::from(u32::MAX),
         _ => u64::MAX,
     };
     if value.is_i64() && !value.is_u64() {
@@ -209,7 +209,7 @@
 
 fn tell_range(path: &Path, findings: &mut Findings<'_>, wanted: &str) -> Option<Value> {
     findings.add(
-        Code::OutOfRange,
+        ErrorCode::OutOfRange,
         path,
         format!("the number must be {wanted}"),
     );
@@ -219,7 +219,7 @@
 
 fn tell_type(node: &Node, wanted: &str, path: &Path, findings: &mut Findings<'_>) {
     let message = format!("needs {wanted}, but is {}", describe(&node.body));
-    findings.add(Code::WrongType, path, message);
+    findings.add(ErrorCode::WrongType, path, message);
     findings.mark_broken(path);
 }
 
@@ -268,7 +268,7 @@
         }
         let message = "the key stands twice in this object";
         let inner = path.key(&member.name);
-        findings.add_at(Code::DuplicateName, &inner, member.offset, message);
+        findings.add_at(ErrorCode::DuplicateName, &inner, member.offset, message);
     }
     first
 }
--- a/crates/entry/src/driver.rs
+++ b/crates/entry/src/driver.rs
@@ -2,9 +2,9 @@
 //! actions.
 
 use base::prelude::*;
-use base::{PlatformAnswer, PlatformCall};
+use base::{PlatformCall, PlatformResponse};
 use conf::Config;
-use line::Recorder;
+use line::EventRecorder;
 use oper::{Clock, DeadlineTimer};
 use parking_lot::Mutex;
 use plat::ObjectApi;
@@ -35,7 +35,7 @@
     links: Links,
     timer: DeadlineTimer,
     platform: Arc<dyn ObjectApi>,
-    recorder: Recorder,
+    recorder: EventRecorder,
     metrics: ProcessMetrics,
     default_limits: Limits,
     ready: AtomicBool,
@@ -50,7 +50,7 @@
         options: EntryOptions,
         clock: Clock,
         platform: Arc<dyn ObjectApi>,
-        recorder: Recorder,
+        recorder: EventRecorder,
     ) -> Arc<Self> {
         let mut actions = Vec::new();
         let role = EntryRole::new(options.clone(), clock.now(), &mut actions);
@@ -109,7 +109,7 @@
     }
 
     /// Records events of the timeline.
-    pub(crate) const fn recorder(&self) -> &Recorder {
+    pub(crate) const fn recorder(&self) -> &EventRecorder {
         &self.recorder
     }
 
@@ -307,7 +307,7 @@
             // A lost `Cancel` or `Revoke` would leave a request running that
             // nobody waits for. Closing the link shows the loss to both
             // sides, and the state machine then handles what was in flight.
-            if matches!(error, WireError::Full) && !periodic {
+            if matches!(error, WireError::QueueFull) && !periodic {
                 sender.close();
             }
         }
@@ -329,14 +329,14 @@
             .unwrap_or(Ok(()));
         match sent {
             Ok(()) => {}
-            Err(WireError::TooLarge { .. }) => {
-                let refusal = Refusal::not_run(Code::BodyTooLarge);
-                active.queue.end(ResponseEnd::Failed(refusal));
+            Err(WireError::FrameTooLarge { .. }) => {
+                let error = RequestError::not_run(ErrorCode::BodyTooLarge);
+                active.queue.end(ResponseEnd::Failed(error));
                 self.abort_request(request);
             }
             Err(error) => {
                 self.metrics.unsent_frames.inc();
-                if matches!(error, WireError::Full) {
+                if matches!(error, WireError::QueueFull) {
                     sender.close();
                 }
             }
@@ -350,7 +350,7 @@
                 () = driver.exit.cancelled() => return,
                 result = driver.platform.call(&call.op) => result,
             };
-            let answer = PlatformAnswer {
+            let answer = PlatformResponse {
                 id: call.id,
                 result,
             };
@@ -396,7 +396,7 @@
         Driver::hello(self)
     }
 
-    fn recorder(&self) -> &Recorder {
+    fn recorder(&self) -> &EventRecorder {
         Driver::recorder(self)
     }
 
--- a/crates/entry/src/http/buffered.rs
+++ b/crates/entry/src/http/buffered.rs
@@ -1,6 +1,6 @@
 //! Responses that are sent in one piece, once the answer is complete.
 
-use base::Refusal;
+use base::RequestError;
 use bytes::Bytes;
 use hyper::header::{CONTENT_TYPE, HeaderValue};
 use hyper::{Response, StatusCode};
@@ -8,7 +8,7 @@
 use std::collections::VecDeque;
 use std::future::poll_fn;
 
-use super::error::{json_response, refusal_response, set_request_id};
+use super::error::{failure_response, json_response, set_request_id};
 use super::request_guard::RequestGuard;
 use super::request_head::EngineApi;
 use super::response_body::ResponseBody;
@@ -38,7 +38,7 @@
             let json = completion_json(info, &answer);
             json_response(guard.request(), json).map(ResponseBody::buffered)
         }
-        Err(refusal) => refusal_response(guard.request(), &refusal),
+        Err(error) => failure_response(guard.request(), &error),
     }
 }
 
@@ -46,7 +46,7 @@
 pub(crate) async fn service_response(guard: RequestGuard) -> Response<ResponseBody> {
     let answer = match collect_parts(&guard).await {
         Ok(answer) => answer,
-        Err(refusal) => return refusal_response(guard.request(), &refusal),
+        Err(error) => return failure_response(guard.request(), &error),
     };
     let mut response = Response::new(ResponseBody::buffered(Bytes::from(answer.bytes)));
     *response.status_mut() =
@@ -60,7 +60,7 @@
     response
 }
 
-async fn collect_parts(guard: &RequestGuard) -> Result<CompleteAnswer, Refusal> {
+async fn collect_parts(guard: &RequestGuard) -> Result<CompleteAnswer, RequestError> {
     let mut bytes = Vec::new();
     let mut parts = VecDeque::new();
     loop {
@@ -74,7 +74,7 @@
         }
         match end {
             None => {}
-            Some(ResponseEnd::Failed(refusal)) => return Err(refusal),
+            Some(ResponseEnd::Failed(error)) => return Err(error),
             Some(ResponseEnd::Complete {
                 status,
                 content_type,
--- a/crates/entry/src/http/error.rs
+++ b/crates/entry/src/http/error.rs
@@ -1,6 +1,6 @@
 //! Error responses, and the headers and helpers common to all JSON responses.
 
-use base::{Code, Refusal, RequestId};
+use base::{ErrorCode, RequestError, RequestId};
 use bytes::Bytes;
 use hyper::header::{CONNECTION, CONTENT_TYPE, HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
@@ -24,40 +24,40 @@
     request: RequestId,
     rejection: Rejection,
 ) -> Response<ResponseBody> {
-    let mut refusal = Refusal::not_run(rejection.code);
-    if matches!(rejection.code, Code::NotReady | Code::Overloaded) {
-        refusal = refusal.retry_after_ms(RETRY_AFTER_MS);
+    let mut error = RequestError::not_run(rejection.code);
+    if matches!(rejection.code, ErrorCode::NotReady | ErrorCode::Overloaded) {
+        error = error.retry_after_ms(RETRY_AFTER_MS);
     }
-    error_response(request, &refusal, rejection.message).map(ResponseBody::buffered)
+    error_response(request, &error, rejection.message).map(ResponseBody::buffered)
 }
 
 /// The response to a request that was refused or that failed.
-pub(crate) fn refusal_response(
+pub(crate) fn failure_response(
     request: RequestId,
-    refusal: &Refusal,
+    error: &RequestError,
 ) -> Response<ResponseBody> {
-    error_response(request, refusal, None).map(ResponseBody::buffered)
+    error_response(request, error, None).map(ResponseBody::buffered)
 }
 
-/// The error response for a refusal: status, headers and JSON body.
+/// The response for an error of a request: status, headers and JSON body.
 ///
 /// If `message` is `None`, the default message of the code is used.
 pub fn error_response(
     request: RequestId,
-    refusal: &Refusal,
+    error: &RequestError,
     message: Option<&str>,
 ) -> Response<Bytes> {
-    let body = Bytes::from(error_json(request, refusal, message));
+    let body = Bytes::from(error_json(request, error, message));
     let mut response = json_response(request, body);
-    *response.status_mut() = StatusCode::from_u16(refusal.code.http_status())
+    *response.status_mut() = StatusCode::from_u16(error.code.http_status())
         .unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let headers = response.headers_mut();
-    if let Some(ms) = refusal.retry_after_ms {
+    if let Some(ms) = error.retry_after_ms {
         headers.insert(RETRY_AFTER, HeaderValue::from(ms.div_ceil(1_000)));
     }
     // The load balancer in front keeps connections open. Without this header the
     // next request on the connection would reach the draining process again.
-    if refusal.code == Code::Leaving {
+    if error.code == ErrorCode::Leaving {
         headers.insert(CONNECTION, HeaderValue::from_static("close"));
     }
     response
--- a/crates/entry/src/http/handler.rs
+++ b/crates/entry/src/http/handler.rs
@@ -15,7 +15,7 @@
 use super::buffered::{buffered_engine_response, service_response};
 use super::engine_request::{EngineRequest, parse_engine_request, request_hash};
 use super::error::{
-    json_response, refusal_response, rejection_response, set_request_id,
+    failure_response, json_response, rejection_response, set_request_id,
 };
 use super::rejection::Rejection;
 use super::request_guard::RequestGuard;
@@ -89,11 +89,11 @@
                 request_id, head, resource, method, path, hash,
             );
             let queue = ResponseQueue::new(Unit::Byte, max_parts);
-            let active = ActiveRequest::new(body, memory, queue);
-            let guard = submit(driver, active, incoming);
+            let guard =
+                submit(driver, ActiveRequest::new(body, memory, queue), incoming);
             Ok(service_response(guard).await)
         }
-        Endpoint::Models => Err(Rejection::new(Code::UnknownPath)),
+        Endpoint::Models => Err(Rejection::new(ErrorCode::UnknownPath)),
     }
 }
 
@@ -102,7 +102,7 @@
     body: Incoming,
     max_bytes: usize,
 ) -> Result<(Bytes, BodyMemory), Rejection> {
-    let too_large = Rejection::new(Code::BodyTooLarge);
+    let too_large = Rejection::new(ErrorCode::BodyTooLarge);
     let announced = body.size_hint();
     // A body whose announced length exceeds the limit is rejected unread.
     if announced.lower() > max_bytes as u64 {
@@ -114,7 +114,7 @@
     let mut memory = driver
         .active_requests()
         .reserve_body_memory(memory_bytes)
-        .ok_or(Rejection::new(Code::Overloaded))?;
+        .ok_or(Rejection::new(ErrorCode::Overloaded))?;
     let read = Limited::new(body, max_bytes).collect();
     match tokio::time::timeout(BODY_TIMEOUT, read).await {
         Ok(Ok(collected)) => {
@@ -217,8 +217,8 @@
 ) -> Response<ResponseBody> {
     let request = guard.request();
     poll_fn(|cx| guard.queue().poll_started(cx)).await;
-    if let Some(refusal) = guard.queue().take_early_refusal() {
-        return refusal_response(request, &refusal);
+    if let Some(error) = guard.queue().take_early_error() {
+        return failure_response(request, &error);
     }
     let body = StreamBody::new(guard, SseWriter::new(info));
     let mut response = Response::new(ResponseBody::Stream(Box::new(body)));
@@ -252,10 +252,10 @@
     let config = driver
         .role()
         .config()
-        .ok_or(Rejection::new(Code::NotReady))?;
+        .ok_or(Rejection::new(ErrorCode::NotReady))?;
     config
         .caller(&head.credential)
-        .ok_or(Rejection::new(Code::UnknownCaller))?;
+        .ok_or(Rejection::new(ErrorCode::UnknownCaller))?;
     let named = config.profiles().flat_map(|profile| &profile.models);
     let names: BTreeSet<&str> = named.map(ModelId::as_str).collect();
     let list = ModelList {
--- a/crates/entry/src/http/request_head.rs
+++ b/crates/entry/src/http/request_head.rs
@@ -1,7 +1,7 @@
 //! Parsing of the paths and headers of requests.
 
 use access::{Credential, credential};
-use base::Code;
+use base::ErrorCode;
 use hyper::header::{AUTHORIZATION, CONTENT_TYPE, HeaderMap};
 use hyper::{Method, Uri};
 
@@ -40,7 +40,7 @@
 ///
 /// # Errors
 ///
-/// [`Code::UnknownPath`].
+/// [`ErrorCode::UnknownPath`].
 pub(crate) fn parse_endpoint<'a>(
     method: &Method,
     uri: &'a Uri,
@@ -58,7 +58,7 @@
     path: &'a str,
     query: Option<&str>,
 ) -> Result<Endpoint<'a>, Rejection> {
-    let unknown = Rejection::new(Code::UnknownPath);
+    let unknown = Rejection::new(ErrorCode::UnknownPath);
     let after_prefix = path.strip_prefix("/svc/").ok_or(unknown)?;
     let name_end = after_prefix.find('/').unwrap_or(after_prefix.len());
     let (name, subpath) = after_prefix.split_at(name_end);
@@ -92,8 +92,8 @@
 ///
 /// # Errors
 ///
-/// [`Code::BadRequest`] if a header is not text or is repeated, if the key has a
-/// wrong length, or if the headers exceed `max_bytes`; [`Code::BadDeadline`].
+/// [`ErrorCode::BadRequest`] if a header is not text or is repeated, if the key has a
+/// wrong length, or if the headers exceed `max_bytes`; [`ErrorCode::BadDeadline`].
 pub(crate) fn parse_headers(
     headers: &HeaderMap,
     max_bytes: usize,
@@ -156,6 +156,6 @@
     };
     match text.parse() {
         Ok(ms) if ms > 0 => Ok(Some(ms)),
-        _ => Err(Rejection::new(Code::BadDeadline)),
+        _ => Err(Rejection::new(ErrorCode::BadDeadline)),
     }
 }
--- a/crates/entry/src/http/response_body.rs
+++ b/crates/entry/src/http/response_body.rs
@@ -111,8 +111,8 @@
             ResponseEnd::Complete { total_units, .. } => {
                 self.sse.write_end(*total_units, &mut self.out);
             }
-            ResponseEnd::Failed(refusal) => {
-                self.sse.write_error(refusal, &mut self.out);
+            ResponseEnd::Failed(error) => {
+                self.sse.write_error(error, &mut self.out);
             }
         }
     }
--- a/crates/entry/src/http/sse.rs
+++ b/crates/entry/src/http/sse.rs
@@ -1,6 +1,6 @@
 //! Server-sent events in the format of the OpenAI API.
 
-use base::{Refusal, RequestId};
+use base::{RequestError, RequestId};
 use bytes::{BufMut, BytesMut};
 use serde::Serialize;
 
@@ -134,9 +134,9 @@
 
     /// Writes the end of a response that failed. It has no `[DONE]`, so that no
     /// client takes the response as complete.
-    pub(crate) fn write_error(&self, refusal: &Refusal, out: &mut BytesMut) {
+    pub(crate) fn write_error(&self, error: &RequestError, out: &mut BytesMut) {
         out.put_slice(b"event: error\ndata: ");
-        out.put_slice(&error_json(self.info.request, refusal, None));
+        out.put_slice(&error_json(self.info.request, error, None));
         out.put_slice(b"\n\n");
     }
 }
--- a/crates/entry/src/links.rs
+++ b/crates/entry/src/links.rs
@@ -2,7 +2,7 @@
 //! and agents answer, and accepted ones, on which other entries send.
 
 use base::prelude::*;
-use line::Recorder;
+use line::EventRecorder;
 use parking_lot::RwLock;
 use role::Peer;
 use role::entry::{EntryAction, EntryEvent};
@@ -14,7 +14,7 @@
 use tokio::runtime::Handle;
 use tokio::task::AbortHandle;
 use tokio_util::sync::CancellationToken;
-use wire::{Greeted, Link, LinkReceiver, LinkSender, Listener, WireError};
+use wire::{EstablishedLink, Link, LinkReceiver, LinkSender, Listener, WireError};
 
 use crate::backoff::Backoff;
 use crate::metrics::ProcessMetrics;
@@ -37,7 +37,7 @@
     /// The first frame sent on each link.
     fn hello(&self) -> Frame;
     /// Records events of the timeline, and follows the clocks of received frames.
-    fn recorder(&self) -> &Recorder;
+    fn recorder(&self) -> &EventRecorder;
     /// Metrics counted outside the state machine.
     fn metrics(&self) -> &ProcessMetrics;
     /// Cancelled once the process has drained.
@@ -203,23 +203,25 @@
         }
     }
 
-    async fn dial(&self) -> Result<Greeted, WireError> {
-        let address: SocketAddr =
-            self.address.parse().map_err(|_| WireError::NoGreeting)?;
+    async fn dial(&self) -> Result<EstablishedLink, WireError> {
+        let address: SocketAddr = self
+            .address
+            .parse()
+            .map_err(|_| WireError::HandshakeFailed)?;
         let max_bytes = self.handler.frame_max_bytes();
         let link = wire::connect(address, max_bytes).await?;
-        let greeted = link.greet(self.handler.hello()).await?;
+        let greeted = link.handshake(self.handler.hello()).await?;
         // The address may belong to another process by now. Frames meant for
         // one agent would otherwise reach the upstream of another.
         if peer_from_hello(&greeted.hello).as_ref() != Some(&self.peer) {
-            return Err(WireError::NoGreeting);
+            return Err(WireError::HandshakeFailed);
         }
         Ok(greeted)
     }
 
     /// Runs an established link until it ends; false if the link has been replaced
     /// or removed.
-    async fn run_link(&self, link: Greeted) -> bool {
+    async fn run_link(&self, link: EstablishedLink) -> bool {
         self.handler.recorder().observe(link.clock_us);
         let links = self.handler.links();
         if !links.set_sender(&self.peer, self.generation, Some(link.sender)) {
@@ -256,8 +258,8 @@
 
 /// Reads the frames that another entry sends on a link that it dialed.
 async fn read_inbound(handler: Arc<dyn LinkHandler>, link: Link) {
-    let link = link.bounded(handler.frame_max_bytes());
-    let Ok(link) = link.greet(handler.hello()).await else {
+    let link = link.with_frame_max_bytes(handler.frame_max_bytes());
+    let Ok(link) = link.handshake(handler.hello()).await else {
         handler.metrics().bad_frames.inc();
         return;
     };
@@ -292,7 +294,7 @@
             Ok(Some(frame)) => handle_frame(handler, peer, frame, &mut scratch),
             Ok(None) => return,
             Err(error) => {
-                if error.code() == Code::BadFrame {
+                if error.code() == ErrorCode::BadFrame {
                     handler.metrics().bad_frames.inc();
                 }
                 return;
--- a/crates/entry/src/operator_api.rs
+++ b/crates/entry/src/operator_api.rs
@@ -1,6 +1,6 @@
 //! What an entry provides to its operators' listener.
 
-use line::{Event, Filter};
+use line::{Event, EventFilter};
 use oper::{OperatorApi, ProcessUsage};
 use role::entry::EntryEvent;
 use std::sync::Arc;
@@ -43,7 +43,7 @@
         metrics::render(self.driver.metrics(), &snapshot)
     }
 
-    fn timeline(&self, filter: &Filter) -> Vec<Event> {
+    fn timeline(&self, filter: &EventFilter) -> Vec<Event> {
         self.driver.recorder().events(filter)
     }
 
--- a/crates/entry/src/response_queue.rs
+++ b/crates/entry/src/response_queue.rs
@@ -1,7 +1,7 @@
 //! Queue of the parts of one response, between the link that they arrive on and
 //! the caller's connection.
 
-use base::{Code, Ran, Refusal};
+use base::{ErrorCode, RequestError, RunStatus};
 use futures::task::AtomicWaker;
 use parking_lot::Mutex;
 use std::collections::VecDeque;
@@ -61,7 +61,7 @@
         total_units: u64,
     },
     /// The request was refused, or its answer was cut short.
-    Failed(Refusal),
+    Failed(RequestError),
 }
 
 /// Why this process aborted a response.
@@ -205,16 +205,16 @@
         Poll::Ready(())
     }
 
-    /// Takes the refusal of a response that ended without parts.
-    pub fn take_early_refusal(&self) -> Option<Refusal> {
+    /// Takes the error of a response that failed without any parts.
+    pub fn take_early_error(&self) -> Option<RequestError> {
         let mut state = self.state.lock();
         if !state.parts.is_empty() {
             return None;
         }
         match state.end {
-            Some(ResponseEnd::Failed(refusal)) => {
+            Some(ResponseEnd::Failed(error)) => {
                 state.end = None;
-                Some(refusal)
+                Some(error)
             }
             _ => None,
         }
@@ -249,11 +249,11 @@
     }
 }
 
-/// The refusal of a response that has started and can't be completed.
-pub const fn response_aborted() -> Refusal {
-    Refusal {
-        code: Code::AnswerBroken,
-        ran: Ran::Ran,
+/// The error for a response that has started and can't be completed.
+pub const fn response_aborted() -> RequestError {
+    RequestError {
+        code: ErrorCode::AnswerBroken,
+        ran: RunStatus::Ran,
         retry_after_ms: Some(RETRY_AFTER_ABORT_MS),
     }
 }
--- a/crates/entry/src/start.rs
+++ b/crates/entry/src/start.rs
@@ -1,7 +1,7 @@
 //! Startup and shutdown of the process.
 
 use base::prelude::*;
-use line::Recorder;
+use line::EventRecorder;
 use oper::Clock;
 use oper::{BindLinkListenerSnafu, BindListenerSnafu, StartError, parse_address};
 use plat::{HttpPlatform, ObjectApi};
@@ -57,7 +57,7 @@
     }
 
     /// Waits until the process has drained and closed its connections.
-    pub async fn finished(self) {
+    pub async fn wait_drained(self) {
         // An error means that the task panicked, which the panic hook reported.
         let _ = self.task.await;
     }
@@ -94,7 +94,7 @@
         () = shutdown => driver.handle_event(EntryEvent::Drain),
         () = driver.exit().cancelled() => {}
     }
-    entry.finished().await;
+    entry.wait_drained().await;
     Ok(())
 }
 
@@ -120,7 +120,7 @@
     let callers = bind_listener("caller_listen", &settings.caller_listen).await?;
     let operators = bind_listener("operator_listen", &settings.operator_listen).await?;
     let links = parse_address("link_listen", &settings.link_listen)?;
-    let links = Listener::bind(links, wire::FRAME_MAX_BYTES)
+    let links = Listener::bind(links, wire::DEFAULT_FRAME_MAX_BYTES)
         .await
         .context(BindLinkListenerSnafu)?;
     let link_address = links.local_addr().context(BindLinkListenerSnafu)?;
@@ -129,7 +129,7 @@
 
     let clock = Clock::start();
     let options = entry_options(&settings, &clock, link_address, operator_address);
-    let recorder = Recorder::new(&settings.id, settings.timeline_events as usize);
+    let recorder = EventRecorder::new(&settings.id, settings.timeline_events as usize);
     let driver = Driver::new(options, clock, platform, recorder);
     driver.start();
     log::info!("{}: serves callers on {caller_address}", settings.id);
@@ -191,7 +191,7 @@
     EntryOptions {
         id: EntryId::new(&settings.id),
         incarnation,
-        failure_domain: DomainId::new(&settings.failure_domain),
+        failure_domain: FailureDomainId::new(&settings.failure_domain),
         link_address: link_address.to_string(),
         operator_address: operator_address.to_string(),
         peers: peers.collect(),
--- a/crates/entry/tests/cases/errors.rs
+++ b/crates/entry/tests/cases/errors.rs
@@ -3,7 +3,7 @@
 use crate::support::caller::{ReceivedResponse, fetch, post};
 use crate::support::harness::{Harness, start_entry};
 use crate::support::platform::MemoryPlatform;
-use base::{Code, Ran, Refusal, RequestId};
+use base::{ErrorCode, RequestError, RequestId, RunStatus};
 use bytes::Bytes;
 use entry::error_response;
 use http_body_util::Full;
@@ -13,7 +13,12 @@
 const PROMPT: &str = r#"{"prompt":"x"}"#;
 
 /// Checks that an error response has the documented format.
-fn assert_error(what: &str, response: &ReceivedResponse, code: Code, ran: Ran) {
+fn assert_error(
+    what: &str,
+    response: &ReceivedResponse,
+    code: ErrorCode,
+    ran: RunStatus,
+) {
     let json = response.json();
     let error = &json["error"];
     assert_eq!(error["code"], code.number(), "{what}: {json}");
@@ -40,7 +45,7 @@
     path: &'static str,
     headers: &'static [(&'static str, &'static str)],
     body: &'static str,
-    code: Code,
+    code: ErrorCode,
 }
 
 impl Rejected {
@@ -48,7 +53,7 @@
         what: &'static str,
         path: &'static str,
         body: &'static str,
-        code: Code,
+        code: ErrorCode,
     ) -> Self {
         Self {
             what,
@@ -63,7 +68,7 @@
     const fn with(
         what: &'static str,
         headers: &'static [(&'static str, &'static str)],
-        code: Code,
+        code: ErrorCode,
     ) -> Self {
         Self {
             what,
@@ -88,8 +93,8 @@
 
 fn rejected_requests() -> Vec<Rejected> {
     let completions = "/v1/completions";
-    let bad = Code::BadRequest;
-    let path = Code::UnknownPath;
+    let bad = ErrorCode::BadRequest;
+    let path = ErrorCode::UnknownPath;
     vec![
         Rejected::post("no JSON", completions, "prompt", bad),
         Rejected::post("no object", completions, "[]", bad),
@@ -106,33 +111,49 @@
             method: Method::GET,
             ..Rejected::post("method", completions, "", path)
         },
-        Rejected::post("service", "/svc/nothing/x", "", Code::UnknownService),
+        Rejected::post("service", "/svc/nothing/x", "", ErrorCode::UnknownService),
         Rejected::post(
             "model",
             completions,
             r#"{"prompt":1,"model":"nothing"}"#,
-            Code::UnknownModel,
+            ErrorCode::UnknownModel,
         ),
         Rejected::post(
             "model of another profile",
             completions,
             r#"{"prompt":1,"model":"other"}"#,
-            Code::UnknownProfile,
+            ErrorCode::UnknownProfile,
+        ),
+        Rejected::with(
+            "profile",
+            &[("x-profile", "none")],
+            ErrorCode::UnknownProfile,
         ),
-        Rejected::with("profile", &[("x-profile", "none")], Code::UnknownProfile),
         Rejected::with(
             "caller",
             &[("authorization", "Bearer none")],
-            Code::UnknownCaller,
+            ErrorCode::UnknownCaller,
         ),
         Rejected::with(
             "scheme",
             &[("authorization", "Basic press-key")],
-            Code::UnknownCaller,
+            ErrorCode::UnknownCaller,
+        ),
+        Rejected::with(
+            "deadline",
+            &[("x-deadline-ms", "soon")],
+            ErrorCode::BadDeadline,
+        ),
+        Rejected::with(
+            "deadline",
+            &[("x-deadline-ms", "-1")],
+            ErrorCode::BadDeadline,
+        ),
+        Rejected::with(
+            "deadline",
+            &[("x-deadline-ms", "0")],
+            ErrorCode::BadDeadline,
         ),
-        Rejected::with("deadline", &[("x-deadline-ms", "soon")], Code::BadDeadline),
-        Rejected::with("deadline", &[("x-deadline-ms", "-1")], Code::BadDeadline),
-        Rejected::with("deadline", &[("x-deadline-ms", "0")], Code::BadDeadline),
         Rejected::with("key", &[("idempotency-key", "")], bad),
     ]
 }
@@ -142,7 +163,7 @@
     let harness = Harness::start().await;
     for case in rejected_requests() {
         let response = fetch(harness.entry.caller_address, case.request()).await;
-        assert_error(case.what, &response, case.code, Ran::NotRun);
+        assert_error(case.what, &response, case.code, RunStatus::NotRun);
     }
 }
 
@@ -162,7 +183,7 @@
             request.headers_mut().append(name, value);
         }
         let response = fetch(harness.entry.caller_address, request).await;
-        assert_error(name, &response, Code::BadRequest, Ran::NotRun);
+        assert_error(name, &response, ErrorCode::BadRequest, RunStatus::NotRun);
     }
 }
 
@@ -173,15 +194,15 @@
         origin: 0xabc,
         sequence: 0x12,
     };
-    for code in Code::ALL.iter().filter(|code| code.number() < 5_000) {
-        for ran in [Ran::NotRun, Ran::Ran, Ran::Unknown] {
+    for code in ErrorCode::ALL.iter().filter(|code| code.number() < 5_000) {
+        for ran in [RunStatus::NotRun, RunStatus::Ran, RunStatus::Unknown] {
             for (retry_after_ms, seconds) in RETRIES {
-                let refusal = Refusal {
+                let error = RequestError {
                     code: *code,
                     ran,
                     retry_after_ms: *retry_after_ms,
                 };
-                let (head, body) = error_response(request, &refusal, None).into_parts();
+                let (head, body) = error_response(request, &error, None).into_parts();
                 let response = ReceivedResponse {
                     status: head.status.as_u16(),
                     headers: head.headers,
@@ -208,19 +229,47 @@
 
 /// Codes with which an agent ends a request, whether the request ran, and the code
 /// that the caller gets.
-const ENDS: &[(Code, Ran, Code)] = &[
-    (Code::KeyReused, Ran::NotRun, Code::KeyReused),
-    (Code::KeyInProgress, Ran::NotRun, Code::KeyInProgress),
-    (Code::KeyMissing, Ran::NotRun, Code::KeyMissing),
-    (Code::PlatformAway, Ran::NotRun, Code::PlatformAway),
+const ENDS: &[(ErrorCode, RunStatus, ErrorCode)] = &[
+    (
+        ErrorCode::KeyReused,
+        RunStatus::NotRun,
+        ErrorCode::KeyReused,
+    ),
+    (
+        ErrorCode::KeyInProgress,
+        RunStatus::NotRun,
+        ErrorCode::KeyInProgress,
+    ),
+    (
+        ErrorCode::KeyMissing,
+        RunStatus::NotRun,
+        ErrorCode::KeyMissing,
+    ),
+    (
+        ErrorCode::PlatformAway,
+        RunStatus::NotRun,
+        ErrorCode::PlatformAway,
+    ),
+    (
+        ErrorCode::DeadlineWhileRunning,
+        RunStatus::Ran,
+        ErrorCode::DeadlineWhileRunning,
+    ),
+    (
+        ErrorCode::OutcomeUnknown,
+        RunStatus::Unknown,
+        ErrorCode::OutcomeUnknown,
+    ),
+    (
+        ErrorCode::UpstreamLost,
+        RunStatus::Unknown,
+        ErrorCode::OutcomeUnknown,
+    ),
     (
-        Code::DeadlineWhileRunning,
-        Ran::Ran,
-        Code::DeadlineWhileRunning,
+        ErrorCode::UpstreamFault,
+        RunStatus::Ran,
+        ErrorCode::OutcomeUnknown,
     ),
-    (Code::OutcomeUnknown, Ran::Unknown, Code::OutcomeUnknown),
-    (Code::UpstreamLost, Ran::Unknown, Code::OutcomeUnknown),
-    (Code::UpstreamFault, Ran::Ran, Code::OutcomeUnknown),
 ];
 
 /// The agent ends a request that may not be retried, with or without having run
@@ -236,8 +285,8 @@
         let response_task = tokio::spawn(fetch(harness.entry.caller_address, request));
         let attempt = harness.service.next_attempt().await;
         match ran {
-            Ran::NotRun => attempt.send_refused(*agent_code, 1_200).await,
-            Ran::Ran | Ran::Unknown => {
+            RunStatus::NotRun => attempt.send_refused(*agent_code, 1_200).await,
+            RunStatus::Ran | RunStatus::Unknown => {
                 attempt.send_started().await;
                 attempt.send_failed(*agent_code, *ran, 1_200).await;
             }
@@ -261,7 +310,7 @@
 async fn without_a_configuration_nothing_is_run() {
     let platform = Arc::new(MemoryPlatform::default());
     platform
-        .away
+        .unavailable
         .store(true, std::sync::atomic::Ordering::Relaxed);
     let entry = start_entry(&platform).await;
     let request = [
@@ -270,7 +319,12 @@
     ];
     for request in request {
         let response = fetch(entry.caller_address, request).await;
-        assert_error("not ready", &response, Code::NotReady, Ran::NotRun);
+        assert_error(
+            "not ready",
+            &response,
+            ErrorCode::NotReady,
+            RunStatus::NotRun,
+        );
         assert!(response.header("retry-after").is_some());
     }
     assert!(!entry.is_ready());
--- a/crates/entry/tests/cases/failures.rs
+++ b/crates/entry/tests/cases/failures.rs
@@ -3,7 +3,7 @@
 use crate::support::agent::{RequestFrame, send_revoked};
 use crate::support::caller::{fetch, post, send, send_until_head};
 use crate::support::harness::Harness;
-use base::{Code, Ran};
+use base::{ErrorCode, RunStatus};
 
 const STREAM: &str = r#"{"prompt":"x","stream":true}"#;
 const WHOLE: &str = r#"{"prompt":"x"}"#;
@@ -78,7 +78,9 @@
             attempt.send_tokens(&["one"]).await;
             match failure {
                 AnswerFailure::UpstreamFault => {
-                    attempt.send_failed(Code::UpstreamFault, Ran::Ran, 0).await;
+                    attempt
+                        .send_failed(ErrorCode::UpstreamFault, RunStatus::Ran, 0)
+                        .await;
                 }
                 AnswerFailure::WrongLength => attempt.send_complete(5).await,
                 AnswerFailure::LinkLost => {
@@ -138,7 +140,7 @@
         loop {
             match harness.service.next_frame().await {
                 (RequestFrame::Revoke(revoke), sender) => {
-                    send_revoked(&sender, revoke, Ran::Unknown).await;
+                    send_revoked(&sender, revoke, RunStatus::Unknown).await;
                 }
                 (RequestFrame::Run(run), _) => panic!("sent again: {run:?}"),
                 (RequestFrame::Cancel(_), _) => {}
@@ -167,8 +169,8 @@
     let request = post("/v1/completions", STREAM);
     let response_task = tokio::spawn(fetch(harness.entry.caller_address, request));
     let attempt = harness.engine.next_attempt().await;
-    attempt.send_refused(Code::BadRequest, 0).await;
+    attempt.send_refused(ErrorCode::BadRequest, 0).await;
     let response = response_task.await.expect("the task runs");
     assert_eq!(response.status, 400, "{}", response.body);
-    assert_eq!(response.code(), u64::from(Code::BadRequest.number()));
+    assert_eq!(response.code(), u64::from(ErrorCode::BadRequest.number()));
 }
--- a/crates/entry/tests/cases/limits.rs
+++ b/crates/entry/tests/cases/limits.rs
@@ -2,7 +2,7 @@
 
 use crate::support::caller::{KEY, fetch, post, send, send_raw};
 use crate::support::harness::{Harness, metric};
-use base::Code;
+use base::ErrorCode;
 use serde_json::json;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -29,7 +29,7 @@
     let request = post("/v1/completions", &format!(r#"{{"prompt":"{prompt}"}}"#));
     let response = fetch(harness.entry.caller_address, request).await;
     assert_eq!(response.status, 413);
-    assert_eq!(response.code(), u64::from(Code::BodyTooLarge.number()));
+    assert_eq!(response.code(), u64::from(ErrorCode::BodyTooLarge.number()));
 
     // The same with a chunked body, whose length is not announced.
     let chunk = format!("{BODY_MAX_BYTES:x}\r\n{prompt}\r\n");
@@ -62,7 +62,7 @@
     let key = "k".repeat(257).parse().expect("a header value");
     request.headers_mut().insert("idempotency-key", key);
     let response = fetch(harness.entry.caller_address, request).await;
-    assert_eq!(response.code(), u64::from(Code::BadRequest.number()));
+    assert_eq!(response.code(), u64::from(ErrorCode::BadRequest.number()));
 }
 
 /// One caller stops reading while its answer is still being generated. Its queue
@@ -159,13 +159,13 @@
     }
     let prompt = r#"{"prompt":1,"model":"nothing"}"#;
     let response = fetch(address, post("/v1/completions", prompt)).await;
-    assert_eq!(response.code(), u64::from(Code::Overloaded.number()));
+    assert_eq!(response.code(), u64::from(ErrorCode::Overloaded.number()));
     assert_eq!(response.header("retry-after"), Some("1"));
 
     drop(waiting);
     let served = async {
         while fetch(address, post("/v1/completions", prompt)).await.code()
-            != u64::from(Code::UnknownModel.number())
+            != u64::from(ErrorCode::UnknownModel.number())
         {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
--- a/crates/entry/tests/cases/links.rs
+++ b/crates/entry/tests/cases/links.rs
@@ -16,18 +16,18 @@
 /// configuration there. It dials the first entry, which its settings name, asks it
 /// for the configuration, and becomes ready.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn the_configuration_is_read_from_a_peer_while_the_platform_is_away() {
+async fn the_configuration_is_read_from_a_peer_while_the_platform_is_unavailable() {
     let harness = Harness::start().await;
-    harness.platform.away.store(true, Ordering::Relaxed);
+    harness.platform.unavailable.store(true, Ordering::Relaxed);
     let mut settings = settings();
     settings.id = "entry-2".to_owned();
     let peer = harness.entry.link_address.to_string();
     settings.peers.insert("entry-1".to_owned(), peer);
     // The second entry's gossip tells the first one its address. The first one
     // needs it to answer, as an entry sends only on links that it dialed.
-    let away = Arc::new(MemoryPlatform::default());
-    away.away.store(true, Ordering::Relaxed);
-    let second = start_entry_with(settings, &away).await;
+    let unavailable = Arc::new(MemoryPlatform::default());
+    unavailable.unavailable.store(true, Ordering::Relaxed);
+    let second = start_entry_with(settings, &unavailable).await;
     let ready = async {
         while !second.is_ready() {
             sleep(POLL_INTERVAL).await;
--- a/crates/entry/tests/cases/response_queue.rs
+++ b/crates/entry/tests/cases/response_queue.rs
@@ -1,6 +1,6 @@
 //! The queue between a link and a caller, and the timeout of stalled writes.
 
-use base::{Code, Refusal};
+use base::{ErrorCode, RequestError};
 use entry::WriteTimeout;
 use entry::response_queue::{
     AbortReason, ReceivedPart, ResponseEnd, ResponseQueue, Unit,
@@ -47,8 +47,8 @@
 fn is_aborted(end: Option<&ResponseEnd>) -> bool {
     matches!(
         end,
-        Some(ResponseEnd::Failed(Refusal {
-            code: Code::AnswerBroken,
+        Some(ResponseEnd::Failed(RequestError {
+            code: ErrorCode::AnswerBroken,
             ..
         }))
     )
@@ -185,12 +185,12 @@
 #[test]
 fn only_the_first_end_takes_effect() {
     let queue = ResponseQueue::new(Unit::Token, WINDOW_PARTS);
-    queue.end(ResponseEnd::Failed(Refusal::not_run(Code::Overloaded)));
+    queue.end(ResponseEnd::Failed(RequestError::not_run(
+        ErrorCode::Overloaded,
+    )));
     queue.end(complete(0));
-    let refusal = queue
-        .take_early_refusal()
-        .expect("the response was refused");
-    assert_eq!(refusal.code, Code::Overloaded);
+    let error = queue.take_early_error().expect("the response failed");
+    assert_eq!(error.code, ErrorCode::Overloaded);
 }
 
 /// A caller keeps its connection open and reads nothing: writes to it fail after
--- a/crates/entry/tests/cases/shutdown.rs
+++ b/crates/entry/tests/cases/shutdown.rs
@@ -2,7 +2,7 @@
 
 use crate::support::caller::{fetch, post};
 use crate::support::harness::Harness;
-use base::Code;
+use base::ErrorCode;
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
@@ -22,7 +22,7 @@
     harness.entry.drain();
 
     let late = fetch(address, post("/v1/completions", r#"{"prompt":"y"}"#)).await;
-    assert_eq!(late.code(), u64::from(Code::Leaving.number()));
+    assert_eq!(late.code(), u64::from(ErrorCode::Leaving.number()));
     assert_eq!(late.json()["error"]["ran"], "not_run");
     assert_eq!(late.header("connection"), Some("close"));
     assert!(late.header("retry-after").is_some());
@@ -31,7 +31,7 @@
     attempt.send_tokens(&["a"]).await;
     attempt.send_complete(1).await;
     assert_eq!(response_task.await.expect("the task runs").status, 200);
-    harness.entry.finished().await;
+    harness.entry.wait_drained().await;
 }
 
 /// The process has drained and waits for a caller that has sent half a request.
@@ -52,7 +52,7 @@
     // By the end of this request, the entry has read the half request.
     fetch(address, post("/v1/nothing", "{}")).await;
     harness.entry.drain();
-    let entry_task = tokio::spawn(harness.entry.finished());
+    let entry_task = tokio::spawn(harness.entry.wait_drained());
     let closed = async {
         while TcpStream::connect(address).await.is_ok() {
             tokio::time::sleep(Duration::from_millis(20)).await;
--- a/crates/entry/tests/support/agent.rs
+++ b/crates/entry/tests/support/agent.rs
@@ -1,6 +1,6 @@
 //! A fake agent whose frames are chosen by the test.
 
-use base::{Code, Ran};
+use base::{ErrorCode, RunStatus};
 use schema::link::{
     Answer, Attempt, Cancel, End, Frame, Heartbeat, Hello, Load, Refused, Resident,
     ResidentState, Revoke, Revoked, Run, Started, frame,
@@ -59,7 +59,7 @@
 impl TestAgent {
     pub(crate) async fn start(config: AgentConfig) -> Self {
         let any = "127.0.0.1:0".parse().expect("a literal address");
-        let listener = Listener::bind(any, wire::FRAME_MAX_BYTES).await;
+        let listener = Listener::bind(any, wire::DEFAULT_FRAME_MAX_BYTES).await;
         let listener = listener.expect("loopback can be bound");
         let address = listener.local_addr().expect("it is bound");
         let (queue, frames) = mpsc::unbounded_channel();
@@ -194,7 +194,7 @@
 
     pub(crate) async fn send_complete(&self, total_units: u64) {
         self.send_end(End {
-            ran: Ran::Ran.number(),
+            ran: RunStatus::Ran.number(),
             total_units,
             status: 200,
             ..End::default()
@@ -202,7 +202,12 @@
         .await;
     }
 
-    pub(crate) async fn send_failed(&self, code: Code, ran: Ran, retry_after_ms: u32) {
+    pub(crate) async fn send_failed(
+        &self,
+        code: ErrorCode,
+        ran: RunStatus,
+        retry_after_ms: u32,
+    ) {
         self.send_end(End {
             code: code.number(),
             ran: ran.number(),
@@ -212,7 +217,7 @@
         .await;
     }
 
-    pub(crate) async fn send_refused(&self, code: Code, retry_after_ms: u32) {
+    pub(crate) async fn send_refused(&self, code: ErrorCode, retry_after_ms: u32) {
         self.send(frame::Body::Refused(Refused {
             attempt: Some(self.id()),
             code: code.number(),
@@ -229,7 +234,7 @@
 }
 
 /// Answers a `Revoke`.
-pub(crate) async fn send_revoked(sender: &LinkSender, revoke: Revoke, ran: Ran) {
+pub(crate) async fn send_revoked(sender: &LinkSender, revoke: Revoke, ran: RunStatus) {
     let body = frame::Body::Revoked(Revoked {
         attempt: revoke.attempt,
         ran: ran.number(),
@@ -252,7 +257,9 @@
         incarnation: INCARNATION,
         failure_domain: "east".to_owned(),
     };
-    let Ok(mut link) = link.greet(frame_with_body(frame::Body::Hello(hello))).await
+    let Ok(mut link) = link
+        .handshake(frame_with_body(frame::Body::Hello(hello)))
+        .await
     else {
         return;
     };
--- a/crates/oper/src/start.rs
+++ b/crates/oper/src/start.rs
@@ -1,7 +1,7 @@
 //! Why a process can't start.
 
-use base::Code;
-use conf::Fault;
+use base::ErrorCode;
+use conf::Diagnostic;
 use snafu::Snafu;
 use std::io;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 #[snafu(visibility(pub))]
 pub enum StartError {
     /// The settings file can't be read.
-    #[snafu(display("{}: {}: {source}", Code::FileFault, path.display()))]
+    #[snafu(display("{}: {}: {source}", ErrorCode::FileFault, path.display()))]
     ReadSettings {
         /// File.
         path: PathBuf,
@@ -24,10 +24,10 @@
     #[snafu(display("{}", lines(faults)))]
     InvalidSettings {
         /// All of them.
-        faults: Vec<Fault>,
+        faults: Vec<Diagnostic>,
     },
     /// An address of the settings is not `ip:port`.
-    #[snafu(display("{}: {key}: {text} is not ip:port", Code::BadAddress))]
+    #[snafu(display("{}: {key}: {text} is not ip:port", ErrorCode::BadAddress))]
     InvalidAddress {
         /// Key in the settings.
         key: &'static str,
@@ -35,7 +35,7 @@
         text: String,
     },
     /// A listener can't be bound.
-    #[snafu(display("{}: {key}: {source}", Code::BadAddress))]
+    #[snafu(display("{}: {key}: {source}", ErrorCode::BadAddress))]
     BindListener {
         /// Key in the settings.
         key: &'static str,
@@ -52,20 +52,22 @@
 
 impl StartError {
     /// Numbered code of the fault.
-    pub fn code(&self) -> Code {
+    pub fn code(&self) -> ErrorCode {
         match self {
-            Self::ReadSettings { .. } => Code::FileFault,
-            Self::InvalidSettings { faults } => {
-                faults.first().map_or(Code::BadSyntax, |fault| fault.code)
+            Self::ReadSettings { .. } => ErrorCode::FileFault,
+            Self::InvalidSettings { faults } => faults
+                .first()
+                .map_or(ErrorCode::BadSyntax, |fault| fault.code),
+            Self::InvalidAddress { .. } | Self::BindListener { .. } => {
+                ErrorCode::BadAddress
             }
-            Self::InvalidAddress { .. } | Self::BindListener { .. } => Code::BadAddress,
             Self::BindLinkListener { source } => source.code(),
         }
     }
 }
 
-fn lines(faults: &[Fault]) -> String {
-    let lines: Vec<String> = faults.iter().map(Fault::to_string).collect();
+fn lines(faults: &[Diagnostic]) -> String {
+    let lines: Vec<String> = faults.iter().map(Diagnostic::to_string).collect();
     lines.join("\n")
 }
 
--- a/crates/role/src/entry/control/config.rs
+++ b/crates/role/src/entry/control/config.rs
@@ -1,8 +1,8 @@
 //! The configuration, read from the platform, or from peers during its outages.
 
-use base::Version;
+use base::ObjectVersion;
 use base::prelude::*;
-use conf::REVISION_PREFIX;
+use conf::REVISION_KEY_PREFIX;
 use live::Timing;
 use prost::Message;
 use schema::link::{ConfigAsk, ConfigChange, ConfigChanges, frame};
@@ -38,7 +38,7 @@
     /// between the revision in force and the oldest newer one.
     pub(super) fn apply_config_changes(
         &mut self,
-        objects: &[(String, Version, Vec<u8>)],
+        objects: &[(String, ObjectVersion, Vec<u8>)],
         shared: &Shared,
         out: &mut Vec<EntryAction>,
         effects: &mut Effects,
@@ -72,7 +72,7 @@
         effects: &mut Effects,
     ) {
         let before = self.config_log.revision();
-        if let Err(error) = self.config_log.offer(offered) {
+        if let Err(error) = self.config_log.apply_newer(offered) {
             record_rejected(shared, &error, out);
         }
         if self.config_log.revision() == before {
@@ -152,12 +152,12 @@
     Counts::add(&shared.counts.config_rejected);
     let detail = format!("configuration change rejected: {error}");
     TimelineEvent::new(EventKind::ConfigRejected, detail)
-        .code(Code::BadSyntax)
+        .code(ErrorCode::BadSyntax)
         .record(out);
 }
 
 fn parse_change(key: &str, value: &[u8]) -> Option<ConfigChange> {
-    let revision = key.strip_prefix(REVISION_PREFIX)?.parse().ok()?;
+    let revision = key.strip_prefix(REVISION_KEY_PREFIX)?.parse().ok()?;
     Some(ConfigChange {
         revision,
         patch: value.to_vec(),
