--- a/crates/entry/src/http/fault.rs
+++ b/crates/entry/src/http/rejection.rs
@@ -1,19 +1,19 @@
-//! Faults and their JSON text.
+//! Rejected requests, and the JSON body of all error responses.
 
 use base::{ErrorCode, RequestError, RequestId};
 use serde::Serialize;
 
-/// A request that this process refuses before its machine sees it.
+/// Why this process rejects a request before the state machine receives it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Fault {
-    /// Code.
+pub(crate) struct Rejection {
+    /// Error code.
     pub(crate) code: ErrorCode,
-    /// What is wrong, where the code's own text says too little.
+    /// A message more specific than the default message of the code.
     pub(crate) message: Option<&'static str>,
 }
 
-impl Fault {
-    /// A fault that the code's own text explains.
+impl Rejection {
+    /// A rejection with the default message of its code.
     pub(crate) const fn new(code: ErrorCode) -> Self {
         Self {
             code,
@@ -21,7 +21,7 @@
         }
     }
 
-    /// A request that can't be read.
+    /// A rejection with the code `BadRequest` and a message.
     pub(crate) const fn bad_request(message: &'static str) -> Self {
         Self {
             code: ErrorCode::BadRequest,
@@ -46,26 +46,26 @@
     message: &'a str,
 }
 
-/// The JSON text of an error.
+/// The JSON body of an error response.
 pub(crate) fn error_json(
     request: RequestId,
-    refusal: &RequestError,
+    error: &RequestError,
     message: Option<&str>,
 ) -> Vec<u8> {
     let body = ErrorBody {
         error: ErrorObject {
-            code: refusal.code.number(),
-            name: refusal.code.name(),
-            ran: refusal.ran.as_str(),
-            retry_after_ms: refusal.retry_after_ms,
+            code: error.code.number(),
+            name: error.code.name(),
+            ran: error.ran.as_str(),
+            retry_after_ms: error.retry_after_ms,
             request: &request.to_string(),
-            message: message.unwrap_or_else(|| text(refusal.code)),
+            message: message.unwrap_or_else(|| default_message(error.code)),
         },
     };
     serde_json::to_vec(&body).expect("strings and numbers always serialise")
 }
 
-fn text(code: ErrorCode) -> &'static str {
+fn default_message(code: ErrorCode) -> &'static str {
     match code {
         ErrorCode::BadRequest => "the request can't be read",
         ErrorCode::UnknownCaller => "no caller has this key",
