--- a/crates/agent/src/operated.rs
+++ b/crates/agent/src/operated.rs
@@ -1,7 +1,7 @@
 //! What operators see of an agent.
 
-use line::{Event, Filter};
-use oper::Operated;
+use line::{Event, EventFilter};
+use oper::OperatorApi;
 use role::agent::{AgentEvent, AgentStatus};
 use std::sync::Arc;
 
@@ -24,7 +24,7 @@
     }
 }
 
-impl Operated for OperatedAgent {
+impl OperatorApi for OperatedAgent {
     fn ready(&self) -> bool {
         self.node.is_ready()
     }
@@ -49,15 +49,15 @@
         metrics::text(self.node.meters(), &seen)
     }
 
-    fn timeline(&self, filter: &Filter) -> Vec<Event> {
+    fn timeline(&self, filter: &EventFilter) -> Vec<Event> {
         self.node.timeline(filter)
     }
 
     fn explain_model(&self, model: &str) -> Vec<String> {
         let status = self.node.role().status();
-        let filter = Filter {
+        let filter = EventFilter {
             model: Some(model.to_owned()),
-            ..Filter::default()
+            ..EventFilter::default()
         };
         let events = self.node.timeline(&filter);
         let newest = events.len().saturating_sub(EVENTS_TOLD);
--- a/crates/ctl/src/publish/machine.rs
+++ b/crates/ctl/src/publish/machine.rs
@@ -1,7 +1,7 @@
 //! The decisions of publishing, without I/O.
 
-use base::{Expect, PlatformOp, PlatformResult, Revision};
-use conf::{Fault, REVISION_PREFIX, SNAPSHOT_KEY, revision_key};
+use base::{PlatformOp, PlatformResult, Precondition, Revision};
+use conf::{Diagnostic, REVISION_KEY_PREFIX, SNAPSHOT_KEY, revision_key};
 use prost::Message;
 use schema::link::ConfigChanges;
 
@@ -47,7 +47,7 @@
     /// Others published first; nothing was written.
     Conflict(Conflict),
     /// The document has faults together with the head; nothing was written.
-    Faults(Vec<Fault>),
+    Faults(Vec<Diagnostic>),
     /// Nothing was written: the platform is away or the head is unusable.
     Failed(CtlError),
     /// The write may or may not have been accepted as this revision.
@@ -251,11 +251,11 @@
                 key: SNAPSHOT_KEY.to_owned(),
             },
             State::ListChanges(_) => PlatformOp::List {
-                prefix: REVISION_PREFIX.to_owned(),
+                prefix: REVISION_KEY_PREFIX.to_owned(),
             },
             State::Write(pending) => PlatformOp::Write {
                 key: revision_key(pending.proposal.revision),
-                expect: Expect::Absent,
+                precondition: Precondition::Absent,
                 value: pending.proposal.patch.clone(),
             },
             State::ReadBack(pending) => PlatformOp::Read {
@@ -274,12 +274,12 @@
         base_revision: pending.proposal.revision.0,
         changes: Vec::new(),
     };
-    let expect = pending
-        .snapshot
-        .map_or(Expect::Absent, |held| Expect::Version(held.version));
+    let precondition = pending.snapshot.map_or(Precondition::Absent, |held| {
+        Precondition::Version(held.version)
+    });
     PlatformOp::Write {
         key: SNAPSHOT_KEY.to_owned(),
-        expect,
+        precondition,
         value: changes.encode_to_vec(),
     }
 }
@@ -287,7 +287,10 @@
 /// A snapshot that lost to another's is as good as written; one that failed is
 /// made up for by the next revision.
 fn accepted(pending: Pending, snapshot: &PlatformResult) -> Outcome {
-    let failed = matches!(snapshot, PlatformResult::Away | PlatformResult::Unanswered);
+    let failed = matches!(
+        snapshot,
+        PlatformResult::Unavailable | PlatformResult::Unanswered
+    );
     Outcome::Accepted {
         revision: pending.proposal.revision,
         changes: pending.proposal.changes,
--- a/crates/front/src/peers/register.rs
+++ b/crates/front/src/peers/register.rs
@@ -1,6 +1,6 @@
 //! Finds other entries through the platform's list of entries.
 
-use base::{Expect, PlatformOp, PlatformResult};
+use base::{PlatformOp, PlatformResult, Precondition};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -65,7 +65,7 @@
             let value = serde_json::to_vec(&record).unwrap_or_default();
             let op = PlatformOp::Write {
                 key: key.clone(),
-                expect: Expect::Any,
+                precondition: Precondition::Any,
                 value,
             };
             let result = node.store.call(&op).await;
@@ -111,7 +111,7 @@
 async fn list_entries(node: &Node) -> Option<EntryList> {
     let prefix = node.options.keys.entry_prefix.clone();
     // An outdated list will do: new entries announce themselves.
-    let result = node.store.list_maybe_old(prefix).await;
+    let result = node.store.list_allow_stale(prefix).await;
     let PlatformResult::Objects(objects, _) = result else {
         return None;
     };
--- a/crates/role/tests/entry/rig/settings.rs
+++ b/crates/role/tests/entry/rig/settings.rs
@@ -28,7 +28,7 @@
             "orders": {"pool": "desk", "idempotent": false, "timeout_ms": 2000},
             "parts": {"pool": "desk", "idempotent": true, "timeout_ms": 2000},
         },
-        "callers": {"c1": {"key_sha256": conf::key_hash(KEY), "concurrent_max": 500}},
+        "callers": {"c1": {"key_sha256": conf::sha256_hex(KEY), "concurrent_max": 500}},
         "limits": {"heartbeat_ms": 500},
     })
 }
@@ -37,7 +37,7 @@
     EntryOptions {
         id: EntryId::new(id),
         incarnation: Incarnation(incarnation),
-        failure_domain: DomainId::new("d1"),
+        failure_domain: FailureDomainId::new("d1"),
         link_address: format!("10.0.0.1:{incarnation}"),
         operator_address: String::new(),
         peers: Vec::new(),
