--- a/crates/ctl/tests/ctl/platform.rs
+++ b/crates/ctl/tests/ctl/platform.rs
@@ -84,7 +84,7 @@
             Err(error) => error.exit(),
         };
         assert_eq!(ended, exit, "{name}");
-        assert_eq!(platform.keys("config/").len(), held, "{name}");
+        assert_eq!(platform.object_keys("config/").len(), held, "{name}");
     }
 }
 
--- a/crates/fake/src/bin/fake-load.rs
+++ b/crates/fake/src/bin/fake-load.rs
@@ -1,7 +1,7 @@
 //! Load driver as a program.
 
 use bpaf::Bpaf;
-use fake::load::{self, LoadOptions, Mix};
+use fake::load::{self, LoadOptions, Workload};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -81,23 +81,23 @@
 }
 
 fn options(args: Args) -> std::io::Result<LoadOptions> {
-    let mixes = match &args.mix {
+    let workloads = match &args.mix {
         Some(path) => read_mixes(path)?,
-        None => vec![Mix {
+        None => vec![Workload {
             profile: args.profile,
             models: args.model,
             prompt_tokens: args.prompt_tokens,
             max_tokens: args.max_tokens,
             stream: !args.no_stream,
-            ..Mix::default()
+            ..Workload::default()
         }],
     };
     Ok(LoadOptions {
         direct: args.direct.is_some(),
-        balanced: false,
+        exclude_unavailable_targets: false,
         targets: args.direct.map_or(args.entry, |engine| vec![engine]),
-        key: args.key,
-        mixes,
+        caller_key: args.key,
+        workloads,
         concurrency: args.concurrency,
         rate_per_s: args.rate,
         count: args.count,
@@ -105,6 +105,6 @@
     })
 }
 
-fn read_mixes(path: &Path) -> std::io::Result<Vec<Mix>> {
+fn read_mixes(path: &Path) -> std::io::Result<Vec<Workload>> {
     Ok(serde_json::from_slice(&std::fs::read(path)?)?)
 }
--- a/crates/fake/src/bin/sesame-demo.rs
+++ b/crates/fake/src/bin/sesame-demo.rs
@@ -24,7 +24,7 @@
     let options = DemoOptions {
         seconds: args.seconds,
         seed: args.seed,
-        keep: args.keep,
+        keep_directory: args.keep,
     };
     match demo::run(options).await {
         Ok(true) => ExitCode::SUCCESS,
--- a/crates/fake/src/bin/sesame-overhead.rs
+++ b/crates/fake/src/bin/sesame-overhead.rs
@@ -1,7 +1,7 @@
 //! The overhead benchmark as a program.
 
 use bpaf::Bpaf;
-use fake::overhead::{self, OverheadOptions, Parts};
+use fake::overhead::{self, OverheadOptions, Sections};
 use std::process::ExitCode;
 
 /// Measures what an entry and an agent cost beside an engine alone
@@ -30,13 +30,13 @@
     let args = args().run();
     let all = !(args.delay || args.throughput || args.control);
     let options = OverheadOptions {
-        turns: args.turns.max(1),
+        rounds: args.turns.max(1),
         seconds: args.seconds,
         idle_seconds: args.idle_seconds,
-        parts: Parts {
-            delay: all || args.delay,
+        sections: Sections {
+            latency: all || args.delay,
             throughput: all || args.throughput,
-            control: all || args.control,
+            idle_fleet: all || args.control,
         },
     };
     match overhead::run(options).await {
--- a/crates/fake/src/demo/children.rs
+++ b/crates/fake/src/demo/children.rs
@@ -49,13 +49,13 @@
     ) -> Result<(Self, SocketAddr, SocketAddr), DemoError> {
         let mut running = Self::spawn(program, name, arguments, folder, true)?;
         let out = running.child.stdout.take();
-        let out = out.ok_or_else(|| DemoError::NoAddress(name.to_owned()))?;
+        let out = out.ok_or_else(|| DemoError::AddressNotReported(name.to_owned()))?;
         let mut lines = BufReader::new(out).lines();
         let mut address = |word: &str| {
             let line = lines.next().and_then(Result::ok).unwrap_or_default();
             let text = line.strip_prefix(word).map(str::trim);
             text.and_then(|text| text.parse().ok())
-                .ok_or_else(|| DemoError::NoAddress(name.to_owned()))
+                .ok_or_else(|| DemoError::AddressNotReported(name.to_owned()))
         };
         let protocol = address("listening")?;
         let control = address("control")?;
@@ -182,7 +182,7 @@
         if missing.is_empty() {
             Ok(programs)
         } else {
-            Err(DemoError::Missing(missing))
+            Err(DemoError::MissingPrograms(missing))
         }
     }
 
--- a/crates/fake/src/demo/deployment/commands.rs
+++ b/crates/fake/src/demo/deployment/commands.rs
@@ -7,9 +7,9 @@
 
 /// What `sesamectl` did.
 #[derive(Debug, Clone)]
-pub struct Said {
+pub struct CommandOutput {
     /// Exit code; -1 if a signal ended it.
-    pub code: i32,
+    pub exit_code: i32,
     /// What it printed, on standard output and then on standard error.
     pub text: String,
 }
@@ -23,10 +23,10 @@
     /// `sesamectl` failed.
     pub fn publish(&self, fleet: &str) -> Result<String, DemoError> {
         let said = self.publish_with(fleet, &["--wait"])?;
-        if said.code == 0 {
+        if said.exit_code == 0 {
             return Ok(said.text);
         }
-        Err(DemoError::Command(said.text))
+        Err(DemoError::CommandFailed(said.text))
     }
 
     /// Publishes a fleet configuration with further options.
@@ -38,7 +38,7 @@
         &self,
         fleet: &str,
         options: &[&str],
-    ) -> Result<Said, DemoError> {
+    ) -> Result<CommandOutput, DemoError> {
         let file = self.folder.write_text("fleet.jsonc", fleet)?;
         let file = file.to_string_lossy();
         let mut arguments = vec!["publish"];
@@ -63,7 +63,7 @@
     /// # Errors
     ///
     /// It can't be started.
-    pub fn sesamectl(&self, arguments: &[&str]) -> Result<Said, DemoError> {
+    pub fn sesamectl(&self, arguments: &[&str]) -> Result<CommandOutput, DemoError> {
         let (command, rest) = arguments.split_first().unwrap_or((&"--help", &[]));
         let done = Command::new(self.programs.path("sesamectl"))
             .args([command, "--platform", &self.platform.to_string()])
@@ -72,8 +72,8 @@
             .map_err(|error| DemoError::Io("sesamectl can't be started", error))?;
         let mut text = String::from_utf8_lossy(&done.stdout).into_owned();
         text.push_str(&String::from_utf8_lossy(&done.stderr));
-        Ok(Said {
-            code: done.status.code().unwrap_or(-1),
+        Ok(CommandOutput {
+            exit_code: done.status.code().unwrap_or(-1),
             text,
         })
     }
--- a/crates/fake/src/demo/deployment/mod.rs
+++ b/crates/fake/src/demo/deployment/mod.rs
@@ -15,13 +15,13 @@
 use super::folder::Folder;
 use super::ports::Block;
 
-pub use commands::Said;
+pub use commands::CommandOutput;
 pub use options::DeploymentOptions;
 
 /// Control listeners of the stand-ins, on which faults can be switched while the
 /// deployment runs.
 #[derive(Debug, Serialize)]
-pub struct Controls {
+pub struct ControlAddresses {
     /// The platform's.
     pub platform: SocketAddr,
     /// The weight store's.
@@ -49,7 +49,7 @@
     engines: Vec<SocketAddr>,
     callers: Vec<SocketAddr>,
     operators: BTreeMap<String, SocketAddr>,
-    controls: Controls,
+    controls: ControlAddresses,
     system: BTreeMap<String, Process>,
     fakes: BTreeMap<String, Running>,
     folder: Folder,
@@ -64,7 +64,7 @@
     /// Programs are missing, or one did not start.
     pub fn start(options: DeploymentOptions) -> Result<Self, DemoError> {
         let programs = Programs::find()?;
-        let folder = Folder::new(options.keep)?;
+        let folder = Folder::new(options.keep_directory)?;
         let program = programs.path("fake-platform");
         let none: [&str; 0] = [];
         let (child, platform, control) =
@@ -75,7 +75,7 @@
             engines: Vec::new(),
             callers: Vec::new(),
             operators: BTreeMap::new(),
-            controls: Controls {
+            controls: ControlAddresses {
                 platform: control,
                 store: None,
                 engines: Vec::new(),
@@ -100,32 +100,32 @@
     }
 
     /// Callers' listeners of the entries, in the order of their names.
-    pub fn callers(&self) -> Vec<SocketAddr> {
+    pub fn entry_addresses(&self) -> Vec<SocketAddr> {
         self.callers.clone()
     }
 
     /// The engines, in the order of their agents' names.
-    pub fn engines(&self) -> Vec<SocketAddr> {
+    pub fn engine_addresses(&self) -> Vec<SocketAddr> {
         self.engines.clone()
     }
 
     /// Operators' listeners by process.
-    pub const fn operators(&self) -> &BTreeMap<String, SocketAddr> {
+    pub const fn operator_addresses(&self) -> &BTreeMap<String, SocketAddr> {
         &self.operators
     }
 
     /// Control listeners of the stand-ins.
-    pub const fn controls(&self) -> &Controls {
+    pub const fn control_addresses(&self) -> &ControlAddresses {
         &self.controls
     }
 
     /// Folder with settings, logs and the stand-ins' control addresses.
-    pub fn folder(&self) -> &Path {
+    pub fn directory(&self) -> &Path {
         &self.folder.path
     }
 
     /// Leaves the folder with settings and logs in place.
-    pub fn keep_folder(&mut self) {
+    pub fn keep_directory(&mut self) {
         self.folder.keep = true;
     }
 }
--- a/crates/fake/src/demo/deployment/options.rs
+++ b/crates/fake/src/demo/deployment/options.rs
@@ -12,11 +12,11 @@
     /// Further arguments of each engine.
     pub engine_arguments: Vec<String>,
     /// Whether weights come from a weight store, not after a fixed time.
-    pub store: bool,
+    pub use_weight_store: bool,
     /// Runtime threads of an entry.
-    pub entry_threads: u32,
+    pub entry_worker_threads: u32,
     /// Leave the folder with settings and logs in place.
-    pub keep: bool,
+    pub keep_directory: bool,
 }
 
 impl Default for DeploymentOptions {
@@ -26,9 +26,9 @@
             services: 3,
             entries: 2,
             engine_arguments: vec!["--check-fencing".to_owned()],
-            store: true,
-            entry_threads: 4,
-            keep: false,
+            use_weight_store: true,
+            entry_worker_threads: 4,
+            keep_directory: false,
         }
     }
 }
--- a/crates/fake/src/demo/deployment/processes.rs
+++ b/crates/fake/src/demo/deployment/processes.rs
@@ -8,7 +8,7 @@
 use super::Deployment;
 use crate::demo::DemoError;
 use crate::demo::children::{Running, stop};
-use crate::demo::probe::Probe;
+use crate::demo::probe::ProbeClient;
 
 /// How long the processes may take to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(60);
@@ -23,7 +23,8 @@
     /// There is no such process, or it does not start.
     pub fn restart(&mut self, id: &str) -> Result<(), DemoError> {
         let process = self.system.get_mut(id);
-        let process = process.ok_or_else(|| DemoError::NoProcess(id.to_owned()))?;
+        let process =
+            process.ok_or_else(|| DemoError::UnknownProcess(id.to_owned()))?;
         process.running = Running::start_system(
             &process.program,
             id,
@@ -40,7 +41,8 @@
     /// There is no such process.
     pub fn signal(&self, id: &str, signal: Signal) -> Result<(), DemoError> {
         let process = self.system.get(id);
-        let process = process.ok_or_else(|| DemoError::NoProcess(id.to_owned()))?;
+        let process =
+            process.ok_or_else(|| DemoError::UnknownProcess(id.to_owned()))?;
         process.running.signal(signal);
         Ok(())
     }
@@ -50,20 +52,21 @@
     /// # Errors
     ///
     /// It still runs after the time given, or there is no such process.
-    pub async fn until_ended(
+    pub async fn wait_exited(
         &mut self,
         id: &str,
         bound: Duration,
     ) -> Result<ExitStatus, DemoError> {
         let process = self.system.get_mut(id);
-        let process = process.ok_or_else(|| DemoError::NoProcess(id.to_owned()))?;
+        let process =
+            process.ok_or_else(|| DemoError::UnknownProcess(id.to_owned()))?;
         let until = Instant::now() + bound;
         loop {
             if let Some(status) = process.running.ended() {
                 return Ok(status);
             }
             if Instant::now() >= until {
-                return Err(DemoError::StillRuns(id.to_owned()));
+                return Err(DemoError::ExitTimeout(id.to_owned()));
             }
             tokio::time::sleep(READY_POLL).await;
         }
@@ -74,8 +77,8 @@
     /// # Errors
     ///
     /// Some are not ready after a minute.
-    pub async fn until_ready(&self) -> Result<(), DemoError> {
-        let probe = Probe::new();
+    pub async fn wait_ready(&self) -> Result<(), DemoError> {
+        let probe = ProbeClient::new();
         let until = Instant::now() + READY_TIMEOUT;
         loop {
             let mut waiting = Vec::new();
@@ -89,7 +92,7 @@
                 return Ok(());
             }
             if Instant::now() >= until {
-                return Err(DemoError::NotReady(waiting, self.folder.path.clone()));
+                return Err(DemoError::ReadyTimeout(waiting, self.folder.path.clone()));
             }
             tokio::time::sleep(READY_POLL).await;
         }
--- a/crates/fake/src/demo/deployment/start.rs
+++ b/crates/fake/src/demo/deployment/start.rs
@@ -42,7 +42,7 @@
 
     fn start_engines(&mut self, listeners: &[Listeners]) -> Result<(), DemoError> {
         let mut arguments = self.options.engine_arguments.clone();
-        if self.options.store {
+        if self.options.use_weight_store {
             let (store, control) = self.start_fake("fake-store", "store", &[])?;
             self.controls.store = Some(control);
             arguments.extend(["--store".to_owned(), store.to_string()]);
@@ -111,7 +111,7 @@
                 platform: self.platform.to_string(),
                 peers: peers.into_iter().collect(),
                 request_shards: 8,
-                worker_threads: self.options.entry_threads,
+                worker_threads: self.options.entry_worker_threads,
                 log_level: "info".to_owned(),
                 timeline_events: 20_000,
                 ..EntrySettings::default()
--- a/crates/fake/src/demo/mod.rs
+++ b/crates/fake/src/demo/mod.rs
@@ -16,8 +16,8 @@
 use std::path::PathBuf;
 use tokio::signal::unix::{SignalKind, signal};
 
-pub use deployment::{Controls, Deployment, DeploymentOptions, Said};
-pub use probe::Probe;
+pub use deployment::{CommandOutput, ControlAddresses, Deployment, DeploymentOptions};
+pub use probe::ProbeClient;
 
 /// The demo's fleet configuration.
 pub const FLEET: &str = include_str!("../../../../deploy/demo.jsonc");
@@ -30,34 +30,34 @@
     /// Seed of the work.
     pub seed: u64,
     /// Keep the folder with settings and logs.
-    pub keep: bool,
+    pub keep_directory: bool,
 }
 
 /// Why the demo ended early.
 #[derive(Debug)]
 pub enum DemoError {
     /// Programs that are not beside the demo's own.
-    Missing(Vec<PathBuf>),
+    MissingPrograms(Vec<PathBuf>),
     /// A file, a port or a child failed.
     Io(&'static str, io::Error),
     /// A child said something else than its address.
-    NoAddress(String),
+    AddressNotReported(String),
     /// A command of `sesamectl` failed; what it printed.
-    Command(String),
+    CommandFailed(String),
     /// No process of the system has this name.
-    NoProcess(String),
+    UnknownProcess(String),
     /// A process did not end in time.
-    StillRuns(String),
+    ExitTimeout(String),
     /// A signal ended the demo.
     Interrupted,
     /// Processes that were not ready in time, and the folder with their logs.
-    NotReady(Vec<String>, PathBuf),
+    ReadyTimeout(Vec<String>, PathBuf),
 }
 
 impl fmt::Display for DemoError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Missing(programs) => {
+            Self::MissingPrograms(programs) => {
                 writeln!(f, "programs are missing:")?;
                 for program in programs {
                     writeln!(f, "  {}", program.display())?;
@@ -65,12 +65,14 @@
                 f.write_str("run `cargo build --release --workspace --bins` first")
             }
             Self::Io(what, error) => write!(f, "{what}: {error}"),
-            Self::NoAddress(name) => write!(f, "{name} did not tell its address"),
-            Self::Command(text) => write!(f, "sesamectl failed: {text}"),
-            Self::NoProcess(name) => write!(f, "there is no process {name}"),
-            Self::StillRuns(name) => write!(f, "{name} did not end in time"),
+            Self::AddressNotReported(name) => {
+                write!(f, "{name} did not tell its address")
+            }
+            Self::CommandFailed(text) => write!(f, "sesamectl failed: {text}"),
+            Self::UnknownProcess(name) => write!(f, "there is no process {name}"),
+            Self::ExitTimeout(name) => write!(f, "{name} did not end in time"),
             Self::Interrupted => f.write_str("interrupted"),
-            Self::NotReady(names, logs) => write!(
+            Self::ReadyTimeout(names, logs) => write!(
                 f,
                 "not ready in time: {}; logs are in {}",
                 names.join(", "),
@@ -90,7 +92,7 @@
 pub async fn run(options: DemoOptions) -> Result<bool, DemoError> {
     println!("starting 1 platform, 1 weight store, 6 engines, 3 services, ...");
     let mut deployment = Deployment::start(DeploymentOptions {
-        keep: options.keep,
+        keep_directory: options.keep_directory,
         ..DeploymentOptions::default()
     })?;
     // The children would outlive a demo that ended without stopping them.
@@ -100,7 +102,7 @@
     };
     if done.is_err() {
         // The logs are what the error is about.
-        deployment.keep_folder();
+        deployment.keep_directory();
     }
     deployment.stop();
     done
@@ -125,15 +127,15 @@
     options: &DemoOptions,
 ) -> Result<bool, DemoError> {
     print!("{}", deployment.publish(FLEET)?);
-    deployment.until_ready().await?;
+    deployment.wait_ready().await?;
     println!(
         "9 agents and 2 entries are ready; settings, logs and the addresses for\n\
          faults (controls.json) are in {}\n\
          work for {} s, a burst in the middle; no model is loaded yet ...",
-        deployment.folder().display(),
+        deployment.directory().display(),
         options.seconds
     );
-    let report = work::run(&deployment.callers(), options).await;
+    let report = work::run(&deployment.entry_addresses(), options).await;
     let totals = summary::Totals::read(deployment).await;
     println!("\n{}", report.table());
     println!("{}", totals.table());
--- a/crates/fake/src/demo/probe.rs
+++ b/crates/fake/src/demo/probe.rs
@@ -13,15 +13,15 @@
 
 /// A client for short reads.
 #[derive(Debug)]
-pub struct Probe(HttpClient);
+pub struct ProbeClient(HttpClient);
 
-impl Default for Probe {
+impl Default for ProbeClient {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl Probe {
+impl ProbeClient {
     /// A client without connections.
     pub fn new() -> Self {
         Self(Client::builder(TokioExecutor::new()).build_http())
@@ -34,7 +34,7 @@
     }
 
     /// What a page shows, read as JSON; `None` if it can't be had or read.
-    pub async fn json<T: DeserializeOwned>(
+    pub async fn get_json<T: DeserializeOwned>(
         &self,
         address: SocketAddr,
         path: &str,
--- a/crates/fake/src/demo/summary.rs
+++ b/crates/fake/src/demo/summary.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use super::deployment::Deployment;
-use super::probe::Probe;
+use super::probe::ProbeClient;
 use crate::{engine, service};
 
 /// Totals over all processes.
@@ -31,9 +31,9 @@
 impl Totals {
     /// Reads every process once.
     pub(super) async fn read(deployment: &Deployment) -> Self {
-        let probe = Probe::new();
+        let probe = ProbeClient::new();
         let mut totals = Self::default();
-        for (name, address) in deployment.operators() {
+        for (name, address) in deployment.operator_addresses() {
             match probe.get(*address, "/metrics").await {
                 Some((200, text)) if !name.starts_with("entry") => {
                     totals.loads += counter(&text, "sesame_agent_loads_total");
@@ -43,13 +43,13 @@
                 None => totals.silent += 1,
             }
         }
-        for address in &deployment.controls().engines {
+        for address in &deployment.control_addresses().engines {
             match counts::<engine::Counts>(&probe, *address).await {
                 Some(counts) => totals.add_engine(&counts),
                 None => totals.silent += 1,
             }
         }
-        for address in &deployment.controls().services {
+        for address in &deployment.control_addresses().services {
             match counts::<service::Counts>(&probe, *address).await {
                 Some(counts) => totals.add_service(&counts),
                 None => totals.silent += 1,
@@ -108,8 +108,11 @@
     }
 }
 
-async fn counts<T: DeserializeOwned>(probe: &Probe, control: SocketAddr) -> Option<T> {
-    probe.json(control, "/control/counts").await
+async fn counts<T: DeserializeOwned>(
+    probe: &ProbeClient,
+    control: SocketAddr,
+) -> Option<T> {
+    probe.get_json(control, "/control/counts").await
 }
 
 /// One counter of a metrics page; 0 if it is not there.
--- a/crates/fake/src/demo/work.rs
+++ b/crates/fake/src/demo/work.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use super::DemoOptions;
-use crate::load::{self, LoadOptions, Mix, Report};
+use crate::load::{self, LoadOptions, Report, Workload};
 
 /// Key of the demo's caller; its hash stands in the configuration.
 const KEY: &str = "demo-key";
@@ -26,9 +26,9 @@
         let report = load::run(LoadOptions {
             targets: entries.to_vec(),
             direct: false,
-            balanced: false,
-            key: KEY.to_owned(),
-            mixes: mixes(desk),
+            exclude_unavailable_targets: false,
+            caller_key: KEY.to_owned(),
+            workloads: workloads(desk),
             concurrency: 0,
             rate_per_s: Some(rate),
             count: (rate * seconds).ceil() as u64,
@@ -67,10 +67,10 @@
     "diagnosis-02",
 ];
 
-fn mixes(desk: &[&str]) -> Vec<Mix> {
+fn workloads(desk: &[&str]) -> Vec<Workload> {
     let named = |models: &[&str]| models.iter().map(|one| (*one).to_owned()).collect();
     vec![
-        Mix {
+        Workload {
             profile: "desk".to_owned(),
             models: named(desk),
             weight: 16,
@@ -80,9 +80,9 @@
             first_token_ms: 1_400,
             between_tokens_ms: 64,
             deadline_ms: 20_000,
-            ..Mix::default()
+            ..Workload::default()
         },
-        Mix {
+        Workload {
             profile: "billing".to_owned(),
             models: named(&["billing-01", "billing-02", "billing-03", "billing-04"]),
             weight: 2,
@@ -90,14 +90,14 @@
             max_tokens: 48,
             stream: false,
             deadline_ms: 30_000,
-            ..Mix::default()
+            ..Workload::default()
         },
-        Mix {
+        Workload {
             profile: "parts".to_owned(),
             service: "deskapp".to_owned(),
             weight: 2,
             deadline_ms: 5_000,
-            ..Mix::default()
+            ..Workload::default()
         },
     ]
 }
--- a/crates/fake/src/engine/body.rs
+++ b/crates/fake/src/engine/body.rs
@@ -9,7 +9,7 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 
 use super::run::Event;
-use crate::text::Answer;
+use crate::text::ResponseText;
 
 /// Which of the two calls an answer belongs to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -25,7 +25,7 @@
     pub(super) id: String,
     pub(super) model: String,
     pub(super) version: u32,
-    pub(super) answer: Answer,
+    pub(super) answer: ResponseText,
     pub(super) prompt_tokens: u32,
     /// Tokens of the whole answer, also those before a resumption.
     pub(super) total: u64,
@@ -82,7 +82,7 @@
 
     /// A whole answer in one document, from a resumption's offset on.
     pub(super) fn whole(&self, from: u64) -> Value {
-        let text = self.answer.tokens(from, self.total);
+        let text = self.answer.token_range(from, self.total);
         let (kind, choice) = match self.api {
             Api::Chat => (
                 "chat.completion",
--- a/crates/fake/src/engine/serve.rs
+++ b/crates/fake/src/engine/serve.rs
@@ -253,8 +253,8 @@
             id: headers.request.clone(),
             model: asked.model.clone(),
             version,
-            answer: text::Answer::new(&asked.model, version, &prompt),
-            prompt_tokens: text::prompt_tokens(&prompt),
+            answer: text::ResponseText::new(&asked.model, version, &prompt),
+            prompt_tokens: text::count_prompt_tokens(&prompt),
             total: asked.max_tokens.unwrap_or(TOKENS_DEFAULT).min(TOKENS_MAX),
         }
     }
--- a/crates/fake/src/load/answer.rs
+++ b/crates/fake/src/load/answer.rs
@@ -158,7 +158,8 @@
         content: job.prompt.clone(),
     };
     let prompt = text::chat_prompt(&[message]);
-    text::Answer::new(&job.model, version, &prompt).tokens(0, job.mix.max_tokens)
+    text::ResponseText::new(&job.model, version, &prompt)
+        .token_range(0, job.mix.max_tokens)
 }
 
 fn compare(job: &Job, version: u32, text: &str) -> Verdict {
--- a/crates/fake/src/load/mix.rs
+++ b/crates/fake/src/load/mix.rs
@@ -5,7 +5,7 @@
 /// One kind of work, as a mix file lists them.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Mix {
+pub struct Workload {
     /// Profile that is named; also the name of the work in the report.
     pub profile: String,
     /// Models that are named; the first ones more often.
@@ -30,7 +30,7 @@
     pub deadline_ms: u64,
 }
 
-impl Default for Mix {
+impl Default for Workload {
     fn default() -> Self {
         Self {
             profile: "default".to_owned(),
--- a/crates/fake/src/load/mod.rs
+++ b/crates/fake/src/load/mod.rs
@@ -24,7 +24,7 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-pub use mix::Mix;
+pub use mix::Workload;
 pub use report::{ProfileReport, Quantiles, Report};
 
 use answer::Outcome;
@@ -42,11 +42,11 @@
     /// Leave a target out once it says that it is leaving or refuses
     /// connections, as a balancer before the entries does. With all left out,
     /// they are taken in turn again.
-    pub balanced: bool,
+    pub exclude_unavailable_targets: bool,
     /// The caller's key.
-    pub key: String,
+    pub caller_key: String,
     /// Kinds of work.
-    pub mixes: Vec<Mix>,
+    pub workloads: Vec<Workload>,
     /// Requests in progress at once, when no rate is given.
     pub concurrency: usize,
     /// Requests started per second, whether or not earlier ones have ended.
@@ -64,7 +64,7 @@
 pub async fn run(options: LoadOptions) -> Report {
     let driver = Arc::new(Driver {
         client: Client::builder(TokioExecutor::new()).build(connector()),
-        report: Mutex::new(Report::new(&options.mixes)),
+        report: Mutex::new(Report::new(&options.workloads)),
         next: AtomicU64::new(0),
         out: Mutex::default(),
         options,
@@ -144,7 +144,7 @@
             return false;
         };
         let outcome: Outcome = answer::exchange(&self.client, &job).await;
-        if self.options.balanced && outcome.verdict.is_away() {
+        if self.options.exclude_unavailable_targets && outcome.verdict.is_away() {
             self.out.lock().insert(target);
         }
         self.report.lock().add(&job.mix, &outcome);
--- a/crates/fake/src/load/report.rs
+++ b/crates/fake/src/load/report.rs
@@ -6,7 +6,7 @@
 use std::fmt::Write as _;
 use std::time::Duration;
 
-use super::Mix;
+use super::Workload;
 use super::answer::{Outcome, Verdict};
 
 /// Most descriptions of wrong answers that are kept.
@@ -124,7 +124,7 @@
         }
     }
 
-    fn add(&mut self, mix: &Mix, outcome: &Outcome) {
+    fn add(&mut self, mix: &Workload, outcome: &Outcome) {
         self.sent += 1;
         match &outcome.verdict {
             Verdict::Whole => {
@@ -181,7 +181,7 @@
 
 /// Whether a whole answer met its profile's expectations; the time between
 /// tokens is the mean over the answer.
-fn attained(mix: &Mix, outcome: &Outcome) -> bool {
+fn attained(mix: &Workload, outcome: &Outcome) -> bool {
     let within = |time: Duration, limit_ms: u64| {
         limit_ms == 0 || time <= Duration::from_millis(limit_ms)
     };
@@ -195,8 +195,8 @@
 }
 
 impl Report {
-    pub(super) fn new(mixes: &[Mix]) -> Self {
-        let profiles = mixes
+    pub(super) fn new(workloads: &[Workload]) -> Self {
+        let profiles = workloads
             .iter()
             .map(|mix| (mix.profile.clone(), ProfileReport::new()));
         Self {
@@ -208,7 +208,7 @@
         }
     }
 
-    pub(super) fn add(&mut self, mix: &Mix, outcome: &Outcome) {
+    pub(super) fn add(&mut self, mix: &Workload, outcome: &Outcome) {
         let profile = self.profiles.entry(mix.profile.clone());
         profile.or_insert_with(ProfileReport::new).add(mix, outcome);
         if let Verdict::Wrong(text) = &outcome.verdict
--- a/crates/fake/src/load/request.rs
+++ b/crates/fake/src/load/request.rs
@@ -9,13 +9,13 @@
 use serde_json::json;
 use std::net::SocketAddr;
 
-use super::{LoadOptions, Mix};
+use super::{LoadOptions, Workload};
 use crate::text::BYTES_PER_TOKEN;
 
 /// One request and what its answer must be made from.
 #[derive(Debug)]
 pub(super) struct Job {
-    pub(super) mix: Mix,
+    pub(super) mix: Workload,
     pub(super) model: String,
     pub(super) prompt: String,
     /// Idempotency key, for a plain service.
@@ -32,13 +32,13 @@
         target: SocketAddr,
     ) -> Option<Self> {
         let mut random = Pcg64::seed_from_u64(options.seed ^ index.rotate_left(32));
-        let mix = pick_mix(&options.mixes, &mut random)?.clone();
+        let mix = pick_mix(&options.workloads, &mut random)?.clone();
         let model = pick_model(&mix.models, &mut random);
         Some(Self {
             prompt: prompt(&mix, &model, options.seed, index),
             key: format!("load-{:x}-{index:x}", options.seed),
             target,
-            bearer: (!options.direct).then(|| format!("Bearer {}", options.key)),
+            bearer: (!options.direct).then(|| format!("Bearer {}", options.caller_key)),
             model,
             mix,
         })
@@ -85,10 +85,10 @@
     }
 }
 
-fn pick_mix<'a>(mixes: &'a [Mix], random: &mut Pcg64) -> Option<&'a Mix> {
-    let total: u64 = mixes.iter().map(|mix| u64::from(mix.weight)).sum();
+fn pick_mix<'a>(workloads: &'a [Workload], random: &mut Pcg64) -> Option<&'a Workload> {
+    let total: u64 = workloads.iter().map(|mix| u64::from(mix.weight)).sum();
     let mut ticket = random.next_u64() % total.max(1);
-    mixes.iter().find(|mix| {
+    workloads.iter().find(|mix| {
         let weight = u64::from(mix.weight);
         let found = ticket < weight;
         ticket = ticket.saturating_sub(weight);
@@ -110,7 +110,7 @@
     models.last().cloned().unwrap_or_default()
 }
 
-fn prompt(mix: &Mix, model: &str, seed: u64, index: u64) -> String {
+fn prompt(mix: &Workload, model: &str, seed: u64, index: u64) -> String {
     let fill = |text: String, tokens: u32| -> String {
         let bytes = tokens as usize * BYTES_PER_TOKEN;
         text.chars().cycle().take(bytes).collect()
--- a/crates/fake/src/overhead/delay.rs
+++ b/crates/fake/src/overhead/delay.rs
@@ -19,7 +19,7 @@
         services: 0,
         entries: 1,
         engine_arguments: fleet::engine_arguments(STEP_US),
-        store: false,
+        use_weight_store: false,
         ..DeploymentOptions::default()
     })?;
     fleet::bring_up(&deployment, 1, STEP_US).await?;
@@ -27,14 +27,14 @@
     print!("{}", idle(&deployment, options.idle_seconds).await);
     println!(
         "\nstep 10 ms, {TOKENS} tokens, {} turns of {} s each way; ms direct -> through",
-        options.turns, options.seconds
+        options.rounds, options.seconds
     );
     println!(
         "{:>6}  {:<26}{:<26}{:<26}{:<26}{:>6}",
         "req/s", "first p50", "first p99", "whole p50", "whole p99", "whole"
     );
     for rate in RATES_PER_S {
-        let (direct, through) = turns(&deployment, options, rate).await;
+        let (direct, through) = rounds(&deployment, options, rate).await;
         print_ratios(rate, &direct.profiles[PROFILE], &through.profiles[PROFILE]);
     }
     println!("resident after the loads:\n{}", resident_now(&deployment));
@@ -42,13 +42,13 @@
     Ok(())
 }
 
-async fn turns(
+async fn rounds(
     deployment: &Deployment,
     options: &OverheadOptions,
     rate: u32,
 ) -> (Report, Report) {
     let mut both: [Option<Report>; 2] = [None, None];
-    for turn in 0..options.turns {
+    for turn in 0..options.rounds {
         for (place, total) in both.iter_mut().enumerate() {
             let direct = place == 0;
             let mut of_turn = work(deployment, direct, rate, options.seconds);
@@ -68,14 +68,14 @@
 fn work(deployment: &Deployment, direct: bool, rate: u32, seconds: u64) -> LoadOptions {
     LoadOptions {
         targets: if direct {
-            deployment.engines()
+            deployment.engine_addresses()
         } else {
-            deployment.callers()
+            deployment.entry_addresses()
         },
         direct,
-        balanced: false,
-        key: KEY.to_owned(),
-        mixes: fleet::mixes(&fleet::models(1), TOKENS),
+        exclude_unavailable_targets: false,
+        caller_key: KEY.to_owned(),
+        workloads: fleet::workloads(&fleet::models(1), TOKENS),
         concurrency: 0,
         rate_per_s: Some(f64::from(rate)),
         count: u64::from(rate) * seconds,
--- a/crates/fake/src/overhead/fleet.rs
+++ b/crates/fake/src/overhead/fleet.rs
@@ -3,7 +3,7 @@
 use serde_json::{Value, json};
 
 use crate::demo::{DemoError, Deployment};
-use crate::load::{self, LoadOptions, Mix};
+use crate::load::{self, LoadOptions, Workload};
 
 /// Key of the benchmark's caller; its hash stands in the configuration.
 pub(super) const KEY: &str = "demo-key";
@@ -91,12 +91,12 @@
 }
 
 /// Work on each of some models alike.
-pub(super) fn mixes(models: &[String], max_tokens: u64) -> Vec<Mix> {
-    let mix = |model: &String| Mix {
+pub(super) fn workloads(models: &[String], max_tokens: u64) -> Vec<Workload> {
+    let mix = |model: &String| Workload {
         profile: PROFILE.to_owned(),
         models: vec![model.clone()],
         max_tokens,
-        ..Mix::default()
+        ..Workload::default()
     };
     models.iter().map(mix).collect()
 }
@@ -108,17 +108,17 @@
     step_us: u64,
 ) -> Result<(), DemoError> {
     let said = deployment.publish_with(&document(engines, step_us), &[])?;
-    if said.code != 0 {
-        return Err(DemoError::Command(said.text));
+    if said.exit_code != 0 {
+        return Err(DemoError::CommandFailed(said.text));
     }
-    deployment.until_ready().await?;
+    deployment.wait_ready().await?;
     for model in models(engines) {
         let report = load::run(LoadOptions {
-            targets: deployment.callers(),
+            targets: deployment.entry_addresses(),
             direct: false,
-            balanced: false,
-            key: KEY.to_owned(),
-            mixes: mixes(&[model], 4),
+            exclude_unavailable_targets: false,
+            caller_key: KEY.to_owned(),
+            workloads: workloads(&[model], 4),
             concurrency: 1,
             rate_per_s: None,
             count: 1,
@@ -126,7 +126,7 @@
         })
         .await;
         if report.profiles[PROFILE].whole != 1 {
-            return Err(DemoError::Command(report.table()));
+            return Err(DemoError::CommandFailed(report.table()));
         }
     }
     Ok(())
--- a/crates/fake/src/overhead/mod.rs
+++ b/crates/fake/src/overhead/mod.rs
@@ -2,7 +2,7 @@
 //! through both, and what each process takes of the machine.
 //!
 //! A benchmark, not a test: it prints figures and judges none. Both ways are
-//! measured in turns, a few times each, so that a machine that is busier for a
+//! measured in rounds, a few times each, so that a machine that is busier for a
 //! while is so for both.
 
 mod delay;
@@ -18,24 +18,24 @@
 #[derive(Debug, Clone, Copy)]
 pub struct OverheadOptions {
     /// Turns of each way.
-    pub turns: u32,
+    pub rounds: u32,
     /// Seconds of each turn.
     pub seconds: u64,
     /// Seconds over which idle processes are looked at.
     pub idle_seconds: u64,
     /// Which parts are measured.
-    pub parts: Parts,
+    pub sections: Sections,
 }
 
-/// Parts of the benchmark.
+/// Sections of the benchmark.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Parts {
+pub struct Sections {
     /// First token and whole time, direct and through.
-    pub delay: bool,
+    pub latency: bool,
     /// Requests per second through one entry.
     pub throughput: bool,
     /// A deployment of today's size, idle.
-    pub control: bool,
+    pub idle_fleet: bool,
 }
 
 /// Measures and prints.
@@ -53,13 +53,13 @@
 
 async fn measure(options: OverheadOptions) -> Result<(), DemoError> {
     println!("{}", machine());
-    if options.parts.delay {
+    if options.sections.latency {
         delay::run(&options).await?;
     }
-    if options.parts.throughput {
+    if options.sections.throughput {
         throughput::run(&options).await?;
     }
-    if options.parts.control {
+    if options.sections.idle_fleet {
         processes::control(&options).await?;
     }
     println!("{}", machine());
--- a/crates/fake/src/overhead/processes.rs
+++ b/crates/fake/src/overhead/processes.rs
@@ -113,10 +113,10 @@
         ..DeploymentOptions::default()
     })?;
     let said = deployment.publish_with(TODAY, &[])?;
-    if said.code != 0 {
-        return Err(DemoError::Command(said.text));
+    if said.exit_code != 0 {
+        return Err(DemoError::CommandFailed(said.text));
     }
-    deployment.until_ready().await?;
+    deployment.wait_ready().await?;
     println!("\nHarbourline's size, 21 agents and 3 entries, idle:");
     print!("{}", idle(&deployment, options.idle_seconds).await);
     deployment.stop();
--- a/crates/fake/src/overhead/throughput.rs
+++ b/crates/fake/src/overhead/throughput.rs
@@ -3,7 +3,7 @@
 use super::OverheadOptions;
 use super::fleet::{self, KEY};
 use super::processes::{Use, loaded};
-use crate::demo::{DemoError, Deployment, DeploymentOptions, Probe};
+use crate::demo::{DemoError, Deployment, DeploymentOptions, ProbeClient};
 use crate::engine;
 use crate::load::{self, LoadOptions, Report};
 use std::net::SocketAddr;
@@ -19,14 +19,14 @@
 /// Streams expected in a second, to size a turn; the figure is measured.
 const GUESS_PER_S: u64 = 5_000;
 
-/// Measures all concurrencies, in turns with the engines alone.
+/// Measures all concurrencies, in rounds with the engines alone.
 pub(super) async fn run(options: &OverheadOptions) -> Result<(), DemoError> {
     let deployment = Deployment::start(DeploymentOptions {
         engines: ENGINES,
         services: 0,
         entries: 1,
         engine_arguments: fleet::engine_arguments(STEP_US),
-        store: false,
+        use_weight_store: false,
         ..DeploymentOptions::default()
     })?;
     fleet::bring_up(&deployment, ENGINES, STEP_US).await?;
@@ -35,7 +35,7 @@
          entry, whole streams per second:"
     );
     for concurrency in CONCURRENCIES {
-        for turn in 0..options.turns {
+        for turn in 0..options.rounds {
             one_turn(&deployment, options, concurrency, u64::from(turn)).await;
         }
     }
@@ -52,7 +52,7 @@
     let count = GUESS_PER_S * options.seconds;
     let direct = straight(deployment, concurrency, count, turn).await;
     let before = Use::of(deployment);
-    let mut of_entry = work(deployment.callers(), count, turn);
+    let mut of_entry = work(deployment.entry_addresses(), count, turn);
     of_entry.concurrency = concurrency;
     let through = load::run(of_entry).await;
     let used = loaded(deployment, &before);
@@ -77,14 +77,15 @@
     count: u64,
     turn: u64,
 ) -> Option<Report> {
-    let probe = Probe::new();
+    let probe = ProbeClient::new();
     let mut runs = JoinSet::new();
-    for engine in deployment.engines() {
-        let state: engine::Report = probe.json(engine, "/admin/state").await?;
+    for engine in deployment.engine_addresses() {
+        let state: engine::Report = probe.get_json(engine, "/admin/state").await?;
         let held = state.residents.first()?;
         let mut of_engine = work(vec![engine], count / ENGINES as u64, turn);
         of_engine.direct = true;
-        of_engine.mixes = fleet::mixes(std::slice::from_ref(&held.model), TOKENS);
+        of_engine.workloads =
+            fleet::workloads(std::slice::from_ref(&held.model), TOKENS);
         of_engine.concurrency = concurrency / ENGINES;
         runs.spawn(load::run(of_engine));
     }
@@ -101,9 +102,9 @@
     LoadOptions {
         targets,
         direct: false,
-        balanced: false,
-        key: KEY.to_owned(),
-        mixes: fleet::mixes(&fleet::models(ENGINES), TOKENS),
+        exclude_unavailable_targets: false,
+        caller_key: KEY.to_owned(),
+        workloads: fleet::workloads(&fleet::models(ENGINES), TOKENS),
         concurrency: 0,
         rate_per_s: None,
         count,
--- a/crates/fake/src/platform/mod.rs
+++ b/crates/fake/src/platform/mod.rs
@@ -117,14 +117,14 @@
 
 impl Handle<Platform> {
     /// Value and version of an object, read past every fault and not counted.
-    pub fn peek(&self, key: &str) -> Option<(u64, Vec<u8>)> {
+    pub fn peek_object(&self, key: &str) -> Option<(u64, Vec<u8>)> {
         let inner = self.stand_in.inner.lock();
         let object = inner.objects.get(key)?;
         Some((object.version, object.value.to_vec()))
     }
 
     /// Keys under a prefix, read past every fault and not counted.
-    pub fn keys(&self, prefix: &str) -> Vec<String> {
+    pub fn object_keys(&self, prefix: &str) -> Vec<String> {
         let inner = self.stand_in.inner.lock();
         let under = inner.objects.under(prefix);
         under.map(|(key, _)| key.to_owned()).collect()
--- a/crates/fake/src/text.rs
+++ b/crates/fake/src/text.rs
@@ -7,9 +7,9 @@
 
 /// Identifies the answer to one prompt by one version of one model.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Answer(u64);
+pub struct ResponseText(u64);
 
-impl Answer {
+impl ResponseText {
     /// The answer of `version` of `model` to `prompt`.
     pub fn new(model: &str, version: u32, prompt: &str) -> Self {
         let seed = xxh3_64(model.as_bytes()) ^ u64::from(version).rotate_left(32);
@@ -23,7 +23,7 @@
     }
 
     /// The tokens from one place up to another.
-    pub fn tokens(self, from: u64, to: u64) -> String {
+    pub fn token_range(self, from: u64, to: u64) -> String {
         (from..to).map(|index| self.token(index)).collect()
     }
 }
@@ -46,6 +46,6 @@
 }
 
 /// Number of tokens that a prompt counts as.
-pub fn prompt_tokens(prompt: &str) -> u32 {
+pub fn count_prompt_tokens(prompt: &str) -> u32 {
     u32::try_from(prompt.len().div_ceil(BYTES_PER_TOKEN)).unwrap_or(u32::MAX)
 }
--- a/crates/fake/tests/all/engine.rs
+++ b/crates/fake/tests/all/engine.rs
@@ -2,7 +2,7 @@
 
 use fake::Handle;
 use fake::engine::{self, Engine, EngineOptions, Faults};
-use fake::text::Answer;
+use fake::text::ResponseText;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use serde_json::{Value, json};
@@ -101,15 +101,15 @@
 async fn a_resumed_answer_equals_an_unbroken_one() {
     let engine = start(quick()).await;
     load(&engine, 1, "m", None).await;
-    let whole = Answer::new("m", 1, "why").tokens(0, 9);
+    let whole = ResponseText::new("m", 1, "why").token_range(0, 9);
     for offset in [0_u64, 1, 5, 8, 9] {
         let header = offset.to_string();
         let headers = [("x-resume-offset", header.as_str())];
         let (parts, clean) = chunks(stream(&engine, "why", 9, &headers).await).await;
         assert!(clean);
-        let rest = Answer::new("m", 1, "why").tokens(offset, 9);
+        let rest = ResponseText::new("m", 1, "why").token_range(offset, 9);
         assert_eq!(text_of(&parts), rest);
-        let before = Answer::new("m", 1, "why").tokens(0, offset);
+        let before = ResponseText::new("m", 1, "why").token_range(0, offset);
         assert_eq!(before + &rest, whole);
         // One chunk for each token, then the last chunk and the end mark.
         assert_eq!(parts.len() as u64, 9 - offset + 2);
@@ -132,9 +132,9 @@
         let path = "/v1/chat/completions";
         let answer = call(engine.address, "POST", path, &[], body.to_string()).await;
         let answer = answer.expect("an answer comes");
-        let text = Answer::new("m", 1, "user: why\n").tokens(0, 4);
+        let text = ResponseText::new("m", 1, "user: why\n").token_range(0, 4);
         if stream {
-            let first = Answer::new("m", 1, "user: why\n").token(0);
+            let first = ResponseText::new("m", 1, "user: why\n").token(0);
             let shown = String::from_utf8_lossy(&answer.body);
             assert!(shown.contains(&format!(r#""delta":{{"content":"{first}"}}"#)));
             assert!(shown.ends_with("data: [DONE]\n\n"));
@@ -144,12 +144,12 @@
         }
     }
     let other = [
-        Answer::new("n", 1, "why"),
-        Answer::new("m", 2, "why"),
-        Answer::new("m", 1, "who"),
+        ResponseText::new("n", 1, "why"),
+        ResponseText::new("m", 2, "why"),
+        ResponseText::new("m", 1, "who"),
     ];
     for other in other {
-        assert_ne!(other.token(0), Answer::new("m", 1, "why").token(0));
+        assert_ne!(other.token(0), ResponseText::new("m", 1, "why").token(0));
     }
 }
 
@@ -230,7 +230,10 @@
     let answers = prompts.iter().map(|prompt| async {
         let (parts, clean) = chunks(stream(&engine, prompt, 6, &[]).await).await;
         assert!(clean);
-        assert_eq!(text_of(&parts), Answer::new("m", 1, prompt).tokens(0, 6));
+        assert_eq!(
+            text_of(&parts),
+            ResponseText::new("m", 1, prompt).token_range(0, 6)
+        );
     });
     futures::future::join_all(answers).await;
     let counts = engine.counts();
--- a/crates/fake/tests/all/engine_faults.rs
+++ b/crates/fake/tests/all/engine_faults.rs
@@ -101,7 +101,7 @@
         });
         let (parts, clean) = chunks(stream(&engine, "why", 9, &[]).await).await;
         assert!(!clean);
-        let start = fake::text::Answer::new("m", 1, "why").tokens(0, tokens);
+        let start = fake::text::ResponseText::new("m", 1, "why").token_range(0, tokens);
         assert_eq!(text_of(&parts), start);
         let (_, clean) = chunks(stream(&engine, "why", 9, &[]).await).await;
         assert!(clean);
--- a/crates/fake/tests/all/load.rs
+++ b/crates/fake/tests/all/load.rs
@@ -1,7 +1,7 @@
 //! The load driver's judgement of answers.
 
 use fake::engine::Faults;
-use fake::load::{self, LoadOptions, Mix, Report};
+use fake::load::{self, LoadOptions, Report, Workload};
 use fake::service::{self, ServiceOptions};
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -15,27 +15,27 @@
     count: u64,
     rate: Option<f64>,
 ) -> Report {
-    let mix = Mix {
+    let mix = Workload {
         profile: "desk".to_owned(),
         models: vec!["m".to_owned()],
         stream,
-        ..Mix::default()
+        ..Workload::default()
     };
     drive_mix(target, mix, count, rate).await
 }
 
 async fn drive_mix(
     target: SocketAddr,
-    mix: Mix,
+    mix: Workload,
     count: u64,
     rate_per_s: Option<f64>,
 ) -> Report {
     load::run(LoadOptions {
         targets: vec![target],
         direct: true,
-        balanced: false,
-        key: String::new(),
-        mixes: vec![mix],
+        exclude_unavailable_targets: false,
+        caller_key: String::new(),
+        workloads: vec![mix],
         concurrency: 4,
         rate_per_s,
         count,
@@ -124,10 +124,10 @@
 async fn a_doubled_service_call_is_wrong() {
     let service = service::start(ServiceOptions::default()).await;
     let service = service.expect("loopback has a free port");
-    let mix = Mix {
+    let mix = Workload {
         profile: "parts".to_owned(),
         service: "deskapp".to_owned(),
-        ..Mix::default()
+        ..Workload::default()
     };
     for (whole, wrong) in [(3, 0), (0, 3)] {
         // The same seed gives the same keys, as a resend would.
@@ -145,11 +145,11 @@
         slow_factor: 50,
         ..Faults::default()
     });
-    let mix = Mix {
+    let mix = Workload {
         profile: "desk".to_owned(),
         models: vec!["m".to_owned()],
         first_token_ms: 1,
-        ..Mix::default()
+        ..Workload::default()
     };
     let report = drive_mix(engine.address, mix, 4, None).await;
     let desk = &report.profiles["desk"];
@@ -175,12 +175,12 @@
     let report = load::run(LoadOptions {
         targets: vec![gone_address, engine.address],
         direct: true,
-        balanced: true,
-        key: String::new(),
-        mixes: vec![Mix {
+        exclude_unavailable_targets: true,
+        caller_key: String::new(),
+        workloads: vec![Workload {
             profile: "desk".to_owned(),
             models: vec!["m".to_owned()],
-            ..Mix::default()
+            ..Workload::default()
         }],
         concurrency,
         rate_per_s: None,
--- a/crates/fake/tests/all/platform.rs
+++ b/crates/fake/tests/all/platform.rs
@@ -116,7 +116,7 @@
         let answer = call(platform.address, "PUT", "/objects/a", &[], value).await;
         assert_eq!(answer.expect("an answer comes").status, status);
     }
-    let (version, value) = platform.peek("a").expect("the first was written");
+    let (version, value) = platform.peek_object("a").expect("the first was written");
     assert_eq!((version, value.len()), (1, VALUE_MAX_BYTES));
 }
 
@@ -173,7 +173,7 @@
         platform.set_faults(faults.clone());
         let answer = put(&platform, "a", &[("if-none-match", "*")], "v").await;
         assert_eq!(answer.map(|answer| answer.status), status, "{faults:?}");
-        assert_eq!(platform.peek("a").is_some(), written, "{faults:?}");
+        assert_eq!(platform.peek_object("a").is_some(), written, "{faults:?}");
         platform.set_faults(Faults::default());
         let next = put(&platform, "b", &[], "v").await;
         assert_eq!(next.expect("the fault is over").status, 200, "{faults:?}");
@@ -256,7 +256,10 @@
             lost.push(put(&platform, "a", &[], "v").await.is_none());
         }
         assert!(lost.contains(&true) && lost.contains(&false));
-        assert_eq!(platform.peek("a").map(|(version, _)| version), Some(32));
+        assert_eq!(
+            platform.peek_object("a").map(|(version, _)| version),
+            Some(32)
+        );
         runs.push(lost);
     }
     assert_eq!(runs[0], runs[1]);
--- a/tests/all/processes/faults.rs
+++ b/tests/all/processes/faults.rs
@@ -92,13 +92,13 @@
 
 async fn kill_and_restart(rig: &mut Rig, id: &str) -> TestResult {
     rig.deployment.signal(id, Signal::SIGKILL).map_err(text)?;
-    rig.deployment.until_ended(id, BOUND).await.map_err(text)?;
+    rig.deployment.wait_exited(id, BOUND).await.map_err(text)?;
     rig.deployment.restart(id).map_err(text)
 }
 
 /// All processes are ready again, work is answered, and the promises held.
 async fn served_again(rig: &Rig, seed: u64) -> TestResult {
-    rig.deployment.until_ready().await.map_err(text)?;
+    rig.deployment.wait_ready().await.map_err(text)?;
     rig.until("work is answered again", async || {
         let report = load::run(rig.load(RATE_PER_S, 60, seed)).await;
         (whole(&report) == 60).then_some(())
--- a/tests/all/processes/outage.rs
+++ b/tests/all/processes/outage.rs
@@ -25,7 +25,7 @@
 
     restart_entry(rig).await?;
     rig.until("entry-2 has the configuration", async || {
-        let address = rig.deployment.operators().get("entry-2")?;
+        let address = rig.deployment.operator_addresses().get("entry-2")?;
         let (ready, _) = rig.probe.get(*address, "/readyz").await?;
         let status = rig.status("entry-2").await?;
         (ready == 200 && status["revision"] == revision).then_some(())
@@ -48,7 +48,7 @@
         outage,
         ..Faults::default()
     };
-    let control = rig.deployment.controls().platform;
+    let control = rig.deployment.control_addresses().platform;
     let done = rig.probe.set_faults(control, &faults).await;
     check(done, || "the platform's control is silent".to_owned())
 }
@@ -87,7 +87,9 @@
 
 async fn model_work_goes_on(rig: &Rig, seed: u64) -> TestResult {
     let mut options = rig.load(40.0, 120, seed);
-    options.mixes.retain(|mix| mix.service.is_empty());
+    options
+        .workloads
+        .retain(|workload| workload.service.is_empty());
     let report = load::run(options).await;
     let whole = report.profiles["desk"].whole;
     check(whole == 120, || report.table())
@@ -98,7 +100,7 @@
     deployment
         .signal("entry-2", Signal::SIGTERM)
         .map_err(text)?;
-    let ended = deployment.until_ended("entry-2", BOUND).await;
+    let ended = deployment.wait_exited("entry-2", BOUND).await;
     let status = ended.map_err(text)?;
     check(status.code() == Some(0), || status.to_string())?;
     deployment.restart("entry-2").map_err(text)
--- a/tests/all/processes/path.rs
+++ b/tests/all/processes/path.rs
@@ -1,6 +1,6 @@
 //! A request's way through an entry, an agent and an upstream.
 
-use fake::text::{Answer, Message, chat_prompt};
+use fake::text::{Message, ResponseText, chat_prompt};
 use serde_json::{Value, json};
 
 use super::fleet::MODELS;
@@ -73,7 +73,8 @@
         role: "user".to_owned(),
         content: prompt.to_owned(),
     };
-    let expected = Answer::new(model, 1, &chat_prompt(&[message])).tokens(0, TOKENS);
+    let expected =
+        ResponseText::new(model, 1, &chat_prompt(&[message])).token_range(0, TOKENS);
     let got = content(&stream)?;
     check(got == expected, || format!("{got:?} for {expected:?}"))
 }
--- a/tests/all/processes/publish.rs
+++ b/tests/all/processes/publish.rs
@@ -35,8 +35,8 @@
     document["pools"]["oracle"]["concurent_max"] = json!(1);
     let said = rig.deployment.publish_with(&document.to_string(), &[]);
     let said = said.map_err(text)?;
-    check(said.code == FAULTS, || {
-        format!("{} {}", said.code, said.text)
+    check(said.exit_code == FAULTS, || {
+        format!("{} {}", said.exit_code, said.text)
     })?;
     for expected in ["5002", "5006"] {
         check(said.text.contains(expected), || said.text.clone())?;
@@ -59,8 +59,8 @@
     let options = ["--base", &base];
     let said = rig.deployment.publish_with(&second.to_string(), &options);
     let said = said.map_err(text)?;
-    check(said.code == CONFLICT, || {
-        format!("{} {}", said.code, said.text)
+    check(said.exit_code == CONFLICT, || {
+        format!("{} {}", said.exit_code, said.text)
     })?;
     let after = revisions(rig).await?;
     check(accepted == after, || {
@@ -71,7 +71,7 @@
 /// The revision in force in each process, in order of name.
 async fn revisions(rig: &Rig) -> TestResult<Vec<u64>> {
     let mut all = Vec::new();
-    for id in rig.deployment.operators().keys() {
+    for id in rig.deployment.operator_addresses().keys() {
         let status = rig.status(id).await.unwrap_or(Value::Null);
         let revision = status["revision"].as_u64();
         all.push(revision.ok_or_else(|| format!("{id} shows no revision"))?);
--- a/tests/all/processes/rig.rs
+++ b/tests/all/processes/rig.rs
@@ -1,9 +1,9 @@
 //! A deployment with what the tests ask it.
 
 use bytes::Bytes;
-use fake::demo::{Deployment, DeploymentOptions, Probe};
+use fake::demo::{Deployment, DeploymentOptions, ProbeClient};
 use fake::engine;
-use fake::load::{self, LoadOptions, Mix, Report};
+use fake::load::{self, LoadOptions, Report, Workload};
 use fake::service;
 use http_body_util::Full;
 use hyper::Request;
@@ -57,7 +57,7 @@
 #[derive(Debug)]
 pub(super) struct Rig {
     pub(super) deployment: Deployment,
-    pub(super) probe: Probe,
+    pub(super) probe: ProbeClient,
 }
 
 /// Runs a test on a deployment of its own; the logs of a failed one are kept.
@@ -78,8 +78,8 @@
             Err(fault) => Err(fault),
         };
         result.map_err(|fault| {
-            rig.deployment.keep_folder();
-            format!("{fault}\nlogs: {}", rig.deployment.folder().display())
+            rig.deployment.keep_directory();
+            format!("{fault}\nlogs: {}", rig.deployment.directory().display())
         })
     })
 }
@@ -103,7 +103,7 @@
         };
         Ok(Self {
             deployment: Deployment::start(options).map_err(text)?,
-            probe: Probe::new(),
+            probe: ProbeClient::new(),
         })
     }
 
@@ -112,8 +112,8 @@
         // The processes hear of the configuration as they start, so there may
         // be none to wait for yet.
         let said = self.deployment.publish_with(&document, &[]).map_err(text)?;
-        check(said.code == 0, || said.text.clone())?;
-        self.deployment.until_ready().await.map_err(text)?;
+        check(said.exit_code == 0, || said.text.clone())?;
+        self.deployment.wait_ready().await.map_err(text)?;
         self.links_stand().await
     }
 
@@ -151,13 +151,13 @@
 
     /// `/status` of a process; `None` if it does not answer.
     pub(super) async fn status(&self, id: &str) -> Option<Value> {
-        let address = self.deployment.operators().get(id)?;
-        self.probe.json(*address, "/status").await
+        let address = self.deployment.operator_addresses().get(id)?;
+        self.probe.get_json(*address, "/status").await
     }
 
     /// Entries' listeners.
     pub(super) fn entry(&self, place: usize) -> SocketAddr {
-        self.deployment.callers()[place]
+        self.deployment.entry_addresses()[place]
     }
 
     /// Sends a call as the tests' caller; status and body.
@@ -201,7 +201,7 @@
             slow_ms: 400,
             ..service::Faults::default()
         };
-        for control in &self.deployment.controls().services {
+        for control in &self.deployment.control_addresses().services {
             let done = self.probe.set_faults(*control, &faults).await;
             check(done, || "a service's control is silent".to_owned())?;
         }
@@ -211,8 +211,8 @@
     /// Runs of all services by key; keys are told apart by their last part.
     pub(super) async fn runs_by_key(&self) -> TestResult<BTreeMap<String, u64>> {
         let mut all = BTreeMap::new();
-        for control in &self.deployment.controls().services {
-            let counts = self.probe.json(*control, "/control/counts").await;
+        for control in &self.deployment.control_addresses().services {
+            let counts = self.probe.get_json(*control, "/control/counts").await;
             let counts: service::Counts = counts.ok_or("a service is silent")?;
             for (key, runs) in counts.by_key {
                 *all.entry(key).or_default() += runs;
@@ -224,8 +224,8 @@
     /// Counts of all engines.
     pub(super) async fn engines(&self) -> TestResult<Vec<engine::Counts>> {
         let mut all = Vec::new();
-        for control in &self.deployment.controls().engines {
-            let counts = self.probe.json(*control, "/control/counts").await;
+        for control in &self.deployment.control_addresses().engines {
+            let counts = self.probe.get_json(*control, "/control/counts").await;
             all.push(counts.ok_or("an engine is silent")?);
         }
         Ok(all)
@@ -247,11 +247,11 @@
     /// Work of all kinds on all entries.
     pub(super) fn load(&self, rate_per_s: f64, count: u64, seed: u64) -> LoadOptions {
         LoadOptions {
-            targets: self.deployment.callers(),
+            targets: self.deployment.entry_addresses(),
             direct: false,
-            balanced: true,
-            key: fleet::KEY.to_owned(),
-            mixes: mixes(),
+            exclude_unavailable_targets: true,
+            caller_key: fleet::KEY.to_owned(),
+            workloads: workloads(),
             concurrency: 0,
             rate_per_s: Some(rate_per_s),
             count,
@@ -274,22 +274,22 @@
 }
 
 /// The kinds of work: two hot models, an adapter and orders.
-fn mixes() -> Vec<Mix> {
+fn workloads() -> Vec<Workload> {
     vec![
-        Mix {
+        Workload {
             profile: "desk".to_owned(),
             models: ["diagnosis-01", "diagnosis-02", "diagnosis-01-kingston"]
                 .map(str::to_owned)
                 .to_vec(),
             weight: 3,
             max_tokens: 24,
-            ..Mix::default()
+            ..Workload::default()
         },
-        Mix {
+        Workload {
             profile: "parts".to_owned(),
             service: "deskapp".to_owned(),
             weight: 1,
-            ..Mix::default()
+            ..Workload::default()
         },
     ]
 }
--- a/tests/all/processes/stop.rs
+++ b/tests/all/processes/stop.rs
@@ -38,7 +38,7 @@
 async fn resumed(rig: &Rig) -> TestResult<u64> {
     let mut all = 0;
     for entry in ["entry-1", "entry-2"] {
-        let address = rig.deployment.operators()[entry];
+        let address = rig.deployment.operator_addresses()[entry];
         let page = rig.probe.get(address, "/metrics").await;
         let (_, page) = page.ok_or("no metrics")?;
         let mut lines = page.lines();
@@ -57,7 +57,7 @@
     let stop = async {
         tokio::time::sleep(SETTLED).await;
         rig.deployment.signal(id, Signal::SIGTERM).map_err(text)?;
-        rig.deployment.until_ended(id, BOUND).await.map_err(text)
+        rig.deployment.wait_exited(id, BOUND).await.map_err(text)
     };
     let (report, status) = tokio::join!(load, stop);
     let status = status?;
