--- a/crates/fake/src/base64.rs
+++ b/crates/fake/src/base64.rs
@@ -1,9 +1,9 @@
-//! Base64 as the object API's lists carry values (RFC 4648, padded).
+//! Padded base64 (RFC 4648), in which the object API's lists carry values.
 
 const ALPHABET: &[u8; 64] =
     b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
 
-/// Encodes bytes.
+/// Encodes `bytes` as padded base64.
 pub(crate) fn encode(bytes: &[u8]) -> String {
     let mut text = String::with_capacity(bytes.len().div_ceil(3) * 4);
     for group in bytes.chunks(3) {
--- a/crates/fake/src/bin/fake-engine.rs
+++ b/crates/fake/src/bin/fake-engine.rs
@@ -1,4 +1,4 @@
-//! Stand-in for a model engine as a program.
+//! Runs the stand-in for a model engine.
 
 use bpaf::Bpaf;
 use fake::engine::{self, EngineOptions};
@@ -10,47 +10,47 @@
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options)]
 struct Args {
-    /// Where the API is served
+    /// Address of the API listener
     #[bpaf(argument("IP:PORT"), fallback(fake::ANY_PORT))]
     listen: SocketAddr,
-    /// Where faults are switched and counts are read
+    /// Address of the control listener, which sets faults and returns counters
     #[bpaf(argument("IP:PORT"), fallback(fake::ANY_PORT))]
     control: SocketAddr,
-    /// Memory of each accelerator, separated by commas
+    /// Memory of each accelerator in MiB, separated by commas
     #[bpaf(argument("MIB,…"), fallback(Sizes(vec![81_920])))]
     accelerators_mib: Sizes,
-    /// Duration of a step with one request in the batch
+    /// Duration in microseconds of a step with one request in the batch
     #[bpaf(argument("US"), fallback(10_000))]
     step_us: u64,
-    /// Requests in one accelerator's batch
+    /// Maximum number of requests in one accelerator's batch
     #[bpaf(argument("N"), fallback(16))]
     slots: usize,
     /// Blocks of 16 prompt tokens that one accelerator's prefix cache holds
     #[bpaf(argument("N"), fallback(4_096))]
     prefix_blocks: usize,
-    /// Refuse an order with an old fencing number
+    /// Refuse an order whose fencing epoch is lower than one already seen
     check_fencing: bool,
-    /// Weight store; without it a load takes --load-ms
+    /// Address of the weight store; without one, a load takes --load-ms
     #[bpaf(argument("IP:PORT"))]
     store: Option<SocketAddr>,
-    /// Duration of a load without a weight store
+    /// Duration in milliseconds of a load without a weight store
     #[bpaf(argument("MS"), fallback(2_000))]
     load_ms: u64,
-    /// Duration of an unload
+    /// Duration of an unload in milliseconds
     #[bpaf(argument("MS"), fallback(50))]
     unload_ms: u64,
     /// A prompt that contains this text crashes the engine
     #[bpaf(argument("TEXT"))]
     crash_text: Option<String>,
-    /// Time from a crash to the next incarnation
+    /// Milliseconds from a crash to the next incarnation
     #[bpaf(argument("MS"), fallback(1_000))]
     restart_ms: u64,
-    /// First incarnation; a restarted program needs another
+    /// Incarnation at the start; a restarted program must be given another
     #[bpaf(argument("N"), fallback(1))]
     incarnation: u64,
 }
 
-/// Memory of each accelerator.
+/// Memory of each accelerator in MiB.
 #[derive(Debug, Clone)]
 struct Sizes(Vec<u32>);
 
--- a/crates/fake/src/bin/fake-load.rs
+++ b/crates/fake/src/bin/fake-load.rs
@@ -1,4 +1,4 @@
-//! Load driver as a program.
+//! Runs the load generator.
 
 use bpaf::Bpaf;
 use fake::load::{self, LoadOptions, Workload};
@@ -6,46 +6,46 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Sends work to entries or to an engine and checks every answer
+/// Sends requests to entries or to an engine and checks every response
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options)]
 struct Args {
-    /// Callers' address of an entry; may be given several times
+    /// Address of an entry's caller listener; may be given several times
     #[bpaf(argument("IP:PORT"))]
     entry: Vec<SocketAddr>,
-    /// Address of an engine, in place of entries
+    /// Address of an engine, instead of entries
     #[bpaf(argument("IP:PORT"))]
     direct: Option<SocketAddr>,
-    /// The caller's key
+    /// API key of the caller
     #[bpaf(argument("KEY"), fallback(String::new()))]
     key: String,
-    /// JSON file with an array of kinds of work
+    /// JSON file with an array of workloads
     #[bpaf(argument("FILE"))]
     mix: Option<PathBuf>,
-    /// Profile, without a mix file
+    /// Profile, if no mix file is given
     #[bpaf(argument("NAME"), fallback("default".to_owned()))]
     profile: String,
-    /// Model, without a mix file; may be given several times
+    /// Model, if no mix file is given; may be given several times
     #[bpaf(argument("NAME"))]
     model: Vec<String>,
-    /// Tokens of the prompt, without a mix file
+    /// Tokens per prompt, if no mix file is given
     #[bpaf(argument("N"), fallback(64))]
     prompt_tokens: u32,
-    /// Tokens of the answer, without a mix file
+    /// Tokens per response, if no mix file is given
     #[bpaf(argument("N"), fallback(16))]
     max_tokens: u64,
-    /// Take whole answers in one document, without a mix file
+    /// Request single-document instead of streamed responses, if no mix file is given
     no_stream: bool,
-    /// Requests in progress at once
+    /// Number of concurrent requests
     #[bpaf(argument("N"), fallback(8))]
     concurrency: usize,
-    /// Requests started per second, in place of a concurrency
+    /// Requests started per second, instead of a fixed concurrency
     #[bpaf(argument("N"))]
     rate: Option<f64>,
-    /// Requests to send
+    /// Number of requests to send
     #[bpaf(argument("N"), fallback(100))]
     count: u64,
-    /// Seed of models, prompts and kinds of work
+    /// Seed of the choice of workloads, models and prompts
     #[bpaf(argument("N"), fallback(1))]
     seed: u64,
     /// Print the report as JSON
@@ -64,7 +64,7 @@
     }
 }
 
-/// Exit code when an answer was wrong.
+/// Exit code if at least one response was wrong.
 const WRONG_EXIT: u8 = 2;
 
 fn drive(args: Args) -> std::io::Result<bool> {
--- a/crates/fake/src/bin/fake-platform.rs
+++ b/crates/fake/src/bin/fake-platform.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the platform's object API as a program.
+//! Runs the stand-in for the platform's object API.
 
 use bpaf::Bpaf;
 use fake::platform::{self, PlatformOptions};
@@ -8,13 +8,13 @@
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options)]
 struct Args {
-    /// Where the object API is served
+    /// Address of the object API listener
     #[bpaf(argument("IP:PORT"), fallback(fake::ANY_PORT))]
     listen: SocketAddr,
-    /// Where faults are switched and counts are read
+    /// Address of the control listener, which sets faults and returns counters
     #[bpaf(argument("IP:PORT"), fallback(fake::ANY_PORT))]
     control: SocketAddr,
-    /// Seed of the faults that come with a probability
+    /// Seed of the random faults
     #[bpaf(argument("N"), fallback(1))]
     seed: u64,
 }
--- a/crates/fake/src/bin/fake-service.rs
+++ b/crates/fake/src/bin/fake-service.rs
@@ -1,4 +1,4 @@
-//! Stand-in for a plain service as a program.
+//! Runs the stand-in for a plain service.
 
 use bpaf::Bpaf;
 use fake::service::{self, ServiceOptions};
@@ -8,16 +8,16 @@
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options)]
 struct Args {
-    /// Where calls are served
+    /// Address of the service's listener
     #[bpaf(argument("IP:PORT"), fallback(fake::ANY_PORT))]
     listen: SocketAddr,
-    /// Where faults are switched and counts are read
+    /// Address of the control listener, which sets faults and returns counters
     #[bpaf(argument("IP:PORT"), fallback(fake::ANY_PORT))]
     control: SocketAddr,
-    /// Time one call takes
+    /// Duration of one request in milliseconds
     #[bpaf(argument("MS"), fallback(5))]
     work_ms: u64,
-    /// What /healthz shows; a restarted service needs another
+    /// Incarnation that /healthz returns; a restarted service must be given another
     #[bpaf(argument("N"), fallback(1))]
     incarnation: u64,
 }
--- a/crates/fake/src/bin/fake-store.rs
+++ b/crates/fake/src/bin/fake-store.rs
@@ -1,4 +1,4 @@
-//! Stand-in for the weight store as a program.
+//! Runs the stand-in for the weight store.
 
 use bpaf::Bpaf;
 use fake::store::{self, StoreOptions};
@@ -8,19 +8,19 @@
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options)]
 struct Args {
-    /// Where weights are served
+    /// Address of the listener that serves weights
     #[bpaf(argument("IP:PORT"), fallback(fake::ANY_PORT))]
     listen: SocketAddr,
-    /// Where faults are switched and counts are read
+    /// Address of the control listener, which sets faults and returns counters
     #[bpaf(argument("IP:PORT"), fallback(fake::ANY_PORT))]
     control: SocketAddr,
-    /// Loads that may start per second
+    /// Maximum number of loads started per second
     #[bpaf(argument("N"), fallback(2.0))]
     loads_per_s: f64,
-    /// Loads that run at full speed at the same time
+    /// Maximum number of concurrent loads at full speed; more share the bandwidth
     #[bpaf(argument("N"), fallback(6))]
     full_speed_loads: u32,
-    /// Duration of a load at full speed
+    /// Duration in milliseconds of a load at full speed
     #[bpaf(argument("MS"), fallback(2_000))]
     load_time_ms: u64,
 }
--- a/crates/fake/src/bin/sesame-demo.rs
+++ b/crates/fake/src/bin/sesame-demo.rs
@@ -1,20 +1,20 @@
-//! The demo as a program.
+//! Runs the demo.
 
 use bpaf::Bpaf;
 use fake::demo::{self, DemoOptions};
 use std::process::ExitCode;
 
-/// Runs a small deployment on this machine, gives it work and sums up
+/// Runs a small deployment on this machine, sends it requests and prints a summary
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options)]
 struct Args {
-    /// Duration of the work
+    /// Duration of the load in seconds
     #[bpaf(argument("N"), fallback(20))]
     seconds: u64,
-    /// Seed of the work
+    /// Seed of the requests
     #[bpaf(argument("N"), fallback(1))]
     seed: u64,
-    /// Keep the folder with settings and logs
+    /// Keep the directory with settings and logs
     keep: bool,
 }
 
@@ -29,7 +29,9 @@
     match demo::run(options).await {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => {
-            eprintln!("sesame-demo: a promise was broken, see above");
+            eprintln!(
+                "sesame-demo: a response was wrong or a count that must be 0 is not, see above"
+            );
             ExitCode::FAILURE
         }
         Err(error) => {
--- a/crates/fake/src/bin/sesame-overhead.rs
+++ b/crates/fake/src/bin/sesame-overhead.rs
@@ -1,27 +1,27 @@
-//! The overhead benchmark as a program.
+//! Runs the overhead benchmark.
 
 use bpaf::Bpaf;
 use fake::overhead::{self, OverheadOptions, Sections};
 use std::process::ExitCode;
 
-/// Measures what an entry and an agent cost beside an engine alone
+/// Measures the overhead of an entry and an agent, compared to an engine alone
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options)]
 struct Args {
-    /// Turns of each way
+    /// Number of rounds, each of which measures both paths
     #[bpaf(argument("N"), fallback(3))]
     turns: u32,
-    /// Seconds of one turn
+    /// Duration in seconds of one measurement
     #[bpaf(argument("N"), fallback(5))]
     seconds: u64,
-    /// Seconds over which idle processes are looked at
+    /// Duration in seconds over which idle processes are measured
     #[bpaf(argument("N"), fallback(10))]
     idle_seconds: u64,
-    /// Only first token and whole time, direct and through
+    /// Only time to first token and total time, directly and through entry and agent
     delay: bool,
-    /// Only requests per second through one entry
+    /// Only the throughput of one entry
     throughput: bool,
-    /// Only a deployment of today's size, idle
+    /// Only the resource usage of an idle deployment of production size
     control: bool,
 }
 
--- a/crates/fake/src/demo/children.rs
+++ b/crates/fake/src/demo/children.rs
@@ -1,4 +1,4 @@
-//! Child processes, each ended by its own process id.
+//! Child processes, each signalled only by its own process id.
 
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
@@ -12,13 +12,13 @@
 
 use super::DemoError;
 
-/// How long a child may take to end after SIGTERM.
+/// Time that a child may take to exit after SIGTERM.
 const STOP_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How often a stopping child is looked at.
+/// Interval at which a child that received SIGTERM is polled.
 const STOP_POLL: Duration = Duration::from_millis(20);
 
-/// One child; dropping it ends it at once.
+/// A child process, killed when dropped.
 #[derive(Debug)]
 pub(super) struct Running {
     name: String,
@@ -27,8 +27,8 @@
 }
 
 impl Running {
-    /// Starts a program of the system with its output at the end of
-    /// `<folder>/<name>.log`.
+    /// Starts a program of the system and appends its output to
+    /// `<directory>/<name>.log`.
     pub(super) fn start_system(
         program: &Path,
         name: &str,
@@ -39,8 +39,8 @@
         Self::spawn(program, name, &arguments, folder, false)
     }
 
-    /// Starts a stand-in on ports chosen by the kernel and reads the addresses
-    /// of its protocol and its control listener.
+    /// Starts a stand-in on ports chosen by the kernel and reads the addresses of its
+    /// protocol listener and its control listener from its output.
     pub(super) fn start_fake<S: AsRef<OsStr>>(
         program: &Path,
         name: &str,
@@ -69,9 +69,9 @@
         folder: &Path,
         piped: bool,
     ) -> Result<Self, DemoError> {
-        let io = |error| DemoError::Io("a program can't be started", error);
+        let io = |error| DemoError::Io("starting a program", error);
         let log = folder.join(format!("{name}.log"));
-        // A process that was started again goes on in the same log.
+        // A restarted process appends to the log of its predecessor.
         let log = File::options().create(true).append(true).open(log);
         let log = log.map_err(io)?;
         let out = if piped {
@@ -93,24 +93,24 @@
         })
     }
 
-    /// Process id.
+    /// Returns the process id.
     pub(super) fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends a signal. Until [`Self::ended`] has seen the end, the id belongs to
-    /// the child; after it, nothing is sent.
+    /// Sends a signal, unless [`Self::ended`] has reaped the child. Until then the id
+    /// can't belong to another process.
     pub(super) fn signal(&self, signal: Signal) {
         if self.ended {
             return;
         }
         if let Ok(pid) = i32::try_from(self.child.id()) {
-            // A child that has ended by itself is not an error here.
+            // Fails if the child has exited by itself, which is not an error.
             let _ = kill(Pid::from_raw(pid), signal);
         }
     }
 
-    /// How the child ended; `None` while it runs.
+    /// Returns the child's exit status, or `None` while it runs.
     pub(super) fn ended(&mut self) -> Option<ExitStatus> {
         let status = self.child.try_wait().ok().flatten();
         self.ended |= status.is_some();
@@ -124,14 +124,14 @@
             }
             std::thread::sleep(STOP_POLL);
         }
-        println!("{} did not stop in time", self.name);
+        println!("{} did not exit within the time limit", self.name);
     }
 }
 
 impl Drop for Running {
     fn drop(&mut self) {
-        // An id is free for reuse only once the child was waited for, so this
-        // can't hit another process.
+        // The id is not reused before the child is waited for, so the signal can't
+        // reach another process.
         if let Ok(None) = self.child.try_wait() {
             let _ = self.child.kill();
         }
@@ -139,7 +139,8 @@
     }
 }
 
-/// Ends children in good order: SIGTERM to all, then a wait for each.
+/// Stops children gracefully: sends SIGTERM to all, then waits for each. Those that
+/// exceed the time limit are killed when dropped.
 pub(super) fn stop(children: Vec<Running>) {
     for child in &children {
         child.signal(Signal::SIGTERM);
@@ -150,18 +151,19 @@
     }
 }
 
-/// The programs, which stand beside the demo's own.
+/// Directory of the demo's own executable, which holds the other programs too.
 #[derive(Debug)]
 pub(super) struct Programs(PathBuf);
 
 impl Programs {
-    /// Finds the programs.
+    /// Finds the directory and checks that all programs are in it.
     pub(super) fn find() -> Result<Self, DemoError> {
-        let own = std::env::current_exe()
-            .map_err(|error| DemoError::Io("the demo's own program", error))?;
+        let own = std::env::current_exe().map_err(|error| {
+            DemoError::Io("finding the path of the running program", error)
+        })?;
         let mut folder = own.parent().unwrap_or(Path::new("."));
         if folder.ends_with("deps") {
-            // A test's program stands one folder below the others.
+            // Cargo puts test executables one directory below the programs.
             folder = folder.parent().unwrap_or(folder);
         }
         let programs = Self(folder.to_owned());
@@ -186,7 +188,7 @@
         }
     }
 
-    /// Where one program is.
+    /// Returns the path of a program.
     pub(super) fn path(&self, name: &str) -> PathBuf {
         self.0.join(name)
     }
--- a/crates/fake/src/demo/deployment/commands.rs
+++ b/crates/fake/src/demo/deployment/commands.rs
@@ -1,26 +1,26 @@
-//! Commands of `sesamectl` on a deployment.
+//! Runs `sesamectl` commands on a deployment.
 
 use std::process::Command;
 
 use super::Deployment;
 use crate::demo::DemoError;
 
-/// What `sesamectl` did.
+/// Result of a `sesamectl` command.
 #[derive(Debug, Clone)]
 pub struct CommandOutput {
-    /// Exit code; -1 if a signal ended it.
+    /// Exit code, or -1 if a signal killed it.
     pub exit_code: i32,
-    /// What it printed, on standard output and then on standard error.
+    /// Standard output followed by standard error.
     pub text: String,
 }
 
 impl Deployment {
-    /// Publishes a fleet configuration and waits until it is in force; returns
-    /// what was printed.
+    /// Publishes a fleet configuration, waits until it is in force and returns the
+    /// command's output.
     ///
     /// # Errors
     ///
-    /// `sesamectl` failed.
+    /// Returns an error if `sesamectl` can't be started or fails.
     pub fn publish(&self, fleet: &str) -> Result<String, DemoError> {
         let said = self.publish_with(fleet, &["--wait"])?;
         if said.exit_code == 0 {
@@ -29,11 +29,11 @@
         Err(DemoError::CommandFailed(said.text))
     }
 
-    /// Publishes a fleet configuration with further options.
+    /// Publishes a fleet configuration with additional command-line options.
     ///
     /// # Errors
     ///
-    /// `sesamectl` can't be started.
+    /// Returns an error if `sesamectl` can't be started; a failure shows in the exit code.
     pub fn publish_with(
         &self,
         fleet: &str,
@@ -47,7 +47,7 @@
         self.sesamectl(&arguments)
     }
 
-    /// The explained time line of one request.
+    /// Returns the explained timeline of a request, or the error as text.
     pub fn timeline(&self, request: &str) -> Option<String> {
         if request.is_empty() {
             return None;
@@ -58,18 +58,18 @@
         }
     }
 
-    /// Runs a command of `sesamectl` on the deployment's platform.
+    /// Runs a `sesamectl` command on the deployment's platform.
     ///
     /// # Errors
     ///
-    /// It can't be started.
+    /// Returns an error if `sesamectl` can't be started.
     pub fn sesamectl(&self, arguments: &[&str]) -> Result<CommandOutput, DemoError> {
         let (command, rest) = arguments.split_first().unwrap_or((&"--help", &[]));
         let done = Command::new(self.programs.path("sesamectl"))
             .args([command, "--platform", &self.platform.to_string()])
             .args(rest)
             .output()
-            .map_err(|error| DemoError::Io("sesamectl can't be started", error))?;
+            .map_err(|error| DemoError::Io("starting sesamectl", error))?;
         let mut text = String::from_utf8_lossy(&done.stdout).into_owned();
         text.push_str(&String::from_utf8_lossy(&done.stderr));
         Ok(CommandOutput {
--- a/crates/fake/src/demo/deployment/mod.rs
+++ b/crates/fake/src/demo/deployment/mod.rs
@@ -1,4 +1,4 @@
-//! A deployment's processes and their settings.
+//! A deployment of the system and the stand-ins as child processes.
 
 mod commands;
 mod options;
@@ -18,21 +18,21 @@
 pub use commands::CommandOutput;
 pub use options::DeploymentOptions;
 
-/// Control listeners of the stand-ins, on which faults can be switched while the
-/// deployment runs.
+/// Addresses of the stand-ins' control listeners, which set faults while the deployment
+/// runs. Written to `controls.json`.
 #[derive(Debug, Serialize)]
 pub struct ControlAddresses {
-    /// The platform's.
+    /// Platform.
     pub platform: SocketAddr,
-    /// The weight store's.
+    /// Weight store, if there is one.
     pub store: Option<SocketAddr>,
-    /// The engines', in the order of their agents' names.
+    /// Engines, in the order of their agents' ids.
     pub engines: Vec<SocketAddr>,
-    /// The plain services', in the order of their agents' names.
+    /// Plain services, in the order of their agents' ids.
     pub services: Vec<SocketAddr>,
 }
 
-/// One process of the system.
+/// A process of the system, with what is needed to restart it.
 #[derive(Debug)]
 struct Process {
     running: Running,
@@ -40,7 +40,7 @@
     settings: PathBuf,
 }
 
-/// A running deployment; dropping it ends its processes and its folder.
+/// A running deployment. Dropping it kills its processes and removes its directory.
 #[derive(Debug)]
 pub struct Deployment {
     options: DeploymentOptions,
@@ -57,11 +57,11 @@
 }
 
 impl Deployment {
-    /// Starts every process; nothing is published yet.
+    /// Starts all processes, without publishing a fleet configuration.
     ///
     /// # Errors
     ///
-    /// Programs are missing, or one did not start.
+    /// Returns an error if programs are missing or one fails to start.
     pub fn start(options: DeploymentOptions) -> Result<Self, DemoError> {
         let programs = Programs::find()?;
         let folder = Folder::new(options.keep_directory)?;
@@ -91,7 +91,7 @@
         Ok(deployment)
     }
 
-    /// Process ids of the system and of the stand-ins, by name.
+    /// Returns the process ids of the system and the stand-ins, by name.
     pub fn pids(&self) -> BTreeMap<String, u32> {
         let system = self.system.iter().map(|(id, one)| (id, &one.running));
         let all = system.chain(self.fakes.iter());
@@ -99,32 +99,32 @@
             .collect()
     }
 
-    /// Callers' listeners of the entries, in the order of their names.
+    /// Returns the entries' caller listeners, in the order of the entries' ids.
     pub fn entry_addresses(&self) -> Vec<SocketAddr> {
         self.callers.clone()
     }
 
-    /// The engines, in the order of their agents' names.
+    /// Returns the engines' API listeners, in the order of their agents' ids.
     pub fn engine_addresses(&self) -> Vec<SocketAddr> {
         self.engines.clone()
     }
 
-    /// Operators' listeners by process.
+    /// Returns the operator listeners, by the id of the process in its settings.
     pub const fn operator_addresses(&self) -> &BTreeMap<String, SocketAddr> {
         &self.operators
     }
 
-    /// Control listeners of the stand-ins.
+    /// Returns the control listeners of the stand-ins.
     pub const fn control_addresses(&self) -> &ControlAddresses {
         &self.controls
     }
 
-    /// Folder with settings, logs and the stand-ins' control addresses.
+    /// Returns the directory with settings, logs and `controls.json`.
     pub fn directory(&self) -> &Path {
         &self.folder.path
     }
 
-    /// Leaves the folder with settings and logs in place.
+    /// Keeps the directory with settings and logs when the deployment is dropped.
     pub fn keep_directory(&mut self) {
         self.folder.keep = true;
     }
--- a/crates/fake/src/demo/deployment/options.rs
+++ b/crates/fake/src/demo/deployment/options.rs
@@ -1,21 +1,22 @@
-//! What a deployment is made of.
+//! Options of a deployment.
 
-/// What a deployment is made of.
+/// Size and other options of a deployment.
 #[derive(Debug, Clone)]
 pub struct DeploymentOptions {
-    /// Engines with an agent each, in the pool `oracle`: `oracle-01` and on.
+    /// Number of engines, each with an agent: `oracle-01`, … in the pool `oracle`.
     pub engines: usize,
-    /// Plain services with an agent each, in the pool `deskapp`.
+    /// Number of plain services, each with an agent: `deskapp-01`, … in the pool
+    /// `deskapp`.
     pub services: usize,
-    /// Entries: `entry-1` and on.
+    /// Number of entries: `entry-1`, …
     pub entries: usize,
-    /// Further arguments of each engine.
+    /// Additional command-line arguments of each engine.
     pub engine_arguments: Vec<String>,
-    /// Whether weights come from a weight store, not after a fixed time.
+    /// Whether engines load weights from a weight store, instead of after a fixed time.
     pub use_weight_store: bool,
-    /// Runtime threads of an entry.
+    /// Worker threads of each entry's runtime.
     pub entry_worker_threads: u32,
-    /// Leave the folder with settings and logs in place.
+    /// Whether to keep the directory with settings and logs.
     pub keep_directory: bool,
 }
 
--- a/crates/fake/src/demo/deployment/processes.rs
+++ b/crates/fake/src/demo/deployment/processes.rs
@@ -1,4 +1,4 @@
-//! The ends, restarts and readiness of a deployment's processes.
+//! Readiness, signals, restarts and shutdown of a deployment's processes.
 
 use nix::sys::signal::Signal;
 use std::process::ExitStatus;
@@ -10,17 +10,17 @@
 use crate::demo::children::{Running, stop};
 use crate::demo::probe::ProbeClient;
 
-/// How long the processes may take to become ready.
+/// Time that the processes may take to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(60);
 const READY_POLL: Duration = Duration::from_millis(50);
 
 impl Deployment {
-    /// Starts a process of the system that has ended once more, with its
-    /// settings and ports.
+    /// Restarts a process of the system that has exited, with the same settings and
+    /// ports.
     ///
     /// # Errors
     ///
-    /// There is no such process, or it does not start.
+    /// Returns an error if there is no such process or it can't be started.
     pub fn restart(&mut self, id: &str) -> Result<(), DemoError> {
         let process = self.system.get_mut(id);
         let process =
@@ -38,7 +38,7 @@
     ///
     /// # Errors
     ///
-    /// There is no such process.
+    /// Returns an error if there is no such process.
     pub fn signal(&self, id: &str, signal: Signal) -> Result<(), DemoError> {
         let process = self.system.get(id);
         let process =
@@ -47,11 +47,11 @@
         Ok(())
     }
 
-    /// Waits until a process of the system has ended by itself.
+    /// Waits until a process of the system has exited.
     ///
     /// # Errors
     ///
-    /// It still runs after the time given, or there is no such process.
+    /// Returns an error if it still runs after `bound` or there is no such process.
     pub async fn wait_exited(
         &mut self,
         id: &str,
@@ -72,11 +72,11 @@
         }
     }
 
-    /// Waits until every process says that it is ready.
+    /// Waits until `/readyz` of every process of the system returns 200.
     ///
     /// # Errors
     ///
-    /// Some are not ready after a minute.
+    /// Returns an error if some are not ready after [`READY_TIMEOUT`].
     pub async fn wait_ready(&self) -> Result<(), DemoError> {
         let probe = ProbeClient::new();
         let until = Instant::now() + READY_TIMEOUT;
@@ -98,8 +98,8 @@
         }
     }
 
-    /// Ends every process in good order: the system drains, then the stand-ins
-    /// that it needs for that end.
+    /// Stops all processes gracefully. The system is drained first, since it needs the
+    /// stand-ins for that.
     pub fn stop(mut self) {
         let system = std::mem::take(&mut self.system);
         stop(
--- a/crates/fake/src/demo/deployment/start.rs
+++ b/crates/fake/src/demo/deployment/start.rs
@@ -1,4 +1,4 @@
-//! The start of a deployment's processes, with their settings.
+//! Starts a deployment's processes with generated settings.
 
 use schema::settings::{AgentSettings, EntrySettings};
 use serde::Serialize;
--- a/crates/fake/src/demo/folder.rs
+++ b/crates/fake/src/demo/folder.rs
@@ -1,4 +1,4 @@
-//! A deployment's folder.
+//! Temporary directory of a deployment.
 
 use serde::Serialize;
 use std::fs;
@@ -8,39 +8,40 @@
 
 use super::DemoError;
 
-/// Folder for settings and logs, removed when dropped.
+/// Directory for settings and logs, removed when dropped unless `keep` is set.
 #[derive(Debug)]
 pub(super) struct Folder {
     pub(super) path: PathBuf,
     pub(super) keep: bool,
 }
 
-/// Folders made by this process.
+/// Number of directories that this process has created, for unique names.
 static MADE: AtomicU32 = AtomicU32::new(0);
 
 impl Folder {
-    /// Makes a folder of its own.
+    /// Creates a directory with a unique name.
     pub(super) fn new(keep: bool) -> Result<Self, DemoError> {
         let place = MADE.fetch_add(1, Ordering::Relaxed);
         let name = format!("sesame-demo-{}-{place}", std::process::id());
         let path = std::env::temp_dir().join(name);
         fs::create_dir_all(&path)
-            .map_err(|error| DemoError::Io("no temporary folder", error))?;
+            .map_err(|error| DemoError::Io("creating a temporary directory", error))?;
         Ok(Self { path, keep })
     }
 
-    /// Writes a file in JSON and returns where it is.
+    /// Writes a JSON file and returns its path.
     pub(super) fn write<S: Serialize>(
         &self,
         name: &str,
         value: &S,
     ) -> Result<PathBuf, DemoError> {
         let text = serde_json::to_string_pretty(value).map_err(io::Error::other);
-        let text = text.map_err(|error| DemoError::Io("a file's text", error))?;
+        let text =
+            text.map_err(|error| DemoError::Io("encoding a file as JSON", error))?;
         self.write_text(name, &text)
     }
 
-    /// Writes a file and returns where it is.
+    /// Writes a text file and returns its path.
     pub(super) fn write_text(
         &self,
         name: &str,
@@ -48,7 +49,7 @@
     ) -> Result<PathBuf, DemoError> {
         let file = self.path.join(name);
         fs::write(&file, text)
-            .map_err(|error| DemoError::Io("a file can't be written", error))?;
+            .map_err(|error| DemoError::Io("writing a file", error))?;
         Ok(file)
     }
 }
@@ -56,7 +57,7 @@
 impl Drop for Folder {
     fn drop(&mut self) {
         if !self.keep {
-            // Left-over logs in the temporary folder do no harm.
+            // Files left in the temporary directory are harmless.
             let _ = fs::remove_dir_all(&self.path);
         }
     }
--- a/crates/fake/src/demo/mod.rs
+++ b/crates/fake/src/demo/mod.rs
@@ -1,7 +1,8 @@
-//! The demo: a small deployment on loopback, work in bursts, and a summary.
+//! The demo: runs a small deployment on loopback under varying load and prints a
+//! summary.
 //!
-//! A tool for people: it starts the programs as its children and ends each by
-//! its process id. No process of the system itself starts another.
+//! It starts the programs as child processes and signals each by its process id. No
+//! process of the system itself starts another.
 
 mod children;
 mod deployment;
@@ -19,38 +20,39 @@
 pub use deployment::{CommandOutput, ControlAddresses, Deployment, DeploymentOptions};
 pub use probe::ProbeClient;
 
-/// The demo's fleet configuration.
+/// Fleet configuration of the demo.
 pub const FLEET: &str = include_str!("../../../../deploy/demo.jsonc");
 
-/// How the demo is run.
+/// Options of the demo.
 #[derive(Debug, Clone)]
 pub struct DemoOptions {
-    /// Duration of the work.
+    /// Duration of the load.
     pub seconds: u64,
-    /// Seed of the work.
+    /// Seed of the requests.
     pub seed: u64,
-    /// Keep the folder with settings and logs.
+    /// Whether to keep the directory with settings and logs.
     pub keep_directory: bool,
 }
 
-/// Why the demo ended early.
+/// Error of the demo or of a [`Deployment`].
 #[derive(Debug)]
 pub enum DemoError {
-    /// Programs that are not beside the demo's own.
+    /// Programs that are missing in the directory of the running one.
     MissingPrograms(Vec<PathBuf>),
-    /// A file, a port or a child failed.
+    /// An operation on a file, a port or a child process failed.
     Io(&'static str, io::Error),
-    /// A child said something else than its address.
+    /// A stand-in did not print its addresses.
     AddressNotReported(String),
-    /// A command of `sesamectl` failed; what it printed.
+    /// A command failed; holds its output.
     CommandFailed(String),
-    /// No process of the system has this name.
+    /// There is no process of the system with this name.
     UnknownProcess(String),
-    /// A process did not end in time.
+    /// A process did not exit within the time limit.
     ExitTimeout(String),
     /// A signal ended the demo.
     Interrupted,
-    /// Processes that were not ready in time, and the folder with their logs.
+    /// Processes that were not ready within the time limit, and the directory of their
+    /// logs.
     ReadyTimeout(Vec<String>, PathBuf),
 }
 
@@ -66,15 +68,17 @@
             }
             Self::Io(what, error) => write!(f, "{what}: {error}"),
             Self::AddressNotReported(name) => {
-                write!(f, "{name} did not tell its address")
+                write!(f, "{name} did not print its address")
             }
             Self::CommandFailed(text) => write!(f, "sesamectl failed: {text}"),
-            Self::UnknownProcess(name) => write!(f, "there is no process {name}"),
-            Self::ExitTimeout(name) => write!(f, "{name} did not end in time"),
+            Self::UnknownProcess(name) => write!(f, "no process named {name}"),
+            Self::ExitTimeout(name) => {
+                write!(f, "{name} did not exit within the time limit")
+            }
             Self::Interrupted => f.write_str("interrupted"),
             Self::ReadyTimeout(names, logs) => write!(
                 f,
-                "not ready in time: {}; logs are in {}",
+                "not ready within the time limit: {}; logs are in {}",
                 names.join(", "),
                 logs.display()
             ),
@@ -84,31 +88,33 @@
 
 impl std::error::Error for DemoError {}
 
-/// Runs the demo; true if every promise held.
+/// Runs the demo. Returns true if every response was correct and no counter shows a
+/// violation.
 ///
 /// # Errors
 ///
-/// The deployment did not come up.
+/// Returns an error if the deployment can't be started or a signal interrupts the demo.
 pub async fn run(options: DemoOptions) -> Result<bool, DemoError> {
     println!("starting 1 platform, 1 weight store, 6 engines, 3 services, ...");
     let mut deployment = Deployment::start(DeploymentOptions {
         keep_directory: options.keep_directory,
         ..DeploymentOptions::default()
     })?;
-    // The children would outlive a demo that ended without stopping them.
+    // SIGINT and SIGTERM are handled, since the children would outlive a demo that they
+    // killed.
     let done = tokio::select! {
         done = drive(&deployment, &options) => done,
         () = interrupted() => Err(DemoError::Interrupted),
     };
     if done.is_err() {
-        // The logs are what the error is about.
+        // The logs are needed to diagnose the error.
         deployment.keep_directory();
     }
     deployment.stop();
     done
 }
 
-/// Waits for SIGINT or SIGTERM; for ever if they can't be listened to.
+/// Waits for SIGINT or SIGTERM, or forever if no handler can be installed.
 pub(crate) async fn interrupted() {
     let (Ok(mut interrupt), Ok(mut terminate)) = (
         signal(SignalKind::interrupt()),
@@ -141,7 +147,7 @@
     println!("{}", totals.table());
     if let Some(line) = deployment.timeline(&report.slowest_request) {
         println!(
-            "time line of the slowest whole answer, {} ({} ms):\n{line}",
+            "timeline of the slowest whole answer, {} ({} ms):\n{line}",
             report.slowest_request, report.slowest_ms
         );
     }
--- a/crates/fake/src/demo/ports.rs
+++ b/crates/fake/src/demo/ports.rs
@@ -1,4 +1,4 @@
-//! Loopback ports for processes that are started, stopped and started again.
+//! Loopback ports for processes that may be restarted on the same ports.
 
 use std::fs::{self, File};
 use std::io;
@@ -6,17 +6,17 @@
 
 use super::DemoError;
 
-/// Ports are taken in blocks from here on.
+/// First port of the first block.
 ///
-/// The kernel gives ports from 32768 on to outgoing connections. A port of that
-/// range, once let go here, would now and then be taken by a connection of a
-/// process that was started before the one that is to listen on it, and that
-/// one would not start. Ports below the range are taken only by listeners.
+/// All blocks lie below 32768, where the kernel's range of ports for outgoing
+/// connections begins. A port in that range could be taken by an outgoing connection
+/// between its release here and the start of the process that is to listen on it, which
+/// would then fail to start.
 const FIRST_PORT: u16 = 20_000;
 const PORTS_EACH: u16 = 100;
 const BLOCKS: u16 = 120;
 
-/// Loopback ports that one process listens on.
+/// Loopback addresses that one process listens on.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Listeners {
     pub(super) caller: SocketAddr,
@@ -24,12 +24,12 @@
     pub(super) operator: SocketAddr,
 }
 
-/// A block of ports that no other deployment on this machine takes.
+/// A block of ports that no other deployment on this machine uses.
 ///
-/// Between the choice of a port and the start of its process the port is free.
-/// Two deployments that started at once would choose the same, and processes of
-/// one would not start. A lock on a file stands for the block; the kernel frees
-/// it with the last handle, also when the process is killed.
+/// A port is free between its selection and the start of its process. Without the
+/// block, two deployments started at the same time could select the same port, and a
+/// process of one would fail to start. A file lock reserves the block; the kernel
+/// releases it when the process exits, even if it is killed.
 #[derive(Debug)]
 pub(super) struct Block {
     first: u16,
@@ -37,9 +37,9 @@
 }
 
 impl Block {
-    /// Takes the first block that nobody holds.
+    /// Reserves the first block that is not locked.
     pub(super) fn take() -> Result<Self, DemoError> {
-        let error = |error| DemoError::Io("no block of ports", error);
+        let error = |error| DemoError::Io("reserving a block of ports", error);
         let folder = std::env::temp_dir().join("sesame-ports");
         fs::create_dir_all(&folder).map_err(error)?;
         for block in 0..BLOCKS {
@@ -55,9 +55,9 @@
         Err(error(io::Error::from(io::ErrorKind::AddrInUse)))
     }
 
-    /// Ports of the block on which nobody else listens.
+    /// Returns `count` sets of addresses from the block on which nothing listens.
     pub(super) fn listeners(&self, count: usize) -> Result<Vec<Listeners>, DemoError> {
-        let error = |error| DemoError::Io("no free port", error);
+        let error = |error| DemoError::Io("finding free ports", error);
         let mut held = Vec::new();
         for port in self.first..self.first + PORTS_EACH {
             if held.len() < count * 3 {
--- a/crates/fake/src/demo/probe.rs
+++ b/crates/fake/src/demo/probe.rs
@@ -1,4 +1,4 @@
-//! Reads operators' and control listeners.
+//! HTTP client for operator listeners and control listeners.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -11,7 +11,7 @@
 
 use crate::load::HttpClient;
 
-/// A client for short reads.
+/// HTTP client for short requests.
 #[derive(Debug)]
 pub struct ProbeClient(HttpClient);
 
@@ -22,18 +22,19 @@
 }
 
 impl ProbeClient {
-    /// A client without connections.
+    /// Creates a client without open connections.
     pub fn new() -> Self {
         Self(Client::builder(TokioExecutor::new()).build_http())
     }
 
-    /// Status and text of an answer; `None` if none came.
+    /// Sends a GET request. Returns status and body, or `None` without a complete
+    /// response.
     pub async fn get(&self, address: SocketAddr, path: &str) -> Option<(u16, String)> {
         let request = Request::get(format!("http://{address}{path}"));
         self.send(request.body(Full::new(Bytes::new())).ok()?).await
     }
 
-    /// What a page shows, read as JSON; `None` if it can't be had or read.
+    /// Sends a GET request and decodes the body as JSON. Returns `None` if either fails.
     pub async fn get_json<T: DeserializeOwned>(
         &self,
         address: SocketAddr,
@@ -43,8 +44,8 @@
         serde_json::from_str(&text).ok()
     }
 
-    /// Replaces the faults of a stand-in by its control listener; whether that
-    /// was done.
+    /// Replaces the faults of a stand-in through its control listener. Returns whether
+    /// that succeeded.
     pub async fn set_faults<F: Serialize>(
         &self,
         control: SocketAddr,
@@ -60,7 +61,7 @@
         matches!(self.send(request).await, Some((200, _)))
     }
 
-    /// Status and text of the answer to any request; `None` if none came.
+    /// Sends a request. Returns status and body, or `None` without a complete response.
     pub async fn send(&self, request: Request<Full<Bytes>>) -> Option<(u16, String)> {
         let answer = self.0.request(request).await.ok()?;
         let status = answer.status().as_u16();
--- a/crates/fake/src/demo/summary.rs
+++ b/crates/fake/src/demo/summary.rs
@@ -1,4 +1,4 @@
-//! What the processes counted, beside what the driver saw.
+//! Summary of the counters of all processes, beside the load generator's report.
 
 use serde::de::DeserializeOwned;
 use std::collections::BTreeMap;
@@ -8,28 +8,30 @@
 use super::probe::ProbeClient;
 use crate::{engine, service};
 
-/// Totals over all processes.
+/// Counters summed over all processes.
 #[derive(Debug, Default)]
 pub(super) struct Totals {
-    /// Loads and unloads that the agents saw done.
+    /// Loads and unloads that the agents saw complete.
     loads: u64,
     unloads: u64,
-    /// Runs and tokens at the engines.
+    /// Runs and tokens that the engines counted.
     runs: u64,
     tokens: u64,
     cached_tokens: u64,
     prefilled_tokens: u64,
-    /// What must not be.
+    /// Loads that exceeded an accelerator's memory; must be 0.
     overcommits: u64,
+    /// Requests that ran at the plain services.
     calls: u64,
-    /// Runs by idempotency key: a call sent twice may run at two services.
+    /// Runs by idempotency key, summed because a request sent twice may run at two
+    /// services.
     runs_by_key: BTreeMap<String, u64>,
-    /// Processes that did not answer.
+    /// Processes that did not respond.
     silent: u64,
 }
 
 impl Totals {
-    /// Reads every process once.
+    /// Reads the counters of every process once.
     pub(super) async fn read(deployment: &Deployment) -> Self {
         let probe = ProbeClient::new();
         let mut totals = Self::default();
@@ -78,12 +80,12 @@
         doubled.count()
     }
 
-    /// Whether nothing happened that must not.
+    /// Returns whether no counter shows a violation and every process responded.
     pub(super) fn promises_held(&self) -> bool {
         self.overcommits == 0 && self.doubled_calls() == 0 && self.silent == 0
     }
 
-    /// The totals for people.
+    /// Formats the totals for the terminal.
     pub(super) fn table(&self) -> String {
         let Self {
             loads,
@@ -115,7 +117,7 @@
     probe.get_json(control, "/control/counts").await
 }
 
-/// One counter of a metrics page; 0 if it is not there.
+/// Returns a counter without labels from a metrics page, or 0 if it is missing.
 fn counter(metrics: &str, name: &str) -> u64 {
     let value = metrics.lines().find_map(|line| {
         let (found, value) = line.split_once(' ')?;
--- a/crates/fake/src/demo/work.rs
+++ b/crates/fake/src/demo/work.rs
@@ -1,19 +1,21 @@
-//! The demo's work: technicians, billing and parts orders, in three parts of
-//! which the middle one is a burst on other models.
+//! The demo's load: requests of technicians, billing and parts orders. It has three
+//! phases, of which the middle one is a burst on other models.
 
 use std::net::SocketAddr;
 
 use super::DemoOptions;
 use crate::load::{self, LoadOptions, Report, Workload};
 
-/// Key of the demo's caller; its hash stands in the configuration.
+/// API key of the demo's caller, whose hash is in the fleet configuration.
 const KEY: &str = "demo-key";
 
-/// Requests per second before and after the burst, and in it.
+/// Requests per second before and after the burst.
 const CALM_PER_S: f64 = 25.0;
+
+/// Requests per second in the burst.
 const BURST_PER_S: f64 = 75.0;
 
-/// Runs the work and adds its parts up.
+/// Runs all phases and merges their reports.
 pub(super) async fn run(entries: &[SocketAddr], options: &DemoOptions) -> Report {
     let parts = [
         (CALM_PER_S, CALM_DESK),
@@ -40,10 +42,10 @@
             None => total = Some(report),
         }
     }
-    total.expect("there are three parts")
+    total.expect("there are three phases")
 }
 
-/// What technicians ask for in calm times, hottest first.
+/// Models that technicians use outside the burst, the most frequent first.
 const CALM_DESK: &[&str] = &[
     "diagnosis-01",
     "diagnosis-02",
@@ -56,7 +58,7 @@
     "diagnosis-06",
 ];
 
-/// What they ask for in the burst.
+/// Models that technicians use in the burst, the most frequent first.
 const BURST_DESK: &[&str] = &[
     "diagnosis-07",
     "diagnosis-03-ocho-rios",
--- a/crates/fake/src/engine/accelerator.rs
+++ b/crates/fake/src/engine/accelerator.rs
@@ -1,4 +1,4 @@
-//! One accelerator: its memory and its batch.
+//! One accelerator: the models in its memory, its batch and its queue.
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
@@ -7,23 +7,23 @@
 use super::run::{After, Run};
 use super::{Counts, EngineOptions};
 
-/// One model or adapter on one accelerator, as `/admin/state` shows it.
+/// A model or adapter in an accelerator's memory, as `GET /admin/state` reports it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resident {
-    /// Model or adapter.
+    /// Name of the model or adapter.
     pub model: String,
-    /// Version.
+    /// Version of the model or adapter.
     pub version: u32,
-    /// Accelerator.
+    /// Index of the accelerator.
     pub accelerator: u32,
-    /// Memory.
+    /// Memory that it occupies.
     pub size_mib: u32,
-    /// Whether it can be used.
+    /// Whether it is loading, usable or unloading.
     pub state: ResidentState,
     /// Base model, for an adapter.
     #[serde(skip)]
     pub base: Option<String>,
-    /// Orders that wait for the state to end.
+    /// Orders that finish when the current load or unload does.
     #[serde(skip)]
     pub(super) orders: Vec<u64>,
 }
@@ -45,7 +45,7 @@
     pub(super) capacity_mib: u32,
     pub(super) residents: Vec<Resident>,
     pub(super) running: Vec<Run>,
-    /// Highest priority first, and by arrival within one priority.
+    /// Queue, by descending priority and then by arrival.
     pub(super) waiting: Vec<Run>,
     prefixes: PrefixCache,
 }
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Forgets everything, as a crash does.
+    /// Drops memory, batch, queue and prefix cache, as a crash does.
     pub(super) fn clear(&mut self, prefix_blocks: usize) {
         *self = Self::new(self.capacity_mib, prefix_blocks);
     }
@@ -77,7 +77,8 @@
             .find(|held| held.model == model && held.version == version)
     }
 
-    /// The loaded resident that serves a model, with its base loaded too.
+    /// Returns the loaded resident that can serve a model. An adapter can be served only
+    /// if its base model is loaded too.
     pub(super) fn serves(
         &self,
         model: &str,
@@ -95,7 +96,7 @@
         held.base.as_ref().is_none_or(base_loaded).then_some(held)
     }
 
-    /// Cuts off what runs or waits on a model.
+    /// Aborts the runs that use a model, waiting ones too, and returns their number.
     pub(super) fn cut_runs(&mut self, model: &str, version: u32) -> u64 {
         let before = self.running.len() + self.waiting.len();
         self.running.retain(|run| !run.needs(model, version));
@@ -120,7 +121,7 @@
         (self.running.len() + self.waiting.len()).min(slots)
     }
 
-    /// One step; returns whether a request crashed the engine.
+    /// Runs one step of the batch. Returns whether a request crashed the engine.
     pub(super) fn step(
         &mut self,
         options: &EngineOptions,
@@ -145,7 +146,7 @@
         false
     }
 
-    /// Fills the batch; returns whether an admitted request crashes the engine.
+    /// Moves waiting runs into the batch. Returns whether one of them crashes the engine.
     fn admit(&mut self, slots: usize, counts: &mut Counts) -> bool {
         let before = self.waiting.len();
         self.waiting.retain(|run| !run.events.is_closed());
--- a/crates/fake/src/engine/body.rs
+++ b/crates/fake/src/engine/body.rs
@@ -1,4 +1,4 @@
-//! Answers as the OpenAI-style API gives them.
+//! Response bodies in the format of the OpenAI API.
 
 use bytes::Bytes;
 use hyper::body::{Body, Frame};
@@ -11,14 +11,14 @@
 use super::run::Event;
 use crate::text::ResponseText;
 
-/// Which of the two calls an answer belongs to.
+/// API endpoint that a response belongs to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Api {
     Chat,
     Completions,
 }
 
-/// What every part of one answer repeats.
+/// Fields that all parts of one response share.
 #[derive(Debug, Clone)]
 pub(super) struct Shape {
     pub(super) api: Api,
@@ -27,7 +27,7 @@
     pub(super) version: u32,
     pub(super) answer: ResponseText,
     pub(super) prompt_tokens: u32,
-    /// Tokens of the whole answer, also those before a resumption.
+    /// Tokens of the complete response, including those before a resume offset.
     pub(super) total: u64,
 }
 
@@ -67,20 +67,20 @@
         })
     }
 
-    /// The SSE event of one token.
+    /// Returns the server-sent event of one token.
     fn token(&self, index: u64) -> Bytes {
         let chunk = self.chunk(Some(&self.answer.token(index)));
         Bytes::from(format!("data: {chunk}\n\n"))
     }
 
-    /// The last chunk and the end mark.
+    /// Returns the last chunk, which carries the token counts, and the `[DONE]` event.
     fn end(&self) -> Bytes {
         let mut chunk = self.chunk(None);
         chunk["usage"] = self.usage();
         Bytes::from(format!("data: {chunk}\n\ndata: [DONE]\n\n"))
     }
 
-    /// A whole answer in one document, from a resumption's offset on.
+    /// Returns the response as a single document, with the text from token `from` on.
     pub(super) fn whole(&self, from: u64) -> Value {
         let text = self.answer.token_range(from, self.total);
         let (kind, choice) = match self.api {
@@ -103,7 +103,7 @@
     }
 }
 
-/// A streamed answer.
+/// Body of a streamed response.
 #[derive(Debug)]
 pub(super) struct StreamBody {
     pub(super) shape: Shape,
@@ -129,11 +129,11 @@
                 self.ended = true;
                 Ok(Frame::data(self.shape.end()))
             }
-            // Without the error the connection would end cleanly, and a cut
-            // answer could pass for a whole one.
+            // Without the error, the body would end cleanly, and the client could
+            // take an aborted response for a complete one.
             None => {
                 self.ended = true;
-                Err(io::Error::other("the run was cut off"))
+                Err(io::Error::other("the run was aborted"))
             }
         };
         Poll::Ready(Some(frame))
--- a/crates/fake/src/engine/mod.rs
+++ b/crates/fake/src/engine/mod.rs
@@ -1,10 +1,11 @@
 //! Stand-in for a model engine.
 //!
-//! Each accelerator batches continuously: a step gives one token to every
-//! running request, and takes a little longer the more there are. Prefill is paid
-//! by prompt length, less what the prefix cache holds. Memory is counted, never
-//! enforced: an order that overcommits an accelerator is carried out and shows in
-//! [`Counts::overcommits`], so that a broken ledger is seen.
+//! Each accelerator uses continuous batching: a step generates one token for every
+//! running request, and takes 1% longer for each request beyond the first. Prefill
+//! takes steps in proportion to the prompt tokens that are not in the prefix cache.
+//! Memory is accounted for but not enforced: an order that exceeds an accelerator's
+//! memory is carried out and counted in [`Counts::overcommits`], so that errors in the
+//! sender's memory accounting are detected.
 
 mod accelerator;
 mod body;
@@ -34,39 +35,38 @@
 
 use accelerator::Accelerator;
 
-/// How to start the stand-in.
+/// Options of the stand-in.
 #[derive(Debug, Clone)]
 pub struct EngineOptions {
-    /// Where the API is served.
+    /// Address of the API listener.
     pub listen: SocketAddr,
-    /// Where faults are switched.
+    /// Address of the control listener.
     pub control: SocketAddr,
     /// Memory of each accelerator.
     pub accelerators_mib: Vec<u32>,
     /// Duration of a step with one request in the batch.
     pub step_us: u64,
-    /// Requests in one accelerator's batch.
+    /// Maximum number of requests in one accelerator's batch.
     pub slots: usize,
-    /// Requests that wait for one accelerator; more are refused.
+    /// Maximum number of requests that wait for one accelerator; more are refused.
     pub waiting_max: usize,
-    /// Prompt tokens that one request prefills in one step.
+    /// Prompt tokens of one request that a step prefills.
     pub prefill_tokens_per_step: u64,
-    /// Blocks of prompt starts that one accelerator caches.
+    /// Capacity of one accelerator's prefix cache, in blocks.
     pub prefix_blocks: usize,
-    /// Whether an order with an old fencing number is refused.
+    /// Whether an order is refused if its fencing epoch is lower than one already seen.
     pub check_fencing: bool,
-    /// Where weights are loaded from; without it a load takes `load_ms`.
+    /// Address of the weight store; without one, a load takes `load_ms`.
     pub store: Option<SocketAddr>,
     /// Duration of a load without a weight store.
     pub load_ms: u64,
     /// Duration of an unload.
     pub unload_ms: u64,
-    /// A prompt that contains this text crashes the engine when it starts to
-    /// run.
+    /// Text that crashes the engine when a request with it in the prompt starts to run.
     pub crash_text: Option<String>,
     /// Time from a crash to the next incarnation.
     pub restart_ms: u64,
-    /// First incarnation; each crash adds one.
+    /// Incarnation at the start; each crash increments it.
     pub incarnation: u64,
 }
 
@@ -92,12 +92,12 @@
     }
 }
 
-/// The stand-in's state.
+/// Engine behind a [`Handle`].
 #[derive(Debug)]
 pub struct Engine {
     options: EngineOptions,
     inner: Mutex<Inner>,
-    /// Wakes the steps of one accelerator.
+    /// Wakes the stepping task of each accelerator when work arrives.
     wakes: Vec<Notify>,
     cutter: Cutter,
     tasks: Tasks,
@@ -106,15 +106,15 @@
 #[derive(Debug)]
 struct Inner {
     incarnation: u64,
-    /// Highest fencing number seen in this incarnation.
+    /// Highest fencing epoch of an order in this incarnation.
     fence: u64,
     accelerators: Vec<Accelerator>,
     orders: BTreeMap<u64, OrderReport>,
-    /// The report served while it is younger than the report lag.
+    /// Last report and its time, served again while it is younger than the report lag.
     report: Option<(tokio::time::Instant, Report)>,
     faults: Faults,
     counts: Counts,
-    /// Orders that arrive when told to.
+    /// Orders held back until the control command `deliver`.
     late_orders: Vec<Order>,
 }
 
@@ -122,7 +122,7 @@
 ///
 /// # Errors
 ///
-/// An address can't be bound.
+/// Returns an error if an address can't be bound.
 pub async fn start(options: EngineOptions) -> io::Result<Handle<Engine>> {
     let (cutter, tasks) = (Cutter::default(), Tasks::default());
     let (listen, control) = (options.listen, options.control);
@@ -146,17 +146,17 @@
 handle_methods!(Engine, Faults, Counts);
 
 impl Handle<Engine> {
-    /// Crashes the engine now; it is back after `restart_ms`.
+    /// Crashes the engine; it restarts after `restart_ms`.
     pub fn crash(&self) {
         self.stand_in.crash_now();
     }
 
-    /// Lets the late orders arrive that are held.
+    /// Carries out the orders that are held back.
     pub fn deliver_late_orders(&self) {
         self.stand_in.deliver_late_orders();
     }
 
-    /// The engine's state without report lag.
+    /// Returns the engine's current state, without report lag.
     pub fn report(&self) -> Report {
         self.stand_in.inner.lock().fresh_report()
     }
@@ -181,7 +181,7 @@
     }
 }
 
-/// How often a frozen accelerator looks whether it may go on.
+/// Interval at which a frozen accelerator checks whether it may continue.
 const FROZEN_POLL: Duration = Duration::from_millis(5);
 
 impl Engine {
@@ -202,7 +202,7 @@
         }
     }
 
-    /// How long the next step takes; `None` if there is nothing to do.
+    /// Returns the duration of the next step, or `None` if the accelerator is idle.
     fn step_duration(&self, index: usize) -> Option<Duration> {
         let inner = self.inner.lock();
         let accelerator = &inner.accelerators[index];
@@ -216,14 +216,15 @@
         Some(Duration::from_micros(step_us))
     }
 
-    /// One step; returns whether a request crashed the engine.
+    /// Runs one step of an accelerator. Returns whether a request crashed the engine.
     fn step(&self, index: usize) -> bool {
         let mut guard = self.inner.lock();
         let inner = &mut *guard;
         inner.accelerators[index].step(&self.options, &mut inner.counts)
     }
 
-    /// Drops every connection and all memory, and comes back later.
+    /// Closes all connections, drops all state of the incarnation, and accepts
+    /// connections again after the restart time.
     fn crash_now(self: &Arc<Self>) {
         {
             let mut inner = self.inner.lock();
--- a/crates/fake/src/engine/orders.rs
+++ b/crates/fake/src/engine/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to load and unload.
+//! Orders to load and unload models.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
@@ -16,47 +16,47 @@
 use super::{Engine, Inner};
 use crate::faults::take;
 
-/// One order.
+/// Body of `POST /admin/orders`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Number given by the sender; a repeat has no second effect.
+    /// Number chosen by the sender. An order received again has no further effect.
     pub order: u64,
-    /// Fencing number of the sender.
+    /// Fencing epoch of the sender.
     pub fence: u64,
-    /// What to do.
+    /// Whether to load or to unload.
     pub kind: OrderKind,
-    /// Model or adapter.
+    /// Name of the model or adapter.
     pub model: String,
-    /// Version.
+    /// Version of the model or adapter.
     pub version: u32,
     /// Base model, for an adapter.
     #[serde(default)]
     pub base: Option<String>,
-    /// Accelerator.
+    /// Index of the accelerator.
     pub accelerator: u32,
-    /// Memory; looked at for loads.
+    /// Memory that the model occupies; used for loads only.
     #[serde(default)]
     pub size_mib: u32,
 }
 
-/// What an order asks for.
+/// Action that an order requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderKind {
-    /// Load a model.
+    /// Load the model.
     Load,
-    /// Unload a model.
+    /// Unload the model.
     Unload,
 }
 
-/// Why an order was not accepted.
+/// Reason why an order was not accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Refused {
     Fenced,
     Bad,
 }
 
-/// What a fault does to one order.
+/// Effect of the faults on one order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Fate {
     Answered,
@@ -66,7 +66,8 @@
     Late,
 }
 
-/// A resident of one incarnation whose load or unload is under way.
+/// Identifies a resident whose load or unload is in progress. The incarnation tells
+/// whether the engine has crashed since.
 #[derive(Debug, Clone)]
 struct Change {
     incarnation: u64,
@@ -76,7 +77,7 @@
 }
 
 impl Engine {
-    /// Decides on one order and counts the fault off.
+    /// Returns the fault that applies to the next order and decrements its count.
     pub(super) fn order_fate(&self) -> Fate {
         let faults = &mut self.inner.lock().faults;
         if take(&mut faults.lose_orders) {
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Lets an order arrive later.
+    /// Schedules an order that takes effect late, or holds it back.
     pub(super) fn delay(self: &Arc<Self>, order: Order) {
         let mut inner = self.inner.lock();
         let late_ms = inner.faults.late_order_ms;
@@ -103,12 +104,12 @@
         let engine = Arc::clone(self);
         self.tasks.spawn(async move {
             tokio::time::sleep(Duration::from_millis(late_ms)).await;
-            // The sender has long been cut off and learns of no refusal.
+            // The sender's connection is closed, so nobody is told of a refusal.
             let _ = engine.apply(order);
         });
     }
 
-    /// Lets the orders arrive that are held.
+    /// Carries out the orders that are held back.
     pub(super) fn deliver_late_orders(self: &Arc<Self>) {
         let held = std::mem::take(&mut self.inner.lock().late_orders);
         for order in held {
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Carries an order out, as soon as it arrives.
+    /// Validates and records an order, and starts to carry it out.
     pub(super) fn apply(self: &Arc<Self>, order: Order) -> Result<(), Refused> {
         let mut inner = self.inner.lock();
         inner.counts.orders += 1;
@@ -189,7 +190,7 @@
         });
     }
 
-    /// Takes the time of a load; returns whether the weights came.
+    /// Waits until the weights are transferred. Returns whether that succeeded.
     async fn transfer(&self, model: &str, size_mib: u32) -> bool {
         let Some(store) = self.options.store else {
             tokio::time::sleep(Duration::from_millis(self.options.load_ms)).await;
@@ -300,7 +301,7 @@
     }
 }
 
-/// Asks the weight store for a model's weights.
+/// Requests a model's weights from the weight store. Returns whether it served them.
 async fn fetch(
     store: SocketAddr,
     model: &str,
--- a/crates/fake/src/engine/prefix.rs
+++ b/crates/fake/src/engine/prefix.rs
@@ -1,14 +1,15 @@
-//! Limited cache of prompt starts.
+//! Bounded cache of prompt prefixes.
 
 use std::collections::{BTreeMap, HashMap};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::text::BYTES_PER_TOKEN;
 
-/// Prompt tokens in one block; only whole blocks are cached.
+/// Prompt tokens per block; only complete blocks are cached.
 pub(super) const BLOCK_TOKENS: u64 = 16;
 
-/// Blocks of prompt starts, the least recently used of which goes first.
+/// Cache of prompt prefixes in blocks, which evicts the least recently used block.
+/// A block's hash also covers all blocks before it.
 #[derive(Debug)]
 pub(super) struct PrefixCache {
     blocks_max: usize,
@@ -27,9 +28,10 @@
         }
     }
 
-    /// Tokens of `prompt` that are cached; the whole of it is cached after.
+    /// Returns the number of leading tokens of `prompt` that are cached, and caches all
+    /// its blocks.
     ///
-    /// `seed` keeps models apart.
+    /// `seed` identifies the model, since prefixes are not shared between models.
     pub(super) fn admit(&mut self, seed: u64, prompt: &str) -> u64 {
         let block_bytes = BLOCK_TOKENS as usize * BYTES_PER_TOKEN;
         let mut hash = seed;
--- a/crates/fake/src/engine/report.rs
+++ b/crates/fake/src/engine/report.rs
@@ -1,4 +1,4 @@
-//! What `GET /admin/state` shows.
+//! State that `GET /admin/state` returns.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -7,47 +7,47 @@
 use super::accelerator::Resident;
 use super::{Engine, Inner};
 
-/// The engine's own report.
+/// Report of the engine's state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Grows with each restart.
+    /// Number that increases with each restart.
     pub incarnation: u64,
-    /// Highest fencing number seen.
+    /// Highest fencing epoch of an order in this incarnation.
     pub fence: u64,
-    /// What is in memory.
+    /// Models and adapters in memory.
     pub residents: Vec<Resident>,
-    /// Orders of this incarnation.
+    /// Orders received in this incarnation.
     pub orders: Vec<OrderReport>,
-    /// Requests in a batch.
+    /// Number of requests in a batch.
     pub running: usize,
-    /// Requests that wait for a batch.
+    /// Number of requests that wait for a batch.
     pub waiting: usize,
-    /// Duration of a step of the fullest batch.
+    /// Duration of the longest current step, or of a step with one request if idle.
     pub step_time_us: u64,
-    /// Age of this report when it was served.
+    /// Age of this report when it was returned.
     pub report_age_ms: u64,
 }
 
 /// State of one order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderReport {
-    /// The order's number.
+    /// Number of the order.
     pub order: u64,
-    /// Fencing number it came with.
+    /// Fencing epoch of the order.
     pub fence: u64,
-    /// How far it is.
+    /// Progress of the order.
     pub state: OrderState,
 }
 
-/// How far an order is.
+/// Progress of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderState {
-    /// Under way.
+    /// Being carried out.
     InProgress,
-    /// Carried out.
+    /// Completed.
     Done,
-    /// Given up.
+    /// Failed, or made obsolete by an unload.
     Failed,
 }
 
@@ -71,7 +71,7 @@
 }
 
 impl Engine {
-    /// The report to serve: as old as the report lag allows.
+    /// Returns the last report while it is younger than the report lag, else a new one.
     pub(super) fn report(&self) -> Report {
         let durations = (0..self.wakes.len()).filter_map(|one| self.step_duration(one));
         let step = durations
--- a/crates/fake/src/engine/run.rs
+++ b/crates/fake/src/engine/run.rs
@@ -1,18 +1,18 @@
-//! One request on an accelerator.
+//! Execution of one request on an accelerator.
 
 use tokio::sync::mpsc::UnboundedSender;
 
-/// What a run tells its connection. The channel's end without [`Event::Done`] is
-/// a cut answer.
+/// Event that a run sends to its connection. If the channel closes before
+/// [`Event::Done`], the run was aborted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Event {
-    /// The token at this place.
+    /// The token at this index was generated.
     Token(u64),
-    /// The answer is whole.
+    /// The response is complete.
     Done,
 }
 
-/// One request that waits or runs.
+/// A request that waits for a batch or is in one.
 #[derive(Debug)]
 pub(super) struct Run {
     pub(super) request: String,
@@ -22,19 +22,19 @@
     pub(super) base: Option<String>,
     pub(super) prompt: String,
     pub(super) priority: u64,
-    /// Place of the next token.
+    /// Index of the next token.
     pub(super) next: u64,
-    /// Tokens of the whole answer.
+    /// Tokens of the complete response.
     pub(super) total: u64,
-    /// Prompt tokens still to prefill.
+    /// Prompt tokens that remain to be prefilled.
     pub(super) prefill_left: u64,
-    /// The run is cut before it gives this token.
+    /// Index of the token before which a fault aborts the run.
     pub(super) break_at: Option<u64>,
     pub(super) crashes: bool,
     pub(super) events: UnboundedSender<Event>,
 }
 
-/// How a run goes on after a step.
+/// Status of a run after a step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum After {
     GoesOn,
@@ -44,13 +44,13 @@
 }
 
 impl Run {
-    /// Whether it needs this model, as its own or as its base.
+    /// Returns whether the run uses a model, directly or as the base of its adapter.
     pub(super) fn needs(&self, model: &str, version: u32) -> bool {
         let own = self.model == model && self.version == version;
         own || self.base.as_deref() == Some(model)
     }
 
-    /// One step: prefill, or one token.
+    /// Prefills part of the prompt or, after the prefill, generates one token.
     pub(super) fn step(&mut self, prefill_tokens: u64) -> After {
         if self.events.is_closed() {
             return After::Cancelled;
@@ -65,7 +65,7 @@
             return After::Cut;
         }
         if self.next < self.total {
-            // A receiver gone since the check above shows at the next step.
+            // If the receiver was dropped since the check above, the next step notices.
             let _ = self.events.send(Event::Token(self.next));
             self.next += 1;
         }
--- a/crates/fake/src/engine/serve.rs
+++ b/crates/fake/src/engine/serve.rs
@@ -1,4 +1,4 @@
-//! The engine's HTTP calls.
+//! HTTP API of the engine.
 
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -21,13 +21,13 @@
 use crate::service::not_run;
 use crate::text::{self, Message};
 
-/// Largest body that is read.
+/// Maximum size of a request body.
 const BODY_MAX_BYTES: usize = 8 << 20;
 
-/// Tokens of an answer whose request names no number.
+/// Tokens of a response if the request sets no `max_tokens`.
 const TOKENS_DEFAULT: u64 = 16;
 
-/// Most tokens of one answer.
+/// Maximum number of tokens of one response.
 const TOKENS_MAX: u64 = 1 << 16;
 
 /// Body of `/v1/chat/completions` and `/v1/completions`.
@@ -44,7 +44,7 @@
     stream: bool,
 }
 
-/// Headers of a run.
+/// Headers of a completion request.
 #[derive(Debug)]
 struct RunHeaders {
     request: String,
@@ -133,7 +133,7 @@
             Fate::Lost => return Err(Cut),
             Fate::Ignored => return accepted,
             Fate::AnswerLost => {
-                // The sender learns nothing, so neither does a refusal show.
+                // The response is lost, so a refusal is not reported either.
                 let _ = self.apply(order);
                 return Err(Cut);
             }
@@ -170,7 +170,8 @@
         whole_answer(&shape, events, resume).await
     }
 
-    /// Queues a run; `None` if no accelerator can take it.
+    /// Queues a run. Returns `None` if no accelerator can serve the model, the queue is
+    /// full or a fault refuses the run.
     fn enqueue(
         &self,
         api: Api,
@@ -215,7 +216,7 @@
             priority: headers.priority,
             next,
             total: shape.total,
-            // A resumption prefills also what was delivered before.
+            // A resumed run also prefills the tokens that were delivered before.
             prefill_left: u64::from(shape.prompt_tokens) + next,
             break_at: None,
             crashes: crash.is_some_and(|text| prompt.contains(text)),
@@ -226,7 +227,8 @@
 }
 
 impl Inner {
-    /// The accelerator with the least work among those that hold a model.
+    /// Returns the accelerator with the fewest requests among those that can serve a
+    /// model.
     fn emptiest(&self, model: &str, version: Option<u32>) -> Option<usize> {
         let holders = self.accelerators.iter().enumerate();
         holders
--- a/crates/fake/src/faults.rs
+++ b/crates/fake/src/faults.rs
@@ -1,6 +1,7 @@
-//! Faults that count down.
+//! Faults that apply to a limited number of requests.
 
-/// Takes one from a count of faults to come.
+/// Decrements `left`, the number of requests that a fault still applies to. Returns
+/// whether the fault applies to this request.
 pub(crate) fn take(left: &mut u32) -> bool {
     let any = *left > 0;
     *left = left.saturating_sub(1);
--- a/crates/fake/src/handle.rs
+++ b/crates/fake/src/handle.rs
@@ -1,4 +1,4 @@
-//! A running stand-in and its control listener.
+//! A running stand-in, with its protocol listener and its control listener.
 
 use hyper::body::Incoming;
 use hyper::{Method, Request, StatusCode};
@@ -14,55 +14,56 @@
 
 use crate::http::{self, Answer, Cutter, Server};
 
-/// Largest body the control listener reads.
+/// Maximum size of a request body on the control listener.
 const CONTROL_MAX_BYTES: usize = 64 << 10;
 
-/// Loopback with a port chosen by the kernel.
+/// Loopback address whose port the kernel chooses.
 pub const ANY_PORT: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// Behaviour of one kind of stand-in.
+/// Protocol, faults and counters of one kind of stand-in.
 pub(crate) trait StandIn: Send + Sync + 'static {
     /// Faults that can be switched on.
     type Faults: Serialize + DeserializeOwned + Send;
-    /// What it counts.
+    /// Counters that it keeps.
     type Counts: Serialize;
 
-    /// Serves one request of the protocol.
+    /// Handles one request on the protocol listener.
     fn call(
         self: Arc<Self>,
         request: Request<Incoming>,
     ) -> Pin<Box<dyn Future<Output = Answer> + Send>>;
-    /// Replaces the faults in force.
+    /// Replaces the active faults.
     fn set_faults(&self, faults: Self::Faults);
-    /// The faults in force, with what is left of those that count down.
+    /// Returns the active faults; limited ones hold their remaining number.
     fn faults(&self) -> Self::Faults;
-    /// What was counted since the start.
+    /// Returns the counters since the start.
     fn counts(&self) -> Self::Counts;
-    /// Does what `POST /control/<name>` asks; false if it knows no such command.
+    /// Runs the command of `POST /control/<name>`; returns false if it is unknown.
     fn command(self: Arc<Self>, _name: &str) -> bool {
         false
     }
 }
 
-/// A running stand-in; dropping it ends its listeners, connections and tasks.
+/// A running stand-in. Dropping it closes its listeners and connections and aborts
+/// its tasks.
 #[derive(Debug)]
 pub struct Handle<S> {
-    /// Where the protocol is served.
+    /// Address of the protocol listener.
     pub address: SocketAddr,
-    /// Where faults are switched and counts are read.
+    /// Address of the control listener.
     pub control: SocketAddr,
     pub(crate) stand_in: Arc<S>,
     _servers: [Server; 2],
     _tasks: TaskGuard,
 }
 
-/// Tasks that end when the handle that owns them is dropped.
+/// Background tasks of a stand-in, aborted when its [`Handle`] is dropped.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Tasks(Arc<Mutex<JoinSet<()>>>);
 
 impl Tasks {
-    /// Starts a task.
+    /// Spawns a task and discards the finished ones.
     pub(crate) fn spawn<F>(&self, task: F)
     where
         F: Future<Output = ()> + Send + 'static,
@@ -73,7 +74,8 @@
     }
 }
 
-/// Ends all tasks when dropped; the stand-in's own copies don't.
+/// Aborts all tasks when dropped. The stand-in holds clones of the set, whose drop
+/// aborts nothing.
 #[derive(Debug)]
 struct TaskGuard(Tasks);
 
@@ -113,12 +115,12 @@
 macro_rules! handle_methods {
     ($stand_in:ty, $faults:ty, $counts:ty) => {
         impl crate::Handle<$stand_in> {
-            /// Replaces the faults in force.
+            /// Replaces the active faults.
             pub fn set_faults(&self, faults: $faults) {
                 crate::handle::StandIn::set_faults(&*self.stand_in, faults);
             }
 
-            /// What was counted since the start.
+            /// Returns the counters since the start.
             pub fn counts(&self) -> $counts {
                 crate::handle::StandIn::counts(&*self.stand_in)
             }
@@ -127,8 +129,9 @@
 }
 pub(crate) use handle_methods;
 
-/// `PUT /control/faults` replaces the faults, `GET /control/faults` and
-/// `GET /control/counts` read, `POST /control/<command>` gives a command.
+/// Serves the control listener: `PUT /control/faults` replaces the faults,
+/// `GET /control/faults` and `GET /control/counts` return faults and counters, and
+/// `POST /control/<command>` runs a command.
 async fn serve_control<S: StandIn>(
     stand_in: Arc<S>,
     request: Request<Incoming>,
--- a/crates/fake/src/http.rs
+++ b/crates/fake/src/http.rs
@@ -1,8 +1,8 @@
-//! HTTP/1.1 plumbing that the stand-ins share.
+//! HTTP/1.1 server and helpers that the stand-ins share.
 //!
-//! A [`Server`] owns its listener and every connection: dropping it ends them
-//! all, and [`Cutter::cut`] closes the open connections without an answer, which
-//! is how the stand-ins play a crash.
+//! A [`Server`] owns its listener and all its connections and closes them when it is
+//! dropped. [`ConnectionCloser::close_all`] closes the open connections without a
+//! response; the stand-ins use it to simulate a crash.
 
 use bytes::Bytes;
 use http_body_util::combinators::BoxBody;
@@ -22,25 +22,26 @@
 use tokio::sync::Notify;
 use tokio::task::{AbortHandle, JoinSet};
 
-/// Body of an answer.
+/// Body of a response.
 pub(crate) type Body = BoxBody<Bytes, io::Error>;
 
-/// An answer, or the connection is closed without one.
+/// Result of handling a request: a response, or an order to close the connection
+/// without one.
 pub(crate) type Answer = Result<Response<Body>, Cut>;
 
-/// The connection is closed without an answer.
+/// Error that closes the connection without a response.
 #[derive(Debug)]
 pub(crate) struct Cut;
 
 impl std::fmt::Display for Cut {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("connection closed without an answer")
+        f.write_str("connection closed without a response")
     }
 }
 
 impl std::error::Error for Cut {}
 
-/// Closes the connections of one server.
+/// Closes or rejects the connections of one server.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Cutter {
     now: Arc<Notify>,
@@ -53,7 +54,8 @@
         self.now.notify_one();
     }
 
-    /// While away, a new connection is closed at once.
+    /// While `away` is set, new connections are closed as soon as they are accepted.
+    /// Setting it also closes the open ones.
     pub(crate) fn set_away(&self, away: bool) {
         self.away.store(away, Ordering::SeqCst);
         if away {
@@ -66,7 +68,7 @@
     }
 }
 
-/// A listener with its connections; dropping it ends them.
+/// A listener and its connections, all closed when it is dropped.
 #[derive(Debug)]
 pub(crate) struct Server {
     pub(crate) address: SocketAddr,
@@ -74,7 +76,7 @@
 }
 
 impl Server {
-    /// Binds `listen` and serves each request with `call`.
+    /// Binds `listen` and passes each request to `call`.
     pub(crate) async fn start<C, F>(
         listen: SocketAddr,
         cutter: Cutter,
@@ -102,7 +104,7 @@
     C: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
     F: Future<Output = Answer> + Send + 'static,
 {
-    // Aborting this task drops the set, and with it every connection.
+    // Aborting this task drops the set, which aborts every connection.
     let mut connections = JoinSet::new();
     loop {
         tokio::select! {
@@ -114,7 +116,7 @@
                     connections.spawn(connection(stream, call.clone()));
                 }
                 Ok(_) => {}
-                // Out of file descriptors: wait for connections to end.
+                // Probably out of file descriptors; connections that end free some.
                 Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
             },
         }
@@ -128,32 +130,33 @@
     C: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
     F: Future<Output = Answer> + Send + 'static,
 {
-    // Tokens are small writes: without this they would wait for one another.
+    // Each token is a small write, which Nagle's algorithm would delay.
     let _ = stream.set_nodelay(true);
-    // An error here is a peer that went away or a cut; both end the connection.
+    // Fails if the peer disconnects or the handler aborts the connection. The
+    // connection ends in either case.
     let _ = hyper::server::conn::http1::Builder::new()
         .serve_connection(TokioIo::new(stream), service_fn(call))
         .await;
 }
 
-/// A whole body.
+/// Returns a body that holds all of `bytes`.
 pub(crate) fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into())
         .map_err(|never| match never {})
         .boxed()
 }
 
-/// An answer with a status and a short text.
+/// Returns a plain-text response.
 pub(crate) fn text(status: StatusCode, text: &'static str) -> Response<Body> {
     let mut answer = Response::new(full(text));
     *answer.status_mut() = status;
     answer
 }
 
-/// An answer in JSON.
+/// Returns a JSON response.
 pub(crate) fn json<T: Serialize>(status: StatusCode, value: &T) -> Response<Body> {
-    // The stand-ins' own types have string keys and finite numbers only.
-    let bytes = serde_json::to_vec(value).expect("plain data can be written as JSON");
+    // The stand-ins' types have only string keys and finite numbers.
+    let bytes = serde_json::to_vec(value).expect("the type serializes to JSON");
     let mut answer = Response::new(full(bytes));
     *answer.status_mut() = status;
     let kind = hyper::header::HeaderValue::from_static("application/json");
@@ -163,11 +166,12 @@
     answer
 }
 
-/// Reads a whole body of at most `max` bytes.
+/// Reads a complete body of at most `max` bytes.
 ///
 /// # Errors
 ///
-/// The answer to give: 413 for a larger body, a cut for a peer that broke off.
+/// The inner error is the response to a larger body, 413. The outer error means that
+/// the peer closed the connection before the end of the body.
 pub(crate) async fn read(
     request: Request<Incoming>,
     max: usize,
@@ -181,7 +185,8 @@
     }
 }
 
-/// Reads a body as JSON; the inner error is the 400 to give.
+/// Reads a JSON body. Besides the errors of [`read`], the inner error may be the
+/// response to invalid JSON, 400.
 pub(crate) async fn read_json<T: DeserializeOwned>(
     request: Request<Incoming>,
     max: usize,
@@ -200,13 +205,13 @@
     }))
 }
 
-/// Body of a refusal.
+/// JSON body of an error response.
 #[derive(Debug, Serialize)]
 pub(crate) struct ErrorText {
     pub(crate) error: String,
 }
 
-/// One parameter of a query, with `%xx` decoded.
+/// Returns a query parameter, percent-decoded.
 pub(crate) fn query(request: &Request<Incoming>, name: &str) -> Option<String> {
     let pairs = request.uri().query()?.split('&');
     pairs
@@ -215,7 +220,7 @@
         .map(|(_, value)| decode(value))
 }
 
-/// Decodes `%xx`.
+/// Decodes percent-encoding; invalid escapes are left as they are.
 pub(crate) fn decode(text: &str) -> String {
     let mut bytes = Vec::with_capacity(text.len());
     let mut rest = text.as_bytes();
@@ -232,7 +237,7 @@
     u8::from_str_radix(pair, 16).ok()
 }
 
-/// A header as text.
+/// Returns a header's value if it is visible ASCII.
 pub(crate) fn header<'a>(
     request: &'a Request<Incoming>,
     name: &str,
@@ -240,7 +245,7 @@
     request.headers().get(name)?.to_str().ok()
 }
 
-/// A header as a whole number.
+/// Returns a header's value if it is an unsigned integer.
 pub(crate) fn number(request: &Request<Incoming>, name: &str) -> Option<u64> {
     header(request, name)?.trim().parse().ok()
 }
--- a/crates/fake/src/lib.rs
+++ b/crates/fake/src/lib.rs
@@ -1,25 +1,26 @@
-//! Small stand-ins for the systems that Sesameshore meets only through their
-//! protocols: the platform's object API, the engine, the weight store and the
-//! plain service.
+//! Test doubles ("stand-ins") for the external systems that Sesameshore talks to:
+//! the platform's object API, the model engine, the weight store and the plain
+//! service. The crate also holds the load generator ([`load`]), the demo
+//! ([`demo`]) and the overhead benchmark ([`overhead`]).
 //!
-//! Each runs as a program (`fake-platform`, …) or inside a test's process
-//! ([`platform::start`], …). The protocols are those of `docs/architecture.md`;
-//! the tests of this crate hold the stand-ins to them.
+//! Each stand-in runs as a program (`fake-platform`, …) or inside the process of a
+//! test ([`platform::start`], …). The protocols are specified in
+//! `docs/architecture.md`; the tests of this crate check the stand-ins against them.
 //!
-//! Every stand-in has a second listener, `control`, on which faults are switched
-//! (`PUT /control/faults`, the whole set at once) and counts are read
-//! (`GET /control/counts`). Two invariants make them fit for tests of failures:
+//! Every stand-in has a second listener, `control`, which sets faults
+//! (`PUT /control/faults` replaces the whole set) and returns counters
+//! (`GET /control/counts`). Tests of failures rely on two invariants:
 //!
-//! - A fault does one thing. A lost answer has taken effect; a lost write has
-//!   not; nothing else about the call changes.
-//! - What the system must never do is counted where it would show: calls by
-//!   idempotency key, runs by request id, accelerator memory overcommitted. A
-//!   stand-in does what it is told also when that breaks a promise, and counts
-//!   it.
+//! - A fault has exactly one effect. A write whose response is lost has been
+//!   applied, a lost write has not, and nothing else about the request changes.
+//! - Violations by the system are counted where they become visible: service
+//!   requests by idempotency key, engine runs by request id, and loads that exceed
+//!   an accelerator's memory. A stand-in carries out a request even if that is a
+//!   violation, and counts it.
 //!
-//! An answer's tokens are a function of model, version, prompt and place
-//! ([`text`]), so a caller can tell a whole answer from any other, and a resumed
-//! one must equal an unbroken one.
+//! The tokens of a response are a function of model, version, prompt and token index
+//! ([`text`]). A caller can therefore check that a response is complete and its own,
+//! and that a resumed response equals one that was not interrupted.
 
 mod base64;
 pub mod demo;
--- a/crates/fake/src/load/answer.rs
+++ b/crates/fake/src/load/answer.rs
@@ -1,4 +1,4 @@
-//! Sends one request, takes its answer and judges it.
+//! Sends one request and checks the response.
 
 use bytes::Bytes;
 use http_body_util::BodyExt;
@@ -12,40 +12,41 @@
 use super::request::Job;
 use crate::text::{self, Message};
 
-/// What came of one request.
+/// Result and timing of one request.
 #[derive(Debug, Default)]
 pub(super) struct Outcome {
     pub(super) verdict: Verdict,
-    /// Id under which the entry traces the request.
+    /// Id of the request in the entry's timeline.
     pub(super) request: String,
     pub(super) first_token: Option<Duration>,
     pub(super) gaps: Vec<Duration>,
     pub(super) total: Duration,
 }
 
-/// How one request ended.
+/// How a request ended.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub(super) enum Verdict {
-    /// The whole answer came.
+    /// The response was complete and correct.
     Whole,
-    /// Something ended cleanly that is not the answer.
+    /// The response ended cleanly but was not complete or not correct; says why.
     Wrong(String),
-    /// Refused before the answer began.
+    /// The request was refused before the response began.
     Refused { code: String, ran: String },
-    /// An explicit error after the answer began.
+    /// The response began and then ended with an error or a broken connection.
     Broken { code: String },
-    /// No connection was had; nothing was sent.
+    /// No connection could be opened, so nothing was sent.
     Unreached,
-    /// The connection broke before an answer.
+    /// The connection broke before a complete response or refusal.
     #[default]
     Disconnected,
 }
 
-/// Code with which an entry refuses that is stopping; `docs/errors.md`.
+/// Start of the error code with which an entry that shuts down refuses requests; see
+/// `docs/errors.md`.
 const LEAVING: &str = "2004 ";
 
 impl Verdict {
-    /// Whether a balancer would send the target nothing more.
+    /// Returns whether a load balancer would stop sending requests to the target.
     pub(super) fn is_away(&self) -> bool {
         match self {
             Self::Unreached => true,
@@ -55,7 +56,7 @@
     }
 }
 
-/// Sends one request and takes its answer.
+/// Sends one request, reads its response and checks it.
 pub(super) async fn exchange(client: &HttpClient, job: &Job) -> Outcome {
     let begun = Instant::now();
     let mut outcome = Outcome::default();
@@ -96,7 +97,8 @@
     Some(answer.into_body().collect().await.ok()?.to_bytes())
 }
 
-/// The error of a body as (code with name, ran).
+/// Returns the error in a JSON body: its code with its name, and whether the request
+/// ran.
 fn error_of(value: &Value) -> (String, String) {
     let error = value.get("error").unwrap_or(value);
     let text = |name: &str| match &error[name] {
@@ -174,12 +176,12 @@
         .count();
     let (want, got) = (expected.len(), text.len());
     Verdict::Wrong(format!(
-        "{}: {got} bytes for {want}, the first {same} as they should be",
+        "{}: got {got} bytes, expected {want}; the first {same} match",
         job.key
     ))
 }
 
-/// A streamed answer as it comes in.
+/// Reader of a streamed response.
 struct Stream<'a> {
     job: &'a Job,
     begun: Instant,
@@ -264,12 +266,15 @@
         }
     }
 
-    /// An answer that broke off must still be the start of the right one.
+    /// Verdict on a response that did not end cleanly. Its text must still be a prefix
+    /// of the expected one.
     fn broken(&self, code: &str) -> Verdict {
         let expected = expected(self.job, self.version.unwrap_or(1));
         if !expected.starts_with(&self.text) {
             let key = &self.job.key;
-            return Verdict::Wrong(format!("{key}: broke off in another answer"));
+            return Verdict::Wrong(format!(
+                "{key}: incomplete, and the text received differs from the expected one"
+            ));
         }
         let code = code.to_owned();
         Verdict::Broken { code }
--- a/crates/fake/src/load/mix.rs
+++ b/crates/fake/src/load/mix.rs
@@ -1,32 +1,32 @@
-//! Kinds of work.
+//! Kinds of generated requests.
 
 use serde::{Deserialize, Serialize};
 
-/// One kind of work, as a mix file lists them.
+/// One kind of requests; a mix file holds an array of these.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Workload {
-    /// Profile that is named; also the name of the work in the report.
+    /// Profile that the requests name; the report groups results by it.
     pub profile: String,
-    /// Models that are named; the first ones more often.
+    /// Models that the requests name, in order of descending frequency.
     pub models: Vec<String>,
-    /// Plain service that is called in place of models.
+    /// Plain service that is called instead of a model; empty for none.
     pub service: String,
-    /// Share of this work among all kinds.
+    /// Relative frequency among all workloads.
     pub weight: u32,
-    /// Tokens of the prompt.
+    /// Tokens per prompt.
     pub prompt_tokens: u32,
-    /// Tokens of the prompt's start that requests on one model share.
+    /// Tokens of the prompt prefix that all requests to one model share.
     pub shared_tokens: u32,
-    /// Tokens of the answer.
+    /// Tokens per response.
     pub max_tokens: u64,
-    /// Whether the answer is streamed.
+    /// Whether responses are streamed.
     pub stream: bool,
-    /// Expected time to the first token; 0 for none.
+    /// Target for the time to the first token; 0 for none.
     pub first_token_ms: u64,
-    /// Expected mean time between tokens; 0 for none.
+    /// Target for the mean time between tokens; 0 for none.
     pub between_tokens_ms: u64,
-    /// Expected time to the end; 0 for none.
+    /// Target for the total time; 0 for none.
     pub deadline_ms: u64,
 }
 
--- a/crates/fake/src/load/mod.rs
+++ b/crates/fake/src/load/mod.rs
@@ -1,9 +1,9 @@
-//! Load driver: sends work to entries or straight to an engine, and checks every
-//! answer.
+//! Load generator that sends requests to entries or directly to engines and checks
+//! every response.
 //!
-//! The driver can compute each answer itself ([`crate::text`]), so an answer that
-//! ends cleanly without being whole, or that belongs to another request, is
-//! found and counted as wrong.
+//! It computes the expected text of each response ([`crate::text`]). A response that
+//! ends cleanly although it is incomplete, or that belongs to another request, is
+//! detected and counted as wrong.
 
 mod answer;
 mod mix;
@@ -32,35 +32,36 @@
 
 pub(crate) type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
-/// What to send, where and how fast.
+/// Options of the load generator: what to send, where and how fast.
 #[derive(Debug, Clone)]
 pub struct LoadOptions {
-    /// Entries, taken in turn, or engines when `direct`.
+    /// Addresses of entries, or of engines if `direct`; used round-robin.
     pub targets: Vec<SocketAddr>,
-    /// The targets are engines: no caller key and no profile are sent.
+    /// Whether the targets are engines, which get neither a caller key nor a profile.
     pub direct: bool,
-    /// Leave a target out once it says that it is leaving or refuses
-    /// connections, as a balancer before the entries does. With all left out,
-    /// they are taken in turn again.
+    /// Whether to stop sending to a target once it reports that it shuts down or
+    /// refuses connections, as a load balancer in front of the entries does. If all
+    /// targets are excluded, all are used again.
     pub exclude_unavailable_targets: bool,
-    /// The caller's key.
+    /// API key of the caller.
     pub caller_key: String,
-    /// Kinds of work.
+    /// Kinds of requests to choose from.
     pub workloads: Vec<Workload>,
-    /// Requests in progress at once, when no rate is given.
+    /// Number of concurrent requests, if no rate is given.
     pub concurrency: usize,
-    /// Requests started per second, whether or not earlier ones have ended.
+    /// Requests started per second, regardless of whether earlier ones have ended.
     pub rate_per_s: Option<f64>,
-    /// Requests to send.
+    /// Number of requests to send.
     pub count: u64,
-    /// Seed of models, prompts and kinds of work.
+    /// Seed of the choice of workloads, models and prompts.
     pub seed: u64,
 }
 
-/// Requests in progress beyond which an open loop waits.
+/// Maximum number of concurrent requests at a fixed rate; beyond it, the generator
+/// falls behind the rate.
 const IN_PROGRESS_MAX: usize = 20_000;
 
-/// Sends the work and waits for every answer.
+/// Sends all requests and waits for every response.
 pub async fn run(options: LoadOptions) -> Report {
     let driver = Arc::new(Driver {
         client: Client::builder(TokioExecutor::new()).build(connector()),
@@ -89,7 +90,7 @@
     client: HttpClient,
     report: Mutex<Report>,
     next: AtomicU64,
-    /// Targets that are left out.
+    /// Targets that are excluded as unavailable.
     out: Mutex<BTreeSet<SocketAddr>>,
     options: LoadOptions,
 }
@@ -120,7 +121,7 @@
 }
 
 impl Driver {
-    /// The target of the request at a place; `None` without targets.
+    /// Returns the target of the request at `index`, or `None` if there are no targets.
     fn target(&self, index: u64) -> Option<SocketAddr> {
         let all = &self.options.targets;
         let out = self.out.lock();
@@ -131,7 +132,7 @@
         from.get(usize::try_from(place).ok()?).copied()
     }
 
-    /// Sends the next request; false when all were sent.
+    /// Sends the next request. Returns false if there is none left.
     async fn send_next(&self) -> bool {
         let index = self.next.fetch_add(1, Ordering::Relaxed);
         if index >= self.options.count {
--- a/crates/fake/src/load/report.rs
+++ b/crates/fake/src/load/report.rs
@@ -1,4 +1,4 @@
-//! What the driver measured.
+//! Results of the load generator.
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
@@ -9,48 +9,48 @@
 use super::Workload;
 use super::answer::{Outcome, Verdict};
 
-/// Most descriptions of wrong answers that are kept.
+/// Maximum number of descriptions of wrong responses in a report.
 const WRONG_KEPT: usize = 8;
 
-/// Result of one run of the driver.
+/// Results of one or more runs of the load generator.
 #[derive(Debug, Clone, Serialize)]
 pub struct Report {
-    /// Duration of the run.
+    /// Duration of the run, or the sum over merged runs.
     pub elapsed_ms: u64,
     /// Results by profile.
     pub profiles: BTreeMap<String, ProfileReport>,
-    /// What was wrong with the first wrong answers.
+    /// Descriptions of the first wrong responses.
     pub wrong: Vec<String>,
-    /// Id of the request that took longest of those with a whole answer.
+    /// Id of the slowest request among those with a complete response.
     pub slowest_request: String,
     /// Duration of that request.
     pub slowest_ms: u64,
 }
 
-/// Result of one profile's requests.
+/// Results of one profile's requests.
 #[derive(Debug, Clone, Serialize)]
 pub struct ProfileReport {
-    /// Requests sent.
+    /// All requests.
     pub sent: u64,
-    /// Whole answers.
+    /// Complete and correct responses.
     pub whole: u64,
-    /// Whole answers within every expectation of the profile.
+    /// Complete responses that met every target of their workload.
     pub attained: u64,
-    /// Answers that ended cleanly and were not whole, or of another request.
+    /// Responses that ended cleanly but were incomplete or incorrect.
     pub wrong: u64,
-    /// Refusals by code and by whether the request ran.
+    /// Refusals, by error code and by whether the request ran.
     pub refused: BTreeMap<String, u64>,
-    /// Answers that ended with an explicit error, by code.
+    /// Responses that ended with an error, by error code.
     pub broken: BTreeMap<String, u64>,
-    /// Requests for which no connection was had; nothing was sent.
+    /// Requests that were not sent because no connection could be opened.
     pub unreached: u64,
-    /// Requests whose connection broke before an answer.
+    /// Requests whose connection broke before a response.
     pub disconnected: u64,
     /// Time to the first token.
     pub first_token: Quantiles,
     /// Time between tokens.
     pub between_tokens: Quantiles,
-    /// Time to the end of whole answers.
+    /// Total time of complete responses.
     pub total: Quantiles,
     #[serde(skip)]
     times: Times,
@@ -63,18 +63,18 @@
     total: Histogram<u64>,
 }
 
-/// Quantiles of a duration.
+/// Quantiles of a duration, in microseconds.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
 pub struct Quantiles {
-    /// Number of values.
+    /// Number of samples.
     pub count: u64,
-    /// Half of the values are at most this.
+    /// Median.
     pub p50_us: u64,
-    /// 95 in 100 are at most this.
+    /// 95th percentile.
     pub p95_us: u64,
-    /// 99 in 100 are at most this.
+    /// 99th percentile.
     pub p99_us: u64,
-    /// The largest.
+    /// Maximum.
     pub max_us: u64,
 }
 
@@ -91,14 +91,14 @@
 }
 
 fn histogram() -> Histogram<u64> {
-    // Three significant digits are always a valid precision.
+    // Three significant digits are a valid precision, so this can't fail.
     Histogram::new(3).expect("the precision is valid")
 }
 
 fn record(values: &mut Histogram<u64>, time: Duration) {
     let us = u64::try_from(time.as_micros()).unwrap_or(u64::MAX);
-    // The histogram grows as needed, so this can't fail. `saturating_record`
-    // would not let it grow, and every time would show as 0.
+    // The histogram resizes as needed, so this can't fail. `saturating_record` would
+    // not resize it, and every duration would be reported as 0.
     let _ = values.record(us);
 }
 
@@ -160,7 +160,7 @@
         self.disconnected += other.disconnected;
         add_counts(&mut self.refused, &other.refused);
         add_counts(&mut self.broken, &other.broken);
-        // Both have the same precision and grow as needed, so this can't fail.
+        // Both have the same precision and resize as needed, so this can't fail.
         let _ = self.times.first.add(&other.times.first);
         let _ = self.times.between.add(&other.times.between);
         let _ = self.times.total.add(&other.times.total);
@@ -179,8 +179,8 @@
     }
 }
 
-/// Whether a whole answer met its profile's expectations; the time between
-/// tokens is the mean over the answer.
+/// Returns whether a complete response met its workload's targets. The time between
+/// tokens is the mean over the response.
 fn attained(mix: &Workload, outcome: &Outcome) -> bool {
     let within = |time: Duration, limit_ms: u64| {
         limit_ms == 0 || time <= Duration::from_millis(limit_ms)
@@ -224,7 +224,7 @@
         }
     }
 
-    /// Adds the results of another run.
+    /// Adds the results of another run to these.
     pub fn merge(&mut self, other: &Self) {
         self.elapsed_ms += other.elapsed_ms;
         for (name, theirs) in &other.profiles {
@@ -242,12 +242,12 @@
         }
     }
 
-    /// Answers that were wrong, over all profiles.
+    /// Returns the number of wrong responses over all profiles.
     pub fn wrong_answers(&self) -> u64 {
         self.profiles.values().map(|profile| profile.wrong).sum()
     }
 
-    /// Works the quantiles out.
+    /// Computes the quantiles.
     #[must_use]
     pub(super) fn finished(mut self) -> Self {
         for profile in self.profiles.values_mut() {
@@ -256,7 +256,7 @@
         self
     }
 
-    /// The report for people.
+    /// Formats the report as a table.
     pub fn table(&self) -> String {
         let mut text = format!(
             "{:<10}{:>6}{:>6}{:>9}{:>8}{:>7}{:>10}{:>7}{:>6}  {:<20}{}\n",
@@ -275,7 +275,7 @@
         for (name, profile) in &self.profiles {
             let refused: u64 = profile.refused.values().sum();
             let broken: u64 = profile.broken.values().sum();
-            // Writing to a string does not fail.
+            // Writing to a string can't fail.
             let _ = writeln!(
                 text,
                 "{name:<10}{:>6}{:>6}{:>9}{refused:>8}{broken:>7}{:>10}{:>7}{:>6}  {:<20}{}",
--- a/crates/fake/src/load/request.rs
+++ b/crates/fake/src/load/request.rs
@@ -1,4 +1,4 @@
-//! One request, made from the seed and its place alone.
+//! Generated requests, which depend only on the seed and the request's index.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -12,7 +12,7 @@
 use super::{LoadOptions, Workload};
 use crate::text::BYTES_PER_TOKEN;
 
-/// One request and what its answer must be made from.
+/// A request and what is needed to compute its expected response.
 #[derive(Debug)]
 pub(super) struct Job {
     pub(super) mix: Workload,
@@ -25,7 +25,7 @@
 }
 
 impl Job {
-    /// The request at a place; `None` without work.
+    /// Generates the request at `index`. Returns `None` if there are no workloads.
     pub(super) fn new(
         options: &LoadOptions,
         index: u64,
@@ -44,12 +44,12 @@
         })
     }
 
-    /// Whether it calls a plain service.
+    /// Returns whether the request is for a plain service.
     pub(super) fn is_service(&self) -> bool {
         !self.mix.service.is_empty()
     }
 
-    /// The HTTP request; `None` if a name can't stand in a header or path.
+    /// Returns the HTTP request, or `None` if a name is not valid in a header or path.
     pub(super) fn request(&self) -> Option<Request<Full<Bytes>>> {
         let path = if self.is_service() {
             format!("/svc/{}/orders", self.mix.service)
@@ -96,7 +96,8 @@
     })
 }
 
-/// Model *n* is asked for in proportion to 1/(n+1): a few hot ones, a long tail.
+/// Picks model *n* (from 0) with a probability proportional to 1/(n+1), so that a few
+/// models get most of the requests.
 fn pick_model(models: &[String], random: &mut Pcg64) -> String {
     let weights = (1..=models.len()).map(|rank| 1.0 / rank as f64);
     let total: f64 = weights.clone().sum();
@@ -117,7 +118,8 @@
     };
     let shared = fill(format!("manual of {model}; "), mix.shared_tokens);
     let own = mix.prompt_tokens.saturating_sub(mix.shared_tokens).max(1);
-    // The place is written out whole, so that no two prompts are the same.
+    // The index is included outside the repeated text, so that no two prompts are
+    // equal.
     let own = fill(format!("fault {seed:x}-{index:x} "), own);
     format!("{shared} #{seed:x}-{index:x} {own}")
 }
--- a/crates/fake/src/overhead/delay.rs
+++ b/crates/fake/src/overhead/delay.rs
@@ -1,4 +1,5 @@
-//! First token and whole time, straight to the engine and through.
+//! Measures time to first token and total time, directly at the engine and through
+//! entry and agent.
 
 use super::OverheadOptions;
 use super::fleet::{self, KEY, PROFILE};
@@ -9,10 +10,10 @@
 const STEP_US: u64 = 10_000;
 const TOKENS: u64 = 16;
 
-/// Requests per second of the loads.
+/// Requests per second, measured one after the other.
 const RATES_PER_S: [u32; 3] = [10, 100, 400];
 
-/// Measures all loads, and the processes idle before them.
+/// Measures the idle processes, then the latency at each rate.
 pub(super) async fn run(options: &OverheadOptions) -> Result<(), DemoError> {
     let deployment = Deployment::start(DeploymentOptions {
         engines: 1,
@@ -26,7 +27,7 @@
     println!("\none engine, one agent, one entry, idle with a model loaded:");
     print!("{}", idle(&deployment, options.idle_seconds).await);
     println!(
-        "\nstep 10 ms, {TOKENS} tokens, {} turns of {} s each way; ms direct -> through",
+        "\nstep 10 ms, {TOKENS} tokens, {} rounds of {} s per path; ms direct -> through entry and agent",
         options.rounds, options.seconds
     );
     println!(
@@ -61,7 +62,7 @@
         }
     }
     let [direct, through] = both;
-    let measured = "there is at least one turn";
+    let measured = "there is at least one round";
     (direct.expect(measured), through.expect(measured))
 }
 
--- a/crates/fake/src/overhead/fleet.rs
+++ b/crates/fake/src/overhead/fleet.rs
@@ -1,27 +1,27 @@
-//! The benchmark's fleet configuration.
+//! Fleet configuration and workloads of the benchmark.
 
 use serde_json::{Value, json};
 
 use crate::demo::{DemoError, Deployment};
 use crate::load::{self, LoadOptions, Workload};
 
-/// Key of the benchmark's caller; its hash stands in the configuration.
+/// API key of the benchmark's caller, whose hash is in the fleet configuration.
 pub(super) const KEY: &str = "demo-key";
 
-/// Places of one engine's batch, more than any load here fills.
+/// Slots of one engine's batch, more than any load here fills.
 pub(super) const SLOTS: usize = 256;
 
-/// The profile that all work names.
+/// Profile of all requests.
 pub(super) const PROFILE: &str = "bench";
 
-/// As many models as engines, one to each.
+/// Returns the names of the models, one for each engine.
 pub(super) fn models(engines: usize) -> Vec<String> {
     (1..=engines)
         .map(|place| format!("model-{place}"))
         .collect()
 }
 
-/// The document for a number of engines with a step time.
+/// Returns the fleet configuration for a number of engines with a step time.
 pub(super) fn document(engines: usize, step_us: u64) -> String {
     let names = models(engines);
     let models: serde_json::Map<String, Value> = names
@@ -73,7 +73,7 @@
     .to_string()
 }
 
-/// Arguments of an engine for the benchmark.
+/// Returns the command-line arguments of each engine.
 pub(super) fn engine_arguments(step_us: u64) -> Vec<String> {
     let slots = SLOTS.to_string();
     let step_us = step_us.to_string();
@@ -90,7 +90,7 @@
     .to_vec()
 }
 
-/// Work on each of some models alike.
+/// Returns a workload for each model, all with the same frequency.
 pub(super) fn workloads(models: &[String], max_tokens: u64) -> Vec<Workload> {
     let mix = |model: &String| Workload {
         profile: PROFILE.to_owned(),
@@ -101,7 +101,8 @@
     models.iter().map(mix).collect()
 }
 
-/// Publishes, waits for readiness and has each model loaded.
+/// Publishes the configuration, waits until the deployment is ready, and sends one
+/// request to each model so that it is loaded.
 pub(super) async fn bring_up(
     deployment: &Deployment,
     engines: usize,
--- a/crates/fake/src/overhead/mod.rs
+++ b/crates/fake/src/overhead/mod.rs
@@ -1,9 +1,9 @@
-//! What an entry and an agent cost: the same work straight to an engine and
-//! through both, and what each process takes of the machine.
+//! Benchmark of the overhead of an entry and an agent. It sends the same requests
+//! directly to an engine and through entry and agent, and measures the resource usage of
+//! each process.
 //!
-//! A benchmark, not a test: it prints figures and judges none. Both ways are
-//! measured in rounds, a few times each, so that a machine that is busier for a
-//! while is so for both.
+//! It prints figures and checks no limits. Each round measures both paths, one after the
+//! other, so that other load on the machine affects both alike.
 
 mod delay;
 mod fleet;
@@ -14,37 +14,39 @@
 
 use crate::demo::{DemoError, interrupted};
 
-/// What to measure.
+/// Options of the benchmark.
 #[derive(Debug, Clone, Copy)]
 pub struct OverheadOptions {
-    /// Turns of each way.
+    /// Number of rounds, each of which measures both paths.
     pub rounds: u32,
-    /// Seconds of each turn.
+    /// Duration in seconds of one measurement.
     pub seconds: u64,
-    /// Seconds over which idle processes are looked at.
+    /// Duration in seconds over which idle processes are measured.
     pub idle_seconds: u64,
-    /// Which parts are measured.
+    /// Sections to run.
     pub sections: Sections,
 }
 
-/// Sections of the benchmark.
+/// Sections of the benchmark that can be selected.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Sections {
-    /// First token and whole time, direct and through.
+    /// Time to first token and total time, directly and through entry and agent.
     pub latency: bool,
-    /// Requests per second through one entry.
+    /// Throughput of one entry.
     pub throughput: bool,
-    /// A deployment of today's size, idle.
+    /// Resource usage of an idle deployment of production size.
     pub idle_fleet: bool,
 }
 
-/// Measures and prints.
+/// Runs the selected sections and prints the results.
 ///
 /// # Errors
 ///
-/// A deployment did not come up, or a signal ended the benchmark.
+/// Returns an error if a deployment can't be started or a signal interrupts the
+/// benchmark.
 pub async fn run(options: OverheadOptions) -> Result<(), DemoError> {
-    // The children would outlive a benchmark that ended without dropping them.
+    // SIGINT and SIGTERM are handled, since the children would outlive a benchmark that
+    // they killed.
     tokio::select! {
         done = measure(options) => done,
         () = interrupted() => Err(DemoError::Interrupted),
@@ -66,12 +68,12 @@
     Ok(())
 }
 
-/// The state of the machine, which the figures depend on.
+/// Returns number of cores and load average, which affect the figures.
 fn machine() -> String {
     let load = std::fs::read_to_string("/proc/loadavg").unwrap_or_default();
     let cores = std::thread::available_parallelism().map_or(0, usize::from);
     let mut text = String::new();
-    // Writing to a string does not fail.
+    // Writing to a string can't fail.
     let _ = write!(text, "machine: {cores} cores, load average {}", load.trim());
     text
 }
--- a/crates/fake/src/overhead/processes.rs
+++ b/crates/fake/src/overhead/processes.rs
@@ -1,4 +1,4 @@
-//! What each process takes of the machine.
+//! CPU time and memory of the deployment's processes.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -8,13 +8,13 @@
 use super::OverheadOptions;
 use crate::demo::{DemoError, Deployment, DeploymentOptions};
 
-/// The fleet of today's size.
+/// Fleet configuration of production size.
 const TODAY: &str = include_str!("../../../../deploy/harbourline.jsonc");
 
-/// How long a deployment settles before it counts as idle.
+/// Time after which a deployment that just became ready counts as idle.
 const SETTLE: Duration = Duration::from_secs(5);
 
-/// Processor time and memory of every process of a deployment.
+/// CPU time and memory of every process of a deployment at one point in time.
 #[derive(Debug)]
 pub(super) struct Use {
     at: Instant,
@@ -28,7 +28,7 @@
 }
 
 impl Use {
-    /// Reads all processes, this one too.
+    /// Reads all processes, including the benchmark's own.
     pub(super) fn of(deployment: &Deployment) -> Self {
         let mut pids = deployment.pids();
         pids.insert("(driver)".to_owned(), std::process::id());
@@ -41,7 +41,7 @@
 }
 
 impl OneUse {
-    /// Reads one process; what can't be read is 0.
+    /// Reads one process; values that can't be read are 0.
     fn of(pid: u32) -> Self {
         let status = fs::read_to_string(format!("/proc/{pid}/status"));
         let status = status.unwrap_or_default();
@@ -54,8 +54,8 @@
     }
 }
 
-/// Time on a processor of all threads. `stat` counts in hundredths of a second,
-/// too coarse for a process that is idle.
+/// Returns the CPU time of all threads in nanoseconds. It is read from `schedstat`, since
+/// `stat` counts in hundredths of a second, which is too coarse for an idle process.
 fn cpu_ns(pid: u32) -> u64 {
     let Ok(threads) = fs::read_dir(format!("/proc/{pid}/task")) else {
         return 0;
@@ -70,7 +70,7 @@
         .sum()
 }
 
-/// Looks at idle processes for some seconds.
+/// Measures the processes for some seconds while they are idle.
 pub(super) async fn idle(deployment: &Deployment, seconds: u64) -> String {
     tokio::time::sleep(SETTLE).await;
     let before = Use::of(deployment);
@@ -78,7 +78,7 @@
     loaded(deployment, &before)
 }
 
-/// What the processes took since an earlier look.
+/// Formats the CPU usage of each process since `before`, and its memory now.
 pub(super) fn loaded(deployment: &Deployment, before: &Use) -> String {
     let after = Use::of(deployment);
     let elapsed_ns = (after.at - before.at).as_nanos().max(1) as f64;
@@ -88,13 +88,13 @@
         let cpu_ns = one.cpu_ns.saturating_sub(earlier);
         let percent = cpu_ns as f64 * 100.0 / elapsed_ns;
         let mib = one.resident_kib as f64 / 1_024.0;
-        // Writing to a string does not fail.
+        // Writing to a string can't fail.
         let _ = writeln!(text, "  {name:<20}{percent:>9.3}% of a core {mib:>7.1} MiB");
     }
     text
 }
 
-/// Resident memory of the system's processes.
+/// Formats the resident memory of each process.
 pub(super) fn resident_now(deployment: &Deployment) -> String {
     let now = Use::of(deployment);
     let lines = now.by_process.iter().map(|(name, one)| {
@@ -104,7 +104,8 @@
     lines.collect::<Vec<_>>().join("\n")
 }
 
-/// A deployment of today's size without work: what control costs by itself.
+/// Measures a deployment of production size without requests, which shows the cost of
+/// the control plane alone.
 pub(super) async fn control(options: &OverheadOptions) -> Result<(), DemoError> {
     let deployment = Deployment::start(DeploymentOptions {
         engines: 18,
--- a/crates/fake/src/overhead/throughput.rs
+++ b/crates/fake/src/overhead/throughput.rs
@@ -1,4 +1,4 @@
-//! Requests per second that one entry carries.
+//! Measures the throughput of one entry.
 
 use super::OverheadOptions;
 use super::fleet::{self, KEY};
@@ -13,13 +13,14 @@
 const STEP_US: u64 = 1_000;
 const TOKENS: u64 = 4;
 
-/// Streams in progress at once.
+/// Numbers of concurrent streams, measured one after the other.
 const CONCURRENCIES: [usize; 3] = [32, 128, 512];
 
-/// Streams expected in a second, to size a turn; the figure is measured.
+/// Estimate of streams per second, which determines the number of requests of a
+/// measurement; the result does not depend on it.
 const GUESS_PER_S: u64 = 5_000;
 
-/// Measures all concurrencies, in rounds with the engines alone.
+/// Measures each concurrency, both through the entry and directly at the engines.
 pub(super) async fn run(options: &OverheadOptions) -> Result<(), DemoError> {
     let deployment = Deployment::start(DeploymentOptions {
         engines: ENGINES,
@@ -70,7 +71,8 @@
     }
 }
 
-/// The same work straight to the engines: to each on the model that it holds.
+/// Sends the same load directly to the engines, to each on the model that it has
+/// loaded.
 async fn straight(
     deployment: &Deployment,
     concurrency: usize,
--- a/crates/fake/src/platform/faults.rs
+++ b/crates/fake/src/platform/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of the platform that can be switched on.
+//! Faults that can be injected into the platform.
 
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
@@ -6,47 +6,48 @@
 
 use crate::faults::take;
 
-/// Faults in force; the default is none.
+/// Active faults; the default is none.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Whether the platform is away, and how that shows.
+    /// Whether there is an outage, and of which form.
     pub outage: Outage,
-    /// Time added before each call takes effect.
+    /// Delay of each request before it takes effect.
     pub delay_ms: u64,
-    /// Next writes that take effect and whose connection is then closed.
+    /// Number of following writes that take effect and whose connection is then closed
+    /// without a response.
     pub lose_answers: u32,
-    /// Writes in a hundred that are treated like [`Self::lose_answers`].
+    /// Percentage of writes that are treated like [`Self::lose_answers`].
     pub lose_answers_percent: u32,
-    /// Next writes whose connection is closed before they take effect.
+    /// Number of following writes whose connection is closed before they take effect.
     pub lose_writes: u32,
-    /// Only writes to keys under this prefix are lost.
+    /// Prefix of the keys whose writes or responses are lost.
     pub lose_prefix: String,
-    /// Next reads and lists that are answered as of before the last change of
-    /// each object.
+    /// Number of following reads and lists that return the state before the last change
+    /// of each object.
     pub old_reads: u32,
-    /// Only reads under this prefix are old.
+    /// Prefix of the keys to which [`Self::old_reads`] applies.
     pub old_reads_prefix: String,
-    /// Next changes that no watch ever shows.
+    /// Number of following changes that no watch ever reports.
     pub missed_changes: u32,
-    /// Only changes under this prefix are missed.
+    /// Prefix of the keys to which [`Self::missed_changes`] applies.
     pub missed_prefix: String,
 }
 
-/// How an outage shows.
+/// Form of an outage.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outage {
     /// No outage.
     #[default]
     None,
-    /// Every call is answered 503.
+    /// Every request is refused with 503.
     Refuse,
-    /// Open connections are closed, and new ones at once.
+    /// Open connections are closed, and new ones as soon as accepted.
     Close,
 }
 
-/// What a fault does to one write.
+/// Effect of the faults on one write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum WriteFate {
     Answered,
@@ -55,7 +56,7 @@
 }
 
 impl Faults {
-    /// Decides on one write and counts it off.
+    /// Returns the fault that applies to a write and decrements its count.
     pub(super) fn write_fate(&mut self, key: &str, dice: &mut Dice) -> WriteFate {
         if !key.starts_with(&self.lose_prefix) {
             return WriteFate::Answered;
@@ -69,18 +70,18 @@
         WriteFate::Answered
     }
 
-    /// Whether one read or list is answered with an earlier state.
+    /// Returns whether a read or list returns an earlier state, and decrements the count.
     pub(super) fn read_is_old(&mut self, key: &str) -> bool {
         key.starts_with(&self.old_reads_prefix) && take(&mut self.old_reads)
     }
 
-    /// Whether watches miss one change.
+    /// Returns whether watches miss a change, and decrements the count.
     pub(super) fn change_is_missed(&mut self, key: &str) -> bool {
         key.starts_with(&self.missed_prefix) && take(&mut self.missed_changes)
     }
 }
 
-/// Seeded source of the faults that come with a probability.
+/// Seeded generator that decides on random faults.
 #[derive(Debug)]
 pub(super) struct Dice(Pcg64);
 
--- a/crates/fake/src/platform/mod.rs
+++ b/crates/fake/src/platform/mod.rs
@@ -1,8 +1,8 @@
 //! Stand-in for the platform's object API.
 //!
-//! Each write takes the next version from one counter. Every object keeps the
-//! value before its last change, so that an old read can be served on demand,
-//! and deleted keys are remembered for watches.
+//! A single counter assigns the version of every change. Each object keeps the value
+//! before its last change, so that a fault can make a read return it. Deleted keys
+//! are kept, so that watches can report the deletion.
 
 mod faults;
 mod objects;
@@ -25,14 +25,14 @@
 use faults::Dice;
 use objects::Objects;
 
-/// How to start the stand-in.
+/// Options of the stand-in.
 #[derive(Debug, Clone)]
 pub struct PlatformOptions {
-    /// Where the object API is served.
+    /// Address of the object API listener.
     pub listen: SocketAddr,
-    /// Where faults are switched.
+    /// Address of the control listener.
     pub control: SocketAddr,
-    /// Seed of the faults that come with a probability.
+    /// Seed of the random faults.
     pub seed: u64,
 }
 
@@ -46,11 +46,11 @@
     }
 }
 
-/// The stand-in's state.
+/// Platform behind a [`Handle`].
 #[derive(Debug)]
 pub struct Platform {
     inner: Mutex<Inner>,
-    /// Version of the newest change that watches are told of.
+    /// Version of the last change that watches report; wakes waiting watches.
     changed: watch::Sender<u64>,
     cutter: Cutter,
 }
@@ -63,24 +63,24 @@
     counts: Counts,
 }
 
-/// Calls served since the start; a waiting watch counts as one.
+/// Counters of requests since the start; a watch counts once, however long it waits.
 #[derive(
     Debug, Clone, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize,
 )]
 pub struct Counts {
     /// Reads of one object.
     pub reads: u64,
-    /// Conditional and unconditional writes and deletes, also in vain.
+    /// Writes and deletes, including those whose condition was not met.
     pub writes: u64,
-    /// Watches.
+    /// Watch requests.
     pub watches: u64,
-    /// Lists.
+    /// List requests.
     pub lists: u64,
-    /// Calls refused or cut off by a fault, not counted above.
+    /// Requests that a fault refused or dropped; not included in the counters above.
     pub refused: u64,
-    /// Writes that took effect and whose answer was withheld.
+    /// Writes that took effect and whose response a fault withheld.
     pub answers_lost: u64,
-    /// Reads and lists answered with an earlier state.
+    /// Reads and lists that returned an earlier state.
     pub old_reads: u64,
     /// Writes by the first segment of the key.
     pub writes_by_kind: BTreeMap<String, u64>,
@@ -90,7 +90,7 @@
 ///
 /// # Errors
 ///
-/// An address can't be bound.
+/// Returns an error if an address can't be bound.
 pub async fn start(options: PlatformOptions) -> io::Result<Handle<Platform>> {
     let cutter = Cutter::default();
     let platform = Arc::new(Platform {
@@ -116,14 +116,14 @@
 handle_methods!(Platform, Faults, Counts);
 
 impl Handle<Platform> {
-    /// Value and version of an object, read past every fault and not counted.
+    /// Returns version and value of an object, regardless of faults and uncounted.
     pub fn peek_object(&self, key: &str) -> Option<(u64, Vec<u8>)> {
         let inner = self.stand_in.inner.lock();
         let object = inner.objects.get(key)?;
         Some((object.version, object.value.to_vec()))
     }
 
-    /// Keys under a prefix, read past every fault and not counted.
+    /// Returns the keys with a prefix, regardless of faults and uncounted.
     pub fn object_keys(&self, prefix: &str) -> Vec<String> {
         let inner = self.stand_in.inner.lock();
         let under = inner.objects.under(prefix);
--- a/crates/fake/src/platform/objects.rs
+++ b/crates/fake/src/platform/objects.rs
@@ -1,19 +1,19 @@
-//! The objects and their versions.
+//! Versioned objects with their previous values.
 
 use bytes::Bytes;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Largest value of one object.
+/// Maximum size of an object's value.
 pub const VALUE_MAX_BYTES: usize = 1 << 20;
 
-/// One value of one object.
+/// A value of an object and its version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Object {
     pub(super) version: u64,
     pub(super) value: Bytes,
 }
 
-/// What must hold for a change.
+/// Precondition of a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Condition {
     None,
@@ -21,7 +21,7 @@
     Version(u64),
 }
 
-/// Why a change was not made.
+/// Reason why a change was not applied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum NotDone {
     Missing,
@@ -32,21 +32,21 @@
 struct Slot {
     now: Option<Object>,
     before: Option<Object>,
-    /// Version of the last change, be it a write or a deletion.
+    /// Version of the last write or deletion.
     changed: u64,
 }
 
-/// All objects, also deleted ones, by key.
+/// All objects by key, including deleted ones.
 #[derive(Debug, Default)]
 pub(super) struct Objects {
     counter: u64,
     slots: BTreeMap<String, Slot>,
-    /// Versions of changes that no watch shows.
+    /// Versions of changes that no watch reports.
     hidden: BTreeSet<u64>,
 }
 
 impl Objects {
-    /// Version of the newest change.
+    /// Returns the version of the last change.
     pub(super) const fn newest(&self) -> u64 {
         self.counter
     }
@@ -55,7 +55,7 @@
         self.slots.get(key)?.now.as_ref()
     }
 
-    /// The object as it was before its last change.
+    /// Returns the object as it was before its last change.
     pub(super) fn get_before(&self, key: &str) -> Option<&Object> {
         self.slots.get(key)?.before.as_ref()
     }
@@ -65,7 +65,7 @@
             .filter_map(|(key, slot)| Some((key, slot.now.as_ref()?)))
     }
 
-    /// Objects as each was before its last change.
+    /// Returns the objects with a prefix, each as it was before its last change.
     pub(super) fn under_before(
         &self,
         prefix: &str,
@@ -74,7 +74,8 @@
             .filter_map(|(key, slot)| Some((key, slot.before.as_ref()?)))
     }
 
-    /// Changes after `after` that watches show, with `None` for a deletion.
+    /// Returns the objects with a prefix that changed after version `after`, with `None`
+    /// for deleted ones. Changes hidden from watches are left out.
     pub(super) fn changes(
         &self,
         prefix: &str,
@@ -95,7 +96,7 @@
             .map(|(key, slot)| (key.as_str(), slot))
     }
 
-    /// Writes one object.
+    /// Writes an object and returns its new version.
     pub(super) fn write(
         &mut self,
         key: &str,
@@ -117,7 +118,7 @@
         Ok(version)
     }
 
-    /// Deletes one object.
+    /// Deletes an object and returns the version of the deletion.
     pub(super) fn delete(
         &mut self,
         key: &str,
--- a/crates/fake/src/platform/serve.rs
+++ b/crates/fake/src/platform/serve.rs
@@ -1,4 +1,4 @@
-//! The object API's calls.
+//! HTTP API of the object store.
 
 use hyper::body::Incoming;
 use hyper::header::HeaderValue;
@@ -16,10 +16,10 @@
 use crate::handle::StandIn;
 use crate::http::{self, Answer, Body, Cut};
 
-/// Longest time that one watch waits.
+/// Maximum time that a watch waits.
 const WAIT_MAX_MS: u64 = 60_000;
 
-/// Objects under a prefix, or those that changed.
+/// JSON response to a list or a watch.
 #[derive(Debug, Serialize)]
 struct Listing {
     version: u64,
@@ -58,7 +58,7 @@
     fn set_faults(&self, faults: Faults) {
         self.cutter.set_away(faults.outage == Outage::Close);
         self.inner.lock().faults = faults;
-        // Waiting watches look whether an outage has begun.
+        // Wakes waiting watches, which then check whether an outage has begun.
         self.changed.send_modify(|_| {});
     }
 
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Writes, or deletes where there is no value.
+    /// Writes an object, or deletes it if there is no value.
     fn change(
         &self,
         key: &str,
@@ -222,7 +222,7 @@
         let until = Instant::now() + wait;
         let mut changed = self.changed.subscribe();
         loop {
-            // An outage that began during the wait ends it.
+            // An outage that begins during the wait ends the watch.
             if self.inner.lock().faults.outage != Outage::None {
                 return self.refuse();
             }
@@ -231,7 +231,7 @@
             if !none || Instant::now() >= until {
                 return http::json(StatusCode::OK, &listing);
             }
-            // Either a change came or the time is up: the loop finds out which.
+            // The loop checks whether there was a change or the time is up.
             let _ = tokio::time::timeout_at(until, changed.changed()).await;
         }
     }
--- a/crates/fake/src/program.rs
+++ b/crates/fake/src/program.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins' programs have in common.
+//! Runs a stand-in as a program.
 
 use std::io::{self, Write as _};
 use std::net::SocketAddr;
@@ -8,12 +8,12 @@
 
 /// Runs a stand-in until SIGTERM or SIGINT.
 ///
-/// The first line on standard output is `listening <address>`, the second
-/// `control <address>`, so that a caller who asked for port 0 learns the ports.
+/// Prints `listening <address>` and then `control <address>` to standard output, so
+/// that the parent process learns the ports if it asked for port 0.
 ///
 /// # Errors
 ///
-/// An address can't be bound, or standard output is closed.
+/// Returns an error if an address can't be bound or standard output is closed.
 pub fn run<S, F>(start: F) -> io::Result<()>
 where
     F: Future<Output = io::Result<Handle<S>>>,
@@ -35,7 +35,7 @@
     })
 }
 
-/// The stand-ins are small, and a test or the demo runs many of them.
+/// Few threads, since a test or the demo runs many stand-ins at once.
 const WORKER_THREADS: usize = 2;
 
 fn announce(address: SocketAddr, control: SocketAddr) -> io::Result<()> {
--- a/crates/fake/src/service.rs
+++ b/crates/fake/src/service.rs
@@ -1,7 +1,7 @@
-//! Stand-in for a plain service whose calls may not be repeated.
+//! Stand-in for a plain service whose requests must not run twice.
 //!
-//! Every call that is run is counted by its idempotency key and by its request
-//! id, so that a test sees at once whether one ran twice.
+//! Every request that runs is counted by its idempotency key and by its request id, so
+//! that a test can detect one that ran twice.
 
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
@@ -20,16 +20,16 @@
 use crate::handle::{self, ANY_PORT, StandIn, Tasks, handle_methods};
 use crate::http::{self, Answer, Body, Cut};
 
-/// How to start the stand-in.
+/// Options of the stand-in.
 #[derive(Debug, Clone)]
 pub struct ServiceOptions {
-    /// Where calls are served.
+    /// Address of the service's listener.
     pub listen: SocketAddr,
-    /// Where faults are switched.
+    /// Address of the control listener.
     pub control: SocketAddr,
-    /// Time one call takes.
+    /// Duration of one request.
     pub work_ms: u64,
-    /// What `/healthz` shows; a restarted service has another.
+    /// Incarnation that `/healthz` returns; a restarted service has another.
     pub incarnation: u64,
 }
 
@@ -44,38 +44,39 @@
     }
 }
 
-/// Faults in force; the default is none.
+/// Active faults; the default is none.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Next calls that run and whose connection is closed in place of an answer.
+    /// Number of following requests that run and whose connection is then closed
+    /// without a response.
     pub break_after: u32,
-    /// Next calls whose connection is closed before they run.
+    /// Number of following requests whose connection is closed before they run.
     pub break_before: u32,
-    /// Next calls that run and are answered 500.
+    /// Number of following requests that run and get a 500 response.
     pub fail: u32,
-    /// Next calls that are answered 503 with `x-not-run: 1`.
+    /// Number of following requests that are refused with 503 and `x-not-run: 1`.
     pub refuse: u32,
-    /// Time added to each call before it runs.
+    /// Delay of each request before it runs.
     pub slow_ms: u64,
-    /// New and open connections are closed.
+    /// Whether open connections are closed, and new ones as soon as accepted.
     pub closed: bool,
 }
 
-/// Calls that were run since the start.
+/// Counters of the requests that ran since the start.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// All calls.
+    /// All requests.
     pub runs: u64,
-    /// Calls by idempotency key.
+    /// Requests by idempotency key.
     pub by_key: BTreeMap<String, u64>,
-    /// Calls by `x-request-id`.
+    /// Requests by `x-request-id`.
     pub by_request: BTreeMap<String, u64>,
-    /// Largest body seen.
+    /// Size of the largest request body.
     pub body_max_bytes: u64,
 }
 
-/// The stand-in's state.
+/// Plain service behind a [`Handle`].
 #[derive(Debug)]
 pub struct Service {
     options: ServiceOptions,
@@ -89,28 +90,28 @@
     counts: Counts,
 }
 
-/// Answer to a call.
+/// JSON response to a request that ran.
 #[derive(Debug, Serialize)]
 struct Called {
-    /// How often the key, or without one the service, has run.
+    /// Number of runs so far with this key, or of all runs if there is no key.
     count: u64,
     key: String,
 }
 
-/// Answer to `/healthz`.
+/// JSON response of `/healthz`.
 #[derive(Debug, Serialize)]
 struct Health {
     incarnation: u64,
 }
 
-/// Largest body that is read.
+/// Maximum size of a request body.
 const BODY_MAX_BYTES: usize = 8 << 20;
 
 /// Starts the stand-in.
 ///
 /// # Errors
 ///
-/// An address can't be bound.
+/// Returns an error if an address can't be bound.
 pub async fn start(options: ServiceOptions) -> io::Result<Handle<Service>> {
     let cutter = http::Cutter::default();
     let (listen, control) = (options.listen, options.control);
@@ -149,7 +150,7 @@
     }
 }
 
-/// What a fault does to one call before it runs.
+/// Effect of the faults on a request before it runs.
 enum Before {
     Run,
     Break,
@@ -232,7 +233,7 @@
     }
 }
 
-/// 503 with the mark that nothing was run.
+/// Returns a 503 response whose `x-not-run` header says that nothing ran.
 pub(crate) fn not_run() -> Response<Body> {
     let mut answer = http::text(StatusCode::SERVICE_UNAVAILABLE, "not run");
     let mark = hyper::header::HeaderValue::from_static("1");
--- a/crates/fake/src/store.rs
+++ b/crates/fake/src/store.rs
@@ -1,7 +1,7 @@
 //! Stand-in for the weight store.
 //!
-//! Loads start at a limited rate. Up to a number of them run at full speed;
-//! beyond that they share the store's bandwidth evenly.
+//! Loads start at a limited rate. A limited number of them run at full speed; if there
+//! are more, all share the store's bandwidth evenly.
 
 use hyper::body::Incoming;
 use hyper::{Method, Request, StatusCode};
@@ -19,16 +19,16 @@
 use crate::handle::{self, ANY_PORT, StandIn, Tasks, handle_methods};
 use crate::http::{self, Answer};
 
-/// How to start the stand-in.
+/// Options of the stand-in.
 #[derive(Debug, Clone)]
 pub struct StoreOptions {
-    /// Where weights are served.
+    /// Address of the listener that serves weights.
     pub listen: SocketAddr,
-    /// Where faults are switched.
+    /// Address of the control listener.
     pub control: SocketAddr,
-    /// Loads that may start per second.
+    /// Maximum number of loads started per second.
     pub loads_per_s: f64,
-    /// Loads that run at full speed at the same time.
+    /// Maximum number of concurrent loads at full speed.
     pub full_speed_loads: u32,
     /// Duration of a load at full speed.
     pub load_time_ms: u64,
@@ -46,34 +46,34 @@
     }
 }
 
-/// Faults in force; the default is none.
+/// Active faults; the default is none.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Every load is refused with 503.
+    /// Whether every load is refused with 503.
     pub outage: bool,
-    /// Next loads that are refused with 503.
+    /// Number of following loads that are refused with 503.
     pub fail_loads: u32,
-    /// Factor on the duration of loads; 0 and 1 change nothing.
+    /// Factor that multiplies the duration of loads; 0 and 1 have no effect.
     pub slow_factor: u32,
 }
 
-/// Loads since the start.
+/// Counters since the start.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Loads asked for.
+    /// Loads that were accepted.
     pub started: u64,
-    /// Loads transferred.
+    /// Loads that completed.
     pub done: u64,
-    /// Loads refused by a fault.
+    /// Loads that a fault refused.
     pub refused: u64,
-    /// Loads that transfer now.
+    /// Loads that are transferring weights now.
     pub active: u32,
-    /// Most loads that transferred at once.
+    /// Maximum of `active`.
     pub active_max: u32,
 }
 
-/// The stand-in's state.
+/// Weight store behind a [`Handle`].
 #[derive(Debug)]
 pub struct Store {
     options: StoreOptions,
@@ -87,20 +87,20 @@
     counts: Counts,
 }
 
-/// Answer to a load.
+/// JSON response to a completed load.
 #[derive(Debug, Serialize)]
 struct Transferred {
     ms: u64,
 }
 
-/// How finely a shared load is stepped.
+/// Interval at which a load's share of the bandwidth is recomputed.
 const QUANTUM: Duration = Duration::from_millis(10);
 
 /// Starts the stand-in.
 ///
 /// # Errors
 ///
-/// An address can't be bound.
+/// Returns an error if an address can't be bound.
 pub async fn start(options: StoreOptions) -> io::Result<Handle<Store>> {
     let (listen, control) = (options.listen, options.control);
     let store = Arc::new(Store {
@@ -147,7 +147,7 @@
     }
 }
 
-/// Counts a load as active until dropped, also when its caller goes away.
+/// Counts a load as active until dropped, also if its client disconnects.
 #[derive(Debug)]
 struct Active<'a>(&'a Store);
 
@@ -186,7 +186,7 @@
         http::json(StatusCode::OK, &Transferred { ms })
     }
 
-    /// When a load may start; `None` if it is refused.
+    /// Returns the time at which a load may start, or `None` if a fault refuses it.
     fn admit(&self) -> Option<Instant> {
         let mut inner = self.inner.lock();
         let failed = crate::faults::take(&mut inner.faults.fail_loads);
@@ -212,7 +212,7 @@
         }
     }
 
-    /// Share of full speed that each load has now.
+    /// Returns the current speed of each load, as a fraction of full speed.
     fn speed(&self) -> f64 {
         let inner = self.inner.lock();
         let full = f64::from(self.options.full_speed_loads.max(1));
@@ -221,8 +221,11 @@
     }
 }
 
-/// A lower rate than one load in this time makes no difference to a test.
+/// Maximum interval between the starts of two loads, in seconds. Lower rates make no
+/// difference to a test, and the interval of a rate near zero would overflow
+/// `Duration`.
 const GAP_MAX_S: f64 = 3_600.0;
 
-/// Shortest sleep, so that rounding can't make a loop without end.
+/// Minimum sleep. Without it, rounding could produce zero-length steps and an endless
+/// loop.
 const STEP_MIN: Duration = Duration::from_micros(100);
--- a/crates/fake/tests/all.rs
+++ b/crates/fake/tests/all.rs
@@ -1,8 +1,8 @@
-//! Contract tests of the stand-ins: each holds one to the protocol in
-//! `docs/architecture.md`, or shows that a fault does one thing and nothing else.
+//! Contract tests of the stand-ins. They check each against the protocol in
+//! `docs/architecture.md`, and that each fault has its one effect and no other.
 //!
-//! Tests that measure a delay run on the paused clock and only ask that at least
-//! that time has passed: sockets may take longer, never shorter.
+//! Tests of delays run on a paused clock and check only a lower bound, since socket I/O
+//! may add time but never takes any away.
 
 #[path = "all/client.rs"]
 mod client;
--- a/crates/fake/tests/all/client.rs
+++ b/crates/fake/tests/all/client.rs
@@ -1,4 +1,4 @@
-//! One HTTP exchange on a connection of its own.
+//! HTTP client that opens a new connection for each request.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
@@ -26,8 +26,8 @@
     }
 }
 
-/// Sends a request and returns the answer's head; `None` if the connection was
-/// closed before.
+/// Sends a request and returns the response with its body unread, or `None` if the
+/// connection is closed before the headers.
 pub async fn open(
     address: SocketAddr,
     method: &str,
@@ -49,7 +49,7 @@
     sender.send_request(request).await.ok()
 }
 
-/// Sends a request and takes the whole answer; `None` if the connection was
+/// Sends a request and reads the complete response. Returns `None` if the connection is
 /// closed before its end.
 pub async fn call(
     address: SocketAddr,
@@ -73,8 +73,7 @@
     call(address, "GET", path, &[], "").await
 }
 
-/// Looks again and again until something holds; a test that waits in vain is
-/// ended by its runner.
+/// Polls until a condition holds. There is no time limit; the test runner enforces one.
 pub async fn until(mut holds: impl FnMut() -> bool) {
     while !holds() {
         tokio::time::sleep(Duration::from_millis(1)).await;
--- a/crates/fake/tests/all/engine.rs
+++ b/crates/fake/tests/all/engine.rs
@@ -1,4 +1,5 @@
-//! The engine's requests: tokens, batch, priorities, cancellation, prefixes.
+//! Tests of the engine's completion requests: tokens, batching, priorities,
+//! cancellation and the prefix cache.
 
 use fake::Handle;
 use fake::engine::{self, Engine, EngineOptions, Faults};
@@ -10,7 +11,7 @@
 
 use crate::client::{call, open, until};
 
-/// An engine that steps and loads quickly.
+/// Options of an engine with short steps and loads.
 pub fn quick() -> EngineOptions {
     EngineOptions {
         step_us: 200,
@@ -26,7 +27,7 @@
     started.expect("loopback has a free port")
 }
 
-/// Gives an order and waits until it is done.
+/// Orders a model to be loaded and waits until it is.
 pub async fn load(
     engine: &Handle<Engine>,
     order: u64,
@@ -56,7 +57,7 @@
         .to_string()
 }
 
-/// Opens a streamed answer.
+/// Sends a streaming request and returns the response's body.
 pub async fn stream(
     engine: &Handle<Engine>,
     prompt: &str,
@@ -71,7 +72,7 @@
     answer.into_body()
 }
 
-/// Chunks of a streamed answer, and whether it ended cleanly.
+/// Reads a streamed response. Returns its chunks and whether it ended cleanly.
 pub async fn chunks(mut body: Incoming) -> (Vec<Value>, bool) {
     let mut text = Vec::new();
     let mut clean = true;
@@ -111,7 +112,7 @@
         assert_eq!(text_of(&parts), rest);
         let before = ResponseText::new("m", 1, "why").token_range(0, offset);
         assert_eq!(before + &rest, whole);
-        // One chunk for each token, then the last chunk and the end mark.
+        // One chunk for each token, then the last chunk and `[DONE]`.
         assert_eq!(parts.len() as u64, 9 - offset + 2);
         let last = &parts[parts.len() - 2];
         assert_eq!(last["choices"][0]["finish_reason"], "length");
@@ -153,7 +154,7 @@
     }
 }
 
-/// Only a model that is loaded, with its base beside it, is run.
+/// Only a loaded model runs, and an adapter only if its base model is loaded too.
 #[tokio::test]
 async fn what_is_not_loaded_is_refused_and_not_run() {
     let engine = start(quick()).await;
@@ -265,8 +266,8 @@
     assert_eq!((answer.status, answer.not_run), (503, true));
 }
 
-/// The caller closes its connection while the answer streams, or while it waits
-/// for a batch: the run ends and its place is free.
+/// The client closes its connection while the response streams, or while the request
+/// waits for a batch. The run must end and free its slot.
 #[tokio::test]
 async fn closing_the_connection_cancels() {
     let engine = start(EngineOptions {
@@ -288,8 +289,8 @@
     assert_eq!((report.running, report.waiting), (0, 0));
 }
 
-/// 64 prompt tokens in whole blocks of 16, shared by all prompts; then the cache
-/// is too small to hold them.
+/// All prompts share 64 tokens, which are four complete blocks. The second cache is too
+/// small to hold them.
 #[tokio::test]
 async fn a_shared_prompt_start_is_prefilled_once_if_it_fits() {
     for (prefix_blocks, cached) in [(64, 64), (2, 0)] {
@@ -311,10 +312,10 @@
     }
 }
 
-/// Prefill is paid in steps, and a step grows with the batch.
+/// Long prompts take more steps to prefill, and a slow factor makes steps longer.
 #[tokio::test(start_paused = true)]
 async fn long_prompts_and_slow_engines_take_their_time() {
-    // (prompt bytes, slow factor, tokens, least steps)
+    // (prompt bytes, slow factor, tokens, minimum duration in normal steps)
     for (bytes, slow_factor, tokens, steps) in
         [(4, 0, 10, 10), (4_096, 0, 1, 2), (4, 7, 10, 70)]
     {
--- a/crates/fake/tests/all/engine_faults.rs
+++ b/crates/fake/tests/all/engine_faults.rs
@@ -1,4 +1,4 @@
-//! Faults of the engine besides those of orders.
+//! Tests of the engine's faults, except those of orders.
 
 use fake::engine::{EngineOptions, Faults, ResidentState};
 use http_body_util::BodyExt;
@@ -11,8 +11,8 @@
 use crate::engine::{chunks, completion, load, quick, start, stream, text_of};
 
 /// A request whose prompt crashes the engine is sent while another streams. Both
-/// connections break without a clean end, memory is empty afterwards, and the
-/// engine comes back under a new incarnation.
+/// connections must break without a clean end, memory must be empty afterwards, and the
+/// engine must restart with a new incarnation.
 #[tokio::test]
 async fn a_crash_drops_everything_and_raises_the_incarnation() {
     let engine = start(EngineOptions {
@@ -34,7 +34,7 @@
     let report = engine.report();
     assert_eq!((report.incarnation, report.fence), (2, 0));
     assert!(report.residents.is_empty() && report.orders.is_empty());
-    // Until it is back, connections are closed at once.
+    // Connections are closed immediately until the engine has restarted.
     while get(engine.address, "/admin/state").await.is_none() {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
@@ -57,9 +57,9 @@
     assert_eq!(counts.expect("control answers").json()["crashes"], 1);
 }
 
-/// A load is under way when the engine crashes, and the same model is ordered
-/// again once it is back. The weights of the first load arrive then, and must not
-/// show the second as done.
+/// The engine crashes during a load, and the same model is ordered again after the
+/// restart. Then the weights of the first load arrive, which must not complete the second
+/// load.
 #[tokio::test]
 async fn a_load_does_not_outlive_a_crash() {
     let store = TcpListener::bind(fake::ANY_PORT).await;
@@ -137,8 +137,8 @@
     }
 }
 
-/// An unload cuts off what runs on the model: a sender that drained would have
-/// waited.
+/// An unload aborts the model's runs, so that a sender that does not drain the model
+/// first is detected.
 #[tokio::test]
 async fn an_unload_cuts_off_runs() {
     let engine = start(quick()).await;
@@ -181,7 +181,7 @@
     assert!(get(engine.address, "/admin/state").await.is_some());
 }
 
-/// The report stays as it was until it is as old as the lag.
+/// The same report is returned until it is as old as the lag.
 #[tokio::test(start_paused = true)]
 async fn a_lagging_report_shows_an_earlier_state() {
     let engine = start(quick()).await;
--- a/crates/fake/tests/all/load.rs
+++ b/crates/fake/tests/all/load.rs
@@ -1,4 +1,4 @@
-//! The load driver's judgement of answers.
+//! Tests of how the load generator classifies responses.
 
 use fake::engine::Faults;
 use fake::load::{self, LoadOptions, Report, Workload};
@@ -87,8 +87,8 @@
     assert_eq!(report.profiles["desk"].unreached, 3);
 }
 
-/// The caller is given a clean end that is not its answer: cut short with and
-/// without the end mark, of another request, or empty.
+/// The response ends cleanly but is not the expected one: truncated with and without
+/// `[DONE]`, the text of another request, or empty.
 #[tokio::test]
 async fn a_clean_end_that_is_not_the_answer_is_wrong() {
     let other = r#"data: {"choices":[{"delta":{"content":"other "}}]}"#;
@@ -130,7 +130,7 @@
         ..Workload::default()
     };
     for (whole, wrong) in [(3, 0), (0, 3)] {
-        // The same seed gives the same keys, as a resend would.
+        // The same seed generates the same keys, as if the requests were sent again.
         let report = drive_mix(service.address, mix.clone(), 3, None).await;
         let parts = &report.profiles["parts"];
         assert_eq!((parts.whole, parts.wrong), (whole, wrong));
@@ -154,16 +154,16 @@
     let report = drive_mix(engine.address, mix, 4, None).await;
     let desk = &report.profiles["desk"];
     assert_eq!((desk.whole, desk.attained), (4, 0));
-    // A step takes 50 times 200 us, and no token comes before its end.
+    // A step takes 50 times 200 us, and no token is generated before its end.
     for times in [desk.first_token, desk.total] {
         assert_eq!(times.count, 4);
         assert!(times.p50_us >= 10_000 && times.max_us >= times.p50_us);
     }
 }
 
-/// One of two targets refuses connections, as a process that has ended does.
-/// Without the balancer's rule half of the requests would go there; with it
-/// only those that were under way before the first refusal.
+/// One of two targets refuses connections, as if its process had exited. Without
+/// `exclude_unavailable_targets`, half of the requests would go there; with it, only
+/// those that were sent before the first refusal was seen.
 #[tokio::test]
 async fn a_balancer_leaves_out_a_target_that_is_gone() {
     let engine = start(quick()).await;
--- a/crates/fake/tests/all/orders.rs
+++ b/crates/fake/tests/all/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to the engine, its memory and its report.
+//! Tests of the engine's orders, memory accounting and state report.
 
 use fake::engine::{EngineOptions, Faults, ResidentState};
 use fake::store::{self, StoreOptions};
@@ -87,7 +87,7 @@
         ..quick()
     })
     .await;
-    // (model, size, overcommits after it)
+    // (model, size in MiB, overcommits after the load)
     for (number, (model, size_mib, overcommits)) in
         [("a", 1_000, 0), ("b", 1_000, 0), ("c", 1, 1)]
             .into_iter()
@@ -103,8 +103,8 @@
     assert_eq!(engine.counts().used_max_mib, 2_001);
 }
 
-/// Memory is in use until an unload has ended, so a load that starts before
-/// overcommits.
+/// Memory stays in use until an unload has completed, so a load that starts before
+/// exceeds it.
 #[tokio::test]
 async fn an_unload_holds_its_memory_to_the_end() {
     let engine = start(EngineOptions {
@@ -132,7 +132,7 @@
     until(|| is_done(&engine, 1)).await;
     assert_eq!(engine.report().residents.len(), 1);
     assert_eq!(engine.counts().orders_repeated, 2);
-    // Another number for the same model finds it loaded.
+    // An order with another number completes at once, as the model is loaded.
     assert_eq!(
         send(&engine, &order(2, 1, "load", "m", 1_000)).await,
         Some(202)
@@ -154,7 +154,7 @@
     assert!(engine.report().orders.is_empty());
 }
 
-/// What the sender sees, and whether the model comes into memory.
+/// Checks the response to an order under each fault, and whether the model is loaded.
 #[tokio::test]
 async fn a_fault_of_an_order_does_one_thing() {
     let none = Faults::default;
@@ -205,7 +205,7 @@
         if arrives {
             until(|| is_done(&engine, 1)).await;
         }
-        // The fault has counted down: the next order is carried out.
+        // The fault applied to one order only; the next is carried out.
         let next = send(&engine, &order(2, 1, "load", "n", 1_000)).await;
         assert_eq!(next, Some(202), "{faults:?}");
         until(|| is_done(&engine, 2)).await;
@@ -215,7 +215,7 @@
     }
 }
 
-/// A late order of a fenced sender arrives after its successor's.
+/// A late order takes effect after one with a higher fencing epoch and must be refused.
 #[tokio::test]
 async fn a_late_order_is_checked_when_it_arrives() {
     let engine = start(EngineOptions {
--- a/crates/fake/tests/all/platform.rs
+++ b/crates/fake/tests/all/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's object API.
+//! Tests of the platform's object API.
 
 use fake::Handle;
 use fake::platform::{
@@ -29,7 +29,7 @@
 async fn conditions_decide_on_writes_and_deletes() {
     let platform = start().await;
     let absent = ("if-none-match", "*");
-    // (method, condition, status, version in the answer)
+    // (method, condition, status, version in the response)
     type Step<'a> = (&'a str, &'a [(&'a str, &'a str)], u16, Option<u64>);
     let steps: &[Step<'_>] = &[
         ("GET", &[], 404, None),
@@ -120,11 +120,11 @@
     assert_eq!((version, value.len()), (1, VALUE_MAX_BYTES));
 }
 
-/// What the caller of a faulty write sees, and what became of the write.
+/// Checks the response to a write under each fault, and whether it took effect.
 #[tokio::test]
 async fn a_fault_of_a_write_does_one_thing() {
     let cases = [
-        // (faults, status or closed, written)
+        // (faults, status or `None` if closed, whether written)
         (Faults::default(), Some(200), true),
         (
             Faults {
--- a/crates/fake/tests/all/program.rs
+++ b/crates/fake/tests/all/program.rs
@@ -1,4 +1,4 @@
-//! The programs: first lines, and their end on SIGTERM.
+//! Tests of the programs' output and shutdown, and of the shutdown in a process.
 
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
--- a/crates/fake/tests/all/service.rs
+++ b/crates/fake/tests/all/service.rs
@@ -1,4 +1,4 @@
-//! The plain service.
+//! Tests of the plain service.
 
 use fake::service::{self, Faults, ServiceOptions};
 
@@ -26,7 +26,7 @@
     assert_eq!(health.expect("an answer comes").json()["incarnation"], 1);
 }
 
-/// What the caller sees, and whether the call ran.
+/// Checks the response to a request under each fault, and whether it ran.
 #[tokio::test]
 async fn a_fault_does_one_thing() {
     let none = Faults::default;
--- a/crates/fake/tests/all/store.rs
+++ b/crates/fake/tests/all/store.rs
@@ -1,4 +1,4 @@
-//! The weight store.
+//! Tests of the weight store.
 
 use fake::Handle;
 use fake::store::{self, Faults, Store, StoreOptions};
@@ -22,11 +22,11 @@
     answer.map(|answer| answer.status)
 }
 
-/// Loads at once, and the least time that all of them take together.
+/// Concurrent loads must take at least the time that the limits imply.
 #[tokio::test(start_paused = true)]
 async fn rate_and_full_speed_bound_the_loads() {
     let cases = [
-        // (loads per second, at full speed, loads, least milliseconds)
+        // (loads per second, full-speed loads, loads, minimum milliseconds)
         (1_000_000.0, 4, 1, 1_000),
         (1_000_000.0, 4, 4, 1_000),
         (1_000_000.0, 2, 4, 2_000),
@@ -37,7 +37,7 @@
         let begun = Instant::now();
         let all = futures::future::join_all((0..loads).map(|_| load(&store))).await;
         assert!(all.iter().all(|status| *status == Some(200)));
-        // The steps of a shared load are rounded to 0.1 ms.
+        // Tolerance of 10 ms, since the steps of a shared load are rounded to 0.1 ms.
         let least = Duration::from_millis(least_ms - 10);
         assert!(begun.elapsed() >= least, "{rate} {full_speed} {loads}");
         let counts = store.counts();
