--- a/crates/fake/src/demo/children.rs
+++ b/crates/fake/src/demo/child_process.rs
@@ -20,35 +20,35 @@
 
 /// A child process, killed when dropped.
 #[derive(Debug)]
-pub(super) struct Running {
+pub(super) struct ChildProcess {
     name: String,
     child: Child,
-    ended: bool,
+    exited: bool,
 }
 
-impl Running {
+impl ChildProcess {
     /// Starts a program of the system and appends its output to
     /// `<directory>/<name>.log`.
     pub(super) fn start_system(
         program: &Path,
         name: &str,
         settings: &Path,
-        folder: &Path,
+        directory: &Path,
     ) -> Result<Self, DemoError> {
         let arguments = [Path::new("--settings"), settings];
-        Self::spawn(program, name, &arguments, folder, false)
+        Self::spawn(program, name, &arguments, directory, false)
     }
 
     /// Starts a stand-in on ports chosen by the kernel and reads the addresses of its
     /// protocol listener and its control listener from its output.
-    pub(super) fn start_fake<S: AsRef<OsStr>>(
+    pub(super) fn start_stand_in<S: AsRef<OsStr>>(
         program: &Path,
         name: &str,
         arguments: &[S],
-        folder: &Path,
+        directory: &Path,
     ) -> Result<(Self, SocketAddr, SocketAddr), DemoError> {
-        let mut running = Self::spawn(program, name, arguments, folder, true)?;
-        let out = running.child.stdout.take();
+        let mut process = Self::spawn(program, name, arguments, directory, true)?;
+        let out = process.child.stdout.take();
         let out = out.ok_or_else(|| DemoError::AddressNotReported(name.to_owned()))?;
         let mut lines = BufReader::new(out).lines();
         let mut address = |word: &str| {
@@ -59,22 +59,22 @@
         };
         let protocol = address("listening")?;
         let control = address("control")?;
-        Ok((running, protocol, control))
+        Ok((process, protocol, control))
     }
 
     fn spawn<S: AsRef<OsStr>>(
         program: &Path,
         name: &str,
         arguments: &[S],
-        folder: &Path,
-        piped: bool,
+        directory: &Path,
+        pipe_stdout: bool,
     ) -> Result<Self, DemoError> {
         let io = |error| DemoError::Io("starting a program", error);
-        let log = folder.join(format!("{name}.log"));
+        let log = directory.join(format!("{name}.log"));
         // A restarted process appends to the log of its predecessor.
         let log = File::options().create(true).append(true).open(log);
         let log = log.map_err(io)?;
-        let out = if piped {
+        let out = if pipe_stdout {
             Stdio::piped()
         } else {
             Stdio::from(log.try_clone().map_err(io)?)
@@ -89,7 +89,7 @@
         Ok(Self {
             name: name.to_owned(),
             child,
-            ended: false,
+            exited: false,
         })
     }
 
@@ -101,7 +101,7 @@
     /// Sends a signal, unless [`Self::ended`] has reaped the child. Until then the id
     /// can't belong to another process.
     pub(super) fn signal(&self, signal: Signal) {
-        if self.ended {
+        if self.exited {
             return;
         }
         if let Ok(pid) = i32::try_from(self.child.id()) {
@@ -111,15 +111,15 @@
     }
 
     /// Returns the child's exit status, or `None` while it runs.
-    pub(super) fn ended(&mut self) -> Option<ExitStatus> {
+    pub(super) fn try_wait(&mut self) -> Option<ExitStatus> {
         let status = self.child.try_wait().ok().flatten();
-        self.ended |= status.is_some();
+        self.exited |= status.is_some();
         status
     }
 
-    fn wait_until(&mut self, until: Instant) {
-        while Instant::now() < until {
-            if self.ended().is_some() {
+    fn wait_for_exit(&mut self, deadline: Instant) {
+        while Instant::now() < deadline {
+            if self.try_wait().is_some() {
                 return;
             }
             std::thread::sleep(STOP_POLL);
@@ -128,7 +128,7 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for ChildProcess {
     fn drop(&mut self) {
         // The id is not reused before the child is waited for, so the signal can't
         // reach another process.
@@ -141,32 +141,32 @@
 
 /// Stops children gracefully: sends SIGTERM to all, then waits for each. Those that
 /// exceed the time limit are killed when dropped.
-pub(super) fn stop(children: Vec<Running>) {
+pub(super) fn stop_all(children: Vec<ChildProcess>) {
     for child in &children {
         child.signal(Signal::SIGTERM);
     }
-    let until = Instant::now() + STOP_TIMEOUT;
+    let deadline = Instant::now() + STOP_TIMEOUT;
     for mut child in children {
-        child.wait_until(until);
+        child.wait_for_exit(deadline);
     }
 }
 
 /// Directory of the demo's own executable, which holds the other programs too.
 #[derive(Debug)]
-pub(super) struct Programs(PathBuf);
+pub(super) struct ProgramDirectory(PathBuf);
 
-impl Programs {
+impl ProgramDirectory {
     /// Finds the directory and checks that all programs are in it.
     pub(super) fn find() -> Result<Self, DemoError> {
         let own = std::env::current_exe().map_err(|error| {
             DemoError::Io("finding the path of the running program", error)
         })?;
-        let mut folder = own.parent().unwrap_or(Path::new("."));
-        if folder.ends_with("deps") {
+        let mut directory = own.parent().unwrap_or(Path::new("."));
+        if directory.ends_with("deps") {
             // Cargo puts test executables one directory below the programs.
-            folder = folder.parent().unwrap_or(folder);
+            directory = directory.parent().unwrap_or(directory);
         }
-        let programs = Self(folder.to_owned());
+        let programs = Self(directory.to_owned());
         let needed = [
             "sesame-entry",
             "sesame-agent",
--- a/crates/fake/src/demo/deployment/commands.rs
+++ b/crates/fake/src/demo/deployment/commands.rs
@@ -22,11 +22,11 @@
     ///
     /// Returns an error if `sesamectl` can't be started or fails.
     pub fn publish(&self, fleet: &str) -> Result<String, DemoError> {
-        let said = self.publish_with(fleet, &["--wait"])?;
-        if said.exit_code == 0 {
-            return Ok(said.text);
+        let output = self.publish_with(fleet, &["--wait"])?;
+        if output.exit_code == 0 {
+            return Ok(output.text);
         }
-        Err(DemoError::CommandFailed(said.text))
+        Err(DemoError::CommandFailed(output.text))
     }
 
     /// Publishes a fleet configuration with additional command-line options.
@@ -39,7 +39,7 @@
         fleet: &str,
         options: &[&str],
     ) -> Result<CommandOutput, DemoError> {
-        let file = self.folder.write_text("fleet.jsonc", fleet)?;
+        let file = self.directory.write_text("fleet.jsonc", fleet)?;
         let file = file.to_string_lossy();
         let mut arguments = vec!["publish"];
         arguments.extend(options);
@@ -53,7 +53,7 @@
             return None;
         }
         match self.sesamectl(&["timeline", "--request", request]) {
-            Ok(said) => Some(said.text),
+            Ok(output) => Some(output.text),
             Err(error) => Some(error.to_string()),
         }
     }
--- a/crates/fake/src/demo/deployment/mod.rs
+++ b/crates/fake/src/demo/deployment/mod.rs
@@ -11,9 +11,9 @@
 use std::path::{Path, PathBuf};
 
 use super::DemoError;
-use super::children::{Programs, Running};
-use super::folder::Folder;
-use super::ports::Block;
+use super::child_process::{ChildProcess, ProgramDirectory};
+use super::directory::TempDirectory;
+use super::ports::PortBlock;
 
 pub use commands::CommandOutput;
 pub use options::DeploymentOptions;
@@ -35,7 +35,7 @@
 /// A process of the system, with what is needed to restart it.
 #[derive(Debug)]
 struct Process {
-    running: Running,
+    child: ChildProcess,
     program: PathBuf,
     settings: PathBuf,
 }
@@ -44,16 +44,16 @@
 #[derive(Debug)]
 pub struct Deployment {
     options: DeploymentOptions,
-    programs: Programs,
+    programs: ProgramDirectory,
     platform: SocketAddr,
-    engines: Vec<SocketAddr>,
-    callers: Vec<SocketAddr>,
-    operators: BTreeMap<String, SocketAddr>,
-    controls: ControlAddresses,
-    system: BTreeMap<String, Process>,
-    fakes: BTreeMap<String, Running>,
-    folder: Folder,
-    ports: Block,
+    engine_addresses: Vec<SocketAddr>,
+    entry_addresses: Vec<SocketAddr>,
+    operator_addresses: BTreeMap<String, SocketAddr>,
+    control_addresses: ControlAddresses,
+    system_processes: BTreeMap<String, Process>,
+    stand_ins: BTreeMap<String, ChildProcess>,
+    directory: TempDirectory,
+    ports: PortBlock,
 }
 
 impl Deployment {
@@ -63,28 +63,32 @@
     ///
     /// Returns an error if programs are missing or one fails to start.
     pub fn start(options: DeploymentOptions) -> Result<Self, DemoError> {
-        let programs = Programs::find()?;
-        let folder = Folder::new(options.keep_directory)?;
+        let programs = ProgramDirectory::find()?;
+        let directory = TempDirectory::new(options.keep_directory)?;
         let program = programs.path("fake-platform");
-        let none: [&str; 0] = [];
-        let (child, platform, control) =
-            Running::start_fake(&program, "platform", &none, &folder.path)?;
+        let no_arguments: [&str; 0] = [];
+        let (child, platform, control) = ChildProcess::start_stand_in(
+            &program,
+            "platform",
+            &no_arguments,
+            &directory.path,
+        )?;
         let mut deployment = Self {
             programs,
             platform,
-            engines: Vec::new(),
-            callers: Vec::new(),
-            operators: BTreeMap::new(),
-            controls: ControlAddresses {
+            engine_addresses: Vec::new(),
+            entry_addresses: Vec::new(),
+            operator_addresses: BTreeMap::new(),
+            control_addresses: ControlAddresses {
                 platform: control,
                 store: None,
                 engines: Vec::new(),
                 services: Vec::new(),
             },
-            system: BTreeMap::new(),
-            fakes: BTreeMap::from([("platform".to_owned(), child)]),
-            folder,
-            ports: Block::take()?,
+            system_processes: BTreeMap::new(),
+            stand_ins: BTreeMap::from([("platform".to_owned(), child)]),
+            directory,
+            ports: PortBlock::acquire()?,
             options,
         };
         deployment.start_all()?;
@@ -93,39 +97,41 @@
 
     /// Returns the process ids of the system and the stand-ins, by name.
     pub fn pids(&self) -> BTreeMap<String, u32> {
-        let system = self.system.iter().map(|(id, one)| (id, &one.running));
-        let all = system.chain(self.fakes.iter());
-        all.map(|(id, running)| (id.clone(), running.pid()))
-            .collect()
+        let system = self
+            .system_processes
+            .iter()
+            .map(|(id, process)| (id, &process.child));
+        let all = system.chain(self.stand_ins.iter());
+        all.map(|(id, child)| (id.clone(), child.pid())).collect()
     }
 
     /// Returns the entries' caller listeners, in the order of the entries' ids.
     pub fn entry_addresses(&self) -> Vec<SocketAddr> {
-        self.callers.clone()
+        self.entry_addresses.clone()
     }
 
     /// Returns the engines' API listeners, in the order of their agents' ids.
     pub fn engine_addresses(&self) -> Vec<SocketAddr> {
-        self.engines.clone()
+        self.engine_addresses.clone()
     }
 
     /// Returns the operator listeners, by the id of the process in its settings.
     pub const fn operator_addresses(&self) -> &BTreeMap<String, SocketAddr> {
-        &self.operators
+        &self.operator_addresses
     }
 
     /// Returns the control listeners of the stand-ins.
     pub const fn control_addresses(&self) -> &ControlAddresses {
-        &self.controls
+        &self.control_addresses
     }
 
     /// Returns the directory with settings, logs and `controls.json`.
     pub fn directory(&self) -> &Path {
-        &self.folder.path
+        &self.directory.path
     }
 
     /// Keeps the directory with settings and logs when the deployment is dropped.
     pub fn keep_directory(&mut self) {
-        self.folder.keep = true;
+        self.directory.keep = true;
     }
 }
--- a/crates/fake/src/demo/deployment/processes.rs
+++ b/crates/fake/src/demo/deployment/processes.rs
@@ -7,7 +7,7 @@
 
 use super::Deployment;
 use crate::demo::DemoError;
-use crate::demo::children::{Running, stop};
+use crate::demo::child_process::{ChildProcess, stop_all};
 use crate::demo::probe::ProbeClient;
 
 /// Time that the processes may take to become ready.
@@ -22,14 +22,14 @@
     ///
     /// Returns an error if there is no such process or it can't be started.
     pub fn restart(&mut self, id: &str) -> Result<(), DemoError> {
-        let process = self.system.get_mut(id);
+        let process = self.system_processes.get_mut(id);
         let process =
             process.ok_or_else(|| DemoError::UnknownProcess(id.to_owned()))?;
-        process.running = Running::start_system(
+        process.child = ChildProcess::start_system(
             &process.program,
             id,
             &process.settings,
-            &self.folder.path,
+            &self.directory.path,
         )?;
         Ok(())
     }
@@ -40,10 +40,10 @@
     ///
     /// Returns an error if there is no such process.
     pub fn signal(&self, id: &str, signal: Signal) -> Result<(), DemoError> {
-        let process = self.system.get(id);
+        let process = self.system_processes.get(id);
         let process =
             process.ok_or_else(|| DemoError::UnknownProcess(id.to_owned()))?;
-        process.running.signal(signal);
+        process.child.signal(signal);
         Ok(())
     }
 
@@ -55,17 +55,17 @@
     pub async fn wait_exited(
         &mut self,
         id: &str,
-        bound: Duration,
+        timeout: Duration,
     ) -> Result<ExitStatus, DemoError> {
-        let process = self.system.get_mut(id);
+        let process = self.system_processes.get_mut(id);
         let process =
             process.ok_or_else(|| DemoError::UnknownProcess(id.to_owned()))?;
-        let until = Instant::now() + bound;
+        let deadline = Instant::now() + timeout;
         loop {
-            if let Some(status) = process.running.ended() {
+            if let Some(status) = process.child.try_wait() {
                 return Ok(status);
             }
-            if Instant::now() >= until {
+            if Instant::now() >= deadline {
                 return Err(DemoError::ExitTimeout(id.to_owned()));
             }
             tokio::time::sleep(READY_POLL).await;
@@ -79,20 +79,23 @@
     /// Returns an error if some are not ready after [`READY_TIMEOUT`].
     pub async fn wait_ready(&self) -> Result<(), DemoError> {
         let probe = ProbeClient::new();
-        let until = Instant::now() + READY_TIMEOUT;
+        let deadline = Instant::now() + READY_TIMEOUT;
         loop {
             let mut waiting = Vec::new();
-            for (name, address) in &self.operators {
-                let answer = probe.get(*address, "/readyz").await;
-                if answer.is_none_or(|(status, _)| status != 200) {
+            for (name, address) in &self.operator_addresses {
+                let response = probe.get(*address, "/readyz").await;
+                if response.is_none_or(|(status, _)| status != 200) {
                     waiting.push(name.clone());
                 }
             }
             if waiting.is_empty() {
                 return Ok(());
             }
-            if Instant::now() >= until {
-                return Err(DemoError::ReadyTimeout(waiting, self.folder.path.clone()));
+            if Instant::now() >= deadline {
+                return Err(DemoError::ReadyTimeout(
+                    waiting,
+                    self.directory.path.clone(),
+                ));
             }
             tokio::time::sleep(READY_POLL).await;
         }
@@ -101,16 +104,11 @@
     /// Stops all processes gracefully. The system is drained first, since it needs the
     /// stand-ins for that.
     pub fn stop(mut self) {
-        let system = std::mem::take(&mut self.system);
-        stop(
-            system
-                .into_values()
-                .map(|process| process.running)
-                .collect(),
-        );
-        stop(std::mem::take(&mut self.fakes).into_values().collect());
-        if self.folder.keep {
-            println!("settings and logs are in {}", self.folder.path.display());
+        let system = std::mem::take(&mut self.system_processes);
+        stop_all(system.into_values().map(|process| process.child).collect());
+        stop_all(std::mem::take(&mut self.stand_ins).into_values().collect());
+        if self.directory.keep {
+            println!("settings and logs are in {}", self.directory.path.display());
         }
     }
 }
--- a/crates/fake/src/demo/deployment/start.rs
+++ b/crates/fake/src/demo/deployment/start.rs
@@ -7,65 +7,84 @@
 
 use super::{Deployment, Process};
 use crate::demo::DemoError;
-use crate::demo::children::Running;
-use crate::demo::ports::Listeners;
+use crate::demo::child_process::ChildProcess;
+use crate::demo::ports::ListenAddresses;
 
-const DOMAINS: [&str; 3] = ["spanish-town", "newport-west", "halfway-tree"];
+const FAILURE_DOMAINS: [&str; 3] = ["spanish-town", "newport-west", "halfway-tree"];
 
 impl Deployment {
     pub(super) fn start_all(&mut self) -> Result<(), DemoError> {
         let (engines, services) = (self.options.engines, self.options.services);
         let count = engines + services + self.options.entries;
-        let listeners = self.ports.listeners(count)?;
-        let (agents, entries) = listeners.split_at(engines + services);
-        let (beside_engines, beside_services) = agents.split_at(engines);
-        self.start_engines(beside_engines)?;
-        self.start_services(beside_services)?;
+        let listen_addresses = self.ports.listen_addresses(count)?;
+        let (agents, entries) = listen_addresses.split_at(engines + services);
+        let (engine_agents, service_agents) = agents.split_at(engines);
+        self.start_engines(engine_agents)?;
+        self.start_services(service_agents)?;
         self.start_entries(entries)?;
-        self.folder.write("controls.json", &self.controls)?;
+        self.directory
+            .write("controls.json", &self.control_addresses)?;
         Ok(())
     }
 
-    fn start_fake(
+    fn start_stand_in(
         &mut self,
         program: &str,
         name: &str,
         arguments: &[String],
     ) -> Result<(SocketAddr, SocketAddr), DemoError> {
         let program = self.programs.path(program);
-        let path = &self.folder.path;
+        let path = &self.directory.path;
         let (child, address, control) =
-            Running::start_fake(&program, name, arguments, path)?;
-        self.fakes.insert(name.to_owned(), child);
+            ChildProcess::start_stand_in(&program, name, arguments, path)?;
+        self.stand_ins.insert(name.to_owned(), child);
         Ok((address, control))
     }
 
-    fn start_engines(&mut self, listeners: &[Listeners]) -> Result<(), DemoError> {
+    fn start_engines(
+        &mut self,
+        listen_addresses: &[ListenAddresses],
+    ) -> Result<(), DemoError> {
         let mut arguments = self.options.engine_arguments.clone();
         if self.options.use_weight_store {
-            let (store, control) = self.start_fake("fake-store", "store", &[])?;
-            self.controls.store = Some(control);
+            let (store, control) = self.start_stand_in("fake-store", "store", &[])?;
+            self.control_addresses.store = Some(control);
             arguments.extend(["--store".to_owned(), store.to_string()]);
         }
-        for (place, listeners) in listeners.iter().enumerate() {
-            let id = format!("oracle-{:02}", place + 1);
+        for (index, listen_addresses) in listen_addresses.iter().enumerate() {
+            let id = format!("oracle-{:02}", index + 1);
             let name = format!("engine-{id}");
             let (address, control) =
-                self.start_fake("fake-engine", &name, &arguments)?;
-            self.engines.push(address);
-            self.controls.engines.push(control);
-            self.start_agent(&id, "oracle", DOMAINS[place % 3], *listeners, address)?;
+                self.start_stand_in("fake-engine", &name, &arguments)?;
+            self.engine_addresses.push(address);
+            self.control_addresses.engines.push(control);
+            self.start_agent(
+                &id,
+                "oracle",
+                FAILURE_DOMAINS[index % 3],
+                *listen_addresses,
+                address,
+            )?;
         }
         Ok(())
     }
 
-    fn start_services(&mut self, listeners: &[Listeners]) -> Result<(), DemoError> {
-        for (place, listeners) in listeners.iter().enumerate() {
-            let id = format!("deskapp-{:02}", place + 1);
+    fn start_services(
+        &mut self,
+        listen_addresses: &[ListenAddresses],
+    ) -> Result<(), DemoError> {
+        for (index, listen_addresses) in listen_addresses.iter().enumerate() {
+            let id = format!("deskapp-{:02}", index + 1);
             let name = format!("service-{id}");
-            let (address, control) = self.start_fake("fake-service", &name, &[])?;
-            self.controls.services.push(control);
-            self.start_agent(&id, "deskapp", DOMAINS[place % 3], *listeners, address)?;
+            let (address, control) = self.start_stand_in("fake-service", &name, &[])?;
+            self.control_addresses.services.push(control);
+            self.start_agent(
+                &id,
+                "deskapp",
+                FAILURE_DOMAINS[index % 3],
+                *listen_addresses,
+                address,
+            )?;
         }
         Ok(())
     }
@@ -75,15 +94,15 @@
         id: &str,
         pool: &str,
         domain: &str,
-        listeners: Listeners,
+        listen_addresses: ListenAddresses,
         upstream: SocketAddr,
     ) -> Result<(), DemoError> {
         let settings = AgentSettings {
             id: id.to_owned(),
             failure_domain: domain.to_owned(),
             pool: pool.to_owned(),
-            link_listen: listeners.link.to_string(),
-            operator_listen: listeners.operator.to_string(),
+            link_listen: listen_addresses.link.to_string(),
+            operator_listen: listen_addresses.operator.to_string(),
             platform: self.platform.to_string(),
             upstream: upstream.to_string(),
             worker_threads: 2,
@@ -91,23 +110,26 @@
             timeline_events: 20_000,
             ..AgentSettings::default()
         };
-        self.start_system("sesame-agent", id, &settings, listeners.operator)
+        self.start_system("sesame-agent", id, &settings, listen_addresses.operator)
     }
 
-    fn start_entries(&mut self, listeners: &[Listeners]) -> Result<(), DemoError> {
-        let name = |place: usize| format!("entry-{}", place + 1);
-        for (place, own) in listeners.iter().enumerate() {
-            let others = listeners.iter().enumerate();
-            let peers: HashMap<String, String> = others
-                .filter(|(other, _)| *other != place)
-                .map(|(other, of)| (name(other), of.link.to_string()))
+    fn start_entries(
+        &mut self,
+        listen_addresses: &[ListenAddresses],
+    ) -> Result<(), DemoError> {
+        let name = |index: usize| format!("entry-{}", index + 1);
+        for (index, addresses) in listen_addresses.iter().enumerate() {
+            let indexed = listen_addresses.iter().enumerate();
+            let peers: HashMap<String, String> = indexed
+                .filter(|(other, _)| *other != index)
+                .map(|(other, peer)| (name(other), peer.link.to_string()))
                 .collect();
             let settings = EntrySettings {
-                id: name(place),
-                failure_domain: DOMAINS[place % 3].to_owned(),
-                caller_listen: own.caller.to_string(),
-                link_listen: own.link.to_string(),
-                operator_listen: own.operator.to_string(),
+                id: name(index),
+                failure_domain: FAILURE_DOMAINS[index % 3].to_owned(),
+                caller_listen: addresses.caller.to_string(),
+                link_listen: addresses.link.to_string(),
+                operator_listen: addresses.operator.to_string(),
                 platform: self.platform.to_string(),
                 peers: peers.into_iter().collect(),
                 request_shards: 8,
@@ -116,8 +138,13 @@
                 timeline_events: 20_000,
                 ..EntrySettings::default()
             };
-            self.start_system("sesame-entry", &name(place), &settings, own.operator)?;
-            self.callers.push(own.caller);
+            self.start_system(
+                "sesame-entry",
+                &name(index),
+                &settings,
+                addresses.operator,
+            )?;
+            self.entry_addresses.push(addresses.caller);
         }
         Ok(())
     }
@@ -129,17 +156,17 @@
         settings: &S,
         operator: SocketAddr,
     ) -> Result<(), DemoError> {
-        let settings = self.folder.write(&format!("{id}.json"), settings)?;
+        let settings = self.directory.write(&format!("{id}.json"), settings)?;
         let program = self.programs.path(program);
-        let running =
-            Running::start_system(&program, id, &settings, &self.folder.path)?;
+        let child =
+            ChildProcess::start_system(&program, id, &settings, &self.directory.path)?;
         let process = Process {
-            running,
+            child,
             program,
             settings,
         };
-        self.system.insert(id.to_owned(), process);
-        self.operators.insert(id.to_owned(), operator);
+        self.system_processes.insert(id.to_owned(), process);
+        self.operator_addresses.insert(id.to_owned(), operator);
         Ok(())
     }
 }
--- a/crates/fake/src/demo/folder.rs
+++ b/crates/fake/src/demo/directory.rs
@@ -10,19 +10,19 @@
 
 /// Directory for settings and logs, removed when dropped unless `keep` is set.
 #[derive(Debug)]
-pub(super) struct Folder {
+pub(super) struct TempDirectory {
     pub(super) path: PathBuf,
     pub(super) keep: bool,
 }
 
 /// Number of directories that this process has created, for unique names.
-static MADE: AtomicU32 = AtomicU32::new(0);
+static CREATED_COUNT: AtomicU32 = AtomicU32::new(0);
 
-impl Folder {
+impl TempDirectory {
     /// Creates a directory with a unique name.
     pub(super) fn new(keep: bool) -> Result<Self, DemoError> {
-        let place = MADE.fetch_add(1, Ordering::Relaxed);
-        let name = format!("sesame-demo-{}-{place}", std::process::id());
+        let index = CREATED_COUNT.fetch_add(1, Ordering::Relaxed);
+        let name = format!("sesame-demo-{}-{index}", std::process::id());
         let path = std::env::temp_dir().join(name);
         fs::create_dir_all(&path)
             .map_err(|error| DemoError::Io("creating a temporary directory", error))?;
@@ -54,7 +54,7 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDirectory {
     fn drop(&mut self) {
         if !self.keep {
             // Files left in the temporary directory are harmless.
--- a/crates/fake/src/demo/mod.rs
+++ b/crates/fake/src/demo/mod.rs
@@ -4,13 +4,13 @@
 //! It starts the programs as child processes and signals each by its process id. No
 //! process of the system itself starts another.
 
-mod children;
+mod child_process;
 mod deployment;
-mod folder;
+mod directory;
 mod ports;
 mod probe;
 mod summary;
-mod work;
+mod workload;
 
 use std::fmt;
 use std::io;
@@ -103,8 +103,8 @@
     // SIGINT and SIGTERM are handled, since the children would outlive a demo that they
     // killed.
     let done = tokio::select! {
-        done = drive(&deployment, &options) => done,
-        () = interrupted() => Err(DemoError::Interrupted),
+        done = run_load(&deployment, &options) => done,
+        () = shutdown_signal() => Err(DemoError::Interrupted),
     };
     if done.is_err() {
         // The logs are needed to diagnose the error.
@@ -115,7 +115,7 @@
 }
 
 /// Waits for SIGINT or SIGTERM, or forever if no handler can be installed.
-pub(crate) async fn interrupted() {
+pub(crate) async fn shutdown_signal() {
     let (Ok(mut interrupt), Ok(mut terminate)) = (
         signal(SignalKind::interrupt()),
         signal(SignalKind::terminate()),
@@ -128,7 +128,7 @@
     }
 }
 
-async fn drive(
+async fn run_load(
     deployment: &Deployment,
     options: &DemoOptions,
 ) -> Result<bool, DemoError> {
@@ -141,7 +141,7 @@
         deployment.directory().display(),
         options.seconds
     );
-    let report = work::run(&deployment.entry_addresses(), options).await;
+    let report = workload::run(&deployment.entry_addresses(), options).await;
     let totals = summary::Totals::read(deployment).await;
     println!("\n{}", report.table());
     println!("{}", totals.table());
@@ -151,5 +151,5 @@
             report.slowest_request, report.slowest_ms
         );
     }
-    Ok(report.wrong_answers() == 0 && totals.promises_held())
+    Ok(report.wrong_answers() == 0 && totals.no_violations())
 }
--- a/crates/fake/src/demo/ports.rs
+++ b/crates/fake/src/demo/ports.rs
@@ -13,12 +13,12 @@
 /// between its release here and the start of the process that is to listen on it, which
 /// would then fail to start.
 const FIRST_PORT: u16 = 20_000;
-const PORTS_EACH: u16 = 100;
-const BLOCKS: u16 = 120;
+const PORTS_PER_BLOCK: u16 = 100;
+const BLOCK_COUNT: u16 = 120;
 
 /// Loopback addresses that one process listens on.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Listeners {
+pub(super) struct ListenAddresses {
     pub(super) caller: SocketAddr,
     pub(super) link: SocketAddr,
     pub(super) operator: SocketAddr,
@@ -31,23 +31,23 @@
 /// process of one would fail to start. A file lock reserves the block; the kernel
 /// releases it when the process exits, even if it is killed.
 #[derive(Debug)]
-pub(super) struct Block {
+pub(super) struct PortBlock {
     first: u16,
     _lock: File,
 }
 
-impl Block {
+impl PortBlock {
     /// Reserves the first block that is not locked.
-    pub(super) fn take() -> Result<Self, DemoError> {
+    pub(super) fn acquire() -> Result<Self, DemoError> {
         let error = |error| DemoError::Io("reserving a block of ports", error);
-        let folder = std::env::temp_dir().join("sesame-ports");
-        fs::create_dir_all(&folder).map_err(error)?;
-        for block in 0..BLOCKS {
-            let name = folder.join(block.to_string());
+        let directory = std::env::temp_dir().join("sesame-ports");
+        fs::create_dir_all(&directory).map_err(error)?;
+        for block in 0..BLOCK_COUNT {
+            let name = directory.join(block.to_string());
             let lock = File::create(name).map_err(error)?;
             if lock.try_lock().is_ok() {
                 return Ok(Self {
-                    first: FIRST_PORT + block * PORTS_EACH,
+                    first: FIRST_PORT + block * PORTS_PER_BLOCK,
                     _lock: lock,
                 });
             }
@@ -56,27 +56,30 @@
     }
 
     /// Returns `count` sets of addresses from the block on which nothing listens.
-    pub(super) fn listeners(&self, count: usize) -> Result<Vec<Listeners>, DemoError> {
+    pub(super) fn listen_addresses(
+        &self,
+        count: usize,
+    ) -> Result<Vec<ListenAddresses>, DemoError> {
         let error = |error| DemoError::Io("finding free ports", error);
-        let mut held = Vec::new();
-        for port in self.first..self.first + PORTS_EACH {
-            if held.len() < count * 3 {
-                held.extend(TcpListener::bind((Ipv4Addr::LOCALHOST, port)));
+        let mut bound = Vec::new();
+        for port in self.first..self.first + PORTS_PER_BLOCK {
+            if bound.len() < count * 3 {
+                bound.extend(TcpListener::bind((Ipv4Addr::LOCALHOST, port)));
             }
         }
         let addresses: Result<Vec<_>, _> =
-            held.iter().map(TcpListener::local_addr).collect();
-        let listeners: Vec<_> = addresses
+            bound.iter().map(TcpListener::local_addr).collect();
+        let listen_addresses: Vec<_> = addresses
             .map_err(error)?
             .chunks_exact(3)
-            .map(|three| Listeners {
-                caller: three[0],
-                link: three[1],
-                operator: three[2],
+            .map(|triple| ListenAddresses {
+                caller: triple[0],
+                link: triple[1],
+                operator: triple[2],
             })
             .collect();
-        if listeners.len() == count {
-            return Ok(listeners);
+        if listen_addresses.len() == count {
+            return Ok(listen_addresses);
         }
         Err(error(io::Error::from(io::ErrorKind::AddrInUse)))
     }
--- a/crates/fake/src/demo/probe.rs
+++ b/crates/fake/src/demo/probe.rs
@@ -63,9 +63,9 @@
 
     /// Sends a request. Returns status and body, or `None` without a complete response.
     pub async fn send(&self, request: Request<Full<Bytes>>) -> Option<(u16, String)> {
-        let answer = self.0.request(request).await.ok()?;
-        let status = answer.status().as_u16();
-        let body = answer.into_body().collect().await.ok()?.to_bytes();
+        let response = self.0.request(request).await.ok()?;
+        let status = response.status().as_u16();
+        let body = response.into_body().collect().await.ok()?.to_bytes();
         Some((status, String::from_utf8_lossy(&body).into_owned()))
     }
 }
--- a/crates/fake/src/demo/summary.rs
+++ b/crates/fake/src/demo/summary.rs
@@ -22,12 +22,12 @@
     /// Loads that exceeded an accelerator's memory; must be 0.
     overcommits: u64,
     /// Requests that ran at the plain services.
-    calls: u64,
+    service_requests: u64,
     /// Runs by idempotency key, summed because a request sent twice may run at two
     /// services.
     runs_by_key: BTreeMap<String, u64>,
     /// Processes that did not respond.
-    silent: u64,
+    unresponsive: u64,
 }
 
 impl Totals {
@@ -38,23 +38,24 @@
         for (name, address) in deployment.operator_addresses() {
             match probe.get(*address, "/metrics").await {
                 Some((200, text)) if !name.starts_with("entry") => {
-                    totals.loads += counter(&text, "sesame_agent_loads_total");
-                    totals.unloads += counter(&text, "sesame_agent_unloads_total");
+                    totals.loads += parse_counter(&text, "sesame_agent_loads_total");
+                    totals.unloads +=
+                        parse_counter(&text, "sesame_agent_unloads_total");
                 }
                 Some(_) => {}
-                None => totals.silent += 1,
+                None => totals.unresponsive += 1,
             }
         }
         for address in &deployment.control_addresses().engines {
-            match counts::<engine::Counts>(&probe, *address).await {
+            match fetch_counts::<engine::Counts>(&probe, *address).await {
                 Some(counts) => totals.add_engine(&counts),
-                None => totals.silent += 1,
+                None => totals.unresponsive += 1,
             }
         }
         for address in &deployment.control_addresses().services {
-            match counts::<service::Counts>(&probe, *address).await {
+            match fetch_counts::<service::Counts>(&probe, *address).await {
                 Some(counts) => totals.add_service(&counts),
-                None => totals.silent += 1,
+                None => totals.unresponsive += 1,
             }
         }
         totals
@@ -69,20 +70,20 @@
     }
 
     fn add_service(&mut self, counts: &service::Counts) {
-        self.calls += counts.runs;
+        self.service_requests += counts.runs;
         for (key, runs) in &counts.by_key {
             *self.runs_by_key.entry(key.clone()).or_default() += runs;
         }
     }
 
-    fn doubled_calls(&self) -> usize {
-        let doubled = self.runs_by_key.values().filter(|runs| **runs > 1);
-        doubled.count()
+    fn repeated_requests(&self) -> usize {
+        let repeated = self.runs_by_key.values().filter(|runs| **runs > 1);
+        repeated.count()
     }
 
     /// Returns whether no counter shows a violation and every process responded.
-    pub(super) fn promises_held(&self) -> bool {
-        self.overcommits == 0 && self.doubled_calls() == 0 && self.silent == 0
+    pub(super) fn no_violations(&self) -> bool {
+        self.overcommits == 0 && self.repeated_requests() == 0 && self.unresponsive == 0
     }
 
     /// Formats the totals for the terminal.
@@ -103,14 +104,14 @@
              service calls: {}, run twice: {} (must be 0)\n\
              processes without an answer: {} (must be 0)\n",
             self.overcommits,
-            self.calls,
-            self.doubled_calls(),
-            self.silent
+            self.service_requests,
+            self.repeated_requests(),
+            self.unresponsive
         )
     }
 }
 
-async fn counts<T: DeserializeOwned>(
+async fn fetch_counts<T: DeserializeOwned>(
     probe: &ProbeClient,
     control: SocketAddr,
 ) -> Option<T> {
@@ -118,7 +119,7 @@
 }
 
 /// Returns a counter without labels from a metrics page, or 0 if it is missing.
-fn counter(metrics: &str, name: &str) -> u64 {
+fn parse_counter(metrics: &str, name: &str) -> u64 {
     let value = metrics.lines().find_map(|line| {
         let (found, value) = line.split_once(' ')?;
         (found == name).then(|| value.trim().parse::<f64>().ok())?
--- a/crates/fake/src/demo/work.rs
+++ b/crates/fake/src/demo/workload.rs
@@ -10,31 +10,31 @@
 const KEY: &str = "demo-key";
 
 /// Requests per second before and after the burst.
-const CALM_PER_S: f64 = 25.0;
+const BASE_RATE_PER_S: f64 = 25.0;
 
 /// Requests per second in the burst.
-const BURST_PER_S: f64 = 75.0;
+const BURST_RATE_PER_S: f64 = 75.0;
 
 /// Runs all phases and merges their reports.
 pub(super) async fn run(entries: &[SocketAddr], options: &DemoOptions) -> Report {
-    let parts = [
-        (CALM_PER_S, CALM_DESK),
-        (BURST_PER_S, BURST_DESK),
-        (CALM_PER_S, CALM_DESK),
+    let phases = [
+        (BASE_RATE_PER_S, BASE_DESK_MODELS),
+        (BURST_RATE_PER_S, BURST_DESK_MODELS),
+        (BASE_RATE_PER_S, BASE_DESK_MODELS),
     ];
-    let seconds = options.seconds as f64 / parts.len() as f64;
+    let seconds = options.seconds as f64 / phases.len() as f64;
     let mut total: Option<Report> = None;
-    for (place, (rate, desk)) in parts.into_iter().enumerate() {
+    for (index, (rate, desk_models)) in phases.into_iter().enumerate() {
         let report = load::run(LoadOptions {
             targets: entries.to_vec(),
             direct: false,
             exclude_unavailable_targets: false,
             caller_key: KEY.to_owned(),
-            workloads: workloads(desk),
+            workloads: workloads(desk_models),
             concurrency: 0,
             rate_per_s: Some(rate),
             count: (rate * seconds).ceil() as u64,
-            seed: options.seed.wrapping_mul(8).wrapping_add(place as u64),
+            seed: options.seed.wrapping_mul(8).wrapping_add(index as u64),
         })
         .await;
         match &mut total {
@@ -46,7 +46,7 @@
 }
 
 /// Models that technicians use outside the burst, the most frequent first.
-const CALM_DESK: &[&str] = &[
+const BASE_DESK_MODELS: &[&str] = &[
     "diagnosis-01",
     "diagnosis-02",
     "diagnosis-01-kingston",
@@ -59,7 +59,7 @@
 ];
 
 /// Models that technicians use in the burst, the most frequent first.
-const BURST_DESK: &[&str] = &[
+const BURST_DESK_MODELS: &[&str] = &[
     "diagnosis-07",
     "diagnosis-03-ocho-rios",
     "diagnosis-03",
@@ -69,12 +69,13 @@
     "diagnosis-02",
 ];
 
-fn workloads(desk: &[&str]) -> Vec<Workload> {
-    let named = |models: &[&str]| models.iter().map(|one| (*one).to_owned()).collect();
+fn workloads(desk_models: &[&str]) -> Vec<Workload> {
+    let to_names =
+        |models: &[&str]| models.iter().map(|name| (*name).to_owned()).collect();
     vec![
         Workload {
             profile: "desk".to_owned(),
-            models: named(desk),
+            models: to_names(desk_models),
             weight: 16,
             prompt_tokens: 200,
             shared_tokens: 128,
@@ -86,7 +87,7 @@
         },
         Workload {
             profile: "billing".to_owned(),
-            models: named(&["billing-01", "billing-02", "billing-03", "billing-04"]),
+            models: to_names(&["billing-01", "billing-02", "billing-03", "billing-04"]),
             weight: 2,
             prompt_tokens: 400,
             max_tokens: 48,
--- a/crates/fake/src/engine/mod.rs
+++ b/crates/fake/src/engine/mod.rs
@@ -8,11 +8,11 @@
 //! sender's memory accounting are detected.
 
 mod accelerator;
-mod body;
 mod faults;
 mod orders;
-mod prefix;
+mod prefix_cache;
 mod report;
+mod response_body;
 mod run;
 mod serve;
 
@@ -25,8 +25,8 @@
 use tokio::sync::Notify;
 
 use crate::Handle;
-use crate::handle::{self, ANY_PORT, Tasks, handle_methods};
-use crate::http::Cutter;
+use crate::handle::{self, ANY_PORT, TaskSet, handle_methods};
+use crate::http::ConnectionCloser;
 
 pub use accelerator::{Resident, ResidentState};
 pub use faults::{Counts, Faults};
@@ -98,24 +98,24 @@
     options: EngineOptions,
     inner: Mutex<Inner>,
     /// Wakes the stepping task of each accelerator when work arrives.
-    wakes: Vec<Notify>,
-    cutter: Cutter,
-    tasks: Tasks,
+    step_wakeups: Vec<Notify>,
+    connection_closer: ConnectionCloser,
+    tasks: TaskSet,
 }
 
 #[derive(Debug)]
 struct Inner {
     incarnation: u64,
     /// Highest fencing epoch of an order in this incarnation.
-    fence: u64,
+    highest_fencing_epoch: u64,
     accelerators: Vec<Accelerator>,
     orders: BTreeMap<u64, OrderReport>,
     /// Last report and its time, served again while it is younger than the report lag.
-    report: Option<(tokio::time::Instant, Report)>,
+    cached_report: Option<(tokio::time::Instant, Report)>,
     faults: Faults,
     counts: Counts,
     /// Orders held back until the control command `deliver`.
-    late_orders: Vec<Order>,
+    held_orders: Vec<Order>,
 }
 
 /// Starts the stand-in.
@@ -124,23 +124,23 @@
 ///
 /// Returns an error if an address can't be bound.
 pub async fn start(options: EngineOptions) -> io::Result<Handle<Engine>> {
-    let (cutter, tasks) = (Cutter::default(), Tasks::default());
+    let (connection_closer, tasks) = (ConnectionCloser::default(), TaskSet::default());
     let (listen, control) = (options.listen, options.control);
     let engine = Arc::new(Engine {
         inner: Mutex::new(Inner::new(&options)),
-        wakes: options
+        step_wakeups: options
             .accelerators_mib
             .iter()
             .map(|_| Notify::new())
             .collect(),
         options,
-        cutter: cutter.clone(),
+        connection_closer: connection_closer.clone(),
         tasks: tasks.clone(),
     });
-    for index in 0..engine.wakes.len() {
-        tasks.spawn(Arc::clone(&engine).step_forever(index));
+    for index in 0..engine.step_wakeups.len() {
+        tasks.spawn(Arc::clone(&engine).run_steps(index));
     }
-    handle::start(engine, listen, control, cutter, tasks).await
+    handle::start(engine, listen, control, connection_closer, tasks).await
 }
 
 handle_methods!(Engine, Faults, Counts);
@@ -148,7 +148,7 @@
 impl Handle<Engine> {
     /// Crashes the engine; it restarts after `restart_ms`.
     pub fn crash(&self) {
-        self.stand_in.crash_now();
+        self.stand_in.crash();
     }
 
     /// Carries out the orders that are held back.
@@ -167,37 +167,37 @@
         let accelerators = options
             .accelerators_mib
             .iter()
-            .map(|mib| Accelerator::new(*mib, options.prefix_blocks));
+            .map(|capacity_mib| Accelerator::new(*capacity_mib, options.prefix_blocks));
         Self {
             incarnation: options.incarnation,
-            fence: 0,
+            highest_fencing_epoch: 0,
             accelerators: accelerators.collect(),
             orders: BTreeMap::new(),
-            report: None,
+            cached_report: None,
             faults: Faults::default(),
             counts: Counts::default(),
-            late_orders: Vec::new(),
+            held_orders: Vec::new(),
         }
     }
 }
 
 /// Interval at which a frozen accelerator checks whether it may continue.
-const FROZEN_POLL: Duration = Duration::from_millis(5);
+const FROZEN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 impl Engine {
-    async fn step_forever(self: Arc<Self>, index: usize) {
+    async fn run_steps(self: Arc<Self>, index: usize) {
         loop {
             let Some(duration) = self.step_duration(index) else {
-                self.wakes[index].notified().await;
+                self.step_wakeups[index].notified().await;
                 continue;
             };
             tokio::time::sleep(duration).await;
             if self.inner.lock().faults.frozen {
-                tokio::time::sleep(FROZEN_POLL).await;
+                tokio::time::sleep(FROZEN_POLL_INTERVAL).await;
                 continue;
             }
             if self.step(index) {
-                self.crash_now();
+                self.crash();
             }
         }
     }
@@ -209,10 +209,10 @@
         if accelerator.is_idle() {
             return None;
         }
-        let batch = accelerator.batch_after_admission(self.options.slots) as u64;
-        let growth_percent = 100 + batch.saturating_sub(1);
-        let slow = u64::from(inner.faults.slow_factor.max(1));
-        let step_us = self.options.step_us * growth_percent * slow / 100;
+        let batch = accelerator.next_batch_size(self.options.slots) as u64;
+        let batch_percent = 100 + batch.saturating_sub(1);
+        let slow_factor = u64::from(inner.faults.slow_factor.max(1));
+        let step_us = self.options.step_us * batch_percent * slow_factor / 100;
         Some(Duration::from_micros(step_us))
     }
 
@@ -225,24 +225,24 @@
 
     /// Closes all connections, drops all state of the incarnation, and accepts
     /// connections again after the restart time.
-    fn crash_now(self: &Arc<Self>) {
+    fn crash(self: &Arc<Self>) {
         {
             let mut inner = self.inner.lock();
             inner.incarnation += 1;
-            inner.fence = 0;
+            inner.highest_fencing_epoch = 0;
             inner.orders.clear();
-            inner.report = None;
+            inner.cached_report = None;
             inner.counts.crashes += 1;
             for accelerator in &mut inner.accelerators {
-                accelerator.clear(self.options.prefix_blocks);
+                accelerator.reset(self.options.prefix_blocks);
             }
         }
-        self.cutter.set_away(true);
+        self.connection_closer.set_rejecting(true);
         let engine = Arc::clone(self);
         self.tasks.spawn(async move {
             tokio::time::sleep(Duration::from_millis(engine.options.restart_ms)).await;
             let closed = engine.inner.lock().faults.closed;
-            engine.cutter.set_away(closed);
+            engine.connection_closer.set_rejecting(closed);
         });
     }
 }
--- a/crates/fake/src/engine/orders.rs
+++ b/crates/fake/src/engine/orders.rs
@@ -14,7 +14,7 @@
 use super::accelerator::{Resident, ResidentState};
 use super::report::{OrderReport, OrderState};
 use super::{Engine, Inner};
-use crate::faults::take;
+use crate::fault_count::consume;
 
 /// Body of `POST /admin/orders`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -51,25 +51,25 @@
 
 /// Reason why an order was not accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Refused {
+pub(super) enum OrderError {
     Fenced,
-    Bad,
+    Invalid,
 }
 
 /// Effect of the faults on one order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Fate {
-    Answered,
-    Lost,
+pub(super) enum OrderFault {
+    None,
+    RequestLost,
     Ignored,
-    AnswerLost,
-    Late,
+    ResponseLost,
+    Delayed,
 }
 
 /// Identifies a resident whose load or unload is in progress. The incarnation tells
 /// whether the engine has crashed since.
 #[derive(Debug, Clone)]
-struct Change {
+struct PendingChange {
     incarnation: u64,
     accelerator: usize,
     model: String,
@@ -78,91 +78,95 @@
 
 impl Engine {
     /// Returns the fault that applies to the next order and decrements its count.
-    pub(super) fn order_fate(&self) -> Fate {
+    pub(super) fn take_order_fault(&self) -> OrderFault {
         let faults = &mut self.inner.lock().faults;
-        if take(&mut faults.lose_orders) {
-            Fate::Lost
-        } else if take(&mut faults.ignore_orders) {
-            Fate::Ignored
-        } else if take(&mut faults.lose_order_answers) {
-            Fate::AnswerLost
-        } else if take(&mut faults.late_orders) {
-            Fate::Late
+        if consume(&mut faults.lose_orders) {
+            OrderFault::RequestLost
+        } else if consume(&mut faults.ignore_orders) {
+            OrderFault::Ignored
+        } else if consume(&mut faults.lose_order_answers) {
+            OrderFault::ResponseLost
+        } else if consume(&mut faults.late_orders) {
+            OrderFault::Delayed
         } else {
-            Fate::Answered
+            OrderFault::None
         }
     }
 
     /// Schedules an order that takes effect late, or holds it back.
-    pub(super) fn delay(self: &Arc<Self>, order: Order) {
+    pub(super) fn delay_order(self: &Arc<Self>, order: Order) {
         let mut inner = self.inner.lock();
-        let late_ms = inner.faults.late_order_ms;
-        if late_ms == 0 {
-            inner.late_orders.push(order);
+        let delay_ms = inner.faults.late_order_ms;
+        if delay_ms == 0 {
+            inner.held_orders.push(order);
             return;
         }
         let engine = Arc::clone(self);
         self.tasks.spawn(async move {
-            tokio::time::sleep(Duration::from_millis(late_ms)).await;
+            tokio::time::sleep(Duration::from_millis(delay_ms)).await;
             // The sender's connection is closed, so nobody is told of a refusal.
-            let _ = engine.apply(order);
+            let _ = engine.apply_order(order);
         });
     }
 
     /// Carries out the orders that are held back.
     pub(super) fn deliver_late_orders(self: &Arc<Self>) {
-        let held = std::mem::take(&mut self.inner.lock().late_orders);
+        let held = std::mem::take(&mut self.inner.lock().held_orders);
         for order in held {
-            let _ = self.apply(order);
+            let _ = self.apply_order(order);
         }
     }
 
     /// Validates and records an order, and starts to carry it out.
-    pub(super) fn apply(self: &Arc<Self>, order: Order) -> Result<(), Refused> {
+    pub(super) fn apply_order(
+        self: &Arc<Self>,
+        order: Order,
+    ) -> Result<(), OrderError> {
         let mut inner = self.inner.lock();
         inner.counts.orders += 1;
-        if order.fence < inner.fence {
+        if order.fence < inner.highest_fencing_epoch {
             if self.options.check_fencing {
                 inner.counts.orders_fenced += 1;
-                return Err(Refused::Fenced);
+                return Err(OrderError::Fenced);
             }
             inner.counts.orders_stale += 1;
         }
         let index = order.accelerator as usize;
         if index >= inner.accelerators.len() || order.model.is_empty() {
-            return Err(Refused::Bad);
+            return Err(OrderError::Invalid);
         }
-        inner.fence = inner.fence.max(order.fence);
+        inner.highest_fencing_epoch = inner.highest_fencing_epoch.max(order.fence);
         if inner.orders.contains_key(&order.order) {
             inner.counts.orders_repeated += 1;
             return Ok(());
         }
-        inner.record(&order, OrderState::InProgress);
+        inner.add_order(&order, OrderState::InProgress);
         match order.kind {
-            OrderKind::Load => self.load(&mut inner, order),
-            OrderKind::Unload => self.unload(&mut inner, &order),
+            OrderKind::Load => self.apply_load(&mut inner, order),
+            OrderKind::Unload => self.apply_unload(&mut inner, &order),
         }
         Ok(())
     }
 
-    fn load(self: &Arc<Self>, inner: &mut Inner, order: Order) {
+    fn apply_load(self: &Arc<Self>, inner: &mut Inner, order: Order) {
         let index = order.accelerator as usize;
-        let held = inner.accelerators[index].find(&order.model, order.version);
-        match held.map(|held| (held.state, held)) {
+        let found =
+            inner.accelerators[index].find_resident(&order.model, order.version);
+        match found.map(|resident| (resident.state, resident)) {
             Some((ResidentState::Loaded, _)) => {
-                inner.settle(order.order, OrderState::Done);
+                inner.set_order_state(order.order, OrderState::Done);
             }
-            Some((ResidentState::Loading, held)) => held.orders.push(order.order),
+            Some((ResidentState::Loading, found)) => found.orders.push(order.order),
             Some((ResidentState::Unloading, _)) => {
-                inner.settle(order.order, OrderState::Failed);
+                inner.set_order_state(order.order, OrderState::Failed);
             }
-            None => self.begin_load(inner, order),
+            None => self.start_load(inner, order),
         }
     }
 
-    fn begin_load(self: &Arc<Self>, inner: &mut Inner, order: Order) {
+    fn start_load(self: &Arc<Self>, inner: &mut Inner, order: Order) {
         let index = order.accelerator as usize;
-        let change = Change {
+        let pending = PendingChange {
             incarnation: inner.incarnation,
             accelerator: index,
             model: order.model.clone(),
@@ -180,72 +184,74 @@
         });
         let used_mib = inner.accelerators[index].used_mib();
         inner.counts.used_max_mib = inner.counts.used_max_mib.max(used_mib);
-        let over = used_mib > u64::from(inner.accelerators[index].capacity_mib);
-        inner.counts.overcommits += u64::from(over);
-        let fails = take(&mut inner.faults.fail_loads);
+        let exceeded = used_mib > u64::from(inner.accelerators[index].capacity_mib);
+        inner.counts.overcommits += u64::from(exceeded);
+        let fails = consume(&mut inner.faults.fail_loads);
         let engine = Arc::clone(self);
         self.tasks.spawn(async move {
-            let loaded = engine.transfer(&change.model, size_mib).await && !fails;
-            engine.loaded(&change, loaded);
+            let loaded = engine.load_weights(&pending.model, size_mib).await && !fails;
+            engine.finish_load(&pending, loaded);
         });
     }
 
     /// Waits until the weights are transferred. Returns whether that succeeded.
-    async fn transfer(&self, model: &str, size_mib: u32) -> bool {
+    async fn load_weights(&self, model: &str, size_mib: u32) -> bool {
         let Some(store) = self.options.store else {
             tokio::time::sleep(Duration::from_millis(self.options.load_ms)).await;
             return true;
         };
-        fetch(store, model, size_mib).await.unwrap_or(false)
+        fetch_weights(store, model, size_mib).await.unwrap_or(false)
     }
 
-    fn loaded(&self, change: &Change, ok: bool) {
+    fn finish_load(&self, pending: &PendingChange, succeeded: bool) {
         let mut inner = self.inner.lock();
-        if inner.incarnation != change.incarnation {
+        if inner.incarnation != pending.incarnation {
             return;
         }
-        let accelerator = &mut inner.accelerators[change.accelerator];
-        let Some(held) = accelerator.find(&change.model, change.version) else {
+        let accelerator = &mut inner.accelerators[pending.accelerator];
+        let Some(resident) = accelerator.find_resident(&pending.model, pending.version)
+        else {
             return;
         };
-        if held.state != ResidentState::Loading {
+        if resident.state != ResidentState::Loading {
             return;
         }
-        held.state = ResidentState::Loaded;
-        let orders = std::mem::take(&mut held.orders);
-        if !ok {
-            accelerator.remove(&change.model, change.version);
+        resident.state = ResidentState::Loaded;
+        let orders = std::mem::take(&mut resident.orders);
+        if !succeeded {
+            accelerator.remove_resident(&pending.model, pending.version);
         }
-        inner.counts.loads += u64::from(ok);
-        let state = if ok {
+        inner.counts.loads += u64::from(succeeded);
+        let state = if succeeded {
             OrderState::Done
         } else {
             OrderState::Failed
         };
         for order in orders {
-            inner.settle(order, state);
+            inner.set_order_state(order, state);
         }
     }
 
-    fn unload(self: &Arc<Self>, inner: &mut Inner, order: &Order) {
+    fn apply_unload(self: &Arc<Self>, inner: &mut Inner, order: &Order) {
         let index = order.accelerator as usize;
         let accelerator = &mut inner.accelerators[index];
-        let Some(held) = accelerator.find(&order.model, order.version) else {
-            inner.settle(order.order, OrderState::Done);
+        let Some(resident) = accelerator.find_resident(&order.model, order.version)
+        else {
+            inner.set_order_state(order.order, OrderState::Done);
             return;
         };
-        if held.state == ResidentState::Unloading {
-            held.orders.push(order.order);
+        if resident.state == ResidentState::Unloading {
+            resident.orders.push(order.order);
             return;
         }
-        held.state = ResidentState::Unloading;
-        let overtaken = std::mem::replace(&mut held.orders, vec![order.order]);
-        let cut = accelerator.cut_runs(&order.model, order.version);
-        inner.counts.cut += cut;
-        for load in overtaken {
-            inner.settle(load, OrderState::Failed);
+        resident.state = ResidentState::Unloading;
+        let obsolete_loads = std::mem::replace(&mut resident.orders, vec![order.order]);
+        let aborted = accelerator.abort_runs(&order.model, order.version);
+        inner.counts.cut += aborted;
+        for load in obsolete_loads {
+            inner.set_order_state(load, OrderState::Failed);
         }
-        let change = Change {
+        let pending = PendingChange {
             incarnation: inner.incarnation,
             accelerator: index,
             model: order.model.clone(),
@@ -254,28 +260,30 @@
         let engine = Arc::clone(self);
         self.tasks.spawn(async move {
             tokio::time::sleep(Duration::from_millis(engine.options.unload_ms)).await;
-            engine.unloaded(&change);
+            engine.finish_unload(&pending);
         });
     }
 
-    fn unloaded(&self, change: &Change) {
+    fn finish_unload(&self, pending: &PendingChange) {
         let mut inner = self.inner.lock();
-        if inner.incarnation != change.incarnation {
+        if inner.incarnation != pending.incarnation {
             return;
         }
-        let accelerator = &mut inner.accelerators[change.accelerator];
-        let Some(held) = accelerator.remove(&change.model, change.version) else {
+        let accelerator = &mut inner.accelerators[pending.accelerator];
+        let Some(resident) =
+            accelerator.remove_resident(&pending.model, pending.version)
+        else {
             return;
         };
         inner.counts.unloads += 1;
-        for order in held.orders {
-            inner.settle(order, OrderState::Done);
+        for order in resident.orders {
+            inner.set_order_state(order, OrderState::Done);
         }
     }
 }
 
 impl Inner {
-    fn record(&mut self, order: &Order, state: OrderState) {
+    fn add_order(&mut self, order: &Order, state: OrderState) {
         let report = OrderReport {
             order: order.order,
             fence: order.fence,
@@ -284,7 +292,7 @@
         self.orders.insert(order.order, report);
     }
 
-    fn settle(&mut self, order: u64, state: OrderState) {
+    fn set_order_state(&mut self, order: u64, state: OrderState) {
         if let Some(report) = self.orders.get_mut(&order) {
             report.state = state;
         }
@@ -292,17 +300,16 @@
 }
 
 impl super::accelerator::Accelerator {
-    fn remove(&mut self, model: &str, version: u32) -> Option<Resident> {
-        let place = self
-            .residents
-            .iter()
-            .position(|held| held.model == model && held.version == version)?;
-        Some(self.residents.remove(place))
+    fn remove_resident(&mut self, model: &str, version: u32) -> Option<Resident> {
+        let index = self.residents.iter().position(|resident| {
+            resident.model == model && resident.version == version
+        })?;
+        Some(self.residents.remove(index))
     }
 }
 
 /// Requests a model's weights from the weight store. Returns whether it served them.
-async fn fetch(
+async fn fetch_weights(
     store: SocketAddr,
     model: &str,
     size_mib: u32,
@@ -313,9 +320,9 @@
         .header(hyper::header::HOST, "store")
         .body(Empty::<Bytes>::new())?;
     let exchange = async move {
-        let answer = sender.send_request(request).await?;
-        let status = answer.status();
-        answer.into_body().collect().await?;
+        let response = sender.send_request(request).await?;
+        let status = response.status();
+        response.into_body().collect().await?;
         Ok::<bool, hyper::Error>(status == StatusCode::OK)
     };
     let (_, transferred) = tokio::join!(connection, exchange);
--- a/crates/fake/src/engine/prefix.rs
+++ b/crates/fake/src/engine/prefix_cache.rs
@@ -13,18 +13,18 @@
 #[derive(Debug)]
 pub(super) struct PrefixCache {
     blocks_max: usize,
-    clock: u64,
-    used: HashMap<u64, u64>,
-    by_age: BTreeMap<u64, u64>,
+    use_counter: u64,
+    last_use: HashMap<u64, u64>,
+    by_last_use: BTreeMap<u64, u64>,
 }
 
 impl PrefixCache {
     pub(super) fn new(blocks_max: usize) -> Self {
         Self {
             blocks_max,
-            clock: 0,
-            used: HashMap::new(),
-            by_age: BTreeMap::new(),
+            use_counter: 0,
+            last_use: HashMap::new(),
+            by_last_use: BTreeMap::new(),
         }
     }
 
@@ -32,31 +32,31 @@
     /// its blocks.
     ///
     /// `seed` identifies the model, since prefixes are not shared between models.
-    pub(super) fn admit(&mut self, seed: u64, prompt: &str) -> u64 {
+    pub(super) fn lookup_and_insert(&mut self, seed: u64, prompt: &str) -> u64 {
         let block_bytes = BLOCK_TOKENS as usize * BYTES_PER_TOKEN;
         let mut hash = seed;
-        let mut hits = 0;
+        let mut cached_blocks = 0;
         let mut missed = false;
         for block in prompt.as_bytes().chunks_exact(block_bytes) {
             hash = xxh3_64_with_seed(block, hash);
-            missed |= !self.used.contains_key(&hash);
-            hits += u64::from(!missed);
+            missed |= !self.last_use.contains_key(&hash);
+            cached_blocks += u64::from(!missed);
             self.touch(hash);
         }
-        hits * BLOCK_TOKENS
+        cached_blocks * BLOCK_TOKENS
     }
 
     fn touch(&mut self, block: u64) {
-        self.clock += 1;
-        if let Some(before) = self.used.insert(block, self.clock) {
-            self.by_age.remove(&before);
+        self.use_counter += 1;
+        if let Some(previous_use) = self.last_use.insert(block, self.use_counter) {
+            self.by_last_use.remove(&previous_use);
         }
-        self.by_age.insert(self.clock, block);
-        while self.used.len() > self.blocks_max {
-            let Some((_, oldest)) = self.by_age.pop_first() else {
+        self.by_last_use.insert(self.use_counter, block);
+        while self.last_use.len() > self.blocks_max {
+            let Some((_, oldest)) = self.by_last_use.pop_first() else {
                 return;
             };
-            self.used.remove(&oldest);
+            self.last_use.remove(&oldest);
         }
     }
 }
--- a/crates/fake/src/engine/report.rs
+++ b/crates/fake/src/engine/report.rs
@@ -59,11 +59,17 @@
             .flat_map(|accelerator| accelerator.residents.iter().cloned());
         Report {
             incarnation: self.incarnation,
-            fence: self.fence,
+            fence: self.highest_fencing_epoch,
             residents: residents.collect(),
             orders: self.orders.values().copied().collect(),
-            running: accelerators.iter().map(|one| one.running.len()).sum(),
-            waiting: accelerators.iter().map(|one| one.waiting.len()).sum(),
+            running: accelerators
+                .iter()
+                .map(|accelerator| accelerator.running.len())
+                .sum(),
+            waiting: accelerators
+                .iter()
+                .map(|accelerator| accelerator.waiting.len())
+                .sum(),
             step_time_us: 0,
             report_age_ms: 0,
         }
@@ -73,22 +79,27 @@
 impl Engine {
     /// Returns the last report while it is younger than the report lag, else a new one.
     pub(super) fn report(&self) -> Report {
-        let durations = (0..self.wakes.len()).filter_map(|one| self.step_duration(one));
+        let durations = (0..self.step_wakeups.len())
+            .filter_map(|accelerator| self.step_duration(accelerator));
         let step = durations
             .max()
             .unwrap_or(Duration::from_micros(self.options.step_us));
         let mut inner = self.inner.lock();
         let lag = Duration::from_millis(inner.faults.report_lag_ms);
         let now = Instant::now();
-        let held = inner.report.take().filter(|(made, _)| now - *made < lag);
-        let (made, report) = held.unwrap_or_else(|| {
+        let cached = inner
+            .cached_report
+            .take()
+            .filter(|(created_at, _)| now - *created_at < lag);
+        let (created_at, report) = cached.unwrap_or_else(|| {
             let mut report = inner.fresh_report();
             report.step_time_us = u64::try_from(step.as_micros()).unwrap_or(u64::MAX);
             (now, report)
         });
-        inner.report = Some((made, report.clone()));
+        inner.cached_report = Some((created_at, report.clone()));
         Report {
-            report_age_ms: u64::try_from((now - made).as_millis()).unwrap_or(u64::MAX),
+            report_age_ms: u64::try_from((now - created_at).as_millis())
+                .unwrap_or(u64::MAX),
             ..report
         }
     }
--- a/crates/fake/src/engine/body.rs
+++ b/crates/fake/src/engine/response_body.rs
@@ -8,7 +8,7 @@
 use std::task::{Context, Poll};
 use tokio::sync::mpsc::UnboundedReceiver;
 
-use super::run::Event;
+use super::run::RunEvent;
 use crate::text::ResponseText;
 
 /// API endpoint that a response belongs to.
@@ -20,22 +20,22 @@
 
 /// Fields that all parts of one response share.
 #[derive(Debug, Clone)]
-pub(super) struct Shape {
+pub(super) struct ResponseTemplate {
     pub(super) api: Api,
     pub(super) id: String,
     pub(super) model: String,
     pub(super) version: u32,
-    pub(super) answer: ResponseText,
+    pub(super) text: ResponseText,
     pub(super) prompt_tokens: u32,
     /// Tokens of the complete response, including those before a resume offset.
-    pub(super) total: u64,
+    pub(super) total_tokens: u64,
 }
 
-impl Shape {
-    fn part(&self, kind: &str, choice: &Value) -> Value {
+impl ResponseTemplate {
+    fn envelope(&self, object_type: &str, choice: &Value) -> Value {
         json!({
             "id": self.id,
-            "object": kind,
+            "object": object_type,
             "model": self.model,
             "system_fingerprint": format!("v{}", self.version),
             "choices": [choice],
@@ -43,18 +43,19 @@
     }
 
     fn chunk(&self, text: Option<&str>) -> Value {
-        let finish = text.is_none().then_some("length");
+        let finish_reason = text.is_none().then_some("length");
         match self.api {
             Api::Chat => {
                 let delta = text.map_or(json!({}), |text| json!({"content": text}));
                 let choice =
-                    json!({"index": 0, "delta": delta, "finish_reason": finish});
-                self.part("chat.completion.chunk", &choice)
+                    json!({"index": 0, "delta": delta, "finish_reason": finish_reason});
+                self.envelope("chat.completion.chunk", &choice)
             }
             Api::Completions => {
                 let text = text.unwrap_or("");
-                let choice = json!({"index": 0, "text": text, "finish_reason": finish});
-                self.part("text_completion", &choice)
+                let choice =
+                    json!({"index": 0, "text": text, "finish_reason": finish_reason});
+                self.envelope("text_completion", &choice)
             }
         }
     }
@@ -62,28 +63,28 @@
     fn usage(&self) -> Value {
         json!({
             "prompt_tokens": self.prompt_tokens,
-            "completion_tokens": self.total,
-            "total_tokens": u64::from(self.prompt_tokens) + self.total,
+            "completion_tokens": self.total_tokens,
+            "total_tokens": u64::from(self.prompt_tokens) + self.total_tokens,
         })
     }
 
     /// Returns the server-sent event of one token.
-    fn token(&self, index: u64) -> Bytes {
-        let chunk = self.chunk(Some(&self.answer.token(index)));
+    fn token_event(&self, index: u64) -> Bytes {
+        let chunk = self.chunk(Some(&self.text.token(index)));
         Bytes::from(format!("data: {chunk}\n\n"))
     }
 
     /// Returns the last chunk, which carries the token counts, and the `[DONE]` event.
-    fn end(&self) -> Bytes {
+    fn final_events(&self) -> Bytes {
         let mut chunk = self.chunk(None);
         chunk["usage"] = self.usage();
         Bytes::from(format!("data: {chunk}\n\ndata: [DONE]\n\n"))
     }
 
     /// Returns the response as a single document, with the text from token `from` on.
-    pub(super) fn whole(&self, from: u64) -> Value {
-        let text = self.answer.token_range(from, self.total);
-        let (kind, choice) = match self.api {
+    pub(super) fn single_document(&self, from: u64) -> Value {
+        let text = self.text.token_range(from, self.total_tokens);
+        let (object_type, choice) = match self.api {
             Api::Chat => (
                 "chat.completion",
                 json!({
@@ -97,18 +98,18 @@
                 json!({"index": 0, "text": text, "finish_reason": "length"}),
             ),
         };
-        let mut whole = self.part(kind, &choice);
-        whole["usage"] = self.usage();
-        whole
+        let mut document = self.envelope(object_type, &choice);
+        document["usage"] = self.usage();
+        document
     }
 }
 
 /// Body of a streamed response.
 #[derive(Debug)]
 pub(super) struct StreamBody {
-    pub(super) shape: Shape,
-    pub(super) events: UnboundedReceiver<Event>,
-    pub(super) ended: bool,
+    pub(super) template: ResponseTemplate,
+    pub(super) events: UnboundedReceiver<RunEvent>,
+    pub(super) finished: bool,
 }
 
 impl Body for StreamBody {
@@ -119,20 +120,22 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
-        if self.ended {
+        if self.finished {
             return Poll::Ready(None);
         }
         let event = std::task::ready!(self.events.poll_recv(context));
         let frame = match event {
-            Some(Event::Token(index)) => Ok(Frame::data(self.shape.token(index))),
-            Some(Event::Done) => {
-                self.ended = true;
-                Ok(Frame::data(self.shape.end()))
+            Some(RunEvent::Token(index)) => {
+                Ok(Frame::data(self.template.token_event(index)))
+            }
+            Some(RunEvent::Done) => {
+                self.finished = true;
+                Ok(Frame::data(self.template.final_events()))
             }
             // Without the error, the body would end cleanly, and the client could
             // take an aborted response for a complete one.
             None => {
-                self.ended = true;
+                self.finished = true;
                 Err(io::Error::other("the run was aborted"))
             }
         };
--- a/crates/fake/src/engine/run.rs
+++ b/crates/fake/src/engine/run.rs
@@ -3,9 +3,9 @@
 use tokio::sync::mpsc::UnboundedSender;
 
 /// Event that a run sends to its connection. If the channel closes before
-/// [`Event::Done`], the run was aborted.
+/// [`RunEvent::Done`], the run was aborted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Event {
+pub(super) enum RunEvent {
     /// The token at this index was generated.
     Token(u64),
     /// The response is complete.
@@ -15,7 +15,7 @@
 /// A request that waits for a batch or is in one.
 #[derive(Debug)]
 pub(super) struct Run {
-    pub(super) request: String,
+    pub(super) request_id: String,
     pub(super) model: String,
     pub(super) version: u32,
     /// Base model, for an adapter.
@@ -23,56 +23,57 @@
     pub(super) prompt: String,
     pub(super) priority: u64,
     /// Index of the next token.
-    pub(super) next: u64,
+    pub(super) next_token: u64,
     /// Tokens of the complete response.
-    pub(super) total: u64,
+    pub(super) total_tokens: u64,
     /// Prompt tokens that remain to be prefilled.
-    pub(super) prefill_left: u64,
+    pub(super) prefill_remaining: u64,
     /// Index of the token before which a fault aborts the run.
-    pub(super) break_at: Option<u64>,
-    pub(super) crashes: bool,
-    pub(super) events: UnboundedSender<Event>,
+    pub(super) abort_at: Option<u64>,
+    pub(super) crashes_engine: bool,
+    pub(super) events: UnboundedSender<RunEvent>,
 }
 
 /// Status of a run after a step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum After {
-    GoesOn,
+pub(super) enum StepOutcome {
+    Continue,
     Finished,
-    Cut,
+    Aborted,
     Cancelled,
 }
 
 impl Run {
     /// Returns whether the run uses a model, directly or as the base of its adapter.
-    pub(super) fn needs(&self, model: &str, version: u32) -> bool {
-        let own = self.model == model && self.version == version;
-        own || self.base.as_deref() == Some(model)
+    pub(super) fn uses_model(&self, model: &str, version: u32) -> bool {
+        let is_model = self.model == model && self.version == version;
+        is_model || self.base.as_deref() == Some(model)
     }
 
     /// Prefills part of the prompt or, after the prefill, generates one token.
-    pub(super) fn step(&mut self, prefill_tokens: u64) -> After {
+    pub(super) fn step(&mut self, prefill_tokens: u64) -> StepOutcome {
         if self.events.is_closed() {
-            return After::Cancelled;
+            return StepOutcome::Cancelled;
         }
-        if self.prefill_left > 0 {
-            self.prefill_left = self.prefill_left.saturating_sub(prefill_tokens);
-            if self.prefill_left > 0 {
-                return After::GoesOn;
+        if self.prefill_remaining > 0 {
+            self.prefill_remaining =
+                self.prefill_remaining.saturating_sub(prefill_tokens);
+            if self.prefill_remaining > 0 {
+                return StepOutcome::Continue;
             }
         }
-        if self.break_at == Some(self.next) {
-            return After::Cut;
+        if self.abort_at == Some(self.next_token) {
+            return StepOutcome::Aborted;
         }
-        if self.next < self.total {
+        if self.next_token < self.total_tokens {
             // If the receiver was dropped since the check above, the next step notices.
-            let _ = self.events.send(Event::Token(self.next));
-            self.next += 1;
+            let _ = self.events.send(RunEvent::Token(self.next_token));
+            self.next_token += 1;
         }
-        if self.next < self.total {
-            return After::GoesOn;
+        if self.next_token < self.total_tokens {
+            return StepOutcome::Continue;
         }
-        let _ = self.events.send(Event::Done);
-        After::Finished
+        let _ = self.events.send(RunEvent::Done);
+        StepOutcome::Finished
     }
 }
--- a/crates/fake/src/engine/serve.rs
+++ b/crates/fake/src/engine/serve.rs
@@ -11,13 +11,13 @@
 use std::time::Duration;
 use tokio::sync::mpsc::{self, UnboundedReceiver, UnboundedSender};
 
-use super::body::{Api, Shape, StreamBody};
-use super::orders::{Fate, Order, Refused};
-use super::run::{Event, Run};
+use super::orders::{Order, OrderError, OrderFault};
+use super::response_body::{Api, ResponseTemplate, StreamBody};
+use super::run::{Run, RunEvent};
 use super::{Counts, Engine, Faults, Inner};
-use crate::faults::take;
+use crate::fault_count::consume;
 use crate::handle::StandIn;
-use crate::http::{self, Answer, Cut, ErrorText};
+use crate::http::{self, ConnectionAborted, ErrorBody, ResponseResult};
 use crate::service::not_run;
 use crate::text::{self, Message};
 
@@ -25,14 +25,14 @@
 const BODY_MAX_BYTES: usize = 8 << 20;
 
 /// Tokens of a response if the request sets no `max_tokens`.
-const TOKENS_DEFAULT: u64 = 16;
+const DEFAULT_MAX_TOKENS: u64 = 16;
 
 /// Maximum number of tokens of one response.
 const TOKENS_MAX: u64 = 1 << 16;
 
 /// Body of `/v1/chat/completions` and `/v1/completions`.
 #[derive(Debug, Deserialize)]
-struct Completion {
+struct CompletionRequest {
     model: String,
     #[serde(default)]
     messages: Vec<Message>,
@@ -47,21 +47,21 @@
 /// Headers of a completion request.
 #[derive(Debug)]
 struct RunHeaders {
-    request: String,
+    request_id: String,
     priority: u64,
-    resume: u64,
+    resume_offset: u64,
     version: Option<u32>,
 }
 
 impl RunHeaders {
-    fn read(request: &Request<Incoming>) -> Self {
-        let version = http::number(request, "x-model-version");
+    fn from_request(request: &Request<Incoming>) -> Self {
+        let version = http::header_number(request, "x-model-version");
         Self {
-            request: http::header(request, "x-request-id")
+            request_id: http::header_text(request, "x-request-id")
                 .unwrap_or("")
                 .to_owned(),
-            priority: http::number(request, "x-priority").unwrap_or(0),
-            resume: http::number(request, "x-resume-offset").unwrap_or(0),
+            priority: http::header_number(request, "x-priority").unwrap_or(0),
+            resume_offset: http::header_number(request, "x-resume-offset").unwrap_or(0),
             version: version.and_then(|version| u32::try_from(version).ok()),
         }
     }
@@ -71,15 +71,15 @@
     type Faults = Faults;
     type Counts = Counts;
 
-    fn call(
+    fn handle_request(
         self: Arc<Self>,
         request: Request<Incoming>,
-    ) -> Pin<Box<dyn Future<Output = Answer> + Send>> {
+    ) -> Pin<Box<dyn Future<Output = ResponseResult> + Send>> {
         Box::pin(async move { self.serve(request).await })
     }
 
     fn set_faults(&self, faults: Faults) {
-        self.cutter.set_away(faults.closed);
+        self.connection_closer.set_rejecting(faults.closed);
         self.inner.lock().faults = faults;
     }
 
@@ -91,9 +91,9 @@
         self.inner.lock().counts.clone()
     }
 
-    fn command(self: Arc<Self>, name: &str) -> bool {
+    fn run_command(self: Arc<Self>, name: &str) -> bool {
         match name {
-            "crash" => self.crash_now(),
+            "crash" => self.crash(),
             "deliver" => self.deliver_late_orders(),
             _ => return false,
         }
@@ -102,72 +102,78 @@
 }
 
 impl Engine {
-    async fn serve(self: &Arc<Self>, request: Request<Incoming>) -> Answer {
+    async fn serve(self: &Arc<Self>, request: Request<Incoming>) -> ResponseResult {
         if request.uri().path().starts_with("/admin/") {
             let delay_ms = self.inner.lock().faults.admin_delay_ms;
             tokio::time::sleep(Duration::from_millis(delay_ms)).await;
         }
         match (request.method(), request.uri().path()) {
             (&Method::POST, "/v1/chat/completions") => {
-                self.run(Api::Chat, request).await
+                self.serve_run(Api::Chat, request).await
             }
             (&Method::POST, "/v1/completions") => {
-                self.run(Api::Completions, request).await
+                self.serve_run(Api::Completions, request).await
             }
-            (&Method::POST, "/admin/orders") => self.order(request).await,
+            (&Method::POST, "/admin/orders") => self.serve_order(request).await,
             (&Method::GET, "/admin/state") => {
-                Ok(http::json(StatusCode::OK, &self.report()))
+                Ok(http::json_response(StatusCode::OK, &self.report()))
             }
-            _ => Ok(http::text(StatusCode::NOT_FOUND, "no such call")),
+            _ => Ok(http::text_response(StatusCode::NOT_FOUND, "no such call")),
         }
     }
 
-    async fn order(self: &Arc<Self>, request: Request<Incoming>) -> Answer {
+    async fn serve_order(
+        self: &Arc<Self>,
+        request: Request<Incoming>,
+    ) -> ResponseResult {
         let order: Order = match http::read_json(request, BODY_MAX_BYTES).await? {
             Ok(order) => order,
-            Err(answer) => return Ok(answer),
+            Err(response) => return Ok(response),
         };
-        let accepted = Ok(http::text(StatusCode::ACCEPTED, ""));
-        match self.order_fate() {
-            Fate::Answered => {}
-            Fate::Lost => return Err(Cut),
-            Fate::Ignored => return accepted,
-            Fate::AnswerLost => {
+        let accepted = Ok(http::text_response(StatusCode::ACCEPTED, ""));
+        match self.take_order_fault() {
+            OrderFault::None => {}
+            OrderFault::RequestLost => return Err(ConnectionAborted),
+            OrderFault::Ignored => return accepted,
+            OrderFault::ResponseLost => {
                 // The response is lost, so a refusal is not reported either.
-                let _ = self.apply(order);
-                return Err(Cut);
+                let _ = self.apply_order(order);
+                return Err(ConnectionAborted);
             }
-            Fate::Late => {
-                self.delay(order);
-                return Err(Cut);
+            OrderFault::Delayed => {
+                self.delay_order(order);
+                return Err(ConnectionAborted);
             }
         }
         let error = |status, error: &str| {
             let error = error.to_owned();
-            Ok(http::json(status, &ErrorText { error }))
+            Ok(http::json_response(status, &ErrorBody { error }))
         };
-        match self.apply(order) {
+        match self.apply_order(order) {
             Ok(()) => accepted,
-            Err(Refused::Fenced) => error(StatusCode::CONFLICT, "fenced"),
-            Err(Refused::Bad) => error(StatusCode::BAD_REQUEST, "no such accelerator"),
+            Err(OrderError::Fenced) => error(StatusCode::CONFLICT, "fenced"),
+            Err(OrderError::Invalid) => {
+                error(StatusCode::BAD_REQUEST, "no such accelerator")
+            }
         }
     }
 
-    async fn run(&self, api: Api, request: Request<Incoming>) -> Answer {
-        let headers = RunHeaders::read(&request);
-        let asked: Completion = match http::read_json(request, BODY_MAX_BYTES).await? {
-            Ok(asked) => asked,
-            Err(answer) => return Ok(answer),
-        };
-        let (resume, stream) = (headers.resume, asked.stream);
-        let Some((shape, events)) = self.enqueue(api, headers, &asked) else {
+    async fn serve_run(&self, api: Api, request: Request<Incoming>) -> ResponseResult {
+        let headers = RunHeaders::from_request(&request);
+        let completion: CompletionRequest =
+            match http::read_json(request, BODY_MAX_BYTES).await? {
+                Ok(completion) => completion,
+                Err(response) => return Ok(response),
+            };
+        let (resume_offset, stream) = (headers.resume_offset, completion.stream);
+        let Some((template, events)) = self.enqueue(api, headers, &completion) else {
             self.inner.lock().counts.refused += 1;
             return Ok(not_run());
         };
         if stream {
-            return Ok(stream_answer(shape, events));
+            return Ok(streamed_response(template, events));
         }
-        whole_answer(&shape, events, resume).await
+        single_response(&template, events, resume_offset).await
     }
 
     /// Queues a run. Returns `None` if no accelerator can serve the model, the queue is
@@ -176,50 +182,54 @@
         &self,
         api: Api,
         headers: RunHeaders,
-        asked: &Completion,
-    ) -> Option<(Shape, UnboundedReceiver<Event>)> {
+        completion: &CompletionRequest,
+    ) -> Option<(ResponseTemplate, UnboundedReceiver<RunEvent>)> {
         let mut guard = self.inner.lock();
         let inner = &mut *guard;
-        let index = inner.emptiest(&asked.model, headers.version)?;
+        let index = inner.least_loaded(&completion.model, headers.version)?;
         let accelerator = &mut inner.accelerators[index];
         let full = accelerator.waiting.len() >= self.options.waiting_max;
-        if full || take(&mut inner.faults.refuse_runs) {
+        if full || consume(&mut inner.faults.refuse_runs) {
             return None;
         }
-        let held = accelerator.serves(&asked.model, headers.version)?.clone();
-        let shape = Shape::new(api, &headers, asked, held.version);
+        let resident = accelerator
+            .find_servable(&completion.model, headers.version)?
+            .clone();
+        let template =
+            ResponseTemplate::new(api, &headers, completion, resident.version);
         let (sender, events) = mpsc::unbounded_channel();
-        let mut run = self.new_run(&shape, headers, asked.prompt_text(api), sender);
-        run.base = held.base;
-        if take(&mut inner.faults.break_runs) {
-            run.break_at = Some(run.next + inner.faults.break_after_tokens);
+        let mut run =
+            self.new_run(&template, headers, completion.prompt_text(api), sender);
+        run.base = resident.base;
+        if consume(&mut inner.faults.break_runs) {
+            run.abort_at = Some(run.next_token + inner.faults.break_after_tokens);
         }
         accelerator.enqueue(run);
-        self.wakes[index].notify_one();
-        Some((shape, events))
+        self.step_wakeups[index].notify_one();
+        Some((template, events))
     }
 
     fn new_run(
         &self,
-        shape: &Shape,
+        template: &ResponseTemplate,
         headers: RunHeaders,
         prompt: String,
-        events: UnboundedSender<Event>,
+        events: UnboundedSender<RunEvent>,
     ) -> Run {
-        let next = headers.resume.min(shape.total);
+        let next_token = headers.resume_offset.min(template.total_tokens);
         let crash = self.options.crash_text.as_deref();
         Run {
-            request: headers.request,
-            model: shape.model.clone(),
-            version: shape.version,
+            request_id: headers.request_id,
+            model: template.model.clone(),
+            version: template.version,
             base: None,
             priority: headers.priority,
-            next,
-            total: shape.total,
+            next_token,
+            total_tokens: template.total_tokens,
             // A resumed run also prefills the tokens that were delivered before.
-            prefill_left: u64::from(shape.prompt_tokens) + next,
-            break_at: None,
-            crashes: crash.is_some_and(|text| prompt.contains(text)),
+            prefill_remaining: u64::from(template.prompt_tokens) + next_token,
+            abort_at: None,
+            crashes_engine: crash.is_some_and(|text| prompt.contains(text)),
             prompt,
             events,
         }
@@ -229,16 +239,20 @@
 impl Inner {
     /// Returns the accelerator with the fewest requests among those that can serve a
     /// model.
-    fn emptiest(&self, model: &str, version: Option<u32>) -> Option<usize> {
+    fn least_loaded(&self, model: &str, version: Option<u32>) -> Option<usize> {
         let holders = self.accelerators.iter().enumerate();
         holders
-            .filter(|(_, one)| one.serves(model, version).is_some())
-            .min_by_key(|(_, one)| one.running.len() + one.waiting.len())
+            .filter(|(_, accelerator)| {
+                accelerator.find_servable(model, version).is_some()
+            })
+            .min_by_key(|(_, accelerator)| {
+                accelerator.running.len() + accelerator.waiting.len()
+            })
             .map(|(index, _)| index)
     }
 }
 
-impl Completion {
+impl CompletionRequest {
     fn prompt_text(&self, api: Api) -> String {
         match api {
             Api::Chat => text::chat_prompt(&self.messages),
@@ -247,45 +261,56 @@
     }
 }
 
-impl Shape {
-    fn new(api: Api, headers: &RunHeaders, asked: &Completion, version: u32) -> Self {
-        let prompt = asked.prompt_text(api);
+impl ResponseTemplate {
+    fn new(
+        api: Api,
+        headers: &RunHeaders,
+        completion: &CompletionRequest,
+        version: u32,
+    ) -> Self {
+        let prompt = completion.prompt_text(api);
         Self {
             api,
-            id: headers.request.clone(),
-            model: asked.model.clone(),
+            id: headers.request_id.clone(),
+            model: completion.model.clone(),
             version,
-            answer: text::ResponseText::new(&asked.model, version, &prompt),
+            text: text::ResponseText::new(&completion.model, version, &prompt),
             prompt_tokens: text::count_prompt_tokens(&prompt),
-            total: asked.max_tokens.unwrap_or(TOKENS_DEFAULT).min(TOKENS_MAX),
+            total_tokens: completion
+                .max_tokens
+                .unwrap_or(DEFAULT_MAX_TOKENS)
+                .min(TOKENS_MAX),
         }
     }
 }
 
-fn stream_answer(
-    shape: Shape,
-    events: UnboundedReceiver<Event>,
+fn streamed_response(
+    template: ResponseTemplate,
+    events: UnboundedReceiver<RunEvent>,
 ) -> Response<http::Body> {
     let body = StreamBody {
-        shape,
+        template,
         events,
-        ended: false,
+        finished: false,
     };
-    let mut answer = Response::new(body.boxed());
-    let kind = HeaderValue::from_static("text/event-stream");
-    answer.headers_mut().insert(CONTENT_TYPE, kind);
-    answer
+    let mut response = Response::new(body.boxed());
+    let content_type = HeaderValue::from_static("text/event-stream");
+    response.headers_mut().insert(CONTENT_TYPE, content_type);
+    response
 }
 
-async fn whole_answer(
-    shape: &Shape,
-    mut events: UnboundedReceiver<Event>,
-    resume: u64,
-) -> Answer {
+async fn single_response(
+    template: &ResponseTemplate,
+    mut events: UnboundedReceiver<RunEvent>,
+    resume_offset: u64,
+) -> ResponseResult {
     while let Some(event) = events.recv().await {
-        if event == Event::Done {
-            return Ok(http::json(StatusCode::OK, &shape.whole(resume)));
+        if event == RunEvent::Done {
+            return Ok(http::json_response(
+                StatusCode::OK,
+                &template.single_document(resume_offset),
+            ));
         }
     }
-    Err(Cut)
+    Err(ConnectionAborted)
 }
--- a/crates/fake/src/handle.rs
+++ b/crates/fake/src/handle.rs
@@ -12,10 +12,10 @@
 use std::sync::Arc;
 use tokio::task::JoinSet;
 
-use crate::http::{self, Answer, Cutter, Server};
+use crate::http::{self, ConnectionCloser, ResponseResult, Server};
 
 /// Maximum size of a request body on the control listener.
-const CONTROL_MAX_BYTES: usize = 64 << 10;
+const CONTROL_BODY_MAX_BYTES: usize = 64 << 10;
 
 /// Loopback address whose port the kernel chooses.
 pub const ANY_PORT: SocketAddr =
@@ -29,10 +29,10 @@
     type Counts: Serialize;
 
     /// Handles one request on the protocol listener.
-    fn call(
+    fn handle_request(
         self: Arc<Self>,
         request: Request<Incoming>,
-    ) -> Pin<Box<dyn Future<Output = Answer> + Send>>;
+    ) -> Pin<Box<dyn Future<Output = ResponseResult> + Send>>;
     /// Replaces the active faults.
     fn set_faults(&self, faults: Self::Faults);
     /// Returns the active faults; limited ones hold their remaining number.
@@ -40,7 +40,7 @@
     /// Returns the counters since the start.
     fn counts(&self) -> Self::Counts;
     /// Runs the command of `POST /control/<name>`; returns false if it is unknown.
-    fn command(self: Arc<Self>, _name: &str) -> bool {
+    fn run_command(self: Arc<Self>, _name: &str) -> bool {
         false
     }
 }
@@ -55,14 +55,14 @@
     pub control: SocketAddr,
     pub(crate) stand_in: Arc<S>,
     _servers: [Server; 2],
-    _tasks: TaskGuard,
+    _tasks: AbortOnDrop,
 }
 
 /// Background tasks of a stand-in, aborted when its [`Handle`] is dropped.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Tasks(Arc<Mutex<JoinSet<()>>>);
+pub(crate) struct TaskSet(Arc<Mutex<JoinSet<()>>>);
 
-impl Tasks {
+impl TaskSet {
     /// Spawns a task and discards the finished ones.
     pub(crate) fn spawn<F>(&self, task: F)
     where
@@ -77,9 +77,9 @@
 /// Aborts all tasks when dropped. The stand-in holds clones of the set, whose drop
 /// aborts nothing.
 #[derive(Debug)]
-struct TaskGuard(Tasks);
+struct AbortOnDrop(TaskSet);
 
-impl Drop for TaskGuard {
+impl Drop for AbortOnDrop {
     fn drop(&mut self) {
         self.0.0.lock().abort_all();
     }
@@ -90,25 +90,26 @@
     stand_in: Arc<S>,
     listen: SocketAddr,
     control: SocketAddr,
-    cutter: Cutter,
-    tasks: Tasks,
+    connection_closer: ConnectionCloser,
+    tasks: TaskSet,
 ) -> io::Result<Handle<S>> {
     let shared = Arc::clone(&stand_in);
-    let protocol = Server::start(listen, cutter, move |request| {
-        Arc::clone(&shared).call(request)
+    let protocol_server = Server::start(listen, connection_closer, move |request| {
+        Arc::clone(&shared).handle_request(request)
     })
     .await?;
     let shared = Arc::clone(&stand_in);
-    let controls = Server::start(control, Cutter::default(), move |request| {
-        serve_control(Arc::clone(&shared), request)
-    })
-    .await?;
+    let control_server =
+        Server::start(control, ConnectionCloser::default(), move |request| {
+            serve_control(Arc::clone(&shared), request)
+        })
+        .await?;
     Ok(Handle {
-        address: protocol.address,
-        control: controls.address,
+        address: protocol_server.address,
+        control: control_server.address,
         stand_in,
-        _servers: [protocol, controls],
-        _tasks: TaskGuard(tasks),
+        _servers: [protocol_server, control_server],
+        _tasks: AbortOnDrop(tasks),
     })
 }
 
@@ -135,30 +136,33 @@
 async fn serve_control<S: StandIn>(
     stand_in: Arc<S>,
     request: Request<Incoming>,
-) -> Answer {
+) -> ResponseResult {
     let path = request.uri().path().to_owned();
     match (request.method(), path.as_str()) {
         (&Method::GET, "/control/counts") => {
-            Ok(http::json(StatusCode::OK, &stand_in.counts()))
+            Ok(http::json_response(StatusCode::OK, &stand_in.counts()))
         }
         (&Method::GET, "/control/faults") => {
-            Ok(http::json(StatusCode::OK, &stand_in.faults()))
+            Ok(http::json_response(StatusCode::OK, &stand_in.faults()))
         }
         (&Method::PUT, "/control/faults") => {
-            match http::read_json(request, CONTROL_MAX_BYTES).await? {
+            match http::read_json(request, CONTROL_BODY_MAX_BYTES).await? {
                 Ok(faults) => stand_in.set_faults(faults),
-                Err(answer) => return Ok(answer),
+                Err(response) => return Ok(response),
             }
-            Ok(http::text(StatusCode::OK, ""))
+            Ok(http::text_response(StatusCode::OK, ""))
         }
         (&Method::POST, path) => {
             let name = path.strip_prefix("/control/").unwrap_or_default();
-            Ok(if stand_in.command(name) {
-                http::text(StatusCode::OK, "")
+            Ok(if stand_in.run_command(name) {
+                http::text_response(StatusCode::OK, "")
             } else {
-                http::text(StatusCode::NOT_FOUND, "no such control")
+                http::text_response(StatusCode::NOT_FOUND, "no such control")
             })
         }
-        _ => Ok(http::text(StatusCode::NOT_FOUND, "no such control")),
+        _ => Ok(http::text_response(
+            StatusCode::NOT_FOUND,
+            "no such control",
+        )),
     }
 }
--- a/crates/fake/src/http.rs
+++ b/crates/fake/src/http.rs
@@ -27,44 +27,44 @@
 
 /// Result of handling a request: a response, or an order to close the connection
 /// without one.
-pub(crate) type Answer = Result<Response<Body>, Cut>;
+pub(crate) type ResponseResult = Result<Response<Body>, ConnectionAborted>;
 
 /// Error that closes the connection without a response.
 #[derive(Debug)]
-pub(crate) struct Cut;
+pub(crate) struct ConnectionAborted;
 
-impl std::fmt::Display for Cut {
+impl std::fmt::Display for ConnectionAborted {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("connection closed without a response")
     }
 }
 
-impl std::error::Error for Cut {}
+impl std::error::Error for ConnectionAborted {}
 
 /// Closes or rejects the connections of one server.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Cutter {
-    now: Arc<Notify>,
-    away: Arc<AtomicBool>,
+pub(crate) struct ConnectionCloser {
+    close_signal: Arc<Notify>,
+    rejecting: Arc<AtomicBool>,
 }
 
-impl Cutter {
+impl ConnectionCloser {
     /// Closes every open connection.
-    pub(crate) fn cut(&self) {
-        self.now.notify_one();
+    pub(crate) fn close_all(&self) {
+        self.close_signal.notify_one();
     }
 
     /// While `away` is set, new connections are closed as soon as they are accepted.
     /// Setting it also closes the open ones.
-    pub(crate) fn set_away(&self, away: bool) {
-        self.away.store(away, Ordering::SeqCst);
-        if away {
-            self.cut();
+    pub(crate) fn set_rejecting(&self, rejecting: bool) {
+        self.rejecting.store(rejecting, Ordering::SeqCst);
+        if rejecting {
+            self.close_all();
         }
     }
 
-    fn is_away(&self) -> bool {
-        self.away.load(Ordering::SeqCst)
+    fn is_rejecting(&self) -> bool {
+        self.rejecting.load(Ordering::SeqCst)
     }
 }
 
@@ -79,16 +79,18 @@
     /// Binds `listen` and passes each request to `call`.
     pub(crate) async fn start<C, F>(
         listen: SocketAddr,
-        cutter: Cutter,
-        call: C,
+        connection_closer: ConnectionCloser,
+        handler: C,
     ) -> io::Result<Self>
     where
         C: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
-        F: Future<Output = Answer> + Send + 'static,
+        F: Future<Output = ResponseResult> + Send + 'static,
     {
         let listener = TcpListener::bind(listen).await?;
         let address = listener.local_addr()?;
-        let task = tokio::spawn(accept(listener, cutter, call)).abort_handle();
+        let task =
+            tokio::spawn(accept_connections(listener, connection_closer, handler))
+                .abort_handle();
         Ok(Self { address, task })
     }
 }
@@ -99,71 +101,77 @@
     }
 }
 
-async fn accept<C, F>(listener: TcpListener, cutter: Cutter, call: C)
-where
+async fn accept_connections<C, F>(
+    listener: TcpListener,
+    connection_closer: ConnectionCloser,
+    handler: C,
+) where
     C: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
-    F: Future<Output = Answer> + Send + 'static,
+    F: Future<Output = ResponseResult> + Send + 'static,
 {
     // Aborting this task drops the set, which aborts every connection.
     let mut connections = JoinSet::new();
     loop {
         tokio::select! {
             biased;
-            () = cutter.now.notified() => connections.abort_all(),
+            () = connection_closer.close_signal.notified() => connections.abort_all(),
             Some(_) = connections.join_next(), if !connections.is_empty() => {}
             accepted = listener.accept() => match accepted {
-                Ok((stream, _)) if !cutter.is_away() => {
-                    connections.spawn(connection(stream, call.clone()));
+                Ok((stream, _)) if !connection_closer.is_rejecting() => {
+                    connections.spawn(serve_connection(stream, handler.clone()));
                 }
                 Ok(_) => {}
                 // Probably out of file descriptors; connections that end free some.
-                Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+                Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
             },
         }
     }
 }
 
-const ACCEPT_PAUSE: std::time::Duration = std::time::Duration::from_millis(10);
+const ACCEPT_RETRY_DELAY: std::time::Duration = std::time::Duration::from_millis(10);
 
-async fn connection<C, F>(stream: TcpStream, call: C)
+async fn serve_connection<C, F>(stream: TcpStream, handler: C)
 where
     C: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
-    F: Future<Output = Answer> + Send + 'static,
+    F: Future<Output = ResponseResult> + Send + 'static,
 {
     // Each token is a small write, which Nagle's algorithm would delay.
     let _ = stream.set_nodelay(true);
     // Fails if the peer disconnects or the handler aborts the connection. The
     // connection ends in either case.
     let _ = hyper::server::conn::http1::Builder::new()
-        .serve_connection(TokioIo::new(stream), service_fn(call))
+        .serve_connection(TokioIo::new(stream), service_fn(handler))
         .await;
 }
 
 /// Returns a body that holds all of `bytes`.
-pub(crate) fn full(bytes: impl Into<Bytes>) -> Body {
+pub(crate) fn full_body(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into())
         .map_err(|never| match never {})
         .boxed()
 }
 
 /// Returns a plain-text response.
-pub(crate) fn text(status: StatusCode, text: &'static str) -> Response<Body> {
-    let mut answer = Response::new(full(text));
-    *answer.status_mut() = status;
-    answer
+pub(crate) fn text_response(status: StatusCode, text: &'static str) -> Response<Body> {
+    let mut response = Response::new(full_body(text));
+    *response.status_mut() = status;
+    response
 }
 
 /// Returns a JSON response.
-pub(crate) fn json<T: Serialize>(status: StatusCode, value: &T) -> Response<Body> {
+pub(crate) fn json_response<T: Serialize>(
+    status: StatusCode,
+    value: &T,
+) -> Response<Body> {
     // The stand-ins' types have only string keys and finite numbers.
     let bytes = serde_json::to_vec(value).expect("the type serializes to JSON");
-    let mut answer = Response::new(full(bytes));
-    *answer.status_mut() = status;
-    let kind = hyper::header::HeaderValue::from_static("application/json");
-    answer
+    let mut response = Response::new(full_body(bytes));
+    *response.status_mut() = status;
+    let content_type = hyper::header::HeaderValue::from_static("application/json");
+    response
         .headers_mut()
-        .insert(hyper::header::CONTENT_TYPE, kind);
-    answer
+        .insert(hyper::header::CONTENT_TYPE, content_type);
+    response
 }
 
 /// Reads a complete body of at most `max` bytes.
@@ -172,34 +180,34 @@
 ///
 /// The inner error is the response to a larger body, 413. The outer error means that
 /// the peer closed the connection before the end of the body.
-pub(crate) async fn read(
+pub(crate) async fn read_body(
     request: Request<Incoming>,
     max: usize,
-) -> Result<Result<Bytes, Response<Body>>, Cut> {
+) -> Result<Result<Bytes, Response<Body>>, ConnectionAborted> {
     match Limited::new(request.into_body(), max).collect().await {
         Ok(body) => Ok(Ok(body.to_bytes())),
-        Err(fault) if fault.is::<http_body_util::LengthLimitError>() => {
-            Ok(Err(text(StatusCode::PAYLOAD_TOO_LARGE, "body too large")))
-        }
-        Err(_) => Err(Cut),
+        Err(error) if error.is::<http_body_util::LengthLimitError>() => Ok(Err(
+            text_response(StatusCode::PAYLOAD_TOO_LARGE, "body too large"),
+        )),
+        Err(_) => Err(ConnectionAborted),
     }
 }
 
-/// Reads a JSON body. Besides the errors of [`read`], the inner error may be the
+/// Reads a JSON body. Besides the errors of [`read_body`], the inner error may be the
 /// response to invalid JSON, 400.
 pub(crate) async fn read_json<T: DeserializeOwned>(
     request: Request<Incoming>,
     max: usize,
-) -> Result<Result<T, Response<Body>>, Cut> {
-    let bytes = match read(request, max).await? {
+) -> Result<Result<T, Response<Body>>, ConnectionAborted> {
+    let bytes = match read_body(request, max).await? {
         Ok(bytes) => bytes,
-        Err(answer) => return Ok(Err(answer)),
+        Err(response) => return Ok(Err(response)),
     };
-    Ok(serde_json::from_slice(&bytes).map_err(|fault| {
-        json(
+    Ok(serde_json::from_slice(&bytes).map_err(|error| {
+        json_response(
             StatusCode::BAD_REQUEST,
-            &ErrorText {
-                error: fault.to_string(),
+            &ErrorBody {
+                error: error.to_string(),
             },
         )
     }))
@@ -207,38 +215,41 @@
 
 /// JSON body of an error response.
 #[derive(Debug, Serialize)]
-pub(crate) struct ErrorText {
+pub(crate) struct ErrorBody {
     pub(crate) error: String,
 }
 
 /// Returns a query parameter, percent-decoded.
-pub(crate) fn query(request: &Request<Incoming>, name: &str) -> Option<String> {
+pub(crate) fn query_parameter(
+    request: &Request<Incoming>,
+    name: &str,
+) -> Option<String> {
     let pairs = request.uri().query()?.split('&');
     pairs
         .filter_map(|pair| pair.split_once('='))
         .find(|(key, _)| *key == name)
-        .map(|(_, value)| decode(value))
+        .map(|(_, value)| percent_decode(value))
 }
 
 /// Decodes percent-encoding; invalid escapes are left as they are.
-pub(crate) fn decode(text: &str) -> String {
+pub(crate) fn percent_decode(text: &str) -> String {
     let mut bytes = Vec::with_capacity(text.len());
     let mut rest = text.as_bytes();
     while let Some((&first, tail)) = rest.split_first() {
-        let escaped = (first == b'%').then(|| hex_pair(tail)).flatten();
+        let escaped = (first == b'%').then(|| parse_hex_pair(tail)).flatten();
         bytes.push(escaped.unwrap_or(first));
         rest = if escaped.is_some() { &tail[2..] } else { tail };
     }
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-fn hex_pair(tail: &[u8]) -> Option<u8> {
+fn parse_hex_pair(tail: &[u8]) -> Option<u8> {
     let pair = std::str::from_utf8(tail.get(..2)?).ok()?;
     u8::from_str_radix(pair, 16).ok()
 }
 
 /// Returns a header's value if it is visible ASCII.
-pub(crate) fn header<'a>(
+pub(crate) fn header_text<'a>(
     request: &'a Request<Incoming>,
     name: &str,
 ) -> Option<&'a str> {
@@ -246,6 +257,6 @@
 }
 
 /// Returns a header's value if it is an unsigned integer.
-pub(crate) fn number(request: &Request<Incoming>, name: &str) -> Option<u64> {
-    header(request, name)?.trim().parse().ok()
+pub(crate) fn header_number(request: &Request<Incoming>, name: &str) -> Option<u64> {
+    header_text(request, name)?.trim().parse().ok()
 }
--- a/crates/fake/src/lib.rs
+++ b/crates/fake/src/lib.rs
@@ -25,7 +25,7 @@
 mod base64;
 pub mod demo;
 pub mod engine;
-mod faults;
+mod fault_count;
 mod handle;
 mod http;
 pub mod load;
--- a/crates/fake/src/load/mod.rs
+++ b/crates/fake/src/load/mod.rs
@@ -5,10 +5,10 @@
 //! ends cleanly although it is incomplete, or that belongs to another request, is
 //! detected and counted as wrong.
 
-mod answer;
-mod mix;
+mod exchange;
 mod report;
 mod request;
+mod workload;
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -24,11 +24,11 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-pub use mix::Workload;
 pub use report::{ProfileReport, Quantiles, Report};
+pub use workload::Workload;
 
-use answer::Outcome;
-use request::Job;
+use exchange::RequestOutcome;
+use request::GeneratedRequest;
 
 pub(crate) type HttpClient = Client<HttpConnector, Full<Bytes>>;
 
@@ -63,21 +63,22 @@
 
 /// Sends all requests and waits for every response.
 pub async fn run(options: LoadOptions) -> Report {
-    let driver = Arc::new(Driver {
+    let generator = Arc::new(LoadGenerator {
         client: Client::builder(TokioExecutor::new()).build(connector()),
         report: Mutex::new(Report::new(&options.workloads)),
-        next: AtomicU64::new(0),
-        out: Mutex::default(),
+        next_index: AtomicU64::new(0),
+        excluded_targets: Mutex::default(),
         options,
     });
-    let begun = Instant::now();
-    match driver.options.rate_per_s {
-        Some(rate) if rate > 0.0 => open_loop(&driver, rate).await,
-        _ => closed_loop(&driver).await,
+    let started_at = Instant::now();
+    match generator.options.rate_per_s {
+        Some(rate) if rate > 0.0 => open_loop(&generator, rate).await,
+        _ => closed_loop(&generator).await,
     }
-    let mut report = driver.report.lock().clone();
-    report.elapsed_ms = u64::try_from(begun.elapsed().as_millis()).unwrap_or(u64::MAX);
-    report.finished()
+    let mut report = generator.report.lock().clone();
+    report.elapsed_ms =
+        u64::try_from(started_at.elapsed().as_millis()).unwrap_or(u64::MAX);
+    report.with_quantiles()
 }
 
 fn connector() -> HttpConnector {
@@ -86,69 +87,78 @@
     connector
 }
 
-struct Driver {
+struct LoadGenerator {
     client: HttpClient,
     report: Mutex<Report>,
-    next: AtomicU64,
+    next_index: AtomicU64,
     /// Targets that are excluded as unavailable.
-    out: Mutex<BTreeSet<SocketAddr>>,
+    excluded_targets: Mutex<BTreeSet<SocketAddr>>,
     options: LoadOptions,
 }
 
-async fn closed_loop(driver: &Arc<Driver>) {
+async fn closed_loop(generator: &Arc<LoadGenerator>) {
     let mut workers = JoinSet::new();
-    for _ in 0..driver.options.concurrency.max(1) {
-        let driver = Arc::clone(driver);
-        workers.spawn(async move { while driver.send_next().await {} });
+    for _ in 0..generator.options.concurrency.max(1) {
+        let generator = Arc::clone(generator);
+        workers.spawn(async move { while generator.send_next().await {} });
     }
     while workers.join_next().await.is_some() {}
 }
 
-async fn open_loop(driver: &Arc<Driver>, rate: f64) {
-    let begun = Instant::now();
+async fn open_loop(generator: &Arc<LoadGenerator>, rate: f64) {
+    let started_at = Instant::now();
     let mut requests = JoinSet::new();
-    for index in 0..driver.options.count {
-        let due = begun + Duration::from_secs_f64(index as f64 / rate);
-        tokio::time::sleep_until(due).await;
+    for index in 0..generator.options.count {
+        let start_at = started_at + Duration::from_secs_f64(index as f64 / rate);
+        tokio::time::sleep_until(start_at).await;
         while requests.try_join_next().is_some() {}
         if requests.len() >= IN_PROGRESS_MAX {
             requests.join_next().await;
         }
-        let driver = Arc::clone(driver);
-        requests.spawn(async move { driver.send_next().await });
+        let generator = Arc::clone(generator);
+        requests.spawn(async move { generator.send_next().await });
     }
     while requests.join_next().await.is_some() {}
 }
 
-impl Driver {
+impl LoadGenerator {
     /// Returns the target of the request at `index`, or `None` if there are no targets.
     fn target(&self, index: u64) -> Option<SocketAddr> {
-        let all = &self.options.targets;
-        let out = self.out.lock();
-        let ready = all.iter().filter(|target| !out.contains(target));
-        let ready: Vec<SocketAddr> = ready.copied().collect();
-        let from = if ready.is_empty() { all } else { &ready };
-        let place = index % u64::try_from(from.len()).ok()?.max(1);
-        from.get(usize::try_from(place).ok()?).copied()
+        let targets = &self.options.targets;
+        let excluded_targets = self.excluded_targets.lock();
+        let available = targets
+            .iter()
+            .filter(|target| !excluded_targets.contains(target));
+        let available: Vec<SocketAddr> = available.copied().collect();
+        let candidates = if available.is_empty() {
+            targets
+        } else {
+            &available
+        };
+        let position = index % u64::try_from(candidates.len()).ok()?.max(1);
+        candidates.get(usize::try_from(position).ok()?).copied()
     }
 
     /// Sends the next request. Returns false if there is none left.
     async fn send_next(&self) -> bool {
-        let index = self.next.fetch_add(1, Ordering::Relaxed);
+        let index = self.next_index.fetch_add(1, Ordering::Relaxed);
         if index >= self.options.count {
             return false;
         }
         let Some(target) = self.target(index) else {
             return false;
         };
-        let Some(job) = Job::new(&self.options, index, target) else {
+        let Some(generated) = GeneratedRequest::new(&self.options, index, target)
+        else {
             return false;
         };
-        let outcome: Outcome = answer::exchange(&self.client, &job).await;
-        if self.options.exclude_unavailable_targets && outcome.verdict.is_away() {
-            self.out.lock().insert(target);
+        let outcome: RequestOutcome = exchange::send(&self.client, &generated).await;
+        if self.options.exclude_unavailable_targets
+            && outcome.verdict.is_target_unavailable()
+        {
+            self.excluded_targets.lock().insert(target);
         }
-        self.report.lock().add(&job.mix, &outcome);
+        self.report.lock().add(&generated.workload, &outcome);
         true
     }
 }
--- a/crates/fake/src/load/report.rs
+++ b/crates/fake/src/load/report.rs
@@ -7,10 +7,10 @@
 use std::time::Duration;
 
 use super::Workload;
-use super::answer::{Outcome, Verdict};
+use super::exchange::{RequestOutcome, Verdict};
 
 /// Maximum number of descriptions of wrong responses in a report.
-const WRONG_KEPT: usize = 8;
+const WRONG_DESCRIPTIONS_MAX: usize = 8;
 
 /// Results of one or more runs of the load generator.
 #[derive(Debug, Clone, Serialize)]
@@ -53,13 +53,13 @@
     /// Total time of complete responses.
     pub total: Quantiles,
     #[serde(skip)]
-    times: Times,
+    histograms: Histograms,
 }
 
 #[derive(Debug, Clone)]
-struct Times {
-    first: Histogram<u64>,
-    between: Histogram<u64>,
+struct Histograms {
+    first_token: Histogram<u64>,
+    between_tokens: Histogram<u64>,
     total: Histogram<u64>,
 }
 
@@ -79,7 +79,7 @@
 }
 
 impl Quantiles {
-    fn of(values: &Histogram<u64>) -> Self {
+    fn from_histogram(values: &Histogram<u64>) -> Self {
         Self {
             count: values.len(),
             p50_us: values.value_at_quantile(0.50),
@@ -90,12 +90,12 @@
     }
 }
 
-fn histogram() -> Histogram<u64> {
+fn new_histogram() -> Histogram<u64> {
     // Three significant digits are a valid precision, so this can't fail.
     Histogram::new(3).expect("the precision is valid")
 }
 
-fn record(values: &mut Histogram<u64>, time: Duration) {
+fn record_duration(values: &mut Histogram<u64>, time: Duration) {
     let us = u64::try_from(time.as_micros()).unwrap_or(u64::MAX);
     // The histogram resizes as needed, so this can't fail. `saturating_record` would
     // not resize it, and every duration would be reported as 0.
@@ -116,38 +116,38 @@
             first_token: Quantiles::default(),
             between_tokens: Quantiles::default(),
             total: Quantiles::default(),
-            times: Times {
-                first: histogram(),
-                between: histogram(),
-                total: histogram(),
+            histograms: Histograms {
+                first_token: new_histogram(),
+                between_tokens: new_histogram(),
+                total: new_histogram(),
             },
         }
     }
 
-    fn add(&mut self, mix: &Workload, outcome: &Outcome) {
+    fn add(&mut self, workload: &Workload, outcome: &RequestOutcome) {
         self.sent += 1;
         match &outcome.verdict {
-            Verdict::Whole => {
+            Verdict::Complete => {
                 self.whole += 1;
-                self.attained += u64::from(attained(mix, outcome));
-                record(&mut self.times.total, outcome.total);
+                self.attained += u64::from(met_targets(workload, outcome));
+                record_duration(&mut self.histograms.total, outcome.total);
             }
             Verdict::Wrong(_) => self.wrong += 1,
             Verdict::Refused { code, ran } => {
                 let kind = format!("{code} {ran}").trim().to_owned();
                 *self.refused.entry(kind).or_default() += 1;
             }
-            Verdict::Broken { code } => {
+            Verdict::Incomplete { code } => {
                 *self.broken.entry(code.clone()).or_default() += 1;
             }
-            Verdict::Unreached => self.unreached += 1,
+            Verdict::NotConnected => self.unreached += 1,
             Verdict::Disconnected => self.disconnected += 1,
         }
         if let Some(first) = outcome.first_token {
-            record(&mut self.times.first, first);
+            record_duration(&mut self.histograms.first_token, first);
         }
-        for gap in &outcome.gaps {
-            record(&mut self.times.between, *gap);
+        for gap in &outcome.token_gaps {
+            record_duration(&mut self.histograms.between_tokens, *gap);
         }
     }
 
@@ -161,15 +161,22 @@
         add_counts(&mut self.refused, &other.refused);
         add_counts(&mut self.broken, &other.broken);
         // Both have the same precision and resize as needed, so this can't fail.
-        let _ = self.times.first.add(&other.times.first);
-        let _ = self.times.between.add(&other.times.between);
-        let _ = self.times.total.add(&other.times.total);
+        let _ = self
+            .histograms
+            .first_token
+            .add(&other.histograms.first_token);
+        let _ = self
+            .histograms
+            .between_tokens
+            .add(&other.histograms.between_tokens);
+        let _ = self.histograms.total.add(&other.histograms.total);
     }
 
-    fn refresh(&mut self) {
-        self.first_token = Quantiles::of(&self.times.first);
-        self.between_tokens = Quantiles::of(&self.times.between);
-        self.total = Quantiles::of(&self.times.total);
+    fn update_quantiles(&mut self) {
+        self.first_token = Quantiles::from_histogram(&self.histograms.first_token);
+        self.between_tokens =
+            Quantiles::from_histogram(&self.histograms.between_tokens);
+        self.total = Quantiles::from_histogram(&self.histograms.total);
     }
 }
 
@@ -181,24 +188,26 @@
 
 /// Returns whether a complete response met its workload's targets. The time between
 /// tokens is the mean over the response.
-fn attained(mix: &Workload, outcome: &Outcome) -> bool {
+fn met_targets(workload: &Workload, outcome: &RequestOutcome) -> bool {
     let within = |time: Duration, limit_ms: u64| {
         limit_ms == 0 || time <= Duration::from_millis(limit_ms)
     };
     let first = outcome.first_token.unwrap_or(outcome.total);
-    let gaps = u32::try_from(outcome.gaps.len()).unwrap_or(u32::MAX).max(1);
-    let mean_gap = outcome.gaps.iter().sum::<Duration>() / gaps;
-    let timed = !mix.stream || within(first, mix.first_token_ms);
-    timed
-        && within(mean_gap, mix.between_tokens_ms)
-        && within(outcome.total, mix.deadline_ms)
+    let gaps = u32::try_from(outcome.token_gaps.len())
+        .unwrap_or(u32::MAX)
+        .max(1);
+    let mean_gap = outcome.token_gaps.iter().sum::<Duration>() / gaps;
+    let first_token_met = !workload.stream || within(first, workload.first_token_ms);
+    first_token_met
+        && within(mean_gap, workload.between_tokens_ms)
+        && within(outcome.total, workload.deadline_ms)
 }
 
 impl Report {
     pub(super) fn new(workloads: &[Workload]) -> Self {
         let profiles = workloads
             .iter()
-            .map(|mix| (mix.profile.clone(), ProfileReport::new()));
+            .map(|workload| (workload.profile.clone(), ProfileReport::new()));
         Self {
             elapsed_ms: 0,
             profiles: profiles.collect(),
@@ -208,37 +217,42 @@
         }
     }
 
-    pub(super) fn add(&mut self, mix: &Workload, outcome: &Outcome) {
-        let profile = self.profiles.entry(mix.profile.clone());
-        profile.or_insert_with(ProfileReport::new).add(mix, outcome);
+    pub(super) fn add(&mut self, workload: &Workload, outcome: &RequestOutcome) {
+        let profile = self.profiles.entry(workload.profile.clone());
+        profile
+            .or_insert_with(ProfileReport::new)
+            .add(workload, outcome);
         if let Verdict::Wrong(text) = &outcome.verdict
-            && self.wrong.len() < WRONG_KEPT
+            && self.wrong.len() < WRONG_DESCRIPTIONS_MAX
         {
             self.wrong.push(text.clone());
         }
         let total_ms = u64::try_from(outcome.total.as_millis()).unwrap_or(u64::MAX);
-        let whole = outcome.verdict == Verdict::Whole;
-        if whole && total_ms > self.slowest_ms && !outcome.request.is_empty() {
+        let complete = outcome.verdict == Verdict::Complete;
+        if complete && total_ms > self.slowest_ms && !outcome.request_id.is_empty() {
             self.slowest_ms = total_ms;
-            self.slowest_request = outcome.request.clone();
+            self.slowest_request = outcome.request_id.clone();
         }
     }
 
     /// Adds the results of another run to these.
     pub fn merge(&mut self, other: &Self) {
         self.elapsed_ms += other.elapsed_ms;
-        for (name, theirs) in &other.profiles {
-            let ours = self.profiles.entry(name.clone());
-            ours.or_insert_with(ProfileReport::new).merge(theirs);
+        for (name, other_profile) in &other.profiles {
+            let profile = self.profiles.entry(name.clone());
+            profile
+                .or_insert_with(ProfileReport::new)
+                .merge(other_profile);
         }
-        let room = WRONG_KEPT.saturating_sub(self.wrong.len());
-        self.wrong.extend(other.wrong.iter().take(room).cloned());
+        let remaining = WRONG_DESCRIPTIONS_MAX.saturating_sub(self.wrong.len());
+        self.wrong
+            .extend(other.wrong.iter().take(remaining).cloned());
         if other.slowest_ms > self.slowest_ms {
             self.slowest_ms = other.slowest_ms;
             self.slowest_request.clone_from(&other.slowest_request);
         }
         for profile in self.profiles.values_mut() {
-            profile.refresh();
+            profile.update_quantiles();
         }
     }
 
@@ -249,9 +263,9 @@
 
     /// Computes the quantiles.
     #[must_use]
-    pub(super) fn finished(mut self) -> Self {
+    pub(super) fn with_quantiles(mut self) -> Self {
         for profile in self.profiles.values_mut() {
-            profile.refresh();
+            profile.update_quantiles();
         }
         self
     }
@@ -285,8 +299,8 @@
                 profile.unreached,
                 profile.disconnected,
                 profile.wrong,
-                pair(&profile.first_token),
-                pair(&profile.between_tokens),
+                format_p50_p95(&profile.first_token),
+                format_p50_p95(&profile.between_tokens),
             );
         }
         for (name, profile) in &self.profiles {
@@ -301,10 +315,10 @@
     }
 }
 
-fn pair(times: &Quantiles) -> String {
-    if times.count == 0 {
+fn format_p50_p95(quantiles: &Quantiles) -> String {
+    if quantiles.count == 0 {
         return "-".to_owned();
     }
     let ms = |us: u64| us as f64 / 1_000.0;
-    format!("{:.1} / {:.1}", ms(times.p50_us), ms(times.p95_us))
+    format!("{:.1} / {:.1}", ms(quantiles.p50_us), ms(quantiles.p95_us))
 }
--- a/crates/fake/src/load/request.rs
+++ b/crates/fake/src/load/request.rs
@@ -14,17 +14,17 @@
 
 /// A request and what is needed to compute its expected response.
 #[derive(Debug)]
-pub(super) struct Job {
-    pub(super) mix: Workload,
+pub(super) struct GeneratedRequest {
+    pub(super) workload: Workload,
     pub(super) model: String,
     pub(super) prompt: String,
     /// Idempotency key, for a plain service.
-    pub(super) key: String,
+    pub(super) idempotency_key: String,
     target: SocketAddr,
-    bearer: Option<String>,
+    authorization: Option<String>,
 }
 
-impl Job {
+impl GeneratedRequest {
     /// Generates the request at `index`. Returns `None` if there are no workloads.
     pub(super) fn new(
         options: &LoadOptions,
@@ -32,27 +32,28 @@
         target: SocketAddr,
     ) -> Option<Self> {
         let mut random = Pcg64::seed_from_u64(options.seed ^ index.rotate_left(32));
-        let mix = pick_mix(&options.workloads, &mut random)?.clone();
-        let model = pick_model(&mix.models, &mut random);
+        let workload = pick_workload(&options.workloads, &mut random)?.clone();
+        let model = pick_model(&workload.models, &mut random);
         Some(Self {
-            prompt: prompt(&mix, &model, options.seed, index),
-            key: format!("load-{:x}-{index:x}", options.seed),
+            prompt: build_prompt(&workload, &model, options.seed, index),
+            idempotency_key: format!("load-{:x}-{index:x}", options.seed),
             target,
-            bearer: (!options.direct).then(|| format!("Bearer {}", options.caller_key)),
+            authorization: (!options.direct)
+                .then(|| format!("Bearer {}", options.caller_key)),
             model,
-            mix,
+            workload,
         })
     }
 
     /// Returns whether the request is for a plain service.
     pub(super) fn is_service(&self) -> bool {
-        !self.mix.service.is_empty()
+        !self.workload.service.is_empty()
     }
 
     /// Returns the HTTP request, or `None` if a name is not valid in a header or path.
     pub(super) fn request(&self) -> Option<Request<Full<Bytes>>> {
         let path = if self.is_service() {
-            format!("/svc/{}/orders", self.mix.service)
+            format!("/svc/{}/orders", self.workload.service)
         } else {
             "/v1/chat/completions".to_owned()
         };
@@ -60,13 +61,13 @@
             .method(Method::POST)
             .uri(format!("http://{}{path}", self.target))
             .header(CONTENT_TYPE, "application/json");
-        if let Some(bearer) = &self.bearer {
+        if let Some(authorization) = &self.authorization {
             request = request
-                .header(AUTHORIZATION, bearer)
-                .header("x-profile", &self.mix.profile);
+                .header(AUTHORIZATION, authorization)
+                .header("x-profile", &self.workload.profile);
         }
         if self.is_service() {
-            request = request.header("idempotency-key", &self.key);
+            request = request.header("idempotency-key", &self.idempotency_key);
         }
         request.body(Full::new(Bytes::from(self.body()))).ok()
     }
@@ -78,20 +79,26 @@
         json!({
             "model": self.model,
             "messages": [{"role": "user", "content": self.prompt}],
-            "max_tokens": self.mix.max_tokens,
-            "stream": self.mix.stream,
+            "max_tokens": self.workload.max_tokens,
+            "stream": self.workload.stream,
         })
         .to_string()
     }
 }
 
-fn pick_mix<'a>(workloads: &'a [Workload], random: &mut Pcg64) -> Option<&'a Workload> {
-    let total: u64 = workloads.iter().map(|mix| u64::from(mix.weight)).sum();
-    let mut ticket = random.next_u64() % total.max(1);
-    workloads.iter().find(|mix| {
-        let weight = u64::from(mix.weight);
-        let found = ticket < weight;
-        ticket = ticket.saturating_sub(weight);
+fn pick_workload<'a>(
+    workloads: &'a [Workload],
+    random: &mut Pcg64,
+) -> Option<&'a Workload> {
+    let total: u64 = workloads
+        .iter()
+        .map(|workload| u64::from(workload.weight))
+        .sum();
+    let mut threshold = random.next_u64() % total.max(1);
+    workloads.iter().find(|workload| {
+        let weight = u64::from(workload.weight);
+        let found = threshold < weight;
+        threshold = threshold.saturating_sub(weight);
         found
     })
 }
@@ -101,25 +108,28 @@
 fn pick_model(models: &[String], random: &mut Pcg64) -> String {
     let weights = (1..=models.len()).map(|rank| 1.0 / rank as f64);
     let total: f64 = weights.clone().sum();
-    let mut ticket = random.next_u32() as f64 / (f64::from(u32::MAX) + 1.0) * total;
+    let mut threshold = random.next_u32() as f64 / (f64::from(u32::MAX) + 1.0) * total;
     for (model, weight) in models.iter().zip(weights) {
-        if ticket < weight {
+        if threshold < weight {
             return model.clone();
         }
-        ticket -= weight;
+        threshold -= weight;
     }
     models.last().cloned().unwrap_or_default()
 }
 
-fn prompt(mix: &Workload, model: &str, seed: u64, index: u64) -> String {
-    let fill = |text: String, tokens: u32| -> String {
+fn build_prompt(workload: &Workload, model: &str, seed: u64, index: u64) -> String {
+    let repeat_to = |text: String, tokens: u32| -> String {
         let bytes = tokens as usize * BYTES_PER_TOKEN;
         text.chars().cycle().take(bytes).collect()
     };
-    let shared = fill(format!("manual of {model}; "), mix.shared_tokens);
-    let own = mix.prompt_tokens.saturating_sub(mix.shared_tokens).max(1);
+    let shared = repeat_to(format!("manual of {model}; "), workload.shared_tokens);
+    let own = workload
+        .prompt_tokens
+        .saturating_sub(workload.shared_tokens)
+        .max(1);
     // The index is included outside the repeated text, so that no two prompts are
     // equal.
-    let own = fill(format!("fault {seed:x}-{index:x} "), own);
+    let own = repeat_to(format!("fault {seed:x}-{index:x} "), own);
     format!("{shared} #{seed:x}-{index:x} {own}")
 }
--- a/crates/fake/src/overhead/fleet.rs
+++ b/crates/fake/src/overhead/fleet.rs
@@ -17,12 +17,12 @@
 /// Returns the names of the models, one for each engine.
 pub(super) fn models(engines: usize) -> Vec<String> {
     (1..=engines)
-        .map(|place| format!("model-{place}"))
+        .map(|index| format!("model-{index}"))
         .collect()
 }
 
 /// Returns the fleet configuration for a number of engines with a step time.
-pub(super) fn document(engines: usize, step_us: u64) -> String {
+pub(super) fn fleet_document(engines: usize, step_us: u64) -> String {
     let names = models(engines);
     let models: serde_json::Map<String, Value> = names
         .iter()
@@ -103,14 +103,14 @@
 
 /// Publishes the configuration, waits until the deployment is ready, and sends one
 /// request to each model so that it is loaded.
-pub(super) async fn bring_up(
+pub(super) async fn prepare(
     deployment: &Deployment,
     engines: usize,
     step_us: u64,
 ) -> Result<(), DemoError> {
-    let said = deployment.publish_with(&document(engines, step_us), &[])?;
-    if said.exit_code != 0 {
-        return Err(DemoError::CommandFailed(said.text));
+    let output = deployment.publish_with(&fleet_document(engines, step_us), &[])?;
+    if output.exit_code != 0 {
+        return Err(DemoError::CommandFailed(output.text));
     }
     deployment.wait_ready().await?;
     for model in models(engines) {
--- a/crates/fake/src/overhead/delay.rs
+++ b/crates/fake/src/overhead/latency.rs
@@ -3,7 +3,7 @@
 
 use super::OverheadOptions;
 use super::fleet::{self, KEY, PROFILE};
-use super::processes::{idle, resident_now};
+use super::processes::{format_resident_memory, measure_idle};
 use crate::demo::{DemoError, Deployment, DeploymentOptions};
 use crate::load::{self, LoadOptions, ProfileReport, Report};
 
@@ -23,9 +23,9 @@
         use_weight_store: false,
         ..DeploymentOptions::default()
     })?;
-    fleet::bring_up(&deployment, 1, STEP_US).await?;
+    fleet::prepare(&deployment, 1, STEP_US).await?;
     println!("\none engine, one agent, one entry, idle with a model loaded:");
-    print!("{}", idle(&deployment, options.idle_seconds).await);
+    print!("{}", measure_idle(&deployment, options.idle_seconds).await);
     println!(
         "\nstep 10 ms, {TOKENS} tokens, {} rounds of {} s per path; ms direct -> through entry and agent",
         options.rounds, options.seconds
@@ -35,38 +35,47 @@
         "req/s", "first p50", "first p99", "whole p50", "whole p99", "whole"
     );
     for rate in RATES_PER_S {
-        let (direct, through) = rounds(&deployment, options, rate).await;
+        let (direct, through) = run_rounds(&deployment, options, rate).await;
         print_ratios(rate, &direct.profiles[PROFILE], &through.profiles[PROFILE]);
     }
-    println!("resident after the loads:\n{}", resident_now(&deployment));
+    println!(
+        "resident after the loads:\n{}",
+        format_resident_memory(&deployment)
+    );
     deployment.stop();
     Ok(())
 }
 
-async fn rounds(
+async fn run_rounds(
     deployment: &Deployment,
     options: &OverheadOptions,
     rate: u32,
 ) -> (Report, Report) {
-    let mut both: [Option<Report>; 2] = [None, None];
-    for turn in 0..options.rounds {
-        for (place, total) in both.iter_mut().enumerate() {
-            let direct = place == 0;
-            let mut of_turn = work(deployment, direct, rate, options.seconds);
-            of_turn.seed = u64::from(rate) << 32 | u64::from(turn);
-            let report = load::run(of_turn).await;
+    let mut reports: [Option<Report>; 2] = [None, None];
+    for round in 0..options.rounds {
+        for (index, total) in reports.iter_mut().enumerate() {
+            let direct = index == 0;
+            let mut round_options =
+                load_options(deployment, direct, rate, options.seconds);
+            round_options.seed = u64::from(rate) << 32 | u64::from(round);
+            let report = load::run(round_options).await;
             match total {
                 Some(total) => total.merge(&report),
                 None => *total = Some(report),
             }
         }
     }
-    let [direct, through] = both;
+    let [direct, through] = reports;
     let measured = "there is at least one round";
     (direct.expect(measured), through.expect(measured))
 }
 
-fn work(deployment: &Deployment, direct: bool, rate: u32, seconds: u64) -> LoadOptions {
+fn load_options(
+    deployment: &Deployment,
+    direct: bool,
+    rate: u32,
+    seconds: u64,
+) -> LoadOptions {
     LoadOptions {
         targets: if direct {
             deployment.engine_addresses()
@@ -85,7 +94,7 @@
 }
 
 fn print_ratios(rate: u32, direct: &ProfileReport, through: &ProfileReport) {
-    let pair = |direct_us: u64, through_us: u64| {
+    let format_ratio = |direct_us: u64, through_us: u64| {
         let ratio = through_us as f64 / direct_us.max(1) as f64;
         let ms = |us: u64| us as f64 / 1_000.0;
         format!("{:.2} -> {:.2} = {ratio:.3}", ms(direct_us), ms(through_us))
@@ -94,10 +103,10 @@
     let (total, total_through) = (&direct.total, &through.total);
     println!(
         "{rate:>6}  {:<26}{:<26}{:<26}{:<26}{}+{} of {}",
-        pair(first.p50_us, first_through.p50_us),
-        pair(first.p99_us, first_through.p99_us),
-        pair(total.p50_us, total_through.p50_us),
-        pair(total.p99_us, total_through.p99_us),
+        format_ratio(first.p50_us, first_through.p50_us),
+        format_ratio(first.p99_us, first_through.p99_us),
+        format_ratio(total.p50_us, total_through.p50_us),
+        format_ratio(total.p99_us, total_through.p99_us),
         direct.whole,
         through.whole,
         direct.sent + through.sent,
--- a/crates/fake/src/overhead/mod.rs
+++ b/crates/fake/src/overhead/mod.rs
@@ -5,14 +5,14 @@
 //! It prints figures and checks no limits. Each round measures both paths, one after the
 //! other, so that other load on the machine affects both alike.
 
-mod delay;
 mod fleet;
+mod latency;
 mod processes;
 mod throughput;
 
 use std::fmt::Write as _;
 
-use crate::demo::{DemoError, interrupted};
+use crate::demo::{DemoError, shutdown_signal};
 
 /// Options of the benchmark.
 #[derive(Debug, Clone, Copy)]
@@ -48,28 +48,28 @@
     // SIGINT and SIGTERM are handled, since the children would outlive a benchmark that
     // they killed.
     tokio::select! {
-        done = measure(options) => done,
-        () = interrupted() => Err(DemoError::Interrupted),
+        result = measure(options) => result,
+        () = shutdown_signal() => Err(DemoError::Interrupted),
     }
 }
 
 async fn measure(options: OverheadOptions) -> Result<(), DemoError> {
-    println!("{}", machine());
+    println!("{}", machine_state());
     if options.sections.latency {
-        delay::run(&options).await?;
+        latency::run(&options).await?;
     }
     if options.sections.throughput {
         throughput::run(&options).await?;
     }
     if options.sections.idle_fleet {
-        processes::control(&options).await?;
+        processes::measure_idle_fleet(&options).await?;
     }
-    println!("{}", machine());
+    println!("{}", machine_state());
     Ok(())
 }
 
 /// Returns number of cores and load average, which affect the figures.
-fn machine() -> String {
+fn machine_state() -> String {
     let load = std::fs::read_to_string("/proc/loadavg").unwrap_or_default();
     let cores = std::thread::available_parallelism().map_or(0, usize::from);
     let mut text = String::new();
--- a/crates/fake/src/overhead/throughput.rs
+++ b/crates/fake/src/overhead/throughput.rs
@@ -2,7 +2,7 @@
 
 use super::OverheadOptions;
 use super::fleet::{self, KEY};
-use super::processes::{Use, loaded};
+use super::processes::{UsageSnapshot, usage_since};
 use crate::demo::{DemoError, Deployment, DeploymentOptions, ProbeClient};
 use crate::engine;
 use crate::load::{self, LoadOptions, Report};
@@ -18,7 +18,7 @@
 
 /// Estimate of streams per second, which determines the number of requests of a
 /// measurement; the result does not depend on it.
-const GUESS_PER_S: u64 = 5_000;
+const ESTIMATED_STREAMS_PER_S: u64 = 5_000;
 
 /// Measures each concurrency, both through the entry and directly at the engines.
 pub(super) async fn run(options: &OverheadOptions) -> Result<(), DemoError> {
@@ -30,66 +30,67 @@
         use_weight_store: false,
         ..DeploymentOptions::default()
     })?;
-    fleet::bring_up(&deployment, ENGINES, STEP_US).await?;
+    fleet::prepare(&deployment, ENGINES, STEP_US).await?;
     println!(
         "\nstreams of {TOKENS} tokens, {ENGINES} engines with a step of 1 ms, one \
          entry, whole streams per second:"
     );
     for concurrency in CONCURRENCIES {
-        for turn in 0..options.rounds {
-            one_turn(&deployment, options, concurrency, u64::from(turn)).await;
+        for round in 0..options.rounds {
+            run_round(&deployment, options, concurrency, u64::from(round)).await;
         }
     }
     deployment.stop();
     Ok(())
 }
 
-async fn one_turn(
+async fn run_round(
     deployment: &Deployment,
     options: &OverheadOptions,
     concurrency: usize,
-    turn: u64,
+    round: u64,
 ) {
-    let count = GUESS_PER_S * options.seconds;
-    let direct = straight(deployment, concurrency, count, turn).await;
-    let before = Use::of(deployment);
-    let mut of_entry = work(deployment.entry_addresses(), count, turn);
-    of_entry.concurrency = concurrency;
-    let through = load::run(of_entry).await;
-    let used = loaded(deployment, &before);
+    let count = ESTIMATED_STREAMS_PER_S * options.seconds;
+    let direct = run_direct(deployment, concurrency, count, round).await;
+    let before = UsageSnapshot::read(deployment);
+    let mut entry_options = load_options(deployment.entry_addresses(), count, round);
+    entry_options.concurrency = concurrency;
+    let through = load::run(entry_options).await;
+    let usage = usage_since(deployment, &before);
     println!(
         "{concurrency:>6} at once: direct {:>7.0}, through {:>7.0} (whole {} of {count}); \
          first p50/p99 ms {}",
         direct.as_ref().map_or(0.0, per_second),
         per_second(&through),
-        whole(&through),
-        first(&through),
+        complete_count(&through),
+        format_first_token(&through),
     );
-    print!("{used}");
-    if whole(&through) != count {
+    print!("{usage}");
+    if complete_count(&through) != count {
         print!("{}", through.table());
     }
 }
 
 /// Sends the same load directly to the engines, to each on the model that it has
 /// loaded.
-async fn straight(
+async fn run_direct(
     deployment: &Deployment,
     concurrency: usize,
     count: u64,
-    turn: u64,
+    round: u64,
 ) -> Option<Report> {
     let probe = ProbeClient::new();
     let mut runs = JoinSet::new();
     for engine in deployment.engine_addresses() {
         let state: engine::Report = probe.get_json(engine, "/admin/state").await?;
-        let held = state.residents.first()?;
-        let mut of_engine = work(vec![engine], count / ENGINES as u64, turn);
-        of_engine.direct = true;
-        of_engine.workloads =
-            fleet::workloads(std::slice::from_ref(&held.model), TOKENS);
-        of_engine.concurrency = concurrency / ENGINES;
-        runs.spawn(load::run(of_engine));
+        let resident = state.residents.first()?;
+        let mut engine_options =
+            load_options(vec![engine], count / ENGINES as u64, round);
+        engine_options.direct = true;
+        engine_options.workloads =
+            fleet::workloads(std::slice::from_ref(&resident.model), TOKENS);
+        engine_options.concurrency = concurrency / ENGINES;
+        runs.spawn(load::run(engine_options));
     }
     let reports = runs.join_all().await;
     let longest_ms = reports.iter().map(|report| report.elapsed_ms).max()?;
@@ -100,7 +101,7 @@
     Some(all)
 }
 
-fn work(targets: Vec<SocketAddr>, count: u64, turn: u64) -> LoadOptions {
+fn load_options(targets: Vec<SocketAddr>, count: u64, round: u64) -> LoadOptions {
     LoadOptions {
         targets,
         direct: false,
@@ -110,19 +111,19 @@
         concurrency: 0,
         rate_per_s: None,
         count,
-        seed: turn + 1,
+        seed: round + 1,
     }
 }
 
-fn whole(report: &Report) -> u64 {
+fn complete_count(report: &Report) -> u64 {
     report.profiles.values().map(|profile| profile.whole).sum()
 }
 
 fn per_second(report: &Report) -> f64 {
-    whole(report) as f64 * 1_000.0 / report.elapsed_ms.max(1) as f64
+    complete_count(report) as f64 * 1_000.0 / report.elapsed_ms.max(1) as f64
 }
 
-fn first(report: &Report) -> String {
+fn format_first_token(report: &Report) -> String {
     let profile = report.profiles.values().next();
     let ms = |us: u64| us as f64 / 1_000.0;
     profile.map_or(String::new(), |profile| {
--- a/crates/fake/src/platform/faults.rs
+++ b/crates/fake/src/platform/faults.rs
@@ -4,7 +4,7 @@
 use rand_pcg::Pcg64;
 use serde::{Deserialize, Serialize};
 
-use crate::faults::take;
+use crate::fault_count::consume;
 
 /// Active faults; the default is none.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -49,43 +49,47 @@
 
 /// Effect of the faults on one write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum WriteFate {
-    Answered,
-    AnswerLost,
-    Lost,
+pub(super) enum WriteFault {
+    None,
+    ResponseLost,
+    RequestLost,
 }
 
 impl Faults {
     /// Returns the fault that applies to a write and decrements its count.
-    pub(super) fn write_fate(&mut self, key: &str, dice: &mut Dice) -> WriteFate {
+    pub(super) fn take_write_fault(
+        &mut self,
+        key: &str,
+        rng: &mut FaultRng,
+    ) -> WriteFault {
         if !key.starts_with(&self.lose_prefix) {
-            return WriteFate::Answered;
+            return WriteFault::None;
         }
-        if take(&mut self.lose_writes) {
-            return WriteFate::Lost;
+        if consume(&mut self.lose_writes) {
+            return WriteFault::RequestLost;
         }
-        if take(&mut self.lose_answers) || dice.percent(self.lose_answers_percent) {
-            return WriteFate::AnswerLost;
+        if consume(&mut self.lose_answers) || rng.percent(self.lose_answers_percent) {
+            return WriteFault::ResponseLost;
         }
-        WriteFate::Answered
+        WriteFault::None
     }
 
     /// Returns whether a read or list returns an earlier state, and decrements the count.
-    pub(super) fn read_is_old(&mut self, key: &str) -> bool {
-        key.starts_with(&self.old_reads_prefix) && take(&mut self.old_reads)
+    pub(super) fn take_old_read(&mut self, key: &str) -> bool {
+        key.starts_with(&self.old_reads_prefix) && consume(&mut self.old_reads)
     }
 
     /// Returns whether watches miss a change, and decrements the count.
-    pub(super) fn change_is_missed(&mut self, key: &str) -> bool {
-        key.starts_with(&self.missed_prefix) && take(&mut self.missed_changes)
+    pub(super) fn take_missed_change(&mut self, key: &str) -> bool {
+        key.starts_with(&self.missed_prefix) && consume(&mut self.missed_changes)
     }
 }
 
 /// Seeded generator that decides on random faults.
 #[derive(Debug)]
-pub(super) struct Dice(Pcg64);
+pub(super) struct FaultRng(Pcg64);
 
-impl Dice {
+impl FaultRng {
     pub(super) fn new(seed: u64) -> Self {
         Self(Pcg64::seed_from_u64(seed))
     }
--- a/crates/fake/src/platform/mod.rs
+++ b/crates/fake/src/platform/mod.rs
@@ -16,13 +16,13 @@
 use tokio::sync::watch;
 
 use crate::Handle;
-use crate::handle::{self, ANY_PORT, Tasks, handle_methods};
-use crate::http::Cutter;
+use crate::handle::{self, ANY_PORT, TaskSet, handle_methods};
+use crate::http::ConnectionCloser;
 
 pub use faults::{Faults, Outage};
 pub use objects::VALUE_MAX_BYTES;
 
-use faults::Dice;
+use faults::FaultRng;
 use objects::Objects;
 
 /// Options of the stand-in.
@@ -51,15 +51,15 @@
 pub struct Platform {
     inner: Mutex<Inner>,
     /// Version of the last change that watches report; wakes waiting watches.
-    changed: watch::Sender<u64>,
-    cutter: Cutter,
+    last_visible_version: watch::Sender<u64>,
+    connection_closer: ConnectionCloser,
 }
 
 #[derive(Debug)]
 struct Inner {
     objects: Objects,
     faults: Faults,
-    dice: Dice,
+    rng: FaultRng,
     counts: Counts,
 }
 
@@ -92,23 +92,23 @@
 ///
 /// Returns an error if an address can't be bound.
 pub async fn start(options: PlatformOptions) -> io::Result<Handle<Platform>> {
-    let cutter = Cutter::default();
+    let connection_closer = ConnectionCloser::default();
     let platform = Arc::new(Platform {
         inner: Mutex::new(Inner {
             objects: Objects::default(),
             faults: Faults::default(),
-            dice: Dice::new(options.seed),
+            rng: FaultRng::new(options.seed),
             counts: Counts::default(),
         }),
-        changed: watch::Sender::new(0),
-        cutter: cutter.clone(),
+        last_visible_version: watch::Sender::new(0),
+        connection_closer: connection_closer.clone(),
     });
     handle::start(
         platform,
         options.listen,
         options.control,
-        cutter,
-        Tasks::default(),
+        connection_closer,
+        TaskSet::default(),
     )
     .await
 }
@@ -126,7 +126,7 @@
     /// Returns the keys with a prefix, regardless of faults and uncounted.
     pub fn object_keys(&self, prefix: &str) -> Vec<String> {
         let inner = self.stand_in.inner.lock();
-        let under = inner.objects.under(prefix);
-        under.map(|(key, _)| key.to_owned()).collect()
+        let with_prefix = inner.objects.with_prefix(prefix);
+        with_prefix.map(|(key, _)| key.to_owned()).collect()
     }
 }
--- a/crates/fake/src/platform/objects.rs
+++ b/crates/fake/src/platform/objects.rs
@@ -15,7 +15,7 @@
 
 /// Precondition of a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Condition {
+pub(super) enum WriteCondition {
     None,
     Absent,
     Version(u64),
@@ -23,55 +23,58 @@
 
 /// Reason why a change was not applied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum NotDone {
-    Missing,
-    Condition,
+pub(super) enum ChangeError {
+    NotFound,
+    ConditionFailed,
 }
 
 #[derive(Debug, Default)]
-struct Slot {
-    now: Option<Object>,
-    before: Option<Object>,
+struct ObjectHistory {
+    current: Option<Object>,
+    previous: Option<Object>,
     /// Version of the last write or deletion.
-    changed: u64,
+    last_change: u64,
 }
 
 /// All objects by key, including deleted ones.
 #[derive(Debug, Default)]
 pub(super) struct Objects {
-    counter: u64,
-    slots: BTreeMap<String, Slot>,
+    version_counter: u64,
+    histories: BTreeMap<String, ObjectHistory>,
     /// Versions of changes that no watch reports.
-    hidden: BTreeSet<u64>,
+    hidden_versions: BTreeSet<u64>,
 }
 
 impl Objects {
     /// Returns the version of the last change.
-    pub(super) const fn newest(&self) -> u64 {
-        self.counter
+    pub(super) const fn last_version(&self) -> u64 {
+        self.version_counter
     }
 
     pub(super) fn get(&self, key: &str) -> Option<&Object> {
-        self.slots.get(key)?.now.as_ref()
+        self.histories.get(key)?.current.as_ref()
     }
 
     /// Returns the object as it was before its last change.
-    pub(super) fn get_before(&self, key: &str) -> Option<&Object> {
-        self.slots.get(key)?.before.as_ref()
+    pub(super) fn get_previous(&self, key: &str) -> Option<&Object> {
+        self.histories.get(key)?.previous.as_ref()
     }
 
-    pub(super) fn under(&self, prefix: &str) -> impl Iterator<Item = (&str, &Object)> {
-        self.slots_under(prefix)
-            .filter_map(|(key, slot)| Some((key, slot.now.as_ref()?)))
+    pub(super) fn with_prefix(
+        &self,
+        prefix: &str,
+    ) -> impl Iterator<Item = (&str, &Object)> {
+        self.histories_with_prefix(prefix)
+            .filter_map(|(key, history)| Some((key, history.current.as_ref()?)))
     }
 
     /// Returns the objects with a prefix, each as it was before its last change.
-    pub(super) fn under_before(
+    pub(super) fn previous_with_prefix(
         &self,
         prefix: &str,
     ) -> impl Iterator<Item = (&str, &Object)> {
-        self.slots_under(prefix)
-            .filter_map(|(key, slot)| Some((key, slot.before.as_ref()?)))
+        self.histories_with_prefix(prefix)
+            .filter_map(|(key, history)| Some((key, history.previous.as_ref()?)))
     }
 
     /// Returns the objects with a prefix that changed after version `after`, with `None`
@@ -81,40 +84,44 @@
         prefix: &str,
         after: u64,
     ) -> impl Iterator<Item = (&str, Option<&Object>)> {
-        self.slots_under(prefix)
-            .filter(move |(_, slot)| {
-                slot.changed > after && !self.hidden.contains(&slot.changed)
+        self.histories_with_prefix(prefix)
+            .filter(move |(_, history)| {
+                history.last_change > after
+                    && !self.hidden_versions.contains(&history.last_change)
             })
-            .map(|(key, slot)| (key, slot.now.as_ref()))
+            .map(|(key, history)| (key, history.current.as_ref()))
     }
 
-    fn slots_under(&self, prefix: &str) -> impl Iterator<Item = (&str, &Slot)> {
-        let owned = prefix.to_owned();
-        self.slots
+    fn histories_with_prefix(
+        &self,
+        prefix: &str,
+    ) -> impl Iterator<Item = (&str, &ObjectHistory)> {
+        let owned_prefix = prefix.to_owned();
+        self.histories
             .range(prefix.to_owned()..)
-            .take_while(move |(key, _)| key.starts_with(&owned))
-            .map(|(key, slot)| (key.as_str(), slot))
+            .take_while(move |(key, _)| key.starts_with(&owned_prefix))
+            .map(|(key, history)| (key.as_str(), history))
     }
 
     /// Writes an object and returns its new version.
     pub(super) fn write(
         &mut self,
         key: &str,
-        condition: Condition,
+        condition: WriteCondition,
         value: Bytes,
-        hide: bool,
-    ) -> Result<u64, NotDone> {
-        let held = self.get(key).map(|object| object.version);
-        let met = match condition {
-            Condition::None => true,
-            Condition::Absent => held.is_none(),
-            Condition::Version(version) => held == Some(version),
+        hide_from_watches: bool,
+    ) -> Result<u64, ChangeError> {
+        let current_version = self.get(key).map(|object| object.version);
+        let condition_met = match condition {
+            WriteCondition::None => true,
+            WriteCondition::Absent => current_version.is_none(),
+            WriteCondition::Version(version) => current_version == Some(version),
         };
-        if !met {
-            return Err(NotDone::Condition);
+        if !condition_met {
+            return Err(ChangeError::ConditionFailed);
         }
-        let version = self.counter + 1;
-        self.change(key, Some(Object { version, value }), hide);
+        let version = self.version_counter + 1;
+        self.change(key, Some(Object { version, value }), hide_from_watches);
         Ok(version)
     }
 
@@ -122,29 +129,29 @@
     pub(super) fn delete(
         &mut self,
         key: &str,
-        condition: Condition,
-        hide: bool,
-    ) -> Result<u64, NotDone> {
-        let held = self.get(key).ok_or(NotDone::Missing)?.version;
-        let met = match condition {
-            Condition::None => true,
-            Condition::Absent => false,
-            Condition::Version(version) => held == version,
+        condition: WriteCondition,
+        hide_from_watches: bool,
+    ) -> Result<u64, ChangeError> {
+        let current_version = self.get(key).ok_or(ChangeError::NotFound)?.version;
+        let condition_met = match condition {
+            WriteCondition::None => true,
+            WriteCondition::Absent => false,
+            WriteCondition::Version(version) => current_version == version,
         };
-        if !met {
-            return Err(NotDone::Condition);
+        if !condition_met {
+            return Err(ChangeError::ConditionFailed);
         }
-        self.change(key, None, hide);
-        Ok(self.counter)
+        self.change(key, None, hide_from_watches);
+        Ok(self.version_counter)
     }
 
-    fn change(&mut self, key: &str, to: Option<Object>, hide: bool) {
-        self.counter += 1;
-        if hide {
-            self.hidden.insert(self.counter);
+    fn change(&mut self, key: &str, new: Option<Object>, hide_from_watches: bool) {
+        self.version_counter += 1;
+        if hide_from_watches {
+            self.hidden_versions.insert(self.version_counter);
         }
-        let slot = self.slots.entry(key.to_owned()).or_default();
-        slot.before = std::mem::replace(&mut slot.now, to);
-        slot.changed = self.counter;
+        let history = self.histories.entry(key.to_owned()).or_default();
+        history.previous = std::mem::replace(&mut history.current, new);
+        history.last_change = self.version_counter;
     }
 }
--- a/crates/fake/src/platform/serve.rs
+++ b/crates/fake/src/platform/serve.rs
@@ -10,31 +10,31 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-use super::faults::{Faults, Outage, WriteFate};
-use super::objects::{Condition, NotDone, Object, VALUE_MAX_BYTES};
+use super::faults::{Faults, Outage, WriteFault};
+use super::objects::{ChangeError, Object, VALUE_MAX_BYTES, WriteCondition};
 use super::{Counts, Platform};
 use crate::handle::StandIn;
-use crate::http::{self, Answer, Body, Cut};
+use crate::http::{self, Body, ConnectionAborted, ResponseResult};
 
 /// Maximum time that a watch waits.
 const WAIT_MAX_MS: u64 = 60_000;
 
 /// JSON response to a list or a watch.
 #[derive(Debug, Serialize)]
-struct Listing {
+struct ObjectList {
     version: u64,
-    objects: Vec<Listed>,
+    objects: Vec<ListedObject>,
     deleted: Vec<String>,
 }
 
 #[derive(Debug, Serialize)]
-struct Listed {
+struct ListedObject {
     key: String,
     version: u64,
     value_base64: String,
 }
 
-impl Listed {
+impl ListedObject {
     fn new(key: &str, object: &Object) -> Self {
         Self {
             key: key.to_owned(),
@@ -48,18 +48,19 @@
     type Faults = Faults;
     type Counts = Counts;
 
-    fn call(
+    fn handle_request(
         self: Arc<Self>,
         request: Request<Incoming>,
-    ) -> Pin<Box<dyn Future<Output = Answer> + Send>> {
+    ) -> Pin<Box<dyn Future<Output = ResponseResult> + Send>> {
         Box::pin(async move { self.serve(request).await })
     }
 
     fn set_faults(&self, faults: Faults) {
-        self.cutter.set_away(faults.outage == Outage::Close);
+        self.connection_closer
+            .set_rejecting(faults.outage == Outage::Close);
         self.inner.lock().faults = faults;
         // Wakes waiting watches, which then check whether an outage has begun.
-        self.changed.send_modify(|_| {});
+        self.last_visible_version.send_modify(|_| {});
     }
 
     fn faults(&self) -> Faults {
@@ -72,68 +73,75 @@
 }
 
 impl Platform {
-    async fn serve(&self, request: Request<Incoming>) -> Answer {
+    async fn serve(&self, request: Request<Incoming>) -> ResponseResult {
         let delay_ms = self.inner.lock().faults.delay_ms;
         tokio::time::sleep(Duration::from_millis(delay_ms)).await;
         let outage = self.inner.lock().faults.outage;
         match outage {
             Outage::None => {}
-            Outage::Refuse => return Ok(self.refuse()),
-            Outage::Close => return Err(Cut),
+            Outage::Refuse => return Ok(self.refuse_request()),
+            Outage::Close => return Err(ConnectionAborted),
         }
-        let path = http::decode(request.uri().path());
+        let path = http::percent_decode(request.uri().path());
         if let Some(key) = path.strip_prefix("/objects/").filter(|key| !key.is_empty())
         {
-            return self.object(key, request).await;
+            return self.serve_object(key, request).await;
         }
-        let prefix = http::query(&request, "prefix").unwrap_or_default();
+        let prefix = http::query_parameter(&request, "prefix").unwrap_or_default();
         match (request.method(), path.as_str()) {
             (&Method::GET, "/objects") => Ok(self.list(&prefix)),
             (&Method::GET, "/watch") => Ok(self.watch(&prefix, &request).await),
-            _ => Ok(http::text(StatusCode::NOT_FOUND, "no such call")),
+            _ => Ok(http::text_response(StatusCode::NOT_FOUND, "no such call")),
         }
     }
 
-    fn refuse(&self) -> Response<Body> {
+    fn refuse_request(&self) -> Response<Body> {
         self.inner.lock().counts.refused += 1;
-        http::text(StatusCode::SERVICE_UNAVAILABLE, "outage")
+        http::text_response(StatusCode::SERVICE_UNAVAILABLE, "outage")
     }
 
-    async fn object(&self, key: &str, request: Request<Incoming>) -> Answer {
-        let condition = match condition(&request) {
+    async fn serve_object(
+        &self,
+        key: &str,
+        request: Request<Incoming>,
+    ) -> ResponseResult {
+        let condition = match parse_condition(&request) {
             Ok(condition) => condition,
-            Err(answer) => return Ok(*answer),
+            Err(response) => return Ok(*response),
         };
         match *request.method() {
             Method::GET => Ok(self.read(key)),
             Method::PUT => {
-                let value = match http::read(request, VALUE_MAX_BYTES).await? {
+                let value = match http::read_body(request, VALUE_MAX_BYTES).await? {
                     Ok(value) => value,
-                    Err(answer) => return Ok(answer),
+                    Err(response) => return Ok(response),
                 };
                 self.change(key, Some(value), condition)
             }
             Method::DELETE => self.change(key, None, condition),
-            _ => Ok(http::text(StatusCode::METHOD_NOT_ALLOWED, "no such call")),
+            _ => Ok(http::text_response(
+                StatusCode::METHOD_NOT_ALLOWED,
+                "no such call",
+            )),
         }
     }
 
     fn read(&self, key: &str) -> Response<Body> {
         let mut inner = self.inner.lock();
         inner.counts.reads += 1;
-        let old = inner.faults.read_is_old(key);
-        inner.counts.old_reads += u64::from(old);
-        let object = if old {
-            inner.objects.get_before(key)
+        let is_old = inner.faults.take_old_read(key);
+        inner.counts.old_reads += u64::from(is_old);
+        let object = if is_old {
+            inner.objects.get_previous(key)
         } else {
             inner.objects.get(key)
         };
         match object {
             Some(object) => {
-                let answer = Response::new(http::full(object.value.clone()));
-                with_version(answer, object.version)
+                let response = Response::new(http::full_body(object.value.clone()));
+                with_version_header(response, object.version)
             }
-            None => http::text(StatusCode::NOT_FOUND, "no such object"),
+            None => http::text_response(StatusCode::NOT_FOUND, "no such object"),
         }
     }
 
@@ -142,137 +150,153 @@
         &self,
         key: &str,
         value: Option<bytes::Bytes>,
-        condition: Condition,
-    ) -> Answer {
+        condition: WriteCondition,
+    ) -> ResponseResult {
         let mut guard = self.inner.lock();
         let inner = &mut *guard;
-        let fate = inner.faults.write_fate(key, &mut inner.dice);
-        if fate == WriteFate::Lost {
+        let fault = inner.faults.take_write_fault(key, &mut inner.rng);
+        if fault == WriteFault::RequestLost {
             inner.counts.refused += 1;
-            return Err(Cut);
+            return Err(ConnectionAborted);
         }
         inner.counts.writes += 1;
-        let kind = key.split('/').next().unwrap_or(key);
+        let key_kind = key.split('/').next().unwrap_or(key);
         *inner
             .counts
             .writes_by_kind
-            .entry(kind.to_owned())
+            .entry(key_kind.to_owned())
             .or_default() += 1;
-        let hide = inner.faults.change_is_missed(key);
-        let done = match value {
-            Some(value) => inner.objects.write(key, condition, value, hide),
-            None => inner.objects.delete(key, condition, hide),
+        let hide_from_watches = inner.faults.take_missed_change(key);
+        let result = match value {
+            Some(value) => {
+                inner
+                    .objects
+                    .write(key, condition, value, hide_from_watches)
+            }
+            None => inner.objects.delete(key, condition, hide_from_watches),
         };
-        if done.is_ok() && !hide {
-            self.changed.send_replace(inner.objects.newest());
+        if result.is_ok() && !hide_from_watches {
+            self.last_visible_version
+                .send_replace(inner.objects.last_version());
         }
-        if fate == WriteFate::AnswerLost {
+        if fault == WriteFault::ResponseLost {
             inner.counts.answers_lost += 1;
-            return Err(Cut);
+            return Err(ConnectionAborted);
         }
-        Ok(match done {
-            Ok(version) => with_version(http::text(StatusCode::OK, ""), version),
-            Err(NotDone::Missing) => {
-                http::text(StatusCode::NOT_FOUND, "no such object")
+        Ok(match result {
+            Ok(version) => {
+                with_version_header(http::text_response(StatusCode::OK, ""), version)
             }
-            Err(NotDone::Condition) => {
-                http::text(StatusCode::PRECONDITION_FAILED, "condition not met")
+            Err(ChangeError::NotFound) => {
+                http::text_response(StatusCode::NOT_FOUND, "no such object")
             }
+            Err(ChangeError::ConditionFailed) => http::text_response(
+                StatusCode::PRECONDITION_FAILED,
+                "condition not met",
+            ),
         })
     }
 
     fn list(&self, prefix: &str) -> Response<Body> {
         let mut inner = self.inner.lock();
         inner.counts.lists += 1;
-        let old = inner.faults.read_is_old(prefix);
-        inner.counts.old_reads += u64::from(old);
-        let objects: Vec<Listed> = if old {
-            let before = inner.objects.under_before(prefix);
-            before
-                .map(|(key, object)| Listed::new(key, object))
+        let is_old = inner.faults.take_old_read(prefix);
+        inner.counts.old_reads += u64::from(is_old);
+        let objects: Vec<ListedObject> = if is_old {
+            let previous = inner.objects.previous_with_prefix(prefix);
+            previous
+                .map(|(key, object)| ListedObject::new(key, object))
                 .collect()
         } else {
-            let now = inner.objects.under(prefix);
-            now.map(|(key, object)| Listed::new(key, object)).collect()
+            let current = inner.objects.with_prefix(prefix);
+            current
+                .map(|(key, object)| ListedObject::new(key, object))
+                .collect()
         };
-        let newest_shown = objects.iter().map(|object| object.version).max();
-        let version = if old {
-            newest_shown.unwrap_or(0)
+        let last_shown_version = objects.iter().map(|object| object.version).max();
+        let version = if is_old {
+            last_shown_version.unwrap_or(0)
         } else {
-            inner.objects.newest()
+            inner.objects.last_version()
         };
-        let listing = Listing {
+        let list = ObjectList {
             version,
             objects,
             deleted: Vec::new(),
         };
-        http::json(StatusCode::OK, &listing)
+        http::json_response(StatusCode::OK, &list)
     }
 
     async fn watch(&self, prefix: &str, request: &Request<Incoming>) -> Response<Body> {
-        let whole = |name| http::query(request, name).map(|text| text.parse::<u64>());
+        let parse_parameter =
+            |name| http::query_parameter(request, name).map(|text| text.parse::<u64>());
         let (Ok(after), Ok(wait_ms)) = (
-            whole("after").unwrap_or(Ok(0)),
-            whole("wait_ms").unwrap_or(Ok(0)),
+            parse_parameter("after").unwrap_or(Ok(0)),
+            parse_parameter("wait_ms").unwrap_or(Ok(0)),
         ) else {
-            return http::text(StatusCode::BAD_REQUEST, "not a whole number");
+            return http::text_response(StatusCode::BAD_REQUEST, "not a whole number");
         };
         self.inner.lock().counts.watches += 1;
         let wait = Duration::from_millis(wait_ms.min(WAIT_MAX_MS));
-        let until = Instant::now() + wait;
-        let mut changed = self.changed.subscribe();
+        let deadline = Instant::now() + wait;
+        let mut changed = self.last_visible_version.subscribe();
         loop {
             // An outage that begins during the wait ends the watch.
             if self.inner.lock().faults.outage != Outage::None {
-                return self.refuse();
+                return self.refuse_request();
             }
-            let listing = self.changes(prefix, after);
-            let none = listing.objects.is_empty() && listing.deleted.is_empty();
-            if !none || Instant::now() >= until {
-                return http::json(StatusCode::OK, &listing);
+            let list = self.list_changes(prefix, after);
+            let unchanged = list.objects.is_empty() && list.deleted.is_empty();
+            if !unchanged || Instant::now() >= deadline {
+                return http::json_response(StatusCode::OK, &list);
             }
             // The loop checks whether there was a change or the time is up.
-            let _ = tokio::time::timeout_at(until, changed.changed()).await;
+            let _ = tokio::time::timeout_at(deadline, changed.changed()).await;
         }
     }
 
-    fn changes(&self, prefix: &str, after: u64) -> Listing {
+    fn list_changes(&self, prefix: &str, after: u64) -> ObjectList {
         let inner = self.inner.lock();
-        let mut listing = Listing {
-            version: inner.objects.newest(),
+        let mut list = ObjectList {
+            version: inner.objects.last_version(),
             objects: Vec::new(),
             deleted: Vec::new(),
         };
         for (key, object) in inner.objects.changes(prefix, after) {
             match object {
-                Some(object) => listing.objects.push(Listed::new(key, object)),
-                None => listing.deleted.push(key.to_owned()),
+                Some(object) => list.objects.push(ListedObject::new(key, object)),
+                None => list.deleted.push(key.to_owned()),
             }
         }
-        listing
+        list
     }
 }
 
-fn with_version(mut answer: Response<Body>, version: u64) -> Response<Body> {
-    answer
+fn with_version_header(mut response: Response<Body>, version: u64) -> Response<Body> {
+    response
         .headers_mut()
         .insert("x-version", HeaderValue::from(version));
-    answer
+    response
 }
 
-fn condition(request: &Request<Incoming>) -> Result<Condition, Box<Response<Body>>> {
-    let bad = |text| Box::new(http::text(StatusCode::BAD_REQUEST, text));
-    let matching = http::header(request, "if-match");
-    let absent = http::header(request, "if-none-match");
-    match (matching, absent) {
-        (None, None) => Ok(Condition::None),
-        (None, Some("*")) => Ok(Condition::Absent),
+fn parse_condition(
+    request: &Request<Incoming>,
+) -> Result<WriteCondition, Box<Response<Body>>> {
+    let bad_request =
+        |text| Box::new(http::text_response(StatusCode::BAD_REQUEST, text));
+    let if_match = http::header_text(request, "if-match");
+    let if_none_match = http::header_text(request, "if-none-match");
+    match (if_match, if_none_match) {
+        (None, None) => Ok(WriteCondition::None),
+        (None, Some("*")) => Ok(WriteCondition::Absent),
         (Some(version), None) => {
             let version = version.trim().trim_matches('"').parse();
             version
-                .map(Condition::Version)
-                .map_err(|_| bad("If-Match is not a version"))
+                .map(WriteCondition::Version)
+                .map_err(|_| bad_request("If-Match is not a version"))
         }
-        _ => Err(bad("If-None-Match takes only *, and not with If-Match")),
+        _ => Err(bad_request(
+            "If-None-Match takes only *, and not with If-Match",
+        )),
     }
 }
--- a/crates/fake/src/service.rs
+++ b/crates/fake/src/service.rs
@@ -16,9 +16,9 @@
 use std::time::Duration;
 
 use crate::Handle;
-use crate::faults::take;
-use crate::handle::{self, ANY_PORT, StandIn, Tasks, handle_methods};
-use crate::http::{self, Answer, Body, Cut};
+use crate::fault_count::consume;
+use crate::handle::{self, ANY_PORT, StandIn, TaskSet, handle_methods};
+use crate::http::{self, Body, ConnectionAborted, ResponseResult};
 
 /// Options of the stand-in.
 #[derive(Debug, Clone)]
@@ -81,7 +81,7 @@
 pub struct Service {
     options: ServiceOptions,
     inner: Mutex<Inner>,
-    cutter: http::Cutter,
+    connection_closer: http::ConnectionCloser,
 }
 
 #[derive(Debug, Default)]
@@ -92,7 +92,7 @@
 
 /// JSON response to a request that ran.
 #[derive(Debug, Serialize)]
-struct Called {
+struct RunResponse {
     /// Number of runs so far with this key, or of all runs if there is no key.
     count: u64,
     key: String,
@@ -100,7 +100,7 @@
 
 /// JSON response of `/healthz`.
 #[derive(Debug, Serialize)]
-struct Health {
+struct HealthResponse {
     incarnation: u64,
 }
 
@@ -113,14 +113,21 @@
 ///
 /// Returns an error if an address can't be bound.
 pub async fn start(options: ServiceOptions) -> io::Result<Handle<Service>> {
-    let cutter = http::Cutter::default();
+    let connection_closer = http::ConnectionCloser::default();
     let (listen, control) = (options.listen, options.control);
     let service = Arc::new(Service {
         options,
         inner: Mutex::default(),
-        cutter: cutter.clone(),
+        connection_closer: connection_closer.clone(),
     });
-    handle::start(service, listen, control, cutter, Tasks::default()).await
+    handle::start(
+        service,
+        listen,
+        control,
+        connection_closer,
+        TaskSet::default(),
+    )
+    .await
 }
 
 handle_methods!(Service, Faults, Counts);
@@ -129,15 +136,15 @@
     type Faults = Faults;
     type Counts = Counts;
 
-    fn call(
+    fn handle_request(
         self: Arc<Self>,
         request: Request<Incoming>,
-    ) -> Pin<Box<dyn Future<Output = Answer> + Send>> {
+    ) -> Pin<Box<dyn Future<Output = ResponseResult> + Send>> {
         Box::pin(async move { self.serve(request).await })
     }
 
     fn set_faults(&self, faults: Faults) {
-        self.cutter.set_away(faults.closed);
+        self.connection_closer.set_rejecting(faults.closed);
         self.inner.lock().faults = faults;
     }
 
@@ -151,55 +158,63 @@
 }
 
 /// Effect of the faults on a request before it runs.
-enum Before {
+enum PreRunEffect {
     Run,
-    Break,
+    Abort,
     Refuse,
 }
 
 impl Service {
-    async fn serve(&self, request: Request<Incoming>) -> Answer {
+    async fn serve(&self, request: Request<Incoming>) -> ResponseResult {
         match (request.method(), request.uri().path()) {
             (&Method::GET, "/healthz") => {
                 let incarnation = self.options.incarnation;
-                Ok(http::json(StatusCode::OK, &Health { incarnation }))
+                Ok(http::json_response(
+                    StatusCode::OK,
+                    &HealthResponse { incarnation },
+                ))
             }
-            (&Method::POST, _) => self.work(request).await,
-            _ => Ok(http::text(StatusCode::NOT_FOUND, "no such call")),
+            (&Method::POST, _) => self.run(request).await,
+            _ => Ok(http::text_response(StatusCode::NOT_FOUND, "no such call")),
         }
     }
 
-    async fn work(&self, request: Request<Incoming>) -> Answer {
-        let key = http::header(&request, "idempotency-key").map(str::to_owned);
-        let id = http::header(&request, "x-request-id").map(str::to_owned);
-        let body = match http::read(request, BODY_MAX_BYTES).await? {
+    async fn run(&self, request: Request<Incoming>) -> ResponseResult {
+        let key = http::header_text(&request, "idempotency-key").map(str::to_owned);
+        let id = http::header_text(&request, "x-request-id").map(str::to_owned);
+        let body = match http::read_body(request, BODY_MAX_BYTES).await? {
             Ok(body) => body,
-            Err(answer) => return Ok(answer),
+            Err(response) => return Ok(response),
         };
         let slow_ms = self.inner.lock().faults.slow_ms;
         tokio::time::sleep(Duration::from_millis(slow_ms)).await;
-        match self.before() {
-            Before::Run => {}
-            Before::Break => return Err(Cut),
-            Before::Refuse => return Ok(not_run()),
+        match self.take_pre_run_fault() {
+            PreRunEffect::Run => {}
+            PreRunEffect::Abort => return Err(ConnectionAborted),
+            PreRunEffect::Refuse => return Ok(not_run()),
         }
-        let called = self.count(key, id, body.len() as u64);
+        let result = self.count_run(key, id, body.len() as u64);
         tokio::time::sleep(Duration::from_millis(self.options.work_ms)).await;
-        self.answer(&called)
+        self.respond(&result)
     }
 
-    fn before(&self) -> Before {
+    fn take_pre_run_fault(&self) -> PreRunEffect {
         let faults = &mut self.inner.lock().faults;
-        if take(&mut faults.break_before) {
-            return Before::Break;
+        if consume(&mut faults.break_before) {
+            return PreRunEffect::Abort;
         }
-        if take(&mut faults.refuse) {
-            return Before::Refuse;
+        if consume(&mut faults.refuse) {
+            return PreRunEffect::Refuse;
         }
-        Before::Run
+        PreRunEffect::Run
     }
 
-    fn count(&self, key: Option<String>, id: Option<String>, bytes: u64) -> Called {
+    fn count_run(
+        &self,
+        key: Option<String>,
+        id: Option<String>,
+        bytes: u64,
+    ) -> RunResponse {
         let counts = &mut self.inner.lock().counts;
         counts.runs += 1;
         counts.body_max_bytes = counts.body_max_bytes.max(bytes);
@@ -207,36 +222,36 @@
             *counts.by_request.entry(id).or_default() += 1;
         }
         let Some(key) = key else {
-            return Called {
+            return RunResponse {
                 count: counts.runs,
                 key: String::new(),
             };
         };
-        let of_key = counts.by_key.entry(key.clone()).or_default();
-        *of_key += 1;
-        Called {
-            count: *of_key,
+        let key_runs = counts.by_key.entry(key.clone()).or_default();
+        *key_runs += 1;
+        RunResponse {
+            count: *key_runs,
             key,
         }
     }
 
-    fn answer(&self, called: &Called) -> Answer {
+    fn respond(&self, result: &RunResponse) -> ResponseResult {
         let faults = &mut self.inner.lock().faults;
-        if take(&mut faults.break_after) {
-            return Err(Cut);
+        if consume(&mut faults.break_after) {
+            return Err(ConnectionAborted);
         }
-        if take(&mut faults.fail) {
+        if consume(&mut faults.fail) {
             let status = StatusCode::INTERNAL_SERVER_ERROR;
-            return Ok(http::text(status, "failed"));
+            return Ok(http::text_response(status, "failed"));
         }
-        Ok(http::json(StatusCode::OK, called))
+        Ok(http::json_response(StatusCode::OK, result))
     }
 }
 
 /// Returns a 503 response whose `x-not-run` header says that nothing ran.
 pub(crate) fn not_run() -> Response<Body> {
-    let mut answer = http::text(StatusCode::SERVICE_UNAVAILABLE, "not run");
-    let mark = hyper::header::HeaderValue::from_static("1");
-    answer.headers_mut().insert("x-not-run", mark);
-    answer
+    let mut response = http::text_response(StatusCode::SERVICE_UNAVAILABLE, "not run");
+    let marker = hyper::header::HeaderValue::from_static("1");
+    response.headers_mut().insert("x-not-run", marker);
+    response
 }
--- a/crates/fake/src/store.rs
+++ b/crates/fake/src/store.rs
@@ -16,8 +16,8 @@
 use tokio::time::Instant;
 
 use crate::Handle;
-use crate::handle::{self, ANY_PORT, StandIn, Tasks, handle_methods};
-use crate::http::{self, Answer};
+use crate::handle::{self, ANY_PORT, StandIn, TaskSet, handle_methods};
+use crate::http::{self, ResponseResult};
 
 /// Options of the stand-in.
 #[derive(Debug, Clone)]
@@ -82,19 +82,19 @@
 
 #[derive(Debug)]
 struct Inner {
-    next_start: Instant,
+    next_start_at: Instant,
     faults: Faults,
     counts: Counts,
 }
 
 /// JSON response to a completed load.
 #[derive(Debug, Serialize)]
-struct Transferred {
+struct LoadResponse {
     ms: u64,
 }
 
 /// Interval at which a load's share of the bandwidth is recomputed.
-const QUANTUM: Duration = Duration::from_millis(10);
+const RATE_UPDATE_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Starts the stand-in.
 ///
@@ -106,7 +106,7 @@
     let store = Arc::new(Store {
         options,
         inner: Mutex::new(Inner {
-            next_start: Instant::now(),
+            next_start_at: Instant::now(),
             faults: Faults::default(),
             counts: Counts::default(),
         }),
@@ -115,8 +115,8 @@
         store,
         listen,
         control,
-        http::Cutter::default(),
-        Tasks::default(),
+        http::ConnectionCloser::default(),
+        TaskSet::default(),
     )
     .await
 }
@@ -127,10 +127,10 @@
     type Faults = Faults;
     type Counts = Counts;
 
-    fn call(
+    fn handle_request(
         self: Arc<Self>,
         request: Request<Incoming>,
-    ) -> Pin<Box<dyn Future<Output = Answer> + Send>> {
+    ) -> Pin<Box<dyn Future<Output = ResponseResult> + Send>> {
         Box::pin(async move { Ok(self.serve(&request).await) })
     }
 
@@ -149,9 +149,9 @@
 
 /// Counts a load as active until dropped, also if its client disconnects.
 #[derive(Debug)]
-struct Active<'a>(&'a Store);
+struct ActiveLoad<'a>(&'a Store);
 
-impl<'a> Active<'a> {
+impl<'a> ActiveLoad<'a> {
     fn new(store: &'a Store) -> Self {
         let mut inner = store.inner.lock();
         inner.counts.active += 1;
@@ -160,7 +160,7 @@
     }
 }
 
-impl Drop for Active<'_> {
+impl Drop for ActiveLoad<'_> {
     fn drop(&mut self) {
         self.0.inner.lock().counts.active -= 1;
     }
@@ -171,49 +171,52 @@
         let path = request.uri().path();
         let known = path
             .strip_prefix("/weights/")
-            .is_some_and(|m| !m.is_empty());
+            .is_some_and(|model| !model.is_empty());
         if request.method() != Method::GET || !known {
-            return http::text(StatusCode::NOT_FOUND, "no such call");
+            return http::text_response(StatusCode::NOT_FOUND, "no such call");
         }
-        let begun = Instant::now();
-        let Some(start) = self.admit() else {
-            return http::text(StatusCode::SERVICE_UNAVAILABLE, "outage");
+        let started_at = Instant::now();
+        let Some(start) = self.reserve_start() else {
+            return http::text_response(StatusCode::SERVICE_UNAVAILABLE, "outage");
         };
         tokio::time::sleep_until(start).await;
         self.transfer().await;
         self.inner.lock().counts.done += 1;
-        let ms = u64::try_from(begun.elapsed().as_millis()).unwrap_or(u64::MAX);
-        http::json(StatusCode::OK, &Transferred { ms })
+        let ms = u64::try_from(started_at.elapsed().as_millis()).unwrap_or(u64::MAX);
+        http::json_response(StatusCode::OK, &LoadResponse { ms })
     }
 
     /// Returns the time at which a load may start, or `None` if a fault refuses it.
-    fn admit(&self) -> Option<Instant> {
+    fn reserve_start(&self) -> Option<Instant> {
         let mut inner = self.inner.lock();
-        let failed = crate::faults::take(&mut inner.faults.fail_loads);
-        if inner.faults.outage || failed {
+        let fails = crate::fault_count::consume(&mut inner.faults.fail_loads);
+        if inner.faults.outage || fails {
             inner.counts.refused += 1;
             return None;
         }
         inner.counts.started += 1;
-        let start = inner.next_start.max(Instant::now());
-        let gap = 1.0 / self.options.loads_per_s.max(f64::MIN_POSITIVE);
-        inner.next_start = start + Duration::from_secs_f64(gap.min(GAP_MAX_S));
+        let start = inner.next_start_at.max(Instant::now());
+        let interval_s = 1.0 / self.options.loads_per_s.max(f64::MIN_POSITIVE);
+        inner.next_start_at =
+            start + Duration::from_secs_f64(interval_s.min(START_INTERVAL_MAX_S));
         Some(start)
     }
 
     async fn transfer(&self) {
-        let _active = Active::new(self);
-        let mut left_s = Duration::from_millis(self.options.load_time_ms).as_secs_f64();
-        while left_s > 0.0 {
-            let speed = self.speed();
-            let step = QUANTUM.min(Duration::from_secs_f64(left_s / speed));
-            tokio::time::sleep(step.max(STEP_MIN)).await;
-            left_s -= step.max(STEP_MIN).as_secs_f64() * speed;
+        let _active_load = ActiveLoad::new(self);
+        let mut remaining_s =
+            Duration::from_millis(self.options.load_time_ms).as_secs_f64();
+        while remaining_s > 0.0 {
+            let speed = self.relative_speed();
+            let step =
+                RATE_UPDATE_INTERVAL.min(Duration::from_secs_f64(remaining_s / speed));
+            tokio::time::sleep(step.max(SLEEP_MIN)).await;
+            remaining_s -= step.max(SLEEP_MIN).as_secs_f64() * speed;
         }
     }
 
     /// Returns the current speed of each load, as a fraction of full speed.
-    fn speed(&self) -> f64 {
+    fn relative_speed(&self) -> f64 {
         let inner = self.inner.lock();
         let full = f64::from(self.options.full_speed_loads.max(1));
         let share = (full / f64::from(inner.counts.active.max(1))).min(1.0);
@@ -224,8 +227,8 @@
 /// Maximum interval between the starts of two loads, in seconds. Lower rates make no
 /// difference to a test, and the interval of a rate near zero would overflow
 /// `Duration`.
-const GAP_MAX_S: f64 = 3_600.0;
+const START_INTERVAL_MAX_S: f64 = 3_600.0;
 
 /// Minimum sleep. Without it, rounding could produce zero-length steps and an endless
 /// loop.
-const STEP_MIN: Duration = Duration::from_micros(100);
+const SLEEP_MIN: Duration = Duration::from_micros(100);
--- a/crates/fake/tests/all/client.rs
+++ b/crates/fake/tests/all/client.rs
@@ -13,14 +13,14 @@
 
 /// A complete response.
 #[derive(Debug)]
-pub struct Answer {
+pub struct CompleteResponse {
     pub status: u16,
     pub not_run: bool,
     pub version: Option<u64>,
     pub body: Bytes,
 }
 
-impl Answer {
+impl CompleteResponse {
     pub fn json(&self) -> Value {
         serde_json::from_slice(&self.body).expect("the body is JSON")
     }
@@ -28,7 +28,7 @@
 
 /// Sends a request and returns the response with its body unread, or `None` if the
 /// connection is closed before the headers.
-pub async fn open(
+pub async fn open_response(
     address: SocketAddr,
     method: &str,
     path: &str,
@@ -45,37 +45,37 @@
     }
     let request = request
         .body(Full::new(body.into()))
-        .expect("a good request");
+        .expect("the request is valid");
     sender.send_request(request).await.ok()
 }
 
 /// Sends a request and reads the complete response. Returns `None` if the connection is
 /// closed before its end.
-pub async fn call(
+pub async fn send_request(
     address: SocketAddr,
     method: &str,
     path: &str,
     headers: &[(&str, &str)],
     body: impl Into<Bytes>,
-) -> Option<Answer> {
-    let answer = open(address, method, path, headers, body).await?;
-    let version = answer.headers().get("x-version");
+) -> Option<CompleteResponse> {
+    let response = open_response(address, method, path, headers, body).await?;
+    let version = response.headers().get("x-version");
     let version = version.and_then(|version| version.to_str().ok()?.parse().ok());
-    Some(Answer {
-        status: answer.status().as_u16(),
-        not_run: answer.headers().contains_key("x-not-run"),
+    Some(CompleteResponse {
+        status: response.status().as_u16(),
+        not_run: response.headers().contains_key("x-not-run"),
         version,
-        body: answer.into_body().collect().await.ok()?.to_bytes(),
+        body: response.into_body().collect().await.ok()?.to_bytes(),
     })
 }
 
-pub async fn get(address: SocketAddr, path: &str) -> Option<Answer> {
-    call(address, "GET", path, &[], "").await
+pub async fn get(address: SocketAddr, path: &str) -> Option<CompleteResponse> {
+    send_request(address, "GET", path, &[], "").await
 }
 
 /// Polls until a condition holds. There is no time limit; the test runner enforces one.
-pub async fn until(mut holds: impl FnMut() -> bool) {
-    while !holds() {
+pub async fn wait_until(mut condition: impl FnMut() -> bool) {
+    while !condition() {
         tokio::time::sleep(Duration::from_millis(1)).await;
     }
 }
