--- a/crates/fake/tests/all/engine.rs
+++ b/crates/fake/tests/all/engine.rs
@@ -9,10 +9,10 @@
 use serde_json::{Value, json};
 use std::time::Duration;
 
-use crate::client::{call, open, until};
+use crate::client::{open_response, send_request, wait_until};
 
 /// Options of an engine with short steps and loads.
-pub fn quick() -> EngineOptions {
+pub fn fast_options() -> EngineOptions {
     EngineOptions {
         step_us: 200,
         load_ms: 1,
@@ -22,13 +22,13 @@
     }
 }
 
-pub async fn start(options: EngineOptions) -> Handle<Engine> {
+pub async fn start_engine(options: EngineOptions) -> Handle<Engine> {
     let started = engine::start(options).await;
     started.expect("loopback has a free port")
 }
 
 /// Orders a model to be loaded and waits until it is.
-pub async fn load(
+pub async fn load_model(
     engine: &Handle<Engine>,
     order: u64,
     model: &str,
@@ -39,9 +39,10 @@
         "base": base, "accelerator": 0, "size_mib": 1_000,
     });
     let path = "/admin/orders";
-    let answer = call(engine.address, "POST", path, &[], body.to_string()).await;
-    assert_eq!(answer.expect("an answer comes").status, 202);
-    until(|| is_done(engine, order)).await;
+    let response =
+        send_request(engine.address, "POST", path, &[], body.to_string()).await;
+    assert_eq!(response.expect("a response arrives").status, 202);
+    wait_until(|| is_done(engine, order)).await;
 }
 
 pub fn is_done(engine: &Handle<Engine>, order: u64) -> bool {
@@ -58,7 +59,7 @@
 }
 
 /// Sends a streaming request and returns the response's body.
-pub async fn stream(
+pub async fn stream_completion(
     engine: &Handle<Engine>,
     prompt: &str,
     tokens: u64,
@@ -66,14 +67,14 @@
 ) -> Incoming {
     let path = "/v1/completions";
     let body = completion(prompt, tokens, true);
-    let answer = open(engine.address, "POST", path, headers, body).await;
-    let answer = answer.expect("the answer begins");
-    assert_eq!(answer.status(), 200);
-    answer.into_body()
+    let response = open_response(engine.address, "POST", path, headers, body).await;
+    let response = response.expect("the response begins");
+    assert_eq!(response.status(), 200);
+    response.into_body()
 }
 
 /// Reads a streamed response. Returns its chunks and whether it ended cleanly.
-pub async fn chunks(mut body: Incoming) -> (Vec<Value>, bool) {
+pub async fn read_chunks(mut body: Incoming) -> (Vec<Value>, bool) {
     let mut text = Vec::new();
     let mut clean = true;
     while let Some(frame) = body.frame().await {
@@ -85,13 +86,13 @@
             }
         }
     }
-    let text = String::from_utf8(text).expect("SSE is text");
+    let text = String::from_utf8(text).expect("server-sent events are UTF-8");
     let lines = text.lines().filter_map(|line| line.strip_prefix("data: "));
     let values = lines.map(|line| serde_json::from_str(line).unwrap_or(json!(line)));
     (values.collect(), clean)
 }
 
-pub fn text_of(chunks: &[Value]) -> String {
+pub fn concat_text(chunks: &[Value]) -> String {
     let texts = chunks
         .iter()
         .filter_map(|one| one["choices"][0]["text"].as_str());
@@ -99,17 +100,18 @@
 }
 
 #[tokio::test]
-async fn a_resumed_answer_equals_an_unbroken_one() {
-    let engine = start(quick()).await;
-    load(&engine, 1, "m", None).await;
+async fn a_resumed_response_equals_an_uninterrupted_one() {
+    let engine = start_engine(fast_options()).await;
+    load_model(&engine, 1, "m", None).await;
     let whole = ResponseText::new("m", 1, "why").token_range(0, 9);
     for offset in [0_u64, 1, 5, 8, 9] {
         let header = offset.to_string();
         let headers = [("x-resume-offset", header.as_str())];
-        let (parts, clean) = chunks(stream(&engine, "why", 9, &headers).await).await;
+        let (parts, clean) =
+            read_chunks(stream_completion(&engine, "why", 9, &headers).await).await;
         assert!(clean);
         let rest = ResponseText::new("m", 1, "why").token_range(offset, 9);
-        assert_eq!(text_of(&parts), rest);
+        assert_eq!(concat_text(&parts), rest);
         let before = ResponseText::new("m", 1, "why").token_range(0, offset);
         assert_eq!(before + &rest, whole);
         // One chunk for each token, then the last chunk and `[DONE]`.
@@ -122,25 +124,26 @@
 }
 
 #[tokio::test]
-async fn each_call_gives_the_text_of_model_version_and_prompt() {
-    let engine = start(quick()).await;
-    load(&engine, 1, "m", None).await;
+async fn response_text_depends_on_model_version_and_prompt() {
+    let engine = start_engine(fast_options()).await;
+    load_model(&engine, 1, "m", None).await;
     let messages = json!([{"role": "user", "content": "why"}]);
     for stream in [false, true] {
         let body = json!({
             "model": "m", "messages": messages, "max_tokens": 4, "stream": stream,
         });
         let path = "/v1/chat/completions";
-        let answer = call(engine.address, "POST", path, &[], body.to_string()).await;
-        let answer = answer.expect("an answer comes");
+        let response =
+            send_request(engine.address, "POST", path, &[], body.to_string()).await;
+        let response = response.expect("a response arrives");
         let text = ResponseText::new("m", 1, "user: why\n").token_range(0, 4);
         if stream {
             let first = ResponseText::new("m", 1, "user: why\n").token(0);
-            let shown = String::from_utf8_lossy(&answer.body);
+            let shown = String::from_utf8_lossy(&response.body);
             assert!(shown.contains(&format!(r#""delta":{{"content":"{first}"}}"#)));
             assert!(shown.ends_with("data: [DONE]\n\n"));
         } else {
-            let value = answer.json();
+            let value = response.json();
             assert_eq!(value["choices"][0]["message"]["content"], json!(text));
         }
     }
@@ -156,11 +159,11 @@
 
 /// Only a loaded model runs, and an adapter only if its base model is loaded too.
 #[tokio::test]
-async fn what_is_not_loaded_is_refused_and_not_run() {
-    let engine = start(quick()).await;
-    load(&engine, 1, "m", None).await;
-    load(&engine, 2, "adapter", Some("m")).await;
-    load(&engine, 3, "orphan", Some("absent")).await;
+async fn models_that_are_not_loaded_are_refused_and_not_run() {
+    let engine = start_engine(fast_options()).await;
+    load_model(&engine, 1, "m", None).await;
+    load_model(&engine, 2, "adapter", Some("m")).await;
+    load_model(&engine, 3, "orphan", Some("absent")).await;
     let cases = [
         ("m", None, 200),
         ("m", Some("1"), 200),
@@ -176,67 +179,68 @@
             .into_iter()
             .collect();
         let path = "/v1/completions";
-        let answer = call(engine.address, "POST", path, &headers, body).await;
-        let answer = answer.expect("an answer comes");
-        assert_eq!(answer.status, status, "{model} {version:?}");
-        assert_eq!(answer.not_run, status == 503, "{model} {version:?}");
+        let response = send_request(engine.address, "POST", path, &headers, body).await;
+        let response = response.expect("a response arrives");
+        assert_eq!(response.status, status, "{model} {version:?}");
+        assert_eq!(response.not_run, status == 503, "{model} {version:?}");
     }
     assert_eq!(engine.counts().runs, 3);
     assert_eq!(engine.counts().refused, 3);
-    let bad = call(engine.address, "POST", "/v1/completions", &[], "{").await;
-    assert_eq!(bad.expect("an answer comes").status, 400);
+    let bad = send_request(engine.address, "POST", "/v1/completions", &[], "{").await;
+    assert_eq!(bad.expect("a response arrives").status, 400);
 }
 
 #[tokio::test]
 async fn higher_priority_runs_first() {
-    let engine = start(EngineOptions {
+    let engine = start_engine(EngineOptions {
         slots: 1,
-        ..quick()
+        ..fast_options()
     })
     .await;
-    load(&engine, 1, "m", None).await;
+    load_model(&engine, 1, "m", None).await;
     engine.set_faults(Faults {
         frozen: true,
         ..Faults::default()
     });
     let mut bodies = Vec::new();
-    for (place, priority) in ["1", "9", "5", "9"].into_iter().enumerate() {
-        let request = format!("r{place}");
+    for (index, priority) in ["1", "9", "5", "9"].into_iter().enumerate() {
+        let request = format!("r{index}");
         let headers = [("x-priority", priority), ("x-request-id", &request)];
-        bodies.push(stream(&engine, &request, 1, &headers).await);
+        bodies.push(stream_completion(&engine, &request, 1, &headers).await);
     }
-    let ended = parking_lot::Mutex::new(Vec::new());
-    let takes = bodies.into_iter().enumerate().map(|(place, body)| {
-        let ended = &ended;
+    let finished = parking_lot::Mutex::new(Vec::new());
+    let readers = bodies.into_iter().enumerate().map(|(index, body)| {
+        let finished = &finished;
         async move {
-            chunks(body).await;
-            ended.lock().push(place);
+            read_chunks(body).await;
+            finished.lock().push(index);
         }
     });
-    let thaws = async { engine.set_faults(Faults::default()) };
-    tokio::join!(futures::future::join_all(takes), thaws);
+    let thaw = async { engine.set_faults(Faults::default()) };
+    tokio::join!(futures::future::join_all(readers), thaw);
     assert_eq!(engine.counts().finished, 4);
-    assert_eq!(*ended.lock(), [1, 3, 2, 0]);
+    assert_eq!(*finished.lock(), [1, 3, 2, 0]);
 }
 
 #[tokio::test]
-async fn a_batch_gives_each_request_a_token_a_step() {
-    let engine = start(EngineOptions {
+async fn requests_beyond_the_slots_all_complete() {
+    let engine = start_engine(EngineOptions {
         slots: 4,
-        ..quick()
+        ..fast_options()
     })
     .await;
-    load(&engine, 1, "m", None).await;
-    let prompts: Vec<String> = (0..12).map(|place| format!("p{place}")).collect();
-    let answers = prompts.iter().map(|prompt| async {
-        let (parts, clean) = chunks(stream(&engine, prompt, 6, &[]).await).await;
+    load_model(&engine, 1, "m", None).await;
+    let prompts: Vec<String> = (0..12).map(|index| format!("p{index}")).collect();
+    let responses = prompts.iter().map(|prompt| async {
+        let (parts, clean) =
+            read_chunks(stream_completion(&engine, prompt, 6, &[]).await).await;
         assert!(clean);
         assert_eq!(
-            text_of(&parts),
+            concat_text(&parts),
             ResponseText::new("m", 1, prompt).token_range(0, 6)
         );
     });
-    futures::future::join_all(answers).await;
+    futures::future::join_all(responses).await;
     let counts = engine.counts();
     assert_eq!((counts.runs, counts.finished, counts.tokens), (12, 12, 72));
     let report = engine.report();
@@ -245,44 +249,45 @@
 
 #[tokio::test]
 async fn a_full_queue_refuses_without_running() {
-    let engine = start(EngineOptions {
+    let engine = start_engine(EngineOptions {
         slots: 1,
         waiting_max: 2,
-        ..quick()
+        ..fast_options()
     })
     .await;
-    load(&engine, 1, "m", None).await;
+    load_model(&engine, 1, "m", None).await;
     engine.set_faults(Faults {
         frozen: true,
         ..Faults::default()
     });
     let _waiting = [
-        stream(&engine, "a", 1, &[]).await,
-        stream(&engine, "b", 1, &[]).await,
+        stream_completion(&engine, "a", 1, &[]).await,
+        stream_completion(&engine, "b", 1, &[]).await,
     ];
     let body = completion("c", 1, true);
-    let answer = call(engine.address, "POST", "/v1/completions", &[], body).await;
-    let answer = answer.expect("an answer comes");
-    assert_eq!((answer.status, answer.not_run), (503, true));
+    let response =
+        send_request(engine.address, "POST", "/v1/completions", &[], body).await;
+    let response = response.expect("a response arrives");
+    assert_eq!((response.status, response.not_run), (503, true));
 }
 
 /// The client closes its connection while the response streams, or while the request
 /// waits for a batch. The run must end and free its slot.
 #[tokio::test]
-async fn closing_the_connection_cancels() {
-    let engine = start(EngineOptions {
+async fn closing_the_connection_cancels_a_run() {
+    let engine = start_engine(EngineOptions {
         slots: 1,
-        ..quick()
+        ..fast_options()
     })
     .await;
-    load(&engine, 1, "m", None).await;
-    let mut running = stream(&engine, "a", 60_000, &[]).await;
+    load_model(&engine, 1, "m", None).await;
+    let mut running = stream_completion(&engine, "a", 60_000, &[]).await;
     running.frame().await.expect("a token").expect("a token");
-    let waiting = stream(&engine, "b", 60_000, &[]).await;
+    let waiting = stream_completion(&engine, "b", 60_000, &[]).await;
     drop(waiting);
-    until(|| engine.counts().cancelled == 1).await;
+    wait_until(|| engine.counts().cancelled == 1).await;
     drop(running);
-    until(|| engine.counts().cancelled == 2).await;
+    wait_until(|| engine.counts().cancelled == 2).await;
     let counts = engine.counts();
     assert_eq!((counts.runs, counts.finished), (1, 0));
     let report = engine.report();
@@ -292,18 +297,19 @@
 /// All prompts share 64 tokens, which are four complete blocks. The second cache is too
 /// small to hold them.
 #[tokio::test]
-async fn a_shared_prompt_start_is_prefilled_once_if_it_fits() {
+async fn a_shared_prompt_prefix_is_prefilled_once_if_cached() {
     for (prefix_blocks, cached) in [(64, 64), (2, 0)] {
-        let engine = start(EngineOptions {
+        let engine = start_engine(EngineOptions {
             prefix_blocks,
-            ..quick()
+            ..fast_options()
         })
         .await;
-        load(&engine, 1, "m", None).await;
+        load_model(&engine, 1, "m", None).await;
         let shared = "the manual says: ".repeat(64)[..256].to_owned();
         for question in ["why?", "how?"] {
             let prompt = format!("{shared}{question}");
-            let (_, clean) = chunks(stream(&engine, &prompt, 1, &[]).await).await;
+            let (_, clean) =
+                read_chunks(stream_completion(&engine, &prompt, 1, &[]).await).await;
             assert!(clean);
         }
         let counts = engine.counts();
@@ -314,24 +320,24 @@
 
 /// Long prompts take more steps to prefill, and a slow factor makes steps longer.
 #[tokio::test(start_paused = true)]
-async fn long_prompts_and_slow_engines_take_their_time() {
+async fn long_prompts_and_slow_engines_take_longer() {
     // (prompt bytes, slow factor, tokens, minimum duration in normal steps)
     for (bytes, slow_factor, tokens, steps) in
         [(4, 0, 10, 10), (4_096, 0, 1, 2), (4, 7, 10, 70)]
     {
-        let engine = start(EngineOptions {
+        let engine = start_engine(EngineOptions {
             step_us: 10_000,
-            ..quick()
+            ..fast_options()
         })
         .await;
-        load(&engine, 1, "m", None).await;
+        load_model(&engine, 1, "m", None).await;
         engine.set_faults(Faults {
             slow_factor,
             ..Faults::default()
         });
-        let begun = tokio::time::Instant::now();
+        let started_at = tokio::time::Instant::now();
         let prompt = "x".repeat(bytes);
-        chunks(stream(&engine, &prompt, tokens, &[]).await).await;
-        assert!(begun.elapsed() >= Duration::from_millis(10) * steps);
+        read_chunks(stream_completion(&engine, &prompt, tokens, &[]).await).await;
+        assert!(started_at.elapsed() >= Duration::from_millis(10) * steps);
     }
 }
--- a/crates/fake/tests/all/load.rs
+++ b/crates/fake/tests/all/load.rs
@@ -7,26 +7,26 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
-use crate::engine::{load as load_model, quick, start};
+use crate::engine::{fast_options, load_model, start_engine};
 
-async fn drive(
+async fn run_load(
     target: SocketAddr,
     stream: bool,
     count: u64,
     rate: Option<f64>,
 ) -> Report {
-    let mix = Workload {
+    let workload = Workload {
         profile: "desk".to_owned(),
         models: vec!["m".to_owned()],
         stream,
         ..Workload::default()
     };
-    drive_mix(target, mix, count, rate).await
+    run_workload(target, workload, count, rate).await
 }
 
-async fn drive_mix(
+async fn run_workload(
     target: SocketAddr,
-    mix: Workload,
+    workload: Workload,
     count: u64,
     rate_per_s: Option<f64>,
 ) -> Report {
@@ -35,7 +35,7 @@
         direct: true,
         exclude_unavailable_targets: false,
         caller_key: String::new(),
-        workloads: vec![mix],
+        workloads: vec![workload],
         concurrency: 4,
         rate_per_s,
         count,
@@ -45,11 +45,11 @@
 }
 
 #[tokio::test]
-async fn whole_answers_are_recognised() {
-    let engine = start(quick()).await;
+async fn complete_responses_are_recognized() {
+    let engine = start_engine(fast_options()).await;
     load_model(&engine, 1, "m", None).await;
     for (stream, rate) in [(true, None), (false, None), (true, Some(2_000.0))] {
-        let report = drive(engine.address, stream, 24, rate).await;
+        let report = run_load(engine.address, stream, 24, rate).await;
         let desk = &report.profiles["desk"];
         assert_eq!((desk.sent, desk.whole, desk.attained), (24, 24, 24));
         assert_eq!(report.wrong_answers(), 0);
@@ -59,9 +59,9 @@
 }
 
 #[tokio::test]
-async fn refused_and_broken_answers_are_told_apart() {
-    let engine = start(quick()).await;
-    let report = drive(engine.address, true, 3, None).await;
+async fn refused_and_incomplete_responses_are_distinguished() {
+    let engine = start_engine(fast_options()).await;
+    let report = run_load(engine.address, true, 3, None).await;
     let refused = &report.profiles["desk"].refused;
     assert_eq!(refused.get("http 503 not_run"), Some(&3));
     load_model(&engine, 1, "m", None).await;
@@ -70,7 +70,7 @@
         break_after_tokens: 3,
         ..Faults::default()
     });
-    let report = drive(engine.address, true, 6, None).await;
+    let report = run_load(engine.address, true, 6, None).await;
     let desk = &report.profiles["desk"];
     assert_eq!((desk.whole, desk.wrong), (4, 0));
     assert_eq!(desk.broken.get("connection"), Some(&2));
@@ -78,19 +78,19 @@
         closed: true,
         ..Faults::default()
     });
-    let report = drive(engine.address, true, 3, None).await;
+    let report = run_load(engine.address, true, 3, None).await;
     assert_eq!(report.profiles["desk"].disconnected, 3);
     let address = engine.address;
     drop(engine);
-    crate::client::until(|| std::net::TcpStream::connect(address).is_err()).await;
-    let report = drive(address, true, 3, None).await;
+    crate::client::wait_until(|| std::net::TcpStream::connect(address).is_err()).await;
+    let report = run_load(address, true, 3, None).await;
     assert_eq!(report.profiles["desk"].unreached, 3);
 }
 
 /// The response ends cleanly but is not the expected one: truncated with and without
 /// `[DONE]`, the text of another request, or empty.
 #[tokio::test]
-async fn a_clean_end_that_is_not_the_answer_is_wrong() {
+async fn a_clean_end_without_the_expected_text_is_wrong() {
     let other = r#"data: {"choices":[{"delta":{"content":"other "}}]}"#;
     let bodies = [
         format!("{other}\n\ndata: [DONE]\n\n"),
@@ -102,56 +102,59 @@
     for body in bodies {
         let listener = TcpListener::bind(fake::ANY_PORT).await;
         let listener = listener.expect("loopback has a free port");
-        let address = listener.local_addr().expect("it is bound");
-        let answers = async {
-            let (mut stream, _) = listener.accept().await.expect("the driver connects");
+        let address = listener.local_addr().expect("the listener is bound");
+        let responses = async {
+            let (mut stream, _) = listener
+                .accept()
+                .await
+                .expect("the load generator connects");
             let mut request = [0_u8; 4_096];
             let read = stream.read(&mut request).await;
             assert!(read.expect("a request") > 0);
-            let answer = format!(
+            let response = format!(
                 "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}",
                 body.len()
             );
-            let written = stream.write_all(answer.as_bytes()).await;
-            written.expect("the driver reads");
+            let written = stream.write_all(response.as_bytes()).await;
+            written.expect("the load generator reads");
         };
-        let (report, ()) = tokio::join!(drive(address, true, 1, None), answers);
+        let (report, ()) = tokio::join!(run_load(address, true, 1, None), responses);
         assert_eq!(report.wrong_answers(), 1, "{body}");
     }
 }
 
 #[tokio::test]
-async fn a_doubled_service_call_is_wrong() {
+async fn a_repeated_service_request_is_wrong() {
     let service = service::start(ServiceOptions::default()).await;
     let service = service.expect("loopback has a free port");
-    let mix = Workload {
+    let workload = Workload {
         profile: "parts".to_owned(),
         service: "deskapp".to_owned(),
         ..Workload::default()
     };
     for (whole, wrong) in [(3, 0), (0, 3)] {
         // The same seed generates the same keys, as if the requests were sent again.
-        let report = drive_mix(service.address, mix.clone(), 3, None).await;
+        let report = run_workload(service.address, workload.clone(), 3, None).await;
         let parts = &report.profiles["parts"];
         assert_eq!((parts.whole, parts.wrong), (whole, wrong));
     }
 }
 
 #[tokio::test]
-async fn an_expectation_that_is_missed_is_not_attained() {
-    let engine = start(quick()).await;
+async fn a_response_that_misses_its_target_is_not_attained() {
+    let engine = start_engine(fast_options()).await;
     load_model(&engine, 1, "m", None).await;
     engine.set_faults(Faults {
         slow_factor: 50,
         ..Faults::default()
     });
-    let mix = Workload {
+    let workload = Workload {
         profile: "desk".to_owned(),
         models: vec!["m".to_owned()],
         first_token_ms: 1,
         ..Workload::default()
     };
-    let report = drive_mix(engine.address, mix, 4, None).await;
+    let report = run_workload(engine.address, workload, 4, None).await;
     let desk = &report.profiles["desk"];
     assert_eq!((desk.whole, desk.attained), (4, 0));
     // A step takes 50 times 200 us, and no token is generated before its end.
@@ -165,8 +168,8 @@
 /// `exclude_unavailable_targets`, half of the requests would go there; with it, only
 /// those that were sent before the first refusal was seen.
 #[tokio::test]
-async fn a_balancer_leaves_out_a_target_that_is_gone() {
-    let engine = start(quick()).await;
+async fn a_target_that_refuses_connections_is_excluded() {
+    let engine = start_engine(fast_options()).await;
     load_model(&engine, 1, "m", None).await;
     let gone = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let gone_address = gone.local_addr().unwrap();
--- a/crates/fake/tests/all/orders.rs
+++ b/crates/fake/tests/all/orders.rs
@@ -4,35 +4,42 @@
 use fake::store::{self, StoreOptions};
 use serde_json::{Value, json};
 
-use crate::client::{call, get, until};
-use crate::engine::{is_done, quick, start};
+use crate::client::{get, send_request, wait_until};
+use crate::engine::{fast_options, is_done, start_engine};
 
-pub fn order(number: u64, fence: u64, kind: &str, model: &str, size_mib: u32) -> Value {
+pub fn build_order(
+    number: u64,
+    fence: u64,
+    kind: &str,
+    model: &str,
+    size_mib: u32,
+) -> Value {
     json!({
         "order": number, "fence": fence, "kind": kind, "model": model,
         "version": 1, "base": null, "accelerator": 0, "size_mib": size_mib,
     })
 }
 
-pub async fn send(
+pub async fn send_order(
     engine: &fake::Handle<fake::engine::Engine>,
     order: &Value,
 ) -> Option<u16> {
     let path = "/admin/orders";
-    let answer = call(engine.address, "POST", path, &[], order.to_string()).await;
-    answer.map(|answer| answer.status)
+    let response =
+        send_request(engine.address, "POST", path, &[], order.to_string()).await;
+    response.map(|response| response.status)
 }
 
 #[tokio::test]
 async fn the_state_shows_residents_and_orders() {
-    let engine = start(quick()).await;
+    let engine = start_engine(fast_options()).await;
     assert_eq!(
-        send(&engine, &order(7, 3, "load", "m", 1_000)).await,
+        send_order(&engine, &build_order(7, 3, "load", "m", 1_000)).await,
         Some(202)
     );
-    until(|| is_done(&engine, 7)).await;
+    wait_until(|| is_done(&engine, 7)).await;
     let state = get(engine.address, "/admin/state").await;
-    let state = state.expect("an answer comes").json();
+    let state = state.expect("a response arrives").json();
     assert_eq!(
         state,
         json!({
@@ -46,45 +53,45 @@
         })
     );
     assert_eq!(
-        send(&engine, &order(8, 3, "unload", "m", 0)).await,
+        send_order(&engine, &build_order(8, 3, "unload", "m", 0)).await,
         Some(202)
     );
-    until(|| is_done(&engine, 8)).await;
+    wait_until(|| is_done(&engine, 8)).await;
     assert!(engine.report().residents.is_empty());
     let counts = engine.counts();
     assert_eq!((counts.loads, counts.unloads, counts.orders), (1, 1, 2));
 }
 
 #[tokio::test]
-async fn an_old_fencing_number_is_refused_only_where_it_is_checked() {
+async fn a_low_fencing_epoch_is_refused_only_if_checked() {
     for (check_fencing, status, fenced, stale) in
         [(true, 409, 1, 0), (false, 202, 0, 1)]
     {
-        let engine = start(EngineOptions {
+        let engine = start_engine(EngineOptions {
             check_fencing,
-            ..quick()
+            ..fast_options()
         })
         .await;
         for (number, fence) in [(1, 5), (2, 5), (3, 6)] {
             let model = format!("m{number}");
-            let order = order(number, fence, "load", &model, 1);
-            assert_eq!(send(&engine, &order).await, Some(202));
+            let order = build_order(number, fence, "load", &model, 1);
+            assert_eq!(send_order(&engine, &order).await, Some(202));
         }
-        let old = send(&engine, &order(4, 5, "load", "old", 1)).await;
+        let old = send_order(&engine, &build_order(4, 5, "load", "old", 1)).await;
         assert_eq!(old, Some(status));
         let counts = engine.counts();
         assert_eq!((counts.orders_fenced, counts.orders_stale), (fenced, stale));
-        let held = engine.report().residents.len();
-        assert_eq!(held, if check_fencing { 3 } else { 4 });
+        let resident_count = engine.report().residents.len();
+        assert_eq!(resident_count, if check_fencing { 3 } else { 4 });
         assert_eq!(engine.report().fence, 6);
     }
 }
 
 #[tokio::test]
-async fn overcommitted_memory_is_counted_and_done() {
-    let engine = start(EngineOptions {
+async fn an_overcommitting_load_is_carried_out_and_counted() {
+    let engine = start_engine(EngineOptions {
         accelerators_mib: vec![2_000],
-        ..quick()
+        ..fast_options()
     })
     .await;
     // (model, size in MiB, overcommits after the load)
@@ -94,9 +101,9 @@
             .enumerate()
     {
         let number = number as u64;
-        let order = order(number, 1, "load", model, size_mib);
-        assert_eq!(send(&engine, &order).await, Some(202));
-        until(|| is_done(&engine, number)).await;
+        let order = build_order(number, 1, "load", model, size_mib);
+        assert_eq!(send_order(&engine, &order).await, Some(202));
+        wait_until(|| is_done(&engine, number)).await;
         assert_eq!(engine.counts().overcommits, overcommits);
     }
     assert_eq!(engine.report().residents.len(), 3);
@@ -106,35 +113,35 @@
 /// Memory stays in use until an unload has completed, so a load that starts before
 /// exceeds it.
 #[tokio::test]
-async fn an_unload_holds_its_memory_to_the_end() {
-    let engine = start(EngineOptions {
+async fn an_unloading_model_keeps_its_memory() {
+    let engine = start_engine(EngineOptions {
         accelerators_mib: vec![1_000],
         unload_ms: 600_000,
-        ..quick()
+        ..fast_options()
     })
     .await;
-    send(&engine, &order(1, 1, "load", "a", 1_000)).await;
-    until(|| is_done(&engine, 1)).await;
-    send(&engine, &order(2, 1, "unload", "a", 0)).await;
+    send_order(&engine, &build_order(1, 1, "load", "a", 1_000)).await;
+    wait_until(|| is_done(&engine, 1)).await;
+    send_order(&engine, &build_order(2, 1, "unload", "a", 0)).await;
     let state = engine.report().residents[0].state;
     assert_eq!(state, ResidentState::Unloading);
-    send(&engine, &order(3, 1, "load", "b", 1)).await;
+    send_order(&engine, &build_order(3, 1, "load", "b", 1)).await;
     assert_eq!(engine.counts().overcommits, 1);
 }
 
 #[tokio::test]
 async fn a_repeated_order_has_no_second_effect() {
-    let engine = start(quick()).await;
-    let load = order(1, 1, "load", "m", 1_000);
+    let engine = start_engine(fast_options()).await;
+    let load = build_order(1, 1, "load", "m", 1_000);
     for _ in 0..3 {
-        assert_eq!(send(&engine, &load).await, Some(202));
+        assert_eq!(send_order(&engine, &load).await, Some(202));
     }
-    until(|| is_done(&engine, 1)).await;
+    wait_until(|| is_done(&engine, 1)).await;
     assert_eq!(engine.report().residents.len(), 1);
     assert_eq!(engine.counts().orders_repeated, 2);
     // An order with another number completes at once, as the model is loaded.
     assert_eq!(
-        send(&engine, &order(2, 1, "load", "m", 1_000)).await,
+        send_order(&engine, &build_order(2, 1, "load", "m", 1_000)).await,
         Some(202)
     );
     assert!(is_done(&engine, 2));
@@ -142,21 +149,21 @@
 }
 
 #[tokio::test]
-async fn an_order_that_makes_no_sense_is_refused() {
-    let engine = start(quick()).await;
-    let mut beyond = order(1, 1, "load", "m", 1);
-    beyond["accelerator"] = json!(1);
-    let nameless = order(2, 1, "load", "", 1);
-    let kindless = order(3, 1, "move", "m", 1);
-    for bad in [beyond, nameless, kindless, json!([])] {
-        assert_eq!(send(&engine, &bad).await, Some(400), "{bad}");
+async fn an_invalid_order_is_refused() {
+    let engine = start_engine(fast_options()).await;
+    let mut unknown_accelerator = build_order(1, 1, "load", "m", 1);
+    unknown_accelerator["accelerator"] = json!(1);
+    let no_model = build_order(2, 1, "load", "", 1);
+    let unknown_kind = build_order(3, 1, "move", "m", 1);
+    for bad in [unknown_accelerator, no_model, unknown_kind, json!([])] {
+        assert_eq!(send_order(&engine, &bad).await, Some(400), "{bad}");
     }
     assert!(engine.report().orders.is_empty());
 }
 
 /// Checks the response to an order under each fault, and whether the model is loaded.
 #[tokio::test]
-async fn a_fault_of_an_order_does_one_thing() {
+async fn each_order_fault_has_exactly_one_effect() {
     let none = Faults::default;
     let cases = [
         (none(), Some(202), true),
@@ -193,43 +200,46 @@
             true,
         ),
     ];
-    for (faults, status, arrives) in cases {
-        let engine = start(quick()).await;
+    for (faults, status, takes_effect) in cases {
+        let engine = start_engine(fast_options()).await;
         engine.set_faults(faults.clone());
-        let sent = send(&engine, &order(1, 1, "load", "m", 1_000)).await;
+        let sent = send_order(&engine, &build_order(1, 1, "load", "m", 1_000)).await;
         assert_eq!(sent, status, "{faults:?}");
         if faults.late_orders > 0 {
             assert!(engine.report().orders.is_empty());
             engine.deliver_late_orders();
         }
-        if arrives {
-            until(|| is_done(&engine, 1)).await;
+        if takes_effect {
+            wait_until(|| is_done(&engine, 1)).await;
         }
         // The fault applied to one order only; the next is carried out.
-        let next = send(&engine, &order(2, 1, "load", "n", 1_000)).await;
+        let next = send_order(&engine, &build_order(2, 1, "load", "n", 1_000)).await;
         assert_eq!(next, Some(202), "{faults:?}");
-        until(|| is_done(&engine, 2)).await;
-        let held = engine.report().residents;
-        let held = held.iter().any(|one| one.model == "m");
-        assert_eq!(held, arrives, "{faults:?}");
+        wait_until(|| is_done(&engine, 2)).await;
+        let residents = engine.report().residents;
+        let is_loaded = residents.iter().any(|resident| resident.model == "m");
+        assert_eq!(is_loaded, takes_effect, "{faults:?}");
     }
 }
 
 /// A late order takes effect after one with a higher fencing epoch and must be refused.
 #[tokio::test]
-async fn a_late_order_is_checked_when_it_arrives() {
-    let engine = start(EngineOptions {
+async fn a_late_order_is_checked_when_it_takes_effect() {
+    let engine = start_engine(EngineOptions {
         check_fencing: true,
-        ..quick()
+        ..fast_options()
     })
     .await;
     engine.set_faults(Faults {
         late_orders: 1,
         ..Faults::default()
     });
-    assert_eq!(send(&engine, &order(1, 1, "load", "old", 1)).await, None);
     assert_eq!(
-        send(&engine, &order(2, 2, "load", "new", 1)).await,
+        send_order(&engine, &build_order(1, 1, "load", "old", 1)).await,
+        None
+    );
+    assert_eq!(
+        send_order(&engine, &build_order(2, 2, "load", "new", 1)).await,
         Some(202)
     );
     engine.deliver_late_orders();
@@ -246,38 +256,41 @@
     })
     .await
     .expect("loopback has a free port");
-    let engine = start(EngineOptions {
+    let engine = start_engine(EngineOptions {
         store: Some(store.address),
-        ..quick()
+        ..fast_options()
     })
     .await;
-    send(&engine, &order(1, 1, "load", "m", 1_000)).await;
-    until(|| is_done(&engine, 1)).await;
+    send_order(&engine, &build_order(1, 1, "load", "m", 1_000)).await;
+    wait_until(|| is_done(&engine, 1)).await;
     assert_eq!(store.counts().done, 1);
     store.set_faults(store::Faults {
         outage: true,
         ..store::Faults::default()
     });
-    send(&engine, &order(2, 1, "load", "n", 1_000)).await;
+    send_order(&engine, &build_order(2, 1, "load", "n", 1_000)).await;
     let state = |wanted| {
         let orders = engine.report().orders;
         serde_json::to_value(orders[1].state).ok() == Some(json!(wanted))
     };
-    until(|| state("failed")).await;
+    wait_until(|| state("failed")).await;
     assert_eq!(engine.report().residents.len(), 1);
     drop(store);
-    send(&engine, &order(3, 1, "load", "n", 1_000)).await;
-    until(|| engine.report().residents.len() == 1).await;
+    send_order(&engine, &build_order(3, 1, "load", "n", 1_000)).await;
+    wait_until(|| engine.report().residents.len() == 1).await;
 }
 
 #[tokio::test]
-async fn a_late_order_also_arrives_by_itself() {
-    let engine = start(quick()).await;
+async fn a_late_order_takes_effect_after_its_delay() {
+    let engine = start_engine(fast_options()).await;
     engine.set_faults(Faults {
         late_orders: 1,
         late_order_ms: 5,
         ..Faults::default()
     });
-    assert_eq!(send(&engine, &order(1, 1, "load", "m", 1)).await, None);
-    until(|| is_done(&engine, 1)).await;
+    assert_eq!(
+        send_order(&engine, &build_order(1, 1, "load", "m", 1)).await,
+        None
+    );
+    wait_until(|| is_done(&engine, 1)).await;
 }
--- a/crates/fake/tests/all/platform.rs
+++ b/crates/fake/tests/all/platform.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-use crate::client::{Answer, call, get};
+use crate::client::{CompleteResponse, get, send_request};
 
 async fn start() -> Handle<Platform> {
     let started = platform::start(PlatformOptions::default()).await;
@@ -20,9 +20,9 @@
     key: &str,
     condition: &[(&str, &str)],
     value: &str,
-) -> Option<Answer> {
+) -> Option<CompleteResponse> {
     let path = format!("/objects/{key}");
-    call(platform.address, "PUT", &path, condition, value.to_owned()).await
+    send_request(platform.address, "PUT", &path, condition, value.to_owned()).await
 }
 
 #[tokio::test]
@@ -49,26 +49,29 @@
         ("PUT", &[("if-none-match", "5")], 400, None),
         ("PUT", &[("if-match", "5"), absent], 400, None),
     ];
-    for (place, (method, condition, status, version)) in steps.iter().enumerate() {
+    for (index, (method, condition, status, version)) in steps.iter().enumerate() {
         let path = "/objects/a/b";
-        let answer = call(platform.address, method, path, condition, "v").await;
-        let answer = answer.expect("no fault is on");
+        let response =
+            send_request(platform.address, method, path, condition, "v").await;
+        let response = response.expect("no fault is active");
         assert_eq!(
-            (answer.status, answer.version),
+            (response.status, response.version),
             (*status, *version),
-            "{place}"
+            "{index}"
         );
     }
 }
 
 #[tokio::test]
-async fn lists_and_watches_are_by_prefix_and_version() {
+async fn lists_and_watches_select_by_prefix_and_version() {
     let platform = start().await;
     for key in ["a/1", "a/2", "b/1"] {
-        put(&platform, key, &[], key).await.expect("no fault is on");
+        put(&platform, key, &[], key)
+            .await
+            .expect("no fault is active");
     }
     let list = get(platform.address, "/objects?prefix=a%2F").await;
-    let list = list.expect("no fault is on").json();
+    let list = list.expect("no fault is active").json();
     assert_eq!(
         list,
         json!({"version": 3, "deleted": [], "objects": [
@@ -77,19 +80,23 @@
         ]})
     );
     let path = "/watch?prefix=a/&after=3&wait_ms=0";
-    let watch = get(platform.address, path).await.expect("no fault is on");
+    let watch = get(platform.address, path)
+        .await
+        .expect("no fault is active");
     assert_eq!(
         watch.json(),
         json!({"version": 3, "deleted": [], "objects": []})
     );
-    call(platform.address, "DELETE", "/objects/a/1", &[], "").await;
-    let watch = get(platform.address, path).await.expect("no fault is on");
+    send_request(platform.address, "DELETE", "/objects/a/1", &[], "").await;
+    let watch = get(platform.address, path)
+        .await
+        .expect("no fault is active");
     assert_eq!(
         watch.json(),
         json!({"version": 4, "deleted": ["a/1"], "objects": []})
     );
     let bad = get(platform.address, "/watch?prefix=a/&after=x").await;
-    assert_eq!(bad.expect("no fault is on").status, 400);
+    assert_eq!(bad.expect("no fault is active").status, 400);
 }
 
 #[tokio::test]
@@ -97,32 +104,35 @@
     let platform = start().await;
     let watch = get(platform.address, "/watch?prefix=a/&after=0&wait_ms=60000");
     let writes = async {
-        crate::client::until(|| platform.counts().watches == 1).await;
+        crate::client::wait_until(|| platform.counts().watches == 1).await;
         put(&platform, "b/1", &[], "other").await;
         put(&platform, "a/1", &[], "own").await;
     };
     let (watch, ()) = tokio::join!(watch, writes);
-    let watch = watch.expect("no fault is on").json();
+    let watch = watch.expect("no fault is active").json();
     assert_eq!(watch["version"], 2);
     assert_eq!(watch["objects"][0]["key"], "a/1");
     assert_eq!(platform.counts().watches, 1);
 }
 
 #[tokio::test]
-async fn a_value_over_a_megabyte_is_refused_whole() {
+async fn a_value_over_one_mebibyte_is_refused() {
     let platform = start().await;
     for (bytes, status) in [(VALUE_MAX_BYTES, 200), (VALUE_MAX_BYTES + 1, 413)] {
         let value = vec![b'x'; bytes];
-        let answer = call(platform.address, "PUT", "/objects/a", &[], value).await;
-        assert_eq!(answer.expect("an answer comes").status, status);
+        let response =
+            send_request(platform.address, "PUT", "/objects/a", &[], value).await;
+        assert_eq!(response.expect("a response arrives").status, status);
     }
-    let (version, value) = platform.peek_object("a").expect("the first was written");
+    let (version, value) = platform
+        .peek_object("a")
+        .expect("the first value was written");
     assert_eq!((version, value.len()), (1, VALUE_MAX_BYTES));
 }
 
 /// Checks the response to a write under each fault, and whether it took effect.
 #[tokio::test]
-async fn a_fault_of_a_write_does_one_thing() {
+async fn each_write_fault_has_exactly_one_effect() {
     let cases = [
         // (faults, status or `None` if closed, whether written)
         (Faults::default(), Some(200), true),
@@ -171,12 +181,20 @@
     for (faults, status, written) in cases {
         let platform = start().await;
         platform.set_faults(faults.clone());
-        let answer = put(&platform, "a", &[("if-none-match", "*")], "v").await;
-        assert_eq!(answer.map(|answer| answer.status), status, "{faults:?}");
+        let response = put(&platform, "a", &[("if-none-match", "*")], "v").await;
+        assert_eq!(
+            response.map(|response| response.status),
+            status,
+            "{faults:?}"
+        );
         assert_eq!(platform.peek_object("a").is_some(), written, "{faults:?}");
         platform.set_faults(Faults::default());
         let next = put(&platform, "b", &[], "v").await;
-        assert_eq!(next.expect("the fault is over").status, 200, "{faults:?}");
+        assert_eq!(
+            next.expect("the fault is no longer active").status,
+            200,
+            "{faults:?}"
+        );
     }
 }
 
@@ -193,21 +211,21 @@
         ..Faults::default()
     });
     let list = get(platform.address, "/objects?prefix=a/").await;
-    let list = list.expect("an answer comes").json();
+    let list = list.expect("a response arrives").json();
     assert_eq!(list["version"], 1);
     assert_eq!(list["objects"].as_array().map(Vec::len), Some(1));
     let read = get(platform.address, "/objects/a/1").await;
-    let read = read.expect("an answer comes");
+    let read = read.expect("a response arrives");
     assert_eq!((read.version, &read.body[..]), (Some(1), &b"one"[..]));
     let read = get(platform.address, "/objects/a/2").await;
-    assert_eq!(read.expect("an answer comes").status, 404);
+    assert_eq!(read.expect("a response arrives").status, 404);
     let read = get(platform.address, "/objects/a/1").await;
-    assert_eq!(read.expect("an answer comes").version, Some(2));
+    assert_eq!(read.expect("a response arrives").version, Some(2));
     assert_eq!(platform.counts().old_reads, 3);
 }
 
 #[tokio::test]
-async fn a_missed_change_shows_in_lists_but_in_no_watch() {
+async fn a_missed_change_appears_in_lists_but_in_no_watch() {
     let platform = start().await;
     platform.set_faults(Faults {
         missed_changes: 1,
@@ -216,12 +234,12 @@
     put(&platform, "a/1", &[], "missed").await;
     put(&platform, "a/2", &[], "seen").await;
     let watch = get(platform.address, "/watch?prefix=a/&after=0&wait_ms=0").await;
-    let watch = watch.expect("an answer comes").json();
+    let watch = watch.expect("a response arrives").json();
     assert_eq!(watch["objects"].as_array().map(Vec::len), Some(1));
     assert_eq!(watch["objects"][0]["key"], "a/2");
     assert_eq!(watch["version"], 2);
     let list = get(platform.address, "/objects?prefix=a/").await;
-    let list = list.expect("an answer comes").json();
+    let list = list.expect("a response arrives").json();
     assert_eq!(list["objects"].as_array().map(Vec::len), Some(2));
 }
 
@@ -231,19 +249,19 @@
         let platform = start().await;
         let watch = get(platform.address, "/watch?prefix=a/&after=0&wait_ms=60000");
         let breaks = async {
-            crate::client::until(|| platform.counts().watches == 1).await;
+            crate::client::wait_until(|| platform.counts().watches == 1).await;
             platform.set_faults(Faults {
                 outage,
                 ..Faults::default()
             });
         };
         let (watch, ()) = tokio::join!(watch, breaks);
-        assert_eq!(watch.map(|answer| answer.status), status);
+        assert_eq!(watch.map(|response| response.status), status);
     }
 }
 
 #[tokio::test]
-async fn the_seed_decides_which_answers_are_lost() {
+async fn the_seed_determines_which_responses_are_lost() {
     let mut runs = Vec::new();
     for _ in 0..2 {
         let platform = start().await;
@@ -266,31 +284,31 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_slow_platform_takes_its_time() {
+async fn requests_take_at_least_the_platform_delay() {
     let platform = start().await;
     platform.set_faults(Faults {
         delay_ms: 700,
         ..Faults::default()
     });
-    let begun = Instant::now();
+    let started_at = Instant::now();
     assert_eq!(
         put(&platform, "a", &[], "v").await.map(|a| a.status),
         Some(200)
     );
-    assert!(begun.elapsed() >= Duration::from_millis(700));
+    assert!(started_at.elapsed() >= Duration::from_millis(700));
 }
 
 #[tokio::test]
-async fn calls_are_counted_by_kind_also_in_vain() {
+async fn requests_are_counted_by_kind_even_if_they_fail() {
     let platform = start().await;
     put(&platform, "claims/1", &[], "v").await;
     put(&platform, "claims/1", &[("if-none-match", "*")], "v").await;
-    call(platform.address, "DELETE", "/objects/live/x", &[], "").await;
+    send_request(platform.address, "DELETE", "/objects/live/x", &[], "").await;
     get(platform.address, "/objects/claims/1").await;
     get(platform.address, "/objects?prefix=").await;
     get(platform.address, "/watch?prefix=&after=0&wait_ms=0").await;
     let counts = get(platform.control, "/control/counts").await;
-    let counts = counts.expect("control has no faults").json();
+    let counts = counts.expect("the control listener responds").json();
     assert_eq!(
         counts,
         json!({
@@ -302,20 +320,24 @@
 }
 
 #[tokio::test]
-async fn control_takes_known_faults_only() {
+async fn control_rejects_unknown_faults() {
     let platform = start().await;
     let faults = "/control/faults";
     let body = r#"{"outage": "refuse"}"#;
-    let put = call(platform.control, "PUT", faults, &[], body).await;
-    assert_eq!(put.expect("control answers").status, 200);
+    let put = send_request(platform.control, "PUT", faults, &[], body).await;
+    assert_eq!(put.expect("the control listener responds").status, 200);
     let read = get(platform.address, "/objects/a").await;
-    assert_eq!(read.expect("an answer comes").status, 503);
+    assert_eq!(read.expect("a response arrives").status, 503);
     for body in [r#"{"outrage": "refuse"}"#, "{", r#"{"delay_ms": "long"}"#] {
-        let put = call(platform.control, "PUT", faults, &[], body).await;
-        assert_eq!(put.expect("control answers").status, 400, "{body}");
+        let put = send_request(platform.control, "PUT", faults, &[], body).await;
+        assert_eq!(
+            put.expect("the control listener responds").status,
+            400,
+            "{body}"
+        );
     }
     let held = get(platform.control, faults)
         .await
-        .expect("control answers");
+        .expect("the control listener responds");
     assert_eq!(held.json()["outage"], "refuse");
 }
--- a/crates/fake/tests/all/service.rs
+++ b/crates/fake/tests/all/service.rs
@@ -2,33 +2,38 @@
 
 use fake::service::{self, Faults, ServiceOptions};
 
-use crate::client::{Answer, call, get};
+use crate::client::{CompleteResponse, get, send_request};
 
-async fn order(address: std::net::SocketAddr, key: &str) -> Option<Answer> {
+async fn send_order(
+    address: std::net::SocketAddr,
+    key: &str,
+) -> Option<CompleteResponse> {
     let headers = [("idempotency-key", key), ("x-request-id", "r1")];
-    call(address, "POST", "/svc/orders", &headers, "{}").await
+    send_request(address, "POST", "/svc/orders", &headers, "{}").await
 }
 
 #[tokio::test]
-async fn calls_are_counted_by_key_and_request() {
+async fn requests_are_counted_by_key_and_id() {
     let service = service::start(ServiceOptions::default()).await;
     let service = service.expect("loopback has a free port");
     for (key, count) in [("k1", 1), ("k2", 1), ("k1", 2)] {
-        let answer = order(service.address, key).await.expect("an answer comes");
-        assert_eq!(answer.json()["count"], count);
-        assert_eq!(answer.json()["key"], key);
+        let response = send_order(service.address, key)
+            .await
+            .expect("a response arrives");
+        assert_eq!(response.json()["count"], count);
+        assert_eq!(response.json()["key"], key);
     }
     let counts = service.counts();
     assert_eq!(counts.runs, 3);
     assert_eq!(counts.by_key.get("k1"), Some(&2));
     assert_eq!(counts.by_request.get("r1"), Some(&3));
     let health = get(service.address, "/healthz").await;
-    assert_eq!(health.expect("an answer comes").json()["incarnation"], 1);
+    assert_eq!(health.expect("a response arrives").json()["incarnation"], 1);
 }
 
 /// Checks the response to a request under each fault, and whether it ran.
 #[tokio::test]
-async fn a_fault_does_one_thing() {
+async fn each_fault_has_exactly_one_effect() {
     let none = Faults::default;
     let cases = [
         (none(), Some(200), 1),
@@ -70,19 +75,27 @@
         let service = service::start(ServiceOptions::default()).await;
         let service = service.expect("loopback has a free port");
         service.set_faults(faults.clone());
-        let answer = order(service.address, "k").await;
-        let not_run = answer.as_ref().is_some_and(|answer| answer.not_run);
+        let response = send_order(service.address, "k").await;
+        let not_run = response.as_ref().is_some_and(|response| response.not_run);
         assert_eq!(not_run, faults.refuse > 0, "{faults:?}");
-        assert_eq!(answer.map(|answer| answer.status), status, "{faults:?}");
+        assert_eq!(
+            response.map(|response| response.status),
+            status,
+            "{faults:?}"
+        );
         assert_eq!(service.counts().runs, runs, "{faults:?}");
         service.set_faults(none());
-        let next = order(service.address, "k").await;
-        assert_eq!(next.expect("the fault is over").status, 200, "{faults:?}");
+        let next = send_order(service.address, "k").await;
+        assert_eq!(
+            next.expect("the fault is no longer active").status,
+            200,
+            "{faults:?}"
+        );
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn work_and_slowness_take_their_time() {
+async fn requests_take_at_least_work_time_and_delay() {
     let service = service::start(ServiceOptions {
         work_ms: 300,
         ..ServiceOptions::default()
@@ -93,7 +106,7 @@
         slow_ms: 400,
         ..Faults::default()
     });
-    let begun = tokio::time::Instant::now();
-    assert!(order(service.address, "k").await.is_some());
-    assert!(begun.elapsed() >= std::time::Duration::from_millis(700));
+    let started_at = tokio::time::Instant::now();
+    assert!(send_order(service.address, "k").await.is_some());
+    assert!(started_at.elapsed() >= std::time::Duration::from_millis(700));
 }
--- a/crates/fake/tests/all/store.rs
+++ b/crates/fake/tests/all/store.rs
@@ -18,13 +18,13 @@
 }
 
 async fn load(store: &Handle<Store>) -> Option<u16> {
-    let answer = get(store.address, "/weights/m1?size_mib=70000").await;
-    answer.map(|answer| answer.status)
+    let response = get(store.address, "/weights/m1?size_mib=70000").await;
+    response.map(|response| response.status)
 }
 
 /// Concurrent loads must take at least the time that the limits imply.
 #[tokio::test(start_paused = true)]
-async fn rate_and_full_speed_bound_the_loads() {
+async fn start_rate_and_bandwidth_limit_loads() {
     let cases = [
         // (loads per second, full-speed loads, loads, minimum milliseconds)
         (1_000_000.0, 4, 1, 1_000),
@@ -34,12 +34,12 @@
     ];
     for (rate, full_speed, loads, least_ms) in cases {
         let store = start(rate, full_speed).await;
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let all = futures::future::join_all((0..loads).map(|_| load(&store))).await;
         assert!(all.iter().all(|status| *status == Some(200)));
         // Tolerance of 10 ms, since the steps of a shared load are rounded to 0.1 ms.
         let least = Duration::from_millis(least_ms - 10);
-        assert!(begun.elapsed() >= least, "{rate} {full_speed} {loads}");
+        assert!(started_at.elapsed() >= least, "{rate} {full_speed} {loads}");
         let counts = store.counts();
         assert_eq!((counts.started, counts.done), (loads, loads));
         assert_eq!(counts.active, 0);
@@ -47,7 +47,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn faults_refuse_and_slow_down() {
+async fn faults_refuse_and_slow_down_loads() {
     let store = start(1_000.0, 4).await;
     store.set_faults(Faults {
         fail_loads: 1,
@@ -64,9 +64,9 @@
         slow_factor: 3,
         ..Faults::default()
     });
-    let begun = Instant::now();
+    let started_at = Instant::now();
     assert_eq!(load(&store).await, Some(200));
-    assert!(begun.elapsed() >= Duration::from_millis(2_990));
+    assert!(started_at.elapsed() >= Duration::from_millis(2_990));
     let other = get(store.address, "/weights/").await;
-    assert_eq!(other.expect("an answer comes").status, 404);
+    assert_eq!(other.expect("a response arrives").status, 404);
 }
