--- a/crates/agent/src/attempts.rs
+++ b/crates/agent/src/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts that are at the upstream.
+//! Attempts that are running at the upstream.
 
 use base::AttemptId;
 use parking_lot::Mutex;
@@ -6,47 +6,47 @@
 use std::sync::Arc;
 use tokio_util::sync::CancellationToken;
 
-/// Attempts that are at the upstream, each with what stops it.
+/// The attempts that are running at the upstream, each with the token that stops it.
 #[derive(Debug, Default)]
-pub(crate) struct Attempts {
-    running: Mutex<HashMap<AttemptId, CancellationToken>>,
+pub(crate) struct RunningAttempts {
+    by_id: Mutex<HashMap<AttemptId, CancellationToken>>,
 }
 
-impl Attempts {
-    /// Enters an attempt.
-    pub(crate) fn enter(self: &Arc<Self>, attempt: AttemptId) -> Running {
+impl RunningAttempts {
+    /// Registers a running attempt; it is removed when the guard is dropped.
+    pub(crate) fn register(self: &Arc<Self>, attempt: AttemptId) -> AttemptGuard {
         let stop = CancellationToken::new();
-        self.running.lock().insert(attempt, stop.clone());
-        Running {
-            attempts: Arc::clone(self),
+        self.by_id.lock().insert(attempt, stop.clone());
+        AttemptGuard {
+            running_attempts: Arc::clone(self),
             attempt,
             stop,
         }
     }
 
-    /// Stops an attempt, if it still runs.
+    /// Stops an attempt if it is still running.
     pub(crate) fn stop(&self, attempt: AttemptId) {
-        if let Some(stop) = self.running.lock().get(&attempt) {
+        if let Some(stop) = self.by_id.lock().get(&attempt) {
             stop.cancel();
         }
     }
 
-    /// Number of attempts that run.
+    /// Returns the number of running attempts.
     pub(crate) fn len(&self) -> usize {
-        self.running.lock().len()
+        self.by_id.lock().len()
     }
 }
 
-/// A running attempt; dropping it takes it out of the table.
+/// A running attempt; dropping the guard removes it from [`RunningAttempts`].
 #[derive(Debug)]
-pub(crate) struct Running {
-    attempts: Arc<Attempts>,
+pub(crate) struct AttemptGuard {
+    running_attempts: Arc<RunningAttempts>,
     attempt: AttemptId,
     stop: CancellationToken,
 }
 
-impl Running {
-    /// The attempt.
+impl AttemptGuard {
+    /// Returns the attempt's identifier.
     pub(crate) const fn attempt(&self) -> AttemptId {
         self.attempt
     }
@@ -57,8 +57,8 @@
     }
 }
 
-impl Drop for Running {
+impl Drop for AttemptGuard {
     fn drop(&mut self) {
-        self.attempts.running.lock().remove(&self.attempt);
+        self.running_attempts.by_id.lock().remove(&self.attempt);
     }
 }
--- a/crates/agent/src/bin/sesame-agent.rs
+++ b/crates/agent/src/bin/sesame-agent.rs
@@ -1,11 +1,11 @@
-//! The agent's program: reads its settings and runs until it has drained.
+//! The agent's program: reads its settings and runs the agent until it has drained.
 
 use bpaf::Bpaf;
 use oper::StartError;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Stands beside one upstream and hands it work and orders.
+/// Runs the agent of one upstream, which passes requests and orders to it
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options)]
 struct Arguments {
@@ -16,16 +16,16 @@
 
 fn main() -> ExitCode {
     let arguments = arguments().run();
-    oper::exit_code(start(&arguments.settings))
+    oper::exit_code(run_agent(&arguments.settings))
 }
 
-fn start(file: &Path) -> Result<(), StartError> {
-    let settings = oper::read_settings(file, conf::check_agent_settings)?;
+fn run_agent(settings_file: &Path) -> Result<(), StartError> {
+    let settings = oper::read_settings(settings_file, conf::check_agent_settings)?;
     let log_level = settings.log_level.clone();
-    let threads = settings.worker_threads;
+    let worker_threads = settings.worker_threads;
     oper::run_process(
         &log_level,
-        threads,
+        worker_threads,
         agent::run(settings, oper::termination_signal()),
     )
 }
--- a/crates/agent/src/driver.rs
+++ b/crates/agent/src/driver.rs
@@ -1,4 +1,4 @@
-//! The machine and everything its actions reach.
+//! The driver of the agent's state machine.
 
 use base::prelude::*;
 use base::{PlatformCall, PlatformResponse};
@@ -16,165 +16,171 @@
 use tokio_util::sync::CancellationToken;
 use wire::{SendPermit, WireError};
 
-use crate::attempts::Attempts;
+use crate::attempts::RunningAttempts;
 use crate::links::Links;
-use crate::metrics::Meters;
+use crate::metrics::Metrics;
 use crate::predecessor;
 use crate::upstream::{self, Upstream};
 
-/// One agent: the machine, and what carries out its actions.
+/// Feeds events into the agent's state machine and carries out its actions.
 #[derive(Debug)]
-pub(crate) struct Node {
+pub(crate) struct AgentDriver {
     options: AgentOptions,
     link_address: SocketAddr,
     role: Mutex<AgentRole>,
     clock: Clock,
     links: Links,
-    attempts: Arc<Attempts>,
+    attempts: Arc<RunningAttempts>,
     upstream: Upstream,
-    ticker: DeadlineTimer,
+    deadline_timer: DeadlineTimer,
     platform: Arc<dyn ObjectApi>,
     recorder: EventRecorder,
-    meters: Meters,
+    metrics: Metrics,
     ready: AtomicBool,
     exit: CancellationToken,
     runtime: Handle,
-    first_actions: Mutex<Vec<AgentAction>>,
+    /// Actions of the state machine's construction, until they are carried out.
+    initial_actions: Mutex<Vec<AgentAction>>,
 }
 
-/// What an agent reaches outside itself.
+/// The agent's own address and the external services that it uses.
 #[derive(Debug)]
-pub(crate) struct Outside {
+pub(crate) struct Environment {
+    /// Address on which this process accepts links.
     pub(crate) link_address: SocketAddr,
-    pub(crate) upstream: SocketAddr,
+    pub(crate) upstream_address: SocketAddr,
     pub(crate) platform: Arc<dyn ObjectApi>,
     pub(crate) recorder: EventRecorder,
 }
 
-/// A part of an answer, with its room in the queue towards the entry.
+/// A part of an answer that the state machine has not decided on yet.
 #[derive(Debug)]
-pub(crate) struct Part {
+pub(crate) struct PendingPart {
     pub(crate) payload: Vec<u8>,
-    /// `None` if the entry is not connected.
-    pub(crate) room: Option<SendPermit>,
+    /// Permit for the entry's send queue; `None` if the entry is not connected.
+    pub(crate) permit: Option<SendPermit>,
 }
 
-impl Node {
-    /// Makes the machine; [`Node::begin`] carries out its first actions.
+impl AgentDriver {
+    /// Creates the state machine; [`AgentDriver::start`] carries out its initial
+    /// actions.
     pub(crate) fn new(
         options: AgentOptions,
         clock: Clock,
-        outside: Outside,
+        environment: Environment,
     ) -> Arc<Self> {
-        let mut out = Vec::new();
-        let role = AgentRole::new(options.clone(), clock.now(), &mut out);
+        let mut actions = Vec::new();
+        let role = AgentRole::new(options.clone(), clock.now(), &mut actions);
         Arc::new(Self {
             options,
-            link_address: outside.link_address,
+            link_address: environment.link_address,
             role: Mutex::new(role),
             clock,
             links: Links::default(),
             attempts: Arc::default(),
-            upstream: Upstream::new(outside.upstream),
-            ticker: DeadlineTimer::new(),
-            platform: outside.platform,
-            recorder: outside.recorder,
-            meters: Meters::new(),
+            upstream: Upstream::new(environment.upstream_address),
+            deadline_timer: DeadlineTimer::new(),
+            platform: environment.platform,
+            recorder: environment.recorder,
+            metrics: Metrics::new(),
             ready: AtomicBool::new(false),
             exit: CancellationToken::new(),
             runtime: Handle::current(),
-            first_actions: Mutex::new(out),
+            initial_actions: Mutex::new(actions),
         })
     }
 
-    /// Carries out the machine's first actions and starts its timer and the
-    /// questions for the upstream's state.
-    pub(crate) fn begin(self: &Arc<Self>) {
+    /// Carries out the initial actions and starts the state machine's timer and the
+    /// polling of the upstream's state.
+    pub(crate) fn start(self: &Arc<Self>) {
         let mut role = self.role.lock();
-        let mut out = std::mem::take(&mut *self.first_actions.lock());
-        self.perform(&mut role, &mut out, &mut None);
+        let mut actions = std::mem::take(&mut *self.initial_actions.lock());
+        self.execute_actions(&mut role, &mut actions, &mut None);
         drop(role);
-        let node = Arc::clone(self);
+        let driver = Arc::clone(self);
         self.runtime.spawn(async move {
-            let due = || node.role().due();
-            let tick = || node.tell(AgentEvent::Tick);
-            node.ticker.run(&node.clock, &node.exit, due, tick).await;
+            let due = || driver.role().due();
+            let tick = || driver.handle_event(AgentEvent::Tick);
+            driver
+                .deadline_timer
+                .run(&driver.clock, &driver.exit, due, tick)
+                .await;
         });
-        self.runtime.spawn(upstream::poll(Arc::clone(self)));
+        self.runtime.spawn(upstream::poll_state(Arc::clone(self)));
     }
 
-    /// The machine, for looking at it.
+    /// Locks the state machine, for reading its state.
     pub(crate) fn role(&self) -> MutexGuard<'_, AgentRole> {
         self.role.lock()
     }
 
-    /// The clock.
+    /// Returns the clock whose time the state machine is given.
     pub(crate) const fn clock(&self) -> &Clock {
         &self.clock
     }
 
-    /// The time line.
+    /// Returns the recorder of timeline events.
     pub(crate) const fn recorder(&self) -> &EventRecorder {
         &self.recorder
     }
 
-    /// Connections of entries.
+    /// Returns the links to entries.
     pub(crate) const fn links(&self) -> &Links {
         &self.links
     }
 
-    /// Attempts at the upstream.
-    pub(crate) fn attempts(&self) -> &Attempts {
+    /// Returns the attempts that are running at the upstream.
+    pub(crate) fn attempts(&self) -> &RunningAttempts {
         &self.attempts
     }
 
-    /// The upstream.
+    /// Returns the upstream of this agent.
     pub(crate) const fn upstream(&self) -> &Upstream {
         &self.upstream
     }
 
-    /// Counters of the shell.
-    pub(crate) const fn meters(&self) -> &Meters {
-        &self.meters
+    /// Returns the metrics that are counted outside the state machine.
+    pub(crate) const fn metrics(&self) -> &Metrics {
+        &self.metrics
     }
 
-    /// Cancelled once the machine has drained.
+    /// Returns the token that is cancelled once the state machine has drained.
     pub(crate) const fn exit(&self) -> &CancellationToken {
         &self.exit
     }
 
-    /// Name of the instance.
+    /// Returns the name of the instance.
     pub(crate) const fn id(&self) -> &AgentId {
         &self.options.id
     }
 
-    /// Whether the process takes work.
+    /// Returns whether the process accepts work.
     pub(crate) fn is_ready(&self) -> bool {
         self.ready.load(Ordering::Relaxed)
     }
 
-    /// Configuration in force.
+    /// Returns the configuration in force.
     pub(crate) fn config(&self) -> Option<Arc<Config>> {
         self.role.lock().config().cloned()
     }
 
-    /// Whether the upstream is a model engine; `None` while no configuration
-    /// names the pool.
+    /// Returns whether the upstream is a model engine rather than a plain service;
+    /// `None` while no configuration contains the pool.
     pub(crate) fn is_engine(&self) -> Option<bool> {
         let config = self.config()?;
         let pool = config.pool(self.options.pool.as_str())?;
         Some(pool.is_engine)
     }
 
-    /// Longest time for which an order to the upstream can be under way; `None`
-    /// while no configuration names the pool.
+    /// Returns the maximum time, in milliseconds, that an order can take to reach the
+    /// upstream; `None` while no configuration contains the pool.
     pub(crate) fn order_delay_max_ms(&self) -> Option<u64> {
         let config = self.config()?;
         let pool = config.pool(self.options.pool.as_str())?;
         Some(u64::from(pool.order_delay_max_ms))
     }
 
-    /// Bound on frames in force.
+    /// Returns the maximum frame size in force, in bytes.
     pub(crate) fn frame_max_bytes(&self) -> u32 {
         self.config()
             .map_or(wire::DEFAULT_FRAME_MAX_BYTES, |config| {
@@ -182,38 +188,46 @@
             })
     }
 
-    /// Kept events that the filter takes.
+    /// Returns the recorded events that match the filter.
     pub(crate) fn timeline(&self, filter: &EventFilter) -> Vec<line::Event> {
         self.recorder.events(filter)
     }
 
-    /// Tells the machine an event and carries out what it asks for.
-    pub(crate) fn tell(self: &Arc<Self>, event: AgentEvent) {
-        self.tell_all(|| vec![event]);
+    /// Passes an event to the state machine and carries out the resulting actions.
+    pub(crate) fn handle_event(self: &Arc<Self>, event: AgentEvent) {
+        self.handle_events(|| vec![event]);
     }
 
-    /// Tells the machine events that are made under its lock, so that what they
-    /// tell of can't change before it hears of it.
-    pub(crate) fn tell_all(self: &Arc<Self>, make: impl FnOnce() -> Vec<AgentEvent>) {
+    /// Passes several events to the state machine and carries out the resulting
+    /// actions. The events are created under the state machine's lock, so that what
+    /// they report can't change before the state machine has handled them.
+    pub(crate) fn handle_events(
+        self: &Arc<Self>,
+        make_events: impl FnOnce() -> Vec<AgentEvent>,
+    ) {
         let mut role = self.role.lock();
-        let mut out = Vec::new();
-        for event in make() {
-            role.handle(self.clock.now(), event, &mut out);
+        let mut actions = Vec::new();
+        for event in make_events() {
+            role.handle(self.clock.now(), event, &mut actions);
         }
-        self.perform(&mut role, &mut out, &mut None);
+        self.execute_actions(&mut role, &mut actions, &mut None);
     }
 
-    /// Tells the machine of a part of an answer, and passes the part on if the
-    /// machine says so.
-    pub(crate) fn tell_part(self: &Arc<Self>, event: UpstreamEvent, part: Part) {
+    /// Passes a part of an answer to the state machine, which decides whether the
+    /// part is forwarded to the entry.
+    pub(crate) fn handle_part_event(
+        self: &Arc<Self>,
+        event: UpstreamEvent,
+        part: PendingPart,
+    ) {
         let mut role = self.role.lock();
-        let mut out = Vec::new();
+        let mut actions = Vec::new();
         let event = AgentEvent::Upstream(event);
-        role.handle(self.clock.now(), event, &mut out);
-        self.perform(&mut role, &mut out, &mut Some(part));
+        role.handle(self.clock.now(), event, &mut actions);
+        self.execute_actions(&mut role, &mut actions, &mut Some(part));
     }
 
-    /// The first frame of a link.
+    /// Returns the `Hello` frame of this process.
     pub(crate) fn hello(&self) -> Frame {
         let revision = self.role.lock().revision();
         let body = frame::Body::Hello(Hello {
@@ -233,17 +247,19 @@
         }
     }
 
-    fn perform(
+    /// Carries out actions of the state machine. The caller holds its lock, so frames
+    /// are enqueued in the order in which they were decided.
+    fn execute_actions(
         self: &Arc<Self>,
         role: &mut AgentRole,
         actions: &mut Vec<AgentAction>,
-        part: &mut Option<Part>,
+        part: &mut Option<PendingPart>,
     ) {
         let revision = role.revision();
         for action in actions.drain(..) {
             match action {
                 AgentAction::SendFrame { entry, body } => {
-                    self.send(revision, &entry, body);
+                    self.send_frame(revision, &entry, body);
                 }
                 AgentAction::ForwardPart {
                     entry,
@@ -253,102 +269,118 @@
                 } => {
                     if let Some(part) = part.take() {
                         let payload = part.payload;
-                        let answer = answer(attempt, offset, units, payload);
+                        let answer = answer_frame(attempt, offset, units, payload);
                         let body = frame::Body::Answer(answer);
-                        self.forward(revision, &entry, part.room, body);
+                        self.forward_part(revision, &entry, part.permit, body);
                     }
                 }
                 AgentAction::StartAttempt { attempt, run } => {
-                    let running = self.attempts.enter(attempt);
-                    let node = Arc::clone(self);
-                    self.runtime.spawn(upstream::run(node, running, run));
+                    let guard = self.attempts.register(attempt);
+                    let driver = Arc::clone(self);
+                    self.runtime
+                        .spawn(upstream::run_attempt(driver, guard, run));
                 }
                 AgentAction::StopAttempt { attempt } => self.attempts.stop(attempt),
                 AgentAction::SendOrder(order) => {
-                    let decided = self.clock.now();
-                    let node = Arc::clone(self);
-                    self.runtime.spawn(upstream::order(node, order, decided));
+                    let decided_at = self.clock.now();
+                    let driver = Arc::clone(self);
+                    self.runtime
+                        .spawn(upstream::execute_order(driver, order, decided_at));
                 }
                 AgentAction::CallPlatform(call) => self.call_platform(call),
-                AgentAction::ProbePredecessor { address } => self.probe(address),
+                AgentAction::ProbePredecessor { address } => {
+                    self.probe_predecessor(address)
+                }
                 AgentAction::SetReady(ready) => self.set_ready(ready),
                 AgentAction::RecordEvent(event) => self.recorder.record(event),
                 AgentAction::Exit => self.exit.cancel(),
             }
         }
-        self.ticker.rearm(role.due());
+        self.deadline_timer.rearm(role.due());
     }
 
-    fn send(&self, revision: Revision, entry: &EntryId, body: frame::Body) {
+    fn send_frame(&self, revision: Revision, entry: &EntryId, body: frame::Body) {
         let Some(sender) = self.links.sender(entry) else {
-            self.meters.unsent_frames.inc();
+            self.metrics.unsent_frames.inc();
             return;
         };
-        let renewed = is_renewed(&body);
+        let superseded_by_next = is_superseded_by_next(&body);
         let sent = sender.try_send(self.frame(revision, body));
-        if let Err(fault) = sent {
-            self.meters.unsent_frames.inc();
-            // A lost `End` or `Refused` would leave the entry waiting for what
-            // was already said. Ending the link makes the loss plain.
-            if matches!(fault, WireError::QueueFull) && !renewed {
+        if let Err(error) = sent {
+            self.metrics.unsent_frames.inc();
+            // If an `End` or `Refused` frame were lost, the entry would wait for it.
+            // Closing the link makes the entry notice the loss.
+            if matches!(error, WireError::QueueFull) && !superseded_by_next {
                 sender.close();
             }
         }
     }
 
-    fn forward(
+    fn forward_part(
         &self,
         revision: Revision,
         entry: &EntryId,
-        room: Option<SendPermit>,
+        permit: Option<SendPermit>,
         body: frame::Body,
     ) {
-        let Some(room) = room else {
-            self.send(revision, entry, body);
+        let Some(permit) = permit else {
+            self.send_frame(revision, entry, body);
             return;
         };
-        let sent = room.send(&self.frame(revision, body));
+        let sent = permit.send(&self.frame(revision, body));
         if sent.is_err() {
-            self.meters.unsent_frames.inc();
+            self.metrics.unsent_frames.inc();
             if let Some(sender) = self.links.sender(entry) {
-                // The entry would see a gap in the answer.
+                // Without the part the answer would have a gap.
                 sender.close();
             }
         }
     }
 
+    /// Calls the platform in a task and passes the response to the state machine.
     fn call_platform(self: &Arc<Self>, call: PlatformCall) {
-        let node = Arc::clone(self);
+        let driver = Arc::clone(self);
         self.runtime.spawn(async move {
             let result = tokio::select! {
-                () = node.exit.cancelled() => return,
-                result = node.platform.call(&call.op) => result,
+                () = driver.exit.cancelled() => return,
+                result = driver.platform.call(&call.op) => result,
             };
             let id = call.id;
-            node.tell(AgentEvent::PlatformAnswered(PlatformResponse {
+            driver.handle_event(AgentEvent::PlatformAnswered(PlatformResponse {
                 id,
                 result,
             }));
         });
     }
 
-    fn probe(self: &Arc<Self>, address: String) {
-        let node = Arc::clone(self);
+    /// Checks in a task whether a predecessor is dead and reports the result to the
+    /// state machine.
+    fn probe_predecessor(self: &Arc<Self>, address: String) {
+        let driver = Arc::clone(self);
         self.runtime.spawn(async move {
-            let dead = predecessor::is_dead(&address, node.link_address).await;
-            node.tell(AgentEvent::PredecessorProbed { dead });
+            let dead = predecessor::is_dead(&address, driver.link_address).await;
+            driver.handle_event(AgentEvent::PredecessorProbed { dead });
         });
     }
 
     fn set_ready(&self, ready: bool) {
         if self.ready.swap(ready, Ordering::Relaxed) != ready {
-            let word = if ready { "takes" } else { "does not take" };
-            log::info!("{}: {word} work", self.options.id);
+            let change = if ready {
+                "accepts"
+            } else {
+                "no longer accepts"
+            };
+            log::info!("{}: {change} work", self.options.id);
         }
     }
 }
 
-fn answer(attempt: AttemptId, offset: u64, units: u32, payload: Vec<u8>) -> Answer {
+fn answer_frame(
+    attempt: AttemptId,
+    offset: u64,
+    units: u32,
+    payload: Vec<u8>,
+) -> Answer {
     Answer {
         attempt: Some(link::Attempt {
             origin: attempt.origin,
@@ -360,8 +392,8 @@
     }
 }
 
-/// Whether a lost frame is made up for by the next one of its kind.
-const fn is_renewed(body: &frame::Body) -> bool {
+/// Returns whether the next frame of the same kind makes up for the loss of a frame.
+const fn is_superseded_by_next(body: &frame::Body) -> bool {
     matches!(
         body,
         frame::Body::Heartbeat(_)
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,20 +1,20 @@
-//! The agent's process: what stands beside one upstream.
+//! The process of an agent, which runs beside one upstream.
 //!
-//! [`AgentRole`](role::agent::AgentRole) decides; this crate carries out. It
-//! listens for entries, hands attempts and orders to the upstream, asks for its
-//! state, calls the platform, and tells the machine what came of all that.
+//! The state machine [`AgentRole`](role::agent::AgentRole) makes the decisions, and
+//! this crate is its driver: it accepts links from entries, sends attempts and orders
+//! to the upstream, polls the upstream's state, calls the platform, and feeds the
+//! results back into the state machine.
 //!
 //! Invariants:
 //!
-//! - The machine is called under one lock, and the frames it asks for are
-//!   queued under the same lock: each entry sees them in the order in which
-//!   they were decided. A part that overtook its end would break an answer.
-//! - Nothing waits under that lock. A part's room in the link's queue is waited
-//!   for before the machine hears of the part, so a slow entry holds back its
-//!   own answers at the upstream and nothing else.
-//! - An attempt is told as not run only if no byte of it was written to the
-//!   upstream's connection, or the upstream itself said so.
-//! - Payloads never enter the machine, but for the answers it is to keep.
+//! - The state machine is called under a lock, and the frames that it sends are
+//!   enqueued under the same lock. Each entry therefore receives them in the order in
+//!   which they were decided; an answer would break if a part arrived after its end.
+//! - Nothing waits under that lock. Capacity in a link's send queue is reserved before
+//!   the state machine handles a part, so a slow entry delays only its own answers.
+//! - An attempt is reported as not run only if none of its bytes were written to the
+//!   connection to the upstream, or the upstream stated that it did not run it.
+//! - Payloads are not passed to the state machine, except for answers that it stores.
 
 mod attempts;
 mod driver;
--- a/crates/agent/src/link_listener.rs
+++ b/crates/agent/src/link_listener.rs
@@ -1,4 +1,4 @@
-//! Taking entries' connections and handing on their frames.
+//! Accepting links from entries and passing their frames to the state machine.
 
 use base::prelude::*;
 use role::agent::AgentEvent;
@@ -7,115 +7,129 @@
 use tokio::sync::Semaphore;
 use wire::{EstablishedLink, Link, LinkReceiver, Listener};
 
-use crate::driver::Node;
+use crate::driver::AgentDriver;
 
-/// Connections held at once, greeted or not; a cell has a few entries.
+/// Maximum number of open connections, including those still in the handshake.
 ///
-/// Each holds a task, and its queue once it has greeted. What connects again and
-/// again without a word must not take all memory from the entries' work.
+/// A planning cell has only a few entries. Each connection uses a task, and a send
+/// queue after the handshake, so a client that connects repeatedly without sending
+/// a `Hello` must not be able to use up the memory.
 const CONNECTIONS_MAX: usize = 128;
 
-/// Pause after the operating system could not accept a connection.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after the operating system failed to accept a connection.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Takes connections of entries until the process ends.
-pub(crate) async fn accept(node: Arc<Node>, listener: Listener) {
-    let places = Arc::new(Semaphore::new(CONNECTIONS_MAX));
+/// Accepts connections from entries until the process exits.
+pub(crate) async fn accept_links(driver: Arc<AgentDriver>, listener: Listener) {
+    let slots = Arc::new(Semaphore::new(CONNECTIONS_MAX));
     loop {
         let accepted = tokio::select! {
-            () = node.exit().cancelled() => return,
+            () = driver.exit().cancelled() => return,
             accepted = listener.accept() => accepted,
         };
         match accepted {
             Ok(link) => {
-                let Ok(place) = Arc::clone(&places).try_acquire_owned() else {
-                    node.meters().refused_links.inc();
+                let Ok(slot) = Arc::clone(&slots).try_acquire_owned() else {
+                    driver.metrics().refused_links.inc();
                     continue;
                 };
-                let node = Arc::clone(&node);
+                let driver = Arc::clone(&driver);
                 tokio::spawn(async move {
-                    let _place = place;
-                    let exit = node.exit().clone();
+                    let _slot = slot;
+                    let exit = driver.exit().clone();
                     tokio::select! {
                         () = exit.cancelled() => {}
-                        () = serve(&node, link) => {}
+                        () = serve_link(&driver, link) => {}
                     }
                 });
             }
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
 
-async fn serve(node: &Arc<Node>, link: Link) {
-    let link = link.with_frame_max_bytes(node.frame_max_bytes());
-    let Ok(link) = link.handshake(node.hello()).await else {
-        node.meters().bad_frames.inc();
+/// Performs the handshake and handles the link's frames until it closes.
+async fn serve_link(driver: &Arc<AgentDriver>, link: Link) {
+    let link = link.with_frame_max_bytes(driver.frame_max_bytes());
+    let Ok(link) = link.handshake(driver.hello()).await else {
+        driver.metrics().bad_frames.inc();
         return;
     };
-    node.recorder().observe(link.clock_us);
+    driver.recorder().observe(link.clock_us);
     if link.hello.kind != "entry" {
-        node.meters().bad_frames.inc();
+        driver.metrics().bad_frames.inc();
         return;
     }
     let entry = EntryId::new(&link.hello.id);
-    if let Some(number) = up(node, &entry, &link) {
+    if let Some(link_id) = register_link(driver, &entry, &link) {
         let EstablishedLink {
             sender, receiver, ..
         } = link;
-        read_all(node, &entry, receiver).await;
+        receive_frames(driver, &entry, receiver).await;
         drop(sender);
-        down(node, &entry, number);
+        unregister_link(driver, &entry, link_id);
     }
 }
 
-/// Enters a connection and tells the machine, in one step: no other connection
-/// of the entry can come between the two.
-fn up(node: &Arc<Node>, entry: &EntryId, link: &EstablishedLink) -> Option<u64> {
-    let mut number = None;
-    node.tell_all(|| {
-        let Some(added) = node.links().add(entry, link) else {
+/// Registers a link and reports it to the state machine; returns its identifier, or
+/// `None` if a later incarnation of the entry is connected.
+///
+/// Both happen under one lock, so that no other link of the entry can come between.
+fn register_link(
+    driver: &Arc<AgentDriver>,
+    entry: &EntryId,
+    link: &EstablishedLink,
+) -> Option<u64> {
+    let mut link_id = None;
+    driver.handle_events(|| {
+        let Some(added) = driver.links().add(entry, link) else {
             return Vec::new();
         };
-        number = Some(added.number);
+        link_id = Some(added.id);
         let entry = entry.clone();
-        let came = AgentEvent::LinkUp {
+        let link_up = AgentEvent::LinkUp {
             entry: entry.clone(),
         };
         if added.replaced {
-            // Frames may have been lost with the earlier connection.
-            vec![AgentEvent::LinkDown { entry }, came]
+            // Frames may have been lost with the replaced link.
+            vec![AgentEvent::LinkDown { entry }, link_up]
         } else {
-            vec![came]
+            vec![link_up]
         }
     });
-    if number.is_some() {
-        log::info!("{}: link to {entry} is up", node.id());
+    if link_id.is_some() {
+        log::info!("{}: link to {entry} is up", driver.id());
     }
-    number
+    link_id
 }
 
-fn down(node: &Arc<Node>, entry: &EntryId, number: u64) {
-    node.tell_all(|| {
-        if !node.links().remove(entry, number) {
+/// Removes a closed link and reports it to the state machine, unless another link has
+/// replaced it.
+fn unregister_link(driver: &Arc<AgentDriver>, entry: &EntryId, link_id: u64) {
+    driver.handle_events(|| {
+        if !driver.links().remove(entry, link_id) {
             return Vec::new();
         }
-        log::info!("{}: link to {entry} is down", node.id());
+        log::info!("{}: link to {entry} is down", driver.id());
         vec![AgentEvent::LinkDown {
             entry: entry.clone(),
         }]
     });
 }
 
-/// Hands on frames until the link ends.
-async fn read_all(node: &Arc<Node>, entry: &EntryId, mut receiver: LinkReceiver) {
+/// Handles received frames until the link closes.
+async fn receive_frames(
+    driver: &Arc<AgentDriver>,
+    entry: &EntryId,
+    mut receiver: LinkReceiver,
+) {
     loop {
         match receiver.recv().await {
-            Ok(Some(frame)) => take(node, entry, frame),
+            Ok(Some(frame)) => handle_frame(driver, entry, frame),
             Ok(None) => return,
-            Err(fault) => {
-                if fault.code() == ErrorCode::BadFrame {
-                    node.meters().bad_frames.inc();
+            Err(error) => {
+                if error.code() == ErrorCode::BadFrame {
+                    driver.metrics().bad_frames.inc();
                 }
                 return;
             }
@@ -123,14 +137,14 @@
     }
 }
 
-fn take(node: &Arc<Node>, entry: &EntryId, frame: Frame) {
-    node.recorder().observe(frame.clock_us);
-    // A frame without a body is of a kind from a later version of the schema.
+fn handle_frame(driver: &Arc<AgentDriver>, entry: &EntryId, frame: Frame) {
+    driver.recorder().observe(frame.clock_us);
+    // Kinds of frames from later versions of the schema decode without a body.
     let Some(body) = frame.body else {
-        node.meters().bad_frames.inc();
+        driver.metrics().bad_frames.inc();
         return;
     };
-    node.tell(AgentEvent::Frame {
+    driver.handle_event(AgentEvent::Frame {
         entry: entry.clone(),
         revision: Revision(frame.revision),
         body,
--- a/crates/agent/src/links.rs
+++ b/crates/agent/src/links.rs
@@ -1,11 +1,11 @@
-//! The connections of entries that are up.
+//! The links to connected entries.
 
 use base::prelude::*;
 use parking_lot::Mutex;
 use std::collections::HashMap;
 use wire::{EstablishedLink, LinkSender};
 
-/// The connections of entries that are up.
+/// The links to connected entries, at most one for each entry.
 #[derive(Debug, Default)]
 pub(crate) struct Links {
     table: Mutex<Table>,
@@ -13,90 +13,96 @@
 
 #[derive(Debug, Default)]
 struct Table {
-    by_entry: HashMap<EntryId, Up>,
-    next: u64,
+    by_entry: HashMap<EntryId, EntryLink>,
+    next_id: u64,
 }
 
-/// One connection that is up.
+/// The link to one entry.
 #[derive(Debug)]
-struct Up {
-    /// Tells a connection from an earlier one of the same entry.
-    number: u64,
+struct EntryLink {
+    /// Distinguishes the link from earlier ones to the same entry.
+    id: u64,
+    /// Incarnation of the entry.
     incarnation: Incarnation,
     sender: LinkSender,
 }
 
-/// What came of adding a connection.
+/// A link that was added to [`Links`].
 #[derive(Debug)]
-pub(crate) struct Added {
-    pub(crate) number: u64,
-    /// An earlier connection of the entry was ended by it.
+pub(crate) struct AddedLink {
+    pub(crate) id: u64,
+    /// The link replaced an earlier one to the same entry.
     pub(crate) replaced: bool,
 }
 
 impl Links {
-    /// The sending half of an entry's connection.
+    /// Returns the sending half of the link to an entry.
     pub(crate) fn sender(&self, entry: &EntryId) -> Option<LinkSender> {
         let table = self.table.lock();
-        table.by_entry.get(entry).map(|up| up.sender.clone())
+        table.by_entry.get(entry).map(|link| link.sender.clone())
     }
 
-    /// The connection of the entry that made an attempt.
-    pub(crate) fn sender_of(&self, attempt: AttemptId) -> Option<LinkSender> {
+    /// Returns the sending half of the link to the entry that made an attempt.
+    pub(crate) fn sender_for_attempt(&self, attempt: AttemptId) -> Option<LinkSender> {
         let table = self.table.lock();
-        let mut ups = table.by_entry.values();
-        ups.find(|up| up.incarnation.0 == attempt.origin)
-            .map(|up| up.sender.clone())
+        let mut links = table.by_entry.values();
+        links
+            .find(|link| link.incarnation.0 == attempt.origin)
+            .map(|link| link.sender.clone())
     }
 
-    /// Number of connections that are up.
-    pub(crate) fn up(&self) -> usize {
+    /// Returns the number of connected entries.
+    pub(crate) fn count(&self) -> usize {
         self.table.lock().by_entry.len()
     }
 
-    /// Ends all connections, once what is queued has been sent or `wait` is
-    /// over.
-    pub(crate) async fn close(&self, wait: Duration) {
-        let ups = std::mem::take(&mut self.table.lock().by_entry);
-        let flushed = ups.values().map(|up| up.sender.flushed());
-        // An entry that reads nothing must not keep this process from ending.
-        let _ = tokio::time::timeout(wait, futures::future::join_all(flushed)).await;
-        ups.values().for_each(|up| up.sender.close());
+    /// Closes all links once their queued frames have been sent, or after `timeout`.
+    pub(crate) async fn close(&self, timeout: Duration) {
+        let links = std::mem::take(&mut self.table.lock().by_entry);
+        let flushed = links.values().map(|link| link.sender.flushed());
+        // An entry that reads nothing must not prevent this process from exiting.
+        let _ = tokio::time::timeout(timeout, futures::future::join_all(flushed)).await;
+        links.values().for_each(|link| link.sender.close());
     }
 
-    /// Adds a connection; `None` if a later run of the entry is connected.
-    pub(crate) fn add(&self, entry: &EntryId, link: &EstablishedLink) -> Option<Added> {
-        let incarnation = Incarnation(link.hello.incarnation);
+    /// Adds a link and closes an earlier one to the same entry; returns `None` if a
+    /// later incarnation of the entry is connected.
+    pub(crate) fn add(
+        &self,
+        entry: &EntryId,
+        established: &EstablishedLink,
+    ) -> Option<AddedLink> {
+        let incarnation = Incarnation(established.hello.incarnation);
         let mut table = self.table.lock();
         let earlier = table.by_entry.get(entry);
-        if earlier.is_some_and(|up| up.incarnation > incarnation) {
+        if earlier.is_some_and(|link| link.incarnation > incarnation) {
             return None;
         }
-        let number = table.next;
-        table.next += 1;
-        let up = Up {
-            number,
+        let id = table.next_id;
+        table.next_id += 1;
+        let link = EntryLink {
+            id,
             incarnation,
-            sender: link.sender.clone(),
+            sender: established.sender.clone(),
         };
-        let earlier = table.by_entry.insert(entry.clone(), up);
+        let earlier = table.by_entry.insert(entry.clone(), link);
         if let Some(earlier) = &earlier {
             earlier.sender.close();
         }
-        Some(Added {
-            number,
+        Some(AddedLink {
+            id,
             replaced: earlier.is_some(),
         })
     }
 
-    /// Takes a connection out; false if another has replaced it.
-    pub(crate) fn remove(&self, entry: &EntryId, number: u64) -> bool {
+    /// Removes a link; returns false if another link has replaced it.
+    pub(crate) fn remove(&self, entry: &EntryId, id: u64) -> bool {
         let mut table = self.table.lock();
-        let held = table.by_entry.get(entry);
-        let same = held.is_some_and(|up| up.number == number);
-        if same {
+        let current = table.by_entry.get(entry);
+        let is_current = current.is_some_and(|link| link.id == id);
+        if is_current {
             table.by_entry.remove(entry);
         }
-        same
+        is_current
     }
 }
--- a/crates/agent/src/metrics.rs
+++ b/crates/agent/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of the agent.
+//! Metrics of the agent process.
 
 use oper::ProcessUsage;
 use prometheus::core::Collector;
@@ -6,20 +6,20 @@
 use prometheus::{Counter, Gauge, IntCounter, Registry, TextEncoder};
 use role::agent::{AgentCounters, AgentStatus};
 
-/// What the shell counts.
+/// Counters that are kept outside the state machine.
 #[derive(Debug)]
-pub(crate) struct Meters {
+pub(crate) struct Metrics {
     registry: Registry,
-    /// Frames that could not be queued on a link.
+    /// Frames that could not be enqueued on a link.
     pub(crate) unsent_frames: IntCounter,
-    /// Frames and greetings that could not be read.
+    /// Frames and handshakes that were invalid.
     pub(crate) bad_frames: IntCounter,
     /// Connections closed because too many were open.
     pub(crate) refused_links: IntCounter,
 }
 
-impl Meters {
-    /// Counters at zero.
+impl Metrics {
+    /// Creates the counters with a value of zero.
     pub(crate) fn new() -> Self {
         let registry = Registry::new();
         let counter = |name: &str, help: &str| {
@@ -47,26 +47,26 @@
     }
 }
 
-/// What else the metrics are read from.
+/// Values at the time at which the metrics are read.
 #[derive(Debug)]
-pub(crate) struct Seen {
-    /// The machine's counters.
+pub(crate) struct MetricsSnapshot {
+    /// Counters of the state machine.
     pub(crate) counters: AgentCounters,
-    /// The machine's state.
+    /// Status of the state machine.
     pub(crate) status: AgentStatus,
-    /// Entries that are connected.
+    /// Number of connected entries.
     pub(crate) links_up: usize,
-    /// Attempts that the upstream runs.
+    /// Number of attempts that are running at the upstream.
     pub(crate) attempts: usize,
-    /// Whether the process takes work.
+    /// Whether the process accepts work.
     pub(crate) ready: bool,
 }
 
-/// All metrics in the text format of Prometheus.
-pub(crate) fn text(meters: &Meters, seen: &Seen) -> String {
-    let mut families = meters.registry.gather();
-    families.extend(machine(&seen.counters));
-    for (name, help, value) in gauges(seen) {
+/// Renders all metrics in the Prometheus text format.
+pub(crate) fn render(metrics: &Metrics, snapshot: &MetricsSnapshot) -> String {
+    let mut families = metrics.registry.gather();
+    families.extend(state_machine_counters(&snapshot.counters));
+    for (name, help, value) in gauges(snapshot) {
         let gauge = Gauge::new(name, help).expect("the names are valid");
         gauge.set(value);
         families.extend(gauge.collect());
@@ -80,8 +80,8 @@
         .unwrap_or_default()
 }
 
-/// The machine's counters, each under the name of its field.
-fn machine(counters: &AgentCounters) -> Vec<MetricFamily> {
+/// Returns the state machine's counters, each named after its field.
+fn state_machine_counters(counters: &AgentCounters) -> Vec<MetricFamily> {
     let Ok(serde_json::Value::Object(fields)) = serde_json::to_value(counters) else {
         return Vec::new();
     };
@@ -97,18 +97,18 @@
     families
 }
 
-fn gauges(seen: &Seen) -> [(&'static str, &'static str, f64); 6] {
-    let status = &seen.status;
+fn gauges(snapshot: &MetricsSnapshot) -> [(&'static str, &'static str, f64); 6] {
+    let status = &snapshot.status;
     [
         (
             "sesame_agent_links_up",
             "Entries that are connected.",
-            seen.links_up as f64,
+            snapshot.links_up as f64,
         ),
         (
             "sesame_agent_attempts_at_upstream",
             "Attempts that the upstream runs.",
-            seen.attempts as f64,
+            snapshot.attempts as f64,
         ),
         (
             "sesame_agent_revision",
@@ -118,7 +118,7 @@
         (
             "sesame_agent_ready",
             "1 if the process takes work.",
-            f64::from(u8::from(seen.ready)),
+            f64::from(u8::from(snapshot.ready)),
         ),
         (
             "sesame_agent_upstream_up",
--- a/crates/agent/src/operator_api.rs
+++ b/crates/agent/src/operator_api.rs
@@ -1,85 +1,86 @@
-//! What operators see of an agent.
+//! The operators' API of an agent.
 
 use line::{Event, EventFilter};
 use oper::OperatorApi;
 use role::agent::{AgentEvent, AgentStatus};
 use std::sync::Arc;
 
-use crate::driver::Node;
-use crate::metrics::{self, Seen};
+use crate::driver::AgentDriver;
+use crate::metrics::{self, MetricsSnapshot};
 
-/// Newest events told in an explanation.
-const EVENTS_TOLD: usize = 20;
+/// Maximum number of timeline events in the explanation of a model.
+const EXPLAIN_EVENTS_MAX: usize = 20;
 
-/// An agent behind its operators' listener.
+/// Answers operators' requests from the driver's state.
 #[derive(Debug)]
-pub(crate) struct OperatedAgent {
-    node: Arc<Node>,
+pub(crate) struct AgentOperatorApi {
+    driver: Arc<AgentDriver>,
 }
 
-impl OperatedAgent {
-    /// The view on a node.
-    pub(crate) const fn new(node: Arc<Node>) -> Self {
-        Self { node }
+impl AgentOperatorApi {
+    /// Creates the API of an agent.
+    pub(crate) const fn new(driver: Arc<AgentDriver>) -> Self {
+        Self { driver }
     }
 }
 
-impl OperatorApi for OperatedAgent {
+impl OperatorApi for AgentOperatorApi {
     fn ready(&self) -> bool {
-        self.node.is_ready()
+        self.driver.is_ready()
     }
 
     fn status(&self) -> serde_json::Value {
-        let status = self.node.role().status();
+        let status = self.driver.role().status();
         serde_json::to_value(status).unwrap_or(serde_json::Value::Null)
     }
 
     fn metrics(&self) -> String {
         let (counters, status) = {
-            let role = self.node.role();
+            let role = self.driver.role();
             (role.counters(), role.status())
         };
-        let seen = Seen {
+        let snapshot = MetricsSnapshot {
             counters,
             status,
-            links_up: self.node.links().up(),
-            attempts: self.node.attempts().len(),
-            ready: self.node.is_ready(),
+            links_up: self.driver.links().count(),
+            attempts: self.driver.attempts().len(),
+            ready: self.driver.is_ready(),
         };
-        metrics::text(self.node.meters(), &seen)
+        metrics::render(self.driver.metrics(), &snapshot)
     }
 
     fn timeline(&self, filter: &EventFilter) -> Vec<Event> {
-        self.node.timeline(filter)
+        self.driver.timeline(filter)
     }
 
     fn explain_model(&self, model: &str) -> Vec<String> {
-        let status = self.node.role().status();
+        let status = self.driver.role().status();
         let filter = EventFilter {
             model: Some(model.to_owned()),
             ..EventFilter::default()
         };
-        let events = self.node.timeline(&filter);
-        let newest = events.len().saturating_sub(EVENTS_TOLD);
-        let mut lines = held(&status, model);
+        let events = self.driver.timeline(&filter);
+        let newest = events.len().saturating_sub(EXPLAIN_EVENTS_MAX);
+        let mut lines = describe_model(&status, model);
         lines.extend(events[newest..].iter().map(line::render));
         lines
     }
 
     fn drain(&self) {
-        self.node.tell(AgentEvent::Drain);
+        self.driver.handle_event(AgentEvent::Drain);
     }
 }
 
-/// Where the model is and which orders for it may still take effect.
-fn held(status: &AgentStatus, model: &str) -> Vec<String> {
+/// Describes which accelerators hold the model and which orders for it may still take
+/// effect.
+fn describe_model(status: &AgentStatus, model: &str) -> Vec<String> {
     let mut lines = Vec::new();
     for (index, accelerator) in status.accelerators.iter().enumerate() {
-        let version_of = |held: &&String| {
-            let name = held.rsplit_once('@').map(|(name, _)| name);
+        let is_version_of_model = |resident: &&String| {
+            let name = resident.rsplit_once('@').map(|(name, _)| name);
             name == Some(model)
         };
-        for resident in accelerator.residents.iter().filter(version_of) {
+        for resident in accelerator.residents.iter().filter(is_version_of_model) {
             lines.push(format!("{resident} is on accelerator {index}"));
         }
     }
@@ -89,7 +90,7 @@
     for order in status.orders.iter().filter(|order| order.model == model) {
         lines.push(format!(
             "order {} of epoch {} to {} version {} on accelerator {} may still take \
-             effect; given {} times",
+             effect; sent {} times",
             order.order,
             order.epoch,
             order.kind,
--- a/crates/agent/src/predecessor.rs
+++ b/crates/agent/src/predecessor.rs
@@ -1,14 +1,14 @@
-//! Whether a predecessor is dead.
+//! Detection of dead predecessors.
 
 use std::net::SocketAddr;
 use tokio::net::TcpListener;
 
-/// Whether the process that listened on an address is known to be dead.
+/// Returns whether the process that listened on an address is certainly dead.
 ///
-/// A frozen process still holds its listening socket, and the operating system
-/// then refuses a second one on the address; it is free only once the process is
-/// gone. Any other fault of binding shows nothing. `own` is what this process
-/// listens on itself: having bound it is the proof.
+/// A frozen process still holds its listening socket, so the operating system refuses
+/// another socket on the same address until that process has ended. Any error while
+/// binding is treated as "not known to be dead". `own` is the address on which this
+/// process listens: since it could be bound, its previous user is dead.
 pub(crate) async fn is_dead(address: &str, own: SocketAddr) -> bool {
     match address.parse::<SocketAddr>() {
         Ok(address) if address == own => true,
--- a/crates/agent/src/start.rs
+++ b/crates/agent/src/start.rs
@@ -1,4 +1,4 @@
-//! Starting and ending the process.
+//! Starting and stopping the agent.
 
 use base::prelude::*;
 use line::EventRecorder;
@@ -14,11 +14,11 @@
 use tokio::task::JoinHandle;
 use wire::Listener;
 
-use crate::driver::{Node, Outside};
-use crate::link_listener::accept;
-use crate::operator_api::OperatedAgent;
+use crate::driver::{AgentDriver, Environment};
+use crate::link_listener::accept_links;
+use crate::operator_api::AgentOperatorApi;
 
-/// Longest wait, once drained, for the last frames to reach the entries.
+/// Maximum time for sending the queued frames to the entries after draining.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// A running agent.
@@ -28,54 +28,54 @@
     pub link_address: SocketAddr,
     /// Address for operators.
     pub operator_address: SocketAddr,
-    node: Arc<Node>,
+    driver: Arc<AgentDriver>,
     done: JoinHandle<()>,
 }
 
 impl AgentHandle {
-    /// Starts to drain; a second call changes nothing.
+    /// Starts draining; further calls have no effect.
     pub fn drain(&self) {
-        self.node.tell(AgentEvent::Drain);
+        self.driver.handle_event(AgentEvent::Drain);
     }
 
-    /// Whether the process takes work.
+    /// Returns whether the process accepts work.
     pub fn is_ready(&self) -> bool {
-        self.node.is_ready()
+        self.driver.is_ready()
     }
 
-    /// Number of attempts that are at the upstream.
+    /// Returns the number of attempts that are running at the upstream.
     pub fn attempts_at_upstream(&self) -> usize {
-        self.node.attempts().len()
+        self.driver.attempts().len()
     }
 
     /// Waits until the process has drained and closed its connections.
     pub async fn wait_drained(self) {
-        // The task ends by itself; a panic in it has been reported.
+        // The task ends by itself. A panic in it has already been reported.
         let _ = self.done.await;
     }
 
-    /// Ends the process at once, as a crash would: links and connections to
-    /// the upstream are cut without a word.
+    /// Stops the agent immediately, as a crash would: links and connections to the
+    /// upstream are closed without further messages.
     pub fn abort(self) {
-        self.node.exit().cancel();
+        self.driver.exit().cancel();
         self.done.abort();
     }
 }
 
-/// Runs an agent until it has drained, which `shutdown` asks for.
+/// Runs an agent until it has drained. It starts draining when `shutdown` completes.
 ///
 /// # Errors
 ///
-/// An address of the settings can't be read or bound.
+/// Fails if an address in the settings can't be parsed or bound.
 pub async fn run(
     settings: AgentSettings,
     shutdown: impl Future<Output = ()> + Send,
 ) -> Result<(), StartError> {
     let agent = start(settings).await?;
-    let node = Arc::clone(&agent.node);
+    let driver = Arc::clone(&agent.driver);
     tokio::select! {
-        () = shutdown => node.tell(AgentEvent::Drain),
-        () = node.exit().cancelled() => {}
+        () = shutdown => driver.handle_event(AgentEvent::Drain),
+        () = driver.exit().cancelled() => {}
     }
     agent.wait_drained().await;
     Ok(())
@@ -85,72 +85,80 @@
 ///
 /// # Errors
 ///
-/// As for [`run`].
+/// Fails for the same reasons as [`run`].
 pub async fn start(settings: AgentSettings) -> Result<AgentHandle, StartError> {
     let platform = parse_address("platform", &settings.platform)?;
     start_with_platform(settings, Arc::new(HttpPlatform::new(platform))).await
 }
 
-/// Starts an agent on another platform than the one of its settings.
+/// Starts an agent with a given platform client instead of the platform in its settings.
 ///
 /// # Errors
 ///
-/// As for [`run`].
+/// Fails for the same reasons as [`run`].
 pub async fn start_with_platform(
     settings: AgentSettings,
     platform: Arc<dyn ObjectApi>,
 ) -> Result<AgentHandle, StartError> {
     let operator_listen = parse_address("operator_listen", &settings.operator_listen)?;
-    let operators =
+    let operator_listener =
         TcpListener::bind(operator_listen)
             .await
             .context(BindListenerSnafu {
                 key: "operator_listen",
             })?;
-    let operator_address = operators.local_addr().context(BindListenerSnafu {
-        key: "operator_listen",
-    })?;
+    let operator_address =
+        operator_listener.local_addr().context(BindListenerSnafu {
+            key: "operator_listen",
+        })?;
     let link_listen = parse_address("link_listen", &settings.link_listen)?;
-    let links = Listener::bind(link_listen, wire::DEFAULT_FRAME_MAX_BYTES)
+    let link_listener = Listener::bind(link_listen, wire::DEFAULT_FRAME_MAX_BYTES)
         .await
         .context(BindLinkListenerSnafu)?;
-    let link_address = links.local_addr().context(BindLinkListenerSnafu)?;
+    let link_address = link_listener.local_addr().context(BindLinkListenerSnafu)?;
 
     let clock = Clock::start();
-    let options = options(&settings, &clock, link_address, operator_address);
+    let options = agent_options(&settings, &clock, link_address, operator_address);
     let events = settings.timeline_events as usize;
-    let outside = Outside {
+    let environment = Environment {
         link_address,
-        upstream: parse_address("upstream", &settings.upstream)?,
+        upstream_address: parse_address("upstream", &settings.upstream)?,
         platform,
         recorder: EventRecorder::new(&settings.id, events),
     };
-    let node = Node::new(options, clock, outside);
-    node.begin();
+    let driver = AgentDriver::new(options, clock, environment);
+    driver.start();
     log::info!("{}: entries connect on {link_address}", settings.id);
-    let done = tokio::spawn(serve(Arc::clone(&node), links, operators));
+    let done =
+        tokio::spawn(serve(Arc::clone(&driver), link_listener, operator_listener));
     Ok(AgentHandle {
         link_address,
         operator_address,
-        node,
+        driver,
         done,
     })
 }
 
-/// Serves until the process has drained.
-async fn serve(node: Arc<Node>, links: Listener, operators: TcpListener) {
-    let operated = Arc::new(OperatedAgent::new(Arc::clone(&node)));
-    let accepting = tokio::spawn(accept(Arc::clone(&node), links));
+/// Serves entries and operators until the process has drained.
+async fn serve(
+    driver: Arc<AgentDriver>,
+    link_listener: Listener,
+    operator_listener: TcpListener,
+) {
+    let operator_api = Arc::new(AgentOperatorApi::new(Arc::clone(&driver)));
+    let accepting = tokio::spawn(accept_links(Arc::clone(&driver), link_listener));
     tokio::select! {
-        () = node.exit().cancelled() => {}
-        () = oper::serve(operators, operated) => {}
+        () = driver.exit().cancelled() => {}
+        () = oper::serve(operator_listener, operator_api) => {}
     }
     accepting.abort();
-    node.links().close(CLOSE_TIMEOUT).await;
-    log::info!("{}: drained", node.id());
+    driver.links().close(CLOSE_TIMEOUT).await;
+    log::info!("{}: drained", driver.id());
 }
 
-fn options(
+/// Builds the state machine's options. The incarnation is the start time, in
+/// microseconds since the Unix epoch; a seed of 0 selects the incarnation as the seed.
+fn agent_options(
     settings: &AgentSettings,
     clock: &Clock,
     link_address: SocketAddr,
--- a/crates/agent/src/upstream/answer_reader.rs
+++ b/crates/agent/src/upstream/answer_reader.rs
@@ -1,4 +1,4 @@
-//! An answer on its way from the upstream to the entry.
+//! Reading an answer from the upstream and forwarding it to the entry.
 
 use base::AttemptId;
 use bytes::Bytes;
@@ -8,81 +8,81 @@
 use schema::link::Run;
 use std::sync::Arc;
 
-use super::connection::Answering;
-use crate::driver::{Node, Part};
+use super::connection::UpstreamResponse;
+use crate::driver::{AgentDriver, PendingPart};
 
-/// An answer that is being read and passed on.
+/// Reads the body of an answer and forwards its parts.
 #[derive(Debug)]
-pub(super) struct Answer<'a> {
-    node: &'a Arc<Node>,
+pub(super) struct AnswerReader<'a> {
+    driver: &'a Arc<AgentDriver>,
     attempt: AttemptId,
-    /// The machine keeps the answer for a resend.
+    /// The state machine stores the answer in case the caller resends the request.
     keyed: bool,
-    answering: Answering,
+    response: UpstreamResponse,
 }
 
-/// What comes next of an answer's body.
+/// The result of reading from an answer's body.
 #[derive(Debug)]
-pub(super) enum Next {
-    /// Bytes.
-    Bytes(Bytes),
-    /// The end, in good order.
+pub(super) enum BodyEvent {
+    /// Bytes of the body.
+    Data(Bytes),
+    /// The body is complete, as HTTP frames it.
     End,
-    /// The connection broke.
+    /// The connection was lost.
     Broken,
 }
 
-impl<'a> Answer<'a> {
-    /// An answer of which nothing has been read.
+impl<'a> AnswerReader<'a> {
+    /// Creates a reader for a response whose body has not been read yet.
     pub(super) const fn new(
-        node: &'a Arc<Node>,
+        driver: &'a Arc<AgentDriver>,
         attempt: AttemptId,
         run: &Run,
-        answering: Answering,
+        response: UpstreamResponse,
     ) -> Self {
         Self {
-            node,
+            driver,
             attempt,
             keyed: !run.idempotent && !run.idempotency_key.is_empty(),
-            answering,
+            response,
         }
     }
 
-    /// HTTP status.
+    /// Returns the HTTP status.
     pub(super) fn status(&self) -> u16 {
-        self.answering.response.status().as_u16()
+        self.response.inner.status().as_u16()
     }
 
-    /// Content type; empty if there is none.
+    /// Returns the content type, or an empty string if there is none.
     pub(super) fn content_type(&self) -> String {
-        let headers = self.answering.response.headers();
+        let headers = self.response.inner.headers();
         let value = headers.get(CONTENT_TYPE);
         let text = value.and_then(|value| value.to_str().ok());
         text.unwrap_or_default().to_owned()
     }
 
-    /// Waits for the next bytes of the body.
-    pub(super) async fn next(&mut self) -> Next {
+    /// Waits for the next bytes of the body or its end.
+    pub(super) async fn next(&mut self) -> BodyEvent {
         loop {
-            match self.answering.response.body_mut().frame().await {
-                None => return Next::End,
-                Some(Err(_)) => return Next::Broken,
+            match self.response.inner.body_mut().frame().await {
+                None => return BodyEvent::End,
+                Some(Err(_)) => return BodyEvent::Broken,
                 Some(Ok(frame)) => {
-                    // Trailers are not passed on.
+                    // Trailers are not forwarded.
                     if let Ok(bytes) = frame.into_data() {
-                        return Next::Bytes(bytes);
+                        return BodyEvent::Data(bytes);
                     }
                 }
             }
         }
     }
 
-    /// Passes a part on, once the queue towards the entry has room.
+    /// Forwards a part of the answer once the send queue to the entry has capacity.
     ///
-    /// While it has none, nothing is read from the upstream, whose own socket
-    /// then fills: a slow caller costs a bounded amount of memory here.
-    pub(super) async fn pass_on(&self, units: u32, payload: Vec<u8>) {
-        let room = match self.node.links().sender_of(self.attempt) {
+    /// Nothing is read from the upstream during the wait, so the upstream's socket
+    /// fills up and a slow caller uses a bounded amount of memory in this process.
+    pub(super) async fn forward(&self, units: u32, payload: Vec<u8>) {
+        let permit = match self.driver.links().sender_for_attempt(self.attempt) {
             Some(sender) => sender.reserve(payload.len()).await.ok(),
             None => None,
         };
@@ -96,6 +96,7 @@
         } else {
             UpstreamEvent::AnswerPart { attempt, units }
         };
-        self.node.tell_part(event, Part { payload, room });
+        self.driver
+            .handle_part_event(event, PendingPart { payload, permit });
     }
 }
--- a/crates/agent/src/upstream/attempt.rs
+++ b/crates/agent/src/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at the upstream, from its connection to its end.
+//! Running one attempt at the upstream.
 
 use base::AttemptId;
 use hyper::StatusCode;
@@ -6,52 +6,62 @@
 use schema::link::Run;
 use std::sync::Arc;
 
-use super::answer_reader::Answer;
-use super::connection::{Answering, Connection, NoAnswer};
-use super::outcome::Ending;
+use super::answer_reader::AnswerReader;
+use super::connection::{Connection, ConnectionError, UpstreamResponse};
+use super::outcome::AttemptOutcome;
 use super::{engine_answer, request, service_answer};
-use crate::attempts::Running;
-use crate::driver::Node;
+use crate::attempts::AttemptGuard;
+use crate::driver::AgentDriver;
 
-/// Header by which an upstream says that a refused request was not run.
+/// Header with which an upstream states that it refused a request without running it.
 const NOT_RUN_HEADER: &str = "x-not-run";
 
-/// Runs an attempt. When it is stopped or the process ends, the connection is
-/// closed, which is the upstream's sign to cancel, and nothing more is told.
-pub(crate) async fn run(node: Arc<Node>, running: Running, run: Box<Run>) {
-    let exit = node.exit().clone();
-    let ending = tokio::select! {
+/// Runs an attempt and reports its outcome to the state machine.
+///
+/// When the attempt is stopped or the process exits, the connection is closed, which
+/// tells the upstream to cancel the request, and no outcome is reported.
+pub(crate) async fn run_attempt(
+    driver: Arc<AgentDriver>,
+    guard: AttemptGuard,
+    run: Box<Run>,
+) {
+    let exit = driver.exit().clone();
+    let outcome = tokio::select! {
         biased;
         () = exit.cancelled() => return,
-        () = running.stopped() => return,
-        ending = exchange(&node, running.attempt(), run) => ending,
+        () = guard.stopped() => return,
+        outcome = send_request(&driver, guard.attempt(), run) => outcome,
     };
-    if matches!(ending, Ending::Failed { broken: true, .. }) {
-        node.upstream().ask_now();
+    if matches!(outcome, AttemptOutcome::Failed { broken: true, .. }) {
+        driver.upstream().poll_now();
     }
-    let event = ending.event(running.attempt());
-    // Out of the table first: once the machine has heard of the end, nothing
-    // of the attempt is left here.
-    drop(running);
-    node.tell(AgentEvent::Upstream(event));
+    let event = outcome.into_event(guard.attempt());
+    // The attempt is unregistered before the state machine handles its end, so that
+    // it is no longer counted as running afterwards.
+    drop(guard);
+    driver.handle_event(AgentEvent::Upstream(event));
 }
 
-async fn exchange(node: &Arc<Node>, attempt: AttemptId, mut run: Box<Run>) -> Ending {
-    let address = node.upstream().address;
-    let Some(request) = request::request(address, attempt, &mut run) else {
-        return Ending::not_run(StatusCode::BAD_REQUEST.as_u16());
+async fn send_request(
+    driver: &Arc<AgentDriver>,
+    attempt: AttemptId,
+    mut run: Box<Run>,
+) -> AttemptOutcome {
+    let address = driver.upstream().address;
+    let Some(request) = request::build_request(address, attempt, &mut run) else {
+        return AttemptOutcome::not_run(StatusCode::BAD_REQUEST.as_u16());
     };
-    let started = || {
+    let on_started = || {
         let event = UpstreamEvent::Started { attempt };
-        node.tell(AgentEvent::Upstream(event));
+        driver.handle_event(AgentEvent::Upstream(event));
     };
-    let sent = match Connection::open(address).await {
-        Ok(connection) => connection.send(request, started).await,
-        Err(fault) => Err(fault),
+    let result = match Connection::open(address).await {
+        Ok(connection) => connection.send(request, on_started).await,
+        Err(error) => Err(error),
     };
-    match sent {
-        Ok(answering) => read(node, attempt, &run, answering).await,
-        Err(NoAnswer { ran, broken }) => Ending::Failed {
+    match result {
+        Ok(response) => read_response(driver, attempt, &run, response).await,
+        Err(ConnectionError { ran, broken }) => AttemptOutcome::Failed {
             ran,
             status: 0,
             broken,
@@ -59,24 +69,24 @@
     }
 }
 
-async fn read(
-    node: &Arc<Node>,
+async fn read_response(
+    driver: &Arc<AgentDriver>,
     attempt: AttemptId,
     run: &Run,
-    answering: Answering,
-) -> Ending {
-    let status = answering.response.status();
-    let headers = answering.response.headers();
-    let refused = headers
+    response: UpstreamResponse,
+) -> AttemptOutcome {
+    let status = response.inner.status();
+    let headers = response.inner.headers();
+    let states_not_run = headers
         .get(NOT_RUN_HEADER)
         .is_some_and(|value| value == "1");
-    if refused && status == StatusCode::SERVICE_UNAVAILABLE {
-        return Ending::not_run(status.as_u16());
+    if states_not_run && status == StatusCode::SERVICE_UNAVAILABLE {
+        return AttemptOutcome::not_run(status.as_u16());
     }
-    let answer = Answer::new(node, attempt, run, answering);
+    let answer = AnswerReader::new(driver, attempt, run, response);
     if run.service.is_empty() {
-        engine_answer::read(answer, run.resume_offset).await
+        engine_answer::forward_all(answer, run.resume_offset).await
     } else {
-        service_answer::read(answer).await
+        service_answer::forward_all(answer).await
     }
 }
--- a/crates/agent/src/upstream/connection.rs
+++ b/crates/agent/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to the upstream that knows whether anything was written to it.
+//! Connections to the upstream that record whether anything was written to them.
 
 use base::RunStatus;
 use bytes::Bytes;
@@ -20,45 +20,44 @@
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
 
-/// Longest wait for a connection.
+/// Maximum time to establish a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// One connection, used for one request and closed with it.
+/// A connection for a single request, closed when the request ends.
 ///
-/// Connections are not kept: closing one is how the upstream learns that a
-/// request is cancelled, and a kept one could have been closed by the upstream
-/// without this side knowing, which would make "not one byte was written" hard
-/// to tell.
+/// Connections are not reused. Closing one tells the upstream that the request is
+/// cancelled. Also, the upstream might have closed an idle connection unnoticed, and
+/// then it would be hard to determine whether any byte of a request was sent.
 #[derive(Debug)]
 pub(super) struct Connection {
     sender: http1::SendRequest<Full<Bytes>>,
-    written: Arc<Written>,
-    driver: Driver,
+    first_write: Arc<FirstWrite>,
+    connection_task: ConnectionTask,
 }
 
-/// Why there is no answer.
+/// The reason why there is no response.
 #[derive(Debug)]
-pub(super) struct NoAnswer {
-    /// Whether the request was run.
+pub(super) struct ConnectionError {
+    /// Whether the request ran.
     pub(super) ran: RunStatus,
-    /// The connection broke, rather than not being had.
+    /// The connection was lost; false if it could not be established.
     pub(super) broken: bool,
 }
 
-/// The task that reads and writes; it ends with the connection's owner.
+/// The task that performs the connection's I/O; it is aborted when this is dropped.
 #[derive(Debug)]
-struct Driver(AbortHandle);
+struct ConnectionTask(AbortHandle);
 
-impl Drop for Driver {
+impl Drop for ConnectionTask {
     fn drop(&mut self) {
         self.0.abort();
     }
 }
 
 impl Connection {
-    /// Connects.
-    pub(super) async fn open(address: SocketAddr) -> Result<Self, NoAnswer> {
-        let not_reached = NoAnswer {
+    /// Connects to the upstream.
+    pub(super) async fn open(address: SocketAddr) -> Result<Self, ConnectionError> {
+        let not_reached = ConnectionError {
             ran: RunStatus::NotRun,
             broken: false,
         };
@@ -66,58 +65,58 @@
         let Ok(Ok(stream)) = connected else {
             return Err(not_reached);
         };
-        // It costs latency, not correctness, if it fails.
+        // A failure affects only latency.
         let _ = stream.set_nodelay(true);
-        let written = Arc::new(Written::default());
-        let io = Watched {
+        let first_write = Arc::new(FirstWrite::default());
+        let io = WriteMonitor {
             stream,
-            written: Arc::clone(&written),
+            first_write: Arc::clone(&first_write),
         };
-        let Ok((sender, driving)) = http1::handshake(TokioIo::new(io)).await else {
+        let Ok((sender, connection)) = http1::handshake(TokioIo::new(io)).await else {
             return Err(not_reached);
         };
         let task = tokio::spawn(async move {
-            // The request's own future reports what goes wrong.
-            let _ = driving.await;
+            // Errors are reported by the future of the request.
+            let _ = connection.await;
         });
         Ok(Self {
             sender,
-            written,
-            driver: Driver(task.abort_handle()),
+            first_write,
+            connection_task: ConnectionTask(task.abort_handle()),
         })
     }
 
-    /// Sends the request and waits for the answer's head; `started` is called
-    /// once, when the first bytes have been written.
+    /// Sends the request and waits for the head of the response. `on_started` is
+    /// called once, after the first bytes have been written.
     ///
-    /// Dropping the future or what it gives closes the connection.
+    /// Dropping the future or the returned response closes the connection.
     pub(super) async fn send(
         mut self,
         request: Request<Full<Bytes>>,
-        started: impl FnOnce(),
-    ) -> Result<Answering, NoAnswer> {
+        on_started: impl FnOnce(),
+    ) -> Result<UpstreamResponse, ConnectionError> {
         let response = self.sender.send_request(request);
         tokio::pin!(response);
-        let early = tokio::select! {
+        let early_response = tokio::select! {
             biased;
-            () = self.written.happened() => None,
+            () = self.first_write.wait() => None,
             response = &mut response => Some(response),
         };
-        let any_written = self.written.is_any();
+        let any_written = self.first_write.occurred();
         if any_written {
-            started();
+            on_started();
         }
-        let response = match early {
+        let response = match early_response {
             Some(response) => response,
             None => response.await,
         };
         match response {
-            Ok(response) => Ok(Answering {
-                response,
-                _driver: self.driver,
+            Ok(response) => Ok(UpstreamResponse {
+                inner: response,
+                _connection_task: self.connection_task,
             }),
-            Err(_) => Err(NoAnswer {
-                ran: if self.written.is_any() {
+            Err(_) => Err(ConnectionError {
+                ran: if self.first_write.occurred() {
                     RunStatus::Ran
                 } else {
                     RunStatus::NotRun
@@ -128,47 +127,47 @@
     }
 }
 
-/// An answer whose head has come, with its connection.
+/// A response whose head has arrived, with its connection.
 #[derive(Debug)]
-pub(super) struct Answering {
-    pub(super) response: Response<Incoming>,
-    _driver: Driver,
+pub(super) struct UpstreamResponse {
+    pub(super) inner: Response<Incoming>,
+    _connection_task: ConnectionTask,
 }
 
-/// Whether anything was written to a connection.
+/// Records the first write to a connection.
 #[derive(Debug, Default)]
-struct Written {
-    any: AtomicBool,
-    changed: Notify,
+struct FirstWrite {
+    occurred: AtomicBool,
+    notify: Notify,
 }
 
-impl Written {
-    fn is_any(&self) -> bool {
-        self.any.load(Ordering::Acquire)
+impl FirstWrite {
+    fn occurred(&self) -> bool {
+        self.occurred.load(Ordering::Acquire)
     }
 
-    fn note(&self) {
-        if !self.any.swap(true, Ordering::AcqRel) {
-            self.changed.notify_one();
+    fn record(&self) {
+        if !self.occurred.swap(true, Ordering::AcqRel) {
+            self.notify.notify_one();
         }
     }
 
-    /// Waits for the first write; there is one waiter.
-    async fn happened(&self) {
-        while !self.is_any() {
-            self.changed.notified().await;
+    /// Waits for the first write. Only one task may wait.
+    async fn wait(&self) {
+        while !self.occurred() {
+            self.notify.notified().await;
         }
     }
 }
 
-/// A stream that notes the first write.
+/// A TCP stream that records the first write.
 #[derive(Debug)]
-struct Watched {
+struct WriteMonitor {
     stream: TcpStream,
-    written: Arc<Written>,
+    first_write: Arc<FirstWrite>,
 }
 
-impl AsyncRead for Watched {
+impl AsyncRead for WriteMonitor {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -178,7 +177,7 @@
     }
 }
 
-impl AsyncWrite for Watched {
+impl AsyncWrite for WriteMonitor {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -186,7 +185,7 @@
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(cx, buf);
         if let Poll::Ready(Ok(1..)) = written {
-            self.written.note();
+            self.first_write.record();
         }
         written
     }
--- a/crates/agent/src/upstream/engine_answer.rs
+++ b/crates/agent/src/upstream/engine_answer.rs
@@ -1,26 +1,27 @@
-//! Answers of an engine: one unit for each token.
+//! Answers of an engine: a stream of tokens, one unit each.
 
 use hyper::StatusCode;
 
-use super::answer_reader::{Answer, Next};
-use super::outcome::Ending;
-use super::sse::{Event, Fault, Reader};
+use super::answer_reader::{AnswerReader, BodyEvent};
+use super::outcome::AttemptOutcome;
+use super::sse::{ProtocolError, SseEvent, SseParser};
 
-/// How far an answer has come.
+/// Progress of an answer.
 #[derive(Debug, Default)]
 struct Progress {
-    /// Tokens of the whole answer so far, with those before a resumption.
+    /// Tokens of the whole answer so far, including those before a resumption.
     units: u64,
-    /// The last chunk has come, with the number of tokens it states.
+    /// Set once the last chunk has arrived: the total number of tokens that it
+    /// states, if any.
     finished: Option<Option<u64>>,
 }
 
 impl Progress {
-    /// Whether the answer is whole at its end mark.
+    /// Returns whether the answer is complete when the end marker arrives.
     ///
-    /// A chunk that was lost on the way would otherwise make a shorter answer
-    /// pass for a whole one.
-    fn is_whole(&self) -> bool {
+    /// The token count is compared so that an answer with a missing chunk does not
+    /// pass for a complete, shorter one.
+    fn is_complete(&self) -> bool {
         match self.finished {
             Some(Some(stated)) => stated == self.units,
             Some(None) => true,
@@ -29,54 +30,63 @@
     }
 }
 
-/// Reads the answer to its end mark.
-pub(super) async fn read(mut answer: Answer<'_>, resume_offset: u64) -> Ending {
+/// Forwards the answer up to its end marker.
+///
+/// `resume_offset` is the number of tokens that the caller already has.
+pub(super) async fn forward_all(
+    mut answer: AnswerReader<'_>,
+    resume_offset: u64,
+) -> AttemptOutcome {
     let status = answer.status();
     if status != StatusCode::OK.as_u16() {
-        return Ending::fault(status);
+        return AttemptOutcome::upstream_fault(status);
     }
-    let mut reader = Reader::new();
+    let mut parser = SseParser::new();
     let mut progress = Progress {
         units: resume_offset,
         finished: None,
     };
     loop {
         match answer.next().await {
-            Next::Bytes(bytes) => reader.push(&bytes),
-            // Without its end mark the answer is cut, however cleanly the
-            // connection was closed.
-            Next::End | Next::Broken => return Ending::broken(status),
+            BodyEvent::Data(bytes) => parser.push(&bytes),
+            // Without the end marker the answer is incomplete, even if the
+            // connection was closed cleanly.
+            BodyEvent::End | BodyEvent::Broken => {
+                return AttemptOutcome::connection_lost(status);
+            }
         }
-        match pass_on(&answer, &mut reader, &mut progress).await {
+        match forward_parsed(&answer, &mut parser, &mut progress).await {
             Ok(false) => {}
-            Ok(true) if progress.is_whole() => {
-                return Ending::Whole {
+            Ok(true) if progress.is_complete() => {
+                return AttemptOutcome::Completed {
                     status,
                     content_type: answer.content_type(),
                 };
             }
-            Ok(true) | Err(Fault) => return Ending::fault(status),
+            Ok(true) | Err(ProtocolError) => {
+                return AttemptOutcome::upstream_fault(status);
+            }
         }
     }
 }
 
-/// Passes on what has come; true at the end mark.
-async fn pass_on(
-    answer: &Answer<'_>,
-    reader: &mut Reader,
+/// Forwards the tokens that the parser has received; returns true at the end marker.
+async fn forward_parsed(
+    answer: &AnswerReader<'_>,
+    parser: &mut SseParser,
     progress: &mut Progress,
-) -> Result<bool, Fault> {
-    while let Some(mut event) = reader.next()? {
-        if let Some(token) = event.token() {
+) -> Result<bool, ProtocolError> {
+    while let Some(mut event) = parser.next()? {
+        if let Some(token) = event.take_token() {
             progress.units += 1;
-            answer.pass_on(1, token.into_bytes()).await;
+            answer.forward(1, token.into_bytes()).await;
         }
         match event {
-            Event::Chunk(chunk) if chunk.finished => {
+            SseEvent::Chunk(chunk) if chunk.finished => {
                 progress.finished = Some(chunk.completion_tokens);
             }
-            Event::Chunk(_) => {}
-            Event::End => return Ok(true),
+            SseEvent::Chunk(_) => {}
+            SseEvent::End => return Ok(true),
         }
     }
     Ok(false)
--- a/crates/agent/src/upstream/mod.rs
+++ b/crates/agent/src/upstream/mod.rs
@@ -12,32 +12,31 @@
 mod state_client;
 mod state_poll;
 
-pub(crate) use attempt::run;
-pub(crate) use orders::order;
-pub(crate) use state_poll::poll;
+pub(crate) use attempt::run_attempt;
+pub(crate) use orders::execute_order;
+pub(crate) use state_poll::poll_state;
 
 use std::net::SocketAddr;
 use tokio::sync::Notify;
 
-/// The upstream beside this process.
+/// The upstream of this agent.
 #[derive(Debug)]
 pub(crate) struct Upstream {
     address: SocketAddr,
-    ask_now: Notify,
+    poll_now: Notify,
 }
 
 impl Upstream {
-    /// The upstream at an address.
+    /// Creates the upstream at an address.
     pub(crate) fn new(address: SocketAddr) -> Self {
         Self {
             address,
-            ask_now: Notify::new(),
+            poll_now: Notify::new(),
         }
     }
 
-    /// Asks for the upstream's state at once: something suggests that it has
-    /// changed.
-    fn ask_now(&self) {
-        self.ask_now.notify_one();
+    /// Requests the upstream's state immediately, because it may have changed.
+    fn poll_now(&self) {
+        self.poll_now.notify_one();
     }
 }
--- a/crates/agent/src/upstream/orders.rs
+++ b/crates/agent/src/upstream/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to an engine.
+//! Sending orders to an engine.
 
 use base::Instant;
 use http_body_util::{BodyExt, Full, Limited};
@@ -11,15 +11,15 @@
 use tokio::time::timeout;
 
 use super::connection::Connection;
-use crate::driver::Node;
+use crate::driver::AgentDriver;
 
-/// Longest wait for the answer to an order.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum wait for the response to an order.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Largest answer to an order that is read.
-const ANSWER_MAX_BYTES: usize = 64 << 10;
+/// Maximum size of the body of a response to an order.
+const RESPONSE_MAX_BYTES: usize = 64 << 10;
 
-/// An order as the engine reads it.
+/// Body of the request that carries an order.
 #[derive(Debug, Serialize)]
 struct OrderJson<'a> {
     order: u64,
@@ -32,29 +32,39 @@
     size_mib: u32,
 }
 
-/// What an engine says besides the status.
+/// Body of an error response.
 #[derive(Debug, Deserialize)]
 struct ErrorJson {
     error: String,
 }
 
-/// Gives an order that the machine decided on at a time, and tells the machine
-/// what was answered.
-pub(crate) async fn order(node: Arc<Node>, order: Order, decided: Instant) {
-    let exit = node.exit().clone();
+/// Sends an order and reports the answer to the state machine.
+///
+/// `decided_at` is the time at which the state machine decided on the order.
+pub(crate) async fn execute_order(
+    driver: Arc<AgentDriver>,
+    order: Order,
+    decided_at: Instant,
+) {
+    let exit = driver.exit().clone();
     let answer = tokio::select! {
         () = exit.cancelled() => return,
-        answer = give(&node, &order, decided) => answer.unwrap_or(OrderAnswer::Unanswered),
+        answer = send_order(&driver, &order, decided_at) => answer.unwrap_or(OrderAnswer::Unanswered),
     };
     let event = UpstreamEvent::OrderAnswered {
         order: order.id,
         answer,
     };
-    node.tell(AgentEvent::Upstream(event));
+    driver.handle_event(AgentEvent::Upstream(event));
 }
 
-/// The engine's answer; `None` if there is none that can be read.
-async fn give(node: &Node, order: &Order, decided: Instant) -> Option<OrderAnswer> {
+/// Sends an order and returns the engine's answer; `None` if the order was not sent or
+/// there is no valid response.
+async fn send_order(
+    driver: &AgentDriver,
+    order: &Order,
+    decided_at: Instant,
+) -> Option<OrderAnswer> {
     let json = OrderJson {
         order: order.id,
         fence: order.fencing_epoch.0,
@@ -66,7 +76,7 @@
         size_mib: order.size_mib,
     };
     let body = serde_json::to_vec(&json).expect("numbers and texts always encode");
-    let address = node.upstream().address;
+    let address = driver.upstream().address;
     let request = Request::builder()
         .method(Method::POST)
         .uri("/admin/orders")
@@ -75,41 +85,43 @@
         .body(Full::from(body))
         .ok()?;
     let connection = Connection::open(address).await.ok()?;
-    // As late as can be: nothing but the write itself follows.
-    if is_late(node, decided) {
+    // This check is the last step before the write.
+    if is_expired(driver, decided_at) {
         return None;
     }
     let answer = async {
-        let answering = connection.send(request, || {}).await.ok()?;
-        let (head, body) = answering.response.into_parts();
-        let body = Limited::new(body, ANSWER_MAX_BYTES).collect().await;
-        Some(meaning(head.status, &body.ok()?.to_bytes()))
+        let response = connection.send(request, || {}).await.ok()?;
+        let (head, body) = response.inner.into_parts();
+        let body = Limited::new(body, RESPONSE_MAX_BYTES).collect().await;
+        Some(interpret_response(head.status, &body.ok()?.to_bytes()))
     };
-    timeout(ANSWER_TIMEOUT, answer).await.ok()?
+    timeout(RESPONSE_TIMEOUT, answer).await.ok()?
 }
 
-/// Whether an order may no longer be sent.
+/// Returns whether an order is too old to be sent.
 ///
-/// The process can stand still between the machine's decision and the socket,
-/// for longer than an order is ever under way. By then the agent may have been
-/// replaced, and the memory that the order needs given away. The machine gives
-/// an order anew under the same number as long as it still holds.
-fn is_late(node: &Node, decided: Instant) -> bool {
-    let age_ms = node.clock().now().ms_since(decided);
-    node.order_delay_max_ms()
+/// The process may freeze between the decision and the write for longer than an order
+/// can take to reach the upstream. Meanwhile the agent may have been replaced, and the
+/// memory for the order may have been reassigned. As long as the order is still
+/// valid, the state machine sends it again under the same number.
+fn is_expired(driver: &AgentDriver, decided_at: Instant) -> bool {
+    let age_ms = driver.clock().now().ms_since(decided_at);
+    driver
+        .order_delay_max_ms()
         .is_none_or(|max_ms| age_ms > max_ms)
 }
 
-/// Only what the protocol names shows that an order has no effect.
-fn meaning(status: StatusCode, body: &[u8]) -> OrderAnswer {
+/// Interprets the response to an order. Only the responses defined by the protocol show
+/// that the order has no effect.
+fn interpret_response(status: StatusCode, body: &[u8]) -> OrderAnswer {
     match status {
         StatusCode::ACCEPTED => OrderAnswer::Accepted,
         StatusCode::BAD_REQUEST => OrderAnswer::Refused,
-        StatusCode::CONFLICT if is_fenced(body) => OrderAnswer::Fenced,
+        StatusCode::CONFLICT if states_fenced(body) => OrderAnswer::Fenced,
         _ => OrderAnswer::Unanswered,
     }
 }
 
-fn is_fenced(body: &[u8]) -> bool {
-    serde_json::from_slice::<ErrorJson>(body).is_ok_and(|said| said.error == "fenced")
+fn states_fenced(body: &[u8]) -> bool {
+    serde_json::from_slice::<ErrorJson>(body).is_ok_and(|body| body.error == "fenced")
 }
--- a/crates/agent/src/upstream/outcome.rs
+++ b/crates/agent/src/upstream/outcome.rs
@@ -1,32 +1,32 @@
-//! Ends of attempts.
+//! Outcomes of attempts.
 
 use base::{AttemptId, RunStatus};
 use role::agent::UpstreamEvent;
 
 /// How an attempt ended at the upstream.
 #[derive(Debug)]
-pub(super) enum Ending {
-    /// In good order.
-    Whole {
+pub(super) enum AttemptOutcome {
+    /// The answer is complete.
+    Completed {
         /// HTTP status.
         status: u16,
-        /// Content type.
+        /// Content type of the answer.
         content_type: String,
     },
-    /// In any other way.
+    /// There is no complete answer.
     Failed {
-        /// Whether it was run.
+        /// Whether the attempt ran.
         ran: RunStatus,
-        /// HTTP status, or 0.
+        /// HTTP status; 0 if none was received.
         status: u16,
-        /// The connection broke.
+        /// The connection was lost.
         broken: bool,
     },
 }
 
-impl Ending {
-    /// The answer broke off after its head.
-    pub(super) const fn broken(status: u16) -> Self {
+impl AttemptOutcome {
+    /// The connection was lost after the response's head had arrived.
+    pub(super) const fn connection_lost(status: u16) -> Self {
         Self::Failed {
             ran: RunStatus::Ran,
             status,
@@ -34,8 +34,8 @@
         }
     }
 
-    /// The upstream broke its protocol, or refused.
-    pub(super) const fn fault(status: u16) -> Self {
+    /// The upstream violated its protocol or responded with an error.
+    pub(super) const fn upstream_fault(status: u16) -> Self {
         Self::Failed {
             ran: RunStatus::Ran,
             status,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The upstream never had it.
+    /// The request was not sent, or the upstream stated that it did not run it.
     pub(super) const fn not_run(status: u16) -> Self {
         Self::Failed {
             ran: RunStatus::NotRun,
@@ -52,10 +52,10 @@
         }
     }
 
-    /// What the machine is told.
-    pub(super) fn event(self, attempt: AttemptId) -> UpstreamEvent {
+    /// Converts the outcome to the event for the state machine.
+    pub(super) fn into_event(self, attempt: AttemptId) -> UpstreamEvent {
         match self {
-            Self::Whole {
+            Self::Completed {
                 status,
                 content_type,
             } => UpstreamEvent::Done {
--- a/crates/agent/src/upstream/request.rs
+++ b/crates/agent/src/upstream/request.rs
@@ -1,4 +1,4 @@
-//! Attempts as HTTP requests to the upstream.
+//! Conversion of attempts to HTTP requests for the upstream.
 
 use base::AttemptId;
 use bytes::Bytes;
@@ -8,19 +8,21 @@
 use schema::link::Run;
 use std::net::SocketAddr;
 
-/// Content type where the caller gave none.
-const JSON: &str = "application/json";
+/// Content type of requests for which the caller gave none.
+const DEFAULT_CONTENT_TYPE: &str = "application/json";
 
-/// The request of an attempt; `None` if it can't be put in HTTP, as a path with
+/// Builds the HTTP request of an attempt and takes the body out of `run`.
+///
+/// Returns `None` if HTTP can't represent the request, for example if its path contains
 /// a space.
-pub(super) fn request(
+pub(super) fn build_request(
     address: SocketAddr,
     attempt: AttemptId,
     run: &mut Run,
 ) -> Option<Request<Full<Bytes>>> {
     let body = Bytes::from(std::mem::take(&mut run.body));
     let content_type = if run.content_type.is_empty() {
-        JSON
+        DEFAULT_CONTENT_TYPE
     } else {
         &run.content_type
     };
@@ -49,7 +51,8 @@
     Method::from_bytes(run.method.as_bytes()).ok()
 }
 
-/// A path of the upstream itself: a whole URI could name another host.
+/// Returns the path if it is relative to the upstream; an absolute URI could name
+/// another host.
 fn path(run: &Run) -> Option<&str> {
     run.path.starts_with('/').then_some(run.path.as_str())
 }
--- a/crates/agent/src/upstream/service_answer.rs
+++ b/crates/agent/src/upstream/service_answer.rs
@@ -1,29 +1,29 @@
-//! Answers of a plain service: bytes, passed on as they come.
+//! Answers of a plain service: bytes, forwarded as they arrive.
 
-use super::answer_reader::{Answer, Next};
-use super::outcome::Ending;
+use super::answer_reader::{AnswerReader, BodyEvent};
+use super::outcome::AttemptOutcome;
 
-/// Largest part passed on in one frame.
+/// Maximum number of bytes forwarded in one frame.
 const PART_MAX_BYTES: usize = 64 << 10;
 
-/// Reads the answer to its end. Any status is the service's own answer.
-pub(super) async fn read(mut answer: Answer<'_>) -> Ending {
+/// Forwards the answer to its end. An answer with any HTTP status is complete.
+pub(super) async fn forward_all(mut answer: AnswerReader<'_>) -> AttemptOutcome {
     let status = answer.status();
     loop {
         match answer.next().await {
-            Next::Bytes(bytes) => {
+            BodyEvent::Data(bytes) => {
                 for part in bytes.chunks(PART_MAX_BYTES) {
                     let units = u32::try_from(part.len()).unwrap_or(u32::MAX);
-                    answer.pass_on(units, part.to_vec()).await;
+                    answer.forward(units, part.to_vec()).await;
                 }
             }
-            Next::End => {
-                return Ending::Whole {
+            BodyEvent::End => {
+                return AttemptOutcome::Completed {
                     status,
                     content_type: answer.content_type(),
                 };
             }
-            Next::Broken => return Ending::broken(status),
+            BodyEvent::Broken => return AttemptOutcome::connection_lost(status),
         }
     }
 }
--- a/crates/agent/src/upstream/sse.rs
+++ b/crates/agent/src/upstream/sse.rs
@@ -1,39 +1,39 @@
-//! Server-sent events as an engine writes them.
+//! Parsing of an engine's answer, a stream of server-sent events.
 
 use bytes::{Buf, BytesMut};
 use serde::Deserialize;
 use serde::de::IgnoredAny;
 
-/// Longest line taken; one carries one token.
+/// Maximum length of a line; each line carries one token.
 const LINE_MAX_BYTES: usize = 1 << 20;
 
-/// The engine broke its protocol.
+/// The engine violated its protocol.
 #[derive(Debug, PartialEq, Eq)]
-pub(super) struct Fault;
+pub(super) struct ProtocolError;
 
-/// One event.
+/// An event of the stream.
 #[derive(Debug, PartialEq, Eq)]
-pub(super) enum Event {
+pub(super) enum SseEvent {
     /// A chunk of the answer.
     Chunk(Chunk),
-    /// The end mark.
+    /// The end marker, `[DONE]`.
     End,
 }
 
 /// A chunk of an answer.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) struct Chunk {
-    /// The text of one token, if it carries one.
+    /// Text of the token, if the chunk carries one.
     token: Option<String>,
-    /// It is the last.
+    /// The chunk is the last one.
     pub(super) finished: bool,
-    /// Tokens of the whole answer, as the last chunk states them.
+    /// Number of tokens of the whole answer, if the chunk states it.
     pub(super) completion_tokens: Option<u64>,
 }
 
-impl Event {
-    /// The token that the event carries.
-    pub(super) fn token(&mut self) -> Option<String> {
+impl SseEvent {
+    /// Takes the token that the event carries, if any.
+    pub(super) fn take_token(&mut self) -> Option<String> {
         match self {
             Self::Chunk(chunk) => chunk.token.take(),
             Self::End => None,
@@ -41,57 +41,59 @@
     }
 }
 
-/// Finds events in the bytes of a body, however these are cut.
+/// Parses events from the bytes of a body, which may be split at any position.
 #[derive(Debug, Default)]
-pub(super) struct Reader {
-    held: BytesMut,
-    /// Held bytes known to have no line break.
+pub(super) struct SseParser {
+    buffer: BytesMut,
+    /// Number of leading bytes in the buffer that contain no line break.
     searched: usize,
 }
 
-impl Reader {
-    /// A reader that holds nothing.
+impl SseParser {
+    /// Creates a parser with an empty buffer.
     pub(super) fn new() -> Self {
         Self::default()
     }
 
-    /// Adds bytes.
+    /// Appends bytes of the body.
     pub(super) fn push(&mut self, bytes: &[u8]) {
-        self.held.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole event.
+    /// Returns the next event, or `None` if it has not been received completely.
     ///
     /// # Errors
     ///
-    /// A line is too long or is not a chunk, or the engine tells an error.
-    pub(super) fn next(&mut self) -> Result<Option<Event>, Fault> {
+    /// Fails if a line is too long or not a valid chunk, or if the engine reports an
+    /// error.
+    pub(super) fn next(&mut self) -> Result<Option<SseEvent>, ProtocolError> {
         loop {
-            let unsearched = &self.held[self.searched..];
-            let Some(at) = unsearched.iter().position(|byte| *byte == b'\n') else {
-                self.searched = self.held.len();
-                let fits = self.held.len() <= LINE_MAX_BYTES;
-                return if fits { Ok(None) } else { Err(Fault) };
+            let unsearched = &self.buffer[self.searched..];
+            let Some(line_end) = unsearched.iter().position(|byte| *byte == b'\n')
+            else {
+                self.searched = self.buffer.len();
+                let fits = self.buffer.len() <= LINE_MAX_BYTES;
+                return if fits { Ok(None) } else { Err(ProtocolError) };
             };
-            let line = self.held.split_to(self.searched + at);
-            self.held.advance(1);
+            let line = self.buffer.split_to(self.searched + line_end);
+            self.buffer.advance(1);
             self.searched = 0;
-            if let Some(event) = event(&line)? {
+            if let Some(event) = parse_line(&line)? {
                 return Ok(Some(event));
             }
         }
     }
 }
 
-/// The event of a line; other fields than `data` and comments have none.
-fn event(line: &[u8]) -> Result<Option<Event>, Fault> {
+/// Parses a line; returns `None` for comments and for fields other than `data`.
+fn parse_line(line: &[u8]) -> Result<Option<SseEvent>, ProtocolError> {
     let Some(data) = line.strip_prefix(b"data:") else {
         return Ok(None);
     };
     match data.trim_ascii() {
         b"" => Ok(None),
-        b"[DONE]" => Ok(Some(Event::End)),
-        json => chunk(json).map(|chunk| Some(Event::Chunk(chunk))),
+        b"[DONE]" => Ok(Some(SseEvent::End)),
+        json => parse_chunk(json).map(|chunk| Some(SseEvent::Chunk(chunk))),
     }
 }
 
@@ -122,10 +124,10 @@
     completion_tokens: Option<u64>,
 }
 
-fn chunk(json: &[u8]) -> Result<Chunk, Fault> {
-    let chunk: ChunkJson = serde_json::from_slice(json).map_err(|_| Fault)?;
+fn parse_chunk(json: &[u8]) -> Result<Chunk, ProtocolError> {
+    let chunk: ChunkJson = serde_json::from_slice(json).map_err(|_| ProtocolError)?;
     if chunk.error.is_some() {
-        return Err(Fault);
+        return Err(ProtocolError);
     }
     let stated = chunk.usage.and_then(|usage| usage.completion_tokens);
     let mut choices = chunk.choices.into_iter();
@@ -137,12 +139,12 @@
         });
     };
     let finished = choice.finish_reason.is_some();
-    // The chunk that only names the speaker and the last one have an empty text
-    // that is no token; any other empty text is one that shows nothing.
-    let no_token = finished || choice.delta.role.is_some();
+    // In the chunk that only states the role and in the last chunk, an empty text is
+    // not a token. In all other chunks it is a token without visible text.
+    let empty_is_no_token = finished || choice.delta.role.is_some();
     let text = choice.delta.content.or(choice.text);
     Ok(Chunk {
-        token: text.filter(|text| !(no_token && text.is_empty())),
+        token: text.filter(|text| !(empty_is_no_token && text.is_empty())),
         finished,
         completion_tokens: stated,
     })
--- a/crates/agent/src/upstream/state_client.rs
+++ b/crates/agent/src/upstream/state_client.rs
@@ -1,4 +1,4 @@
-//! The connection on which the upstream's state is asked for.
+//! HTTP client for the upstream's state.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
@@ -9,114 +9,122 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// Largest answer taken.
-const ANSWER_MAX_BYTES: usize = 16 << 20;
+/// Maximum size of a response's body.
+const RESPONSE_MAX_BYTES: usize = 16 << 20;
 
-/// A connection that is kept from one question to the next.
+/// An HTTP client that reuses its connection between requests.
 ///
-/// The question comes several times a second for as long as the process lives.
-/// A connection for each is most of what an idle agent, and the engine beside
-/// it, would take of a processor. Runs and orders don't use this connection.
+/// The state is requested several times per second while the process lives. A new
+/// connection for each request would account for most of the CPU time of an idle
+/// agent and its engine. Attempts and orders do not use this connection.
 #[derive(Debug)]
-pub(super) struct Asking {
+pub(super) struct StateClient {
     address: SocketAddr,
-    kept: Option<Kept>,
+    /// Connection of the last request, if it can be reused.
+    idle: Option<OpenConnection>,
 }
 
-/// Why there is no answer.
+/// The reason why there is no response.
 #[derive(Debug)]
-pub(super) enum NoState {
-    /// Nobody is there.
-    Gone,
-    /// The connection broke, or the answer is too large or not HTTP.
-    Broken,
+pub(super) enum StateError {
+    /// A connection can't be established.
+    Unreachable,
+    /// The connection was lost, or the response is too large or not valid HTTP.
+    RequestFailed,
 }
 
 #[derive(Debug)]
-struct Kept {
+struct OpenConnection {
     sender: SendRequest<Empty<Bytes>>,
-    _driver: Driver,
+    _task: ConnectionTask,
 }
 
-/// The task that reads and writes; it ends with the connection's owner.
+/// The task that performs the connection's I/O; it is aborted when this is dropped.
 #[derive(Debug)]
-struct Driver(AbortHandle);
+struct ConnectionTask(AbortHandle);
 
-impl Drop for Driver {
+impl Drop for ConnectionTask {
     fn drop(&mut self) {
         self.0.abort();
     }
 }
 
-impl Asking {
-    /// Asks at an address; nothing is connected yet.
+impl StateClient {
+    /// Creates a client without connecting.
     pub(super) const fn new(address: SocketAddr) -> Self {
         Self {
             address,
-            kept: None,
+            idle: None,
         }
     }
 
-    /// Gets a path.
+    /// Sends a GET request for a path.
     ///
-    /// The upstream may have closed a kept connection in the meantime, so one
-    /// that breaks says nothing on the upstream: a new one is tried.
+    /// The upstream may have closed an idle connection, so if the request fails on
+    /// one, it is repeated on a new connection.
     ///
-    /// Dropping the future closes the connection. Were it kept, the next
-    /// question could be given the late answer to this one, and a state from
-    /// before an order would pass for one from after it.
+    /// Dropping the future closes the connection. Otherwise a late response could be
+    /// taken for the response to the next request, and a state from before an order
+    /// for one from after it.
     ///
     /// # Errors
     ///
-    /// There is no whole answer on a new connection.
+    /// Fails if there is no complete response on a new connection.
     pub(super) async fn get(
         &mut self,
         path: &str,
-    ) -> Result<(StatusCode, Bytes), NoState> {
-        if let Some(kept) = self.kept.take()
-            && let Ok(answer) = self.get_on(kept, path).await
+    ) -> Result<(StatusCode, Bytes), StateError> {
+        if let Some(idle) = self.idle.take()
+            && let Ok(response) = self.get_with(idle, path).await
         {
-            return Ok(answer);
+            return Ok(response);
         }
-        let fresh = self.connect().await?;
-        self.get_on(fresh, path).await
+        let connection = self.connect().await?;
+        self.get_with(connection, path).await
     }
 
-    async fn connect(&self) -> Result<Kept, NoState> {
+    async fn connect(&self) -> Result<OpenConnection, StateError> {
         let stream = TcpStream::connect(self.address).await;
-        let stream = stream.map_err(|_| NoState::Gone)?;
-        // It costs latency, not correctness, if it fails.
+        let stream = stream.map_err(|_| StateError::Unreachable)?;
+        // A failure affects only latency.
         let _ = stream.set_nodelay(true);
-        let (sender, driving) = http1::handshake(TokioIo::new(stream))
+        let (sender, connection) = http1::handshake(TokioIo::new(stream))
             .await
-            .map_err(|_| NoState::Broken)?;
+            .map_err(|_| StateError::RequestFailed)?;
         let task = tokio::spawn(async move {
-            // The question's own future reports what goes wrong.
-            let _ = driving.await;
+            // Errors are reported by the future of the request.
+            let _ = connection.await;
         });
-        let driver = Driver(task.abort_handle());
-        Ok(Kept {
+        let task = ConnectionTask(task.abort_handle());
+        Ok(OpenConnection {
             sender,
-            _driver: driver,
+            _task: task,
         })
     }
 
-    async fn get_on(
+    async fn get_with(
         &mut self,
-        mut on: Kept,
+        mut connection: OpenConnection,
         path: &str,
-    ) -> Result<(StatusCode, Bytes), NoState> {
-        let broken = |_| NoState::Broken;
+    ) -> Result<(StatusCode, Bytes), StateError> {
+        let failed = |_| StateError::RequestFailed;
         let request = Request::get(path)
             .header(header::HOST, self.address.to_string())
             .body(Empty::new())
-            .map_err(|_| NoState::Broken)?;
-        on.sender.ready().await.map_err(broken)?;
-        let response = on.sender.send_request(request).await.map_err(broken)?;
+            .map_err(|_| StateError::RequestFailed)?;
+        connection.sender.ready().await.map_err(failed)?;
+        let response = connection
+            .sender
+            .send_request(request)
+            .await
+            .map_err(failed)?;
         let status = response.status();
-        let body = Limited::new(response.into_body(), ANSWER_MAX_BYTES);
-        let body = body.collect().await.map_err(|_| NoState::Broken)?;
-        self.kept = Some(on);
+        let body = Limited::new(response.into_body(), RESPONSE_MAX_BYTES);
+        let body = body
+            .collect()
+            .await
+            .map_err(|_| StateError::RequestFailed)?;
+        self.idle = Some(connection);
         Ok((status, body.to_bytes()))
     }
 }
--- a/crates/agent/src/upstream/state_poll.rs
+++ b/crates/agent/src/upstream/state_poll.rs
@@ -1,4 +1,4 @@
-//! The upstream's state, asked for again and again.
+//! Periodic polling of the upstream's state.
 
 use base::ModelId;
 use hyper::StatusCode;
@@ -12,21 +12,21 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout};
 
-use super::state_client::{Asking, NoState};
-use crate::driver::Node;
+use super::state_client::{StateClient, StateError};
+use crate::driver::AgentDriver;
 
-/// Pause between two questions.
-const INTERVAL: Duration = Duration::from_millis(150);
+/// Delay between two requests for the state.
+const POLL_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Longest wait for an answer.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum wait for a response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Questions without an answer after which an upstream that can be connected to
-/// counts as down. One alone may be a pause of the upstream, and counting it as
-/// down would end all that it runs.
-const SILENT_MAX: u32 = 3;
+/// Number of consecutive requests without a response after which an upstream that
+/// accepts connections counts as down. A single one may be a pause of the upstream,
+/// and counting it as down would end all attempts that it runs.
+const MISSED_RESPONSES_MAX: u32 = 3;
 
-/// An engine's state.
+/// Response of an engine to `/admin/state`.
 #[derive(Debug, Deserialize)]
 struct StateJson {
     incarnation: u64,
@@ -78,71 +78,81 @@
     Failed,
 }
 
-/// A plain service's state.
+/// Response of a plain service to `/healthz`.
 #[derive(Debug, Deserialize)]
 struct HealthJson {
     incarnation: u64,
 }
 
-/// What came of a question.
+/// Result of one request for the state.
 #[derive(Debug)]
-enum Asked {
+enum PollResult {
     Report(UpstreamReport),
-    /// Nobody is there.
-    Gone,
-    /// There is no answer that can be read.
-    Silent,
+    /// The upstream accepts no connection.
+    Unreachable,
+    /// There is no valid response.
+    NoResponse,
 }
 
-/// Asks for the upstream's state until the process ends.
-pub(crate) async fn poll(node: Arc<Node>) {
-    let exit = node.exit().clone();
+/// Polls the upstream's state until the process exits and reports it to the state
+/// machine.
+pub(crate) async fn poll_state(driver: Arc<AgentDriver>) {
+    let exit = driver.exit().clone();
     tokio::select! {
         () = exit.cancelled() => {}
-        () = ask_on(&node) => {}
+        () = poll_forever(&driver) => {}
     }
 }
 
-async fn ask_on(node: &Arc<Node>) {
-    let mut silent = 0;
+async fn poll_forever(driver: &Arc<AgentDriver>) {
+    let mut missed_responses = 0;
     let mut was_up = None;
-    let mut asking = Asking::new(node.upstream().address);
+    let mut client = StateClient::new(driver.upstream().address);
     loop {
-        if let Some(engine) = node.is_engine() {
-            let asked = ask(&mut asking, engine).await;
-            silent = match asked {
-                Asked::Silent => silent + 1,
+        if let Some(is_engine) = driver.is_engine() {
+            let result = poll_once(&mut client, is_engine).await;
+            missed_responses = match result {
+                PollResult::NoResponse => missed_responses + 1,
                 _ => 0,
             };
-            let event = match asked {
-                Asked::Report(report) => Some(UpstreamEvent::Report(report)),
-                Asked::Silent if silent < SILENT_MAX => None,
-                Asked::Gone | Asked::Silent => Some(UpstreamEvent::Down),
+            let event = match result {
+                PollResult::Report(report) => Some(UpstreamEvent::Report(report)),
+                PollResult::NoResponse if missed_responses < MISSED_RESPONSES_MAX => {
+                    None
+                }
+                PollResult::Unreachable | PollResult::NoResponse => {
+                    Some(UpstreamEvent::Down)
+                }
             };
             if let Some(event) = event {
-                note(node, &mut was_up, &event);
-                node.tell(AgentEvent::Upstream(event));
+                log_transition(driver, &mut was_up, &event);
+                driver.handle_event(AgentEvent::Upstream(event));
             }
         }
-        // A pause that ends early asks again early.
-        let _ = timeout(INTERVAL, node.upstream().ask_now.notified()).await;
+        // The delay is cut short by `Upstream::poll_now`.
+        let _ = timeout(POLL_INTERVAL, driver.upstream().poll_now.notified()).await;
     }
 }
 
-fn note(node: &Node, was_up: &mut Option<bool>, event: &UpstreamEvent) {
+/// Logs the event if the upstream went up or down.
+fn log_transition(
+    driver: &AgentDriver,
+    was_up: &mut Option<bool>,
+    event: &UpstreamEvent,
+) {
     let up = matches!(event, UpstreamEvent::Report(_));
     if was_up.replace(up) != Some(up) {
-        let word = if up { "answers" } else { "is down" };
-        log::info!("{}: the upstream {word}", node.id());
+        let state = if up { "up" } else { "down" };
+        log::info!("{}: the upstream is {state}", driver.id());
     }
 }
 
-async fn ask(asking: &mut Asking, engine: bool) -> Asked {
-    let began = Instant::now();
-    let report = if engine {
-        fetch(asking, "/admin/state").await.map(report)
+async fn poll_once(client: &mut StateClient, is_engine: bool) -> PollResult {
+    let requested_at = Instant::now();
+    let report = if is_engine {
+        fetch(client, "/admin/state").await.map(report_from_state)
     } else {
-        let health = fetch(asking, "/healthz").await;
+        let health = fetch(client, "/healthz").await;
         health.map(|health: HealthJson| UpstreamReport {
             incarnation: health.incarnation,
             ..UpstreamReport::default()
@@ -150,48 +160,51 @@
     };
     match report {
         Ok(mut report) => {
-            report.age_ms = report.age_ms.saturating_add(age_ms(began));
-            Asked::Report(report)
+            report.age_ms = report.age_ms.saturating_add(max_transit_ms(requested_at));
+            PollResult::Report(report)
         }
-        Err(asked) => asked,
+        Err(result) => result,
     }
 }
 
-/// Age that a report has by being on its way.
+/// Returns the maximum time, in milliseconds, that a report took to arrive.
 ///
-/// It was made at some time since the question went out. Were it taken for
-/// newer, the state from before an order could pass for the one after it, and
-/// memory would be counted as free that a load is about to take.
-fn age_ms(began: Instant) -> u32 {
-    let ms = began.elapsed().as_millis() + 1;
+/// The upstream created it at some time after the request was sent. If the report were
+/// assumed to be more recent, a state from before an order could be taken for the state
+/// after it, and memory that a load is about to use would count as free.
+fn max_transit_ms(requested_at: Instant) -> u32 {
+    let ms = requested_at.elapsed().as_millis() + 1;
     u32::try_from(ms).unwrap_or(u32::MAX)
 }
 
 async fn fetch<T: DeserializeOwned>(
-    asking: &mut Asking,
+    client: &mut StateClient,
     path: &str,
-) -> Result<T, Asked> {
-    match timeout(ANSWER_TIMEOUT, asking.get(path)).await {
+) -> Result<T, PollResult> {
+    match timeout(RESPONSE_TIMEOUT, client.get(path)).await {
         Ok(Ok((StatusCode::OK, body))) => {
-            serde_json::from_slice(&body).map_err(|_| Asked::Silent)
+            serde_json::from_slice(&body).map_err(|_| PollResult::NoResponse)
         }
-        Ok(Err(NoState::Gone)) => Err(Asked::Gone),
-        _ => Err(Asked::Silent),
+        Ok(Err(StateError::Unreachable)) => Err(PollResult::Unreachable),
+        _ => Err(PollResult::NoResponse),
     }
 }
 
-fn report(state: StateJson) -> UpstreamReport {
-    let residents = state.residents.into_iter().map(|held| UpstreamResident {
-        model: ModelId::new(&held.model),
-        version: held.version,
-        accelerator: held.accelerator,
-        size_mib: held.size_mib,
-        loaded: held.state == ResidentState::Loaded,
-    });
-    let orders = state.orders.into_iter().map(|held| UpstreamOrder {
-        order: held.order,
-        fencing_epoch: held.fence,
-        state: match held.state {
+fn report_from_state(state: StateJson) -> UpstreamReport {
+    let residents = state
+        .residents
+        .into_iter()
+        .map(|resident| UpstreamResident {
+            model: ModelId::new(&resident.model),
+            version: resident.version,
+            accelerator: resident.accelerator,
+            size_mib: resident.size_mib,
+            loaded: resident.state == ResidentState::Loaded,
+        });
+    let orders = state.orders.into_iter().map(|order| UpstreamOrder {
+        order: order.order,
+        fencing_epoch: order.fence,
+        state: match order.state {
             OrderState::InProgress => UpstreamOrderState::InProgress,
             OrderState::Done => UpstreamOrderState::Done,
             OrderState::Failed => UpstreamOrderState::Failed,
