--- a/crates/agent/src/start.rs
+++ b/crates/agent/src/start.rs
@@ -91,7 +91,8 @@
     start_with_platform(settings, Arc::new(HttpPlatform::new(platform))).await
 }
 
-/// Starts an agent with a given platform client instead of the platform in its settings.
+/// Starts an agent with a given platform client instead of the platform in its
+/// settings.
 ///
 /// # Errors
 ///
--- a/crates/agent/src/upstream/orders.rs
+++ b/crates/agent/src/upstream/orders.rs
@@ -23,6 +23,7 @@
 #[derive(Debug, Serialize)]
 struct OrderJson<'a> {
     order: u64,
+    /// Fencing epoch of the agent.
     fence: u64,
     kind: &'static str,
     model: &'a str,
--- a/crates/agent/src/upstream/state_poll.rs
+++ b/crates/agent/src/upstream/state_poll.rs
@@ -24,12 +24,13 @@
 /// Number of consecutive requests without a response after which an upstream that
 /// accepts connections counts as down. A single one may be a pause of the upstream,
 /// and counting it as down would end all attempts that it runs.
-const MISSED_RESPONSES_MAX: u32 = 3;
+const DOWN_AFTER_MISSED_RESPONSES: u32 = 3;
 
 /// Response of an engine to `/admin/state`.
 #[derive(Debug, Deserialize)]
 struct StateJson {
     incarnation: u64,
+    /// Highest fencing epoch that the engine has seen.
     #[serde(default)]
     fence: u64,
     #[serde(default)]
@@ -42,6 +43,7 @@
     waiting: u32,
     #[serde(default)]
     step_time_us: u32,
+    /// Age of the state when the engine sent it, in milliseconds.
     #[serde(default)]
     report_age_ms: u32,
 }
@@ -66,6 +68,7 @@
 #[derive(Debug, Deserialize)]
 struct OrderJson {
     order: u64,
+    /// Fencing epoch that the order carried.
     fence: u64,
     state: OrderState,
 }
@@ -117,7 +120,9 @@
             };
             let event = match result {
                 PollResult::Report(report) => Some(UpstreamEvent::Report(report)),
-                PollResult::NoResponse if missed_responses < MISSED_RESPONSES_MAX => {
+                PollResult::NoResponse
+                    if missed_responses < DOWN_AFTER_MISSED_RESPONSES =>
+                {
                     None
                 }
                 PollResult::Unreachable | PollResult::NoResponse => {
--- a/crates/agent/tests/shell/main.rs
+++ b/crates/agent/tests/shell/main.rs
@@ -1,5 +1,4 @@
-//! The agent's shell against an engine, a plain service and an entry on
-//! loopback.
+//! The agent process against an engine, a plain service and an entry on loopback.
 
 mod engine;
 mod orders;
--- a/crates/agent/tests/shell/orders.rs
+++ b/crates/agent/tests/shell/orders.rs
@@ -1,6 +1,9 @@
-//! Orders to an engine, and what shows that they have ended.
+//! Orders to an engine, and reports that show whether they have ended.
 
-use crate::support::{Got, Memory, Pair, Says, patiently, slow_upstream, upstream};
+use crate::support::{
+    AgentFixture, Behavior, InMemoryPlatform, Observed, start_slow_upstream,
+    start_upstream, with_test_timeout,
+};
 use base::{PlatformOp, PlatformResult};
 use futures::future::BoxFuture;
 use plat::ObjectApi;
@@ -11,7 +14,7 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-fn target(pair: &Pair) -> frame::Body {
+fn target_frame(fixture: &AgentFixture) -> frame::Body {
     let model = |model: &str, version| TargetModel {
         model: model.to_owned(),
         version,
@@ -21,17 +24,18 @@
         planner: "e".to_owned(),
         rank: 1,
         sequence: 1,
-        agent_incarnation: pair.link.hello.incarnation,
+        agent_incarnation: fixture.link.hello.incarnation,
         models: vec![model("m", 1), model("n", 2)],
         revision: 1,
     })
 }
 
-// The engine accepts an order, refuses it, knows a later epoch, or says nothing
-// that can be relied on. Only its plain refusals may count as such: an order
-// taken for refused whose load still comes would overcommit the accelerator.
+// The engine accepts an order, refuses it, refuses it because of a later epoch, or
+// sends a response that is not defined. Only defined refusals may count as refused: if
+// an order counted as refused but was still carried out, the accelerator would be
+// overcommitted.
 #[tokio::test]
-async fn each_answer_to_an_order_has_its_meaning() {
+async fn order_responses_are_interpreted() {
     let status = |line: &str, body: &str| {
         let length = body.len();
         format!("HTTP/1.1 {line}\r\nContent-Length: {length}\r\n\r\n{body}")
@@ -47,33 +51,37 @@
         (status("404 Not Found", ""), unanswered),
         (String::new(), unanswered),
     ];
-    for (says, metric) in cases {
-        let (address, mut got) = upstream(Says::Text(says)).await;
-        let pair = Pair::start("engines", address).await;
-        pair.send(target(&pair)).await;
-        pair.until("/metrics", metric).await;
-        let Some(Got::Request(request)) = got.recv().await else {
-            panic!("the engine got nothing");
+    for (response, metric) in cases {
+        let (address, mut observed) = start_upstream(Behavior::Respond(response)).await;
+        let fixture = AgentFixture::start("engines", address).await;
+        fixture.send(target_frame(&fixture)).await;
+        fixture.wait_for_operator_text("/metrics", metric).await;
+        let Some(Observed::Request(request)) = observed.recv().await else {
+            panic!("the engine received nothing");
         };
         assert!(request.starts_with("POST /admin/orders "), "{request}");
         let order = "\"fence\":1,\"kind\":\"load\",\"model\":\"n\",\"version\":2,\
             \"base\":null,\"accelerator\":0,\"size_mib\":40}";
         assert!(request.ends_with(order), "{request}");
-        pair.agent.abort();
+        fixture.agent.abort();
     }
-    let (address, mut got) = upstream(Says::Text(status("202 Accepted", ""))).await;
-    let pair = Pair::start("engines", address).await;
-    pair.send(target(&pair)).await;
-    assert!(matches!(got.recv().await, Some(Got::Request(_))));
-    pair.until("/status", "\"sends\":1").await;
-    let metrics = pair.operators("/metrics").await;
+    let (address, mut observed) =
+        start_upstream(Behavior::Respond(status("202 Accepted", ""))).await;
+    let fixture = AgentFixture::start("engines", address).await;
+    fixture.send(target_frame(&fixture)).await;
+    assert!(matches!(observed.recv().await, Some(Observed::Request(_))));
+    fixture
+        .wait_for_operator_text("/status", "\"sends\":1")
+        .await;
+    let metrics = fixture.operator_get("/metrics").await;
     assert!(!metrics.contains(refused), "{metrics}");
 }
 
-// An agent dies with an order out, on an engine that checks no fencing numbers.
-// Its successor must count the order's memory while the predecessor may live:
-// a frozen process still listens, and may yet send the order. Once its address
-// can be bound it is dead, and the memory is free after the order's delay.
+// An agent is replaced with an order in flight, on an engine that does not check
+// fencing. The successor must count the order's memory while the predecessor may be
+// alive: a frozen process still listens and may send the order later. Once its address
+// can be bound, the predecessor is dead, and the memory is free after the maximum delay
+// of an order.
 #[tokio::test]
 async fn a_predecessor_that_listens_is_not_dead() {
     let predecessor = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -94,83 +102,94 @@
         link_address: predecessor.local_addr().unwrap().to_string(),
         intents: vec![intent],
     };
-    let platform = Memory::with_fleet();
+    let platform = InMemoryPlatform::with_fleet_config();
     platform.put("agents/a", record.encode_to_vec());
-    let (address, _got) = upstream(Says::Text(String::new())).await;
-    let pair = Pair::start_on(platform, "unchecked", address).await;
-    pair.until("/status", "\"epoch\":4").await;
-    pair.until("/status", "\"in_use_mib\":90").await;
+    let (address, _observed) = start_upstream(Behavior::Respond(String::new())).await;
+    let fixture =
+        AgentFixture::start_with_platform(platform, "unchecked", address).await;
+    fixture
+        .wait_for_operator_text("/status", "\"epoch\":4")
+        .await;
+    fixture
+        .wait_for_operator_text("/status", "\"in_use_mib\":90")
+        .await;
     tokio::time::sleep(Duration::from_millis(3_000)).await;
-    let status = pair.operators("/status").await;
+    let status = fixture.operator_get("/status").await;
     assert!(status.contains("\"in_use_mib\":90"), "{status}");
     drop(predecessor);
-    pair.until("/status", "\"in_use_mib\":50").await;
+    fixture
+        .wait_for_operator_text("/status", "\"in_use_mib\":50")
+        .await;
 }
 
-/// A platform that takes the whole process' time once it has recorded an intent.
+/// A platform that blocks the whole process once after it has recorded an intent.
 #[derive(Debug)]
-struct Stalls {
-    objects: Memory,
+struct StallingPlatform {
+    objects: InMemoryPlatform,
     stalled: AtomicBool,
 }
 
-impl ObjectApi for Stalls {
+impl ObjectApi for StallingPlatform {
     fn call<'a>(&'a self, op: &'a PlatformOp) -> BoxFuture<'a, PlatformResult> {
         if let PlatformOp::Write { key, value, .. } = op
             && key == "agents/a"
             && !AgentRecord::decode(&value[..]).unwrap().intents.is_empty()
             && !self.stalled.swap(true, Ordering::SeqCst)
         {
-            // On the one thread of the test it runs before the task which the
-            // answer will start.
+            // The test has a single thread, so this runs before the task that the
+            // response will start.
             tokio::spawn(async { std::thread::sleep(Duration::from_millis(400)) });
         }
         self.objects.call(op)
     }
 }
 
-// The process stands still between the decision on an order and its socket, for
-// longer than an order can be under way. The agent may have been replaced
-// meanwhile and the memory given away, so the order must not be sent. It still
-// holds here, and is given again.
+// The process freezes between the decision on an order and the write, for longer than
+// an order can take to reach the engine. The agent may have been replaced meanwhile and
+// the memory reassigned, so the order must not be sent. In this test the order is still
+// valid and must be sent again.
 #[tokio::test]
-async fn an_order_that_was_held_up_is_not_sent() {
+async fn a_delayed_order_is_not_sent() {
     let accepted = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
-    let (address, mut got) = upstream(Says::Text(accepted.to_owned())).await;
-    let platform = Stalls {
-        objects: Memory::with_fleet(),
+    let (address, mut observed) =
+        start_upstream(Behavior::Respond(accepted.to_owned())).await;
+    let platform = StallingPlatform {
+        objects: InMemoryPlatform::with_fleet_config(),
         stalled: AtomicBool::new(false),
     };
-    let pair = Pair::start_on(platform, "engines", address).await;
-    pair.send(target(&pair)).await;
-    let Some(Got::Request(first)) = patiently(got.recv()).await else {
-        panic!("not even connected to");
+    let fixture = AgentFixture::start_with_platform(platform, "engines", address).await;
+    fixture.send(target_frame(&fixture)).await;
+    let Some(Observed::Request(first)) = with_test_timeout(observed.recv()).await
+    else {
+        panic!("the agent did not connect");
     };
-    assert_eq!(first, "", "sent 400 ms after the decision");
-    let Some(Got::Request(again)) = patiently(got.recv()).await else {
-        panic!("never given again");
+    assert_eq!(first, "", "the order was sent 400 ms after the decision");
+    let Some(Observed::Request(resent)) = with_test_timeout(observed.recv()).await
+    else {
+        panic!("the order was not sent again");
     };
-    assert!(again.contains("\"kind\":\"load\""), "{again}");
+    assert!(resent.contains("\"kind\":\"load\""), "{resent}");
     let unanswered = "sesame_agent_orders_unanswered_total 1";
-    pair.until("/metrics", unanswered).await;
+    fixture.wait_for_operator_text("/metrics", unanswered).await;
 }
 
-// The engine makes a report and takes its time to hand it over.
-// What entries and the ledger hear must be at least that old: the state from
-// before an order could otherwise pass for the one after it.
+// The engine delays a report after creating it. The age that the agent passes on must
+// include that delay. Otherwise a state from before an order could be taken for the
+// state after it.
 #[tokio::test]
-async fn a_report_ages_on_its_way() {
+async fn the_age_of_a_report_includes_its_transit() {
     const HEARTBEATS: usize = 6;
     let delay = Duration::from_millis(700);
-    let (address, _got) = slow_upstream(Says::Text(String::new()), delay).await;
-    let mut pair = Pair::start("engines", address).await;
-    let mut heard = 0;
-    while heard < HEARTBEATS {
-        let frame = pair.link.receiver.recv().await.unwrap().unwrap();
+    let (address, _observed) =
+        start_slow_upstream(Behavior::Respond(String::new()), delay).await;
+    let mut fixture = AgentFixture::start("engines", address).await;
+    let mut received = 0;
+    while received < HEARTBEATS {
+        let frame = fixture.link.receiver.recv().await.unwrap().unwrap();
         let Some(frame::Body::Heartbeat(heartbeat)) = frame.body else {
             continue;
         };
-        heard += 1;
+        received += 1;
         let load = heartbeat.load.unwrap();
         assert!(load.report_age_ms >= 700, "{load:?}");
     }
--- a/crates/agent/tests/shell/state_poll.rs
+++ b/crates/agent/tests/shell/state_poll.rs
@@ -1,66 +1,66 @@
-//! The questions for an engine's state.
+//! Polling of an engine's state.
 
-use crate::support::Pair;
+use crate::support::AgentFixture;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinHandle;
 
-const STATE: &str = "{\"incarnation\": 5}";
+const ENGINE_STATE: &str = "{\"incarnation\": 5}";
 
-/// Longer than an answer is waited for.
-const TOO_LATE: Duration = Duration::from_millis(1_500);
+/// Longer than the agent waits for a response.
+const AFTER_RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// Starts an agent, whose start waits for answers that the test gives.
-fn start(listener: &TcpListener) -> JoinHandle<Pair> {
+/// Starts an agent in a task. It becomes ready once the test has sent a state.
+fn start_agent(listener: &TcpListener) -> JoinHandle<AgentFixture> {
     let address = listener.local_addr().unwrap();
-    tokio::spawn(async move { Pair::start("engines", address).await })
+    tokio::spawn(async move { AgentFixture::start("engines", address).await })
 }
 
-async fn question(stream: &mut TcpStream) {
-    let mut held = Vec::new();
-    while !held.ends_with(b"\r\n\r\n") {
-        held.push(stream.read_u8().await.unwrap());
+async fn expect_state_request(stream: &mut TcpStream) {
+    let mut head = Vec::new();
+    while !head.ends_with(b"\r\n\r\n") {
+        head.push(stream.read_u8().await.unwrap());
     }
-    assert!(held.starts_with(b"GET /admin/state "), "{held:?}");
+    assert!(head.starts_with(b"GET /admin/state "), "{head:?}");
 }
 
-async fn answer(stream: &mut TcpStream) {
-    let length = STATE.len();
-    let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{STATE}");
+async fn send_state(stream: &mut TcpStream) {
+    let length = ENGINE_STATE.len();
+    let text =
+        format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{ENGINE_STATE}");
     stream.write_all(text.as_bytes()).await.unwrap();
 }
 
-// An engine that keeps connections is asked on one, again and again: a
-// connection for each question would be most of what an idle agent costs.
+// If the engine keeps its connection open, all requests for its state must use it. A
+// connection for each request would account for most of the cost of an idle agent.
 #[tokio::test]
-async fn questions_share_a_connection() {
+async fn state_requests_share_a_connection() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let _agent = start(&listener);
+    let _agent = start_agent(&listener);
     let (mut stream, _) = listener.accept().await.unwrap();
     for _ in 0..5 {
-        question(&mut stream).await;
-        answer(&mut stream).await;
+        expect_state_request(&mut stream).await;
+        send_state(&mut stream).await;
     }
 }
 
-// An answer comes after its question was given up.
-// It must not be taken for the answer to the next question: that is asked on
-// another connection, and the old one is closed. The state from before an order
-// could otherwise pass for the one after it.
+// A response arrives after its request timed out. It must not be taken for the response
+// to the next request, which must be sent on another connection after the old one was
+// closed. Otherwise a state from before an order could be taken for the state after it.
 #[tokio::test]
-async fn a_late_answer_is_no_answer_to_the_next_question() {
+async fn a_late_state_is_not_used_for_the_next_request() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let _agent = start(&listener);
+    let _agent = start_agent(&listener);
     let (mut first, _) = listener.accept().await.unwrap();
-    question(&mut first).await;
-    answer(&mut first).await;
-    question(&mut first).await;
-    tokio::time::sleep(TOO_LATE).await;
-    // Closed, so that no answer can be given on it any more.
+    expect_state_request(&mut first).await;
+    send_state(&mut first).await;
+    expect_state_request(&mut first).await;
+    tokio::time::sleep(AFTER_RESPONSE_TIMEOUT).await;
+    // The connection is closed, so no response can be sent on it any more.
     assert_eq!(first.read(&mut [0; 16]).await.unwrap_or(0), 0);
     let (mut second, _) = listener.accept().await.unwrap();
-    question(&mut second).await;
-    answer(&mut second).await;
-    question(&mut second).await;
+    expect_state_request(&mut second).await;
+    send_state(&mut second).await;
+    expect_state_request(&mut second).await;
 }
--- a/crates/agent/tests/shell/support.rs
+++ b/crates/agent/tests/shell/support.rs
@@ -1,5 +1,5 @@
-//! An agent with a platform in memory, an engine on loopback that says what a
-//! test wants, and the link of an entry.
+//! A test fixture: an agent with an in-memory platform, a simulated upstream on
+//! loopback and the link of an entry.
 
 use agent::{AgentHandle, start_with_platform};
 use base::{ObjectVersion, PlatformOp, PlatformResult, Precondition};
@@ -18,10 +18,11 @@
 use tokio::sync::mpsc;
 use wire::EstablishedLink;
 
-/// Incarnation of the entry, and so the origin of its attempts.
+/// Incarnation of the entry, which is also the origin of its attempts.
 pub const ENTRY_INCARNATION: u64 = 77;
 
-const FLEET: &str = r#"{
+/// The deployment's configuration.
+const FLEET_CONFIG: &str = r#"{
     "deployment": "test",
     "failure_domains": {"d": {}},
     "pools": {
@@ -40,23 +41,24 @@
     "limits": {"frame_max_bytes": 33554432}
 }"#;
 
-/// The bound on frames in that configuration.
+/// The maximum frame size in `FLEET_CONFIG`, in bytes.
 const FRAME_MAX_BYTES: u32 = 33_554_432;
 
-const STATE: &str = r#"{"incarnation": 5, "fence": 0, "residents": [
+/// State reported by the simulated engine.
+const ENGINE_STATE: &str = r#"{"incarnation": 5, "fence": 0, "residents": [
     {"model": "m", "version": 1, "accelerator": 0, "size_mib": 50, "state": "loaded"}],
     "orders": [], "running": 0, "waiting": 0, "step_time_us": 10000,
     "report_age_ms": 0}"#;
 
-/// The platform's objects in memory.
+/// A platform that keeps its objects in memory: version and value by key.
 #[derive(Debug)]
-pub struct Memory(Mutex<BTreeMap<String, (u64, Vec<u8>)>>);
+pub struct InMemoryPlatform(Mutex<BTreeMap<String, (u64, Vec<u8>)>>);
 
-impl Memory {
-    /// The platform with a fleet configuration and nothing else.
-    pub fn with_fleet() -> Self {
+impl InMemoryPlatform {
+    /// Creates a platform that contains only the fleet configuration.
+    pub fn with_fleet_config() -> Self {
         let snapshot = ConfigChanges {
-            snapshot: FLEET.as_bytes().to_vec(),
+            snapshot: FLEET_CONFIG.as_bytes().to_vec(),
             base_revision: 1,
             changes: Vec::new(),
         };
@@ -65,17 +67,17 @@
         Self(Mutex::new(objects.into()))
     }
 
-    /// Puts an object.
+    /// Writes an object unconditionally.
     pub fn put(&self, key: &str, value: Vec<u8>) {
         let write = PlatformOp::Write {
             key: key.to_owned(),
             precondition: Precondition::Any,
             value,
         };
-        self.result(&write);
+        self.execute(&write);
     }
 
-    fn result(&self, op: &PlatformOp) -> PlatformResult {
+    fn execute(&self, op: &PlatformOp) -> PlatformResult {
         let mut objects = self.0.lock().unwrap();
         let newest = objects.values().map(|(version, _)| *version).max();
         let next = newest.unwrap_or(0) + 1;
@@ -98,11 +100,12 @@
                 precondition,
                 value,
             } => {
-                let held = objects.get(key).map(|(version, _)| ObjectVersion(*version));
+                let current =
+                    objects.get(key).map(|(version, _)| ObjectVersion(*version));
                 let as_expected = match precondition {
                     Precondition::Any => true,
-                    Precondition::Absent => held.is_none(),
-                    Precondition::Version(version) => held == Some(*version),
+                    Precondition::Absent => current.is_none(),
+                    Precondition::Version(version) => current == Some(*version),
                 };
                 if !as_expected {
                     return PlatformResult::Conflict;
@@ -118,91 +121,105 @@
     }
 }
 
-impl ObjectApi for Memory {
+impl ObjectApi for InMemoryPlatform {
     fn call<'a>(&'a self, op: &'a PlatformOp) -> BoxFuture<'a, PlatformResult> {
-        std::future::ready(self.result(op)).boxed()
+        std::future::ready(self.execute(op)).boxed()
     }
 }
 
-/// What the upstream does with a request once it has read it.
+/// How the simulated upstream responds to a request.
 #[derive(Debug, Clone)]
-pub enum Says {
-    /// Sends this and closes.
-    Text(String),
-    /// Sends this, then waits until the other end closes.
-    Holds(String),
+pub enum Behavior {
+    /// Send this text and close the connection.
+    Respond(String),
+    /// Send this text and wait until the agent closes the connection.
+    RespondAndHold(String),
 }
 
-/// A request that the upstream got.
+/// An observation of the simulated upstream.
 #[derive(Debug)]
-pub enum Got {
-    /// Its head and body.
+pub enum Observed {
+    /// A request arrived; its head and body.
     Request(String),
-    /// The other end closed the connection.
+    /// The agent closed the connection.
     Closed,
 }
 
-/// An upstream on loopback; all but questions for its state come out of the
-/// channel.
-pub async fn upstream(says: Says) -> (SocketAddr, mpsc::UnboundedReceiver<Got>) {
-    slow_upstream(says, Duration::ZERO).await
+/// Starts an upstream on loopback. The channel returns its observations, except
+/// requests for its state.
+pub async fn start_upstream(
+    behavior: Behavior,
+) -> (SocketAddr, mpsc::UnboundedReceiver<Observed>) {
+    start_slow_upstream(behavior, Duration::ZERO).await
 }
 
-/// The same with a delay between a report's making and its arrival.
-pub async fn slow_upstream(
-    says: Says,
+/// Starts an upstream like [`start_upstream`] that delays each report by a given time
+/// after creating it.
+pub async fn start_slow_upstream(
+    behavior: Behavior,
     report_delay: Duration,
-) -> (SocketAddr, mpsc::UnboundedReceiver<Got>) {
+) -> (SocketAddr, mpsc::UnboundedReceiver<Observed>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let (got, seen) = mpsc::unbounded_channel();
+    let (observed, observations) = mpsc::unbounded_channel();
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            tokio::spawn(serve(stream, says.clone(), report_delay, got.clone()));
+            tokio::spawn(serve_connection(
+                stream,
+                behavior.clone(),
+                report_delay,
+                observed.clone(),
+            ));
         }
     });
-    (address, seen)
+    (address, observations)
 }
 
-/// An upstream that answers questions for its state and reads nothing else; the
-/// connections of requests come out of the channel.
-pub async fn deaf_upstream() -> (SocketAddr, mpsc::UnboundedReceiver<TcpStream>) {
+/// Starts an upstream that responds to requests for its state and reads no others. The
+/// channel returns the connections of those other requests.
+pub async fn start_unresponsive_upstream()
+-> (SocketAddr, mpsc::UnboundedReceiver<TcpStream>) {
     let socket = TcpSocket::new_v4().unwrap();
     socket.set_recv_buffer_size(4_096).unwrap();
     socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
     let listener = socket.listen(64).unwrap();
     let address = listener.local_addr().unwrap();
-    let (taken, requests) = mpsc::unbounded_channel();
+    let (post_sender, post_connections) = mpsc::unbounded_channel();
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
             let mut method = [0; 3];
             stream.peek(&mut method).await.unwrap();
             if &method == b"GET" {
-                let (got, _) = mpsc::unbounded_channel();
-                let says = Says::Text(String::new());
-                tokio::spawn(serve(stream, says, Duration::ZERO, got));
+                let (observed, _) = mpsc::unbounded_channel();
+                let behavior = Behavior::Respond(String::new());
+                tokio::spawn(serve_connection(
+                    stream,
+                    behavior,
+                    Duration::ZERO,
+                    observed,
+                ));
             } else {
-                let _ = taken.send(stream);
+                let _ = post_sender.send(stream);
             }
         }
     });
-    (address, requests)
+    (address, post_connections)
 }
 
-async fn serve(
+async fn serve_connection(
     mut stream: TcpStream,
-    says: Says,
+    behavior: Behavior,
     report_delay: Duration,
-    got: mpsc::UnboundedSender<Got>,
+    observed: mpsc::UnboundedSender<Observed>,
 ) {
-    let request = request(&mut stream).await;
+    let request = read_request(&mut stream).await;
     let json = |body: &str| {
         let length = body.len();
         format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}")
     };
     if request.starts_with("GET /admin/state ") {
         tokio::time::sleep(report_delay).await;
-        let _ = stream.write_all(json(STATE).as_bytes()).await;
+        let _ = stream.write_all(json(ENGINE_STATE).as_bytes()).await;
         return;
     }
     if request.starts_with("GET /healthz ") {
@@ -211,30 +228,30 @@
             .await;
         return;
     }
-    let _ = got.send(Got::Request(request));
-    match says {
-        Says::Text(text) => {
+    let _ = observed.send(Observed::Request(request));
+    match behavior {
+        Behavior::Respond(text) => {
             let _ = stream.write_all(text.as_bytes()).await;
         }
-        Says::Holds(text) => {
+        Behavior::RespondAndHold(text) => {
             let _ = stream.write_all(text.as_bytes()).await;
             let mut rest = [0; 64];
             while !matches!(stream.read(&mut rest).await, Ok(0) | Err(_)) {}
-            let _ = got.send(Got::Closed);
+            let _ = observed.send(Observed::Closed);
         }
     }
 }
 
-/// Reads one request: its head, and a body of the length it tells.
-async fn request(stream: &mut TcpStream) -> String {
+/// Reads one request: its head, and a body of the length stated in the head.
+async fn read_request(stream: &mut TcpStream) -> String {
     let mut bytes = Vec::new();
     let mut chunk = [0; 1_024];
     loop {
         let text = String::from_utf8_lossy(&bytes).into_owned();
         if let Some((head, body)) = text.split_once("\r\n\r\n") {
             let head = head.to_lowercase();
-            let told = head.split("content-length: ").nth(1);
-            let length = told.and_then(|rest| rest.lines().next());
+            let content_length = head.split("content-length: ").nth(1);
+            let length = content_length.and_then(|rest| rest.lines().next());
             if body.len() >= length.map_or(0, |length| length.parse().unwrap()) {
                 return text;
             }
@@ -246,42 +263,43 @@
     }
 }
 
-/// After it a test that waits for what never comes fails.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// Time after which a test fails if an expected event does not occur.
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What comes, or a failed test if it never does.
-pub async fn patiently<T>(what: impl Future<Output = T>) -> T {
-    let came = tokio::time::timeout(PATIENCE, what).await;
-    came.expect("what the test waits for never came")
+/// Waits for a future, or fails the test after [`TEST_TIMEOUT`].
+pub async fn with_test_timeout<T>(future: impl Future<Output = T>) -> T {
+    let result = tokio::time::timeout(TEST_TIMEOUT, future).await;
+    result.expect("the expected event did not occur in time")
 }
 
-/// An agent beside an upstream, and the link of an entry to it.
+/// An agent and the link of an entry to it.
 #[derive(Debug)]
-pub struct Pair {
+pub struct AgentFixture {
     pub agent: AgentHandle,
     pub link: EstablishedLink,
 }
 
-impl Pair {
-    /// Starts an agent and waits until it takes work.
+impl AgentFixture {
+    /// Starts an agent for a pool and an upstream, and waits until it accepts work.
     pub async fn start(pool: &str, upstream: SocketAddr) -> Self {
-        Self::start_on(Memory::with_fleet(), pool, upstream).await
+        Self::start_with_platform(InMemoryPlatform::with_fleet_config(), pool, upstream)
+            .await
     }
 
-    /// The same on a given platform.
-    pub async fn start_on(
+    /// Starts an agent with a given platform, and waits until it accepts work.
+    pub async fn start_with_platform(
         platform: impl ObjectApi + 'static,
         pool: &str,
         upstream: SocketAddr,
     ) -> Self {
-        let any = "127.0.0.1:0".to_owned();
+        let any_port = "127.0.0.1:0".to_owned();
         let settings = AgentSettings {
             id: "a".to_owned(),
             failure_domain: "d".to_owned(),
             pool: pool.to_owned(),
-            link_listen: any.clone(),
-            operator_listen: any.clone(),
-            platform: any,
+            link_listen: any_port.clone(),
+            operator_listen: any_port.clone(),
+            platform: any_port,
             upstream: upstream.to_string(),
             seed: 1,
             timeline_events: 100,
@@ -293,7 +311,7 @@
         while !agent.is_ready() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        let link = connect(&agent, ENTRY_INCARNATION).await;
+        let link = connect_entry(&agent, ENTRY_INCARNATION).await;
         assert_eq!(
             (link.hello.kind.as_str(), link.hello.id.as_str()),
             ("agent", "a")
@@ -301,32 +319,33 @@
         Self { agent, link }
     }
 
+    /// Sends a frame from the entry to the agent.
     pub async fn send(&self, body: frame::Body) {
-        self.link.sender.send(framed(body)).await.unwrap();
+        self.link.sender.send(frame_with_body(body)).await.unwrap();
     }
 
-    /// What operators get from a path.
-    pub async fn operators(&self, path: &str) -> String {
+    /// Returns the response of the operators' API to a GET request.
+    pub async fn operator_get(&self, path: &str) -> String {
         let address = self.agent.operator_address;
         let answer = plat::http::get(address, path).await.unwrap();
         String::from_utf8(answer.body.to_vec()).unwrap()
     }
 
-    /// Waits until what operators get from a path holds a text.
-    pub async fn until(&self, path: &str, text: &str) {
-        let held = async {
-            while !self.operators(path).await.contains(text) {
+    /// Waits until the operators' response for a path contains a text.
+    pub async fn wait_for_operator_text(&self, path: &str, text: &str) {
+        let found = async {
+            while !self.operator_get(path).await.contains(text) {
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         };
-        patiently(held).await;
+        with_test_timeout(found).await;
     }
 
-    /// The next frame about an attempt.
-    pub async fn next(&mut self) -> frame::Body {
+    /// Returns the next frame that concerns an attempt.
+    pub async fn next_attempt_frame(&mut self) -> frame::Body {
         loop {
-            let frame = patiently(self.link.receiver.recv()).await.unwrap();
-            let body = frame.expect("the link has ended").body.unwrap();
+            let frame = with_test_timeout(self.link.receiver.recv()).await.unwrap();
+            let body = frame.expect("the link is closed").body.unwrap();
             let about_attempt = matches!(
                 body,
                 frame::Body::Refused(_)
@@ -341,10 +360,10 @@
         }
     }
 
-    /// A request for the model, or for the service of a plain upstream.
-    pub fn run(&self, service: bool) -> Run {
-        let text = |of_service: &str, of_engine: &str| {
-            if service { of_service } else { of_engine }.to_owned()
+    /// Builds a request for the model, or for the service of a plain upstream.
+    pub fn build_run(&self, service: bool) -> Run {
+        let select = |for_service: &str, for_engine: &str| {
+            if service { for_service } else { for_engine }.to_owned()
         };
         Run {
             attempt: Some(attempt()),
@@ -352,11 +371,11 @@
             revision: 1,
             remaining_ms: 60_000,
             caller: "c".to_owned(),
-            model: text("", "m"),
+            model: select("", "m"),
             version: u32::from(!service),
-            service: text("s", ""),
+            service: select("s", ""),
             idempotent: !service,
-            path: text("/do", "/v1/completions"),
+            path: select("/do", "/v1/completions"),
             method: "POST".to_owned(),
             priority: 3,
             tokens_max: 100,
@@ -366,6 +385,7 @@
     }
 }
 
+/// The attempt of requests from [`AgentFixture::build_run`].
 pub const fn attempt() -> Attempt {
     Attempt {
         origin: ENTRY_INCARNATION,
@@ -373,7 +393,7 @@
     }
 }
 
-fn framed(body: frame::Body) -> Frame {
+fn frame_with_body(body: frame::Body) -> Frame {
     Frame {
         clock_us: 1,
         revision: 1,
@@ -381,24 +401,27 @@
     }
 }
 
-/// The link of a run of the entry.
-pub async fn connect(agent: &AgentHandle, incarnation: u64) -> EstablishedLink {
+/// Connects to the agent as a given incarnation of the entry.
+pub async fn connect_entry(agent: &AgentHandle, incarnation: u64) -> EstablishedLink {
     let link = wire::connect(agent.link_address, FRAME_MAX_BYTES).await;
     link.unwrap().handshake(hello(incarnation)).await.unwrap()
 }
 
-/// The link of another entry, if the agent takes it.
-pub async fn try_connect(agent: &AgentHandle, id: &str) -> Option<EstablishedLink> {
+/// Connects to the agent as another entry; returns `None` if the agent refuses.
+pub async fn try_connect_entry(
+    agent: &AgentHandle,
+    id: &str,
+) -> Option<EstablishedLink> {
     let link = wire::connect(agent.link_address, wire::DEFAULT_FRAME_MAX_BYTES).await;
-    link.ok()?.handshake(hello_of(id, 1)).await.ok()
+    link.ok()?.handshake(hello_from(id, 1)).await.ok()
 }
 
 fn hello(incarnation: u64) -> Frame {
-    hello_of("e", incarnation)
+    hello_from("e", incarnation)
 }
 
-fn hello_of(id: &str, incarnation: u64) -> Frame {
-    framed(frame::Body::Hello(Hello {
+fn hello_from(id: &str, incarnation: u64) -> Frame {
+    frame_with_body(frame::Body::Hello(Hello {
         kind: "entry".to_owned(),
         id: id.to_owned(),
         incarnation,
@@ -406,11 +429,17 @@
     }))
 }
 
-/// Answers questions for the state until it is aborted; the address is then
-/// free.
-pub async fn answer_states(listener: TcpListener) {
+/// Responds to requests for the upstream's state until the task is aborted, which frees
+/// the address.
+pub async fn serve_state_requests(listener: TcpListener) {
     while let Ok((stream, _)) = listener.accept().await {
-        let (got, _seen) = mpsc::unbounded_channel();
-        serve(stream, Says::Text(String::new()), Duration::ZERO, got).await;
+        let (observed, _observations) = mpsc::unbounded_channel();
+        serve_connection(
+            stream,
+            Behavior::Respond(String::new()),
+            Duration::ZERO,
+            observed,
+        )
+        .await;
     }
 }
