--- a/crates/direct/src/config.rs
+++ b/crates/direct/src/config.rs
@@ -1,6 +1,6 @@
 //! The part of the operator's configuration that the decisions need.
 
-use access::Directory;
+use access::WorkspaceDirectory;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_64;
@@ -17,7 +17,7 @@
     /// Limits on what callers send.
     pub limits: Limits,
     /// Workspaces and their keys; `None` if callers need no key.
-    pub directory: Option<Directory>,
+    pub directory: Option<WorkspaceDirectory>,
 }
 
 /// Rule for the requests of one host and path prefix.
@@ -170,7 +170,7 @@
 
     /// Replaces the workspaces and the keys that callers need.
     #[must_use]
-    pub fn with_directory(self, directory: Option<Directory>) -> Self {
+    pub fn with_directory(self, directory: Option<WorkspaceDirectory>) -> Self {
         Self { directory, ..self }
     }
 
--- a/crates/front/src/request.rs
+++ b/crates/front/src/request.rs
@@ -196,7 +196,7 @@
         return Ok(None);
     };
     let workspace = match &head.credential {
-        Credential::Key(key) => directory.workspace(key).cloned(),
+        Credential::Key(key) => directory.by_key(key).cloned(),
         Credential::Absent | Credential::Malformed => None,
     };
     if workspace.is_none() && !route.is_public {
--- a/crates/live/src/agent.rs
+++ b/crates/live/src/agent.rs
@@ -1,98 +1,98 @@
-//! One agent as the directory knows it.
+//! What the directory knows about one agent.
 
 use base::prelude::*;
 use schema::link::{Heartbeat, Resident, ResidentState};
 use std::collections::BTreeMap;
 
-use crate::{Hint, Timing};
+use crate::{LoadTracker, SilenceLimits};
 
-/// Residents taken from one heartbeat; more than any instance can hold.
+/// Most residents read from one heartbeat; no instance can hold this many.
 const RESIDENTS_MAX: usize = 512;
 
-/// What the silence of an agent means.
+/// Liveness of an agent, judged by its silence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Life {
-    /// It is heard.
+pub enum Liveness {
+    /// Its heartbeats arrive.
     Up,
-    /// It has been silent, or its link is down: it gets no new work.
+    /// It is silent or its link is down. It gets no new work.
     Suspected,
-    /// It is given up: what it ran has to be run elsewhere.
+    /// It is considered dead. Its requests have to be retried elsewhere.
     Lost,
 }
 
-/// Where a resident is in its life.
+/// State of a resident.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ResidencyState {
     /// Being loaded.
     Loading,
-    /// Able to serve.
+    /// Loaded and able to serve.
     Loaded,
     /// Being unloaded.
     Unloading,
 }
 
-/// One model or adapter on one accelerator of an agent.
+/// A model or adapter on one accelerator of an agent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Residency {
     /// Model or adapter.
     pub model: ModelId,
-    /// Version.
+    /// Version of the model or adapter.
     pub version: u32,
     /// Index of the accelerator.
     pub accelerator: u32,
-    /// Memory it takes.
+    /// Memory that it takes, in MiB.
     pub size_mib: u32,
-    /// Where it is in its life.
+    /// State of the resident.
     pub state: ResidencyState,
     /// When the state was entered.
     pub since: Instant,
 }
 
-/// What another entry said about an agent's silence.
+/// Another entry's report that an incarnation of an agent is silent.
 #[derive(Debug, Clone, Copy)]
-struct SilenceWord {
+struct SilenceReport {
     incarnation: Incarnation,
-    said_at: Instant,
+    reported_at: Instant,
 }
 
-/// One agent.
+/// State of an agent as seen by this entry.
 #[derive(Debug)]
 pub struct Agent {
-    /// Name.
+    /// Name of the agent.
     pub id: AgentId,
-    /// Its run, by heartbeat or hello.
+    /// Incarnation of its process, from a heartbeat or a hello.
     pub incarnation: Incarnation,
-    /// Sequence of the newest heartbeat.
+    /// Sequence number of its newest heartbeat.
     pub sequence: u64,
     /// Pool of its upstream.
     pub pool: PoolId,
-    /// Failure domain.
-    pub domain: FailureDomainId,
-    /// Memory of each accelerator.
+    /// Failure domain of its instance.
+    pub failure_domain: FailureDomainId,
+    /// Memory of each accelerator, in MiB.
     pub accelerators_mib: Vec<u32>,
-    /// What is on the accelerators.
+    /// Models and adapters on its accelerators.
     pub residents: Vec<Residency>,
-    /// Its upstream answers.
+    /// Whether its upstream responds.
     pub upstream_up: bool,
-    /// Since when it does, or does not.
+    /// When `upstream_up` last changed.
     pub upstream_since: Instant,
-    /// This entry has a connection to it.
+    /// Whether this entry has a link to it.
     pub connected: bool,
     /// When it was last heard, directly or through another entry.
-    pub heard_at: Instant,
-    /// When it was last heard directly.
-    pub direct_at: Option<Instant>,
-    /// Load.
-    pub hint: Hint,
+    pub last_heard_at: Instant,
+    /// When it was last heard over this entry's own link.
+    pub last_heard_directly_at: Option<Instant>,
+    /// Its last reported load.
+    pub load: LoadTracker,
     /// Planner whose target it follows.
     pub target_planner: String,
-    /// The newest heartbeat as it came, for relaying.
-    pub last: Heartbeat,
-    /// Verdict at the last tick.
-    pub life: Life,
-    said_leaving: bool,
+    /// Its newest heartbeat as received, for relaying.
+    pub last_heartbeat: Heartbeat,
+    /// Liveness at the last update.
+    pub liveness: Liveness,
+    announced_leaving: bool,
     pub(crate) platform_leaving: bool,
-    silences: BTreeMap<EntryId, SilenceWord>,
+    silence_reports: BTreeMap<EntryId, SilenceReport>,
 }
 
 impl Agent {
@@ -102,166 +102,190 @@
             incarnation: Incarnation(0),
             sequence: 0,
             pool: PoolId::new(""),
-            domain: FailureDomainId::new(""),
+            failure_domain: FailureDomainId::new(""),
             accelerators_mib: Vec::new(),
             residents: Vec::new(),
             upstream_up: false,
             upstream_since: now,
             connected: false,
-            heard_at: now,
-            direct_at: None,
-            hint: Hint::default(),
+            last_heard_at: now,
+            last_heard_directly_at: None,
+            load: LoadTracker::default(),
             target_planner: String::new(),
-            last: Heartbeat::default(),
-            life: Life::Suspected,
-            said_leaving: false,
+            last_heartbeat: Heartbeat::default(),
+            liveness: Liveness::Suspected,
+            announced_leaving: false,
             platform_leaving: false,
-            silences: BTreeMap::new(),
+            silence_reports: BTreeMap::new(),
         }
     }
 
-    /// It is stopping, by its own word or the platform's.
+    /// Whether it is stopping, according to itself or the platform.
     pub const fn leaving(&self) -> bool {
-        self.said_leaving || self.platform_leaving
+        self.announced_leaving || self.platform_leaving
     }
 
-    /// It may be sent work: its link is up, it is heard over that link, its
-    /// upstream answers and it is not stopping.
-    pub fn usable(&self, now: Instant, timing: Timing) -> bool {
-        let heard = self
-            .direct_at
-            .is_some_and(|at| now.ms_since(at) < timing.suspect_ms());
-        self.connected && heard && self.upstream_up && !self.leaving()
+    /// Whether it may be sent work: its link is up, its heartbeats arrive over
+    /// that link, its upstream responds, and it is not stopping.
+    pub fn usable(&self, now: Instant, silence_limits: SilenceLimits) -> bool {
+        let is_heard = self
+            .last_heard_directly_at
+            .is_some_and(|at| now.ms_since(at) < silence_limits.suspect_ms());
+        self.connected && is_heard && self.upstream_up && !self.leaving()
     }
 
-    /// Version of a model it can serve now, if any; the highest if several.
-    pub fn serves(&self, model: &str) -> Option<u32> {
+    /// Highest version of a model that it has loaded, if any.
+    pub fn loaded_version(&self, model: &str) -> Option<u32> {
         self.residents
             .iter()
-            .filter(|held| held.model.as_str() == model)
-            .filter(|held| held.state == ResidencyState::Loaded)
-            .map(|held| held.version)
+            .filter(|resident| resident.model.as_str() == model)
+            .filter(|resident| resident.state == ResidencyState::Loaded)
+            .map(|resident| resident.version)
             .max()
     }
 
-    /// Whether it can serve one version of a model now.
-    pub fn serves_version(&self, model: &str, version: u32) -> bool {
-        self.residents.iter().any(|held| {
-            held.model.as_str() == model
-                && held.version == version
-                && held.state == ResidencyState::Loaded
+    /// Whether it has loaded one version of a model.
+    pub fn has_loaded_version(&self, model: &str, version: u32) -> bool {
+        self.residents.iter().any(|resident| {
+            resident.model.as_str() == model
+                && resident.version == version
+                && resident.state == ResidencyState::Loaded
         })
     }
 
-    /// Since when it has been loading a model, if it is.
+    /// When it began to load a model that it is loading now.
     pub fn loading_since(&self, model: &str) -> Option<Instant> {
         self.residents
             .iter()
-            .filter(|held| held.state == ResidencyState::Loading)
-            .find(|held| held.model.as_str() == model)
-            .map(|held| held.since)
+            .filter(|resident| resident.state == ResidencyState::Loading)
+            .find(|resident| resident.model.as_str() == model)
+            .map(|resident| resident.since)
     }
 
-    /// The verdict at a time, given whether another entry is alive to ask.
-    pub(crate) fn judge(&self, now: Instant, timing: Timing, alone: bool) -> Life {
-        let silent_ms = now.ms_since(self.heard_at);
-        if silent_ms >= timing.lost_ms() {
-            return Life::Lost;
+    /// Liveness at `now`. `only_entry` is true if no other entry is alive that
+    /// could report on the agent.
+    pub(crate) fn assess_liveness(
+        &self,
+        now: Instant,
+        silence_limits: SilenceLimits,
+        only_entry: bool,
+    ) -> Liveness {
+        let silent_ms = now.ms_since(self.last_heard_at);
+        if silent_ms >= silence_limits.lost_ms() {
+            return Liveness::Lost;
         }
-        let silent = silent_ms >= timing.suspect_ms();
-        if silent && !self.connected && (alone || self.missed_by_others(now, timing)) {
-            return Life::Lost;
+        let is_silent = silent_ms >= silence_limits.suspect_ms();
+        if is_silent
+            && !self.connected
+            && (only_entry || self.reported_silent_by_others(now, silence_limits))
+        {
+            return Liveness::Lost;
         }
-        if silent || !self.connected {
-            return Life::Suspected;
+        if is_silent || !self.connected {
+            return Liveness::Suspected;
         }
-        Life::Up
+        Liveness::Up
     }
 
-    /// When the verdict may change if nothing more is heard.
-    pub(crate) fn next_verdict(&self, now: Instant, timing: Timing) -> Option<Instant> {
-        [timing.suspect_ms(), timing.lost_ms(), timing.forget_ms()]
-            .into_iter()
-            .map(|ms| self.heard_at.plus_ms(ms))
-            .find(|at| *at > now)
+    /// When the liveness may change if nothing more is heard.
+    pub(crate) fn next_liveness_change(
+        &self,
+        now: Instant,
+        silence_limits: SilenceLimits,
+    ) -> Option<Instant> {
+        [
+            silence_limits.suspect_ms(),
+            silence_limits.lost_ms(),
+            silence_limits.forget_ms(),
+        ]
+        .into_iter()
+        .map(|ms| self.last_heard_at.plus_ms(ms))
+        .find(|at| *at > now)
     }
 
-    pub(crate) fn note_silence(
+    pub(crate) fn add_silence_report(
         &mut self,
         now: Instant,
         by: &EntryId,
         incarnation: Incarnation,
     ) {
-        let word = SilenceWord {
+        let report = SilenceReport {
             incarnation,
-            said_at: now,
+            reported_at: now,
         };
-        self.silences.insert(by.clone(), word);
+        self.silence_reports.insert(by.clone(), report);
     }
 
-    pub(crate) fn forget_silences_of(&mut self, by: &EntryId) {
-        self.silences.remove(by);
+    pub(crate) fn remove_silence_report_by(&mut self, by: &EntryId) {
+        self.silence_reports.remove(by);
     }
 
-    pub(crate) const fn say_leaving(&mut self) {
-        self.said_leaving = true;
+    pub(crate) const fn announce_leaving(&mut self) {
+        self.announced_leaving = true;
     }
 
-    /// A new run of the agent: nothing of the old one holds any more.
+    /// Resets the state for a new incarnation of the agent.
     pub(crate) fn restart(&mut self, incarnation: Incarnation) {
         self.incarnation = incarnation;
         self.sequence = 0;
-        self.said_leaving = false;
+        self.announced_leaving = false;
         self.upstream_up = false;
         self.connected = false;
         self.residents.clear();
-        self.silences.clear();
-        self.direct_at = None;
+        self.silence_reports.clear();
+        self.last_heard_directly_at = None;
     }
 
-    /// Takes over a heartbeat that was found newer.
-    pub(crate) fn take(&mut self, now: Instant, beat: Heartbeat) {
-        self.sequence = beat.sequence;
-        self.pool = PoolId::new(&beat.pool);
-        self.domain = FailureDomainId::new(&beat.failure_domain);
-        self.accelerators_mib.clone_from(&beat.accelerators_mib);
-        if self.upstream_up != beat.upstream_up {
-            self.upstream_up = beat.upstream_up;
+    /// Applies a heartbeat that is newer than the last one.
+    pub(crate) fn apply_heartbeat(&mut self, now: Instant, heartbeat: Heartbeat) {
+        self.sequence = heartbeat.sequence;
+        self.pool = PoolId::new(&heartbeat.pool);
+        self.failure_domain = FailureDomainId::new(&heartbeat.failure_domain);
+        self.accelerators_mib
+            .clone_from(&heartbeat.accelerators_mib);
+        if self.upstream_up != heartbeat.upstream_up {
+            self.upstream_up = heartbeat.upstream_up;
             self.upstream_since = now;
         }
-        self.said_leaving |= beat.leaving;
-        self.target_planner.clone_from(&beat.target_planner);
-        self.heard_at = now;
-        self.silences.clear();
-        let residents = beat.residents.iter().take(RESIDENTS_MAX);
-        self.residents = residents.filter_map(|held| residency(now, held)).collect();
-        if let Some(load) = &beat.load {
-            self.hint.note(now, load);
+        self.announced_leaving |= heartbeat.leaving;
+        self.target_planner.clone_from(&heartbeat.target_planner);
+        self.last_heard_at = now;
+        self.silence_reports.clear();
+        let residents = heartbeat.residents.iter().take(RESIDENTS_MAX);
+        self.residents = residents
+            .filter_map(|resident| parse_resident(now, resident))
+            .collect();
+        if let Some(load) = &heartbeat.load {
+            self.load.record_report(now, load);
         }
-        self.last = beat;
+        self.last_heartbeat = heartbeat;
     }
 
-    fn missed_by_others(&self, now: Instant, timing: Timing) -> bool {
-        self.silences.values().any(|word| {
-            word.incarnation == self.incarnation
-                && now.ms_since(word.said_at) < timing.suspect_ms()
+    fn reported_silent_by_others(
+        &self,
+        now: Instant,
+        silence_limits: SilenceLimits,
+    ) -> bool {
+        self.silence_reports.values().any(|report| {
+            report.incarnation == self.incarnation
+                && now.ms_since(report.reported_at) < silence_limits.suspect_ms()
         })
     }
 }
 
-fn residency(now: Instant, held: &Resident) -> Option<Residency> {
-    let state = match ResidentState::try_from(held.state).ok()? {
+fn parse_resident(now: Instant, resident: &Resident) -> Option<Residency> {
+    let state = match ResidentState::try_from(resident.state).ok()? {
         ResidentState::Loading => ResidencyState::Loading,
         ResidentState::Loaded => ResidencyState::Loaded,
         ResidentState::Unloading => ResidencyState::Unloading,
         ResidentState::Unspecified => return None,
     };
     Some(Residency {
-        model: ModelId::new(&held.model),
-        version: held.version,
-        accelerator: held.accelerator,
-        size_mib: held.size_mib,
+        model: ModelId::new(&resident.model),
+        version: resident.version,
+        accelerator: resident.accelerator,
+        size_mib: resident.size_mib,
         state,
-        since: now - Duration::from_millis(held.age_ms),
+        since: now - Duration::from_millis(resident.age_ms),
     })
 }
