--- a/crates/agent/src/driver.rs
+++ b/crates/agent/src/driver.rs
@@ -289,7 +289,7 @@
                 }
                 AgentAction::CallPlatform(call) => self.call_platform(call),
                 AgentAction::ProbePredecessor { address } => {
-                    self.probe_predecessor(address)
+                    self.probe_predecessor(address);
                 }
                 AgentAction::SetReady(ready) => self.set_ready(ready),
                 AgentAction::RecordEvent(event) => self.recorder.record(event),
--- a/crates/agent/tests/shell/service.rs
+++ b/crates/agent/tests/shell/service.rs
@@ -67,7 +67,7 @@
                 frame::Body::Answer(part) => bytes.extend(part.payload),
                 frame::Body::End(end) => break end,
                 frame::Body::Started(_) => {
-                    assert_eq!(sequence, 1, "the request ran again")
+                    assert_eq!(sequence, 1, "the request ran again");
                 }
                 body => panic!("unexpected {body:?}"),
             }
