--- a/crates/agent/src/operator_api.rs
+++ b/crates/agent/src/operator_api.rs
@@ -90,7 +90,7 @@
     for order in status.orders.iter().filter(|order| order.model == model) {
         lines.push(format!(
             "order {} of epoch {} to {} version {} on accelerator {} may still take \
-             effect; sent {} times",
+             effect; given {} times",
             order.order,
             order.epoch,
             order.kind,
--- a/crates/base/src/code.rs
+++ b/crates/base/src/code.rs
@@ -119,7 +119,7 @@
     CallerLimit = 2003, "caller_limit", 429;
     /// The process is shutting down.
     Leaving = 2004, "leaving", 503;
-    /// The model is not loaded and can't be loaded before the deadline.
+    /// The model is not loaded and can't be loaded in time.
     ModelUnavailable = 2005, "model_unavailable", 503;
     /// The deadline passed before the request started to run.
     DeadlineBeforeRun = 2006, "deadline_before_run", 504;
