--- a/crates/agent/src/driver.rs
+++ b/crates/agent/src/driver.rs
@@ -18,7 +18,7 @@
 
 use crate::attempts::RunningAttempts;
 use crate::links::Links;
-use crate::metrics::Metrics;
+use crate::metrics::ProcessMetrics;
 use crate::predecessor;
 use crate::upstream::{self, Upstream};
 
@@ -35,7 +35,7 @@
     deadline_timer: DeadlineTimer,
     platform: Arc<dyn ObjectApi>,
     recorder: EventRecorder,
-    metrics: Metrics,
+    metrics: ProcessMetrics,
     ready: AtomicBool,
     exit: CancellationToken,
     runtime: Handle,
@@ -82,7 +82,7 @@
             deadline_timer: DeadlineTimer::new(),
             platform: environment.platform,
             recorder: environment.recorder,
-            metrics: Metrics::new(),
+            metrics: ProcessMetrics::new(),
             ready: AtomicBool::new(false),
             exit: CancellationToken::new(),
             runtime: Handle::current(),
@@ -95,7 +95,7 @@
     pub(crate) fn start(self: &Arc<Self>) {
         let mut role = self.role.lock();
         let mut actions = std::mem::take(&mut *self.initial_actions.lock());
-        self.execute_actions(&mut role, &mut actions, &mut None);
+        self.run_actions(&mut role, &mut actions, &mut None);
         drop(role);
         let driver = Arc::clone(self);
         self.runtime.spawn(async move {
@@ -140,7 +140,7 @@
     }
 
     /// Returns the metrics that are counted outside the state machine.
-    pub(crate) const fn metrics(&self) -> &Metrics {
+    pub(crate) const fn metrics(&self) -> &ProcessMetrics {
         &self.metrics
     }
 
@@ -210,12 +210,12 @@
         for event in make_events() {
             role.handle(self.clock.now(), event, &mut actions);
         }
-        self.execute_actions(&mut role, &mut actions, &mut None);
+        self.run_actions(&mut role, &mut actions, &mut None);
     }
 
     /// Passes a part of an answer to the state machine, which decides whether the
     /// part is forwarded to the entry.
-    pub(crate) fn handle_part_event(
+    pub(crate) fn handle_answer_part(
         self: &Arc<Self>,
         event: UpstreamEvent,
         part: PendingPart,
@@ -224,7 +224,7 @@
         let mut actions = Vec::new();
         let event = AgentEvent::Upstream(event);
         role.handle(self.clock.now(), event, &mut actions);
-        self.execute_actions(&mut role, &mut actions, &mut Some(part));
+        self.run_actions(&mut role, &mut actions, &mut Some(part));
     }
 
     /// Returns the `Hello` frame of this process.
@@ -249,7 +249,7 @@
 
     /// Carries out actions of the state machine. The caller holds its lock, so frames
     /// are enqueued in the order in which they were decided.
-    fn execute_actions(
+    fn run_actions(
         self: &Arc<Self>,
         role: &mut AgentRole,
         actions: &mut Vec<AgentAction>,
@@ -304,13 +304,13 @@
             self.metrics.unsent_frames.inc();
             return;
         };
-        let superseded_by_next = is_superseded_by_next(&body);
+        let periodic = is_periodic(&body);
         let sent = sender.try_send(self.frame(revision, body));
         if let Err(error) = sent {
             self.metrics.unsent_frames.inc();
             // If an `End` or `Refused` frame were lost, the entry would wait for it.
             // Closing the link makes the entry notice the loss.
-            if matches!(error, WireError::QueueFull) && !superseded_by_next {
+            if matches!(error, WireError::QueueFull) && !periodic {
                 sender.close();
             }
         }
@@ -392,8 +392,9 @@
     }
 }
 
-/// Returns whether the next frame of the same kind makes up for the loss of a frame.
-const fn is_superseded_by_next(body: &frame::Body) -> bool {
+/// Returns whether a frame is sent periodically, so that the next one of its kind makes
+/// up for its loss.
+const fn is_periodic(body: &frame::Body) -> bool {
     matches!(
         body,
         frame::Body::Heartbeat(_)
--- a/crates/agent/src/metrics.rs
+++ b/crates/agent/src/metrics.rs
@@ -8,7 +8,7 @@
 
 /// Counters that are kept outside the state machine.
 #[derive(Debug)]
-pub(crate) struct Metrics {
+pub(crate) struct ProcessMetrics {
     registry: Registry,
     /// Frames that could not be enqueued on a link.
     pub(crate) unsent_frames: IntCounter,
@@ -18,7 +18,7 @@
     pub(crate) refused_links: IntCounter,
 }
 
-impl Metrics {
+impl ProcessMetrics {
     /// Creates the counters with a value of zero.
     pub(crate) fn new() -> Self {
         let registry = Registry::new();
@@ -63,7 +63,7 @@
 }
 
 /// Renders all metrics in the Prometheus text format.
-pub(crate) fn render(metrics: &Metrics, snapshot: &MetricsSnapshot) -> String {
+pub(crate) fn render(metrics: &ProcessMetrics, snapshot: &MetricsSnapshot) -> String {
     let mut families = metrics.registry.gather();
     families.extend(state_machine_counters(&snapshot.counters));
     for (name, help, value) in gauges(snapshot) {
--- a/crates/agent/src/upstream/answer_reader.rs
+++ b/crates/agent/src/upstream/answer_reader.rs
@@ -97,6 +97,6 @@
             UpstreamEvent::AnswerPart { attempt, units }
         };
         self.driver
-            .handle_part_event(event, PendingPart { payload, permit });
+            .handle_answer_part(event, PendingPart { payload, permit });
     }
 }
