--- a/crates/oper/src/clock.rs
+++ b/crates/oper/src/clock.rs
@@ -1,9 +1,9 @@
-//! The process's clock as decisions see it.
+//! The clock by which a process's state machine measures time.
 
 use base::Instant;
 use std::time::Duration;
 
-/// The runtime's clock, counted from the start of the process.
+/// The runtime's clock, as the time since the start of the process.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     origin: tokio::time::Instant,
@@ -11,7 +11,7 @@
 }
 
 impl Clock {
-    /// A clock whose origin is the present.
+    /// A clock whose origin is the current time.
     pub fn start() -> Self {
         Self {
             origin: tokio::time::Instant::now(),
@@ -19,23 +19,24 @@
         }
     }
 
-    /// The present.
+    /// The current time.
     pub fn now(&self) -> Instant {
         Instant::ZERO + self.origin.elapsed()
     }
 
-    /// The same point on the runtime's clock, for sleeping.
+    /// Converts an instant to the runtime's clock, for sleeping.
     pub fn runtime_instant(&self, instant: Instant) -> tokio::time::Instant {
         self.origin + Duration::from_micros(instant.as_us())
     }
 
-    /// Wall clock at the origin, in milliseconds since the Unix epoch.
+    /// Wall-clock time at the origin, in milliseconds since the Unix epoch.
     pub const fn unix_ms_at_zero(&self) -> u64 {
         self.unix_us_at_origin / 1_000
     }
 
-    /// Wall clock at the origin, in microseconds since the Unix epoch. It
-    /// serves as the process's incarnation, since it grows with each restart.
+    /// Wall-clock time at the origin, in microseconds since the Unix epoch.
+    ///
+    /// Incarnations are derived from it, as it grows with each restart.
     pub const fn unix_us_at_zero(&self) -> u64 {
         self.unix_us_at_origin
     }
--- a/crates/oper/src/deadline_timer.rs
+++ b/crates/oper/src/deadline_timer.rs
@@ -1,4 +1,4 @@
-//! The timer of a process's machine.
+//! The timer of a process's state machine.
 
 use base::Instant;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -7,14 +7,14 @@
 
 use crate::Clock;
 
-/// No point in time, as a number of microseconds.
+/// Stands for no deadline, as a number of microseconds.
 const NEVER_US: u64 = u64::MAX;
 
-/// One task that sleeps until a machine is due.
+/// Lets one task sleep until the next deadline of a state machine.
 #[derive(Debug)]
 pub struct DeadlineTimer {
     armed_us: AtomicU64,
-    earlier: Notify,
+    rearmed: Notify,
 }
 
 impl Default for DeadlineTimer {
@@ -24,45 +24,47 @@
 }
 
 impl DeadlineTimer {
-    /// A timer that is not set.
+    /// A timer without a deadline.
     pub const fn new() -> Self {
         Self {
             armed_us: AtomicU64::new(NEVER_US),
-            earlier: Notify::const_new(),
+            rearmed: Notify::const_new(),
         }
     }
 
-    /// Wakes the task if the machine is due earlier than it sleeps.
+    /// Wakes the task if `due` is earlier than the deadline it sleeps until.
     pub fn rearm(&self, due: Option<Instant>) {
         if as_us(due) < self.armed_us.load(Ordering::SeqCst) {
-            self.earlier.notify_one();
+            self.rearmed.notify_one();
         }
     }
 
-    /// Calls `tick` whenever the machine is due, until `exit` is cancelled.
+    /// Calls `on_due` whenever the time returned by `due` has come, until `exit` is
+    /// cancelled.
     pub async fn run(
         &self,
         clock: &Clock,
         exit: &CancellationToken,
         due: impl Fn() -> Option<Instant>,
-        tick: impl Fn(),
+        on_due: impl Fn(),
     ) {
         while !exit.is_cancelled() {
-            // The time armed is first put to never. An event that comes between
-            // reading `due` and arming it would otherwise compare with the time
-            // before, wake nobody, and its timer would be late by a whole sleep.
+            // The armed time is first set to never. A call of `rearm` between
+            // reading `due` and storing it would otherwise compare its deadline
+            // with the previous one and not wake the task, which would then sleep
+            // past the new deadline.
             self.armed_us.store(NEVER_US, Ordering::SeqCst);
             let due_us = as_us(due());
             self.armed_us.store(due_us, Ordering::SeqCst);
             if due_us <= clock.now().as_us() {
-                tick();
-                // One turn for other tasks, whatever the machine says next.
+                on_due();
+                // Lets other tasks run even if the next deadline has passed as well.
                 tokio::task::yield_now().await;
                 continue;
             }
             tokio::select! {
                 () = sleep(clock, due_us) => {}
-                () = self.earlier.notified() => {}
+                () = self.rearmed.notified() => {}
                 () = exit.cancelled() => {}
             }
         }
--- a/crates/oper/src/operator_api.rs
+++ b/crates/oper/src/operator_api.rs
@@ -1,26 +1,26 @@
-//! The process behind an operators' listener.
+//! What the operators' listener needs of a process.
 
 use line::{Event, EventFilter};
 use std::fmt::Debug;
 
-/// A process that operators look at and may drain.
+/// A process that operators can inspect and drain.
 pub trait OperatorApi: Debug + Send + Sync {
-    /// Whether the process takes work.
+    /// Whether the process accepts requests.
     fn ready(&self) -> bool;
 
-    /// The process's state.
+    /// The process's state as JSON.
     fn status(&self) -> serde_json::Value;
 
-    /// Counters and gauges in the text format of Prometheus.
+    /// Metrics in the text format of Prometheus.
     fn metrics(&self) -> String;
 
-    /// Events of the time line that the filter takes, oldest first.
+    /// Events of the timeline that match the filter, oldest first.
     fn timeline(&self, filter: &EventFilter) -> Vec<Event>;
 
-    /// What the process knows on a model and why it is where it is, one
-    /// sentence a line.
+    /// What the process knows about a model and why the model is loaded where it is,
+    /// as one sentence per line.
     fn explain_model(&self, model: &str) -> Vec<String>;
 
-    /// Starts to drain; a second call changes nothing.
+    /// Starts draining; a second call has no effect.
     fn drain(&self);
 }
--- a/crates/oper/src/process_usage.rs
+++ b/crates/oper/src/process_usage.rs
@@ -1,25 +1,25 @@
-//! What the operating system says about this process.
+//! Processor time and memory of this process, as reported by the kernel.
 
 use std::fs;
 
-/// Ticks per second in which the kernel states processor time; it is the same
-/// on every Linux that the project runs on.
-const TICKS_PER_S: f64 = 100.0;
+/// Clock ticks per second in which the kernel reports processor time. The value is
+/// the same on all supported Linux systems.
+const CLOCK_TICKS_PER_S: f64 = 100.0;
 
-/// Place of the user time behind the name in `/proc/self/stat`.
-const USER_TIME_FIELD: usize = 11;
+/// Index of the user time among the fields after the name in `/proc/self/stat`.
+const USER_TIME_INDEX: usize = 11;
 
 /// Processor time and memory of this process.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct ProcessUsage {
     /// Processor time used, user and system, in seconds.
     pub cpu_s: f64,
-    /// Resident memory.
+    /// Resident memory in bytes.
     pub resident_bytes: u64,
 }
 
 impl ProcessUsage {
-    /// Reads both; what can't be read is 0.
+    /// Reads both values. A value that can't be read is 0.
     pub fn read() -> Self {
         let stat = fs::read_to_string("/proc/self/stat").unwrap_or_default();
         let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
@@ -31,12 +31,12 @@
 }
 
 fn cpu_s(stat: &str) -> Option<f64> {
-    // The name stands in parentheses and may hold spaces.
-    let (_, behind_name) = stat.rsplit_once(')')?;
-    let mut times = behind_name.split_whitespace().skip(USER_TIME_FIELD);
+    // The name is in parentheses and may contain spaces.
+    let (_, after_name) = stat.rsplit_once(')')?;
+    let mut times = after_name.split_whitespace().skip(USER_TIME_INDEX);
     let user: f64 = times.next()?.parse().ok()?;
     let system: f64 = times.next()?.parse().ok()?;
-    Some((user + system) / TICKS_PER_S)
+    Some((user + system) / CLOCK_TICKS_PER_S)
 }
 
 fn resident_bytes(status: &str) -> Option<u64> {
--- a/crates/oper/src/program.rs
+++ b/crates/oper/src/program.rs
@@ -1,4 +1,4 @@
-//! What the programs of entry and agent do before and around their shell.
+//! Startup and exit of the programs of the entry and the agent.
 
 use conf::Diagnostic;
 use std::future::Future;
@@ -7,7 +7,7 @@
 
 use crate::{StartError, init_log};
 
-/// Reads a settings file and checks it.
+/// Reads and checks a settings file.
 ///
 /// # Errors
 ///
@@ -22,33 +22,34 @@
             path: file.to_owned(),
             source,
         })?;
-    check(&text).map_err(|faults| StartError::InvalidSettings { faults })
+    check(&text).map_err(|diagnostics| StartError::InvalidSettings { diagnostics })
 }
 
-/// Starts the log and the runtime, and runs a shell to its end.
+/// Starts logging and the runtime, and runs a process's future to completion.
 ///
 /// # Errors
 ///
-/// Those of the shell.
+/// The errors of the future.
 ///
 /// # Panics
 ///
-/// If the operating system gives neither threads nor descriptors.
+/// If the operating system can't provide the runtime's threads or descriptors.
 pub fn run_process(
     log_level: &str,
     worker_threads: u32,
-    shell: impl Future<Output = Result<(), StartError>>,
+    process: impl Future<Output = Result<(), StartError>>,
 ) -> Result<(), StartError> {
     init_log(log_level);
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(worker_threads.max(1) as usize)
         .enable_all()
         .build()
-        .expect("a runtime needs only threads and descriptors");
-    runtime.block_on(shell)
+        .expect("the runtime needs only threads and descriptors");
+    runtime.block_on(process)
 }
 
-/// Tells a failed start on standard error and turns it into an exit code.
+/// Converts the result of a process to an exit code, and prints an error to
+/// standard error.
 pub fn exit_code(result: Result<(), StartError>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/oper/src/query.rs
+++ b/crates/oper/src/query.rs
@@ -1,22 +1,22 @@
-//! Values in the query of a path.
+//! Parsing of URL queries.
 
-/// The value of a key in a query (`a=1&b=2`), with its escapes resolved.
+/// The decoded value of a key in a query such as `a=1&b=2`.
 pub fn query_value(query: &str, key: &str) -> Option<String> {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     let (_, value) = pairs.find(|(name, _)| *name == key)?;
-    Some(unescaped(value))
+    Some(decode_percent(value))
 }
 
-/// Resolves `%xx` and `+`; an escape that is none stands as it is.
-fn unescaped(value: &str) -> String {
+/// Decodes `%xx` and `+`. An invalid escape is kept unchanged.
+fn decode_percent(value: &str) -> String {
     let mut bytes = Vec::with_capacity(value.len());
-    let mut rest = value.as_bytes();
-    while let [first, tail @ ..] = rest {
-        rest = tail;
-        match (first, hex_pair(tail)) {
+    let mut remaining = value.as_bytes();
+    while let [first, tail @ ..] = remaining {
+        remaining = tail;
+        match (first, decode_hex_pair(tail)) {
             (b'%', Some(byte)) => {
                 bytes.push(byte);
-                rest = &tail[2..];
+                remaining = &tail[2..];
             }
             (b'+', _) => bytes.push(b' '),
             _ => bytes.push(*first),
@@ -25,7 +25,7 @@
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-fn hex_pair(bytes: &[u8]) -> Option<u8> {
+fn decode_hex_pair(bytes: &[u8]) -> Option<u8> {
     let digit = |byte: &u8| char::from(*byte).to_digit(16);
     let [high, low, ..] = bytes else {
         return None;
--- a/crates/oper/src/route.rs
+++ b/crates/oper/src/route.rs
@@ -5,34 +5,34 @@
 use line::EventFilter;
 use serde::Serialize;
 
-use crate::answer::{Answer, fault, json, text};
+use crate::response::{OperatorResponse, error_response, json, text};
 use crate::{OperatorApi, query_value};
 
-/// The answer to a drain.
+/// Response to `POST /drain`.
 #[derive(Debug, Serialize)]
-struct Draining {
+struct DrainResponse {
     draining: bool,
 }
 
-/// Answers one call.
-pub(crate) fn answer(operated: &dyn OperatorApi, method: &Method, uri: &Uri) -> Answer {
+/// Handles one request.
+pub(crate) fn respond(api: &dyn OperatorApi, method: &Method, uri: &Uri) -> OperatorResponse {
     let query = uri.query().unwrap_or_default();
     match (method, uri.path()) {
         (&Method::GET, "/healthz") => text(StatusCode::OK, "alive\n"),
-        (&Method::GET, "/readyz") => readiness(operated.ready()),
-        (&Method::GET, "/metrics") => text(StatusCode::OK, operated.metrics()),
-        (&Method::GET, "/status") => json(StatusCode::OK, &operated.status()),
-        (&Method::GET, "/timeline") => timeline(operated, query),
-        (&Method::GET, "/explain") => explain(operated, query),
+        (&Method::GET, "/readyz") => readiness(api.ready()),
+        (&Method::GET, "/metrics") => text(StatusCode::OK, api.metrics()),
+        (&Method::GET, "/status") => json(StatusCode::OK, &api.status()),
+        (&Method::GET, "/timeline") => timeline(api, query),
+        (&Method::GET, "/explain") => explain(api, query),
         (&Method::POST, "/drain") => {
-            operated.drain();
-            json(StatusCode::ACCEPTED, &Draining { draining: true })
+            api.drain();
+            json(StatusCode::ACCEPTED, &DrainResponse { draining: true })
         }
-        _ => fault(ErrorCode::UnknownPath),
+        _ => error_response(ErrorCode::UnknownPath),
     }
 }
 
-fn readiness(ready: bool) -> Answer {
+fn readiness(ready: bool) -> OperatorResponse {
     if ready {
         text(StatusCode::OK, "ready\n")
     } else {
@@ -40,12 +40,12 @@
     }
 }
 
-fn timeline(operated: &dyn OperatorApi, query: &str) -> Answer {
+fn timeline(api: &dyn OperatorApi, query: &str) -> OperatorResponse {
     let since_us = match query_value(query, "since_us") {
         None => 0,
         Some(text) => match text.parse() {
             Ok(since_us) => since_us,
-            Err(_) => return fault(ErrorCode::BadRequest),
+            Err(_) => return error_response(ErrorCode::BadRequest),
         },
     };
     let filter = EventFilter {
@@ -53,12 +53,12 @@
         request: query_value(query, "request"),
         model: query_value(query, "model"),
     };
-    json(StatusCode::OK, &operated.timeline(&filter))
+    json(StatusCode::OK, &api.timeline(&filter))
 }
 
-fn explain(operated: &dyn OperatorApi, query: &str) -> Answer {
+fn explain(api: &dyn OperatorApi, query: &str) -> OperatorResponse {
     match query_value(query, "model") {
-        Some(model) => json(StatusCode::OK, &operated.explain_model(&model)),
-        None => fault(ErrorCode::BadRequest),
+        Some(model) => json(StatusCode::OK, &api.explain_model(&model)),
+        None => error_response(ErrorCode::BadRequest),
     }
 }
--- a/crates/oper/src/server.rs
+++ b/crates/oper/src/server.rs
@@ -1,4 +1,4 @@
-//! The operators' listener.
+//! The operators' listener: HTTP for operators, probes and scrapers.
 
 use hyper::body::Incoming;
 use hyper::server::conn::http1;
@@ -14,57 +14,57 @@
 
 use crate::{OperatorApi, route};
 
-/// Connections served at once; further ones wait to be accepted.
+/// Largest number of connections served at once; further ones wait to be accepted.
 const CONNECTIONS_MAX: usize = 64;
 
-/// Longest time for a request's head. Without it, as many silent connections
-/// as are served at once would keep every operator and probe out for ever.
+/// Longest time for a request's head. Without it, [`CONNECTIONS_MAX`] idle
+/// connections would block all operators and probes forever.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Wait after a failed accept: the process is out of descriptors or memory, and
-/// trying again at once would only take its processor.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
+/// Delay after a failed accept. The process is then out of descriptors or memory,
+/// and retrying at once would only use processor time.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Serves operators until the future is dropped, which ends its connections.
+/// Serves operators until the future is dropped, which closes its connections.
 ///
-/// `GET /healthz`, `/readyz`, `/metrics`, `/status`,
-/// `/timeline?since_us=&request=&model=` and `/explain?model=`; `POST /drain`.
-pub async fn serve(listener: TcpListener, operated: Arc<dyn OperatorApi>) {
-    let room = Arc::new(Semaphore::new(CONNECTIONS_MAX));
+/// The paths are `GET /healthz`, `/readyz`, `/metrics`, `/status`,
+/// `/timeline?since_us=&request=&model=` and `/explain?model=`, and `POST /drain`.
+pub async fn serve(listener: TcpListener, api: Arc<dyn OperatorApi>) {
+    let permits = Arc::new(Semaphore::new(CONNECTIONS_MAX));
     let mut connections = JoinSet::new();
     loop {
         while connections.try_join_next().is_some() {}
-        let Ok(permit) = room.clone().acquire_owned().await else {
+        let Ok(permit) = permits.clone().acquire_owned().await else {
             return;
         };
         match listener.accept().await {
             Ok((stream, _)) => {
-                let operated = operated.clone();
+                let api = api.clone();
                 connections.spawn(async move {
-                    connection(stream, operated).await;
+                    serve_connection(stream, api).await;
                     drop(permit);
                 });
             }
-            Err(fault) => {
-                log::warn!("operators' listener: {fault}");
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+            Err(error) => {
+                log::warn!("can't accept a connection on the operators' listener: {error}");
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn connection(stream: TcpStream, operated: Arc<dyn OperatorApi>) {
+async fn serve_connection(stream: TcpStream, api: Arc<dyn OperatorApi>) {
     let service = service_fn(move |request: Request<Incoming>| {
-        let answer: Response<_> =
-            route::answer(&*operated, request.method(), request.uri());
-        async move { Ok::<_, Infallible>(answer) }
+        let response: Response<_> =
+            route::respond(&*api, request.method(), request.uri());
+        async move { Ok::<_, Infallible>(response) }
     });
-    let served = http1::Builder::new()
+    let result = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(HEAD_TIMEOUT)
         .serve_connection(TokioIo::new(stream), service)
         .await;
-    if let Err(fault) = served {
-        log::debug!("operator's connection: {fault}");
+    if let Err(error) = result {
+        log::debug!("connection on the operators' listener failed: {error}");
     }
 }
--- a/crates/oper/src/signal.rs
+++ b/crates/oper/src/signal.rs
@@ -1,18 +1,18 @@
-//! The signal to stop.
+//! Termination signals.
 
 use tokio::signal::unix::{SignalKind, signal};
 
 /// Waits for SIGTERM or SIGINT.
 ///
-/// Where a handler can't be installed it waits for ever: the process then dies
-/// by the signal itself, as it would without the handler.
+/// If the handler of a signal can't be installed, that signal terminates the
+/// process at once, and only the other signal completes this future.
 pub async fn termination_signal() {
     let wait = async |kind| match signal(kind) {
         Ok(mut signal) => {
             signal.recv().await;
         }
-        Err(fault) => {
-            log::warn!("no handler for the signal to stop: {fault}");
+        Err(error) => {
+            log::warn!("can't install a handler for a termination signal: {error}");
             std::future::pending::<()>().await;
         }
     };
--- a/crates/oper/src/start.rs
+++ b/crates/oper/src/start_error.rs
@@ -1,4 +1,4 @@
-//! Why a process can't start.
+//! Errors that keep a process from starting.
 
 use base::ErrorCode;
 use conf::Diagnostic;
@@ -15,49 +15,49 @@
     /// The settings file can't be read.
     #[snafu(display("{}: {}: {source}", ErrorCode::FileFault, path.display()))]
     ReadSettings {
-        /// File.
+        /// Path of the file.
         path: PathBuf,
-        /// Fault of the operating system.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The settings have faults.
-    #[snafu(display("{}", lines(faults)))]
+    /// The settings are invalid.
+    #[snafu(display("{}", join_lines(diagnostics)))]
     InvalidSettings {
-        /// All of them.
-        faults: Vec<Diagnostic>,
+        /// All errors found in the settings.
+        diagnostics: Vec<Diagnostic>,
     },
-    /// An address of the settings is not `ip:port`.
-    #[snafu(display("{}: {key}: {text} is not ip:port", ErrorCode::BadAddress))]
+    /// An address in the settings is not of the form `ip:port`.
+    #[snafu(display("{}: {key}: {text} is not an address of the form ip:port", ErrorCode::BadAddress))]
     InvalidAddress {
-        /// Key in the settings.
+        /// Key of the address in the settings.
         key: &'static str,
-        /// What stands there.
+        /// Value of the key.
         text: String,
     },
     /// A listener can't be bound.
     #[snafu(display("{}: {key}: {source}", ErrorCode::BadAddress))]
     BindListener {
-        /// Key in the settings.
+        /// Key of the address in the settings.
         key: &'static str,
-        /// Fault of the operating system.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// The link listener can't be bound.
     #[snafu(display("{}: link_listen: {source}", source.code()))]
     BindLinkListener {
-        /// Fault of the listener.
+        /// Error of the listener.
         source: WireError,
     },
 }
 
 impl StartError {
-    /// Numbered code of the fault.
+    /// Code of the error.
     pub fn code(&self) -> ErrorCode {
         match self {
             Self::ReadSettings { .. } => ErrorCode::FileFault,
-            Self::InvalidSettings { faults } => faults
+            Self::InvalidSettings { diagnostics } => diagnostics
                 .first()
-                .map_or(ErrorCode::BadSyntax, |fault| fault.code),
+                .map_or(ErrorCode::BadSyntax, |diagnostic| diagnostic.code),
             Self::InvalidAddress { .. } | Self::BindListener { .. } => {
                 ErrorCode::BadAddress
             }
@@ -66,16 +66,16 @@
     }
 }
 
-fn lines(faults: &[Diagnostic]) -> String {
-    let lines: Vec<String> = faults.iter().map(Diagnostic::to_string).collect();
+fn join_lines(diagnostics: &[Diagnostic]) -> String {
+    let lines: Vec<String> = diagnostics.iter().map(Diagnostic::to_string).collect();
     lines.join("\n")
 }
 
-/// Reads `ip:port` from the settings.
+/// Parses an address of the form `ip:port`. `key` names it in the settings.
 ///
 /// # Errors
 ///
-/// [`StartError::InvalidAddress`] if the text is something else.
+/// [`StartError::InvalidAddress`] if the text has another form.
 pub fn parse_address(key: &'static str, text: &str) -> Result<SocketAddr, StartError> {
     text.parse().map_err(|_| StartError::InvalidAddress {
         key,
--- a/crates/oper/tests/listener.rs
+++ b/crates/oper/tests/listener.rs
@@ -1,4 +1,4 @@
-//! The operators' listener over its protocol.
+//! Tests of the operators' listener over HTTP, and of query parsing.
 
 use line::{Event, EventFilter, EventRecorder};
 use oper::{OperatorApi, query_value, serve};
@@ -9,7 +9,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// A process that keeps only what operators change.
+/// A fake process that keeps only the state that operators can change.
 #[derive(Debug)]
 struct Process {
     draining: AtomicBool,
@@ -79,36 +79,36 @@
         ("/", 404, "{\"code\":1008,\"error\":\"unknown_path\"}"),
     ];
     for (path, status, body) in cases {
-        let answer = plat::http::get(address, path).await.unwrap();
-        assert_eq!(answer.status, status, "{path}");
-        assert_eq!(String::from_utf8_lossy(&answer.body), body, "{path}");
+        let response = plat::http::get(address, path).await.unwrap();
+        assert_eq!(response.status, status, "{path}");
+        assert_eq!(String::from_utf8_lossy(&response.body), body, "{path}");
     }
-    let answer = plat::http::get(address, "/timeline?model=m+1")
+    let response = plat::http::get(address, "/timeline?model=m+1")
         .await
         .unwrap();
-    let events: Vec<Event> = serde_json::from_slice(&answer.body).unwrap();
+    let events: Vec<Event> = serde_json::from_slice(&response.body).unwrap();
     assert_eq!(events.len(), 1);
 }
 
 #[tokio::test]
 async fn a_drained_process_is_alive_and_not_ready() {
     let address = start().await;
-    let answer = plat::http::post(address, "/drain", "".into())
+    let response = plat::http::post(address, "/drain", "".into())
         .await
         .unwrap();
-    assert_eq!(answer.status, 202);
+    assert_eq!(response.status, 202);
     let paths = [("/readyz", 503), ("/healthz", 200)];
     for (path, status) in paths {
-        let answer = plat::http::get(address, path).await.unwrap();
-        assert_eq!(answer.status, status, "{path}");
+        let response = plat::http::get(address, path).await.unwrap();
+        assert_eq!(response.status, status, "{path}");
     }
 }
 
-// Something opens as many connections as the listener serves and sends nothing.
-// A probe that comes then must get its answer once the silent ones time out, or
-// the process would be taken for dead.
+// A client opens as many connections as the listener serves and sends nothing. A
+// probe that connects after them must get its response once they time out, or the
+// process would be considered dead.
 #[tokio::test]
-async fn silent_connections_do_not_keep_probes_out() {
+async fn silent_connections_do_not_block_probes() {
     const SERVED_MAX: usize = 64;
     let address = start().await;
     let mut silent = Vec::new();
@@ -119,11 +119,11 @@
     let request = b"GET /healthz HTTP/1.1\r\nHost: p\r\nConnection: close\r\n\r\n";
     probe.write_all(request).await.unwrap();
     tokio::time::pause();
-    let mut answer = String::new();
-    let hour = Duration::from_secs(3_600);
-    let read = tokio::time::timeout(hour, probe.read_to_string(&mut answer)).await;
-    read.expect("the probe waits for ever").unwrap();
-    assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
+    let mut response = String::new();
+    let deadline = Duration::from_secs(3_600);
+    let read = tokio::time::timeout(deadline, probe.read_to_string(&mut response)).await;
+    read.expect("the probe gets no response").unwrap();
+    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
 }
 
 #[test]
