--- a/crates/oper/src/lib.rs
+++ b/crates/oper/src/lib.rs
@@ -7,7 +7,6 @@
 //! [`OperatorApi`]; the one operation that changes the process is
 //! [`OperatorApi::drain`].
 
-mod response;
 mod clock;
 mod deadline_timer;
 mod logging;
@@ -15,6 +14,7 @@
 mod process_usage;
 mod program;
 mod query;
+mod response;
 mod route;
 mod server;
 mod signal;
@@ -29,4 +29,6 @@
 pub use query::query_value;
 pub use server::serve;
 pub use signal::termination_signal;
-pub use start_error::{BindLinkListenerSnafu, BindListenerSnafu, StartError, parse_address};
+pub use start_error::{
+    BindLinkListenerSnafu, BindListenerSnafu, StartError, parse_address,
+};
--- a/crates/oper/src/program.rs
+++ b/crates/oper/src/program.rs
@@ -12,7 +12,7 @@
 /// # Errors
 ///
 /// [`StartError::ReadSettings`] if it can't be read, or
-/// [`StartError::InvalidSettings`] with all faults of the text.
+/// [`StartError::InvalidSettings`] with all errors found in the text.
 pub fn read_settings<T>(
     file: &Path,
     check: impl FnOnce(&str) -> Result<T, Vec<Diagnostic>>,
--- a/crates/oper/src/response.rs
+++ b/crates/oper/src/response.rs
@@ -46,9 +46,15 @@
     json(status.unwrap_or(StatusCode::BAD_REQUEST), &body)
 }
 
-fn with_content_type(status: StatusCode, content_type: HeaderValue, body: Bytes) -> OperatorResponse {
+fn with_content_type(
+    status: StatusCode,
+    content_type: HeaderValue,
+    body: Bytes,
+) -> OperatorResponse {
     let mut response = Response::new(Full::new(body));
     *response.status_mut() = status;
-    response.headers_mut().insert(header::CONTENT_TYPE, content_type);
+    response
+        .headers_mut()
+        .insert(header::CONTENT_TYPE, content_type);
     response
 }
--- a/crates/oper/src/route.rs
+++ b/crates/oper/src/route.rs
@@ -15,7 +15,11 @@
 }
 
 /// Handles one request.
-pub(crate) fn respond(api: &dyn OperatorApi, method: &Method, uri: &Uri) -> OperatorResponse {
+pub(crate) fn respond(
+    api: &dyn OperatorApi,
+    method: &Method,
+    uri: &Uri,
+) -> OperatorResponse {
     let query = uri.query().unwrap_or_default();
     match (method, uri.path()) {
         (&Method::GET, "/healthz") => text(StatusCode::OK, "alive\n"),
--- a/crates/oper/src/server.rs
+++ b/crates/oper/src/server.rs
@@ -46,7 +46,9 @@
                 });
             }
             Err(error) => {
-                log::warn!("can't accept a connection on the operators' listener: {error}");
+                log::warn!(
+                    "can't accept a connection on the operators' listener: {error}"
+                );
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
--- a/crates/oper/src/start_error.rs
+++ b/crates/oper/src/start_error.rs
@@ -27,7 +27,10 @@
         diagnostics: Vec<Diagnostic>,
     },
     /// An address in the settings is not of the form `ip:port`.
-    #[snafu(display("{}: {key}: {text} is not an address of the form ip:port", ErrorCode::BadAddress))]
+    #[snafu(display(
+        "{}: {key}: {text} is not an address of the form ip:port",
+        ErrorCode::BadAddress
+    ))]
     InvalidAddress {
         /// Key of the address in the settings.
         key: &'static str,
--- a/crates/oper/tests/listener.rs
+++ b/crates/oper/tests/listener.rs
@@ -121,7 +121,8 @@
     tokio::time::pause();
     let mut response = String::new();
     let deadline = Duration::from_secs(3_600);
-    let read = tokio::time::timeout(deadline, probe.read_to_string(&mut response)).await;
+    let read =
+        tokio::time::timeout(deadline, probe.read_to_string(&mut response)).await;
     read.expect("the probe gets no response").unwrap();
     assert!(response.starts_with("HTTP/1.1 200"), "{response}");
 }
--- a/crates/plat/src/client.rs
+++ b/crates/plat/src/client.rs
@@ -1,4 +1,4 @@
-//! The platform's object API over HTTP.
+//! Implementation of the platform's object API over HTTP.
 
 use base::{PlatformOp, PlatformResult};
 use bytes::Bytes;
@@ -15,34 +15,35 @@
 use tokio::time::timeout;
 
 use crate::ObjectApi;
-use crate::answer::{self, Answer};
 use crate::request::{self, WATCH_WAIT};
+use crate::response::{self, ObjectApiResponse};
 
-/// Longest wait for a connection; shorter than the wait for an answer, so that
-/// a platform that is not there is told from one that does not answer.
+/// Timeout of connection attempts. It is shorter than [`CALL_TIMEOUT`], so that a
+/// platform that can't be reached is distinguished from one that doesn't respond.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Longest wait for an answer. The platform answers in milliseconds.
+/// Timeout of an operation other than a watch. The platform responds within
+/// milliseconds.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time over the held time that a watch's answer may take.
-const WATCH_SLACK: Duration = Duration::from_secs(5);
+/// Time that the response to a watch may take in addition to [`WATCH_WAIT`].
+const WATCH_MARGIN: Duration = Duration::from_secs(5);
 
-/// Time after which an unused connection is closed.
+/// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Largest answer taken. An object holds up to a megabyte; a listing of
-/// thousands of processes stays far below.
-const ANSWER_MAX_BYTES: usize = 64 << 20;
+/// Largest response that is accepted. An object has at most a megabyte; a list of
+/// thousands of processes is far smaller than this limit.
+const RESPONSE_MAX_BYTES: usize = 64 << 20;
 
-/// The platform's object API over HTTP; connections are kept and shared.
+/// A client of the platform's object API over HTTP. Connections are pooled.
 pub struct HttpPlatform {
     address: SocketAddr,
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
 impl HttpPlatform {
-    /// A client of the platform at an address; it connects when first called.
+    /// A client of the platform at `address`; it connects on the first operation.
     pub fn new(address: SocketAddr) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -54,51 +55,56 @@
         Self { address, client }
     }
 
-    async fn carry_out(&self, op: &PlatformOp) -> PlatformResult {
-        let Some(request) = request::request(self.address, op) else {
+    async fn execute(&self, op: &PlatformOp) -> PlatformResult {
+        let Some(request) = request::build_request(self.address, op) else {
             return PlatformResult::Unavailable;
         };
-        let wait = match op {
-            PlatformOp::Watch { .. } => WATCH_WAIT + WATCH_SLACK,
+        let timeout_after = match op {
+            PlatformOp::Watch { .. } => WATCH_WAIT + WATCH_MARGIN,
             _ => CALL_TIMEOUT,
         };
-        match timeout(wait, self.exchange(request)).await {
-            Ok(Ok(answer)) => answer::result(op, &answer),
-            Ok(Err(Failure::NotSent)) => PlatformResult::Unavailable,
-            Ok(Err(Failure::Broken)) | Err(_) => answer::unanswered(op),
+        match timeout(timeout_after, self.exchange(request)).await {
+            Ok(Ok(response)) => response::parse_result(op, &response),
+            Ok(Err(ExchangeError::NotSent)) => PlatformResult::Unavailable,
+            Ok(Err(ExchangeError::Incomplete)) | Err(_) => {
+                response::result_without_response(op)
+            }
         }
     }
 
-    async fn exchange(&self, request: Request<Full<Bytes>>) -> Result<Answer, Failure> {
-        let response = self.client.request(request).await.map_err(|fault| {
-            if fault.is_connect() {
-                Failure::NotSent
+    async fn exchange(
+        &self,
+        request: Request<Full<Bytes>>,
+    ) -> Result<ObjectApiResponse, ExchangeError> {
+        let response = self.client.request(request).await.map_err(|error| {
+            if error.is_connect() {
+                ExchangeError::NotSent
             } else {
-                Failure::Broken
+                ExchangeError::Incomplete
             }
         })?;
         let (head, body) = response.into_parts();
-        let body = Limited::new(body, ANSWER_MAX_BYTES).collect().await;
-        Ok(Answer {
+        let body = Limited::new(body, RESPONSE_MAX_BYTES).collect().await;
+        Ok(ObjectApiResponse {
             status: head.status,
             headers: head.headers,
-            body: body.map_err(|_| Failure::Broken)?.to_bytes(),
+            body: body.map_err(|_| ExchangeError::Incomplete)?.to_bytes(),
         })
     }
 }
 
-/// How an exchange failed.
+/// Why there is no complete response.
 #[derive(Debug)]
-enum Failure {
-    /// No connection: nothing was sent.
+enum ExchangeError {
+    /// No connection could be made, so nothing was sent.
     NotSent,
-    /// The connection broke after something may have been sent.
-    Broken,
+    /// The exchange failed after the request may have been sent.
+    Incomplete,
 }
 
 impl ObjectApi for HttpPlatform {
     fn call<'a>(&'a self, op: &'a PlatformOp) -> BoxFuture<'a, PlatformResult> {
-        self.carry_out(op).boxed()
+        self.execute(op).boxed()
     }
 }
 
--- a/crates/plat/src/http.rs
+++ b/crates/plat/src/http.rs
@@ -1,4 +1,4 @@
-//! Small HTTP calls, as to operators' listeners.
+//! Single HTTP requests, such as those to operators' listeners.
 
 use base::ErrorCode;
 use bytes::Bytes;
@@ -12,52 +12,52 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Longest time for a whole call.
+/// Timeout of a request, up to the end of its response.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Largest answer taken.
-const ANSWER_MAX_BYTES: usize = 64 << 20;
+/// Largest response body that is accepted.
+const RESPONSE_MAX_BYTES: usize = 64 << 20;
 
-/// An answer.
+/// A complete response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HttpResponse {
-    /// Status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Body.
+    /// Response body.
     pub body: Bytes,
 }
 
-/// Why there is no answer.
+/// Why there is no response.
 #[derive(Debug, Snafu)]
 pub enum HttpError {
-    /// The address can't be reached.
-    #[snafu(display("{address} can't be reached"))]
+    /// No connection could be made.
+    #[snafu(display("can't connect to {address}"))]
     Unreachable {
-        /// Address.
+        /// Address of the request.
         address: SocketAddr,
     },
-    /// The connection broke, or the answer is too large or not HTTP.
-    #[snafu(display("{address} gave no whole answer"))]
+    /// The connection failed, or the response is too large or not HTTP.
+    #[snafu(display("{address} sent no complete response"))]
     IncompleteResponse {
-        /// Address.
+        /// Address of the request.
         address: SocketAddr,
     },
-    /// No answer came in time.
-    #[snafu(display("{address} did not answer in time"))]
+    /// The response was not complete in time.
+    #[snafu(display("{address} did not respond in time"))]
     TimedOut {
-        /// Address.
+        /// Address of the request.
         address: SocketAddr,
     },
-    /// The path is not one.
-    #[snafu(display("{path} is not a path"))]
+    /// The path is invalid.
+    #[snafu(display("{path} is not a valid path"))]
     InvalidPath {
-        /// Path.
+        /// The path as given.
         path: String,
     },
 }
 
 impl HttpError {
-    /// Numbered code of the fault.
+    /// Code of the error.
     pub const fn code(&self) -> ErrorCode {
         match self {
             Self::InvalidPath { .. } => ErrorCode::UnknownPath,
@@ -66,29 +66,29 @@
     }
 }
 
-/// Gets a path.
+/// Sends a GET request.
 ///
 /// # Errors
 ///
-/// No whole answer of at most 64 MiB came within five seconds.
+/// There was no complete response of at most 64 MiB within five seconds.
 pub async fn get(address: SocketAddr, path: &str) -> Result<HttpResponse, HttpError> {
-    call(address, Method::GET, path, Bytes::new()).await
+    send_request(address, Method::GET, path, Bytes::new()).await
 }
 
-/// Posts a JSON body to a path.
+/// Sends a POST request with a JSON body.
 ///
 /// # Errors
 ///
-/// No whole answer of at most 64 MiB came within five seconds.
+/// There was no complete response of at most 64 MiB within five seconds.
 pub async fn post(
     address: SocketAddr,
     path: &str,
     body: Bytes,
 ) -> Result<HttpResponse, HttpError> {
-    call(address, Method::POST, path, body).await
+    send_request(address, Method::POST, path, body).await
 }
 
-async fn call(
+async fn send_request(
     address: SocketAddr,
     method: Method,
     path: &str,
@@ -112,31 +112,34 @@
     address: SocketAddr,
     request: Request<Full<Bytes>>,
 ) -> Result<HttpResponse, HttpError> {
-    let broken = || HttpError::IncompleteResponse { address };
+    let incomplete = || HttpError::IncompleteResponse { address };
     let stream = TcpStream::connect(address)
         .await
         .map_err(|_| HttpError::Unreachable { address })?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream))
         .await
-        .map_err(|_| broken())?;
-    let answer = async {
-        let response = sender.send_request(request).await.map_err(|_| broken())?;
+        .map_err(|_| incomplete())?;
+    let response = async {
+        let response = sender
+            .send_request(request)
+            .await
+            .map_err(|_| incomplete())?;
         let status = response.status();
-        let body = Limited::new(response.into_body(), ANSWER_MAX_BYTES)
+        let body = Limited::new(response.into_body(), RESPONSE_MAX_BYTES)
             .collect()
             .await
-            .map_err(|_| broken())?;
+            .map_err(|_| incomplete())?;
         Ok(HttpResponse {
             status,
             body: body.to_bytes(),
         })
     };
-    tokio::pin!(answer);
-    // The connection does the reading and writing while the answer is awaited;
-    // it lives no longer than this call.
+    tokio::pin!(response);
+    // The connection's future does the reading and writing, so it is polled along
+    // with the response. It is dropped at the end of this request.
     tokio::select! {
         biased;
-        answered = &mut answer => answered,
-        _ = connection => answer.await,
+        result = &mut response => result,
+        _ = connection => response.await,
     }
 }
--- a/crates/plat/src/lib.rs
+++ b/crates/plat/src/lib.rs
@@ -1,23 +1,25 @@
-//! The platform's object API, and small HTTP calls to operators' listeners.
+//! The client of the platform's object API, and HTTP requests to operators'
+//! listeners.
 //!
-//! [`ObjectApi`] is the border: the shells hold it as a trait object, and
-//! [`HttpPlatform`] speaks the protocol of `docs/architecture.md`.
+//! Processes use the platform through the trait [`ObjectApi`]; [`HttpPlatform`]
+//! implements it with the protocol that `docs/architecture.md` describes.
 //!
-//! The invariant that everything else rests on is how a missing answer is told:
+//! Callers rely on the result of an operation without a complete response:
 //!
-//! - [`PlatformResult::Unavailable`](base::PlatformResult::Unavailable) says that a call
-//!   provably had no effect. A write is `Unavailable` only if no connection could be
-//!   made or the platform itself refused it.
-//! - Any other write without a whole answer is
-//!   [`PlatformResult::Unanswered`](base::PlatformResult::Unanswered): it may
-//!   have taken effect, and its caller reads back what became of it.
-//! - A read has no effect, so one without an answer is `Unavailable`.
+//! - [`PlatformResult::Unavailable`](base::PlatformResult::Unavailable) means that
+//!   the operation certainly had no effect. A write or deletion has this result only
+//!   if no connection could be made or the platform itself refused it.
+//! - Any other write or deletion without a complete response is
+//!   [`PlatformResult::Unanswered`](base::PlatformResult::Unanswered): it may have
+//!   taken effect, and its caller has to read the object to find out.
+//! - A read has no effect, so without a complete response it is `Unavailable`.
 
-mod answer;
 mod client;
+
 pub mod http;
 mod object_api;
 mod request;
+mod response;
 
 pub use client::HttpPlatform;
 pub use object_api::ObjectApi;
--- a/crates/plat/src/object_api.rs
+++ b/crates/plat/src/object_api.rs
@@ -1,4 +1,4 @@
-//! The border towards the platform.
+//! The interface through which processes use the platform.
 
 use base::{ObjectVersion, PlatformOp, PlatformResult};
 use futures::FutureExt;
@@ -6,24 +6,25 @@
 use std::fmt::Debug;
 use std::time::Duration;
 
-/// Something that carries out calls to the platform's objects.
+/// Executes operations on the platform's objects.
 pub trait ObjectApi: Debug + Send + Sync {
-    /// Carries out one call and waits for what comes of it.
+    /// Executes one operation and waits for its result.
     ///
-    /// A deletion answers `Written` with the version it took; one of an object
-    /// that was not there answers `Written` with version 0, or `Conflict` if a
-    /// version was expected. In the answer to a watch, a deleted object stands
-    /// with the version of the answer and an empty value, so no object of the
-    /// system may have an empty value.
+    /// A deletion results in `Written` with the version of the deletion. If the
+    /// object did not exist, the result is `Written` with version 0, or `Conflict`
+    /// if the precondition was a version. In the result of a watch, a deleted object
+    /// appears with the version of the result and an empty value, so no object may
+    /// have an empty value.
     fn call<'a>(&'a self, op: &'a PlatformOp) -> BoxFuture<'a, PlatformResult>;
 
-    /// A list that may be seconds old, where the platform gives such ones for less.
+    /// Lists objects, where the list may be seconds old. Implementations may use a
+    /// cheaper operation of the platform for this; the default is an ordinary list.
     fn list_allow_stale(&self, prefix: String) -> BoxFuture<'_, PlatformResult> {
         async move { self.call(&PlatformOp::List { prefix }).await }.boxed()
     }
 
-    /// A watch that the platform answers after `wait` at the latest, also where nothing
-    /// has changed. Without an own way to bound it, it lasts as long as any watch.
+    /// Watches a prefix for at most `wait`, after which the platform responds even
+    /// if nothing has changed. The default ignores `wait` and is an ordinary watch.
     fn watch_with_timeout(
         &self,
         prefix: String,
--- a/crates/plat/src/request.rs
+++ b/crates/plat/src/request.rs
@@ -1,4 +1,4 @@
-//! Calls as HTTP requests.
+//! Conversion of operations to HTTP requests.
 
 use base::{ObjectVersion, PlatformOp, Precondition};
 use bytes::Bytes;
@@ -9,15 +9,15 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long the platform may hold a watch open.
+/// How long the platform may wait for changes before it responds to a watch.
 pub(crate) const WATCH_WAIT: Duration = Duration::from_secs(25);
 
-/// The HTTP request of a call; `None` if its key can't be put in a path.
-pub(crate) fn request(
+/// The HTTP request of an operation; `None` if its path is not a valid URI.
+pub(crate) fn build_request(
     address: SocketAddr,
     op: &PlatformOp,
 ) -> Option<Request<Full<Bytes>>> {
-    let (method, path) = line(op);
+    let (method, path) = method_and_path(op);
     let builder = Request::builder()
         .method(method)
         .uri(format!("http://{address}{path}"));
@@ -27,31 +27,31 @@
             value,
             ..
         } => (
-            condition(builder, *precondition),
+            with_precondition(builder, *precondition),
             Bytes::copy_from_slice(value),
         ),
         PlatformOp::Delete { precondition, .. } => {
-            (condition(builder, *precondition), Bytes::new())
+            (with_precondition(builder, *precondition), Bytes::new())
         }
         _ => (builder, Bytes::new()),
     };
     builder.body(Full::new(body)).ok()
 }
 
-fn line(op: &PlatformOp) -> (Method, String) {
+fn method_and_path(op: &PlatformOp) -> (Method, String) {
     match op {
-        PlatformOp::Read { key } => (Method::GET, format!("/objects/{}", escaped(key))),
+        PlatformOp::Read { key } => (Method::GET, format!("/objects/{}", encoded(key))),
         PlatformOp::List { prefix } => {
-            (Method::GET, format!("/objects?prefix={}", escaped(prefix)))
+            (Method::GET, format!("/objects?prefix={}", encoded(prefix)))
         }
         PlatformOp::Write { key, .. } => {
-            (Method::PUT, format!("/objects/{}", escaped(key)))
+            (Method::PUT, format!("/objects/{}", encoded(key)))
         }
         PlatformOp::Delete { key, .. } => {
-            (Method::DELETE, format!("/objects/{}", escaped(key)))
+            (Method::DELETE, format!("/objects/{}", encoded(key)))
         }
         PlatformOp::Watch { prefix, after } => {
-            let prefix = escaped(prefix);
+            let prefix = encoded(prefix);
             let wait_ms = WATCH_WAIT.as_millis();
             let path =
                 format!("/watch?prefix={prefix}&after={}&wait_ms={wait_ms}", after.0);
@@ -60,7 +60,7 @@
     }
 }
 
-fn condition(builder: Builder, precondition: Precondition) -> Builder {
+fn with_precondition(builder: Builder, precondition: Precondition) -> Builder {
     match precondition {
         Precondition::Any => builder,
         Precondition::Absent => builder.header(header::IF_NONE_MATCH, "*"),
@@ -70,8 +70,8 @@
     }
 }
 
-/// A key with everything escaped that has a meaning in a path or a query.
-fn escaped(key: &str) -> String {
+/// Percent-encodes all bytes of a key that have a meaning in a path or a query.
+fn encoded(key: &str) -> String {
     let mut text = String::with_capacity(key.len());
     for byte in key.bytes() {
         if byte.is_ascii_alphanumeric() || b"-._~/".contains(&byte) {
--- a/crates/plat/tests/platform.rs
+++ b/crates/plat/tests/platform.rs
@@ -1,4 +1,5 @@
-//! The client of the platform against a server that breaks its protocol.
+//! Tests of the platform's client against a server that responds, fails or does not
+//! respond.
 
 use base::{ObjectVersion, PlatformOp, PlatformResult, Precondition};
 use plat::{HttpPlatform, ObjectApi};
@@ -8,74 +9,76 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-/// What the server does with a request, once it has read it whole.
+/// What the server does after it has read a complete request.
 #[derive(Debug, Clone, Copy)]
-enum Does {
-    /// Sends this and closes.
+enum ServerBehavior {
+    /// Sends this text and closes the connection.
     Sends(&'static str),
-    /// Closes without a word.
+    /// Closes the connection without a response.
     Closes,
-    /// Says nothing.
-    IsSilent,
+    /// Keeps the connection open and does not respond.
+    NeverResponds,
 }
 
-/// A server that does one thing; each request it reads comes out of the
-/// channel.
-async fn server(does: Does) -> (SocketAddr, mpsc::UnboundedReceiver<String>) {
+/// Starts a server with one behavior; the channel receives each request it reads.
+async fn server(
+    behavior: ServerBehavior,
+) -> (SocketAddr, mpsc::UnboundedReceiver<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
-    let (requests, seen) = mpsc::unbounded_channel();
+    let (requests, received_requests) = mpsc::unbounded_channel();
     tokio::spawn(async move {
-        let mut silent = Vec::new();
+        let mut open_streams = Vec::new();
         while let Ok((mut stream, _)) = listener.accept().await {
-            let _ = requests.send(request(&mut stream).await);
-            match does {
-                Does::Sends(text) => {
+            let _ = requests.send(read_request(&mut stream).await);
+            match behavior {
+                ServerBehavior::Sends(text) => {
                     let _ = stream.write_all(text.as_bytes()).await;
                 }
-                Does::Closes => {}
-                Does::IsSilent => silent.push(stream),
+                ServerBehavior::Closes => {}
+                ServerBehavior::NeverResponds => open_streams.push(stream),
             }
         }
     });
-    (address, seen)
+    (address, received_requests)
 }
 
-/// The result of a call, and whether the server read its request.
+/// Returns the result of a call, and whether the server read its request.
 ///
-/// From then on time runs as fast as nothing happens, if the server is silent:
-/// not before, or a timeout would overtake the request.
-async fn when_read<T>(
-    does: Does,
+/// If the server does not respond, the clock is paused once the request is read, so
+/// that timeouts elapse at once. If it were paused earlier, a timeout could elapse
+/// before the request arrives.
+async fn complete_call<T>(
+    behavior: ServerBehavior,
     call: impl Future<Output = T>,
     requests: &mut mpsc::UnboundedReceiver<String>,
 ) -> (T, bool) {
     let read = async {
         let sent = requests.recv().await.is_some();
-        if matches!(does, Does::IsSilent) {
+        if matches!(behavior, ServerBehavior::NeverResponds) {
             tokio::time::pause();
         }
         sent
     };
-    // Longer than any timeout, so that a call without one fails here.
-    let hour = Duration::from_secs(3_600);
-    let call = tokio::time::timeout(hour, call);
+    // Longer than all timeouts of the client, so that a call without one fails.
+    let call_timeout = Duration::from_secs(3_600);
+    let call = tokio::time::timeout(call_timeout, call);
     let (result, sent) = tokio::join!(call, read);
-    if matches!(does, Does::IsSilent) {
+    if matches!(behavior, ServerBehavior::NeverResponds) {
         tokio::time::resume();
     }
-    (result.expect("the call waits for ever"), sent)
+    (result.expect("the call has no timeout"), sent)
 }
 
-/// Reads one request: its head, and a body of the length it tells.
-async fn request(stream: &mut TcpStream) -> String {
+/// Reads one request: its head, and a body of the length given in the head.
+async fn read_request(stream: &mut TcpStream) -> String {
     let mut bytes = Vec::new();
     let mut chunk = [0; 1_024];
     loop {
         let text = String::from_utf8_lossy(&bytes).to_lowercase();
         if let Some((head, body)) = text.split_once("\r\n\r\n") {
-            let told = head.split("content-length: ").nth(1);
-            let length = told.and_then(|rest| rest.lines().next());
+            let length_header = head.split("content-length: ").nth(1);
+            let length = length_header.and_then(|rest| rest.lines().next());
             let length = length.map_or(0, |length| length.parse().unwrap());
             if body.len() >= length {
                 return String::from_utf8(bytes).unwrap();
@@ -126,7 +129,8 @@
 const OK_EMPTY: &str = "HTTP/1.1 200 OK\r\nX-Version: 9\r\nContent-Length: 0\r\n\r\n";
 const OK_VALUE: &str = "HTTP/1.1 200 OK\r\nX-Version: 9\r\nContent-Length: 2\r\n\r\nhi";
 const NO_VERSION: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-const CUT: &str = "HTTP/1.1 200 OK\r\nX-Version: 9\r\nContent-Length: 9\r\n\r\nhi";
+const TRUNCATED: &str =
+    "HTTP/1.1 200 OK\r\nX-Version: 9\r\nContent-Length: 9\r\n\r\nhi";
 const NOT_FOUND: &str = "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n";
 const CONFLICT: &str = "HTTP/1.1 412 Precondition Failed\r\nContent-Length: 0\r\n\r\n";
 const REFUSED: &str = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
@@ -139,12 +143,12 @@
 const BAD_BASE64: &str = "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n\
     {\"version\":1,\"objects\":[{\"key\":\"a\",\"version\":1,\"value_base64\":\"*\"}]}";
 
-// The platform answers, refuses, breaks off or says nothing.
-// A write without a whole answer may have taken effect: were it told as `Unavailable`,
-// its caller would write again or think that a claim was not taken. A read has
-// no effect, so one that fails is `Unavailable`.
+// The platform responds, refuses, closes the connection early or does not respond.
+// A write without a complete response may have taken effect. If it resulted in
+// `Unavailable`, its caller would write again, or assume that a claim was not taken.
+// A read has no effect, so a failed one results in `Unavailable`.
 #[tokio::test]
-async fn each_answer_has_its_result() {
+async fn each_response_maps_to_its_result() {
     use PlatformResult::{Conflict, Object, Objects, Unanswered, Unavailable, Written};
     let any = || delete(Precondition::Any);
     let versioned = || delete(Precondition::Version(ObjectVersion(3)));
@@ -158,49 +162,62 @@
     let cases = [
         (
             read(),
-            Does::Sends(OK_VALUE),
+            ServerBehavior::Sends(OK_VALUE),
             Object(Some((ObjectVersion(9), b"hi".to_vec()))),
         ),
-        (read(), Does::Sends(NOT_FOUND), Object(None)),
-        (read(), Does::Sends(NO_VERSION), Unavailable),
-        (read(), Does::Sends(REFUSED), Unavailable),
-        (read(), Does::Sends(CUT), Unavailable),
-        (read(), Does::Sends(NOT_HTTP), Unavailable),
-        (read(), Does::Closes, Unavailable),
-        (read(), Does::IsSilent, Unavailable),
-        (list(), Does::Sends(LISTING), listed()),
-        (list(), Does::Sends(BAD_LISTING), Unavailable),
-        (list(), Does::Sends(BAD_BASE64), Unavailable),
-        (list(), Does::IsSilent, Unavailable),
-        (watch(), Does::Sends(LISTING), listed()),
-        (watch(), Does::IsSilent, Unavailable),
-        (write(), Does::Sends(OK_EMPTY), Written(ObjectVersion(9))),
-        (write(), Does::Sends(NO_VERSION), Unanswered),
-        (write(), Does::Sends(CONFLICT), Conflict),
-        (write(), Does::Sends(REFUSED), Unavailable),
-        (write(), Does::Sends(BAD_GATEWAY), Unanswered),
-        (write(), Does::Sends(NOT_HTTP), Unanswered),
-        (write(), Does::Closes, Unanswered),
-        (write(), Does::IsSilent, Unanswered),
-        (any(), Does::Sends(OK_EMPTY), Written(ObjectVersion(9))),
-        (any(), Does::Sends(NOT_FOUND), Written(ObjectVersion(0))),
-        (versioned(), Does::Sends(NOT_FOUND), Conflict),
-        (versioned(), Does::Sends(CONFLICT), Conflict),
-        (versioned(), Does::Closes, Unanswered),
+        (read(), ServerBehavior::Sends(NOT_FOUND), Object(None)),
+        (read(), ServerBehavior::Sends(NO_VERSION), Unavailable),
+        (read(), ServerBehavior::Sends(REFUSED), Unavailable),
+        (read(), ServerBehavior::Sends(TRUNCATED), Unavailable),
+        (read(), ServerBehavior::Sends(NOT_HTTP), Unavailable),
+        (read(), ServerBehavior::Closes, Unavailable),
+        (read(), ServerBehavior::NeverResponds, Unavailable),
+        (list(), ServerBehavior::Sends(LISTING), listed()),
+        (list(), ServerBehavior::Sends(BAD_LISTING), Unavailable),
+        (list(), ServerBehavior::Sends(BAD_BASE64), Unavailable),
+        (list(), ServerBehavior::NeverResponds, Unavailable),
+        (watch(), ServerBehavior::Sends(LISTING), listed()),
+        (watch(), ServerBehavior::NeverResponds, Unavailable),
+        (
+            write(),
+            ServerBehavior::Sends(OK_EMPTY),
+            Written(ObjectVersion(9)),
+        ),
+        (write(), ServerBehavior::Sends(NO_VERSION), Unanswered),
+        (write(), ServerBehavior::Sends(CONFLICT), Conflict),
+        (write(), ServerBehavior::Sends(REFUSED), Unavailable),
+        (write(), ServerBehavior::Sends(BAD_GATEWAY), Unanswered),
+        (write(), ServerBehavior::Sends(NOT_HTTP), Unanswered),
+        (write(), ServerBehavior::Closes, Unanswered),
+        (write(), ServerBehavior::NeverResponds, Unanswered),
+        (
+            any(),
+            ServerBehavior::Sends(OK_EMPTY),
+            Written(ObjectVersion(9)),
+        ),
+        (
+            any(),
+            ServerBehavior::Sends(NOT_FOUND),
+            Written(ObjectVersion(0)),
+        ),
+        (versioned(), ServerBehavior::Sends(NOT_FOUND), Conflict),
+        (versioned(), ServerBehavior::Sends(CONFLICT), Conflict),
+        (versioned(), ServerBehavior::Closes, Unanswered),
     ];
-    for (op, does, expected) in cases {
-        let (address, mut requests) = server(does).await;
+    for (op, behavior, expected) in cases {
+        let (address, mut requests) = server(behavior).await;
         let platform = HttpPlatform::new(address);
-        let (result, sent) = when_read(does, platform.call(&op), &mut requests).await;
-        assert_eq!(result, expected, "{op:?} and the server {does:?}");
+        let (result, sent) =
+            complete_call(behavior, platform.call(&op), &mut requests).await;
+        assert_eq!(result, expected, "{op:?} and the server {behavior:?}");
         assert!(sent, "{op:?} was not sent");
-        assert!(requests.try_recv().is_err(), "{op:?} was sent twice");
+        assert!(requests.try_recv().is_err(), "{op:?} was sent again");
     }
 }
 
 #[tokio::test]
-async fn nobody_listening_is_away_for_reads_and_writes() {
-    // An address of its own: nothing else on the machine takes its port.
+async fn a_refused_connection_is_unavailable_for_all_operations() {
+    // A loopback address that nothing else uses, so that the port stays free.
     let listener = TcpListener::bind("127.0.0.19:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
@@ -215,7 +232,7 @@
 }
 
 #[tokio::test]
-async fn requests_are_as_the_protocol_says() {
+async fn requests_follow_the_protocol() {
     let absent = PlatformOp::Write {
         key: "claims/007".to_owned(),
         precondition: Precondition::Absent,
@@ -246,7 +263,7 @@
         ),
     ];
     for (op, line, header) in cases {
-        let (address, mut requests) = server(Does::Sends(OK_EMPTY)).await;
+        let (address, mut requests) = server(ServerBehavior::Sends(OK_EMPTY)).await;
         HttpPlatform::new(address).call(&op).await;
         let request = requests.recv().await.unwrap();
         assert_eq!(request.lines().next(), Some(line), "{op:?}");
@@ -258,32 +275,32 @@
 }
 
 #[tokio::test]
-async fn small_calls_answer_or_fail_with_a_code() {
+async fn requests_to_operators_return_a_response_or_a_code() {
     let cases = [
-        (Does::Sends(OK_VALUE), Some(200)),
-        (Does::Sends(REFUSED), Some(503)),
-        (Does::Sends(CUT), None),
-        (Does::Sends(NOT_HTTP), None),
-        (Does::Closes, None),
-        (Does::IsSilent, None),
+        (ServerBehavior::Sends(OK_VALUE), Some(200)),
+        (ServerBehavior::Sends(REFUSED), Some(503)),
+        (ServerBehavior::Sends(TRUNCATED), None),
+        (ServerBehavior::Sends(NOT_HTTP), None),
+        (ServerBehavior::Closes, None),
+        (ServerBehavior::NeverResponds, None),
     ];
-    for (does, status) in cases {
-        let (address, mut requests) = server(does).await;
+    for (behavior, status) in cases {
+        let (address, mut requests) = server(behavior).await;
         let call = plat::http::get(address, "/status");
-        let (answer, _) = when_read(does, call, &mut requests).await;
-        match (answer, status) {
-            (Ok(answer), Some(status)) => assert_eq!(answer.status, status),
-            (Err(fault), None) => {
-                assert_eq!(fault.code(), base::ErrorCode::Unreachable, "{fault}");
+        let (response, _) = complete_call(behavior, call, &mut requests).await;
+        match (response, status) {
+            (Ok(response), Some(status)) => assert_eq!(response.status, status),
+            (Err(error), None) => {
+                assert_eq!(error.code(), base::ErrorCode::Unreachable, "{error}");
             }
-            (answer, _) => panic!("server {does:?}: {answer:?}"),
+            (response, _) => panic!("server {behavior:?}: {response:?}"),
         }
     }
-    let (address, mut requests) = server(Does::Sends(OK_VALUE)).await;
-    let answer = plat::http::post(address, "/drain", "x".into())
+    let (address, mut requests) = server(ServerBehavior::Sends(OK_VALUE)).await;
+    let response = plat::http::post(address, "/drain", "x".into())
         .await
         .unwrap();
-    assert_eq!(&answer.body[..], b"hi");
+    assert_eq!(&response.body[..], b"hi");
     let request = requests.recv().await.unwrap();
     assert!(request.starts_with("POST /drain HTTP/1.1"), "{request}");
 }
