--- a/crates/front/src/state/quota.rs
+++ b/crates/front/src/state/quota.rs
@@ -4,7 +4,7 @@
 use base::prelude::*;
 use direct::Config;
 use parking_lot::Mutex;
-use quota::{Asked, Limit, Pools, Take};
+use quota::{RateLimit, RecentAnswers, TakeOutcome, TokenPools};
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -34,9 +34,9 @@
 /// Token pools of one scope at this entry.
 #[derive(Debug)]
 pub(crate) struct Quotas {
-    pub(crate) pools: Mutex<Pools>,
+    pub(crate) pools: Mutex<TokenPools>,
     /// Requests of other entries that were answered.
-    pub(crate) answered_requests: Mutex<Asked>,
+    pub(crate) answered_requests: Mutex<RecentAnswers>,
     /// Whether the other entries have known this one for long enough that it
     /// may produce tokens.
     pub(crate) is_settled: AtomicBool,
@@ -61,13 +61,13 @@
     workspace: Arc<str>,
     cost: f64,
     sent_at: Instant,
-    answer: Option<oneshot::Sender<Take>>,
+    answer: Option<oneshot::Sender<TakeOutcome>>,
 }
 
 impl Quotas {
     pub(crate) fn new(overdraft: f64) -> Self {
         Self {
-            pools: Mutex::new(Pools::new(overdraft)),
+            pools: Mutex::new(TokenPools::new(overdraft)),
             answered_requests: Mutex::default(),
             is_settled: AtomicBool::new(false),
             limits_set: Notify::new(),
@@ -95,7 +95,7 @@
     pub(crate) fn set_pool_limits<'a>(
         &self,
         now: Instant,
-        limits: impl IntoIterator<Item = (&'a Arc<str>, Limit)>,
+        limits: impl IntoIterator<Item = (&'a Arc<str>, RateLimit)>,
     ) {
         let mut pools = self.pools.lock();
         pools.set_limits(now, limits);
@@ -116,7 +116,7 @@
         now: Instant,
         workspace: &Arc<str>,
         cost: f64,
-    ) -> (u64, oneshot::Receiver<Take>) {
+    ) -> (u64, oneshot::Receiver<TakeOutcome>) {
         let (sender, receiver) = oneshot::channel();
         let id = self.next_number();
         let pending = PendingRequest {
@@ -131,17 +131,15 @@
 
     /// Completes a request. If nobody waits for its tokens anymore, they are
     /// returned to the pool.
-    pub(crate) fn complete(&self, id: u64, take: Take) {
+    pub(crate) fn complete(&self, id: u64, take: TakeOutcome) {
         let Some(pending) = self.pending.lock().remove(&id) else {
             return;
         };
         let unused = pending
             .answer
             .is_none_or(|answer| answer.send(take).is_err());
-        if unused && take == Take::Taken {
-            self.pools
-                .lock()
-                .give_back(&pending.workspace, pending.cost);
+        if unused && take == TakeOutcome::Taken {
+            self.pools.lock().refund(&pending.workspace, pending.cost);
         }
     }
 
@@ -207,7 +205,7 @@
 
     /// Removes expired state.
     pub(crate) fn sweep(&self, now: Instant) {
-        self.pools.lock().sweep(now);
+        self.pools.lock().remove_stale_feeders(now);
         let mut pending = self.pending.lock();
         pending
             .retain(|_, request| now.ms_since(request.sent_at) < REQUEST_RETENTION_MS);
@@ -252,7 +250,7 @@
     fn drop(&mut self) {
         if !self.is_used {
             let mut pools = self.node.quotas(self.scope).pools.lock();
-            pools.give_back(&self.pool, self.cost);
+            pools.refund(&self.pool, self.cost);
         }
     }
 }
--- a/crates/role/tests/entry/early_refusals.rs
+++ b/crates/role/tests/entry/early_refusals.rs
@@ -264,7 +264,7 @@
     );
     assert!(refusal.retry_after_ms.is_some());
     let mut incoming = rig.incoming(RequestedResource::Model(Some(ModelId::new("m1"))));
-    incoming.credential = access::Credential::of("other");
+    incoming.credential = access::Credential::from_key("other");
     let request = rig.submit(incoming);
     assert!(rig.refusals(request).is_empty());
     // Requests that were sent no longer count towards the limit.
--- a/crates/role/tests/entry/retries.rs
+++ b/crates/role/tests/entry/retries.rs
@@ -184,7 +184,7 @@
             |r| {
                 let mut incoming =
                     r.incoming(role::entry::RequestedResource::Model(None));
-                incoming.credential = access::Credential::of("other");
+                incoming.credential = access::Credential::from_key("other");
                 r.submit(incoming)
             },
             ErrorCode::UnknownCaller,
