--- a/crates/entry/src/http/request_head.rs
+++ b/crates/entry/src/http/request_head.rs
@@ -1,6 +1,6 @@
 //! Parsing of the paths and headers of requests.
 
-use access::{Credential, credential};
+use access::{Credential, parse_credential};
 use base::ErrorCode;
 use hyper::header::{AUTHORIZATION, CONTENT_TYPE, HeaderMap};
 use hyper::{Method, Uri};
@@ -147,7 +147,7 @@
 /// Parses the credential. [`header_text`] has rejected a repeated header and one
 /// that is not text.
 fn bearer_credential(authorization: Option<&str>) -> Credential {
-    credential(authorization.map(str::as_bytes), "bearer")
+    parse_credential(authorization.map(str::as_bytes), "bearer")
 }
 
 fn parse_deadline_ms(text: Option<&str>) -> Result<Option<u64>, Rejection> {
