--- a/crates/entry/src/driver.rs
+++ b/crates/entry/src/driver.rs
@@ -54,7 +54,7 @@
     ) -> Arc<Self> {
         let mut actions = Vec::new();
         let role = EntryRole::new(options.clone(), clock.now(), &mut actions);
-        let before = Config::new(Revision(0), Fleet::default());
+        let default_config = Config::new(Revision(0), Fleet::default());
         Arc::new(Self {
             links: Links::new(options.seed),
             options,
@@ -65,7 +65,7 @@
             platform,
             recorder,
             metrics: ProcessMetrics::new(),
-            default_limits: *before.limits(),
+            default_limits: *default_config.limits(),
             ready: AtomicBool::new(false),
             exit: CancellationToken::new(),
             runtime: Handle::current(),
@@ -80,10 +80,10 @@
         let driver = Arc::clone(self);
         self.runtime.spawn(async move {
             let due = || driver.role().due();
-            let tick = || driver.handle_event(EntryEvent::Tick);
+            let on_due = || driver.handle_event(EntryEvent::Tick);
             driver
                 .timer
-                .run(&driver.clock, &driver.exit, due, tick)
+                .run(&driver.clock, &driver.exit, due, on_due)
                 .await;
         });
     }
@@ -113,7 +113,7 @@
         &self.recorder
     }
 
-    /// Connections to agents and other entries.
+    /// Links to agents and other entries.
     pub(crate) const fn links(&self) -> &Links {
         &self.links
     }
@@ -205,6 +205,8 @@
         }))
     }
 
+    /// Runs actions. `part` is the received part that a `DeliverPart` among them
+    /// refers to.
     fn run_actions(
         self: &Arc<Self>,
         actions: &mut Vec<EntryAction>,
@@ -263,6 +265,7 @@
         }
     }
 
+    /// Queues a part for the caller, and aborts the request if that fails.
     fn deliver_part(
         self: &Arc<Self>,
         request: RequestId,
@@ -290,12 +293,14 @@
         }
     }
 
+    /// Ends a request and its response as the state machine decided.
     fn end_request(&self, request: RequestId, end: ResponseEnd) {
         if let Some(active) = self.active_requests.remove(request) {
             active.queue.end(end);
         }
     }
 
+    /// Queues a frame on the link to a peer, if the link is up.
     fn send_frame(&self, peer: &Peer, body: frame::Body) {
         let Some(sender) = self.links.sender(peer) else {
             self.metrics.unsent_frames.inc();
@@ -313,6 +318,8 @@
         }
     }
 
+    /// Sends a `Run` with the request's body to an agent, unless the request has
+    /// ended in the meantime.
     fn send_run(self: &Arc<Self>, request: RequestId, agent: AgentId, mut run: Run) {
         let Some(active) = self.active_requests.get(request) else {
             return;
@@ -343,6 +350,8 @@
         }
     }
 
+    /// Executes an operation on the platform, and passes its result to the state
+    /// machine.
     fn call_platform(self: &Arc<Self>, call: PlatformCall) {
         let driver = Arc::clone(self);
         self.runtime.spawn(async move {
--- a/crates/entry/src/http/buffered.rs
+++ b/crates/entry/src/http/buffered.rs
@@ -60,6 +60,7 @@
     response
 }
 
+/// Collects the parts of an answer until it is complete or has failed.
 async fn collect_parts(guard: &RequestGuard) -> Result<CompleteAnswer, RequestError> {
     let mut bytes = Vec::new();
     let mut parts = VecDeque::new();
@@ -68,7 +69,7 @@
         for part in parts.drain(..) {
             bytes.extend_from_slice(part.bytes());
         }
-        // The caller drops the guard, which cancels the rest of the answer.
+        // The guard is dropped after the error, which cancels the rest of the answer.
         if bytes.len() > BUFFERED_MAX_BYTES {
             return Err(response_aborted());
         }
@@ -91,6 +92,7 @@
     }
 }
 
+/// Body of an engine's response in one piece, in the format of the OpenAI API.
 #[derive(Debug, Serialize)]
 struct CompletionBody<'a> {
     id: String,
--- a/crates/entry/src/http/handler.rs
+++ b/crates/entry/src/http/handler.rs
@@ -47,6 +47,7 @@
     }
 }
 
+/// Handles one request; errors are requests that this process rejects itself.
 async fn respond(
     driver: &Arc<Driver>,
     request_id: RequestId,
@@ -97,6 +98,7 @@
     }
 }
 
+/// Reads a body of at most `max_bytes`, and reserves memory for it.
 async fn read_body(
     driver: &Driver,
     body: Incoming,
@@ -188,6 +190,7 @@
     }
 }
 
+/// Responds with the tokens of an engine, as a stream or in one piece.
 async fn engine_response(
     driver: &Driver,
     guard: RequestGuard,
@@ -229,6 +232,7 @@
     response
 }
 
+/// Body of the response to `GET /v1/models`, in the format of the OpenAI API.
 #[derive(Debug, Serialize)]
 struct ModelList<'a> {
     object: &'static str,
--- a/crates/entry/src/http/rejection.rs
+++ b/crates/entry/src/http/rejection.rs
@@ -35,6 +35,7 @@
     error: ErrorObject<'a>,
 }
 
+/// What the JSON body of an error response contains under `error`.
 #[derive(Debug, Serialize)]
 struct ErrorObject<'a> {
     code: u32,
@@ -65,6 +66,7 @@
     serde_json::to_vec(&body).expect("strings and numbers always serialise")
 }
 
+/// The message for callers when there is no more specific one.
 fn default_message(code: ErrorCode) -> &'static str {
     match code {
         ErrorCode::BadRequest => "the request can't be read",
--- a/crates/entry/src/links.rs
+++ b/crates/entry/src/links.rs
@@ -1,5 +1,8 @@
-//! Links to agents and other entries: dialed ones, on which this process sends
-//! and agents answer, and accepted ones, on which other entries send.
+//! Links to agents and other entries.
+//!
+//! An entry sends to an agent or another entry on a link that it dials. Agents
+//! answer on the same link. Other entries send to this one on links that they dial
+//! and this process accepts.
 
 use base::prelude::*;
 use line::EventRecorder;
@@ -70,6 +73,7 @@
     /// Distinguishes a link from earlier ones to the same peer.
     generation: u64,
     address: String,
+    /// `None` while the link is down.
     sender: Option<LinkSender>,
     task: AbortHandle,
 }
@@ -186,6 +190,7 @@
 }
 
 impl Dialer {
+    /// Dials, runs and redials the link until it is replaced or removed.
     async fn maintain(self, mut backoff: Backoff) {
         loop {
             if let Ok(link) = self.dial().await {
@@ -203,6 +208,7 @@
         }
     }
 
+    /// Connects, and checks that the process at the address is the expected peer.
     async fn dial(&self) -> Result<EstablishedLink, WireError> {
         let address: SocketAddr = self
             .address
@@ -210,13 +216,13 @@
             .map_err(|_| WireError::HandshakeFailed)?;
         let max_bytes = self.handler.frame_max_bytes();
         let link = wire::connect(address, max_bytes).await?;
-        let greeted = link.handshake(self.handler.hello()).await?;
+        let link = link.handshake(self.handler.hello()).await?;
         // The address may belong to another process by now. Frames meant for
         // one agent would otherwise reach the upstream of another.
-        if peer_from_hello(&greeted.hello).as_ref() != Some(&self.peer) {
+        if peer_from_hello(&link.hello).as_ref() != Some(&self.peer) {
             return Err(WireError::HandshakeFailed);
         }
-        Ok(greeted)
+        Ok(link)
     }
 
     /// Runs an established link until it ends; false if the link has been replaced
@@ -274,6 +280,7 @@
     }
 }
 
+/// The peer that a `Hello` names; `None` if its kind is unknown.
 fn peer_from_hello(hello: &Hello) -> Option<Peer> {
     match hello.kind.as_str() {
         "agent" => Some(Peer::Agent(AgentId::new(&hello.id))),
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -31,7 +31,9 @@
     pub(crate) unsent_frames: Counter,
     /// Frames and handshakes that could not be decoded.
     pub(crate) bad_frames: Counter,
+    /// Responses aborted because the caller read too slowly.
     slow_callers: Counter,
+    /// Responses aborted because of an invalid part.
     invalid_parts: Counter,
 }
 
--- a/crates/entry/src/response_queue.rs
+++ b/crates/entry/src/response_queue.rs
@@ -86,11 +86,14 @@
     waker: AtomicWaker,
 }
 
+/// The mutable part of a queue.
 #[derive(Debug, Default)]
 struct QueueState {
     parts: VecDeque<QueuedPart>,
     queued_bytes: usize,
+    /// Units queued so far, including those that the caller has taken.
     pushed_units: u64,
+    /// Stays true after the caller's connection has taken `end`.
     ended: bool,
     end: Option<ResponseEnd>,
 }
--- a/crates/entry/tests/cases/failures.rs
+++ b/crates/entry/tests/cases/failures.rs
@@ -122,8 +122,8 @@
 
 /// The link is lost after a request that may not be retried was sent to the agent,
 /// and the agent can't say whether it ran. The caller must get an error that does
-/// not claim that the request was not run, and the request must not be sent again, as that
-/// could execute an order twice.
+/// not claim that the request was not run. The request must not be sent again, as
+/// that could execute an order twice.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_request_that_may_not_be_retried_is_sent_once() {
     let harness = Harness::start().await;
--- a/crates/entry/tests/cases/links.rs
+++ b/crates/entry/tests/cases/links.rs
@@ -25,9 +25,9 @@
     settings.peers.insert("entry-1".to_owned(), peer);
     // The second entry's gossip tells the first one its address. The first one
     // needs it to answer, as an entry sends only on links that it dialed.
-    let unavailable = Arc::new(MemoryPlatform::default());
-    unavailable.unavailable.store(true, Ordering::Relaxed);
-    let second = start_entry_with(settings, &unavailable).await;
+    let platform = Arc::new(MemoryPlatform::default());
+    platform.unavailable.store(true, Ordering::Relaxed);
+    let second = start_entry_with(settings, &platform).await;
     let ready = async {
         while !second.is_ready() {
             sleep(POLL_INTERVAL).await;
--- a/crates/oper/src/deadline_timer.rs
+++ b/crates/oper/src/deadline_timer.rs
@@ -13,7 +13,9 @@
 /// Lets one task sleep until the next deadline of a state machine.
 #[derive(Debug)]
 pub struct DeadlineTimer {
+    /// Deadline until which the task sleeps.
     armed_us: AtomicU64,
+    /// Wakes the task for an earlier deadline.
     rearmed: Notify,
 }
 
--- a/crates/oper/src/query.rs
+++ b/crates/oper/src/query.rs
@@ -4,11 +4,11 @@
 pub fn query_value(query: &str, key: &str) -> Option<String> {
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     let (_, value) = pairs.find(|(name, _)| *name == key)?;
-    Some(decode_percent(value))
+    Some(percent_decode(value))
 }
 
 /// Decodes `%xx` and `+`. An invalid escape is kept unchanged.
-fn decode_percent(value: &str) -> String {
+fn percent_decode(value: &str) -> String {
     let mut bytes = Vec::with_capacity(value.len());
     let mut remaining = value.as_bytes();
     while let [first, tail @ ..] = remaining {
--- a/crates/plat/src/http.rs
+++ b/crates/plat/src/http.rs
@@ -70,7 +70,8 @@
 ///
 /// # Errors
 ///
-/// There was no complete response of at most 64 MiB within five seconds.
+/// The path is invalid, or there was no complete response of at most 64 MiB within
+/// five seconds.
 pub async fn get(address: SocketAddr, path: &str) -> Result<HttpResponse, HttpError> {
     send_request(address, Method::GET, path, Bytes::new()).await
 }
@@ -79,7 +80,8 @@
 ///
 /// # Errors
 ///
-/// There was no complete response of at most 64 MiB within five seconds.
+/// The path is invalid, or there was no complete response of at most 64 MiB within
+/// five seconds.
 pub async fn post(
     address: SocketAddr,
     path: &str,
