--- a/crates/conf/tests/deploy.rs
+++ b/crates/conf/tests/deploy.rs
@@ -67,7 +67,7 @@
     assert!(!naskhah.services["receipt"].idempotent);
     for fleet in [harbourline, naskhah] {
         let config = Config::new(base::Revision(1), fleet);
-        assert!(config.caller(&Credential::of("demo-key")).is_some());
+        assert!(config.caller(&Credential::from_key("demo-key")).is_some());
     }
 }
 
--- a/crates/front/src/quota/charge.rs
+++ b/crates/front/src/quota/charge.rs
@@ -2,7 +2,7 @@
 
 use access::Workspace;
 use base::prelude::*;
-use quota::Take;
+use quota::TakeOutcome;
 use schema::peer::{TokenAsk, Tokens};
 use serde_json::json;
 use std::net::SocketAddr;
@@ -32,7 +32,7 @@
 /// Result of taking tokens.
 pub(crate) struct TakeResult {
     /// The decision; `None` if no keeper responded.
-    pub(crate) take: Option<Take>,
+    pub(crate) take: Option<TakeOutcome>,
     /// The entry that was asked, if any.
     pub(crate) asked_keeper: Option<String>,
 }
@@ -57,19 +57,21 @@
     let scope = Scope::Workspaces;
     let TakeResult { take, asked_keeper } = take(node, scope, name, cost).await;
     let refusal = match take {
-        Some(Take::Unbounded) => return Ok(None),
-        Some(Take::Taken) => {
+        Some(TakeOutcome::Unlimited) => return Ok(None),
+        Some(TakeOutcome::Taken) => {
             let charge = Charge::new(Arc::clone(node), scope, Arc::clone(name), cost);
             return Ok(Some(charge));
         }
-        Some(Take::Short { return_ms }) => {
+        Some(TakeOutcome::Insufficient {
+            retry_after_ms: return_ms,
+        }) => {
             if asked_keeper.is_some() {
                 node.workspace_quotas
                     .cache_shortage(node.now(), name, return_ms);
             }
             RequestError::not_run(ErrorCode::QuotaSpent).retry_after_ms(return_ms)
         }
-        Some(Take::Never) => RequestError::not_run(ErrorCode::QuotaSpent),
+        Some(TakeOutcome::ExceedsLimit) => RequestError::not_run(ErrorCode::QuotaSpent),
         None => RequestError::not_run(ErrorCode::QuotaUnknown)
             .retry_after_ms(UNKNOWN_RETRY_MS),
     };
@@ -92,8 +94,8 @@
 ) -> TakeResult {
     let now = node.now();
     let quotas = node.quotas(scope);
-    let own = quotas.pools.lock().take_own(now, pool, cost);
-    if matches!(own, Take::Taken | Take::Unbounded) {
+    let own = quotas.pools.lock().take_local(now, pool, cost);
+    if matches!(own, TakeOutcome::Taken | TakeOutcome::Unlimited) {
         return TakeResult {
             take: Some(own),
             asked_keeper: None,
@@ -102,7 +104,9 @@
     if let Some(cached_shortage_ms) = quotas.cached_shortage_ms(now, pool) {
         let return_ms = cached_shortage_ms + node.random() % RETRY_JITTER_MS;
         return TakeResult {
-            take: Some(Take::Short { return_ms }),
+            take: Some(TakeOutcome::Insufficient {
+                retry_after_ms: return_ms,
+            }),
             asked_keeper: None,
         };
     }
@@ -156,7 +160,7 @@
 struct KeeperRequest {
     keeper: String,
     ask: TokenAsk,
-    answer: Receiver<Take>,
+    answer: Receiver<TakeOutcome>,
 }
 
 impl KeeperRequest {
--- a/crates/live/src/entries.rs
+++ b/crates/live/src/entries.rs
@@ -1,44 +1,45 @@
-//! The other entries, and which entry plans what.
+//! Other known entries, and the ranking that assigns keys to entries.
 
 use base::prelude::*;
 use schema::link::Gossip;
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::Timing;
+use crate::SilenceLimits;
 
-/// Entries kept at most, whatever peers send.
+/// Most entries kept, however many others relay.
 const ENTRIES_MAX: usize = 2_048;
 
-/// One other entry.
+/// State of another entry.
 #[derive(Debug, Clone)]
 pub struct EntryInfo {
-    /// Name.
+    /// Name of the entry.
     pub id: EntryId,
-    /// Its run.
+    /// Incarnation of its process.
     pub incarnation: Incarnation,
-    /// Sequence of the newest gossip.
+    /// Sequence number of its newest gossip message.
     pub sequence: u64,
-    /// Failure domain.
-    pub domain: FailureDomainId,
+    /// Failure domain of its instance.
+    pub failure_domain: FailureDomainId,
     /// When it was last heard.
-    pub heard_at: Instant,
+    pub last_heard_at: Instant,
     /// It is stopping.
     pub leaving: bool,
 }
 
-/// The other entries that are known.
+/// The other known entries.
 #[derive(Debug)]
 pub struct EntryTable {
-    timing: Timing,
+    silence_limits: SilenceLimits,
     entries: BTreeMap<EntryId, EntryInfo>,
 }
 
-/// Rank of a candidate for a key: the greatest is first (rendezvous hashing).
+/// Rank of a candidate for a key in rendezvous hashing; the candidate with the
+/// greatest rank is chosen.
 ///
-/// The ranks of the others don't change when one comes or goes, so only what
-/// that one had moves.
-pub fn rendezvous(key: &str, candidate: &str) -> u64 {
+/// The ranks of the other candidates don't change when one joins or leaves, so
+/// only the keys of that one move.
+pub fn rendezvous_rank(key: &str, candidate: &str) -> u64 {
     let mut bytes = Vec::with_capacity(key.len() + candidate.len() + 1);
     bytes.extend_from_slice(key.as_bytes());
     bytes.push(0);
@@ -47,27 +48,29 @@
 }
 
 impl EntryTable {
-    /// An empty table.
-    pub const fn new(timing: Timing) -> Self {
+    /// Creates an empty table.
+    pub const fn new(silence_limits: SilenceLimits) -> Self {
         Self {
-            timing,
+            silence_limits,
             entries: BTreeMap::new(),
         }
     }
 
-    /// Changes the bounds on silence, as a new configuration may.
-    pub const fn set_timing(&mut self, timing: Timing) {
-        self.timing = timing;
+    /// Sets the silence limits, after a change of configuration.
+    pub const fn set_silence_limits(&mut self, silence_limits: SilenceLimits) {
+        self.silence_limits = silence_limits;
     }
 
-    /// Takes gossip; returns whether it is news. Late or doubled gossip is not.
-    pub fn hear(&mut self, now: Instant, gossip: &Gossip) -> bool {
-        let known = self.entries.get(gossip.entry.as_str());
-        if known.is_none() && self.entries.len() >= ENTRIES_MAX {
+    /// Applies a gossip message. Returns false if it is not newer than the last
+    /// one of that entry, or the table is full.
+    pub fn record_gossip(&mut self, now: Instant, gossip: &Gossip) -> bool {
+        let known_entry = self.entries.get(gossip.entry.as_str());
+        if known_entry.is_none() && self.entries.len() >= ENTRIES_MAX {
             return false;
         }
         let order = (Incarnation(gossip.incarnation), gossip.sequence);
-        if known.is_some_and(|held| order <= (held.incarnation, held.sequence)) {
+        if known_entry.is_some_and(|entry| order <= (entry.incarnation, entry.sequence))
+        {
             return false;
         }
         let id = EntryId::new(&gossip.entry);
@@ -75,58 +78,60 @@
             id: id.clone(),
             incarnation: order.0,
             sequence: order.1,
-            domain: FailureDomainId::new(&gossip.failure_domain),
-            heard_at: now,
+            failure_domain: FailureDomainId::new(&gossip.failure_domain),
+            last_heard_at: now,
             leaving: gossip.leaving,
         };
         self.entries.insert(id, info);
         true
     }
 
-    /// An entry said that it stops.
-    pub fn goodbye(&mut self, id: &EntryId, incarnation: Incarnation) {
-        if let Some(held) = self.entries.get_mut(id)
-            && held.incarnation == incarnation
+    /// Records that an entry announced its shutdown.
+    pub fn mark_leaving(&mut self, id: &EntryId, incarnation: Incarnation) {
+        if let Some(entry) = self.entries.get_mut(id)
+            && entry.incarnation == incarnation
         {
-            held.leaving = true;
+            entry.leaving = true;
         }
     }
 
-    /// Forgets entries that have long been silent.
+    /// Removes entries whose silence has reached the limit for removal.
     pub fn tick(&mut self, now: Instant) {
-        let bound = self.timing.forget_ms();
+        let forget_ms = self.silence_limits.forget_ms();
         self.entries
-            .retain(|_, held| now.ms_since(held.heard_at) < bound);
+            .retain(|_, entry| now.ms_since(entry.last_heard_at) < forget_ms);
     }
 
-    /// Entries in order of name.
+    /// All entries, ordered by name.
     pub fn all(&self) -> impl Iterator<Item = &EntryInfo> {
         self.entries.values()
     }
 
-    /// Whether an entry was heard lately.
-    pub fn alive(&self, now: Instant, id: &EntryId) -> bool {
-        let held = self.entries.get(id);
-        held.is_some_and(|held| self.is_alive(now, held))
+    /// Whether an entry is known and its silence is below the limit.
+    pub fn is_alive(&self, now: Instant, id: &EntryId) -> bool {
+        let entry = self.entries.get(id);
+        entry.is_some_and(|entry| self.is_below_silence_limit(now, entry))
     }
 
-    /// Whether any entry was heard lately.
+    /// Whether the silence of any other entry is below the limit.
     pub fn any_alive(&self, now: Instant) -> bool {
         let mut entries = self.entries.values();
-        entries.any(|held| self.is_alive(now, held))
+        entries.any(|entry| self.is_below_silence_limit(now, entry))
     }
 
-    /// Whether `me` ranks first for a key among the entries that are alive and
-    /// not stopping.
+    /// Whether `me` has the greatest rank for a key among the entries that are
+    /// alive and not stopping.
     pub fn ranks_first(&self, now: Instant, me: &EntryId, key: &str) -> bool {
-        let mine = (rendezvous(key, me.as_str()), me);
+        let own_rank = (rendezvous_rank(key, me.as_str()), me);
         let others = self.entries.values();
         others
-            .filter(|held| self.is_alive(now, held) && !held.leaving)
-            .all(|held| (rendezvous(key, held.id.as_str()), &held.id) <= mine)
+            .filter(|entry| self.is_below_silence_limit(now, entry) && !entry.leaving)
+            .all(|entry| {
+                (rendezvous_rank(key, entry.id.as_str()), &entry.id) <= own_rank
+            })
     }
 
-    fn is_alive(&self, now: Instant, held: &EntryInfo) -> bool {
-        now.ms_since(held.heard_at) < self.timing.entry_ms()
+    fn is_below_silence_limit(&self, now: Instant, entry: &EntryInfo) -> bool {
+        now.ms_since(entry.last_heard_at) < self.silence_limits.entry_down_ms()
     }
 }
--- a/crates/once/tests/claims/stand.rs
+++ b/crates/once/tests/claims/test_doubles.rs
@@ -1,8 +1,10 @@
-//! Stand-ins: a platform that errs, and an agent with claims.
+//! Test doubles: a platform with faults, and an agent that makes claims.
 
 use base::prelude::*;
 use base::{ObjectVersion, PlatformCall, PlatformOp, PlatformResult, Precondition};
-use once::{Answer, ClaimAction, ClaimRequest, Claims, ClaimsOptions, Outcome};
+use once::{
+    ClaimAction, ClaimOutcome, ClaimRequest, Claims, ClaimsOptions, StoredResponse,
+};
 use prost::Message as _;
 use schema::store::ClaimShard;
 use std::collections::{BTreeMap, VecDeque};
@@ -11,43 +13,47 @@
 pub const BODY: u64 = 11;
 pub const OTHER_BODY: u64 = 12;
 
-/// How the platform treats one call.
+/// How the platform handles one call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
-    Good,
-    Away,
-    /// The call has its effect, its answer is lost.
+pub enum PlatformBehavior {
+    Normal,
+    Unavailable,
+    /// The call takes effect, but its response is lost.
     AnswerLost,
-    /// The call is lost on its way.
+    /// The call is lost and has no effect.
     CallLost,
-    /// The answer is lost, and the call has its effect later.
+    /// The response is lost, and the call takes effect later.
     Late,
-    /// A read gives what stood before the first write.
-    Old,
+    /// A read returns the state before the first write.
+    Stale,
 }
 
 #[derive(Debug, Default)]
 pub struct Platform {
     pub objects: BTreeMap<String, (u64, Vec<u8>)>,
-    last: u64,
-    pub fates: VecDeque<Fate>,
-    late: Vec<PlatformOp>,
+    last_version: u64,
+    pub behaviors: VecDeque<PlatformBehavior>,
+    late_ops: Vec<PlatformOp>,
     pub writes: usize,
 }
 
 impl Platform {
     pub fn answer(&mut self, call: &PlatformCall) -> PlatformResult {
-        match self.fates.pop_front().unwrap_or(Fate::Good) {
-            Fate::Good => self.apply(&call.op),
-            Fate::Away => PlatformResult::Unavailable,
-            Fate::CallLost => PlatformResult::Unanswered,
-            Fate::AnswerLost => {
+        match self
+            .behaviors
+            .pop_front()
+            .unwrap_or(PlatformBehavior::Normal)
+        {
+            PlatformBehavior::Normal => self.apply(&call.op),
+            PlatformBehavior::Unavailable => PlatformResult::Unavailable,
+            PlatformBehavior::CallLost => PlatformResult::Unanswered,
+            PlatformBehavior::AnswerLost => {
                 self.apply(&call.op);
                 PlatformResult::Unanswered
             }
-            Fate::Old => PlatformResult::Object(None),
-            Fate::Late => {
-                self.late.push(call.op.clone());
+            PlatformBehavior::Stale => PlatformResult::Object(None),
+            PlatformBehavior::Late => {
+                self.late_ops.push(call.op.clone());
                 PlatformResult::Unanswered
             }
         }
@@ -56,9 +62,9 @@
     fn apply(&mut self, op: &PlatformOp) -> PlatformResult {
         match op {
             PlatformOp::Read { key } => {
-                let held = self.objects.get(key);
+                let object = self.objects.get(key);
                 PlatformResult::Object(
-                    held.map(|(v, value)| (ObjectVersion(*v), value.clone())),
+                    object.map(|(v, value)| (ObjectVersion(*v), value.clone())),
                 )
             }
             PlatformOp::Write {
@@ -67,40 +73,42 @@
                 value,
             } => {
                 self.writes += 1;
-                let held = self
+                let current = self
                     .objects
                     .get(key)
                     .map(|(version, _)| ObjectVersion(*version));
-                let fits = match precondition {
+                let version_matches = match precondition {
                     Precondition::Any => true,
-                    Precondition::Absent => held.is_none(),
-                    Precondition::Version(version) => held == Some(*version),
+                    Precondition::Absent => current.is_none(),
+                    Precondition::Version(version) => current == Some(*version),
                 };
-                if !fits {
+                if !version_matches {
                     return PlatformResult::Conflict;
                 }
-                self.last += 1;
-                self.objects.insert(key.clone(), (self.last, value.clone()));
-                PlatformResult::Written(ObjectVersion(self.last))
+                self.last_version += 1;
+                self.objects
+                    .insert(key.clone(), (self.last_version, value.clone()));
+                PlatformResult::Written(ObjectVersion(self.last_version))
             }
-            other => panic!("claims make no such call: {other:?}"),
+            other => panic!("unexpected platform call: {other:?}"),
         }
     }
 
     pub fn deliver_late(&mut self) {
-        for op in std::mem::take(&mut self.late) {
+        for op in std::mem::take(&mut self.late_ops) {
             self.apply(&op);
         }
     }
 
-    pub fn claims(&self) -> usize {
+    pub fn claim_count(&self) -> usize {
         let shards = self.objects.values();
-        let held = shards.map(|(_, value)| ClaimShard::decode(value.as_slice()));
-        held.map(|shard| shard.expect("shards are well formed").claims.len())
+        let decoded = shards.map(|(_, value)| ClaimShard::decode(value.as_slice()));
+        decoded
+            .map(|shard| shard.expect("the test writes valid shards").claims.len())
             .sum()
     }
 
-    pub fn largest(&self) -> usize {
+    pub fn largest_object_bytes(&self) -> usize {
         let sizes = self.objects.values().map(|(_, value)| value.len());
         sizes.max().unwrap_or(0)
     }
@@ -109,7 +117,7 @@
 pub struct Agent {
     pub claims: Claims,
     pub calls: Vec<PlatformCall>,
-    pub settled: Vec<(u64, Outcome)>,
+    pub settled: Vec<(u64, ClaimOutcome)>,
     pub released: Vec<u64>,
 }
 
@@ -118,7 +126,7 @@
         let claims = Claims::new(ClaimsOptions {
             agent: AgentId::new(name),
             incarnation: Incarnation(5),
-            first_call: 100,
+            first_call_id: 100,
             unix_ms_at_zero: 1_000_000,
         });
         Self {
@@ -129,7 +137,7 @@
         }
     }
 
-    pub fn begin(&mut self, ms: u64, attempt: u64, key: &str, body_hash: u64) {
+    pub fn request_claim(&mut self, ms: u64, attempt: u64, key: &str, body_hash: u64) {
         let request = ClaimRequest {
             attempt: id(attempt),
             caller: CallerId::new("desk"),
@@ -138,39 +146,41 @@
             timeout_ms: TIMEOUT_MS,
         };
         let mut out = Vec::new();
-        self.claims.begin(Instant::from_ms(ms), request, &mut out);
-        self.take(out);
+        self.claims
+            .request_claim(Instant::from_ms(ms), request, &mut out);
+        self.collect(out);
     }
 
     pub fn finish(&mut self, ms: u64, attempt: u64, body: &[u8]) {
-        let answer = Answer {
+        let response = StoredResponse {
             status: 201,
             content_type: "text/plain".to_owned(),
             body: body.to_vec(),
         };
         let mut out = Vec::new();
         let now = Instant::from_ms(ms);
-        self.claims.finish(now, id(attempt), Some(answer), &mut out);
-        self.take(out);
+        self.claims
+            .finish(now, id(attempt), Some(response), &mut out);
+        self.collect(out);
     }
 
     pub fn release(&mut self, ms: u64, attempt: u64) {
         let mut out = Vec::new();
         self.claims
             .release(Instant::from_ms(ms), id(attempt), &mut out);
-        self.take(out);
+        self.collect(out);
     }
 
     pub fn tick(&mut self, ms: u64) {
         let mut out = Vec::new();
         self.claims.tick(Instant::from_ms(ms), &mut out);
-        self.take(out);
+        self.collect(out);
     }
 
-    fn take(&mut self, actions: Vec<ClaimAction>) {
+    fn collect(&mut self, actions: Vec<ClaimAction>) {
         for action in actions {
             match action {
-                ClaimAction::Platform(call) => self.calls.push(call),
+                ClaimAction::CallPlatform(call) => self.calls.push(call),
                 ClaimAction::Settled { attempt, outcome } => {
                     self.settled.push((attempt.sequence, outcome));
                 }
@@ -181,8 +191,9 @@
         }
     }
 
-    /// Lets the platform answer one call.
-    pub fn step(&mut self, ms: u64, platform: &mut Platform) -> bool {
+    /// Lets the platform respond to the oldest call. Returns false if there is
+    /// none.
+    pub fn answer_one(&mut self, ms: u64, platform: &mut Platform) -> bool {
         if self.calls.is_empty() {
             return false;
         }
@@ -190,36 +201,37 @@
         let result = platform.answer(&call);
         let mut out = Vec::new();
         let now = Instant::from_ms(ms);
-        self.claims.answered(now, call.id, result, &mut out);
-        self.take(out);
+        self.claims
+            .platform_answered(now, call.id, result, &mut out);
+        self.collect(out);
         true
     }
 
-    pub fn pump(&mut self, ms: u64, platform: &mut Platform) {
+    pub fn answer_all(&mut self, ms: u64, platform: &mut Platform) {
         for _ in 0..100 {
-            if !self.step(ms, platform) {
+            if !self.answer_one(ms, platform) {
                 return;
             }
         }
-        panic!("the claims never come to rest");
+        panic!("more than 100 platform calls in a row");
     }
 
-    pub fn outcome(&self, attempt: u64) -> Option<&Outcome> {
+    pub fn outcome(&self, attempt: u64) -> Option<&ClaimOutcome> {
         let mut settled = self.settled.iter();
         settled.find(|(id, _)| *id == attempt).map(|(_, o)| o)
     }
 
-    /// The code with which an attempt was refused, and what was said to be
-    /// known about the run.
+    /// The code with which an attempt was refused, and what the refusal says
+    /// about the run.
     pub fn refused(&self, attempt: u64) -> Option<(ErrorCode, RunStatus)> {
         match self.outcome(attempt)? {
-            Outcome::Refused(refusal) => Some((refusal.code, refusal.ran)),
+            ClaimOutcome::Refused(refusal) => Some((refusal.code, refusal.ran)),
             _ => None,
         }
     }
 
     pub fn granted(&self, attempt: u64) -> bool {
-        self.outcome(attempt) == Some(&Outcome::Granted)
+        self.outcome(attempt) == Some(&ClaimOutcome::Granted)
     }
 }
 
--- a/crates/once/tests/claims/writes.rs
+++ b/crates/once/tests/claims/writes.rs
@@ -1,50 +1,72 @@
-//! Writes and reads of claims that are lost, late or old.
+//! Writes and reads of claims that are lost, late or stale.
 
-use crate::stand::{Agent, BODY, Fate, Platform};
+use crate::test_doubles::{Agent, BODY, Platform, PlatformBehavior};
 use base::prelude::*;
-use once::Outcome;
+use once::ClaimOutcome;
 use std::collections::VecDeque;
 
-/// A call is run only once its claim stands. The platform's answer to the
-/// write is lost in every way there is; what the caller sees is either the run
-/// or a refusal as `not_run`, and in the second case the key is free again as
-/// soon as the platform can be reached.
+/// A request runs only once the platform has confirmed its claim. For every way
+/// in which the response to the write is lost, the caller sees either a run or
+/// a refusal as `not_run`; after a refusal, the key is free again as soon as
+/// the platform is available.
 #[test]
-fn lost_writes_are_settled_or_given_back() {
-    use Fate::{AnswerLost, Away, CallLost, Good, Late};
-    let cases: &[(&str, &[Fate], bool)] = &[
-        ("good", &[], true),
-        ("the first read is away", &[Away], false),
-        ("the first read gets no answer", &[CallLost], false),
-        ("the write is away", &[Good, Away], false),
-        ("the write's answer is lost", &[Good, AnswerLost], true),
-        ("the write is lost", &[Good, CallLost], true),
-        ("the write is late", &[Good, Late], true),
-        ("lost twice", &[Good, CallLost, Good, CallLost], true),
+fn unanswered_writes_are_granted_or_released() {
+    use PlatformBehavior::{AnswerLost, CallLost, Late, Normal, Unavailable};
+    let cases: &[(&str, &[PlatformBehavior], bool)] = &[
+        ("no fault", &[], true),
         (
-            "lost, and away at the first reading back",
-            &[Good, AnswerLost, Away],
+            "platform unavailable at the first read",
+            &[Unavailable],
+            false,
+        ),
+        ("first read unanswered", &[CallLost], false),
+        (
+            "platform unavailable at the write",
+            &[Normal, Unavailable],
+            false,
+        ),
+        ("write applied, response lost", &[Normal, AnswerLost], true),
+        ("write lost", &[Normal, CallLost], true),
+        ("write applied late", &[Normal, Late], true),
+        (
+            "write lost twice",
+            &[Normal, CallLost, Normal, CallLost],
+            true,
+        ),
+        (
+            "response lost, platform unavailable at the first read back",
+            &[Normal, AnswerLost, Unavailable],
             true,
         ),
         (
-            "lost, and away for long",
-            &[Good, AnswerLost, Away, Away, Away, Away, Away, Away, Away],
+            "response lost, platform unavailable for long",
+            &[
+                Normal,
+                AnswerLost,
+                Unavailable,
+                Unavailable,
+                Unavailable,
+                Unavailable,
+                Unavailable,
+                Unavailable,
+                Unavailable,
+            ],
             false,
         ),
     ];
-    for (name, fates, granted) in cases {
+    for (name, behaviors, granted) in cases {
         let mut platform = Platform::default();
-        platform.fates.extend(*fates);
+        platform.behaviors.extend(*behaviors);
         let mut agent = Agent::new("one");
-        agent.begin(0, 1, "key", BODY);
+        agent.request_claim(0, 1, "key", BODY);
         for ms in (0..=20_000).step_by(100) {
             agent.tick(ms);
-            agent.pump(ms, &mut platform);
+            agent.answer_all(ms, &mut platform);
             platform.deliver_late();
         }
         assert_eq!(agent.granted(1), *granted, "{name}: {:?}", agent.settled);
         if *granted {
-            assert_eq!(platform.claims(), 1, "{name}");
+            assert_eq!(platform.claim_count(), 1, "{name}");
             continue;
         }
         assert_eq!(
@@ -52,27 +74,31 @@
             Some((ErrorCode::PlatformAway, RunStatus::NotRun)),
             "{name}"
         );
-        assert_eq!(platform.claims(), 0, "{name}: the key is not free");
+        assert_eq!(platform.claim_count(), 0, "{name}: the key is not free");
         assert!(agent.claims.is_flushed(), "{name}");
-        agent.begin(20_000, 2, "key", BODY);
-        agent.pump(20_000, &mut platform);
-        assert!(agent.granted(2), "{name}: a resend is not run");
+        agent.request_claim(20_000, 2, "key", BODY);
+        agent.answer_all(20_000, &mut platform);
+        assert!(agent.granted(2), "{name}: a resend was not granted");
     }
 }
 
-/// The write is given up, and only then does it take effect. The refusal said
-/// `not_run`, so the claim has to go again: the release is not over while the
-/// write may still come.
+/// A write takes effect after its request was refused as `not_run`, so the
+/// claim has to be removed again: the release stays pending as long as the
+/// write may be applied.
 #[test]
-fn a_write_that_comes_after_its_refusal_is_released() {
+fn write_applied_after_its_refusal_is_released() {
     let mut platform = Platform::default();
-    platform.fates.extend([Fate::Good, Fate::Late]);
-    platform.fates.extend([Fate::Away; 8]);
+    platform
+        .behaviors
+        .extend([PlatformBehavior::Normal, PlatformBehavior::Late]);
+    platform
+        .behaviors
+        .extend([PlatformBehavior::Unavailable; 8]);
     let mut agent = Agent::new("one");
-    agent.begin(0, 1, "key", BODY);
+    agent.request_claim(0, 1, "key", BODY);
     for ms in (0..=20_000).step_by(100) {
         agent.tick(ms);
-        agent.pump(ms, &mut platform);
+        agent.answer_all(ms, &mut platform);
     }
     assert_eq!(
         agent.refused(1),
@@ -81,33 +107,33 @@
     assert!(agent.claims.is_flushed());
     platform.deliver_late();
     assert_eq!(
-        platform.claims(),
+        platform.claim_count(),
         0,
-        "the late write made a claim of nobody"
+        "the late write left a claim behind"
     );
 }
 
-/// The answer of the write that stores an answer is lost, and the platform then
-/// gives an old read of the shard, in which the claim is missing. The agent does
-/// not believe it: a resend gets the stored answer, not that the outcome is
-/// unknown.
+/// The write that stores a response is lost, and the next read of the shard is
+/// stale and lacks the claim. The agent must not apply that read: a resend gets
+/// the stored response and is not told that the outcome is unknown.
 #[test]
-fn an_old_read_does_not_drop_an_answer() {
+fn stale_read_does_not_lose_a_stored_response() {
     let mut platform = Platform::default();
     let mut agent = Agent::new("p1");
-    agent.begin(0, 1, "k", BODY);
-    agent.pump(0, &mut platform);
+    agent.request_claim(0, 1, "k", BODY);
+    agent.answer_all(0, &mut platform);
     assert!(agent.granted(1));
-    platform.fates = VecDeque::from([Fate::CallLost, Fate::Old]);
+    platform.behaviors =
+        VecDeque::from([PlatformBehavior::CallLost, PlatformBehavior::Stale]);
     agent.finish(100, 1, b"done");
-    agent.pump(100, &mut platform);
+    agent.answer_all(100, &mut platform);
     for ms in (200..20_000).step_by(100) {
         agent.tick(ms);
-        agent.pump(ms, &mut platform);
+        agent.answer_all(ms, &mut platform);
     }
     let mut other = Agent::new("p2");
-    other.begin(20_000, 2, "k", BODY);
-    other.pump(20_000, &mut platform);
-    let replayed = matches!(other.outcome(2), Some(Outcome::Replay(_)));
+    other.request_claim(20_000, 2, "k", BODY);
+    other.answer_all(20_000, &mut platform);
+    let replayed = matches!(other.outcome(2), Some(ClaimOutcome::Replay(_)));
     assert!(replayed, "{:?}", other.outcome(2));
 }
