--- a/crates/fake/src/base64.rs
+++ b/crates/fake/src/base64.rs
@@ -9,9 +9,9 @@
     for group in bytes.chunks(3) {
         let byte = |index: usize| u32::from(group.get(index).copied().unwrap_or(0));
         let bits = byte(0) << 16 | byte(1) << 8 | byte(2);
-        for place in 0..4 {
-            let six = (bits >> (18 - 6 * place)) & 63;
-            let padding = place > group.len();
+        for position in 0..4 {
+            let six = (bits >> (18 - 6 * position)) & 63;
+            let padding = position > group.len();
             text.push(if padding {
                 '='
             } else {
--- a/crates/fake/src/bin/fake-load.rs
+++ b/crates/fake/src/bin/fake-load.rs
@@ -77,7 +77,7 @@
     } else {
         print!("{}", report.table());
     }
-    Ok(report.wrong_answers() == 0)
+    Ok(report.wrong_responses() == 0)
 }
 
 fn options(args: Args) -> std::io::Result<LoadOptions> {
--- a/crates/fake/src/demo/child_process.rs
+++ b/crates/fake/src/demo/child_process.rs
@@ -16,7 +16,7 @@
 const STOP_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Interval at which a child that received SIGTERM is polled.
-const STOP_POLL: Duration = Duration::from_millis(20);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A child process, killed when dropped.
 #[derive(Debug)]
@@ -98,7 +98,7 @@
         self.child.id()
     }
 
-    /// Sends a signal, unless [`Self::ended`] has reaped the child. Until then the id
+    /// Sends a signal, unless [`Self::try_wait`] has reaped the child. Until then the id
     /// can't belong to another process.
     pub(super) fn signal(&self, signal: Signal) {
         if self.exited {
@@ -122,7 +122,7 @@
             if self.try_wait().is_some() {
                 return;
             }
-            std::thread::sleep(STOP_POLL);
+            std::thread::sleep(STOP_POLL_INTERVAL);
         }
         println!("{} did not exit within the time limit", self.name);
     }
--- a/crates/fake/src/demo/deployment/processes.rs
+++ b/crates/fake/src/demo/deployment/processes.rs
@@ -12,7 +12,7 @@
 
 /// Time that the processes may take to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(60);
-const READY_POLL: Duration = Duration::from_millis(50);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 impl Deployment {
     /// Restarts a process of the system that has exited, with the same settings and
@@ -51,7 +51,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if it still runs after `bound` or there is no such process.
+    /// Returns an error if it still runs after `timeout` or there is no such process.
     pub async fn wait_exited(
         &mut self,
         id: &str,
@@ -68,7 +68,7 @@
             if Instant::now() >= deadline {
                 return Err(DemoError::ExitTimeout(id.to_owned()));
             }
-            tokio::time::sleep(READY_POLL).await;
+            tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
     }
 
@@ -97,7 +97,7 @@
                     self.directory.path.clone(),
                 ));
             }
-            tokio::time::sleep(READY_POLL).await;
+            tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
     }
 
--- a/crates/fake/src/demo/mod.rs
+++ b/crates/fake/src/demo/mod.rs
@@ -39,7 +39,7 @@
 pub enum DemoError {
     /// Programs that are missing in the directory of the running one.
     MissingPrograms(Vec<PathBuf>),
-    /// An operation on a file, a port or a child process failed.
+    /// An operation on a file, a port or a child process failed; says which.
     Io(&'static str, io::Error),
     /// A stand-in did not print its addresses.
     AddressNotReported(String),
@@ -102,16 +102,16 @@
     })?;
     // SIGINT and SIGTERM are handled, since the children would outlive a demo that they
     // killed.
-    let done = tokio::select! {
-        done = run_load(&deployment, &options) => done,
+    let result = tokio::select! {
+        result = run_load(&deployment, &options) => result,
         () = shutdown_signal() => Err(DemoError::Interrupted),
     };
-    if done.is_err() {
+    if result.is_err() {
         // The logs are needed to diagnose the error.
         deployment.keep_directory();
     }
     deployment.stop();
-    done
+    result
 }
 
 /// Waits for SIGINT or SIGTERM, or forever if no handler can be installed.
@@ -137,7 +137,7 @@
     println!(
         "9 agents and 2 entries are ready; settings, logs and the addresses for\n\
          faults (controls.json) are in {}\n\
-         work for {} s, a burst in the middle; no model is loaded yet ...",
+         load for {} s with a burst in the middle; no model is loaded yet ...",
         deployment.directory().display(),
         options.seconds
     );
@@ -145,11 +145,11 @@
     let totals = summary::Totals::read(deployment).await;
     println!("\n{}", report.table());
     println!("{}", totals.table());
-    if let Some(line) = deployment.timeline(&report.slowest_request) {
+    if let Some(timeline) = deployment.timeline(&report.slowest_request) {
         println!(
-            "timeline of the slowest whole answer, {} ({} ms):\n{line}",
+            "timeline of the slowest whole answer, {} ({} ms):\n{timeline}",
             report.slowest_request, report.slowest_ms
         );
     }
-    Ok(report.wrong_answers() == 0 && totals.no_violations())
+    Ok(report.wrong_responses() == 0 && totals.no_violations())
 }
--- a/crates/fake/src/demo/ports.rs
+++ b/crates/fake/src/demo/ports.rs
@@ -29,10 +29,10 @@
 /// A port is free between its selection and the start of its process. Without the
 /// block, two deployments started at the same time could select the same port, and a
 /// process of one would fail to start. A file lock reserves the block; the kernel
-/// releases it when the process exits, even if it is killed.
+/// releases it with the last file handle, even if the process is killed.
 #[derive(Debug)]
 pub(super) struct PortBlock {
-    first: u16,
+    first_port: u16,
     _lock: File,
 }
 
@@ -47,7 +47,7 @@
             let lock = File::create(name).map_err(error)?;
             if lock.try_lock().is_ok() {
                 return Ok(Self {
-                    first: FIRST_PORT + block * PORTS_PER_BLOCK,
+                    first_port: FIRST_PORT + block * PORTS_PER_BLOCK,
                     _lock: lock,
                 });
             }
@@ -62,7 +62,7 @@
     ) -> Result<Vec<ListenAddresses>, DemoError> {
         let error = |error| DemoError::Io("finding free ports", error);
         let mut bound = Vec::new();
-        for port in self.first..self.first + PORTS_PER_BLOCK {
+        for port in self.first_port..self.first_port + PORTS_PER_BLOCK {
             if bound.len() < count * 3 {
                 bound.extend(TcpListener::bind((Ipv4Addr::LOCALHOST, port)));
             }
--- a/crates/fake/src/demo/workload.rs
+++ b/crates/fake/src/demo/workload.rs
@@ -7,7 +7,7 @@
 use crate::load::{self, LoadOptions, Report, Workload};
 
 /// API key of the demo's caller, whose hash is in the fleet configuration.
-const KEY: &str = "demo-key";
+const CALLER_KEY: &str = "demo-key";
 
 /// Requests per second before and after the burst.
 const BASE_RATE_PER_S: f64 = 25.0;
@@ -29,7 +29,7 @@
             targets: entries.to_vec(),
             direct: false,
             exclude_unavailable_targets: false,
-            caller_key: KEY.to_owned(),
+            caller_key: CALLER_KEY.to_owned(),
             workloads: workloads(desk_models),
             concurrency: 0,
             rate_per_s: Some(rate),
--- a/crates/fake/src/handle.rs
+++ b/crates/fake/src/handle.rs
@@ -23,7 +23,7 @@
 
 /// Protocol, faults and counters of one kind of stand-in.
 pub(crate) trait StandIn: Send + Sync + 'static {
-    /// Faults that can be switched on.
+    /// Faults that can be injected.
     type Faults: Serialize + DeserializeOwned + Send;
     /// Counters that it keeps.
     type Counts: Serialize;
--- a/crates/fake/src/http.rs
+++ b/crates/fake/src/http.rs
@@ -54,7 +54,7 @@
         self.close_signal.notify_one();
     }
 
-    /// While `away` is set, new connections are closed as soon as they are accepted.
+    /// While `rejecting` is set, new connections are closed as soon as they are accepted.
     /// Setting it also closes the open ones.
     pub(crate) fn set_rejecting(&self, rejecting: bool) {
         self.rejecting.store(rejecting, Ordering::SeqCst);
@@ -76,7 +76,7 @@
 }
 
 impl Server {
-    /// Binds `listen` and passes each request to `call`.
+    /// Binds `listen` and passes each request to `handler`.
     pub(crate) async fn start<C, F>(
         listen: SocketAddr,
         connection_closer: ConnectionCloser,
--- a/crates/fake/src/load/report.rs
+++ b/crates/fake/src/load/report.rs
@@ -257,7 +257,7 @@
     }
 
     /// Returns the number of wrong responses over all profiles.
-    pub fn wrong_answers(&self) -> u64 {
+    pub fn wrong_responses(&self) -> u64 {
         self.profiles.values().map(|profile| profile.wrong).sum()
     }
 
--- a/crates/fake/src/overhead/fleet.rs
+++ b/crates/fake/src/overhead/fleet.rs
@@ -6,10 +6,10 @@
 use crate::load::{self, LoadOptions, Workload};
 
 /// API key of the benchmark's caller, whose hash is in the fleet configuration.
-pub(super) const KEY: &str = "demo-key";
+pub(super) const CALLER_KEY: &str = "demo-key";
 
 /// Slots of one engine's batch, more than any load here fills.
-pub(super) const SLOTS: usize = 256;
+pub(super) const ENGINE_SLOTS: usize = 256;
 
 /// Profile of all requests.
 pub(super) const PROFILE: &str = "bench";
@@ -45,7 +45,7 @@
             "failure_domains": &domains[..engines.min(domains.len())],
             "accelerators_mib": [81_920],
             "step_time_us": step_us,
-            "concurrent_max": SLOTS,
+            "concurrent_max": ENGINE_SLOTS,
             "checks_fencing": true,
             "order_delay_max_ms": 1_000,
         }},
@@ -75,7 +75,7 @@
 
 /// Returns the command-line arguments of each engine.
 pub(super) fn engine_arguments(step_us: u64) -> Vec<String> {
-    let slots = SLOTS.to_string();
+    let slots = ENGINE_SLOTS.to_string();
     let step_us = step_us.to_string();
     [
         "--check-fencing",
@@ -92,13 +92,13 @@
 
 /// Returns a workload for each model, all with the same frequency.
 pub(super) fn workloads(models: &[String], max_tokens: u64) -> Vec<Workload> {
-    let mix = |model: &String| Workload {
+    let workload = |model: &String| Workload {
         profile: PROFILE.to_owned(),
         models: vec![model.clone()],
         max_tokens,
         ..Workload::default()
     };
-    models.iter().map(mix).collect()
+    models.iter().map(workload).collect()
 }
 
 /// Publishes the configuration, waits until the deployment is ready, and sends one
@@ -118,7 +118,7 @@
             targets: deployment.entry_addresses(),
             direct: false,
             exclude_unavailable_targets: false,
-            caller_key: KEY.to_owned(),
+            caller_key: CALLER_KEY.to_owned(),
             workloads: workloads(&[model], 4),
             concurrency: 1,
             rate_per_s: None,
--- a/crates/fake/src/overhead/latency.rs
+++ b/crates/fake/src/overhead/latency.rs
@@ -2,13 +2,13 @@
 //! entry and agent.
 
 use super::OverheadOptions;
-use super::fleet::{self, KEY, PROFILE};
+use super::fleet::{self, CALLER_KEY, PROFILE};
 use super::processes::{format_resident_memory, measure_idle};
 use crate::demo::{DemoError, Deployment, DeploymentOptions};
 use crate::load::{self, LoadOptions, ProfileReport, Report};
 
 const STEP_US: u64 = 10_000;
-const TOKENS: u64 = 16;
+const TOKENS_PER_RESPONSE: u64 = 16;
 
 /// Requests per second, measured one after the other.
 const RATES_PER_S: [u32; 3] = [10, 100, 400];
@@ -27,7 +27,8 @@
     println!("\none engine, one agent, one entry, idle with a model loaded:");
     print!("{}", measure_idle(&deployment, options.idle_seconds).await);
     println!(
-        "\nstep 10 ms, {TOKENS} tokens, {} rounds of {} s per path; ms direct -> through entry and agent",
+        "\nstep 10 ms, {TOKENS_PER_RESPONSE} tokens, {} rounds of {} s per path; \
+         ms direct -> through entry and agent",
         options.rounds, options.seconds
     );
     println!(
@@ -84,8 +85,8 @@
         },
         direct,
         exclude_unavailable_targets: false,
-        caller_key: KEY.to_owned(),
-        workloads: fleet::workloads(&fleet::models(1), TOKENS),
+        caller_key: CALLER_KEY.to_owned(),
+        workloads: fleet::workloads(&fleet::models(1), TOKENS_PER_RESPONSE),
         concurrency: 0,
         rate_per_s: Some(f64::from(rate)),
         count: u64::from(rate) * seconds,
--- a/crates/fake/src/overhead/processes.rs
+++ b/crates/fake/src/overhead/processes.rs
@@ -31,7 +31,7 @@
     /// Reads all processes, including the benchmark's own.
     pub(super) fn read(deployment: &Deployment) -> Self {
         let mut pids = deployment.pids();
-        pids.insert("(driver)".to_owned(), std::process::id());
+        pids.insert("(benchmark)".to_owned(), std::process::id());
         let by_process = pids
             .into_iter()
             .map(|(name, pid)| (name, ProcessSample::read(pid)));
@@ -62,13 +62,13 @@
     let Ok(threads) = fs::read_dir(format!("/proc/{pid}/task")) else {
         return 0;
     };
-    let one = |path: std::path::PathBuf| {
+    let thread_cpu_ns = |path: std::path::PathBuf| {
         let text = fs::read_to_string(path.join("schedstat")).ok()?;
         text.split_whitespace().next()?.parse::<u64>().ok()
     };
     threads
         .flatten()
-        .filter_map(|thread| one(thread.path()))
+        .filter_map(|thread| thread_cpu_ns(thread.path()))
         .sum()
 }
 
--- a/crates/fake/src/overhead/throughput.rs
+++ b/crates/fake/src/overhead/throughput.rs
@@ -1,7 +1,7 @@
 //! Measures the throughput of one entry.
 
 use super::OverheadOptions;
-use super::fleet::{self, KEY};
+use super::fleet::{self, CALLER_KEY};
 use super::processes::{UsageSnapshot, usage_since};
 use crate::demo::{DemoError, Deployment, DeploymentOptions, ProbeClient};
 use crate::engine;
@@ -11,7 +11,7 @@
 
 const ENGINES: usize = 4;
 const STEP_US: u64 = 1_000;
-const TOKENS: u64 = 4;
+const TOKENS_PER_RESPONSE: u64 = 4;
 
 /// Numbers of concurrent streams, measured one after the other.
 const CONCURRENCIES: [usize; 3] = [32, 128, 512];
@@ -32,8 +32,8 @@
     })?;
     fleet::prepare(&deployment, ENGINES, STEP_US).await?;
     println!(
-        "\nstreams of {TOKENS} tokens, {ENGINES} engines with a step of 1 ms, one \
-         entry, whole streams per second:"
+        "\nstreams of {TOKENS_PER_RESPONSE} tokens, {ENGINES} engines with a step of \
+         1 ms, one entry, whole streams per second:"
     );
     for concurrency in CONCURRENCIES {
         for round in 0..options.rounds {
@@ -87,8 +87,10 @@
         let mut engine_options =
             load_options(vec![engine], count / ENGINES as u64, round);
         engine_options.direct = true;
-        engine_options.workloads =
-            fleet::workloads(std::slice::from_ref(&resident.model), TOKENS);
+        engine_options.workloads = fleet::workloads(
+            std::slice::from_ref(&resident.model),
+            TOKENS_PER_RESPONSE,
+        );
         engine_options.concurrency = concurrency / ENGINES;
         runs.spawn(load::run(engine_options));
     }
@@ -106,8 +108,8 @@
         targets,
         direct: false,
         exclude_unavailable_targets: false,
-        caller_key: KEY.to_owned(),
-        workloads: fleet::workloads(&fleet::models(ENGINES), TOKENS),
+        caller_key: CALLER_KEY.to_owned(),
+        workloads: fleet::workloads(&fleet::models(ENGINES), TOKENS_PER_RESPONSE),
         concurrency: 0,
         rate_per_s: None,
         count,
--- a/crates/fake/tests/all/engine.rs
+++ b/crates/fake/tests/all/engine.rs
@@ -47,9 +47,9 @@
 
 pub fn is_done(engine: &Handle<Engine>, order: u64) -> bool {
     let orders = engine.report().orders;
-    orders.iter().any(|one| {
-        one.order == order
-            && serde_json::to_value(one.state).ok() == Some(json!("done"))
+    orders.iter().any(|report| {
+        report.order == order
+            && serde_json::to_value(report.state).ok() == Some(json!("done"))
     })
 }
 
@@ -95,7 +95,7 @@
 pub fn concat_text(chunks: &[Value]) -> String {
     let texts = chunks
         .iter()
-        .filter_map(|one| one["choices"][0]["text"].as_str());
+        .filter_map(|chunk| chunk["choices"][0]["text"].as_str());
     texts.collect()
 }
 
@@ -175,7 +175,7 @@
     for (model, version, status) in cases {
         let body = json!({"model": model, "prompt": "x", "max_tokens": 1}).to_string();
         let headers: Vec<_> = version
-            .map(|one| ("x-model-version", one))
+            .map(|version| ("x-model-version", version))
             .into_iter()
             .collect();
         let path = "/v1/completions";
@@ -186,8 +186,9 @@
     }
     assert_eq!(engine.counts().runs, 3);
     assert_eq!(engine.counts().refused, 3);
-    let bad = send_request(engine.address, "POST", "/v1/completions", &[], "{").await;
-    assert_eq!(bad.expect("a response arrives").status, 400);
+    let invalid =
+        send_request(engine.address, "POST", "/v1/completions", &[], "{").await;
+    assert_eq!(invalid.expect("a response arrives").status, 400);
 }
 
 #[tokio::test]
--- a/crates/fake/tests/all/engine_faults.rs
+++ b/crates/fake/tests/all/engine_faults.rs
@@ -97,8 +97,8 @@
         .await
         .expect("the engine waits");
     let mut request = Vec::new();
-    let ended = transfer.read_to_end(&mut request).await;
-    ended.expect("the engine closes the connection");
+    let read = transfer.read_to_end(&mut request).await;
+    read.expect("the engine closes the connection");
     let state = engine.report().residents[0].state;
     assert_eq!(state, ResidentState::Loading);
     assert_eq!(engine.counts().loads, 0);
@@ -150,8 +150,8 @@
         let response = response.expect("a response arrives");
         assert_eq!((response.status, response.not_run), (status, status == 503));
         let counts = engine.counts();
-        let of_request = counts.runs_by_request.get("r1").copied();
-        assert_eq!(of_request.unwrap_or(0), runs);
+        let runs_of_request = counts.runs_by_request.get("r1").copied();
+        assert_eq!(runs_of_request.unwrap_or(0), runs);
     }
 }
 
--- a/crates/fake/tests/all/load.rs
+++ b/crates/fake/tests/all/load.rs
@@ -52,7 +52,7 @@
         let report = run_load(engine.address, stream, 24, rate).await;
         let desk = &report.profiles["desk"];
         assert_eq!((desk.sent, desk.whole, desk.attained), (24, 24, 24));
-        assert_eq!(report.wrong_answers(), 0);
+        assert_eq!(report.wrong_responses(), 0);
         let tokens = if stream { 24 * 15 } else { 0 };
         assert_eq!(desk.between_tokens.count, tokens);
     }
@@ -119,7 +119,7 @@
             written.expect("the load generator reads");
         };
         let (report, ()) = tokio::join!(run_load(address, true, 1, None), responses);
-        assert_eq!(report.wrong_answers(), 1, "{body}");
+        assert_eq!(report.wrong_responses(), 1, "{body}");
     }
 }
 
@@ -171,12 +171,12 @@
 async fn a_target_that_refuses_connections_is_excluded() {
     let engine = start_engine(fast_options()).await;
     load_model(&engine, 1, "m", None).await;
-    let gone = TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let gone_address = gone.local_addr().unwrap();
-    drop(gone);
+    let closed_listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let closed_address = closed_listener.local_addr().unwrap();
+    drop(closed_listener);
     let concurrency = 4;
     let report = load::run(LoadOptions {
-        targets: vec![gone_address, engine.address],
+        targets: vec![closed_address, engine.address],
         direct: true,
         exclude_unavailable_targets: true,
         caller_key: String::new(),
--- a/crates/fake/tests/all/orders.rs
+++ b/crates/fake/tests/all/orders.rs
@@ -155,8 +155,8 @@
     unknown_accelerator["accelerator"] = json!(1);
     let no_model = build_order(2, 1, "load", "", 1);
     let unknown_kind = build_order(3, 1, "move", "m", 1);
-    for bad in [unknown_accelerator, no_model, unknown_kind, json!([])] {
-        assert_eq!(send_order(&engine, &bad).await, Some(400), "{bad}");
+    for invalid in [unknown_accelerator, no_model, unknown_kind, json!([])] {
+        assert_eq!(send_order(&engine, &invalid).await, Some(400), "{invalid}");
     }
     assert!(engine.report().orders.is_empty());
 }
--- a/crates/fake/tests/all/platform.rs
+++ b/crates/fake/tests/all/platform.rs
@@ -95,8 +95,8 @@
         watch.json(),
         json!({"version": 4, "deleted": ["a/1"], "objects": []})
     );
-    let bad = get(platform.address, "/watch?prefix=a/&after=x").await;
-    assert_eq!(bad.expect("no fault is active").status, 400);
+    let invalid = get(platform.address, "/watch?prefix=a/&after=x").await;
+    assert_eq!(invalid.expect("no fault is active").status, 400);
 }
 
 #[tokio::test]
@@ -336,8 +336,8 @@
             "{body}"
         );
     }
-    let held = get(platform.control, faults)
+    let active = get(platform.control, faults)
         .await
         .expect("the control listener responds");
-    assert_eq!(held.json()["outage"], "refuse");
+    assert_eq!(active.json()["outage"], "refuse");
 }
--- a/crates/fake/tests/all/store.rs
+++ b/crates/fake/tests/all/store.rs
@@ -32,14 +32,17 @@
         (1_000_000.0, 2, 4, 2_000),
         (2.0, 4, 3, 2_000),
     ];
-    for (rate, full_speed, loads, least_ms) in cases {
+    for (rate, full_speed, loads, minimum_ms) in cases {
         let store = start(rate, full_speed).await;
         let started_at = Instant::now();
         let all = futures::future::join_all((0..loads).map(|_| load(&store))).await;
         assert!(all.iter().all(|status| *status == Some(200)));
         // Tolerance of 10 ms, since the steps of a shared load are rounded to 0.1 ms.
-        let least = Duration::from_millis(least_ms - 10);
-        assert!(started_at.elapsed() >= least, "{rate} {full_speed} {loads}");
+        let minimum = Duration::from_millis(minimum_ms - 10);
+        assert!(
+            started_at.elapsed() >= minimum,
+            "{rate} {full_speed} {loads}"
+        );
         let counts = store.counts();
         assert_eq!((counts.started, counts.done), (loads, loads));
         assert_eq!(counts.active, 0);
--- a/tests/all/processes/faults.rs
+++ b/tests/all/processes/faults.rs
@@ -33,7 +33,7 @@
     };
     let (report, killed) = tokio::join!(load, kill);
     killed?;
-    check(report.wrong_answers() == 0, || report.table())?;
+    check(report.wrong_responses() == 0, || report.table())?;
     check(whole(&report) * 2 > COUNT, || report.table())?;
     sent_again(rig, 3).await?;
     served_again(rig, 31).await
@@ -52,7 +52,7 @@
     };
     let (report, killed) = tokio::join!(load, kill);
     killed?;
-    check(report.wrong_answers() == 0, || report.table())?;
+    check(report.wrong_responses() == 0, || report.table())?;
     check(whole(&report) * 2 > COUNT, || report.table())?;
     sent_again(rig, 4).await?;
     served_again(rig, 41).await
@@ -77,7 +77,7 @@
     };
     let (report, frozen) = tokio::join!(load, freeze);
     frozen?;
-    check(report.wrong_answers() == 0, || report.table())?;
+    check(report.wrong_responses() == 0, || report.table())?;
     check(whole(&report) > COUNT, || report.table())?;
     served_again(rig, 51).await
 }
@@ -86,7 +86,7 @@
 /// whose outcome was lost would run a second time if anything let it.
 async fn sent_again(rig: &Rig, seed: u64) -> TestResult {
     let again = load::run(rig.load(RATE_PER_S, COUNT, seed)).await;
-    check(again.wrong_answers() == 0, || again.table())?;
+    check(again.wrong_responses() == 0, || again.table())?;
     rig.promises_held().await
 }
 
--- a/tests/all/processes/rig.rs
+++ b/tests/all/processes/rig.rs
@@ -263,7 +263,7 @@
     /// runs and not work that waits.
     pub(super) async fn warm_up(&self) -> TestResult {
         let report = load::run(self.load(20.0, 40, 1)).await;
-        check(report.wrong_answers() == 0, || report.table())?;
+        check(report.wrong_responses() == 0, || report.table())?;
         check(whole(&report) > 0, || report.table())
     }
 }
--- a/tests/all/processes/stop.rs
+++ b/tests/all/processes/stop.rs
@@ -68,7 +68,7 @@
 
 /// Each answer is whole or a refusal that says that nothing was run.
 fn nothing_cut(report: &Report) -> TestResult {
-    check(report.wrong_answers() == 0, || report.table())?;
+    check(report.wrong_responses() == 0, || report.table())?;
     for profile in report.profiles.values() {
         let broken: u64 = profile.broken.values().sum();
         check(broken == 0, || report.table())?;
