--- a/crates/fake/src/demo/deployment/commands.rs
+++ b/crates/fake/src/demo/deployment/commands.rs
@@ -33,7 +33,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if `sesamectl` can't be started; a failure shows in the exit code.
+    /// Returns an error if the configuration can't be written to a file or `sesamectl`
+    /// can't be started. A failure of `sesamectl` shows in the exit code.
     pub fn publish_with(
         &self,
         fleet: &str,
@@ -47,7 +48,8 @@
         self.sesamectl(&arguments)
     }
 
-    /// Returns the explained timeline of a request, or the error as text.
+    /// Returns the explained timeline of a request, or the error as text. Returns `None`
+    /// if the request has no id.
     pub fn timeline(&self, request: &str) -> Option<String> {
         if request.is_empty() {
             return None;
--- a/crates/fake/src/demo/deployment/processes.rs
+++ b/crates/fake/src/demo/deployment/processes.rs
@@ -12,6 +12,8 @@
 
 /// Time that the processes may take to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(60);
+
+/// Interval at which readiness and exit are polled.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 impl Deployment {
--- a/crates/fake/src/http.rs
+++ b/crates/fake/src/http.rs
@@ -128,6 +128,7 @@
     }
 }
 
+/// Delay before the next attempt after `accept` failed.
 const ACCEPT_RETRY_DELAY: std::time::Duration = std::time::Duration::from_millis(10);
 
 async fn serve_connection<C, F>(stream: TcpStream, handler: C)
--- a/crates/fake/src/overhead/latency.rs
+++ b/crates/fake/src/overhead/latency.rs
@@ -7,7 +7,9 @@
 use crate::demo::{DemoError, Deployment, DeploymentOptions};
 use crate::load::{self, LoadOptions, ProfileReport, Report};
 
+/// Step time of the engine.
 const STEP_US: u64 = 10_000;
+
 const TOKENS_PER_RESPONSE: u64 = 16;
 
 /// Requests per second, measured one after the other.
--- a/crates/fake/src/overhead/throughput.rs
+++ b/crates/fake/src/overhead/throughput.rs
@@ -10,7 +10,10 @@
 use tokio::task::JoinSet;
 
 const ENGINES: usize = 4;
+
+/// Step time of the engines.
 const STEP_US: u64 = 1_000;
+
 const TOKENS_PER_RESPONSE: u64 = 4;
 
 /// Numbers of concurrent streams, measured one after the other.
