--- a/crates/ctl/src/bin/sesamectl.rs
+++ b/crates/ctl/src/bin/sesamectl.rs
@@ -1,49 +1,50 @@
-//! The operators' program; all its work is in the `ctl` crate.
+//! Command line program for operators; the commands are in the `ctl` crate.
 
 use bpaf::{Args, ParseFailure};
-use ctl::{CtlError, Exit, Report, commands, options};
+use ctl::{CtlError, ExitStatus, Report, commands, options};
 use std::io::Write;
 use std::process::ExitCode;
 
-/// Width at which help texts are wrapped.
+/// Column at which usage errors are wrapped.
 const HELP_WIDTH: usize = 80;
 
 #[tokio::main]
 async fn main() -> ExitCode {
     let parsed = options::parser().run_inner(Args::current_args());
-    let exit = match parsed {
-        Ok(command) => finish(commands::run(command).await),
+    let status = match parsed {
+        Ok(command) => report_result(commands::run(command).await),
         Err(ParseFailure::Stdout(help, full)) => {
-            print(&help.monochrome(full));
-            Exit::Ok
+            print_stdout(&help.monochrome(full));
+            ExitStatus::Ok
         }
         Err(ParseFailure::Completion(text)) => {
-            print(&text);
-            Exit::Ok
+            print_stdout(&text);
+            ExitStatus::Ok
         }
         Err(failure) => {
             failure.print_message(HELP_WIDTH);
-            Exit::Usage
+            ExitStatus::Usage
         }
     };
-    ExitCode::from(exit.number())
+    ExitCode::from(status.code())
 }
 
-fn finish(result: Result<Report, CtlError>) -> Exit {
+fn report_result(result: Result<Report, CtlError>) -> ExitStatus {
     match result {
         Ok(report) => {
-            print(&report.text);
-            report.exit
+            print_stdout(&report.text);
+            report.exit_status
         }
         Err(error) => {
             eprintln!("sesamectl: {}: {error}", error.code());
-            error.exit()
+            error.exit_status()
         }
     }
 }
 
-/// A reader that has gone, such as `head`, is no fault of the command.
-fn print(text: &str) {
+/// Prints to standard output. Write errors are ignored: a reader that closes
+/// the pipe early, such as `head`, must not make the command fail.
+fn print_stdout(text: &str) {
     let mut out = std::io::stdout().lock();
     let _ = out.write_all(text.as_bytes());
     if !text.is_empty() && !text.ends_with('\n') {
--- a/crates/ctl/src/commands/drain.rs
+++ b/crates/ctl/src/commands/drain.rs
@@ -1,11 +1,11 @@
-//! `drain`: a planned stop.
+//! The command `drain`: asks a process to finish its work and stop.
 
 use serde::Serialize;
 use std::net::SocketAddr;
 
-use super::reach;
+use super::find_processes;
 use crate::options::DrainOptions;
-use crate::{CtlError, Exit, Report, members};
+use crate::{CtlError, ExitStatus, Report, members};
 
 #[derive(Debug, Serialize)]
 struct Drained<'a> {
@@ -15,12 +15,12 @@
 
 /// Asks one process to drain.
 pub(super) async fn run(options: &DrainOptions) -> Result<Report, CtlError> {
-    let targets = reach(&options.reach).await?;
-    let address = members::drain(&targets, &options.id).await?;
+    let processes = find_processes(&options.processes).await?;
+    let address = members::drain(&processes, &options.id).await?;
     let id = &options.id;
     if options.json {
-        return Ok(Report::json(&Drained { id, address }, Exit::Ok));
+        return Ok(Report::json(&Drained { id, address }, ExitStatus::Ok));
     }
     let line = format!("{id} at {address} finishes its work and takes no more");
-    Ok(Report::lines([line], Exit::Ok))
+    Ok(Report::lines([line], ExitStatus::Ok))
 }
--- a/crates/ctl/src/commands/explain.rs
+++ b/crates/ctl/src/commands/explain.rs
@@ -1,84 +1,94 @@
-//! `explain`: why a model is where it is, or what became of a request.
+//! The command `explain`: why a model is where it is, or what became of a
+//! request.
 
 use serde::Serialize;
 
-use super::reach;
-use super::timeline::{Query, gather, percent_encode};
-use crate::members::{Target, ask_all};
-use crate::options::{ExplainOptions, Subject};
-use crate::{CtlError, Exit, Report, trail};
+use super::find_processes;
+use super::timeline::{TimelineQuery, collect_timeline, percent_encode};
+use crate::members::{ProcessEndpoint, get_json_from_all};
+use crate::options::{ExplainOptions, ExplainSubject};
+use crate::{CtlError, ExitStatus, Report, history};
 
-/// What one process knows.
+/// What one process says about a model.
 #[derive(Debug, Serialize)]
-struct Explanation {
+struct ProcessExplanation {
     process: String,
     sentences: Vec<String>,
 }
 
-/// Explains a model or a request.
+/// Explains a model or a request, from log files if any are given, otherwise by
+/// asking the processes.
 pub(super) async fn run(options: &ExplainOptions) -> Result<Report, CtlError> {
     if !options.log.is_empty() {
-        return logs(options);
+        return explain_from_logs(options);
     }
-    let targets = reach(&options.reach).await?;
+    let processes = find_processes(&options.processes).await?;
     match options.subject {
-        Subject::Model => Ok(model(&targets, options).await),
-        Subject::Request => {
-            let query = Query {
+        ExplainSubject::Model => Ok(explain_model(&processes, options).await),
+        ExplainSubject::Request => {
+            let query = TimelineQuery {
                 request: Some(&options.id),
-                ..Query::default()
+                ..TimelineQuery::default()
             };
-            Ok(gather(&targets, &query).await.report(options.json))
+            Ok(collect_timeline(&processes, &query)
+                .await
+                .report(options.json))
         }
     }
 }
 
-/// Tells what logs have of the subject. A subject that no line names is most
-/// likely in a log that was not given, so that is no success.
-fn logs(options: &ExplainOptions) -> Result<Report, CtlError> {
-    let trail = match options.subject {
-        Subject::Model => trail::model(&options.log, &options.id)?,
-        Subject::Request => trail::request(&options.log, &options.id)?,
+/// Explains the subject from log files. If no line names the subject, its log
+/// was most likely not among the given ones, so the command does not succeed.
+fn explain_from_logs(options: &ExplainOptions) -> Result<Report, CtlError> {
+    let found = match options.subject {
+        ExplainSubject::Model => history::of_model(&options.log, &options.id)?,
+        ExplainSubject::Request => history::of_request(&options.log, &options.id)?,
     };
-    if trail.lines.is_empty() && trail.others.is_empty() {
-        let none = format!("no line names `{}`", options.id);
-        return Ok(Report::lines([none], Exit::Faults));
+    if found.lines.is_empty() && found.other_requests.is_empty() {
+        let message = format!("no line names `{}`", options.id);
+        return Ok(Report::lines([message], ExitStatus::Invalid));
     }
     if options.json {
-        return Ok(Report::json(&trail.lines, Exit::Ok));
+        return Ok(Report::json(&found.lines, ExitStatus::Ok));
     }
-    Ok(Report::lines(trail.told(), Exit::Ok))
+    Ok(Report::lines(found.to_lines(), ExitStatus::Ok))
 }
 
-/// Asks all processes; each tells what it knows itself, so only an answer by
-/// nobody is a failure.
-async fn model(targets: &[Target], options: &ExplainOptions) -> Report {
+/// Asks all processes. Each explains what it knows itself, so the command fails
+/// only if none sends an explanation.
+async fn explain_model(
+    processes: &[ProcessEndpoint],
+    options: &ExplainOptions,
+) -> Report {
     let path = format!("/explain?model={}", percent_encode(&options.id));
-    let answers = ask_all::<Vec<String>>(targets, &path).await;
-    let told: Vec<_> = answers
+    let responses = get_json_from_all::<Vec<String>>(processes, &path).await;
+    let explanations: Vec<_> = responses
         .into_iter()
-        .filter_map(|(target, answer)| {
-            Some(Explanation {
-                process: target.id.unwrap_or_else(|| target.address.to_string()),
-                sentences: answer.ok()?,
+        .filter_map(|(process, response)| {
+            Some(ProcessExplanation {
+                process: process.id.unwrap_or_else(|| process.address.to_string()),
+                sentences: response.ok()?,
             })
         })
         .collect();
-    let exit = if told.is_empty() {
-        Exit::Unreachable
+    let exit_status = if explanations.is_empty() {
+        ExitStatus::Unreachable
     } else {
-        Exit::Ok
+        ExitStatus::Ok
     };
     if options.json {
-        return Report::json(&told, exit);
+        return Report::json(&explanations, exit_status);
     }
-    if told.is_empty() {
-        return Report::lines(["no process explained the model".to_owned()], exit);
+    if explanations.is_empty() {
+        return Report::lines(
+            ["no process explained the model".to_owned()],
+            exit_status,
+        );
     }
-    let lines = told.iter().flat_map(|told| {
-        let sentences = told.sentences.iter();
+    let lines = explanations.iter().flat_map(|explanations| {
+        let sentences = explanations.sentences.iter();
         let sentences = sentences.map(|sentence| format!("  {sentence}"));
-        std::iter::once(format!("{}:", told.process)).chain(sentences)
+        std::iter::once(format!("{}:", explanations.process)).chain(sentences)
     });
-    Report::lines(lines, exit)
+    Report::lines(lines, exit_status)
 }
--- a/crates/ctl/src/commands/losses.rs
+++ b/crates/ctl/src/commands/losses.rs
@@ -1,22 +1,22 @@
-//! `losses`: where requests are lost, from the logs of entries.
+//! The command `losses`: counts lost requests in the logs of entries.
 
-use crate::losses::losses;
+use crate::losses::analyze;
 use crate::options::LossesOptions;
-use crate::{CtlError, Exit, Report};
+use crate::{CtlError, ExitStatus, Report};
 
-/// Adds up what the logs tell. Logs without a request are most likely not those that
-/// were meant, so that is no success.
+/// Analyzes the given logs. If they have no line about a request, they are most
+/// likely the wrong files, so the command does not succeed.
 pub(super) fn run(options: &LossesOptions) -> Result<Report, CtlError> {
-    let losses = losses(&options.log, options.slice_ms)?;
-    if losses.outcomes.is_empty() {
-        let none = format!(
+    let report = analyze(&options.log, options.slice_ms)?;
+    if report.outcomes.is_empty() {
+        let message = format!(
             "no line tells of a request; {} lines could not be read",
-            losses.unread
+            report.unreadable_lines
         );
-        return Ok(Report::lines([none], Exit::Faults));
+        return Ok(Report::lines([message], ExitStatus::Invalid));
     }
     if options.json {
-        return Ok(Report::json(&losses, Exit::Ok));
+        return Ok(Report::json(&report, ExitStatus::Ok));
     }
-    Ok(Report::lines(losses.told(), Exit::Ok))
+    Ok(Report::lines(report.to_lines(), ExitStatus::Ok))
 }
--- a/crates/ctl/src/commands/mod.rs
+++ b/crates/ctl/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! One module for each command.
+//! The commands, one module each.
 
 mod check;
 mod diff;
@@ -17,12 +17,13 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-use crate::error::FileSnafu;
-use crate::members::{self, Target};
-use crate::options::{Command, Reach};
-use crate::{CtlError, Exit, Report};
+use crate::error::ReadFileSnafu;
+use crate::members::{self, ProcessEndpoint};
+use crate::options::{Command, ProcessOptions};
+use crate::{CtlError, ExitStatus, Report};
 
-/// Largest file read; a document over the checked bound still gets its fault.
+/// Most bytes that are read of a file. It is above the size limit of the
+/// document check, so an oversized document is still reported as such.
 const FILE_MAX_BYTES: u64 = 4 << 20;
 
 /// Runs one command.
@@ -44,9 +45,9 @@
     }
 }
 
-/// A fault as programs read it.
+/// A diagnostic in JSON output.
 #[derive(Debug, Serialize)]
-struct FaultLine<'a> {
+struct JsonDiagnostic<'a> {
     code: u32,
     name: &'static str,
     line: u32,
@@ -55,31 +56,32 @@
     message: &'a str,
 }
 
-/// Reports faults of a document; `name` stands before each line.
-fn faults_report(name: &str, faults: &[Diagnostic], json: bool) -> Report {
+/// Reports the diagnostics of a document; `name` is printed at the start of
+/// each line.
+fn diagnostics_report(name: &str, diagnostics: &[Diagnostic], json: bool) -> Report {
     if json {
-        let lines: Vec<_> = faults.iter().map(fault_line).collect();
-        return Report::json(&lines, Exit::Faults);
+        let lines: Vec<_> = diagnostics.iter().map(json_diagnostic).collect();
+        return Report::json(&lines, ExitStatus::Invalid);
     }
-    let mut lines: Vec<_> = faults
+    let mut lines: Vec<_> = diagnostics
         .iter()
-        .map(|fault| format!("{name}:{fault}"))
+        .map(|diagnostic| format!("{name}:{diagnostic}"))
         .collect();
-    lines.push(match faults.len() {
+    lines.push(match diagnostics.len() {
         1 => "1 fault".to_owned(),
         count => format!("{count} faults"),
     });
-    Report::lines(lines, Exit::Faults)
+    Report::lines(lines, ExitStatus::Invalid)
 }
 
-fn fault_line(fault: &Diagnostic) -> FaultLine<'_> {
-    FaultLine {
-        code: fault.code.number(),
-        name: fault.code.name(),
-        line: fault.line,
-        column: fault.column,
-        path: &fault.path,
-        message: &fault.message,
+fn json_diagnostic(diagnostic: &Diagnostic) -> JsonDiagnostic<'_> {
+    JsonDiagnostic {
+        code: diagnostic.code.number(),
+        name: diagnostic.code.name(),
+        line: diagnostic.line,
+        column: diagnostic.column,
+        path: &diagnostic.path,
+        message: &diagnostic.message,
     }
 }
 
@@ -88,7 +90,7 @@
     let mut text = String::new();
     std::fs::File::open(path)
         .and_then(|file| file.take(FILE_MAX_BYTES).read_to_string(&mut text))
-        .context(FileSnafu { path })?;
+        .context(ReadFileSnafu { path })?;
     Ok(text)
 }
 
@@ -96,8 +98,10 @@
     HttpPlatform::new(address)
 }
 
-async fn reach(reach: &Reach) -> Result<Vec<Target>, CtlError> {
-    let platform = reach.platform.map(platform);
+async fn find_processes(
+    options: &ProcessOptions,
+) -> Result<Vec<ProcessEndpoint>, CtlError> {
+    let platform = options.platform.map(platform);
     let platform = platform.as_ref().map(|platform| platform as &dyn ObjectApi);
-    members::targets(platform, &reach.entry).await
+    members::find_processes(platform, &options.entry).await
 }
--- a/crates/ctl/src/commands/status.rs
+++ b/crates/ctl/src/commands/status.rs
@@ -1,55 +1,62 @@
-//! `status`: all processes in a table.
+//! The command `status`: lists all processes in a table.
 
-use super::reach;
-use crate::members::{MemberLine, MemberStatus, statuses};
+use super::find_processes;
+use crate::members::{MemberReport, MemberStatus, query_statuses};
 use crate::options::StatusOptions;
-use crate::{CtlError, Exit, Report};
+use crate::{CtlError, ExitStatus, Report};
 
-/// Asks all processes for their status.
+/// Requests the status of all processes.
 pub(super) async fn run(options: &StatusOptions) -> Result<Report, CtlError> {
-    let targets = reach(&options.reach).await?;
-    let lines = statuses(&targets).await;
-    let answered = lines.iter().filter(|line| line.status.is_some()).count();
-    // A process that has gone stays registered for a while, so one that does
-    // not answer is no failure of the command; that none does is.
-    let exit = if answered == 0 && !lines.is_empty() {
-        Exit::Unreachable
+    let processes = find_processes(&options.processes).await?;
+    let members = query_statuses(&processes).await;
+    let answered = members
+        .iter()
+        .filter(|member| member.status.is_some())
+        .count();
+    // A process that ended stays registered for a while, so the command fails
+    // only if no process answers.
+    let exit_status = if answered == 0 && !members.is_empty() {
+        ExitStatus::Unreachable
     } else {
-        Exit::Ok
+        ExitStatus::Ok
     };
     if options.json {
-        return Ok(Report::json(&lines, exit));
+        return Ok(Report::json(&members, exit_status));
     }
-    Ok(Report::lines(table(&lines), exit))
+    Ok(Report::lines(table(&members), exit_status))
 }
 
-/// The lines of the table, with its head.
-pub(super) fn table(lines: &[MemberLine]) -> Vec<String> {
-    let width = lines.iter().map(|line| line.name.len()).max().unwrap_or(0);
+/// Formats the table: a header line and one line for each process.
+pub(super) fn table(members: &[MemberReport]) -> Vec<String> {
+    let width = members
+        .iter()
+        .map(|member| member.name.len())
+        .max()
+        .unwrap_or(0);
     let width = width.max("NAME".len());
     let mut table = vec![format!(
         "{:width$}  {:5}  {:21}  {:>8}  STATE",
         "NAME", "KIND", "ADDRESS", "REVISION"
     )];
-    table.extend(lines.iter().map(|line| row(line, width)));
+    table.extend(members.iter().map(|member| format_row(member, width)));
     table
 }
 
-fn row(line: &MemberLine, width: usize) -> String {
-    let address = line.address.to_string();
-    let (kind, revision, state) = match (&line.status, &line.fault) {
+fn format_row(member: &MemberReport, width: usize) -> String {
+    let address = member.address.to_string();
+    let (kind, revision, state) = match (&member.status, &member.fault) {
         (Some(status), _) => {
             let kind = status.kind.as_str();
-            (kind, status.revision.to_string(), state(status))
+            (kind, status.revision.to_string(), state_name(status))
         }
         (None, Some(fault)) => ("", "-".to_owned(), fault.as_str()),
         (None, None) => ("", "-".to_owned(), "not asked"),
     };
-    let name = &line.name;
+    let name = &member.name;
     format!("{name:width$}  {kind:5}  {address:21}  {revision:>8}  {state}")
 }
 
-const fn state(status: &MemberStatus) -> &'static str {
+const fn state_name(status: &MemberStatus) -> &'static str {
     match (status.leaving, status.ready) {
         (true, _) => "leaving",
         (false, true) => "ready",
--- a/crates/ctl/src/commands/timeline.rs
+++ b/crates/ctl/src/commands/timeline.rs
@@ -1,92 +1,101 @@
-//! `timeline`: the events of all processes in one line.
+//! The command `timeline`: merges the events of all processes.
 
 use schema::timeline::Event;
 use std::fmt::Write as _;
 
-use super::reach;
-use crate::members::{Target, ask_all};
+use super::find_processes;
+use crate::members::{ProcessEndpoint, get_json_from_all};
 use crate::options::TimelineOptions;
-use crate::{CtlError, Exit, Report};
+use crate::{CtlError, ExitStatus, Report};
 
-/// Which events are asked for.
+/// Which events the processes are asked for.
 #[derive(Debug, Default)]
-pub(super) struct Query<'a> {
-    /// Earliest clock.
+pub(super) struct TimelineQuery<'a> {
+    /// Earliest time, in microseconds since the Unix epoch.
     pub(super) since_us: Option<u64>,
-    /// Request.
+    /// Request id.
     pub(super) request: Option<&'a str>,
-    /// Model.
+    /// Name of a model.
     pub(super) model: Option<&'a str>,
 }
 
-/// Merges the events of all processes.
+/// Prints the merged events of all processes.
 pub(super) async fn run(options: &TimelineOptions) -> Result<Report, CtlError> {
-    let targets = reach(&options.reach).await?;
+    let processes = find_processes(&options.processes).await?;
     let since_us = options
         .since_ms
         .map(|ms| line::unix_time_us().saturating_sub(ms.saturating_mul(1_000)));
-    let query = Query {
+    let query = TimelineQuery {
         since_us,
         request: options.request.as_deref(),
         model: options.model.as_deref(),
     };
-    let gathered = gather(&targets, &query).await;
-    Ok(gathered.report(options.json))
+    let timeline = collect_timeline(&processes, &query).await;
+    Ok(timeline.report(options.json))
 }
 
-/// Events, and the processes whose events are missing.
+/// Merged events, and error messages for the processes whose events are
+/// missing.
 #[derive(Debug)]
-pub(super) struct Gathered {
+pub(super) struct CollectedTimeline {
     events: Vec<Event>,
     missing: Vec<String>,
-    asked: usize,
+    queried: usize,
 }
 
-impl Gathered {
-    /// The events as lines or JSON; processes that did not answer are named,
-    /// since a line with a hole looks like one where nothing happened.
+impl CollectedTimeline {
+    /// Formats the events as lines or JSON. Processes that did not answer are
+    /// named first: a gap in the timeline would otherwise look like a time
+    /// without events.
     pub(super) fn report(&self, json: bool) -> Report {
-        let exit = if self.missing.len() == self.asked {
-            Exit::Unreachable
+        let exit_status = if self.missing.len() == self.queried {
+            ExitStatus::Unreachable
         } else {
-            Exit::Ok
+            ExitStatus::Ok
         };
         if json {
-            return Report::json(&self.events, exit);
+            return Report::json(&self.events, exit_status);
         }
-        if self.asked == 0 {
-            return Report::lines(["no process was found to ask".to_owned()], exit);
+        if self.queried == 0 {
+            return Report::lines(
+                ["no process was found to ask".to_owned()],
+                exit_status,
+            );
         }
         let missing = self.missing.iter();
-        let missing = missing.map(|fault| format!("not in this line: {fault}"));
+        let missing =
+            missing.map(|error| format!("missing from the timeline: {error}"));
         let events = self.events.iter().map(line::render);
-        Report::lines(missing.chain(events), exit)
+        Report::lines(missing.chain(events), exit_status)
     }
 }
 
-/// Asks all processes for their events.
-pub(super) async fn gather(targets: &[Target], query: &Query<'_>) -> Gathered {
+/// Requests the events of all processes.
+pub(super) async fn collect_timeline(
+    processes: &[ProcessEndpoint],
+    query: &TimelineQuery<'_>,
+) -> CollectedTimeline {
     let path = query.path();
-    let mut lines = Vec::new();
+    let mut per_process = Vec::new();
     let mut missing = Vec::new();
-    for (_, answer) in ask_all::<Vec<Event>>(targets, &path).await {
-        match answer {
-            Ok(events) => lines.push(events),
+    for (_, response) in get_json_from_all::<Vec<Event>>(processes, &path).await {
+        match response {
+            Ok(events) => per_process.push(events),
             Err(error) => missing.push(error.to_string()),
         }
     }
-    Gathered {
-        events: line::merge(lines),
+    CollectedTimeline {
+        events: line::merge(per_process),
         missing,
-        asked: targets.len(),
+        queried: processes.len(),
     }
 }
 
-impl Query<'_> {
+impl TimelineQuery<'_> {
     fn path(&self) -> String {
         let mut path = "/timeline?".to_owned();
         if let Some(since_us) = self.since_us {
-            // Writing to a string does not fail.
+            // Writing to a string can't fail.
             let _ = write!(path, "since_us={since_us}&");
         }
         for (key, value) in [("request", self.request), ("model", self.model)] {
@@ -99,7 +108,7 @@
     }
 }
 
-/// Encodes a name for a URL.
+/// Percent-encodes a name for a URL.
 pub(super) fn percent_encode(text: &str) -> String {
     let mut encoded = String::with_capacity(text.len());
     for byte in text.bytes() {
--- a/crates/ctl/src/error.rs
+++ b/crates/ctl/src/error.rs
@@ -1,102 +1,103 @@
-//! Why a command could not be carried out.
+//! Errors of commands.
 
 use base::ErrorCode;
 use snafu::Snafu;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use crate::Exit;
+use crate::ExitStatus;
 
-/// Why a command could not be carried out.
+/// A command could not be carried out.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum CtlError {
-    /// The file can't be read.
+    /// A file can't be read.
     #[snafu(display("{}: {source}", path.display()))]
-    File {
-        /// The file.
+    ReadFile {
+        /// Path of the file.
         path: PathBuf,
-        /// Fault of the system.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The platform does not answer.
+    /// The platform does not answer, or it refuses calls.
     #[snafu(display("the platform can't be reached"))]
-    PlatformAway,
-    /// What the platform holds is not a log of changes.
+    PlatformUnreachable,
+    /// The configuration objects on the platform can't be decoded, or a
+    /// revision is missing between others.
     #[snafu(display("the configuration held by the platform is damaged: {detail}"))]
-    DamagedHead {
-        /// What is wrong.
+    CorruptConfig {
+        /// Description of the problem.
         detail: String,
     },
-    /// No such revision was accepted.
-    #[snafu(display("there is no revision {revision}; the newest is {head}"))]
-    NoSuchRevision {
-        /// Revision asked for.
+    /// The requested revision does not exist.
+    #[snafu(display("there is no revision {revision}; the newest is {newest}"))]
+    UnknownRevision {
+        /// The requested revision.
         revision: u64,
-        /// Newest revision.
-        head: u64,
+        /// The newest accepted revision.
+        newest: u64,
     },
-    /// There is no document yet.
-    #[snafu(display("nothing is published yet"))]
+    /// No configuration was published yet.
+    #[snafu(display("no configuration is published yet"))]
     NothingPublished,
-    /// Nothing tells where the processes are.
+    /// Neither the platform nor the address of a process was given.
     #[snafu(display("give `--platform`, or `--entry` for each process to ask"))]
-    NoTarget,
-    /// No process of this name is known.
+    NoAddressGiven,
+    /// No registered process has this name.
     #[snafu(display("no process `{id}` is registered under `live/`"))]
-    NoSuchMember {
-        /// Name asked for.
+    UnknownProcess {
+        /// The requested name.
         id: String,
     },
-    /// A process does not answer.
-    #[snafu(display("{address} gives no usable answer: {detail}"))]
+    /// A process does not answer, or its response can't be used.
+    #[snafu(display("{address} gives no usable response: {detail}"))]
     Unreachable {
-        /// Operators' listener.
+        /// Address of the operator listener.
         address: SocketAddr,
-        /// What is wrong.
+        /// Description of the problem.
         detail: String,
     },
-    /// Another process answers at the address.
-    #[snafu(display("{address} is now `{found}`, not `{wanted}`; nothing was done"))]
-    OtherProcess {
-        /// Operators' listener.
+    /// A process with another name answers at the address.
+    #[snafu(display("{address} is now `{found}`, not `{expected}`; nothing was done"))]
+    WrongProcess {
+        /// Address of the operator listener.
         address: SocketAddr,
-        /// Name found there.
+        /// Name of the process that answered.
         found: String,
-        /// Name wanted.
-        wanted: String,
+        /// Name of the process that was expected.
+        expected: String,
     },
 }
 
 impl CtlError {
-    /// Numbered code of the fault.
+    /// Numbered error code.
     pub const fn code(&self) -> ErrorCode {
         match self {
-            Self::File { .. } => ErrorCode::FileFault,
-            Self::PlatformAway => ErrorCode::PlatformAway,
-            Self::DamagedHead { .. } => ErrorCode::BadSyntax,
-            Self::NoSuchRevision { .. }
+            Self::ReadFile { .. } => ErrorCode::FileFault,
+            Self::PlatformUnreachable => ErrorCode::PlatformAway,
+            Self::CorruptConfig { .. } => ErrorCode::BadSyntax,
+            Self::UnknownRevision { .. }
             | Self::NothingPublished
-            | Self::NoSuchMember { .. } => ErrorCode::MissingReference,
-            Self::NoTarget => ErrorCode::MissingKey,
-            Self::Unreachable { .. } | Self::OtherProcess { .. } => {
+            | Self::UnknownProcess { .. } => ErrorCode::MissingReference,
+            Self::NoAddressGiven => ErrorCode::MissingKey,
+            Self::Unreachable { .. } | Self::WrongProcess { .. } => {
                 ErrorCode::Unreachable
             }
         }
     }
 
-    /// How the command ends.
-    pub const fn exit(&self) -> Exit {
+    /// How a command that fails with this error ends.
+    pub const fn exit_status(&self) -> ExitStatus {
         match self {
-            Self::File { .. }
-            | Self::NoTarget
+            Self::ReadFile { .. }
+            | Self::NoAddressGiven
             | Self::NothingPublished
-            | Self::NoSuchRevision { .. }
-            | Self::NoSuchMember { .. } => Exit::Usage,
-            Self::DamagedHead { .. } => Exit::Faults,
-            Self::PlatformAway
+            | Self::UnknownRevision { .. }
+            | Self::UnknownProcess { .. } => ExitStatus::Usage,
+            Self::CorruptConfig { .. } => ExitStatus::Invalid,
+            Self::PlatformUnreachable
             | Self::Unreachable { .. }
-            | Self::OtherProcess { .. } => Exit::Unreachable,
+            | Self::WrongProcess { .. } => ExitStatus::Unreachable,
         }
     }
 }
--- a/crates/ctl/src/exit.rs
+++ b/crates/ctl/src/exit.rs
@@ -1,35 +1,38 @@
-//! Exit codes; `docs/sesamectl.md` has the table.
+//! Exit codes of `sesamectl`; `docs/sesamectl.md` has the table.
 
 /// How a command ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Exit {
-    /// Done, or nothing was to be done.
+pub enum ExitStatus {
+    /// The command succeeded, or there was nothing to do.
     Ok,
-    /// The document has faults, or the configuration held is damaged.
-    Faults,
-    /// The command line can't be understood, or a file can't be read.
+    /// The document is invalid, the configuration on the platform is damaged,
+    /// or the given logs say nothing about the subject.
+    Invalid,
+    /// The command line is invalid, a named revision or process does not exist,
+    /// or a file can't be read.
     Usage,
     /// A process or the platform can't be reached; nothing was changed.
     Unreachable,
     /// Another operator published first; nothing was changed.
     Conflict,
-    /// Whether the change was accepted is not known.
+    /// It is unknown whether the change was accepted.
     Unknown,
-    /// The change was accepted, but not shown to be in force everywhere.
-    NotEverywhere,
+    /// The change was accepted, but not every process confirmed that it is in
+    /// force.
+    NotInForceEverywhere,
 }
 
-impl Exit {
-    /// Number given to the calling program.
-    pub const fn number(self) -> u8 {
+impl ExitStatus {
+    /// Exit code of the process.
+    pub const fn code(self) -> u8 {
         match self {
             Self::Ok => 0,
-            Self::Faults => 1,
+            Self::Invalid => 1,
             Self::Usage => 2,
             Self::Unreachable => 3,
             Self::Conflict => 4,
             Self::Unknown => 5,
-            Self::NotEverywhere => 6,
+            Self::NotInForceEverywhere => 6,
         }
     }
 }
--- a/crates/ctl/src/head.rs
+++ b/crates/ctl/src/head.rs
@@ -1,4 +1,4 @@
-//! The configuration as the platform holds it.
+//! Reads the accepted configuration from the platform.
 
 use base::{ObjectVersion, PlatformOp, PlatformResult, Revision};
 use conf::{ConfigLog, REVISION_KEY_PREFIX, SNAPSHOT_KEY, merge_patch};
@@ -11,71 +11,73 @@
 
 use crate::CtlError;
 
-/// Tries of one read before the platform counts as away.
-pub(crate) const READ_TRIES: u32 = 4;
+/// Attempts of one read before the platform counts as unreachable.
+pub(crate) const READ_ATTEMPTS: u32 = 4;
 
-/// Pause between two tries.
-pub(crate) const TRY_PAUSE: Duration = Duration::from_millis(250);
+/// Pause before a call is repeated.
+pub(crate) const RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// Newest revision, its document and how it came about.
+/// The newest accepted revision with its document and the changes that lead to
+/// it. The platform stores each change as an object, and now and then a
+/// snapshot of the whole document.
 #[derive(Debug)]
-pub struct Head {
+pub struct ConfigHead {
     log: ConfigLog,
     changes: Vec<ConfigChange>,
-    snapshot: Option<HeldSnapshot>,
+    snapshot: Option<SnapshotInfo>,
 }
 
-/// The snapshot object.
+/// Version and content of the snapshot object.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct HeldSnapshot {
-    /// Version of the object.
+pub struct SnapshotInfo {
+    /// Version of the object on the platform.
     pub version: ObjectVersion,
-    /// Revision of the document in it.
+    /// Revision of the document in the snapshot.
     pub revision: Revision,
 }
 
-/// An object with its version, as read.
-pub type HeldObject = Option<(ObjectVersion, Vec<u8>)>;
+/// An object with its version; `None` if it does not exist.
+pub type StoredObject = Option<(ObjectVersion, Vec<u8>)>;
 
-impl Head {
-    /// Puts the head together from the snapshot and the list of changes.
+impl ConfigHead {
+    /// Builds the head from the snapshot object and the listed change objects.
     ///
-    /// The snapshot must have been read before the list, so that the list holds
-    /// everything that follows it.
+    /// The snapshot must have been read before the list, so that the list
+    /// contains every change that follows the snapshot.
     ///
     /// # Errors
     ///
     /// An object can't be decoded, or a revision is missing between others.
     pub fn new(
-        snapshot: &HeldObject,
+        snapshot: &StoredObject,
         objects: &[(String, ObjectVersion, Vec<u8>)],
     ) -> Result<Self, CtlError> {
         let changes = decode_changes(objects);
         let mut log = ConfigLog::new();
-        let mut held = None;
+        let mut snapshot_info = None;
         if let Some((version, bytes)) = snapshot {
             let decoded = ConfigChanges::decode(bytes.as_slice())
-                .map_err(|source| damaged(format!("{SNAPSHOT_KEY}: {source}")))?;
-            held = Some(HeldSnapshot {
+                .map_err(|source| corrupt(format!("{SNAPSHOT_KEY}: {source}")))?;
+            snapshot_info = Some(SnapshotInfo {
                 version: *version,
                 revision: Revision(decoded.base_revision),
             });
-            offer(&mut log, &decoded)?;
+            apply_changes(&mut log, &decoded)?;
         }
         let all = ConfigChanges {
             changes: changes.clone(),
             ..ConfigChanges::default()
         };
-        offer(&mut log, &all)?;
+        apply_changes(&mut log, &all)?;
         let head = Self {
             log,
             changes,
-            snapshot: held,
+            snapshot: snapshot_info,
         };
-        head.without_gap()
+        head.check_no_gap()
     }
 
-    /// Newest revision; 0 if nothing was accepted yet.
+    /// Newest revision; 0 if none was accepted yet.
     pub fn revision(&self) -> Revision {
         self.log.revision()
     }
@@ -85,16 +87,16 @@
         self.log.document()
     }
 
-    /// The snapshot object, if there is one.
-    pub const fn snapshot(&self) -> Option<HeldSnapshot> {
+    /// The snapshot object, if one was read.
+    pub const fn snapshot(&self) -> Option<SnapshotInfo> {
         self.snapshot
     }
 
-    /// Document of an older revision.
+    /// Rebuilds the document of a revision from the changes.
     ///
     /// # Errors
     ///
-    /// There is no such revision.
+    /// The revision does not exist, or a change can't be decoded.
     pub fn document_at(&self, revision: Revision) -> Result<Value, CtlError> {
         if revision == self.revision() {
             return Ok(self.document().clone());
@@ -106,59 +108,69 @@
                 break;
             }
             let patch = serde_json::from_slice(&change.patch)
-                .map_err(|source| damaged(source.to_string()))?;
+                .map_err(|source| corrupt(source.to_string()))?;
             merge_patch::apply(&mut document, &patch);
             reached = Revision(change.revision);
         }
         if reached == revision {
             return Ok(document);
         }
-        Err(CtlError::NoSuchRevision {
+        Err(CtlError::UnknownRevision {
             revision: revision.0,
-            head: self.revision().0,
+            newest: self.revision().0,
         })
     }
 
-    /// A change behind a gap would be skipped here and a new one written over
-    /// the gap, so every process would then apply what nobody checked together.
-    fn without_gap(self) -> Result<Self, CtlError> {
+    /// Rejects a list of changes with a missing revision. The changes after the
+    /// gap were not applied here, so a new change would be checked without them
+    /// and its object would fill the gap; every process would then apply a
+    /// combination of changes that nobody checked.
+    fn check_no_gap(self) -> Result<Self, CtlError> {
         let newest = self.changes.last().map_or(0, |change| change.revision);
         let reached = self.revision().0;
         if newest > reached {
-            let detail = format!("revision {newest} is there, but not {}", reached + 1);
-            return Err(damaged(detail));
+            let detail = format!(
+                "revision {newest} exists, but revision {} does not",
+                reached + 1
+            );
+            return Err(corrupt(detail));
         }
         Ok(self)
     }
 }
 
-/// Reads the head from the platform.
+/// Reads the newest configuration from the platform.
 ///
 /// # Errors
 ///
-/// The platform can't be reached, or what it holds is damaged.
-pub async fn read_head(platform: &dyn ObjectApi) -> Result<Head, CtlError> {
+/// The platform can't be reached, or its configuration objects are damaged.
+pub async fn read_config_head(
+    platform: &dyn ObjectApi,
+) -> Result<ConfigHead, CtlError> {
     let snapshot = read(platform, SNAPSHOT_KEY).await?;
     let objects = list(platform, REVISION_KEY_PREFIX).await?;
-    Head::new(&snapshot, &objects)
+    ConfigHead::new(&snapshot, &objects)
 }
 
-/// Reads one object; tries again while the platform is away.
+/// Reads one object; retries while the platform is unreachable.
 ///
 /// # Errors
 ///
 /// The platform can't be reached.
-pub async fn read(platform: &dyn ObjectApi, key: &str) -> Result<HeldObject, CtlError> {
+pub async fn read(
+    platform: &dyn ObjectApi,
+    key: &str,
+) -> Result<StoredObject, CtlError> {
     let op = PlatformOp::Read {
         key: key.to_owned(),
     };
-    match patiently(platform, &op).await {
+    match call_with_retries(platform, &op).await {
         PlatformResult::Object(object) => Ok(object),
-        _ => Err(CtlError::PlatformAway),
+        _ => Err(CtlError::PlatformUnreachable),
     }
 }
 
-/// Lists objects; tries again while the platform is away.
+/// Lists objects by prefix; retries while the platform is unreachable.
 ///
 /// # Errors
 ///
@@ -170,19 +182,22 @@
     let op = PlatformOp::List {
         prefix: prefix.to_owned(),
     };
-    match patiently(platform, &op).await {
+    match call_with_retries(platform, &op).await {
         PlatformResult::Objects(objects, _) => Ok(objects),
-        _ => Err(CtlError::PlatformAway),
+        _ => Err(CtlError::PlatformUnreachable),
     }
 }
 
-async fn patiently(platform: &dyn ObjectApi, op: &PlatformOp) -> PlatformResult {
-    for _ in 1..READ_TRIES {
+async fn call_with_retries(
+    platform: &dyn ObjectApi,
+    op: &PlatformOp,
+) -> PlatformResult {
+    for _ in 1..READ_ATTEMPTS {
         match platform.call(op).await {
             PlatformResult::Unavailable | PlatformResult::Unanswered => {}
             result => return result,
         }
-        sleep(TRY_PAUSE).await;
+        sleep(RETRY_DELAY).await;
     }
     platform.call(op).await
 }
@@ -202,12 +217,12 @@
     changes
 }
 
-fn offer(log: &mut ConfigLog, changes: &ConfigChanges) -> Result<(), CtlError> {
+fn apply_changes(log: &mut ConfigLog, changes: &ConfigChanges) -> Result<(), CtlError> {
     log.apply_newer(changes)
         .map(|_| ())
-        .map_err(|source| damaged(source.to_string()))
+        .map_err(|source| corrupt(source.to_string()))
 }
 
-const fn damaged(detail: String) -> CtlError {
-    CtlError::DamagedHead { detail }
+const fn corrupt(detail: String) -> CtlError {
+    CtlError::CorruptConfig { detail }
 }
--- a/crates/ctl/src/members.rs
+++ b/crates/ctl/src/members.rs
@@ -1,4 +1,4 @@
-//! The system's processes, as operators reach them.
+//! Finds the processes of the system and calls their operator listeners.
 
 use plat::{ObjectApi, http};
 use prost::Message;
@@ -11,55 +11,55 @@
 
 use crate::{CtlError, head};
 
-/// Start of the keys under which processes register.
-const LIVE_PREFIX: &str = "live/";
+/// Prefix of the keys under which processes register.
+const REGISTRATION_PREFIX: &str = "live/";
 
-/// One process to ask.
+/// Name and address of one process.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Target {
-    /// Name it registered under; `None` if only its address was given.
+pub struct ProcessEndpoint {
+    /// Registered name; `None` if only the address was given.
     pub id: Option<String>,
-    /// `entry` or `agent`, as registered; empty if not known.
+    /// Registered kind, `entry` or `agent`; empty if it is not known.
     pub kind: String,
-    /// Operators' listener.
+    /// Address of the operator listener.
     pub address: SocketAddr,
 }
 
-/// What `/status` tells of every process.
+/// The fields of `/status` that all kinds of processes have.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct MemberStatus {
-    /// Name.
+    /// Name of the process.
     pub id: String,
     /// `entry` or `agent`.
     pub kind: String,
-    /// Run of the process.
+    /// Number of this run of the process.
     pub incarnation: u64,
     /// Failure domain.
     pub failure_domain: String,
-    /// Configuration in force.
+    /// Revision of the configuration that is in force in the process.
     pub revision: u64,
-    /// Whether it takes work.
+    /// Whether the process accepts work.
     pub ready: bool,
-    /// Whether it is stopping.
+    /// Whether the process is shutting down.
     pub leaving: bool,
 }
 
-/// One process and what it answered.
+/// One process and its status.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct MemberLine {
-    /// Name it registered under, or the address.
+pub struct MemberReport {
+    /// Registered name, or the address.
     pub name: String,
-    /// Operators' listener.
+    /// Address of the operator listener.
     pub address: SocketAddr,
-    /// Its status, if it answered.
+    /// Its status, if it sent one.
     pub status: Option<MemberStatus>,
-    /// Why there is no status.
+    /// Error message, if there is no status.
     pub fault: Option<String>,
 }
 
-impl MemberLine {
-    /// Whether the process has a revision in force.
+impl MemberReport {
+    /// Whether the process reported this revision, or a later one, as in force.
     pub fn has_revision(&self, revision: u64) -> bool {
         self.status
             .as_ref()
@@ -67,45 +67,48 @@
     }
 }
 
-/// Finds the processes: those registered, and those whose address is given.
+/// Lists the registered processes and those whose addresses are given.
 ///
 /// # Errors
 ///
 /// Neither a platform nor an address is given, or the platform can't be reached
 /// and no address is given.
-pub async fn targets(
+pub async fn find_processes(
     platform: Option<&dyn ObjectApi>,
-    given: &[SocketAddr],
-) -> Result<Vec<Target>, CtlError> {
-    if platform.is_none() && given.is_empty() {
-        return Err(CtlError::NoTarget);
+    given_addresses: &[SocketAddr],
+) -> Result<Vec<ProcessEndpoint>, CtlError> {
+    if platform.is_none() && given_addresses.is_empty() {
+        return Err(CtlError::NoAddressGiven);
     }
-    let mut targets = match platform {
+    let mut processes = match platform {
         None => Vec::new(),
-        Some(platform) => match registered(platform).await {
-            Ok(targets) => targets,
-            // An outage of the platform must not blind the operator.
-            Err(_) if !given.is_empty() => Vec::new(),
+        Some(platform) => match registered_processes(platform).await {
+            Ok(processes) => processes,
+            // During an outage of the platform, operators can still reach
+            // processes by their addresses.
+            Err(_) if !given_addresses.is_empty() => Vec::new(),
             Err(error) => return Err(error),
         },
     };
-    for address in given {
-        if !targets.iter().any(|target| target.address == *address) {
-            targets.push(Target {
+    for address in given_addresses {
+        if !processes.iter().any(|process| process.address == *address) {
+            processes.push(ProcessEndpoint {
                 id: None,
                 kind: String::new(),
                 address: *address,
             });
         }
     }
-    Ok(targets)
+    Ok(processes)
 }
 
-async fn registered(platform: &dyn ObjectApi) -> Result<Vec<Target>, CtlError> {
-    let objects = head::list(platform, LIVE_PREFIX).await?;
+async fn registered_processes(
+    platform: &dyn ObjectApi,
+) -> Result<Vec<ProcessEndpoint>, CtlError> {
+    let objects = head::list(platform, REGISTRATION_PREFIX).await?;
     let members = objects.iter().filter_map(|(_, _, value)| {
         let member = Member::decode(value.as_slice()).ok()?;
-        Some(Target {
+        Some(ProcessEndpoint {
             address: member.operator_address.parse().ok()?,
             id: Some(member.id),
             kind: member.kind,
@@ -114,114 +117,134 @@
     Ok(members.collect())
 }
 
-/// Asks each process for its status, all at the same time.
-pub async fn statuses(targets: &[Target]) -> Vec<MemberLine> {
-    let answers = ask_all::<MemberStatus>(targets, "/status").await;
-    let lines = answers.into_iter().map(|(target, answer)| {
-        let (status, fault) = match answer.and_then(|status| owned(&target, status)) {
-            Ok(status) => (Some(status), None),
-            Err(error) => (None, Some(error.to_string())),
-        };
-        MemberLine {
-            name: target.id.unwrap_or_else(|| target.address.to_string()),
-            address: target.address,
+/// Requests the status of all processes concurrently.
+pub async fn query_statuses(processes: &[ProcessEndpoint]) -> Vec<MemberReport> {
+    let responses = get_json_from_all::<MemberStatus>(processes, "/status").await;
+    let reports = responses.into_iter().map(|(process, response)| {
+        let (status, fault) =
+            match response.and_then(|status| verify_identity(&process, status)) {
+                Ok(status) => (Some(status), None),
+                Err(error) => (None, Some(error.to_string())),
+            };
+        MemberReport {
+            name: process.id.unwrap_or_else(|| process.address.to_string()),
+            address: process.address,
             status,
             fault,
         }
     });
-    lines.collect()
+    reports.collect()
 }
 
-/// Takes a status only from the process that registered.
+/// Rejects a status from a process with another name than the registered one.
 ///
-/// A port of a process that has gone may be used by another: its status would
-/// be shown under the wrong name, and a drain would stop the wrong process.
-fn owned(target: &Target, mut status: MemberStatus) -> Result<MemberStatus, CtlError> {
+/// The port of a process that ended may be in use by another one while the
+/// registration lasts: its status would be shown under the wrong name, and a
+/// drain would stop the wrong process.
+fn verify_identity(
+    process: &ProcessEndpoint,
+    mut status: MemberStatus,
+) -> Result<MemberStatus, CtlError> {
     if status.kind.is_empty() {
-        status.kind.clone_from(&target.kind);
+        status.kind.clone_from(&process.kind);
     }
-    match &target.id {
-        Some(id) if *id != status.id => Err(CtlError::OtherProcess {
-            address: target.address,
+    match &process.id {
+        Some(id) if *id != status.id => Err(CtlError::WrongProcess {
+            address: process.address,
             found: status.id,
-            wanted: id.clone(),
+            expected: id.clone(),
         }),
         _ => Ok(status),
     }
 }
 
-/// Asks each process for JSON, all at the same time; answers in the order of
-/// the targets.
-pub async fn ask_all<T: DeserializeOwned + Send + 'static>(
-    targets: &[Target],
+/// Requests JSON from all processes concurrently; the results are in the order
+/// of the processes.
+pub async fn get_json_from_all<T: DeserializeOwned + Send + 'static>(
+    processes: &[ProcessEndpoint],
     path: &str,
-) -> Vec<(Target, Result<T, CtlError>)> {
-    let mut asked = JoinSet::new();
-    for (index, target) in targets.iter().enumerate() {
-        let (address, path) = (target.address, path.to_owned());
-        asked.spawn(async move { (index, ask(address, &path).await) });
+) -> Vec<(ProcessEndpoint, Result<T, CtlError>)> {
+    let mut requests = JoinSet::new();
+    for (index, process) in processes.iter().enumerate() {
+        let (address, path) = (process.address, path.to_owned());
+        requests.spawn(async move { (index, get_json(address, &path).await) });
     }
-    let mut answers: BTreeMap<usize, _> = asked.join_all().await.into_iter().collect();
-    let answered = targets.iter().enumerate().map(|(index, target)| {
-        let lost = || Err(unreachable(target.address, &"the call was given up"));
-        let answer = answers.remove(&index).unwrap_or_else(lost);
-        (target.clone(), answer)
+    let mut responses: BTreeMap<usize, _> =
+        requests.join_all().await.into_iter().collect();
+    let results = processes.iter().enumerate().map(|(index, process)| {
+        let no_response = || {
+            Err(unreachable_error(
+                process.address,
+                &"the request was canceled",
+            ))
+        };
+        let response = responses.remove(&index).unwrap_or_else(no_response);
+        (process.clone(), response)
     });
-    answered.collect()
+    results.collect()
 }
 
-async fn ask<T: DeserializeOwned>(
+async fn get_json<T: DeserializeOwned>(
     address: SocketAddr,
     path: &str,
 ) -> Result<T, CtlError> {
-    let answer = http::get(address, path)
+    let response = http::get(address, path)
         .await
-        .map_err(|error| unreachable(address, &error))?;
-    if !answer.status.is_success() {
-        return Err(unreachable(address, &answer.status));
+        .map_err(|error| unreachable_error(address, &error))?;
+    if !response.status.is_success() {
+        return Err(unreachable_error(address, &response.status));
     }
-    serde_json::from_slice(&answer.body).map_err(|error| unreachable(address, &error))
+    serde_json::from_slice(&response.body)
+        .map_err(|error| unreachable_error(address, &error))
 }
 
-/// Asks a registered process to drain.
+/// Asks the process with this name to drain. Its identity is checked first.
 ///
 /// # Errors
 ///
-/// No such process is registered, another process answers at its address, or
-/// none does.
-pub async fn drain(targets: &[Target], id: &str) -> Result<SocketAddr, CtlError> {
-    let named = |target: &&Target| target.id.as_deref() == Some(id);
-    let Some(target) = targets.iter().find(named) else {
-        return drain_unnamed(targets, id).await;
+/// No process has this name, a process with another name answers at its
+/// address, or none answers.
+pub async fn drain(
+    processes: &[ProcessEndpoint],
+    id: &str,
+) -> Result<SocketAddr, CtlError> {
+    let has_name = |process: &&ProcessEndpoint| process.id.as_deref() == Some(id);
+    let Some(process) = processes.iter().find(has_name) else {
+        return drain_unregistered(processes, id).await;
     };
-    let status = ask(target.address, "/status").await?;
-    owned(target, status)?;
-    post_drain(target.address).await
+    let status = get_json(process.address, "/status").await?;
+    verify_identity(process, status)?;
+    post_drain(process.address).await
 }
 
-/// Looks for the process among those of which only the address is known.
-async fn drain_unnamed(targets: &[Target], id: &str) -> Result<SocketAddr, CtlError> {
-    let lines = statuses(targets).await;
-    let named =
-        |line: &&MemberLine| line.status.as_ref().is_some_and(|status| status.id == id);
-    match lines.iter().find(named) {
-        Some(line) => post_drain(line.address).await,
-        None => Err(CtlError::NoSuchMember { id: id.to_owned() }),
+/// Looks for the process among those of which only the address is known, by
+/// asking each for its status.
+async fn drain_unregistered(
+    processes: &[ProcessEndpoint],
+    id: &str,
+) -> Result<SocketAddr, CtlError> {
+    let reports = query_statuses(processes).await;
+    let has_name = |report: &&MemberReport| {
+        report.status.as_ref().is_some_and(|status| status.id == id)
+    };
+    match reports.iter().find(has_name) {
+        Some(report) => post_drain(report.address).await,
+        None => Err(CtlError::UnknownProcess { id: id.to_owned() }),
     }
 }
 
 async fn post_drain(address: SocketAddr) -> Result<SocketAddr, CtlError> {
-    let answer = http::post(address, "/drain", bytes::Bytes::new())
+    let response = http::post(address, "/drain", bytes::Bytes::new())
         .await
-        .map_err(|error| unreachable(address, &error))?;
-    if answer.status.is_success() {
+        .map_err(|error| unreachable_error(address, &error))?;
+    if response.status.is_success() {
         Ok(address)
     } else {
-        Err(unreachable(address, &answer.status))
+        Err(unreachable_error(address, &response.status))
     }
 }
 
-fn unreachable(address: SocketAddr, detail: &dyn Display) -> CtlError {
+fn unreachable_error(address: SocketAddr, detail: &dyn Display) -> CtlError {
     CtlError::Unreachable {
         address,
         detail: detail.to_string(),
--- a/crates/ctl/src/options.rs
+++ b/crates/ctl/src/options.rs
@@ -5,9 +5,9 @@
 use std::path::PathBuf;
 use std::str::FromStr;
 
-/// Text under the list of commands.
+/// Text below the list of commands in the help.
 ///
-/// A line break is kept only before a space, and short help ends at an empty
+/// bpaf keeps a line break only before a space, and short help ends at an empty
 /// line.
 const FOOTER: &str = "A first session:
   sesamectl check fleet.jsonc
@@ -16,7 +16,7 @@
  Exit codes: 0 done, 1 faults found, 2 usage, 3 unreachable, 4 conflict,
  5 outcome unknown, 6 accepted but not yet in force everywhere.";
 
-/// Check, publish and watch over the configuration of a sesameshore deployment
+/// Check, publish and inspect the configuration of a sesameshore deployment
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options, version, footer(FOOTER))]
 pub enum Command {
@@ -24,7 +24,7 @@
     #[bpaf(
         command,
         header(
-            "Nothing is sent anywhere. Each fault has a line, a column, a number and \
+            "No process is contacted. Each fault has a line, a column, a number and \
              the place in the document."
         )
     )]
@@ -51,19 +51,19 @@
     /// Explain where a model is and why, or what became of a request
     #[bpaf(command)]
     Explain(#[bpaf(external(explain_options))] ExplainOptions),
-    /// Tell where requests were lost, from the logs of entries
+    /// Count lost requests by time and model, from the logs of entries
     #[bpaf(
         command,
         header(
-            "Nothing is asked or changed. Requests are added up by how they ended, by time \
-             and by model, with the times in which no entry led and how long moves took."
+            "No process is contacted. Requests are counted by outcome, time and model. The \
+             times without a leading entry and the durations of model moves are listed."
         )
     )]
     Losses(#[bpaf(external(losses_options))] LossesOptions),
     /// Ask a process to finish its work, take no more and stop
     #[bpaf(command)]
     Drain(#[bpaf(external(drain_options))] DrainOptions),
-    /// Print the events of all processes in one line of time
+    /// Print the events of all processes in order of time
     #[bpaf(command)]
     Timeline(#[bpaf(external(timeline_options))] TimelineOptions),
 }
@@ -71,11 +71,11 @@
 /// Kind of a document.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DocumentKind {
-    /// The fleet configuration.
+    /// The fleet configuration of the deployment.
     Fleet,
-    /// Settings of an entry.
+    /// The settings file of an entry.
     Entry,
-    /// Settings of an agent.
+    /// The settings file of an agent.
     Agent,
 }
 
@@ -113,8 +113,8 @@
     /// Address of the platform's object API
     #[bpaf(argument("IP:PORT"))]
     pub platform: SocketAddr,
-    /// Revision the file was made from; others' later changes are then not
-    /// taken back but told as a conflict
+    /// Revision the file was made from; later changes by others are then
+    /// reported as a conflict instead of being reverted
     #[bpaf(argument("N"))]
     pub base: Option<u64>,
     /// Publish on top of others' changes if none of them overlaps
@@ -124,7 +124,8 @@
     /// Longest time to wait
     #[bpaf(argument("MS"), fallback(10_000), display_fallback)]
     pub wait_ms: u64,
-    /// Operators' listener of a process to wait for besides those registered
+    /// Operator listener of a process to wait for in addition to the registered
+    /// ones
     #[bpaf(argument("IP:PORT"))]
     pub entry: Vec<SocketAddr>,
     /// Print JSON for programs
@@ -163,12 +164,12 @@
 /// Where to find the processes.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(ignore_rustdoc)]
-pub struct Reach {
+pub struct ProcessOptions {
     /// Address of the platform's object API, where processes register
     #[bpaf(argument("IP:PORT"))]
     pub platform: Option<SocketAddr>,
-    /// Operators' listener of a process; may be repeated, and is enough while
-    /// the platform is away
+    /// Operator listener of a process; may be repeated, and is enough while the
+    /// platform is unreachable
     #[bpaf(argument("IP:PORT"))]
     pub entry: Vec<SocketAddr>,
 }
@@ -178,22 +179,22 @@
 #[bpaf(ignore_rustdoc)]
 pub struct StatusOptions {
     /// Where to find the processes.
-    #[bpaf(external)]
-    pub reach: Reach,
+    #[bpaf(external(process_options))]
+    pub processes: ProcessOptions,
     /// Print JSON for programs
     pub json: bool,
 }
 
-/// What is explained.
+/// Kind of the subject that is explained.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Subject {
+pub enum ExplainSubject {
     /// A model or adapter.
     Model,
     /// A request.
     Request,
 }
 
-impl FromStr for Subject {
+impl FromStr for ExplainSubject {
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
@@ -210,9 +211,9 @@
 #[bpaf(ignore_rustdoc)]
 pub struct ExplainOptions {
     /// Where to find the processes.
-    #[bpaf(external)]
-    pub reach: Reach,
-    /// Log of entries that speak to upstreams themselves, one JSON object a line;
+    #[bpaf(external(process_options))]
+    pub processes: ProcessOptions,
+    /// Log of entries that call upstreams directly, one JSON object per line;
     /// may be repeated. No process is asked then
     #[bpaf(argument("FILE"))]
     pub log: Vec<PathBuf>,
@@ -220,8 +221,8 @@
     pub json: bool,
     /// model or request
     #[bpaf(positional("model|request"))]
-    pub subject: Subject,
-    /// Name of the model, or the request's id as its answer's header has it
+    pub subject: ExplainSubject,
+    /// Name of the model, or the request id from the response header
     #[bpaf(positional("ID"))]
     pub id: String,
 }
@@ -230,12 +231,12 @@
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(ignore_rustdoc)]
 pub struct LossesOptions {
-    /// Length of a slice of time
+    /// Length of a time slice
     #[bpaf(argument("MS"), fallback(2_000), display_fallback)]
     pub slice_ms: u64,
     /// Print JSON for programs
     pub json: bool,
-    /// Log of entries that speak to upstreams themselves, one JSON object a line
+    /// Log of entries that call upstreams directly, one JSON object per line
     #[bpaf(positional("LOG"), some("give a log"))]
     pub log: Vec<PathBuf>,
 }
@@ -245,8 +246,8 @@
 #[bpaf(ignore_rustdoc)]
 pub struct DrainOptions {
     /// Where to find the processes.
-    #[bpaf(external)]
-    pub reach: Reach,
+    #[bpaf(external(process_options))]
+    pub processes: ProcessOptions,
     /// Print JSON for programs
     pub json: bool,
     /// Name of the process
@@ -259,8 +260,8 @@
 #[bpaf(ignore_rustdoc)]
 pub struct TimelineOptions {
     /// Where to find the processes.
-    #[bpaf(external)]
-    pub reach: Reach,
+    #[bpaf(external(process_options))]
+    pub processes: ProcessOptions,
     /// Only events of this request
     #[bpaf(argument("ID"))]
     pub request: Option<String>,
@@ -274,7 +275,7 @@
     pub json: bool,
 }
 
-/// Parser of the whole command line.
+/// Returns the parser of the whole command line.
 pub fn parser() -> OptionParser<Command> {
     command()
 }
--- a/crates/ctl/src/publish/mod.rs
+++ b/crates/ctl/src/publish/mod.rs
@@ -1,9 +1,9 @@
-//! Publishing a fleet configuration.
+//! Publishes a fleet configuration as the next revision.
 
-mod drive;
-mod machine;
 mod proposal;
+mod publisher;
+mod run;
 
-pub use drive::publish;
-pub use machine::{Outcome, Publisher, Step};
-pub use proposal::{Conflict, Proposal, Request, Verdict};
+pub use proposal::{Conflict, Evaluation, Proposal, PublishRequest};
+pub use publisher::{PublishOutcome, Publisher, Step};
+pub use run::publish;
--- a/crates/ctl/src/publish/proposal.rs
+++ b/crates/ctl/src/publish/proposal.rs
@@ -1,118 +1,123 @@
-//! What a document means against the head that the platform holds.
+//! Compares a document with the newest revision and decides what to write.
 
 use base::{ErrorCode, Revision};
 use conf::{Diagnostic, check_fleet_value, merge_patch};
 use serde::Serialize;
 use serde_json::Value;
 
-use crate::changes::{Change, changes, overlaps};
-use crate::head::Head;
+use crate::changes::{Change, diff_documents, overlapping_paths};
+use crate::head::ConfigHead;
 
-/// Largest value that the platform holds.
+/// Largest value of an object on the platform, in bytes.
 const OBJECT_MAX_BYTES: usize = 1_000_000;
 
-/// What the operator wants published.
+/// A document to publish.
 #[derive(Debug, Clone)]
-pub struct Request {
-    /// The whole document, already checked.
+pub struct PublishRequest {
+    /// The whole document, which passed the checks.
     pub document: Value,
-    /// Revision that the document was made from; the head if not given.
+    /// Revision that the document was made from; the newest one if not given.
     pub base: Option<Revision>,
-    /// Whether to go on from a newer head if nothing overlaps.
+    /// Whether to apply the changes to a newer revision if none of them
+    /// overlaps with others' changes.
     pub rebase: bool,
 }
 
-/// A change ready to be written.
+/// A change that can be written as the next revision.
 #[derive(Debug, Clone)]
 pub struct Proposal {
-    /// Revision that it becomes.
+    /// Revision of the change.
     pub revision: Revision,
-    /// Merge patch against the document of the revision before.
+    /// Merge patch against the document of the previous revision, as JSON.
     pub patch: Vec<u8>,
     /// Document of the new revision.
     pub document: Value,
-    /// What it changes.
+    /// Values that it changes.
     pub changes: Vec<Change>,
 }
 
-/// Why a document is not published over a newer head.
+/// Why a document was not published on top of a newer revision.
 #[derive(Debug, Clone, Serialize)]
 pub struct Conflict {
     /// Revision that the document was made from.
     pub base: u64,
     /// Newest revision.
     pub head: u64,
-    /// What others changed since.
+    /// Values that others changed since.
     pub theirs: Vec<Change>,
-    /// Paths that both changed, and differently.
+    /// Paths that both sides changed to different values.
     pub overlaps: Vec<String>,
 }
 
-/// What a document means against a head.
+/// Result of comparing a document with the newest revision.
 #[derive(Debug)]
-pub enum Verdict {
-    /// The head has all of it already.
+pub enum Evaluation {
+    /// The newest revision already has this document.
     Unchanged,
-    /// It can be written.
+    /// The change can be written.
     Write(Proposal),
-    /// Others published since, and the operator has to look.
+    /// Others published since, so the operator has to decide.
     Conflict(Conflict),
-    /// Together with what others published it has faults.
-    Faults(Vec<Diagnostic>),
+    /// The document is invalid, maybe only in combination with others' changes.
+    Invalid(Vec<Diagnostic>),
 }
 
 /// Revision that a document was made from.
 #[derive(Debug, Clone)]
-pub(super) struct Base {
-    /// Its number.
+pub(super) struct BaseRevision {
+    /// Number of the revision.
     pub(super) revision: Revision,
-    /// Its document.
+    /// Document of the revision.
     pub(super) document: Value,
 }
 
-/// Judges a request against the head.
-pub(super) fn judge(request: &Request, base: &Base, head: &Head) -> Verdict {
-    let ours = merge_patch::diff(&base.document, &request.document);
-    let moved = head.revision() != base.revision;
-    if moved && request.document != *head.document() {
-        let theirs = merge_patch::diff(&base.document, head.document());
+/// Compares a request with the newest revision.
+pub(super) fn evaluate(
+    request: &PublishRequest,
+    base: &BaseRevision,
+    head: &ConfigHead,
+) -> Evaluation {
+    let our_patch = merge_patch::diff(&base.document, &request.document);
+    let head_changed = head.revision() != base.revision;
+    if head_changed && request.document != *head.document() {
+        let their_patch = merge_patch::diff(&base.document, head.document());
         let conflict = Conflict {
             base: base.revision.0,
             head: head.revision().0,
-            theirs: changes(&base.document, head.document()),
-            overlaps: overlaps(&ours, &theirs),
+            theirs: diff_documents(&base.document, head.document()),
+            overlaps: overlapping_paths(&our_patch, &their_patch),
         };
-        // Without this, a change made from an old document would silently take
-        // back what another operator published since.
+        // Otherwise a document made from an old revision would silently revert
+        // what others published since.
         if !request.rebase || !conflict.overlaps.is_empty() {
-            return Verdict::Conflict(conflict);
+            return Evaluation::Conflict(conflict);
         }
     }
     let mut document = head.document().clone();
-    merge_patch::apply(&mut document, &ours);
+    merge_patch::apply(&mut document, &our_patch);
     propose(document, head)
 }
 
-/// Two changes that are right each for itself may be wrong together, such as a
-/// model removed by one and named by the other's profile. So the document that
-/// the patch leads to is checked, and not the operator's own.
-fn propose(document: Value, head: &Head) -> Verdict {
+/// Two changes that are valid alone can be invalid together, for instance if
+/// one removes a model and the other names it in a profile. So the merged
+/// document is checked, not the operator's file.
+fn propose(document: Value, head: &ConfigHead) -> Evaluation {
     if document == *head.document() {
-        return Verdict::Unchanged;
+        return Evaluation::Unchanged;
     }
-    let mut faults = check_fleet_value(&document);
+    let mut diagnostics = check_fleet_value(&document);
     let patch = merge_patch::diff(head.document(), &document);
     let patch = patch.to_string().into_bytes();
     if patch.len() > OBJECT_MAX_BYTES {
-        faults.push(too_large(patch.len()));
+        diagnostics.push(too_large(patch.len()));
     }
-    if !faults.is_empty() {
-        return Verdict::Faults(faults);
+    if !diagnostics.is_empty() {
+        return Evaluation::Invalid(diagnostics);
     }
-    Verdict::Write(Proposal {
+    Evaluation::Write(Proposal {
         revision: Revision(head.revision().0.saturating_add(1)),
         patch,
-        changes: changes(head.document(), &document),
+        changes: diff_documents(head.document(), &document),
         document,
     })
 }
--- a/crates/ctl/src/publish/drive.rs
+++ b/crates/ctl/src/publish/run.rs
@@ -1,21 +1,24 @@
-//! Carries out the machine's calls.
+//! Executes the platform calls that the [`Publisher`] asks for.
 
 use plat::ObjectApi;
 use tokio::time::sleep;
 
-use super::{Outcome, Publisher, Request, Step};
-use crate::head::TRY_PAUSE;
+use super::{PublishOutcome, PublishRequest, Publisher, Step};
+use crate::head::RETRY_DELAY;
 
-/// Publishes a checked document.
-pub async fn publish(platform: &dyn ObjectApi, request: Request) -> Outcome {
+/// Publishes a document that was checked before.
+pub async fn publish(
+    platform: &dyn ObjectApi,
+    request: PublishRequest,
+) -> PublishOutcome {
     let mut publisher = Publisher::new(request);
-    let mut step = publisher.begin();
+    let mut step = publisher.start();
     loop {
         let op = match step {
             Step::Done(outcome) => return outcome,
             Step::Call(op) => op,
             Step::CallLater(op) => {
-                sleep(TRY_PAUSE).await;
+                sleep(RETRY_DELAY).await;
                 op
             }
         };
--- a/crates/ctl/tests/ctl/cli.rs
+++ b/crates/ctl/tests/ctl/cli.rs
@@ -1,19 +1,19 @@
-//! The command line: what it takes, and how commands end.
+//! Parsing of the command line, and exit codes.
 
 use bpaf::ParseFailure;
-use ctl::{CtlError, Exit, commands, options};
+use ctl::{CtlError, ExitStatus, commands, options};
 
-const DEPLOY: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy");
+const DEPLOY_DIR: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy");
 
 async fn run(arguments: &[&str]) -> Result<ctl::Report, CtlError> {
     let command = options::parser()
         .run_inner(arguments)
-        .expect("good arguments");
+        .expect("valid arguments");
     commands::run(command).await
 }
 
 #[test]
-fn help_is_given_for_the_program_and_each_command() {
+fn help_exists_for_the_program_and_each_command() {
     let commands = [
         "check", "publish", "diff", "show", "status", "explain", "drain", "timeline",
     ];
@@ -30,8 +30,8 @@
 }
 
 #[test]
-fn odd_arguments_are_refused() {
-    let odd: &[&[&str]] = &[
+fn invalid_arguments_are_rejected() {
+    let invalid: &[&[&str]] = &[
         &[],
         &["burn"],
         &["check"],
@@ -42,40 +42,45 @@
         &["explain", "cat", "x"],
         &["timeline", "--since-ms", "soon"],
     ];
-    for arguments in odd {
-        let refused = options::parser().run_inner(*arguments);
+    for arguments in invalid {
+        let result = options::parser().run_inner(*arguments);
         assert!(
-            matches!(refused, Err(ParseFailure::Stderr(_))),
+            matches!(result, Err(ParseFailure::Stderr(_))),
             "{arguments:?}"
         );
     }
 }
 
 #[tokio::test]
-async fn check_ends_with_the_documented_codes() {
-    let good = format!("{DEPLOY}/naskhah.jsonc");
-    let agent = format!("{DEPLOY}/agent.jsonc");
-    let report = run(&["check", &good]).await.expect("read");
-    assert_eq!(report.exit, Exit::Ok);
+async fn check_exits_with_the_documented_codes() {
+    let valid_file = format!("{DEPLOY_DIR}/naskhah.jsonc");
+    let agent = format!("{DEPLOY_DIR}/agent.jsonc");
+    let report = run(&["check", &valid_file]).await.expect("read");
+    assert_eq!(report.exit_status, ExitStatus::Ok);
     let report = run(&["check", "--kind", "agent", &agent])
         .await
         .expect("read");
-    assert_eq!(report.exit, Exit::Ok);
+    assert_eq!(report.exit_status, ExitStatus::Ok);
     let report = run(&["check", "--json", &agent]).await.expect("read");
-    assert_eq!(report.exit, Exit::Faults);
-    let faults: Vec<serde_json::Value> =
-        serde_json::from_str(&report.text).expect("faults as JSON");
-    assert_eq!(faults[0]["code"], 5009);
-    let missing = run(&["check", "no-such-file"]).await.expect_err("no file");
-    assert_eq!(missing.exit(), Exit::Usage);
+    assert_eq!(report.exit_status, ExitStatus::Invalid);
+    let diagnostics: Vec<serde_json::Value> =
+        serde_json::from_str(&report.text).expect("diagnostics as JSON");
+    assert_eq!(diagnostics[0]["code"], 5009);
+    let error = run(&["check", "no-such-file"]).await.expect_err("no file");
+    assert_eq!(error.exit_status(), ExitStatus::Usage);
 }
 
-/// Faults are found before the platform is asked.
+/// The file is checked before the platform is called: the address refuses
+/// connections.
 #[tokio::test]
-async fn a_faulty_file_is_never_published() {
-    let agent = format!("{DEPLOY}/agent.jsonc");
+async fn an_invalid_file_is_never_published() {
+    let agent = format!("{DEPLOY_DIR}/agent.jsonc");
     for command in ["publish", "diff"] {
         let report = run(&[command, "--platform", "127.0.0.1:1", &agent]).await;
-        assert_eq!(report.expect("checked").exit, Exit::Faults, "{command}");
+        assert_eq!(
+            report.expect("checked").exit_status,
+            ExitStatus::Invalid,
+            "{command}"
+        );
     }
 }
--- a/crates/ctl/tests/ctl/fake.rs
+++ b/crates/ctl/tests/ctl/fake.rs
@@ -1,4 +1,4 @@
-//! A platform in memory whose writes fail as a script says.
+//! An in-memory platform whose calls fail in a scripted way.
 
 use base::{ObjectVersion, PlatformOp, PlatformResult, Precondition};
 use futures::FutureExt;
@@ -7,24 +7,24 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Mutex, MutexGuard};
 
-/// What befalls one call.
+/// What happens to one call.
 #[derive(Debug, Clone)]
 pub enum Fault {
-    /// Nothing.
+    /// The call succeeds.
     Pass,
-    /// Refused without effect.
-    Away,
-    /// The call takes effect, the answer is lost.
-    AnswerLost,
-    /// Neither effect nor answer.
-    CallLost,
-    /// No answer; the call takes effect after the next one.
-    Late,
-    /// Another operator's write takes effect just before.
-    OtherFirst(String, Vec<u8>),
+    /// The call is refused and has no effect.
+    Unavailable,
+    /// The call takes effect, but its response is lost.
+    ResponseLost,
+    /// The request is lost: no effect and no response.
+    RequestLost,
+    /// No response; the call takes effect after the next one.
+    Delayed,
+    /// Another operator writes this object just before the call.
+    ConcurrentWrite(String, Vec<u8>),
 }
 
-/// The platform.
+/// An in-memory platform.
 #[derive(Debug, Default)]
 pub struct FakePlatform {
     state: Mutex<State>,
@@ -36,36 +36,36 @@
     version: u64,
     writes: VecDeque<Fault>,
     reads: VecDeque<Fault>,
-    late: Option<PlatformOp>,
+    delayed: Option<PlatformOp>,
 }
 
 impl FakePlatform {
-    /// Sets the faults of the next writes.
+    /// Queues faults for the next writes.
     pub fn fail_writes(&self, faults: impl IntoIterator<Item = Fault>) {
         self.state().writes.extend(faults);
     }
 
-    /// Sets the faults of the next reads and lists.
+    /// Queues faults for the next reads and lists.
     pub fn fail_reads(&self, faults: impl IntoIterator<Item = Fault>) {
         self.state().reads.extend(faults);
     }
 
-    /// Value of an object.
+    /// Returns the value of an object.
     pub fn value(&self, key: &str) -> Option<Vec<u8>> {
         let state = self.state();
         state.objects.get(key).map(|(_, value)| value.clone())
     }
 
-    /// Puts an object, whatever is there.
+    /// Stores an object unconditionally.
     pub fn put(&self, key: &str, value: &[u8]) {
         self.state().put(key, value.to_vec());
     }
 
-    /// Number of objects under a prefix.
+    /// Counts the objects under a prefix.
     pub fn count(&self, prefix: &str) -> usize {
         let state = self.state();
-        let under = state.objects.keys().filter(|key| key.starts_with(prefix));
-        under.count()
+        let matching = state.objects.keys().filter(|key| key.starts_with(prefix));
+        matching.count()
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -89,26 +89,26 @@
             _ => &mut self.reads,
         };
         let fault = faults.pop_front().unwrap_or(Fault::Pass);
-        let late = self.late.take();
+        let delayed = self.delayed.take();
         let result = match fault {
             Fault::Pass => self.apply(op),
-            Fault::Away => PlatformResult::Unavailable,
-            Fault::AnswerLost => {
+            Fault::Unavailable => PlatformResult::Unavailable,
+            Fault::ResponseLost => {
                 self.apply(op);
                 PlatformResult::Unanswered
             }
-            Fault::CallLost => PlatformResult::Unanswered,
-            Fault::Late => {
-                self.late = Some(op.clone());
+            Fault::RequestLost => PlatformResult::Unanswered,
+            Fault::Delayed => {
+                self.delayed = Some(op.clone());
                 PlatformResult::Unanswered
             }
-            Fault::OtherFirst(key, value) => {
+            Fault::ConcurrentWrite(key, value) => {
                 self.put(&key, value);
                 self.apply(op)
             }
         };
-        if let Some(late) = late {
-            self.apply(&late);
+        if let Some(delayed) = delayed {
+            self.apply(&delayed);
         }
         result
     }
@@ -119,11 +119,11 @@
                 PlatformResult::Object(self.objects.get(key).cloned())
             }
             PlatformOp::List { prefix } => {
-                let under = self
+                let matching = self
                     .objects
                     .iter()
                     .filter(|(key, _)| key.starts_with(prefix));
-                let listed = under.map(|(key, (version, value))| {
+                let listed = matching.map(|(key, (version, value))| {
                     (key.clone(), *version, value.clone())
                 });
                 PlatformResult::Objects(listed.collect(), ObjectVersion(self.version))
@@ -133,13 +133,13 @@
                 precondition,
                 value,
             } => {
-                let held = self.objects.get(key).map(|(version, _)| *version);
-                let holds = match precondition {
+                let current = self.objects.get(key).map(|(version, _)| *version);
+                let matches = match precondition {
                     Precondition::Any => true,
-                    Precondition::Absent => held.is_none(),
-                    Precondition::Version(version) => held == Some(*version),
+                    Precondition::Absent => current.is_none(),
+                    Precondition::Version(version) => current == Some(*version),
                 };
-                if !holds {
+                if !matches {
                     return PlatformResult::Conflict;
                 }
                 PlatformResult::Written(self.put(key, value.clone()))
--- a/crates/ctl/tests/ctl/losses.rs
+++ b/crates/ctl/tests/ctl/losses.rs
@@ -1,11 +1,11 @@
-//! Where requests are lost, from logs.
+//! Analysis of lost requests in logs.
 
-use ctl::losses::losses;
-use ctl::{Exit, commands, options};
+use ctl::losses::analyze;
+use ctl::{ExitStatus, commands, options};
 use std::fmt::Write as _;
 use std::path::PathBuf;
 
-/// A file with a log; it is removed with it.
+/// A temporary log file, removed on drop.
 struct Log(PathBuf);
 
 impl Log {
@@ -16,28 +16,31 @@
         Self(path)
     }
 
-    async fn run(&self, json: bool) -> (Exit, String) {
+    async fn run(&self, json: bool) -> (ExitStatus, String) {
         let path = self.0.display().to_string();
-        let mut words = vec!["losses", path.as_str()];
+        let mut arguments = vec!["losses", path.as_str()];
         if json {
-            words.push("--json");
+            arguments.push("--json");
         }
-        let command = options::parser().run_inner(&*words).expect("it is valid");
+        let command = options::parser()
+            .run_inner(&*arguments)
+            .expect("valid arguments");
         let report = commands::run(command).await.expect("the log can be read");
-        (report.exit, report.text)
+        (report.exit_status, report.text)
     }
 }
 
 impl Drop for Log {
     fn drop(&mut self) {
-        // A file that stays is no fault of the test.
+        // A file that can't be removed must not fail the test.
         let _ = std::fs::remove_file(&self.0);
     }
 }
 
-/// Demand moves to a model at one of two upstreams; a second copy is decided, its place
-/// is made free, and it serves. The leader is stopped, and another one begins later.
-const SHIFT: &str = r#"
+/// Demand shifts to a model held by one of two upstreams; loading a second copy
+/// is decided, another model is unloaded for it, and the copy serves a request.
+/// The coordinator stops, and another one begins later.
+const SHIFTED_DEMAND: &str = r#"
 one {"event":"giver_began","t_ms":500,"token":1}
 one {"event":"request","id":"r-1","model":"m1/a6","outcome":"answered","ms":90,"t_ms":1090,"tries":[{"upstream":"i-1","outcome":"begun"}]}
 one {"event":"request","id":"r-2","model":"m1","outcome":"overloaded","ms":0,"t_ms":1500,"tries":[{"unpicked":"too_late"}]}
@@ -53,35 +56,38 @@
 "#;
 
 #[test]
-fn losses_are_added_up_by_time_and_model() {
-    let log = Log::write("slices", SHIFT);
-    let losses = losses(std::slice::from_ref(&log.0), 2_000).expect("it can be read");
-    assert_eq!(losses.unread, 1);
-    assert_eq!(losses.from_ms, 1_000);
-    assert_eq!(losses.outcomes["answered"], 3);
-    assert_eq!(losses.outcomes["overloaded, too_late"], 1);
-    let first = &losses.slices[0];
+fn losses_are_counted_by_time_and_model() {
+    let log = Log::write("slices", SHIFTED_DEMAND);
+    let report =
+        analyze(std::slice::from_ref(&log.0), 2_000).expect("the log can be read");
+    assert_eq!(report.unreadable_lines, 1);
+    assert_eq!(report.from_ms, 1_000);
+    assert_eq!(report.outcomes["answered"], 3);
+    assert_eq!(report.outcomes["overloaded, too_late"], 1);
+    let first = &report.slices[0];
     assert_eq!((first.from_ms, first.upstreams.len()), (0, 2));
     let busiest = &first.models[0];
-    assert_eq!((&*busiest.model, busiest.asked), ("m1", 2));
+    assert_eq!((&*busiest.model, busiest.requests), ("m1", 2));
     assert_eq!(busiest.lost["overloaded, too_late"], 1);
-    assert_eq!(busiest.tries["i-1"], 1);
+    assert_eq!(busiest.attempts["i-1"], 1);
 }
 
 #[test]
-fn the_parts_of_a_move_and_the_time_without_a_leader_are_told() {
-    let log = Log::write("moves", SHIFT);
-    let losses = losses(std::slice::from_ref(&log.0), 2_000).expect("it can be read");
-    assert_eq!(losses.moves.decided.median_ms, 1_000);
-    assert_eq!(losses.moves.ordered.median_ms, 600);
-    assert_eq!(losses.moves.served.median_ms, 6_500);
-    assert_eq!(losses.without_leader.len(), 1);
-    assert_eq!(losses.without_leader[0].ms(), 4_000);
+fn move_phases_and_the_time_without_a_coordinator_are_reported() {
+    let log = Log::write("moves", SHIFTED_DEMAND);
+    let report =
+        analyze(std::slice::from_ref(&log.0), 2_000).expect("the log can be read");
+    assert_eq!(report.moves.decided.median_ms, 1_000);
+    assert_eq!(report.moves.ordered.median_ms, 600);
+    assert_eq!(report.moves.served.median_ms, 6_500);
+    assert_eq!(report.without_coordinator.len(), 1);
+    assert_eq!(report.without_coordinator[0].duration_ms(), 4_000);
 }
 
-/// A leader is killed: it tells nothing of its end, and its last line is what is known.
+/// A killed coordinator logs no end of its term, so the term ends at its last
+/// line.
 #[test]
-fn a_leader_that_was_killed_led_until_its_last_line() {
+fn the_term_of_a_killed_coordinator_ends_at_its_last_line() {
     let log = r#"
 one {"event":"giver_began","t_ms":500,"token":1}
 one {"event":"request","id":"r-1","model":"m1","outcome":"answered","ms":0,"t_ms":3000,"tries":[]}
@@ -89,24 +95,25 @@
 one {"event":"giver_began","t_ms":7500,"token":2}
 "#;
     let log = Log::write("killed", log);
-    let losses = losses(std::slice::from_ref(&log.0), 2_000).expect("it can be read");
-    assert_eq!(losses.without_leader[0].from_ms, 3_000);
-    assert_eq!(losses.without_leader[0].to_ms, 7_500);
+    let report =
+        analyze(std::slice::from_ref(&log.0), 2_000).expect("the log can be read");
+    assert_eq!(report.without_coordinator[0].from_ms, 3_000);
+    assert_eq!(report.without_coordinator[0].to_ms, 7_500);
 }
 
 #[tokio::test]
-async fn a_log_without_requests_is_no_success() {
+async fn a_log_without_requests_is_an_error() {
     let log = Log::write("none", "one {\"event\":\"started\",\"t_ms\":7000}\nwhat\n");
     let (exit, text) = log.run(false).await;
-    assert_eq!(exit, Exit::Faults);
+    assert_eq!(exit, ExitStatus::Invalid);
     assert!(text.contains("1 lines could not be read"), "{text}");
 }
 
 #[tokio::test]
-async fn losses_are_told_as_text_and_as_json() {
-    let log = Log::write("told", SHIFT);
+async fn losses_are_printed_as_text_and_as_json() {
+    let log = Log::write("told", SHIFTED_DEMAND);
     let (exit, text) = log.run(false).await;
-    assert_eq!(exit, Exit::Ok);
+    assert_eq!(exit, ExitStatus::Ok);
     assert!(text.contains("without a leader: 4000 ms"), "{text}");
     assert!(
         text.contains("m1: 2 asked, tries at 1 upstreams (1)"),
@@ -117,9 +124,10 @@
     assert_eq!(json["moves"]["ordered"]["longest_ms"], 600);
 }
 
-/// A day's log of a large deployment is read in seconds, in a build for tests as well.
+/// The time per line must stay small: a day's log of a large deployment has to
+/// be read in seconds, also in a test build.
 #[test]
-fn many_lines_are_added_up() {
+fn many_lines_are_counted() {
     let mut text = String::new();
     for number in 0..20_000 {
         let t_ms = 1_000 + number;
@@ -131,10 +139,11 @@
              \"tries\":[{{\"upstream\":\"i-{}\",\"outcome\":\"begun\"}}]}}",
             number % 7
         )
-        .expect("a string takes all text");
+        .expect("writing to a string can't fail");
     }
     let log = Log::write("many", &text);
-    let losses = losses(std::slice::from_ref(&log.0), 2_000).expect("it can be read");
-    let asked = losses.slices.iter().flat_map(|slice| &slice.models);
-    assert_eq!(asked.map(|model| model.asked).sum::<u64>(), 20_000);
+    let report =
+        analyze(std::slice::from_ref(&log.0), 2_000).expect("the log can be read");
+    let models = report.slices.iter().flat_map(|slice| &slice.models);
+    assert_eq!(models.map(|model| model.requests).sum::<u64>(), 20_000);
 }
--- a/crates/ctl/tests/ctl/main.rs
+++ b/crates/ctl/tests/ctl/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the operators' commands.
+//! Tests of the commands of `sesamectl`.
 
 mod cli;
 mod fake;
--- a/crates/ctl/tests/ctl/publish.rs
+++ b/crates/ctl/tests/ctl/publish.rs
@@ -1,21 +1,21 @@
-//! Publishing against a platform that fails and against other operators.
+//! Publishing against a failing platform and concurrent operators.
 
 use crate::fake::{FakePlatform, Fault};
 use base::Revision;
 use conf::{SNAPSHOT_KEY, check_fleet, merge_patch};
 use ctl::CtlError;
-use ctl::head::read_head;
-use ctl::publish::{Conflict, Outcome, Request, publish};
+use ctl::head::read_config_head;
+use ctl::publish::{Conflict, PublishOutcome, PublishRequest, publish};
 use prost::Message;
 use schema::link::ConfigChanges;
 use serde_json::{Value, json};
 
-const FIRST: &str = "config/000000000001";
-const SECOND: &str = "config/000000000002";
+const REVISION_1_KEY: &str = "config/000000000001";
+const REVISION_2_KEY: &str = "config/000000000002";
 
 fn document() -> Value {
     let text = include_str!("../../../../deploy/harbourline.jsonc");
-    check_fleet(text).expect("the file is good").1
+    check_fleet(text).expect("the file is valid").1
 }
 
 /// The document with a patch applied.
@@ -29,168 +29,203 @@
     value.to_string().into_bytes()
 }
 
-fn request(document: Value) -> Request {
-    Request {
+fn request(document: Value) -> PublishRequest {
+    PublishRequest {
         document,
         base: None,
         rebase: false,
     }
 }
 
-/// A platform that has the document as revision 1.
+/// A platform with the document as revision 1.
 fn platform() -> FakePlatform {
     let platform = FakePlatform::default();
-    platform.put(FIRST, &bytes(&document()));
+    platform.put(REVISION_1_KEY, &bytes(&document()));
     platform
 }
 
-fn ours() -> Value {
+fn our_patch() -> Value {
     json!({ "weights": { "move_cost": 2.0 } })
 }
 
-fn accepted(outcome: &Outcome) -> Option<Revision> {
+fn accepted(outcome: &PublishOutcome) -> Option<Revision> {
     match outcome {
-        Outcome::Accepted { revision, .. } => Some(*revision),
+        PublishOutcome::Accepted { revision, .. } => Some(*revision),
         _ => None,
     }
 }
 
-fn conflict(outcome: Outcome) -> Conflict {
+fn conflict(outcome: PublishOutcome) -> Conflict {
     match outcome {
-        Outcome::Conflict(conflict) => conflict,
+        PublishOutcome::Conflict(conflict) => conflict,
         other => panic!("no conflict: {other:?}"),
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_first_and_the_next_document_are_accepted() {
+async fn a_first_and_a_second_document_are_accepted() {
     let platform = FakePlatform::default();
     let outcome = publish(&platform, request(document())).await;
     assert_eq!(accepted(&outcome), Some(Revision(1)));
-    let outcome = publish(&platform, request(patched(&ours()))).await;
+    let outcome = publish(&platform, request(patched(&our_patch()))).await;
     assert_eq!(accepted(&outcome), Some(Revision(2)));
     assert_eq!(
-        platform.value(SECOND),
-        Some(bytes(&ours())),
+        platform.value(REVISION_2_KEY),
+        Some(bytes(&our_patch())),
         "a plain patch"
     );
-    let outcome = publish(&platform, request(patched(&ours()))).await;
+    let outcome = publish(&platform, request(patched(&our_patch()))).await;
     assert!(
-        matches!(outcome, Outcome::Unchanged(Revision(2))),
+        matches!(outcome, PublishOutcome::Unchanged(Revision(2))),
         "{outcome:?}"
     );
-    let head = read_head(&platform).await.expect("a good head");
-    assert_eq!(*head.document(), patched(&ours()));
-    assert_eq!(head.document_at(Revision(1)).expect("held"), document());
+    let head = read_config_head(&platform)
+        .await
+        .expect("a valid configuration");
+    assert_eq!(*head.document(), patched(&our_patch()));
+    assert_eq!(
+        head.document_at(Revision(1)).expect("the revision exists"),
+        document()
+    );
 }
 
-/// The operator is told whether the change is accepted, and it is accepted at
-/// most once. The platform takes a write and the answer is lost, or the write
-/// itself is, or it arrives after the operator has read back. What then can't
-/// be settled may still take effect, so it must not be told as refused.
+/// A response or a write is lost, a write takes effect late, or the platform
+/// refuses calls. The outcome says whether the change was accepted, and it is
+/// accepted at most once. A write that may still take effect must be reported
+/// as unknown, not as refused.
 #[tokio::test(start_paused = true)]
-async fn lost_answers_are_settled_or_told_as_unknown() {
-    use Fault::{AnswerLost, Away, CallLost, Late, Pass};
+async fn lost_responses_are_resolved_or_reported_as_unknown() {
+    use Fault::{Delayed, Pass, RequestLost, ResponseLost, Unavailable};
     #[derive(Debug, PartialEq)]
-    enum Ends {
+    enum Ending {
         Accepted,
-        Away,
+        Unavailable,
         Unknown,
     }
     let cases = [
-        ("answer lost", vec![AnswerLost], vec![], Ends::Accepted),
-        ("call lost", vec![CallLost], vec![], Ends::Accepted),
-        ("late", vec![Late], vec![], Ends::Accepted),
-        ("away for a while", vec![Away, Away], vec![], Ends::Accepted),
         (
-            "lost, read away",
-            vec![AnswerLost],
-            vec![Away],
-            Ends::Accepted,
+            "response lost",
+            vec![ResponseLost],
+            vec![],
+            Ending::Accepted,
+        ),
+        ("request lost", vec![RequestLost], vec![], Ending::Accepted),
+        ("delayed", vec![Delayed], vec![], Ending::Accepted),
+        (
+            "unavailable at first",
+            vec![Unavailable, Unavailable],
+            vec![],
+            Ending::Accepted,
+        ),
+        (
+            "response lost, read unavailable",
+            vec![ResponseLost],
+            vec![Unavailable],
+            Ending::Accepted,
         ),
-        ("away", vec![Away; 9], vec![], Ends::Away),
         (
-            "lost, then away",
-            vec![CallLost, Away, Away, Away],
+            "unavailable",
+            vec![Unavailable; 9],
             vec![],
-            Ends::Unknown,
+            Ending::Unavailable,
         ),
         (
-            "late, then away",
-            vec![Late, Away, Away, Away],
+            "request lost, then unavailable",
+            vec![RequestLost, Unavailable, Unavailable, Unavailable],
             vec![],
-            Ends::Accepted,
+            Ending::Unknown,
         ),
         (
-            "lost, no read",
-            vec![AnswerLost],
-            vec![Away; 9],
-            Ends::Unknown,
+            "delayed, then unavailable",
+            vec![Delayed, Unavailable, Unavailable, Unavailable],
+            vec![],
+            Ending::Accepted,
+        ),
+        (
+            "response lost, no read",
+            vec![ResponseLost],
+            vec![Unavailable; 9],
+            Ending::Unknown,
+        ),
+        (
+            "all requests lost",
+            vec![RequestLost; 9],
+            vec![],
+            Ending::Unknown,
         ),
-        ("all lost", vec![CallLost; 9], vec![], Ends::Unknown),
     ];
-    for (name, writes, reads, ends) in cases {
+    for (name, writes, reads, expected) in cases {
         let platform = platform();
         platform.fail_writes(writes);
-        // The head's two reads come first.
+        // The first two reads are those of the snapshot and the changes.
         platform.fail_reads([Pass, Pass].into_iter().chain(reads));
-        let outcome = publish(&platform, request(patched(&ours()))).await;
-        let ended = match &outcome {
-            Outcome::Accepted { .. } => Ends::Accepted,
-            Outcome::Failed(CtlError::PlatformAway) => Ends::Away,
-            Outcome::Unknown(Revision(2)) => Ends::Unknown,
+        let outcome = publish(&platform, request(patched(&our_patch()))).await;
+        let ending = match &outcome {
+            PublishOutcome::Accepted { .. } => Ending::Accepted,
+            PublishOutcome::Failed(CtlError::PlatformUnreachable) => {
+                Ending::Unavailable
+            }
+            PublishOutcome::Unknown(Revision(2)) => Ending::Unknown,
             other => panic!("{name}: {other:?}"),
         };
-        assert_eq!(ended, ends, "{name}");
-        let held = platform.count("config/");
-        match ended {
-            Ends::Accepted => assert_eq!(held, 2, "{name}"),
-            Ends::Away => assert_eq!(held, 1, "{name}"),
-            Ends::Unknown => assert!(held <= 2, "{name}"),
+        assert_eq!(ending, expected, "{name}");
+        let revisions = platform.count("config/");
+        match ending {
+            Ending::Accepted => assert_eq!(revisions, 2, "{name}"),
+            Ending::Unavailable => assert_eq!(revisions, 1, "{name}"),
+            Ending::Unknown => assert!(revisions <= 2, "{name}"),
         }
     }
 }
 
-/// Two operators publish at once, and one of them learns that the other was
-/// first and what was changed. Nothing of the loser's is written, also when its
-/// own write had got no answer.
+/// Two operators publish at the same time. The slower one gets a conflict that
+/// lists the other's changes, and nothing of its change is written, also if its
+/// own write got no response.
 #[tokio::test(start_paused = true)]
-async fn the_loser_of_a_race_gets_a_conflict() {
-    let theirs = json!({ "store": { "loads_per_s": 1.0 } });
-    let first = Fault::OtherFirst(SECOND.to_owned(), bytes(&theirs));
-    let races = [vec![first.clone()], vec![Fault::CallLost, first]];
+async fn the_slower_of_two_operators_gets_a_conflict() {
+    let their_patch = json!({ "store": { "loads_per_s": 1.0 } });
+    let concurrent_write =
+        Fault::ConcurrentWrite(REVISION_2_KEY.to_owned(), bytes(&their_patch));
+    let races = [
+        vec![concurrent_write.clone()],
+        vec![Fault::RequestLost, concurrent_write],
+    ];
     for writes in races {
         let platform = platform();
         platform.fail_writes(writes);
-        let outcome = publish(&platform, request(patched(&ours()))).await;
+        let outcome = publish(&platform, request(patched(&our_patch()))).await;
         let conflict = conflict(outcome);
         assert_eq!((conflict.base, conflict.head), (1, 2));
         assert_eq!(conflict.theirs[0].path, "store.loads_per_s");
         assert!(conflict.overlaps.is_empty());
         assert_eq!(platform.count("config/"), 2);
-        assert_eq!(platform.value(SECOND), Some(bytes(&theirs)));
+        assert_eq!(platform.value(REVISION_2_KEY), Some(bytes(&their_patch)));
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_identical_change_of_another_operator_is_acceptance() {
-    let writes = [Fault::OtherFirst(SECOND.to_owned(), bytes(&ours()))];
+async fn an_identical_change_by_another_operator_counts_as_accepted() {
+    let writes = [Fault::ConcurrentWrite(
+        REVISION_2_KEY.to_owned(),
+        bytes(&our_patch()),
+    )];
     let platform = platform();
     platform.fail_writes(writes);
-    let outcome = publish(&platform, request(patched(&ours()))).await;
+    let outcome = publish(&platform, request(patched(&our_patch()))).await;
     assert_eq!(accepted(&outcome), Some(Revision(2)));
     assert_eq!(platform.count("config/"), 2);
 }
 
 /// An operator edits a file made from revision 1 while another publishes
-/// revision 2. Published whole, the old file would take the other's change
-/// back; with its base told, it is a conflict, or only its own change is made.
+/// revision 2. With `--base 1`, publishing the old file must not revert the
+/// other change: it is a conflict, or with `--rebase` only the operator's own
+/// change is applied.
 #[tokio::test(start_paused = true)]
-async fn an_old_file_takes_nothing_back() {
-    let theirs = json!({ "store": { "loads_per_s": 1.0 } });
+async fn an_old_file_reverts_nothing() {
+    let their_patch = json!({ "store": { "loads_per_s": 1.0 } });
     let platform = platform();
-    platform.put(SECOND, &bytes(&theirs));
-    let mut request = request(patched(&ours()));
+    platform.put(REVISION_2_KEY, &bytes(&their_patch));
+    let mut request = request(patched(&our_patch()));
     request.base = Some(Revision(1));
     let lost = conflict(publish(&platform, request.clone()).await);
     assert_eq!((lost.base, lost.head), (1, 2));
@@ -199,12 +234,14 @@
     request.rebase = true;
     let outcome = publish(&platform, request).await;
     assert_eq!(accepted(&outcome), Some(Revision(3)));
-    let head = read_head(&platform).await.expect("a good head");
+    let head = read_config_head(&platform)
+        .await
+        .expect("a valid configuration");
     assert_eq!(head.document()["store"]["loads_per_s"], 1.0);
     assert_eq!(head.document()["weights"]["move_cost"], 2.0);
 }
 
-/// A rebase goes on only where the two changes can't disturb one another.
+/// A rebase is made only if the changes don't overlap and the result is valid.
 #[tokio::test(start_paused = true)]
 async fn a_rebase_stops_at_overlaps_and_faults() {
     let same_value = json!({ "weights": { "move_cost": 3.0 } });
@@ -214,21 +251,29 @@
     let uses_base = json!({ "adapters": { "parts-12-new": {
         "base": "parts-12", "size_mib": 256, "version": 1 } } });
     let cases = [
-        ("same value", ours(), same_value, Some("weights.move_cost")),
-        ("around", ours(), around, Some("weights")),
-        ("base gone", uses_base, base_gone, None),
+        (
+            "same value",
+            our_patch(),
+            same_value,
+            Some("weights.move_cost"),
+        ),
+        ("parent removed", our_patch(), around, Some("weights")),
+        ("base model removed", uses_base, base_gone, None),
     ];
-    for (name, ours, theirs, overlap) in cases {
+    for (name, our_patch, their_patch, overlap) in cases {
         let platform = platform();
-        platform.fail_writes([Fault::OtherFirst(SECOND.to_owned(), bytes(&theirs))]);
-        let mut request = request(patched(&ours));
+        platform.fail_writes([Fault::ConcurrentWrite(
+            REVISION_2_KEY.to_owned(),
+            bytes(&their_patch),
+        )]);
+        let mut request = request(patched(&our_patch));
         request.rebase = true;
         match (publish(&platform, request).await, overlap) {
-            (Outcome::Conflict(conflict), Some(overlap)) => {
+            (PublishOutcome::Conflict(conflict), Some(overlap)) => {
                 assert_eq!(conflict.overlaps, [overlap], "{name}");
             }
-            (Outcome::Faults(faults), None) => {
-                assert_eq!(faults[0].path, "adapters.parts-12-new.base", "{name}");
+            (PublishOutcome::Invalid(diagnostics), None) => {
+                assert_eq!(diagnostics[0].path, "adapters.parts-12-new.base", "{name}");
             }
             (other, _) => panic!("{name}: {other:?}"),
         }
@@ -236,42 +281,47 @@
     }
 }
 
-/// A platform that always lets another operator be first does not keep the
-/// command running for ever.
+/// A rebase must end even if another operator publishes first every time.
 #[tokio::test(start_paused = true)]
-async fn a_rebase_gives_up_after_some_rounds() {
+async fn a_rebase_gives_up_after_some_retries() {
     const OTHERS: u64 = 12;
     let platform = platform();
     platform.fail_writes((2..2 + OTHERS).map(|revision| {
         let key = conf::revision_key(Revision(revision));
-        Fault::OtherFirst(key, bytes(&numbered(revision)))
+        Fault::ConcurrentWrite(key, bytes(&numbered_patch(revision)))
     }));
-    let mut request = request(patched(&ours()));
+    let mut request = request(patched(&our_patch()));
     request.rebase = true;
     conflict(publish(&platform, request).await);
     assert!((platform.count("config/") as u64) < OTHERS);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_platform_away_or_damaged_is_told_without_a_write() {
+async fn an_unreachable_or_damaged_platform_is_reported_without_a_write() {
     let away = FakePlatform::default();
-    away.fail_reads(vec![Fault::Away; 20]);
+    away.fail_reads(vec![Fault::Unavailable; 20]);
     let outcome = publish(&away, request(document())).await;
     assert!(
-        matches!(outcome, Outcome::Failed(CtlError::PlatformAway)),
+        matches!(
+            outcome,
+            PublishOutcome::Failed(CtlError::PlatformUnreachable)
+        ),
         "{outcome:?}"
     );
     let damaged = [
         ("gap", "config/000000000003", b"{}".to_vec()),
-        ("not JSON", SECOND, b"{".to_vec()),
+        ("not JSON", REVISION_2_KEY, b"{".to_vec()),
         ("not a snapshot", SNAPSHOT_KEY, vec![0xff; 9]),
     ];
     for (name, key, value) in damaged {
         let platform = platform();
         platform.put(key, &value);
-        let outcome = publish(&platform, request(patched(&ours()))).await;
+        let outcome = publish(&platform, request(patched(&our_patch()))).await;
         assert!(
-            matches!(outcome, Outcome::Failed(CtlError::DamagedHead { .. })),
+            matches!(
+                outcome,
+                PublishOutcome::Failed(CtlError::CorruptConfig { .. })
+            ),
             "{name}: {outcome:?}"
         );
         assert_eq!(platform.value(key), Some(value), "{name}");
@@ -280,79 +330,81 @@
 
 fn snapshot_revision(platform: &FakePlatform) -> u64 {
     let value = platform.value(SNAPSHOT_KEY).expect("a snapshot");
-    let snapshot = ConfigChanges::decode(value.as_slice()).expect("a good snapshot");
+    let snapshot = ConfigChanges::decode(value.as_slice()).expect("a valid snapshot");
     snapshot.base_revision
 }
 
-/// Patch that makes a revision unlike all others.
-fn numbered(revision: u64) -> Value {
+/// A patch that differs for each revision.
+fn numbered_patch(revision: u64) -> Value {
     json!({ "store": { "load_time_ms": 2_000 + revision } })
 }
 
-/// Puts revisions on the platform, as other operators would have.
-fn hold(platform: &FakePlatform, revisions: std::ops::RangeInclusive<u64>) {
+/// Stores revisions on the platform, as other operators would.
+fn put_revisions(platform: &FakePlatform, revisions: std::ops::RangeInclusive<u64>) {
     for revision in revisions {
         let key = conf::revision_key(Revision(revision));
-        platform.put(&key, &bytes(&numbered(revision)));
+        platform.put(&key, &bytes(&numbered_patch(revision)));
     }
 }
 
-async fn publish_numbered(platform: &FakePlatform, revision: u64) {
-    let outcome = publish(platform, request(patched(&numbered(revision)))).await;
+async fn publish_numbered_patch(platform: &FakePlatform, revision: u64) {
+    let outcome = publish(platform, request(patched(&numbered_patch(revision)))).await;
     assert_eq!(accepted(&outcome), Some(Revision(revision)));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_snapshot_follows_every_64_revisions() {
+async fn a_snapshot_is_written_every_64_revisions() {
     let platform = platform();
-    hold(&platform, 2..=62);
-    publish_numbered(&platform, 63).await;
+    put_revisions(&platform, 2..=62);
+    publish_numbered_patch(&platform, 63).await;
     assert_eq!(platform.value(SNAPSHOT_KEY), None);
-    publish_numbered(&platform, 64).await;
+    publish_numbered_patch(&platform, 64).await;
     assert_eq!(snapshot_revision(&platform), 64);
-    hold(&platform, 65..=126);
-    publish_numbered(&platform, 127).await;
+    put_revisions(&platform, 65..=126);
+    publish_numbered_patch(&platform, 127).await;
     assert_eq!(snapshot_revision(&platform), 64);
-    publish_numbered(&platform, 128).await;
+    publish_numbered_patch(&platform, 128).await;
     assert_eq!(snapshot_revision(&platform), 128);
-    let head = read_head(&platform).await.expect("a good head");
+    let head = read_config_head(&platform)
+        .await
+        .expect("a valid configuration");
     assert_eq!(head.revision(), Revision(128));
-    let old = head.document_at(Revision(7)).expect("held");
+    let old = head.document_at(Revision(7)).expect("the revision exists");
     assert_eq!(old["store"]["load_time_ms"], 2_007);
 }
 
-/// An operator is paused between the acceptance of revision 64 and its
-/// snapshot. Meanwhile others went on and wrote a newer one. The late snapshot
-/// must not take its place.
+/// An operator's process is paused between the acceptance of revision 64 and
+/// the write of its snapshot. Meanwhile another operator writes a newer
+/// snapshot, which the delayed write must not replace.
 #[tokio::test(start_paused = true)]
-async fn a_late_snapshot_does_not_replace_a_newer_one() {
+async fn a_delayed_snapshot_does_not_replace_a_newer_one() {
     let newer = ConfigChanges {
         snapshot: bytes(&document()),
         base_revision: 200,
         changes: Vec::new(),
     };
     let platform = platform();
-    hold(&platform, 2..=63);
-    let newer = Fault::OtherFirst(SNAPSHOT_KEY.to_owned(), newer.encode_to_vec());
+    put_revisions(&platform, 2..=63);
+    let newer = Fault::ConcurrentWrite(SNAPSHOT_KEY.to_owned(), newer.encode_to_vec());
     platform.fail_writes([Fault::Pass, newer]);
-    publish_numbered(&platform, 64).await;
+    publish_numbered_patch(&platform, 64).await;
     assert_eq!(snapshot_revision(&platform), 200);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_failed_snapshot_is_told_and_made_up_for() {
+async fn a_failed_snapshot_is_reported_and_written_by_the_next_publication() {
     let platform = platform();
-    hold(&platform, 2..=63);
-    platform.fail_writes([Fault::Pass, Fault::Away]);
-    let outcome = publish(&platform, request(patched(&numbered(64)))).await;
-    let told = matches!(
+    put_revisions(&platform, 2..=63);
+    platform.fail_writes([Fault::Pass, Fault::Unavailable]);
+    let outcome = publish(&platform, request(patched(&numbered_patch(64)))).await;
+    let reported = matches!(
         outcome,
-        Outcome::Accepted {
+        PublishOutcome::Accepted {
             snapshot_failed: true,
             ..
         }
     );
-    assert!(told, "{outcome:?}");
-    publish_numbered(&platform, 65).await;
+    assert!(reported, "{outcome:?}");
+    publish_numbered_patch(&platform, 65).await;
     assert_eq!(snapshot_revision(&platform), 65);
 }
