--- a/crates/once/tests/claims/main.rs
+++ b/crates/once/tests/claims/main.rs
@@ -1,7 +1,7 @@
-//! Claims against a platform that is away, loses answers, and serves another
-//! agent meanwhile.
+//! Tests of claims with a platform that is unavailable, loses calls and
+//! responses, and serves a second agent at the same time.
 
 mod agents;
 mod shards;
-mod stand;
+mod test_doubles;
 mod writes;
--- a/crates/role/src/agent/probe.rs
+++ b/crates/role/src/agent/probe.rs
@@ -37,7 +37,7 @@
         {
             return;
         }
-        let mut predecessors = ledger.givers();
+        let mut predecessors = ledger.issuers_not_known_dead();
         predecessors.retain(|_, address| !address.is_empty());
         let after_last = (Bound::Excluded(self.last_probed), Bound::Unbounded);
         let target = predecessors
@@ -67,12 +67,12 @@
     /// bound is dead.
     pub(super) fn start_probing(&mut self, now: Instant) {
         let own = self.options.link_address.as_str();
-        let predecessors = self.ledger.givers();
+        let predecessors = self.ledger.issuers_not_known_dead();
         let at_own_address =
             predecessors.iter().filter(|(_, address)| **address == own);
         let dead: Vec<FencingEpoch> = at_own_address.map(|(epoch, _)| *epoch).collect();
         for epoch in dead {
-            self.ledger.giver_died(now, epoch, self.record.epoch());
+            self.ledger.issuer_died(now, epoch, self.record.epoch());
         }
         self.predecessor_probe.next_at = Some(now);
     }
@@ -82,7 +82,7 @@
             return;
         };
         if dead {
-            self.ledger.giver_died(now, epoch, self.record.epoch());
+            self.ledger.issuer_died(now, epoch, self.record.epoch());
         }
     }
 }
--- a/crates/role/src/entry/control/config.rs
+++ b/crates/role/src/entry/control/config.rs
@@ -3,7 +3,7 @@
 use base::ObjectVersion;
 use base::prelude::*;
 use conf::REVISION_KEY_PREFIX;
-use live::Timing;
+use live::SilenceLimits;
 use prost::Message;
 use schema::link::{ConfigAsk, ConfigChange, ConfigChanges, frame};
 use schema::timeline::EventKind;
@@ -91,9 +91,9 @@
         let Some(config) = self.config_log.current() else {
             return;
         };
-        let timing = Timing::new(config.limits().heartbeat_ms);
-        self.directory.set_timing(timing);
-        self.entries.set_timing(timing);
+        let timing = SilenceLimits::new(config.limits().heartbeat_ms);
+        self.directory.set_silence_limits(timing);
+        self.entries.set_silence_limits(timing);
         let verdict_ms = u64::from(config.limits().verdict_ms);
         shared.suspects.lock().set_verdict_ms(verdict_ms);
         let detail =
--- a/crates/role/tests/entry/watchers.rs
+++ b/crates/role/tests/entry/watchers.rs
@@ -11,10 +11,10 @@
 
 /// Names of entries that rank before `e1` as watchers.
 fn ranked_before_e1(count: usize) -> Vec<String> {
-    let own_weight = live::rendezvous("platform-watch", "e1");
+    let own_weight = live::rendezvous_rank("platform-watch", "e1");
     let names = (2..).map(|n| format!("e{n}"));
     let before =
-        names.filter(|name| live::rendezvous("platform-watch", name) > own_weight);
+        names.filter(|name| live::rendezvous_rank("platform-watch", name) > own_weight);
     before.take(count).collect()
 }
 
