--- a/crates/cap/src/bin/sesame-capacity.rs
+++ b/crates/cap/src/bin/sesame-capacity.rs
@@ -1,58 +1,61 @@
-//! Measures slopes and prints what they come to at the users' target.
+//! Measures costs at several sizes and prints estimates for the required size.
 
 use bpaf::Bpaf;
-use cap::measure::{bytes, clock, links, memory, outage};
-use cap::measured::Measured;
-use cap::target::{Budget, Target};
-use cap::{ahead, built, text};
+use cap::measure::{bytes, idle, memory, outage, sampling};
+use cap::measurements::Measurements;
+use cap::target::{CapacityTarget, NodeBudget};
+use cap::{current, proposed, tables};
 use std::process::ExitCode;
 
-/// Measures slopes and prints what they come to at the users' target
+/// Measure costs at several sizes and estimate them for the required size
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options)]
 struct Arguments {
-    /// Leave out the links between real processes
+    /// Leave out the measurements with real processes
     no_links: bool,
     /// Only measure the silence of many agents at once
     only_outages: bool,
-    /// Only measure the memory of one kind of thing, and print its bytes
+    /// Only measure the memory of one kind of item, and print its bytes
     #[bpaf(argument("KIND"))]
-    memory: Option<memory::Kept>,
-    /// How many of them
+    memory: Option<memory::MemoryItem>,
+    /// Number of items
     #[bpaf(argument("N"), fallback(1_000))]
     size: usize,
 }
 
 fn main() -> ExitCode {
     let arguments = arguments().run();
-    if let Some(kept) = arguments.memory {
-        println!("{}", memory::grown_bytes(kept, arguments.size));
+    if let Some(item) = arguments.memory {
+        println!("{}", memory::memory_growth_bytes(item, arguments.size));
         return ExitCode::SUCCESS;
     }
     if arguments.only_outages {
-        return only_outages();
+        return print_outages();
     }
-    println!("Machine's load at the start: {}\n", clock::machine_load());
-    let mut measured = Measured::run();
     println!(
-        "Machine's load before the links: {}\n",
-        clock::machine_load()
+        "Machine's load at the start: {}\n",
+        sampling::load_averages()
+    );
+    let mut measurements = Measurements::run();
+    println!(
+        "Machine's load before the measurements with processes: {}\n",
+        sampling::load_averages()
     );
     if !arguments.no_links
-        && let Err(error) = links_of(&mut measured)
+        && let Err(error) = measure_processes(&mut measurements)
     {
-        eprintln!("sesame-capacity: links are not measured: {error}");
+        eprintln!("sesame-capacity: processes are not measured: {error}");
         return ExitCode::FAILURE;
     }
-    print(&measured);
-    println!("Machine's load at the end: {}", clock::machine_load());
+    print_results(&measurements);
+    println!("Machine's load at the end: {}", sampling::load_averages());
     ExitCode::SUCCESS
 }
 
-fn only_outages() -> ExitCode {
+fn print_outages() -> ExitCode {
     match outage::run() {
         Ok(outages) => {
-            println!("{}", text::outages(&outages));
+            println!("{}", tables::outage_table(&outages));
             ExitCode::SUCCESS
         }
         Err(error) => {
@@ -62,39 +65,62 @@
     }
 }
 
-fn links_of(measured: &mut Measured) -> std::io::Result<()> {
-    measured.links = links::run()?;
-    measured.mesh = links::mesh()?;
-    measured.outages = outage::run()?;
+fn measure_processes(measurements: &mut Measurements) -> std::io::Result<()> {
+    measurements.idle_by_agents = idle::by_agents()?;
+    measurements.idle_by_entries = idle::by_entries()?;
+    measurements.outages = outage::run()?;
     Ok(())
 }
 
-fn print(measured: &Measured) {
-    let (target, budget) = (Target::USERS, Budget::USERS);
-    let fixed = bytes::fixed();
-    let delta = fixed.iter().find(|one| one.name == bytes::DELTA);
-    let delta_bytes = delta.map_or(0.0, |one| one.bytes as f64);
-    println!("## Slopes\n\n{}", text::slopes(&measured.series()));
-    println!("## Messages\n\n{}", text::fixed(&fixed));
-    println!("## Processes at rest\n\n{}", text::links(&measured.links));
-    println!("## A mesh at rest\n\n{}", text::links(&measured.mesh));
-    println!("## Silence at once\n\n{}", text::outages(&measured.outages));
-    let rows = built::rows(measured, &target, &budget);
-    println!("## At the target, as built\n\n{}", text::results(&rows));
-    let rows = built::platform(measured, &target, &budget);
-    println!("## The platform's service\n\n{}", text::results(&rows));
-    let rows = built::events(measured, &target, &budget);
-    println!("## Loss and cut\n\n{}", text::results(&rows));
-    let rows = ahead::ahead(measured, &target, &budget, delta_bytes);
-    println!("## The design ahead\n\n{}", text::results(&rows));
+fn print_results(measurements: &Measurements) {
+    let (target, budget) = (CapacityTarget::REQUIRED, NodeBudget::REQUIRED);
+    let message_sizes = bytes::message_sizes();
+    let delta = message_sizes
+        .iter()
+        .find(|message| message.name == bytes::HEARTBEAT_DELTA);
+    let delta_bytes = delta.map_or(0.0, |message| message.bytes as f64);
+    println!(
+        "## Measured series\n\n{}",
+        tables::series_table(&measurements.series())
+    );
+    println!("## Messages\n\n{}", tables::message_table(&message_sizes));
+    println!(
+        "## Idle processes\n\n{}",
+        tables::idle_table(&measurements.idle_by_agents)
+    );
+    println!(
+        "## Idle processes, against entries\n\n{}",
+        tables::idle_table(&measurements.idle_by_entries)
+    );
+    println!(
+        "## Simultaneous silence\n\n{}",
+        tables::outage_table(&measurements.outages)
+    );
+    let rows = current::process_rows(measurements, &target, &budget);
+    println!(
+        "## At the required size, current design\n\n{}",
+        tables::results_table(&rows)
+    );
+    let rows = current::platform(measurements, &target, &budget);
+    println!(
+        "## The platform's service\n\n{}",
+        tables::results_table(&rows)
+    );
+    let rows = current::events(measurements, &target, &budget);
+    println!(
+        "## Loss of a failure domain, end of a partition\n\n{}",
+        tables::results_table(&rows)
+    );
+    let rows = proposed::rows(measurements, &target, &budget, delta_bytes);
+    println!("## The proposed design\n\n{}", tables::results_table(&rows));
     println!(
         "An agent's start: {} writes, {} reads. A load: {} writes, {} reads. A keyed \
-         call: {} writes. A request with 100 parts leaves {} events at the entry.\n",
-        measured.calls_of_start.writes,
-        measured.calls_of_start.reads,
-        measured.calls_of_load.writes,
-        measured.calls_of_load.reads,
-        measured.writes_per_claim,
-        measured.notes_per_request,
+         request: {} writes. A request with 100 parts leaves {} events at the entry.\n",
+        measurements.calls_per_start.writes,
+        measurements.calls_per_start.reads,
+        measurements.calls_per_load.writes,
+        measurements.calls_per_load.reads,
+        measurements.writes_per_request,
+        measurements.events_per_request,
     );
 }
--- a/crates/cap/src/lib.rs
+++ b/crates/cap/src/lib.rs
@@ -1,21 +1,22 @@
-//! What the system will cost at a size that no single machine can run.
+//! Estimates the cost of the system at a size that no single machine can run.
 //!
-//! Each quantity is measured at four sizes or more over a factor of 64 or more,
-//! a curve is fitted ([`fit`]), and the curve is carried on to the users' target
-//! ([`target`]). Decisions are driven as machines, without their shells; links
-//! are measured between real processes on loopback. `docs/CAPACITY.md` has the
-//! results and what has to change.
+//! Each cost is measured at four or more sizes that span a factor of 64 or
+//! more. A curve is fitted ([`fit`]) and extrapolated to the required size
+//! ([`target`]). The state machines of entry and agent are called directly,
+//! without their I/O; costs of connections are measured between real processes
+//! on loopback. `docs/CAPACITY.md` has the results and the changes that they
+//! call for.
 //!
 //! Invariants:
 //!
-//! - A figure beyond the largest size measured is never shown without the
-//!   exponent by which it was carried there.
-//! - Processes are ended by their own ids, whatever goes wrong.
+//! - A cost beyond the largest measured size is always printed with the
+//!   exponent that was used for the extrapolation.
+//! - Child processes are stopped by their own ids, also after errors.
 
-pub mod ahead;
-pub mod built;
+pub mod current;
 pub mod fit;
 pub mod measure;
-pub mod measured;
+pub mod measurements;
+pub mod proposed;
+pub mod tables;
 pub mod target;
-pub mod text;
--- a/crates/cap/src/measure/agent.rs
+++ b/crates/cap/src/measure/agent.rs
@@ -1,18 +1,18 @@
-//! The agent's machine against what it holds and who listens.
+//! Cost of events in the state machine of the agent.
 
-use super::agent_rig::AgentRig;
+use super::agent_harness::AgentHarness;
 use super::bytes;
-use super::clock::{median_ns, samples};
 use super::messages::Fleet;
+use super::sampling::{measure_at_sizes, median_ns};
 use crate::fit::{Growth, Series};
 use role::agent::AgentEvent;
 use schema::link::frame;
 use std::hint::black_box;
 
-const RESIDENTS: [usize; 4] = [1, 4, 16, 64];
-const ENTRIES: [usize; 5] = [1, 8, 64, 256, 1_024];
-const MODELS: [usize; 4] = [25, 100, 400, 1_600];
-const FLEET: usize = 200;
+const RESIDENT_COUNTS: [usize; 4] = [1, 4, 16, 64];
+const ENTRY_COUNTS: [usize; 5] = [1, 8, 64, 256, 1_024];
+const MODEL_COUNTS: [usize; 4] = [25, 100, 400, 1_600];
+const FLEET_MODELS: usize = 200;
 
 fn series(
     name: &'static str,
@@ -24,125 +24,146 @@
         name,
         size_of,
         unit: "ns",
-        growth: Growth::Power,
-        samples: samples(sizes, cost),
+        growth: Growth::PowerLaw,
+        samples: measure_at_sizes(sizes, cost),
     }
 }
 
-/// One run from its frame to its end.
-pub fn run() -> Series {
-    series("agent: run to end", "residents", &RESIDENTS, |residents| {
-        let mut rig = AgentRig::new(&Fleet::of(FLEET), residents, 4);
-        assert!(rig.run() > 0, "the gate lets the run in");
-        median_ns(501, |_| {
-            black_box(rig.run());
-        })
-    })
+/// Duration of one attempt, from its frame to its end.
+pub fn complete_run() -> Series {
+    series(
+        "agent: run to end",
+        "residents",
+        &RESIDENT_COUNTS,
+        |residents| {
+            let mut harness =
+                AgentHarness::new(&Fleet::with_models(FLEET_MODELS), residents, 4);
+            assert!(
+                harness.complete_run() > 0,
+                "admission control accepts the run"
+            );
+            median_ns(501, |_| {
+                black_box(harness.complete_run());
+            })
+        },
+    )
 }
 
-/// One report of the upstream.
-pub fn report() -> Series {
+/// Duration of handling one report of the upstream.
+pub fn upstream_report() -> Series {
     series(
         "agent: upstream's report",
         "residents",
-        &RESIDENTS,
+        &RESIDENT_COUNTS,
         |residents| {
-            let mut rig = AgentRig::new(&Fleet::of(FLEET), residents, 4);
+            let mut harness =
+                AgentHarness::new(&Fleet::with_models(FLEET_MODELS), residents, 4);
             median_ns(501, |_| {
-                black_box(rig.tell_report());
+                black_box(harness.report_upstream_state());
             })
         },
     )
 }
 
-/// One heartbeat to four entries, against models resident.
-pub fn beat_by_residents() -> Series {
+/// Duration of building and sending one heartbeat to four entries, against
+/// resident models.
+pub fn heartbeat_by_residents() -> Series {
     series(
         "agent: heartbeat, 4 entries",
         "residents",
-        &RESIDENTS,
+        &RESIDENT_COUNTS,
         |residents| {
-            let mut rig = AgentRig::new(&Fleet::of(FLEET), residents, 4);
-            beat(&mut rig)
+            let mut harness =
+                AgentHarness::new(&Fleet::with_models(FLEET_MODELS), residents, 4);
+            heartbeat_ns(&mut harness)
         },
     )
 }
 
-/// One heartbeat with four models, against entries connected.
-pub fn beat_by_entries() -> Series {
+/// The same with four resident models, against connected entries.
+pub fn heartbeat_by_entries() -> Series {
     series(
         "agent: heartbeat, 4 residents",
         "entries",
-        &ENTRIES,
+        &ENTRY_COUNTS,
         |entries| {
-            let mut rig = AgentRig::new(&Fleet::of(FLEET), 4, entries);
-            beat(&mut rig)
+            let mut harness =
+                AgentHarness::new(&Fleet::with_models(FLEET_MODELS), 4, entries);
+            heartbeat_ns(&mut harness)
         },
     )
 }
 
-fn beat(rig: &mut AgentRig) -> f64 {
+fn heartbeat_ns(harness: &mut AgentHarness) -> f64 {
     median_ns(101, |_| {
-        rig.now = rig.now.plus_ms(500);
-        black_box(rig.handle(AgentEvent::Tick));
+        harness.now = harness.now.plus_ms(500);
+        black_box(harness.handle(AgentEvent::Tick));
     })
 }
 
-/// One target of what is resident already.
+/// Duration of handling a target message that names only resident models.
 pub fn target() -> Series {
-    series("agent: target", "models", &RESIDENTS, |models| {
-        let mut rig = AgentRig::new(&Fleet::of(FLEET), models, 4);
+    series("agent: target", "models", &RESIDENT_COUNTS, |models| {
+        let mut harness =
+            AgentHarness::new(&Fleet::with_models(FLEET_MODELS), models, 4);
         let mut sequence = 1;
         median_ns(501, |_| {
             sequence += 1;
-            let mut target = bytes::target_of(models);
+            let mut target = bytes::target_message(models);
             target.sequence = sequence;
-            black_box(rig.frame(frame::Body::Target(target)));
+            black_box(harness.receive_frame(frame::Body::Target(target)));
         })
     })
 }
 
-/// A configuration change of one model, against the models of the document.
+/// Duration of applying a configuration change of one model, against the models
+/// of the document.
 pub fn config_change() -> Series {
-    series("agent: change in force", "models", &MODELS, |models| {
-        let mut rig = AgentRig::new(&Fleet::of(models), 4, 4);
-        median_ns(15, |nth| {
-            let changes = super::config::change(nth as u64 + 2, nth % models);
-            black_box(rig.frame(frame::Body::ConfigChanges(changes)));
-        })
-    })
+    series(
+        "agent: change in force",
+        "models",
+        &MODEL_COUNTS,
+        |models| {
+            let mut harness = AgentHarness::new(&Fleet::with_models(models), 4, 4);
+            median_ns(15, |index| {
+                let changes = super::config::change(index as u64 + 2, index % models);
+                black_box(harness.receive_frame(frame::Body::ConfigChanges(changes)));
+            })
+        },
+    )
 }
 
-/// Calls of an agent to the platform.
+/// Numbers of platform calls of an agent.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Calls {
-    /// Writes.
+pub struct PlatformCalls {
+    /// Number of writes.
     pub writes: u64,
-    /// Reads and lists.
+    /// Number of reads and lists.
     pub reads: u64,
 }
 
-/// Calls from the start to being ready.
-pub fn calls_of_start() -> Calls {
-    let rig = AgentRig::new(&Fleet::of(FLEET), 4, 4);
-    Calls {
-        writes: rig.writes,
-        reads: rig.reads,
+/// Platform calls from the start until the agent is ready.
+pub fn calls_per_start() -> PlatformCalls {
+    let harness = AgentHarness::new(&Fleet::with_models(FLEET_MODELS), 4, 4);
+    PlatformCalls {
+        writes: harness.writes,
+        reads: harness.reads,
     }
 }
 
-/// Calls of one load, from the target to the record's rest.
-pub fn calls_of_load() -> Calls {
-    let mut rig = AgentRig::new(&Fleet::of(FLEET), 0, 4);
-    let before = (rig.writes, rig.reads);
-    rig.frame(frame::Body::Target(bytes::target_of(1)));
+/// Platform calls of one load, from the target message until the agent's record
+/// no longer lists the load.
+pub fn calls_per_load() -> PlatformCalls {
+    let mut harness = AgentHarness::new(&Fleet::with_models(FLEET_MODELS), 0, 4);
+    let calls_before = (harness.writes, harness.reads);
+    harness.receive_frame(frame::Body::Target(bytes::target_message(1)));
     for _ in 0..40 {
-        rig.now = rig.now.plus_ms(150);
-        rig.handle(AgentEvent::Tick);
-        rig.tell_report();
+        harness.now = harness.now.plus_ms(150);
+        harness.handle(AgentEvent::Tick);
+        harness.report_upstream_state();
     }
-    Calls {
-        writes: rig.writes - before.0,
-        reads: rig.reads - before.1,
+    PlatformCalls {
+        writes: harness.writes - calls_before.0,
+        reads: harness.reads - calls_before.1,
     }
 }
--- a/crates/cap/src/measure/agent_rig.rs
+++ b/crates/cap/src/measure/agent_harness.rs
@@ -1,4 +1,5 @@
-//! An agent's machine with a hand-made platform and upstream.
+//! Harness of the agent's state machine, which stands in for the platform and
+//! the upstream.
 
 use super::messages::{self, Fleet};
 use base::prelude::*;
@@ -9,69 +10,71 @@
 };
 use schema::link::{Run, frame};
 
-/// An agent's machine, driven by hand.
+/// The agent's state machine, whose platform calls and orders are answered at
+/// once.
 #[derive(Debug)]
-pub struct AgentRig {
-    /// The machine.
+pub struct AgentHarness {
+    /// The state machine.
     pub role: AgentRole,
-    /// The present.
+    /// Current time.
     pub now: Instant,
-    /// Writes to the platform so far.
+    /// Number of writes to the platform so far.
     pub writes: u64,
-    /// Reads and lists so far.
+    /// Number of reads and lists so far.
     pub reads: u64,
     document: Vec<u8>,
     report: UpstreamReport,
     sequence: u64,
 }
 
-/// The entry that sends the runs.
-pub const ENTRY: &str = "entry-0000";
+/// Name of the entry that sends the runs.
+pub const SENDING_ENTRY: &str = "entry-0000";
 
-impl AgentRig {
-    /// A ready agent with this many models resident and entries connected.
+impl AgentHarness {
+    /// Creates a ready agent with this number of resident models and connected
+    /// entries.
     pub fn new(fleet: &Fleet, residents: usize, entries: usize) -> Self {
         let now = Instant::from_ms(1_000);
-        let mut first = Vec::new();
-        let mut rig = Self {
-            role: AgentRole::new(options(), now, &mut first),
+        let mut initial_actions = Vec::new();
+        let mut harness = Self {
+            role: AgentRole::new(options(), now, &mut initial_actions),
             now,
             writes: 0,
             reads: 0,
             document: messages::document(fleet).to_string().into_bytes(),
-            report: report(residents),
+            report: upstream_report(residents),
             sequence: 0,
         };
-        rig.serve(first);
-        for nth in 0..entries {
-            let entry = EntryId::new(&messages::entry(nth));
-            rig.handle(AgentEvent::LinkUp { entry });
+        harness.run_actions(initial_actions);
+        for index in 0..entries {
+            let entry = EntryId::new(&messages::entry(index));
+            harness.handle(AgentEvent::LinkUp { entry });
         }
-        rig.tell_report();
-        rig
+        harness.report_upstream_state();
+        harness
     }
 
-    /// The upstream reports its state.
-    pub fn tell_report(&mut self) -> usize {
+    /// Delivers the upstream's current report.
+    pub fn report_upstream_state(&mut self) -> usize {
         let report = self.report.clone();
         self.handle(AgentEvent::Upstream(UpstreamEvent::Report(report)))
     }
 
-    /// Takes an event; calls to platform and upstream are answered at once.
-    /// Gives the number of frames sent and events recorded.
+    /// Handles an event; platform calls and orders that result are answered at
+    /// once. Returns the number of actions.
     pub fn handle(&mut self, event: AgentEvent) -> usize {
         let mut out = Vec::new();
         self.role.handle(self.now, event, &mut out);
         let count = out.len();
-        self.serve(out);
+        self.run_actions(out);
         count
     }
 
-    fn serve(&mut self, actions: Vec<AgentAction>) {
+    fn run_actions(&mut self, actions: Vec<AgentAction>) {
         for action in actions {
             match action {
                 AgentAction::CallPlatform(call) => {
-                    let result = self.platform(&call.op);
+                    let result = self.answer_platform_call(&call.op);
                     let id = call.id;
                     self.handle(AgentEvent::PlatformAnswered(PlatformResponse {
                         id,
@@ -79,17 +82,17 @@
                     }));
                 }
                 AgentAction::SendOrder(order) => {
-                    self.carry_out(&order);
+                    self.apply_order(&order);
                     let (order, answer) = (order.id, OrderAnswer::Accepted);
-                    let answered = UpstreamEvent::OrderAnswered { order, answer };
-                    self.handle(AgentEvent::Upstream(answered));
+                    let event = UpstreamEvent::OrderAnswered { order, answer };
+                    self.handle(AgentEvent::Upstream(event));
                 }
                 _ => {}
             }
         }
     }
 
-    fn carry_out(&mut self, order: &role::agent::Order) {
+    fn apply_order(&mut self, order: &role::agent::Order) {
         self.report.orders.push(UpstreamOrder {
             order: order.id,
             fencing_epoch: order.fencing_epoch.0,
@@ -106,11 +109,11 @@
         } else {
             self.report
                 .residents
-                .retain(|held| held.model != order.model);
+                .retain(|resident| resident.model != order.model);
         }
     }
 
-    fn platform(&mut self, op: &PlatformOp) -> PlatformResult {
+    fn answer_platform_call(&mut self, op: &PlatformOp) -> PlatformResult {
         match op {
             PlatformOp::Read { .. } => {
                 self.reads += 1;
@@ -119,8 +122,8 @@
             PlatformOp::List { .. } => {
                 self.reads += 1;
                 let key = conf::revision_key(Revision(1));
-                let held = vec![(key, ObjectVersion(1), self.document.clone())];
-                PlatformResult::Objects(held, ObjectVersion(1))
+                let objects = vec![(key, ObjectVersion(1), self.document.clone())];
+                PlatformResult::Objects(objects, ObjectVersion(1))
             }
             PlatformOp::Write { .. } | PlatformOp::Delete { .. } => {
                 self.writes += 1;
@@ -130,35 +133,35 @@
         }
     }
 
-    /// A frame came from the first entry.
-    pub fn frame(&mut self, body: frame::Body) -> usize {
+    /// Delivers a frame from the first entry.
+    pub fn receive_frame(&mut self, body: frame::Body) -> usize {
         self.handle(AgentEvent::Frame {
-            entry: EntryId::new(ENTRY),
+            entry: EntryId::new(SENDING_ENTRY),
             revision: Revision(1),
             body,
         })
     }
 
-    /// One run from the frame to its end, without parts. Gives the events of the
-    /// time line and frames.
-    pub fn run(&mut self) -> usize {
+    /// Runs one attempt from its frame to its end, without answer parts.
+    /// Returns the number of actions.
+    pub fn complete_run(&mut self) -> usize {
         let (id, run) = self.next_run();
-        let began = self.frame(frame::Body::Run(run));
-        let started = self.upstream(UpstreamEvent::Started { attempt: id });
-        let done = self.upstream(UpstreamEvent::Done {
+        let run_count = self.receive_frame(frame::Body::Run(run));
+        let started_count = self.upstream_event(UpstreamEvent::Started { attempt: id });
+        let done_count = self.upstream_event(UpstreamEvent::Done {
             attempt: id,
             status: 200,
             content_type: "text/event-stream".to_owned(),
         });
-        began + started + done
+        run_count + started_count + done_count
     }
 
-    /// Something came from the upstream.
-    pub fn upstream(&mut self, event: UpstreamEvent) -> usize {
+    /// Delivers an event from the upstream.
+    pub fn upstream_event(&mut self, event: UpstreamEvent) -> usize {
         self.handle(AgentEvent::Upstream(event))
     }
 
-    /// A run that was not seen before.
+    /// Creates a run with a new attempt number.
     pub fn next_run(&mut self) -> (AttemptId, Run) {
         self.sequence += 1;
         let attempt = messages::attempt(self.sequence);
@@ -166,7 +169,7 @@
             attempt,
             agent_incarnation: INCARNATION,
             revision: 1,
-            ..super::bytes::run()
+            ..super::bytes::run_message()
         };
         let origin = attempt.map_or(0, |attempt| attempt.origin);
         let sequence = self.sequence;
@@ -180,7 +183,7 @@
     AgentOptions {
         id: AgentId::new(&messages::agent(0)),
         incarnation: Incarnation(INCARNATION),
-        failure_domain: FailureDomainId::new(&messages::domain(0)),
+        failure_domain: FailureDomainId::new(&messages::failure_domain(0)),
         pool: PoolId::new(messages::POOL),
         link_address: "10.120.130.140:20001".to_owned(),
         operator_address: "10.120.130.140:20002".to_owned(),
@@ -189,12 +192,12 @@
     }
 }
 
-/// Small models, so that many are resident at once, as adapters are.
-fn report(residents: usize) -> UpstreamReport {
-    let resident = |nth: usize| UpstreamResident {
-        model: ModelId::new(&messages::model(nth)),
+/// The models are as small as adapters, so that many can be resident at once.
+fn upstream_report(residents: usize) -> UpstreamReport {
+    let resident = |index: usize| UpstreamResident {
+        model: ModelId::new(&messages::model(index)),
         version: 1,
-        accelerator: (nth % 4) as u32,
+        accelerator: (index % 4) as u32,
         size_mib: 256,
         loaded: true,
     };
--- a/crates/cap/src/measure/bytes.rs
+++ b/crates/cap/src/measure/bytes.rs
@@ -1,8 +1,8 @@
-//! Encoded size of each message, with the frame around it and the length before
-//! it.
+//! Encoded sizes of messages on links, each with its frame and length prefix,
+//! and of platform objects.
 
-use super::clock::samples;
 use super::messages::{self, PEER};
+use super::sampling::measure_at_sizes;
 use crate::fit::{Growth, Series};
 use prost::Message;
 use schema::link::{
@@ -11,23 +11,24 @@
 };
 use schema::store::{AgentRecord, Intent, Member};
 
-/// Bytes of the length before each frame on the wire.
+/// Bytes of the length prefix of each frame.
 const LENGTH_BYTES: usize = 4;
 
-/// Name of the message that holds only what changes between two heartbeats.
-pub const DELTA: &str = "Heartbeat, only what changes";
+/// Name of a heartbeat that contains only the fields that change between two
+/// heartbeats.
+pub const HEARTBEAT_DELTA: &str = "Heartbeat, only what changes";
 
-/// Size of one message of fixed content.
+/// Size of a message with fixed content.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Fixed {
-    /// Message.
+pub struct MessageSize {
+    /// Name of the message.
     pub name: &'static str,
-    /// Bytes on the wire.
+    /// Bytes on the wire, or in the platform's object.
     pub bytes: usize,
 }
 
-/// Bytes of a message on a link.
-pub fn framed(body: frame::Body) -> usize {
+/// Bytes of a message on a link, with its frame and length prefix.
+pub fn framed_len(body: frame::Body) -> usize {
     let frame = Frame {
         clock_us: 1_764_700_000_000_000,
         revision: 22_000,
@@ -36,83 +37,90 @@
     LENGTH_BYTES + frame.encoded_len()
 }
 
-fn series(name: &'static str, size_of: &'static str, of: fn(usize) -> usize) -> Series {
+fn series(
+    name: &'static str,
+    size_of: &'static str,
+    bytes_of: fn(usize) -> usize,
+) -> Series {
     Series {
         name,
         size_of,
         unit: "B",
-        growth: Growth::Line,
-        samples: samples(&[1, 4, 16, 64, 256], |size| of(size) as f64),
+        growth: Growth::Linear,
+        samples: measure_at_sizes(&[1, 4, 16, 64, 256], |size| bytes_of(size) as f64),
     }
 }
 
-/// Heartbeats against models resident.
+/// Bytes of a heartbeat, against resident models.
 pub fn heartbeat() -> Series {
     series("bytes: Heartbeat", "residents", |size| {
-        let beat = messages::heartbeat(0, 70_000, size, 1_600);
-        framed(frame::Body::Heartbeat(beat))
+        let heartbeat = messages::heartbeat(0, 70_000, size, 1_600);
+        framed_len(frame::Body::Heartbeat(heartbeat))
     })
 }
 
-/// Gossip against heartbeats in it, each with four residents.
+/// Bytes of a gossip message, against its heartbeats, each with four resident
+/// models.
 pub fn gossip_agents() -> Series {
     series("bytes: Gossip", "heartbeats", |size| {
-        let beats = (0..size).map(|nth| messages::heartbeat(nth, 70_000, 4, 1_600));
-        let gossip = messages::gossip(PEER, 90_000, beats.collect(), Vec::new());
-        framed(frame::Body::Gossip(gossip))
+        let heartbeats =
+            (0..size).map(|index| messages::heartbeat(index, 70_000, 4, 1_600));
+        let gossip = messages::gossip(PEER, 90_000, heartbeats.collect(), Vec::new());
+        framed_len(frame::Body::Gossip(gossip))
     })
 }
 
-/// Gossip against the models with demand.
+/// Bytes of a gossip message, against its models with demand.
 pub fn gossip_demands() -> Series {
     series("bytes: Gossip", "demands", |size| {
         let demands = (0..size).map(messages::demand).collect();
         let gossip = messages::gossip(PEER, 90_000, Vec::new(), demands);
-        framed(frame::Body::Gossip(gossip))
+        framed_len(frame::Body::Gossip(gossip))
     })
 }
 
-/// Gossip against the silences in it.
+/// Bytes of a gossip message, against its reports of silent agents.
 pub fn gossip_silences() -> Series {
     series("bytes: Gossip", "silences", |size| {
-        let silence = |nth| Silence {
-            agent: messages::agent(nth),
+        let silence = |index| Silence {
+            agent: messages::agent(index),
             incarnation: 1_764_700_000_000_000,
             silent_ms: 5_000,
         };
         let mut gossip = messages::gossip(PEER, 90_000, Vec::new(), Vec::new());
         gossip.silences = (0..size).map(silence).collect();
-        framed(frame::Body::Gossip(gossip))
+        framed_len(frame::Body::Gossip(gossip))
     })
 }
 
-/// Targets against the models wanted.
+/// Bytes of a target message, against its models.
 pub fn target() -> Series {
     series("bytes: Target", "models", |size| {
-        framed(frame::Body::Target(target_of(size)))
+        framed_len(frame::Body::Target(target_message(size)))
     })
 }
 
-/// Configuration changes, each of one field of one model.
+/// Bytes of a message with configuration changes, each of one field of one
+/// model.
 pub fn config_changes() -> Series {
     series("bytes: ConfigChanges", "changes", |size| {
-        let mut all = super::config::change(1, 0);
-        all.changes = (0..size as u64)
-            .flat_map(|nth| super::config::change(nth + 1, nth as usize).changes)
+        let mut changes = super::config::change(1, 0);
+        changes.changes = (0..size as u64)
+            .flat_map(|index| super::config::change(index + 1, index as usize).changes)
             .collect();
-        framed(frame::Body::ConfigChanges(all))
+        framed_len(frame::Body::ConfigChanges(changes))
     })
 }
 
-/// An agent's record against the intents in it.
+/// Bytes of an agent's record on the platform, against its intents.
 pub fn agent_record() -> Series {
     series("bytes: AgentRecord", "intents", |size| {
-        let intent = |nth: usize| Intent {
+        let intent = |index: usize| Intent {
             link_address: String::new(),
-            order: 3 << 32 | nth as u64,
+            order: 3 << 32 | index as u64,
             epoch: 3,
             load: true,
-            model: messages::model(nth),
+            model: messages::model(index),
             version: 1,
             accelerator: 1,
             size_mib: messages::MODEL_MIB,
@@ -128,12 +136,12 @@
     })
 }
 
-/// A planner's word to an agent.
-pub fn target_of(models: usize) -> Target {
-    let wish = |nth: usize| TargetModel {
-        model: messages::model(nth),
+/// Target message from a planner to an agent.
+pub fn target_message(models: usize) -> Target {
+    let target_model = |index: usize| TargetModel {
+        model: messages::model(index),
         version: 1,
-        accelerator: (nth % 4) as u32,
+        accelerator: (index % 4) as u32,
         reason: 2,
     };
     Target {
@@ -141,13 +149,13 @@
         rank: u64::MAX / 2,
         sequence: 90_000,
         agent_incarnation: 1_764_700_000_000_000,
-        models: (0..models).map(wish).collect(),
+        models: (0..models).map(target_model).collect(),
         revision: 22_000,
     }
 }
 
-/// A run without its body.
-pub fn run() -> Run {
+/// Run message without the request body.
+pub fn run_message() -> Run {
     Run {
         attempt: messages::attempt(1 << 24),
         agent_incarnation: 1_764_700_000_000_000,
@@ -172,33 +180,34 @@
     }
 }
 
-/// Only what changes between two heartbeats: what a delta would have to carry.
-fn changed_part() -> Heartbeat {
+/// The fields that change between two heartbeats, which a delta message would
+/// carry.
+fn heartbeat_delta() -> Heartbeat {
     Heartbeat {
         incarnation: 1_764_700_000_000_000,
         sequence: 70_000,
-        load: Some(messages::load()),
+        load: Some(messages::load_report()),
         upstream_up: true,
         ..Heartbeat::default()
     }
 }
 
-/// Messages of fixed content.
-pub fn fixed() -> Vec<Fixed> {
+/// Sizes of the messages with fixed content.
+pub fn message_sizes() -> Vec<MessageSize> {
     let attempt = messages::attempt(1 << 24);
-    let load = Some(messages::load());
-    let list: [(&'static str, frame::Body); 11] = [
+    let load = Some(messages::load_report());
+    let messages: [(&'static str, frame::Body); 11] = [
         (
             "Hello",
             frame::Body::Hello(Hello {
                 kind: "agent".to_owned(),
                 id: messages::agent(0),
                 incarnation: 1_764_700_000_000_000,
-                failure_domain: messages::domain(0),
+                failure_domain: messages::failure_domain(0),
             }),
         ),
-        (DELTA, frame::Body::Heartbeat(changed_part())),
-        ("Run without body", frame::Body::Run(run())),
+        (HEARTBEAT_DELTA, frame::Body::Heartbeat(heartbeat_delta())),
+        ("Run without body", frame::Body::Run(run_message())),
         ("Started", frame::Body::Started(Started { attempt, load })),
         (
             "Answer with a 100 byte payload",
@@ -209,7 +218,7 @@
                 payload: vec![b'x'; 100],
             }),
         ),
-        ("End", frame::Body::End(end())),
+        ("End", frame::Body::End(end_message())),
         (
             "Refused",
             frame::Body::Refused(Refused {
@@ -235,34 +244,34 @@
             }),
         ),
     ];
-    let framed = list.into_iter().map(|(name, body)| Fixed {
+    let link_messages = messages.into_iter().map(|(name, body)| MessageSize {
         name,
-        bytes: framed(body),
+        bytes: framed_len(body),
     });
-    let member = Fixed {
+    let member = MessageSize {
         name: "Member, as the platform's object",
-        bytes: member().encoded_len(),
+        bytes: member_object().encoded_len(),
     };
-    framed.chain([member]).collect()
+    link_messages.chain([member]).collect()
 }
 
-fn end() -> End {
+fn end_message() -> End {
     End {
         attempt: messages::attempt(1 << 24),
         ran: 1,
         total_units: 340,
         status: 200,
-        load: Some(messages::load()),
+        load: Some(messages::load_report()),
         ..End::default()
     }
 }
 
-fn member() -> Member {
+fn member_object() -> Member {
     Member {
         kind: "agent".to_owned(),
         id: messages::agent(0),
         incarnation: 1_764_700_000_000_000,
-        failure_domain: messages::domain(0),
+        failure_domain: messages::failure_domain(0),
         pool: messages::POOL.to_owned(),
         link_address: "10.120.130.140:20001".to_owned(),
         operator_address: "10.120.130.140:20002".to_owned(),
--- a/crates/cap/src/measure/choose.rs
+++ b/crates/cap/src/measure/choose_holder.rs
@@ -1,6 +1,7 @@
-//! The choice of an upstream against the holders of the model.
+//! Cost of choosing an agent for a request, against the number of holders of
+//! the model.
 
-use super::clock::{batch_ns, samples};
+use super::sampling::{measure_at_sizes, median_batch_ns};
 use crate::fit::{Growth, Series};
 use base::prelude::*;
 use rand_core::SeedableRng;
@@ -10,21 +11,21 @@
 
 const SIZES: [usize; 5] = [8, 64, 256, 512, 4_096];
 
-/// One choice, in nanoseconds.
+/// Duration of one choice, in nanoseconds.
 pub fn run() -> Series {
     Series {
         name: "choose an upstream",
         size_of: "holders",
         unit: "ns",
-        growth: Growth::Power,
-        samples: samples(&SIZES, one),
+        growth: Growth::PowerLaw,
+        samples: measure_at_sizes(&SIZES, measure),
     }
 }
 
-fn one(count: usize) -> f64 {
+fn measure(count: usize) -> f64 {
     let domain = FailureDomainId::new("spanish-town");
-    let name = |nth: usize| AgentId::new(&format!("oracle-{nth:05}"));
-    let agents: Vec<AgentId> = (0..count).map(name).collect();
+    let agent_id = |index: usize| AgentId::new(&format!("oracle-{index:05}"));
+    let agents: Vec<AgentId> = (0..count).map(agent_id).collect();
     let holder = |(index, agent)| Holder {
         agent,
         domain: &domain,
@@ -38,9 +39,9 @@
     };
     let holders: Vec<Holder<'_>> = agents.iter().enumerate().map(holder).collect();
     let mut rng = Pcg64Mcg::seed_from_u64(1);
-    batch_ns(15, 2_000, |nth| {
+    median_batch_ns(15, 2_000, |index| {
         let input = RoutingInput {
-            prefix_hash: if nth % 2 == 0 { 0 } else { nth as u64 },
+            prefix_hash: if index % 2 == 0 { 0 } else { index as u64 },
             domain: &domain,
             excluded: &[],
         };
--- a/crates/cap/src/measure/claims.rs
+++ b/crates/cap/src/measure/claims.rs
@@ -1,6 +1,6 @@
-//! Writes of a shard of claims against the claims that stand in it.
+//! Cost of writing a shard of claims, against the number of claims in it.
 
-use super::clock::{median_ns, samples};
+use super::sampling::{measure_at_sizes, median_ns};
 use crate::fit::{Growth, Series};
 use base::prelude::*;
 use base::{ObjectVersion, PlatformOp, PlatformResult};
@@ -9,23 +9,23 @@
 };
 use std::hint::black_box;
 
-/// Claims in one shard; the object's bound leaves room for few more.
-const CLAIMS: [usize; 5] = [16, 64, 256, 1_024, 2_048];
+/// Numbers of claims in one shard; the size limit of an object allows few more.
+const CLAIM_COUNTS: [usize; 5] = [16, 64, 256, 1_024, 2_048];
 
-/// Bytes of a stored answer.
-const ANSWER_BYTES: usize = 256;
+/// Bytes of a stored response.
+const RESPONSE_BYTES: usize = 256;
 
 #[derive(Debug)]
-struct Rig {
+struct ClaimsHarness {
     claims: Claims,
     keys: std::vec::IntoIter<String>,
     sequence: u64,
     version: u64,
-    written: usize,
+    last_write_bytes: usize,
     writes: u64,
 }
 
-impl Rig {
+impl ClaimsHarness {
     fn new(count: usize) -> Self {
         let mut claims = Claims::new(ClaimsOptions {
             agent: AgentId::new("deskapp-00001"),
@@ -34,25 +34,26 @@
             unix_ms_at_zero: 1_764_700_000_000,
         });
         claims.configure(24 * 3_600_000, 1_024);
-        let names = (0..(count + 64) * SHARDS * 4).map(|nth| format!("order-{nth:08}"));
+        let names =
+            (0..(count + 64) * SHARDS * 4).map(|index| format!("order-{index:08}"));
         let keys: Vec<String> = names
             .filter(|key| shard_of("press-desk", key) == 0)
             .take(count + 64)
             .collect();
-        let mut rig = Self {
+        let mut harness = Self {
             claims,
             keys: keys.into_iter(),
             sequence: 0,
             version: 0,
-            written: 0,
+            last_write_bytes: 0,
             writes: 0,
         };
-        (0..count).for_each(|_| rig.call());
-        rig
+        (0..count).for_each(|_| harness.handle_request());
+        harness
     }
 
-    /// One call: its claim, its run and its stored answer.
-    fn call(&mut self) {
+    /// Handles one request: claims its key and stores its response.
+    fn handle_request(&mut self) {
         self.sequence += 1;
         let attempt = AttemptId {
             origin: 1,
@@ -61,25 +62,25 @@
         let request = ClaimRequest {
             attempt,
             caller: CallerId::new("press-desk"),
-            key: self.keys.next().expect("as many keys as calls"),
+            key: self.keys.next().expect("as many keys as requests"),
             body_hash: self.sequence,
             timeout_ms: 2_000,
         };
         let now = Instant::from_ms(1_000);
         let mut out = Vec::new();
         self.claims.request_claim(now, request, &mut out);
-        self.serve(now, out);
+        self.run_actions(now, out);
         let answer = StoredResponse {
             status: 200,
             content_type: "application/json".to_owned(),
-            body: vec![b'x'; ANSWER_BYTES],
+            body: vec![b'x'; RESPONSE_BYTES],
         };
         let mut out = Vec::new();
         self.claims.finish(now, attempt, Some(answer), &mut out);
-        self.serve(now, out);
+        self.run_actions(now, out);
     }
 
-    fn serve(&mut self, now: Instant, actions: Vec<ClaimAction>) {
+    fn run_actions(&mut self, now: Instant, actions: Vec<ClaimAction>) {
         for action in actions {
             let ClaimAction::CallPlatform(call) = action else {
                 continue;
@@ -88,7 +89,7 @@
                 PlatformOp::Write { value, .. } => {
                     self.version += 1;
                     self.writes += 1;
-                    self.written = value.len();
+                    self.last_write_bytes = value.len();
                     PlatformResult::Written(ObjectVersion(self.version))
                 }
                 _ => PlatformResult::Object(None),
@@ -96,23 +97,23 @@
             let mut out = Vec::new();
             self.claims
                 .platform_answered(now, call.id, result, &mut out);
-            self.serve(now, out);
+            self.run_actions(now, out);
         }
     }
 }
 
-/// One call's two writes, in nanoseconds.
-pub fn call() -> Series {
+/// Duration of a request's two writes, in nanoseconds.
+pub fn keyed_request() -> Series {
     Series {
-        name: "agent: keyed call, two writes",
+        name: "agent: keyed request, two writes",
         size_of: "claims in the shard",
         unit: "ns",
-        growth: Growth::Power,
-        samples: samples(&CLAIMS, |count| {
-            let mut rig = Rig::new(count);
+        growth: Growth::PowerLaw,
+        samples: measure_at_sizes(&CLAIM_COUNTS, |count| {
+            let mut harness = ClaimsHarness::new(count);
             median_ns(21, |_| {
-                rig.call();
-                black_box(rig.written);
+                harness.handle_request();
+                black_box(harness.last_write_bytes);
             })
         }),
     }
@@ -124,15 +125,17 @@
         name: "bytes: claims shard",
         size_of: "claims in the shard",
         unit: "B",
-        growth: Growth::Line,
-        samples: samples(&CLAIMS, |count| Rig::new(count).written as f64),
+        growth: Growth::Linear,
+        samples: measure_at_sizes(&CLAIM_COUNTS, |count| {
+            ClaimsHarness::new(count).last_write_bytes as f64
+        }),
     }
 }
 
-/// Writes of one call.
-pub fn writes_per_call() -> u64 {
-    let mut rig = Rig::new(4);
-    let before = rig.writes;
-    rig.call();
-    rig.writes - before
+/// Number of writes of one request.
+pub fn writes_per_request() -> u64 {
+    let mut harness = ClaimsHarness::new(4);
+    let before = harness.writes;
+    harness.handle_request();
+    harness.writes - before
 }
--- a/crates/cap/src/measure/entry_rig.rs
+++ b/crates/cap/src/measure/entry_harness.rs
@@ -1,4 +1,5 @@
-//! An entry's machine with hand-made agents, entries and platform around it.
+//! Harness of the entry's state machine, which stands in for agents, other
+//! entries and the platform.
 
 use super::messages::{self, Fleet};
 use access::Credential;
@@ -12,84 +13,88 @@
 };
 use schema::link::{End, Frame, Gossip, Heartbeat, Run, Started, frame};
 
-/// Time between ticks while time passes.
+/// Interval of ticks while time advances.
 const TICK_MS: u64 = 100;
 
-/// An entry's machine, driven by hand.
+/// The entry's state machine, whose platform calls are answered at once.
 #[derive(Debug)]
-pub struct EntryRig {
-    /// The machine.
+pub struct EntryHarness {
+    /// The state machine.
     pub role: EntryRole,
-    /// The present.
+    /// Current time.
     pub now: Instant,
     sequence: u64,
 }
 
-impl EntryRig {
-    /// A ready entry that knows nobody.
+impl EntryHarness {
+    /// Creates a ready entry that knows no agents or other entries.
     pub fn new(fleet: &Fleet) -> Self {
         let now = Instant::from_ms(1_000);
-        let mut first = Vec::new();
-        let role = EntryRole::new(options(), now, &mut first);
-        let mut rig = Self {
+        let mut initial_actions = Vec::new();
+        let role = EntryRole::new(options(), now, &mut initial_actions);
+        let mut harness = Self {
             role,
             now,
             sequence: 0,
         };
         let document = messages::document(fleet).to_string().into_bytes();
-        rig.answer(first, &document);
-        assert!(rig.role.config().is_some(), "the document is taken");
-        rig
+        harness.answer_platform_calls(initial_actions, &document);
+        assert!(harness.role.config().is_some(), "the document is in force");
+        harness
     }
 
-    fn answer(&mut self, actions: Vec<EntryAction>, document: &[u8]) {
+    fn answer_platform_calls(&mut self, actions: Vec<EntryAction>, document: &[u8]) {
         for action in actions {
             let EntryAction::CallPlatform(call) = action else {
                 continue;
             };
-            if let Some(result) = answer_to(&call, document) {
+            if let Some(result) = platform_result(&call, document) {
                 let id = call.id;
                 let answer = PlatformResponse { id, result };
-                let more = self.handle(EntryEvent::PlatformAnswered(answer));
-                self.answer(more, document);
+                let actions = self.handle(EntryEvent::PlatformAnswered(answer));
+                self.answer_platform_calls(actions, document);
             }
         }
     }
 
-    /// Takes an event and returns the actions.
+    /// Handles an event and returns the actions.
     pub fn handle(&mut self, event: EntryEvent) -> Vec<EntryAction> {
         let mut out = Vec::new();
         self.role.handle(self.now, event, &mut out);
         out
     }
 
-    /// Links and heartbeats of agents, without one judgement of all for each.
+    /// Connects agents and delivers one heartbeat of each, without advancing
+    /// time.
     pub fn add_agents(&mut self, count: usize, residents: usize, models: usize) {
-        let beats =
-            (0..count).map(|nth| messages::heartbeat(nth, 1, residents, models));
-        for beat in beats.collect::<Vec<_>>() {
-            self.link_up(Peer::Agent(AgentId::new(&beat.agent)), beat.incarnation);
-            self.heartbeat(beat);
+        let heartbeats =
+            (0..count).map(|index| messages::heartbeat(index, 1, residents, models));
+        for heartbeat in heartbeats.collect::<Vec<_>>() {
+            self.link_up(
+                Peer::Agent(AgentId::new(&heartbeat.agent)),
+                heartbeat.incarnation,
+            );
+            self.receive_heartbeat(heartbeat);
         }
     }
 
-    /// A link came up.
+    /// Reports a link as established.
     pub fn link_up(&mut self, peer: Peer, incarnation: u64) {
         let incarnation = Incarnation(incarnation);
         self.handle(EntryEvent::LinkUp { peer, incarnation });
     }
 
-    /// A link to another entry came up and it was heard.
-    pub fn add_entry(&mut self, nth: usize) {
-        let name = messages::entry(nth);
+    /// Connects another entry and delivers its first gossip message.
+    pub fn add_entry(&mut self, index: usize) {
+        let name = messages::entry(index);
         let gossip = messages::gossip(&name, 1, Vec::new(), Vec::new());
         self.link_up(Peer::Entry(EntryId::new(&name)), gossip.incarnation);
-        self.gossip(gossip);
+        self.receive_gossip(gossip);
     }
 
-    /// Lets time pass with its ticks: without them the entry would take the gap
-    /// for its own freeze and count no silence.
-    pub fn pass(&mut self, ms: u64) {
+    /// Advances time with regular ticks. Without them, the entry would take the
+    /// gap for its own freeze and not count it as silence of others.
+    pub fn advance(&mut self, ms: u64) {
         let end = self.now.plus_ms(ms);
         while self.now < end {
             self.now = self.now.plus_ms(TICK_MS).min(end);
@@ -97,20 +102,20 @@
         }
     }
 
-    /// A heartbeat came over the agent's own link.
-    pub fn heartbeat(&mut self, beat: Heartbeat) -> Vec<EntryAction> {
-        let peer = Peer::Agent(AgentId::new(&beat.agent));
-        self.frame(peer, frame::Body::Heartbeat(beat))
+    /// Delivers a heartbeat over the agent's own link.
+    pub fn receive_heartbeat(&mut self, heartbeat: Heartbeat) -> Vec<EntryAction> {
+        let peer = Peer::Agent(AgentId::new(&heartbeat.agent));
+        self.receive_frame(peer, frame::Body::Heartbeat(heartbeat))
     }
 
-    /// Gossip came.
-    pub fn gossip(&mut self, gossip: Gossip) -> Vec<EntryAction> {
+    /// Delivers a gossip message.
+    pub fn receive_gossip(&mut self, gossip: Gossip) -> Vec<EntryAction> {
         let peer = Peer::Entry(EntryId::new(&gossip.entry));
-        self.frame(peer, frame::Body::Gossip(gossip))
+        self.receive_frame(peer, frame::Body::Gossip(gossip))
     }
 
-    /// A frame came.
-    pub fn frame(&mut self, peer: Peer, body: frame::Body) -> Vec<EntryAction> {
+    /// Delivers a frame.
+    pub fn receive_frame(&mut self, peer: Peer, body: frame::Body) -> Vec<EntryAction> {
         self.handle(EntryEvent::Frame {
             peer,
             revision: Revision(1),
@@ -118,21 +123,26 @@
         })
     }
 
-    /// A frame came as bytes, as the shell reads it from a link.
-    pub fn frame_bytes(&mut self, peer: &Peer, bytes: &[u8]) -> Vec<EntryAction> {
+    /// Decodes and delivers a frame, as the driver does with bytes from a link.
+    pub fn receive_frame_bytes(
+        &mut self,
+        peer: &Peer,
+        bytes: &[u8],
+    ) -> Vec<EntryAction> {
         let frame = Frame::decode(bytes).expect("it was encoded a moment ago");
         let body = frame.body.expect("each frame has its content");
-        self.frame(peer.clone(), body)
+        self.receive_frame(peer.clone(), body)
     }
 
-    /// A request for a model arrives; gives the run if one is sent.
-    pub fn arrive(
+    /// Delivers a request for a model. Returns the number of recorded timeline
+    /// events and, if the request was dispatched, its run and agent.
+    pub fn receive_request(
         &mut self,
         model: &str,
     ) -> (usize, Option<Box<Run>>, Option<AgentId>) {
         self.sequence += 1;
         let request = self.role.next_request_id();
-        let arrival = Box::new(IncomingRequest {
+        let incoming = Box::new(IncomingRequest {
             request,
             credential: Credential::from_key(messages::KEY),
             profile: Some(ProfileId::new("desk")),
@@ -147,41 +157,43 @@
             prompt_tokens: 500,
             tokens_max: 400,
         });
-        let actions = self.handle(EntryEvent::RequestReceived(arrival));
-        let notes = traces(&actions);
+        let actions = self.handle(EntryEvent::RequestReceived(incoming));
+        let events = count_recorded_events(&actions);
         for action in actions {
             if let EntryAction::SendRun { agent, run, .. } = action {
-                return (notes, Some(run), Some(agent));
+                return (events, Some(run), Some(agent));
             }
         }
-        (notes, None, None)
+        (events, None, None)
     }
 
-    /// The answer of a run: its start, its parts and its end. Gives the number
-    /// of events for the time line.
-    pub fn finish(&mut self, agent: &AgentId, run: &Run, parts: u32) -> usize {
+    /// Delivers the answer of a run: start, parts and end. Returns the number
+    /// of recorded timeline events.
+    pub fn complete_run(&mut self, agent: &AgentId, run: &Run, parts: u32) -> usize {
         let peer = Peer::Agent(agent.clone());
         let started = frame::Body::Started(Started {
             attempt: run.attempt,
-            load: Some(messages::load()),
+            load: Some(messages::load_report()),
         });
-        let mut notes = traces(&self.frame(peer.clone(), started));
-        for nth in 0..parts {
-            notes += traces(&self.part(agent, run, u64::from(nth)));
+        let mut events =
+            count_recorded_events(&self.receive_frame(peer.clone(), started));
+        for index in 0..parts {
+            events +=
+                count_recorded_events(&self.receive_part(agent, run, u64::from(index)));
         }
         let end = frame::Body::End(End {
             attempt: run.attempt,
             ran: 1,
             total_units: u64::from(parts),
             status: 200,
-            load: Some(messages::load()),
+            load: Some(messages::load_report()),
             ..End::default()
         });
-        notes + traces(&self.frame(peer, end))
+        events + count_recorded_events(&self.receive_frame(peer, end))
     }
 
-    /// One part of an answer.
-    pub fn part(
+    /// Delivers one part of an answer.
+    pub fn receive_part(
         &mut self,
         agent: &AgentId,
         run: &Run,
@@ -200,16 +212,17 @@
     }
 }
 
-fn traces(actions: &[EntryAction]) -> usize {
-    let note = |action: &&EntryAction| matches!(action, EntryAction::RecordEvent(_));
-    actions.iter().filter(note).count()
+fn count_recorded_events(actions: &[EntryAction]) -> usize {
+    let is_recorded =
+        |action: &&EntryAction| matches!(action, EntryAction::RecordEvent(_));
+    actions.iter().filter(is_recorded).count()
 }
 
 fn options() -> EntryOptions {
     EntryOptions {
         id: EntryId::new("entry-0000"),
         incarnation: Incarnation(1_764_700_000_000_000),
-        failure_domain: FailureDomainId::new(&messages::domain(0)),
+        failure_domain: FailureDomainId::new(&messages::failure_domain(0)),
         link_address: "10.120.130.139:20001".to_owned(),
         operator_address: "10.120.130.139:20002".to_owned(),
         peers: Vec::new(),
@@ -219,8 +232,8 @@
     }
 }
 
-/// A frame as it stands on a link.
-pub fn encoded(body: frame::Body) -> Vec<u8> {
+/// Encodes a frame as it is sent on a link, without the length before it.
+pub fn encode_frame(body: frame::Body) -> Vec<u8> {
     let frame = Frame {
         clock_us: 1_764_700_000_000_000,
         revision: 1,
@@ -229,14 +242,15 @@
     frame.encode_to_vec()
 }
 
-/// The platform has one configuration and nothing else; watches wait.
-fn answer_to(call: &PlatformCall, document: &[u8]) -> Option<PlatformResult> {
+/// Result of a platform call: the platform has one configuration revision and
+/// no other objects; watches stay open.
+fn platform_result(call: &PlatformCall, document: &[u8]) -> Option<PlatformResult> {
     match &call.op {
         PlatformOp::Read { .. } => Some(PlatformResult::Object(None)),
         PlatformOp::List { prefix } if prefix == conf::REVISION_KEY_PREFIX => {
             let key = conf::revision_key(Revision(1));
-            let held = vec![(key, ObjectVersion(1), document.to_vec())];
-            Some(PlatformResult::Objects(held, ObjectVersion(1)))
+            let objects = vec![(key, ObjectVersion(1), document.to_vec())];
+            Some(PlatformResult::Objects(objects, ObjectVersion(1)))
         }
         PlatformOp::List { .. } => {
             Some(PlatformResult::Objects(Vec::new(), ObjectVersion(1)))
--- a/crates/cap/src/measure/memory.rs
+++ b/crates/cap/src/measure/memory.rs
@@ -1,13 +1,14 @@
-//! Resident memory of what a process keeps.
+//! Resident memory per item that a process holds.
 //!
-//! Each figure comes from a child of its own: this program starts itself, the
-//! child builds the thing, and tells by how much its resident memory grew. What
-//! an earlier measurement left to the allocator can't hide the growth so.
+//! Each value is measured in its own child process: this program starts itself,
+//! the child allocates the items and prints by how much its resident memory
+//! grew. In a single process, memory that the allocator kept from an earlier
+//! measurement could hide the growth.
 
-use super::agent_rig::AgentRig;
-use super::clock::{resident_bytes, samples};
-use super::entry_rig::EntryRig;
+use super::agent_harness::AgentHarness;
+use super::entry_harness::EntryHarness;
 use super::messages::{self, Fleet};
+use super::sampling::{measure_at_sizes, resident_bytes};
 use super::timeline;
 use crate::fit::{Growth, Series};
 use line::EventRecorder;
@@ -15,15 +16,15 @@
 use std::process::Command;
 use std::str::FromStr;
 
-/// Models of an entry's document, where the size is something else.
-const FLEET: usize = 200;
-/// Demands that each entry tells of.
-const DEMANDS: usize = 1_600;
+/// Models in the document, if the size counts other items.
+const FLEET_MODELS: usize = 200;
+/// Models for which each entry reports demand.
+const DEMANDS_PER_ENTRY: usize = 1_600;
 
-/// What memory is measured for.
+/// Kinds of items whose memory is measured.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kept {
-    /// Agents with four models, known to an entry.
+pub enum MemoryItem {
+    /// Agents with four resident models, known to an entry.
     Agents,
     /// Requests that wait at an entry.
     Waiting,
@@ -31,15 +32,15 @@
     Running,
     /// Entries known to an entry, each with demand for 1,600 models.
     Entries,
-    /// Models of an entry's document.
+    /// Models in the document of an entry.
     Models,
     /// Attempts that an agent remembers.
     Attempts,
-    /// Events of the time line.
+    /// Timeline events.
     Events,
 }
 
-impl Kept {
+impl MemoryItem {
     const ALL: [(Self, &'static str, &'static str, [usize; 4]); 7] = [
         (
             Self::Agents,
@@ -75,120 +76,140 @@
         ),
     ];
 
-    fn word(self) -> &'static str {
+    fn name(self) -> &'static str {
         let all = Self::ALL.iter();
-        all.filter(|(kept, ..)| *kept == self)
-            .map(|(_, word, ..)| *word)
+        all.filter(|(item, ..)| *item == self)
+            .map(|(_, name, ..)| *name)
             .next()
             .unwrap_or("")
     }
 }
 
-impl FromStr for Kept {
+impl FromStr for MemoryItem {
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let mut all = Self::ALL.iter();
-        all.find(|(_, word, ..)| *word == text)
-            .map(|(kept, ..)| *kept)
-            .ok_or_else(|| format!("nothing is kept by the name `{text}`"))
+        all.find(|(_, name, ..)| *name == text)
+            .map(|(item, ..)| *item)
+            .ok_or_else(|| format!("unknown kind of item `{text}`"))
     }
 }
 
-/// All memory series, each figure from a child process.
+/// Measures all memory series, each value in a child process.
 pub fn run() -> Vec<Series> {
-    let of = |(kept, _, size_of, sizes): &(Kept, _, &'static str, [usize; 4])| Series {
-        name: "memory",
-        size_of,
-        unit: "B",
-        growth: Growth::Line,
-        samples: samples(sizes, |size| in_child(*kept, size)),
-    };
-    Kept::ALL.iter().map(of).collect()
+    let series =
+        |(item, _, size_of, sizes): &(MemoryItem, _, &'static str, [usize; 4])| {
+            Series {
+                name: "memory",
+                size_of,
+                unit: "B",
+                growth: Growth::Linear,
+                samples: measure_at_sizes(sizes, |size| measure_in_child(*item, size)),
+            }
+        };
+    MemoryItem::ALL.iter().map(series).collect()
 }
 
-fn in_child(kept: Kept, size: usize) -> f64 {
-    let own = std::env::current_exe().expect("a running program has a file");
-    let done = Command::new(own)
-        .args(["--memory", kept.word(), "--size", &size.to_string()])
+fn measure_in_child(item: MemoryItem, size: usize) -> f64 {
+    let program = std::env::current_exe().expect("a running program has a file");
+    let output = Command::new(program)
+        .args(["--memory", item.name(), "--size", &size.to_string()])
         .output()
         .expect("this program can be started again");
-    let text = String::from_utf8_lossy(&done.stdout);
+    let text = String::from_utf8_lossy(&output.stdout);
     text.trim().parse().unwrap_or(0.0)
 }
 
-/// Growth of this process by a number of things kept, in bytes.
-pub fn grown_bytes(kept: Kept, size: usize) -> u64 {
-    match kept {
-        Kept::Agents => by_entry(&Fleet::of(FLEET), |rig| {
-            rig.add_agents(size, 4, FLEET);
-        }),
-        Kept::Waiting => by_entry(&Fleet::of(FLEET), |rig| {
-            for nth in 0..size {
-                rig.arrive(&messages::model(nth % FLEET));
-            }
-        }),
-        Kept::Running => running(size),
-        Kept::Entries => by_entry(&Fleet::of(DEMANDS), |rig| {
-            for nth in 0..size {
-                rig.add_entry(nth + 1);
-                let demands = (0..DEMANDS).map(messages::demand).collect();
-                let name = messages::entry(nth + 1);
-                rig.gossip(messages::gossip(&name, 2, Vec::new(), demands));
-            }
-        }),
-        Kept::Models => models(size),
-        Kept::Attempts => attempts(size),
-        Kept::Events => events(size),
+/// Growth of the resident memory of this process when it allocates a number of
+/// items, in bytes.
+pub fn memory_growth_bytes(item: MemoryItem, size: usize) -> u64 {
+    match item {
+        MemoryItem::Agents => {
+            entry_growth(&Fleet::with_models(FLEET_MODELS), |harness| {
+                harness.add_agents(size, 4, FLEET_MODELS);
+            })
+        }
+        MemoryItem::Waiting => {
+            entry_growth(&Fleet::with_models(FLEET_MODELS), |harness| {
+                for index in 0..size {
+                    harness.receive_request(&messages::model(index % FLEET_MODELS));
+                }
+            })
+        }
+        MemoryItem::Running => requests_in_flight(size),
+        MemoryItem::Entries => {
+            entry_growth(&Fleet::with_models(DEMANDS_PER_ENTRY), |harness| {
+                for index in 0..size {
+                    harness.add_entry(index + 1);
+                    let demands =
+                        (0..DEMANDS_PER_ENTRY).map(messages::demand).collect();
+                    let entry_name = messages::entry(index + 1);
+                    harness.receive_gossip(messages::gossip(
+                        &entry_name,
+                        2,
+                        Vec::new(),
+                        demands,
+                    ));
+                }
+            })
+        }
+        MemoryItem::Models => document_models(size),
+        MemoryItem::Attempts => agent_attempts(size),
+        MemoryItem::Events => timeline_events(size),
     }
 }
 
-fn by_entry(fleet: &Fleet, fill: impl FnOnce(&mut EntryRig)) -> u64 {
-    let mut rig = EntryRig::new(fleet);
+fn entry_growth(fleet: &Fleet, fill: impl FnOnce(&mut EntryHarness)) -> u64 {
+    let mut harness = EntryHarness::new(fleet);
     let before = resident_bytes("self");
-    fill(&mut rig);
+    fill(&mut harness);
     let after = resident_bytes("self");
-    black_box(&rig);
+    black_box(&harness);
     after.saturating_sub(before)
 }
 
-fn running(size: usize) -> u64 {
+fn requests_in_flight(size: usize) -> u64 {
     let fleet = Fleet {
         models: 4,
         concurrent_max: 64,
     };
-    let mut rig = EntryRig::new(&fleet);
-    rig.add_agents(1_024, 4, 4);
+    let mut harness = EntryHarness::new(&fleet);
+    harness.add_agents(1_024, 4, 4);
     let before = resident_bytes("self");
-    let sent =
-        (0..size).filter(|nth| rig.arrive(&messages::model(nth % 4)).1.is_some());
+    let sent = (0..size).filter(|index| {
+        harness
+            .receive_request(&messages::model(index % 4))
+            .1
+            .is_some()
+    });
     let sent = sent.count();
     let after = resident_bytes("self");
-    black_box(&rig);
+    black_box(&harness);
     assert!(sent * 10 > size * 9, "only {sent} of {size} were sent");
     after.saturating_sub(before)
 }
 
-fn models(size: usize) -> u64 {
+fn document_models(size: usize) -> u64 {
     let before = resident_bytes("self");
-    let rig = EntryRig::new(&Fleet::of(size));
+    let harness = EntryHarness::new(&Fleet::with_models(size));
     let after = resident_bytes("self");
-    black_box(&rig);
+    black_box(&harness);
     after.saturating_sub(before)
 }
 
-fn attempts(size: usize) -> u64 {
-    let mut rig = AgentRig::new(&Fleet::of(FLEET), 4, 4);
+fn agent_attempts(size: usize) -> u64 {
+    let mut harness = AgentHarness::new(&Fleet::with_models(FLEET_MODELS), 4, 4);
     let before = resident_bytes("self");
     for _ in 0..size {
-        rig.run();
+        harness.complete_run();
     }
     let after = resident_bytes("self");
-    black_box(&rig);
+    black_box(&harness);
     after.saturating_sub(before)
 }
 
-fn events(size: usize) -> u64 {
+fn timeline_events(size: usize) -> u64 {
     let recorder = EventRecorder::new("entry-0000", size);
     let before = resident_bytes("self");
     (0..size).for_each(|_| recorder.record(timeline::event()));
--- a/crates/cap/src/measure/messages.rs
+++ b/crates/cap/src/measure/messages.rs
@@ -1,31 +1,31 @@
-//! Names, documents and messages of a usual shape.
+//! Builds names, documents and messages of typical size for the measurements.
 
 use schema::link::{self, Attempt, Demand, Gossip, Heartbeat, Load, Resident};
 use serde_json::{Value, json};
 
-/// Pool of every agent.
+/// Pool of all agents.
 pub const POOL: &str = "oracle";
-/// Memory of one accelerator.
+/// Memory of one accelerator, in MiB.
 pub const ACCELERATOR_MIB: u32 = 81_920;
-/// Memory of one model: one fits on an accelerator.
+/// Memory of one model, in MiB: one model fits on an accelerator.
 pub const MODEL_MIB: u32 = 69_632;
-/// Key of the one caller.
+/// API key of the only caller.
 pub const KEY: &str = "key-press-desk";
 /// Name of a peer entry.
 pub const PEER: &str = "entry-0002";
 
-/// Shape of a fleet document.
+/// Sizes of a fleet document.
 #[derive(Debug, Clone, Copy)]
 pub struct Fleet {
-    /// Models.
+    /// Number of models.
     pub models: usize,
     /// Requests that one accelerator runs at once.
     pub concurrent_max: u32,
 }
 
 impl Fleet {
-    /// The usual document with this many models.
-    pub const fn of(models: usize) -> Self {
+    /// The default document with this number of models.
+    pub const fn with_models(models: usize) -> Self {
         Self {
             models,
             concurrent_max: 16,
@@ -34,26 +34,26 @@
 }
 
 /// Name of a model.
-pub fn model(nth: usize) -> String {
-    format!("diagnosis-{nth:05}")
+pub fn model(index: usize) -> String {
+    format!("diagnosis-{index:05}")
 }
 
 /// Name of an agent.
-pub fn agent(nth: usize) -> String {
-    format!("oracle-{nth:05}")
+pub fn agent(index: usize) -> String {
+    format!("oracle-{index:05}")
 }
 
 /// Name of an entry.
-pub fn entry(nth: usize) -> String {
-    format!("entry-{nth:04}")
+pub fn entry(index: usize) -> String {
+    format!("entry-{index:04}")
 }
 
 /// Name of one of the 14 failure domains.
-pub fn domain(nth: usize) -> String {
-    format!("spanish-town-{:02}", nth % 14)
+pub fn failure_domain(index: usize) -> String {
+    format!("spanish-town-{:02}", index % 14)
 }
 
-/// A fleet document.
+/// Builds a fleet document.
 pub fn document(fleet: &Fleet) -> Value {
     let names: Vec<String> = (0..fleet.models).map(model).collect();
     let spec = json!({"size_mib": MODEL_MIB, "version": 1, "pool": POOL});
@@ -61,15 +61,16 @@
         .iter()
         .map(|name| (name.clone(), spec.clone()))
         .collect();
-    let domains: Vec<String> = (0..14).map(domain).collect();
-    let of_region = |name: &String| (name.clone(), json!({"region": "kingston"}));
+    let failure_domains: Vec<String> = (0..14).map(failure_domain).collect();
+    let to_region = |name: &String| (name.clone(), json!({"region": "kingston"}));
     let regions: serde_json::Map<String, Value> =
-        domains.iter().map(of_region).collect();
+        failure_domains.iter().map(to_region).collect();
     json!({
         "deployment": "capacity",
         "failure_domains": regions,
         "pools": {POOL: {"kind": "engine", "instances": 10_000,
-            "failure_domains": domains, "accelerators_mib": vec![ACCELERATOR_MIB; 4],
+            "failure_domains": failure_domains,
+            "accelerators_mib": vec![ACCELERATOR_MIB; 4],
             "step_time_us": 10_000, "concurrent_max": fleet.concurrent_max,
             "order_delay_max_ms": 5_000, "checks_fencing": true}},
         "models": models,
@@ -86,8 +87,8 @@
     })
 }
 
-/// Load hint of an agent with room.
-pub const fn load() -> Load {
+/// Load report of an agent with free slots.
+pub const fn load_report() -> Load {
     Load {
         running: 1,
         waiting: 0,
@@ -97,29 +98,29 @@
     }
 }
 
-/// Heartbeat of an agent with `residents` models out of `models`.
+/// Heartbeat of an agent with `residents` resident models out of `models`.
 pub fn heartbeat(
-    nth: usize,
+    index: usize,
     sequence: u64,
     residents: usize,
     models: usize,
 ) -> Heartbeat {
-    let resident = |place: usize| Resident {
-        model: model((nth * residents + place) % models),
+    let resident = |position: usize| Resident {
+        model: model((index * residents + position) % models),
         version: 1,
-        accelerator: (place % 4) as u32,
+        accelerator: (position % 4) as u32,
         state: link::ResidentState::Loaded.into(),
         size_mib: MODEL_MIB,
         age_ms: 1_000_000,
     };
     Heartbeat {
-        agent: agent(nth),
+        agent: agent(index),
         incarnation: 1_764_700_000_000_000,
         epoch: 3,
         pool: POOL.to_owned(),
-        failure_domain: domain(nth),
+        failure_domain: failure_domain(index),
         residents: (0..residents).map(resident).collect(),
-        load: Some(load()),
+        load: Some(load_report()),
         leaving: false,
         upstream_up: true,
         accelerators_mib: vec![ACCELERATOR_MIB; 4],
@@ -132,10 +133,10 @@
 }
 
 /// Demand for one model.
-pub fn demand(nth: usize) -> Demand {
+pub fn demand(index: usize) -> Demand {
     Demand {
-        model: model(nth),
-        rate_milli: 25_000 + nth as u32 % 900,
+        model: model(index),
+        rate_milli: 25_000 + index as u32 % 900,
         waiting: 0,
         oldest_wait_ms: 0,
         service_time_ms: 2_500,
@@ -143,7 +144,7 @@
     }
 }
 
-/// Gossip of an entry.
+/// Gossip message of an entry.
 pub fn gossip(
     from: &str,
     sequence: u64,
@@ -158,12 +159,12 @@
         demands,
         link_address: "10.120.130.141:20001".to_owned(),
         operator_address: "10.120.130.141:20002".to_owned(),
-        failure_domain: domain(0),
+        failure_domain: failure_domain(0),
         ..Gossip::default()
     }
 }
 
-/// Number of an attempt.
+/// Id of an attempt.
 pub const fn attempt(sequence: u64) -> Option<Attempt> {
     Some(Attempt {
         origin: 1_764_700_000_000_000,
--- a/crates/cap/src/measure/mod.rs
+++ b/crates/cap/src/measure/mod.rs
@@ -1,18 +1,19 @@
-//! One module for each thing measured.
+//! The measurements, one module for each measured part, and the harnesses that
+//! they use.
 
 pub mod agent;
-pub mod agent_rig;
+pub mod agent_harness;
 pub mod bytes;
-pub mod choose;
+pub mod choose_holder;
 pub mod claims;
-pub mod clock;
 pub mod config;
 pub mod entry;
-pub mod entry_rig;
-pub mod links;
+pub mod entry_harness;
+pub mod idle;
 pub mod memory;
 pub mod messages;
 pub mod outage;
 pub mod plan;
 pub mod processes;
+pub mod sampling;
 pub mod timeline;
--- a/crates/cap/src/measure/outage.rs
+++ b/crates/cap/src/measure/outage.rs
@@ -1,119 +1,130 @@
-//! Silence of many agents at once, and its end, between real processes.
+//! Measures the silence of many agents at once, and its end, between real
+//! processes.
 //!
-//! A failure domain that goes away leaves its far ends with open connections on
-//! which nothing comes any more. Agents that are stopped by a signal look the
-//! same; let go again, they look like the other side of a cut that has healed.
+//! When a failure domain fails, its peers keep open connections on which
+//! nothing arrives any more. Agents paused by SIGSTOP look the same to their
+//! peers; when they are resumed, the other processes see what they would see at
+//! the end of a network partition.
 
-use super::links::{Deployment, deployment};
-use super::processes::{Process, get, link_bytes};
+use super::idle::{Deployment, start_deployment};
+use super::processes::{Process, http_get, socket_bytes};
 use std::io;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Agents that fall silent at once, out of 96.
-const SILENT: [usize; 4] = [1, 4, 16, 64];
+/// Numbers of agents that are paused at once, out of 96.
+const PAUSED_AGENTS: [usize; 4] = [1, 4, 16, 64];
 const AGENTS: usize = 96;
 const ENTRIES: usize = 4;
-const POLL: Duration = Duration::from_millis(20);
-/// Time over which bytes are counted, after all are given up.
-const WINDOW: Duration = Duration::from_secs(4);
-/// Longest wait for any of the states.
-const PATIENCE: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Time over which bytes are counted, after all paused agents count as lost.
+const TRAFFIC_WINDOW: Duration = Duration::from_secs(4);
+/// Longest wait for agents to reach a state.
+const STATE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What one outage showed.
+/// Results of one outage.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Outage {
-    /// Agents that fell silent.
-    pub silent: usize,
-    /// Until no entry counts one of them as up.
+    /// Number of agents that were paused.
+    pub paused_agents: usize,
+    /// Milliseconds until no entry counts one of them as up.
     pub suspected_ms: f64,
-    /// Until every entry has given all of them up.
+    /// Milliseconds until every entry counts all of them as lost.
     pub lost_ms: f64,
-    /// From the end of the silence until every entry counts all as up.
-    pub back_ms: f64,
-    /// Bytes a second that the first entry sent and received before.
-    pub bytes_before: f64,
-    /// The same once all were given up.
-    pub bytes_during: f64,
-    /// Load of the machine over the last minute, at the end.
-    pub machine_load: f64,
+    /// Milliseconds from the end of the pause until every entry counts all
+    /// agents as up.
+    pub recovered_ms: f64,
+    /// Bytes per second that the first entry sent and received before the
+    /// pause.
+    pub bytes_per_s_before: f64,
+    /// The same once all paused agents counted as lost.
+    pub bytes_per_s_during: f64,
+    /// Load average of the machine over the last minute, at the end.
+    pub load_average: f64,
 }
 
-/// Each size in turn, all with the same processes.
+/// Measures each number of paused agents in turn, with the same processes.
 ///
 /// # Errors
 ///
-/// When a program can't be started or an entry can't be asked.
+/// A program can't be started, or an entry can't be queried.
 pub fn run() -> io::Result<Vec<Outage>> {
-    let deployment = deployment(AGENTS, ENTRIES)?;
+    let deployment = start_deployment(AGENTS, ENTRIES)?;
     let addresses = deployment.entry_addresses()?;
-    until(&addresses, AGENTS, |state| state == "up")?;
-    let outages: io::Result<Vec<Outage>> = SILENT
+    wait_for_agents(&addresses, AGENTS, |state| state == "up")?;
+    let outages: io::Result<Vec<Outage>> = PAUSED_AGENTS
         .iter()
-        .map(|silent| one(&deployment, &addresses, *silent))
+        .map(|paused_agents| measure(&deployment, &addresses, *paused_agents))
         .collect();
     deployment.stop();
     outages
 }
 
-fn one(
+fn measure(
     deployment: &Deployment,
     addresses: &[String],
-    silent: usize,
+    paused_agents: usize,
 ) -> io::Result<Outage> {
-    let bytes_before = bytes_per_s(deployment);
-    let affected = &deployment.agents[..silent];
+    let bytes_per_s_before = bytes_per_s(deployment);
+    let affected = &deployment.agents[..paused_agents];
     let begin = Instant::now();
     affected.iter().for_each(Process::freeze);
-    until(addresses, silent, |state| state != "up")?;
+    wait_for_agents(addresses, paused_agents, |state| state != "up")?;
     let suspected_ms = begin.elapsed().as_secs_f64() * 1e3;
-    until(addresses, silent, |state| state == "lost")?;
+    wait_for_agents(addresses, paused_agents, |state| state == "lost")?;
     let lost_ms = begin.elapsed().as_secs_f64() * 1e3;
-    let bytes_during = bytes_per_s(deployment);
+    let bytes_per_s_during = bytes_per_s(deployment);
     let begin = Instant::now();
-    affected.iter().for_each(Process::thaw);
-    until(addresses, AGENTS, |state| state == "up")?;
+    affected.iter().for_each(Process::resume);
+    wait_for_agents(addresses, AGENTS, |state| state == "up")?;
     Ok(Outage {
-        silent,
+        paused_agents,
         suspected_ms,
         lost_ms,
-        back_ms: begin.elapsed().as_secs_f64() * 1e3,
-        bytes_before,
-        bytes_during,
-        machine_load: super::links::load(),
+        recovered_ms: begin.elapsed().as_secs_f64() * 1e3,
+        bytes_per_s_before,
+        bytes_per_s_during,
+        load_average: super::idle::load_average(),
     })
 }
 
-/// Waits until every entry shows so many agents in a state.
-fn until(addresses: &[String], count: usize, is: fn(&str) -> bool) -> io::Result<()> {
-    let end = Instant::now() + PATIENCE;
+/// Waits until every entry reports this number of agents in a state.
+fn wait_for_agents(
+    addresses: &[String],
+    count: usize,
+    matches_state: fn(&str) -> bool,
+) -> io::Result<()> {
+    let deadline = Instant::now() + STATE_TIMEOUT;
     for address in addresses {
-        while counted(address, is)? < count {
-            if Instant::now() > end {
-                return Err(io::Error::other("the agents' states don't settle"));
+        while count_agents(address, matches_state)? < count {
+            if Instant::now() > deadline {
+                return Err(io::Error::other(
+                    "the agents did not reach the expected state in time",
+                ));
             }
-            sleep(POLL);
+            sleep(POLL_INTERVAL);
         }
     }
     Ok(())
 }
 
-fn counted(address: &str, is: fn(&str) -> bool) -> io::Result<usize> {
-    let status: serde_json::Value = serde_json::from_str(&get(address, "/status")?)?;
+fn count_agents(address: &str, matches_state: fn(&str) -> bool) -> io::Result<usize> {
+    let status: serde_json::Value =
+        serde_json::from_str(&http_get(address, "/status")?)?;
     let agents = status["agents"].as_array();
     let states = agents.into_iter().flatten();
     let states = states.filter_map(|agent| agent["state"].as_str());
-    Ok(states.filter(|state| is(state)).count())
+    Ok(states.filter(|state| matches_state(state)).count())
 }
 
 fn bytes_per_s(deployment: &Deployment) -> f64 {
-    let first = deployment.entries[0].id();
-    let sum = || {
+    let process_id = deployment.entries[0].id();
+    let total_bytes = || {
         let (sent, received) =
-            link_bytes(&first, &deployment.platform).unwrap_or((0, 0));
+            socket_bytes(&process_id, &deployment.platform).unwrap_or((0, 0));
         sent + received
     };
-    let (begin, before) = (Instant::now(), sum());
-    sleep(WINDOW);
-    sum().saturating_sub(before) as f64 / begin.elapsed().as_secs_f64()
+    let (begin, before) = (Instant::now(), total_bytes());
+    sleep(TRAFFIC_WINDOW);
+    total_bytes().saturating_sub(before) as f64 / begin.elapsed().as_secs_f64()
 }
--- a/crates/cap/src/measure/processes.rs
+++ b/crates/cap/src/measure/processes.rs
@@ -1,6 +1,6 @@
-//! Real processes on loopback: start, look at, end.
+//! Starts, inspects and stops real processes on loopback.
 
-use super::clock::{processor_us, resident_bytes};
+use super::sampling::{cpu_time_us, resident_bytes};
 use nix::sys::signal::{Signal, kill};
 use nix::unistd::Pid;
 use serde::Serialize;
@@ -11,20 +11,20 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// How long a child may take to end after SIGTERM.
+/// How long to wait for a child to end after SIGTERM.
 const STOP_TIMEOUT: Duration = Duration::from_secs(10);
 const STOP_POLL: Duration = Duration::from_millis(20);
 
-/// Folder for settings and logs; removed when dropped.
+/// Temporary directory for settings and logs, removed on drop.
 #[derive(Debug)]
-pub struct Folder(PathBuf);
+pub struct TempDir(PathBuf);
 
-impl Folder {
-    /// A new folder of this process.
+impl TempDir {
+    /// Creates the directory.
     ///
     /// # Errors
     ///
-    /// When it can't be made.
+    /// The directory can't be created.
     pub fn new(name: &str) -> io::Result<Self> {
         let name = format!("sesame-capacity-{}-{name}", std::process::id());
         let path = std::env::temp_dir().join(name);
@@ -32,11 +32,11 @@
         Ok(Self(path))
     }
 
-    /// Writes a file in JSON and tells where it is.
+    /// Writes a value as a JSON file and returns its path.
     ///
     /// # Errors
     ///
-    /// When it can't be written.
+    /// The file can't be written.
     pub fn write<S: Serialize>(&self, name: &str, value: &S) -> io::Result<PathBuf> {
         let path = self.0.join(name);
         fs::write(&path, serde_json::to_vec(value)?)?;
@@ -44,35 +44,36 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
-        // Left-over logs in the temporary folder do no harm.
+        // Files left in the temporary directory do no harm.
         let _ = fs::remove_dir_all(&self.0);
     }
 }
 
-/// A program beside this one.
-pub fn program(name: &str) -> PathBuf {
-    let own = std::env::current_exe().unwrap_or_default();
-    own.parent().unwrap_or(Path::new(".")).join(name)
+/// Path of a program in the directory of this one.
+pub fn sibling_program(name: &str) -> PathBuf {
+    let executable = std::env::current_exe().unwrap_or_default();
+    executable.parent().unwrap_or(Path::new(".")).join(name)
 }
 
-/// One child process, ended by its own id when dropped.
+/// A child process, killed on drop.
 #[derive(Debug)]
 pub struct Process(Child);
 
 impl Process {
-    /// Starts a program; what it prints goes to a file of the folder.
+    /// Starts a program with its settings; its output goes to a log file in the
+    /// directory.
     ///
     /// # Errors
     ///
-    /// When it can't be started.
-    pub fn start(name: &str, settings: &Path, folder: &Folder) -> io::Result<Self> {
-        let log = File::create(folder.0.join(format!(
+    /// The program can't be started.
+    pub fn start(name: &str, settings: &Path, directory: &TempDir) -> io::Result<Self> {
+        let log = File::create(directory.0.join(format!(
             "{}.log",
             settings.file_stem().unwrap_or_default().to_string_lossy()
         )))?;
-        let child = Command::new(program(name))
+        let child = Command::new(sibling_program(name))
             .arg("--settings")
             .arg(settings)
             .stdin(Stdio::null())
@@ -82,22 +83,23 @@
         Ok(Self(child))
     }
 
-    /// Starts a stand-in and reads the addresses of its listeners.
+    /// Starts a fake service and reads the addresses of its service and control
+    /// listeners from its output.
     ///
     /// # Errors
     ///
-    /// When it can't be started or tells no address.
+    /// The program can't be started, or it prints no address.
     pub fn start_fake(name: &str) -> io::Result<(Self, String, String)> {
-        let mut child = Command::new(program(name))
+        let mut child = Command::new(sibling_program(name))
             .stdin(Stdio::null())
             .stdout(Stdio::piped())
             .stderr(Stdio::null())
             .spawn()?;
-        let out = child.stdout.take().ok_or(io::ErrorKind::BrokenPipe)?;
-        let mut lines = BufReader::new(out).lines();
-        let mut address = |word: &str| {
+        let stdout = child.stdout.take().ok_or(io::ErrorKind::BrokenPipe)?;
+        let mut lines = BufReader::new(stdout).lines();
+        let mut address = |label: &str| {
             let line = lines.next().and_then(Result::ok).unwrap_or_default();
-            let text = line.strip_prefix(word).map(|text| text.trim().to_owned());
+            let text = line.strip_prefix(label).map(|text| text.trim().to_owned());
             text.ok_or(io::ErrorKind::InvalidData)
         };
         let (listen, control) = (address("listening"), address("control"));
@@ -105,7 +107,7 @@
         Ok((process, listen?, control?))
     }
 
-    /// Its process id.
+    /// Process id.
     pub fn id(&self) -> String {
         self.0.id().to_string()
     }
@@ -115,18 +117,18 @@
         resident_bytes(&self.id())
     }
 
-    /// Processor time so far, in microseconds.
-    pub fn processor_us(&self) -> u64 {
-        processor_us(&self.id())
+    /// CPU time so far, in microseconds.
+    pub fn cpu_time_us(&self) -> u64 {
+        cpu_time_us(&self.id())
     }
 
-    /// Stops it where it stands, with all its connections open.
+    /// Pauses the process by SIGSTOP; its connections stay open.
     pub fn freeze(&self) {
         self.signal(Signal::SIGSTOP);
     }
 
-    /// Lets it go on.
-    pub fn thaw(&self) {
+    /// Resumes the paused process.
+    pub fn resume(&self) {
         self.signal(Signal::SIGCONT);
     }
 
@@ -136,7 +138,7 @@
 
     fn signal(&self, signal: Signal) {
         if let Ok(id) = i32::try_from(self.0.id()) {
-            // A child that has ended by itself is not an error here.
+            // An error means that the child has already ended.
             let _ = kill(Pid::from_raw(id), signal);
         }
     }
@@ -151,23 +153,24 @@
     }
 }
 
-/// Ends processes in good order.
-pub fn stop(mut processes: Vec<Process>) {
+/// Terminates processes by SIGTERM and waits until they end; those that don't
+/// end in time are killed when they are dropped.
+pub fn stop_all(mut processes: Vec<Process>) {
     processes.iter().for_each(Process::terminate);
-    let until = Instant::now() + STOP_TIMEOUT;
+    let deadline = Instant::now() + STOP_TIMEOUT;
     for process in &mut processes {
-        while Instant::now() < until && matches!(process.0.try_wait(), Ok(None)) {
+        while Instant::now() < deadline && matches!(process.0.try_wait(), Ok(None)) {
             std::thread::sleep(STOP_POLL);
         }
     }
 }
 
-/// Text that an HTTP listener answers with.
+/// Sends a GET request and returns the body of the response.
 ///
 /// # Errors
 ///
-/// When it can't be reached.
-pub fn get(address: &str, path: &str) -> io::Result<String> {
+/// The listener can't be reached, or the connection breaks.
+pub fn http_get(address: &str, path: &str) -> io::Result<String> {
     let mut stream = TcpStream::connect(address)?;
     stream.set_read_timeout(Some(Duration::from_secs(5)))?;
     write!(
@@ -180,22 +183,22 @@
     Ok(body.unwrap_or_default().to_owned())
 }
 
-/// Bytes that a process sent and received over its connections, other than those
-/// to one address, as the kernel's socket table tells; `None` where the program
-/// that reads the table is not installed.
-pub fn link_bytes(process: &str, other_than: &str) -> Option<(u64, u64)> {
-    let done = Command::new("ss").args(["-tinpHO"]).output().ok()?;
-    let text = String::from_utf8_lossy(&done.stdout).into_owned();
+/// Bytes that a process sent and received over its TCP connections, without
+/// those to one address, from the kernel's socket table; `None` if `ss`, which
+/// reads the table, is not installed.
+pub fn socket_bytes(process: &str, excluded_address: &str) -> Option<(u64, u64)> {
+    let output = Command::new("ss").args(["-tinpHO"]).output().ok()?;
+    let text = String::from_utf8_lossy(&output.stdout).into_owned();
     let owner = format!("pid={process},");
     let lines = text
         .lines()
-        .filter(|line| line.contains(&owner) && !line.contains(other_than));
-    let sum = |word: &str| {
-        let of = |line: &str| {
-            let rest = line.split_once(word)?.1;
+        .filter(|line| line.contains(&owner) && !line.contains(excluded_address));
+    let sum_of = |label: &str| {
+        let counter = |line: &str| {
+            let rest = line.split_once(label)?.1;
             rest.split_whitespace().next()?.parse::<u64>().ok()
         };
-        lines.clone().filter_map(of).sum()
+        lines.clone().filter_map(counter).sum()
     };
-    Some((sum("bytes_sent:"), sum("bytes_received:")))
+    Some((sum_of("bytes_sent:"), sum_of("bytes_received:")))
 }
--- a/crates/cap/src/measure/timeline.rs
+++ b/crates/cap/src/measure/timeline.rs
@@ -1,13 +1,13 @@
-//! Records of the time line.
+//! Cost of recording timeline events.
 
-use super::clock::{batch_ns, samples};
 use super::messages;
+use super::sampling::{measure_at_sizes, median_batch_ns};
 use crate::fit::{Growth, Series};
 use line::{Event, EventKind, EventRecorder};
 
-const KEPT: [usize; 4] = [1_000, 4_000, 16_000, 64_000];
+const EVENT_COUNTS: [usize; 4] = [1_000, 4_000, 16_000, 64_000];
 
-/// One event as requests leave it.
+/// A typical event of a request.
 pub fn event() -> Event {
     Event {
         kind: EventKind::RequestSent.into(),
@@ -19,17 +19,17 @@
     }
 }
 
-/// One record in a recorder that is full.
-pub fn record() -> Series {
+/// Duration of recording one event in a recorder that is full.
+pub fn record_event() -> Series {
     Series {
-        name: "time line: record",
+        name: "timeline: record",
         size_of: "events kept",
         unit: "ns",
-        growth: Growth::Power,
-        samples: samples(&KEPT, |kept| {
-            let recorder = EventRecorder::new("entry-0000", kept);
-            (0..kept).for_each(|_| recorder.record(event()));
-            batch_ns(11, 2_000, |_| recorder.record(event()))
+        growth: Growth::PowerLaw,
+        samples: measure_at_sizes(&EVENT_COUNTS, |count| {
+            let recorder = EventRecorder::new("entry-0000", count);
+            (0..count).for_each(|_| recorder.record(event()));
+            median_batch_ns(11, 2_000, |_| recorder.record(event()))
         }),
     }
 }
--- a/crates/cap/src/target.rs
+++ b/crates/cap/src/target.rs
@@ -1,60 +1,62 @@
-//! The users' target, and what each node may spend on control.
+//! The required size of the system, and the resources that each process may use
+//! for control.
 
-/// Sizes to carry.
+/// Required sizes and rates.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Target {
-    /// Entries.
+pub struct CapacityTarget {
+    /// Number of entries.
     pub entries: f64,
-    /// Servers, each with one agent.
+    /// Number of servers, each with one agent.
     pub agents: f64,
-    /// Accelerators.
+    /// Number of accelerators.
     pub accelerators: f64,
-    /// Requests a second at the peak.
+    /// Requests per second at the peak.
     pub requests_per_s: f64,
-    /// Tokens a second at the peak.
+    /// Tokens per second at the peak.
     pub tokens_per_s: f64,
-    /// Models.
+    /// Number of models.
     pub models: f64,
-    /// Regions.
+    /// Number of regions.
     pub regions: f64,
-    /// Failure domains.
+    /// Number of failure domains.
     pub domains: f64,
-    /// Configuration changes a day.
+    /// Configuration changes per day.
     pub changes_per_day: f64,
-    /// Within which a change has to be in force everywhere.
-    pub change_s: f64,
-    /// Instances that fail a day.
+    /// Seconds within which a configuration change has to be in force
+    /// everywhere.
+    pub change_deadline_s: f64,
+    /// Instances that fail per day.
     pub failures_per_day: f64,
-    /// Instances restarted or replaced a day.
+    /// Instances that are restarted or replaced per day.
     pub restarts_per_day: f64,
-    /// Time between two tokens.
+    /// Longest time between two tokens of an answer, in seconds.
     pub between_tokens_s: f64,
-    /// Interval of heartbeats.
+    /// Interval of heartbeats, in seconds.
     pub heartbeat_s: f64,
     /// Models resident on one server.
     pub residents: f64,
 }
 
-/// What one node may spend on control.
+/// Resources that one process, or the platform, may use for control.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Budget {
-    /// Processor time, in percent of a core.
+pub struct NodeBudget {
+    /// CPU time, in percent of a core.
     pub core_percent: f64,
     /// Memory, in bytes.
     pub memory_bytes: f64,
-    /// Bytes a second, in and out together.
+    /// Bytes per second, sent and received together.
     pub bytes_per_s: f64,
-    /// Writes a second of the platform.
+    /// Writes per second at the platform.
     pub platform_writes_per_s: f64,
-    /// Reads a second of the platform, where a waiting watch counts as one.
+    /// Reads per second at the platform; a waiting watch counts as one.
     pub platform_reads_per_s: f64,
 }
 
 const DAY_S: f64 = 86_400.0;
 
-impl Target {
-    /// The users' numbers.
-    pub const USERS: Self = Self {
+impl CapacityTarget {
+    /// The sizes that the users require.
+    pub const REQUIRED: Self = Self {
         entries: 1_300.0,
         agents: 12_000.0,
         accelerators: 48_000.0,
@@ -64,7 +66,7 @@
         regions: 7.0,
         domains: 14.0,
         changes_per_day: 22_000.0,
-        change_s: 13.0,
+        change_deadline_s: 13.0,
         failures_per_day: 160.0,
         restarts_per_day: 2_600.0,
         between_tokens_s: 0.064,
@@ -72,32 +74,32 @@
         residents: 4.0,
     };
 
-    /// Heartbeats a second of one process.
-    pub fn beats_per_s(&self) -> f64 {
+    /// Heartbeats per second of one process.
+    pub fn heartbeats_per_s(&self) -> f64 {
         1.0 / self.heartbeat_s
     }
 
-    /// Requests a second through one entry.
+    /// Requests per second through one entry.
     pub fn entry_requests_per_s(&self) -> f64 {
         self.requests_per_s / self.entries
     }
 
-    /// Parts of answers a second through one entry, one token each.
+    /// Answer parts per second through one entry, with one token each.
     pub fn entry_parts_per_s(&self) -> f64 {
         self.tokens_per_s / self.entries
     }
 
-    /// Requests in flight at one entry when tokens come as slowly as they may.
+    /// Requests in flight at one entry if tokens arrive as slowly as allowed.
     pub fn entry_in_flight(&self) -> f64 {
         self.tokens_per_s * self.between_tokens_s / self.entries
     }
 
-    /// Requests a second at one agent.
+    /// Requests per second at one agent.
     pub fn agent_requests_per_s(&self) -> f64 {
         self.requests_per_s / self.agents
     }
 
-    /// Holders of one model, the mean.
+    /// Mean number of holders of a model.
     pub fn holders(&self) -> f64 {
         self.accelerators / self.models
     }
@@ -112,20 +114,20 @@
         self.entries / self.domains
     }
 
-    /// Configuration changes a second.
+    /// Configuration changes per second.
     pub fn changes_per_s(&self) -> f64 {
         self.changes_per_day / DAY_S
     }
 
-    /// Starts of agents a second, over the day.
-    pub fn starts_per_s(&self) -> f64 {
+    /// Starts of agents per second, as a mean over the day.
+    pub fn agent_starts_per_s(&self) -> f64 {
         (self.failures_per_day + self.restarts_per_day) / DAY_S
     }
 }
 
-impl Budget {
-    /// The users' numbers.
-    pub const USERS: Self = Self {
+impl NodeBudget {
+    /// The limits that the users set.
+    pub const REQUIRED: Self = Self {
         core_percent: 1.3,
         memory_bytes: 256e6,
         bytes_per_s: 11e3,
@@ -134,7 +136,7 @@
     };
 }
 
-/// Percent of a core that calls of a duration take at a rate.
-pub fn core_percent(calls_per_s: f64, each_ns: f64) -> f64 {
-    calls_per_s * each_ns / 1e9 * 100.0
+/// CPU time in percent of a core, from the rate and the duration of calls.
+pub fn core_percent(calls_per_s: f64, call_ns: f64) -> f64 {
+    calls_per_s * call_ns / 1e9 * 100.0
 }
