--- a/crates/ctl/src/commands/explain.rs
+++ b/crates/ctl/src/commands/explain.rs
@@ -85,10 +85,10 @@
             exit_status,
         );
     }
-    let lines = explanations.iter().flat_map(|explanations| {
-        let sentences = explanations.sentences.iter();
+    let lines = explanations.iter().flat_map(|explanation| {
+        let sentences = explanation.sentences.iter();
         let sentences = sentences.map(|sentence| format!("  {sentence}"));
-        std::iter::once(format!("{}:", explanations.process)).chain(sentences)
+        std::iter::once(format!("{}:", explanation.process)).chain(sentences)
     });
     Report::lines(lines, exit_status)
 }
--- a/crates/ctl/src/commands/publish.rs
+++ b/crates/ctl/src/commands/publish.rs
@@ -133,7 +133,7 @@
 
 /// Whether all processes have the revision; false if no process is known.
 fn in_force_in_all(members: &[MemberReport], revision: Revision) -> bool {
-    !members.is_empty() && members.iter().all(|line| line.has_revision(revision.0))
+    !members.is_empty() && members.iter().all(|member| member.has_revision(revision.0))
 }
 
 fn conflict_report(conflict: &Conflict, json: bool) -> Report {
--- a/crates/ctl/src/history/mod.rs
+++ b/crates/ctl/src/history/mod.rs
@@ -21,7 +21,7 @@
 pub use log_line::LogLine;
 use subject::Subject;
 
-/// Most lines that are kept; a model that is loaded and unloaded all day has
+/// Most lines that are printed; a model that is loaded and unloaded all day has
 /// thousands.
 const LINES_MAX: usize = 400;
 
--- a/crates/ctl/src/losses/moves.rs
+++ b/crates/ctl/src/losses/moves.rs
@@ -104,13 +104,13 @@
                     ));
                 }
             }
-            "order" => self.order(line),
-            "request" => self.request(line),
+            "order" => self.record_order(line),
+            "request" => self.record_request(line),
             _ => {}
         }
     }
 
-    fn order(&mut self, line: &LogLine) {
+    fn record_order(&mut self, line: &LogLine) {
         let action = line.str_field("action").unwrap_or_default();
         let load = action.strip_prefix("Load(\"");
         let load = load.and_then(|load| load.strip_suffix("\")"));
@@ -120,7 +120,7 @@
         }
     }
 
-    fn request(&mut self, line: &LogLine) {
+    fn record_request(&mut self, line: &LogLine) {
         let Some(model) = base_model(line) else {
             return;
         };
--- a/crates/ctl/tests/ctl/trail.rs
+++ b/crates/ctl/tests/ctl/history.rs
@@ -10,7 +10,7 @@
 impl LogFiles {
     fn write(test: &str, logs: &[(&str, &str)]) -> Self {
         let directory = std::env::temp_dir()
-            .join(format!("sesame-trail-{}-{test}", std::process::id()));
+            .join(format!("sesame-history-{}-{test}", std::process::id()));
         std::fs::create_dir_all(&directory).expect("a temporary directory");
         let files = logs.iter().map(|(name, text)| {
             let path = directory.join(format!("{name}.log"));
--- a/crates/ctl/tests/ctl/main.rs
+++ b/crates/ctl/tests/ctl/main.rs
@@ -2,8 +2,8 @@
 
 mod cli;
 mod fake;
+mod history;
 mod losses;
 mod members;
 mod platform;
 mod publish;
-mod trail;
