--- a/crates/fake/src/demo/mod.rs
+++ b/crates/fake/src/demo/mod.rs
@@ -1,63 +1,65 @@
-//! The demo: a small deployment on loopback, work in bursts, and a summary.
+//! The demo: runs a small deployment on loopback under varying load and prints a
+//! summary.
 //!
-//! A tool for people: it starts the programs as its children and ends each by
-//! its process id. No process of the system itself starts another.
+//! It starts the programs as child processes and signals each by its process id. No
+//! process of the system itself starts another.
 
-mod children;
+mod child_process;
 mod deployment;
-mod folder;
+mod directory;
 mod ports;
 mod probe;
 mod summary;
-mod work;
+mod workload;
 
 use std::fmt;
 use std::io;
 use std::path::PathBuf;
 use tokio::signal::unix::{SignalKind, signal};
 
-pub use deployment::{Controls, Deployment, DeploymentOptions, Said};
-pub use probe::Probe;
+pub use deployment::{CommandOutput, ControlAddresses, Deployment, DeploymentOptions};
+pub use probe::ProbeClient;
 
-/// The demo's fleet configuration.
+/// Fleet configuration of the demo.
 pub const FLEET: &str = include_str!("../../../../deploy/demo.jsonc");
 
-/// How the demo is run.
+/// Options of the demo.
 #[derive(Debug, Clone)]
 pub struct DemoOptions {
-    /// Duration of the work.
+    /// Duration of the load.
     pub seconds: u64,
-    /// Seed of the work.
+    /// Seed of the requests.
     pub seed: u64,
-    /// Keep the folder with settings and logs.
-    pub keep: bool,
+    /// Whether to keep the directory with settings and logs.
+    pub keep_directory: bool,
 }
 
-/// Why the demo ended early.
+/// Error of the demo or of a [`Deployment`].
 #[derive(Debug)]
 pub enum DemoError {
-    /// Programs that are not beside the demo's own.
-    Missing(Vec<PathBuf>),
-    /// A file, a port or a child failed.
+    /// Programs that are missing in the directory of the running one.
+    MissingPrograms(Vec<PathBuf>),
+    /// An operation on a file, a port or a child process failed; says which.
     Io(&'static str, io::Error),
-    /// A child said something else than its address.
-    NoAddress(String),
-    /// A command of `sesamectl` failed; what it printed.
-    Command(String),
-    /// No process of the system has this name.
-    NoProcess(String),
-    /// A process did not end in time.
-    StillRuns(String),
+    /// A stand-in did not print its addresses.
+    AddressNotReported(String),
+    /// A command failed; holds its output.
+    CommandFailed(String),
+    /// There is no process of the system with this name.
+    UnknownProcess(String),
+    /// A process did not exit within the time limit.
+    ExitTimeout(String),
     /// A signal ended the demo.
     Interrupted,
-    /// Processes that were not ready in time, and the folder with their logs.
-    NotReady(Vec<String>, PathBuf),
+    /// Processes that were not ready within the time limit, and the directory of their
+    /// logs.
+    ReadyTimeout(Vec<String>, PathBuf),
 }
 
 impl fmt::Display for DemoError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Missing(programs) => {
+            Self::MissingPrograms(programs) => {
                 writeln!(f, "programs are missing:")?;
                 for program in programs {
                     writeln!(f, "  {}", program.display())?;
@@ -65,14 +67,18 @@
                 f.write_str("run `cargo build --release --workspace --bins` first")
             }
             Self::Io(what, error) => write!(f, "{what}: {error}"),
-            Self::NoAddress(name) => write!(f, "{name} did not tell its address"),
-            Self::Command(text) => write!(f, "sesamectl failed: {text}"),
-            Self::NoProcess(name) => write!(f, "there is no process {name}"),
-            Self::StillRuns(name) => write!(f, "{name} did not end in time"),
+            Self::AddressNotReported(name) => {
+                write!(f, "{name} did not print its address")
+            }
+            Self::CommandFailed(text) => write!(f, "sesamectl failed: {text}"),
+            Self::UnknownProcess(name) => write!(f, "no process named {name}"),
+            Self::ExitTimeout(name) => {
+                write!(f, "{name} did not exit within the time limit")
+            }
             Self::Interrupted => f.write_str("interrupted"),
-            Self::NotReady(names, logs) => write!(
+            Self::ReadyTimeout(names, logs) => write!(
                 f,
-                "not ready in time: {}; logs are in {}",
+                "not ready within the time limit: {}; logs are in {}",
                 names.join(", "),
                 logs.display()
             ),
@@ -82,32 +88,34 @@
 
 impl std::error::Error for DemoError {}
 
-/// Runs the demo; true if every promise held.
+/// Runs the demo. Returns true if every response was correct and no counter shows a
+/// violation.
 ///
 /// # Errors
 ///
-/// The deployment did not come up.
+/// Returns an error if the deployment can't be started or a signal interrupts the demo.
 pub async fn run(options: DemoOptions) -> Result<bool, DemoError> {
     println!("starting 1 platform, 1 weight store, 6 engines, 3 services, ...");
     let mut deployment = Deployment::start(DeploymentOptions {
-        keep: options.keep,
+        keep_directory: options.keep_directory,
         ..DeploymentOptions::default()
     })?;
-    // The children would outlive a demo that ended without stopping them.
-    let done = tokio::select! {
-        done = drive(&deployment, &options) => done,
-        () = interrupted() => Err(DemoError::Interrupted),
+    // SIGINT and SIGTERM are handled, since the children would outlive a demo that they
+    // killed.
+    let result = tokio::select! {
+        result = run_load(&deployment, &options) => result,
+        () = shutdown_signal() => Err(DemoError::Interrupted),
     };
-    if done.is_err() {
-        // The logs are what the error is about.
-        deployment.keep_folder();
+    if result.is_err() {
+        // The logs are needed to diagnose the error.
+        deployment.keep_directory();
     }
     deployment.stop();
-    done
+    result
 }
 
-/// Waits for SIGINT or SIGTERM; for ever if they can't be listened to.
-pub(crate) async fn interrupted() {
+/// Waits for SIGINT or SIGTERM, or forever if no handler can be installed.
+pub(crate) async fn shutdown_signal() {
     let (Ok(mut interrupt), Ok(mut terminate)) = (
         signal(SignalKind::interrupt()),
         signal(SignalKind::terminate()),
@@ -120,28 +128,28 @@
     }
 }
 
-async fn drive(
+async fn run_load(
     deployment: &Deployment,
     options: &DemoOptions,
 ) -> Result<bool, DemoError> {
     print!("{}", deployment.publish(FLEET)?);
-    deployment.until_ready().await?;
+    deployment.wait_ready().await?;
     println!(
         "9 agents and 2 entries are ready; settings, logs and the addresses for\n\
          faults (controls.json) are in {}\n\
-         work for {} s, a burst in the middle; no model is loaded yet ...",
-        deployment.folder().display(),
+         load for {} s with a burst in the middle; no model is loaded yet ...",
+        deployment.directory().display(),
         options.seconds
     );
-    let report = work::run(&deployment.callers(), options).await;
+    let report = workload::run(&deployment.entry_addresses(), options).await;
     let totals = summary::Totals::read(deployment).await;
     println!("\n{}", report.table());
     println!("{}", totals.table());
-    if let Some(line) = deployment.timeline(&report.slowest_request) {
+    if let Some(timeline) = deployment.timeline(&report.slowest_request) {
         println!(
-            "time line of the slowest whole answer, {} ({} ms):\n{line}",
+            "timeline of the slowest whole answer, {} ({} ms):\n{timeline}",
             report.slowest_request, report.slowest_ms
         );
     }
-    Ok(report.wrong_answers() == 0 && totals.promises_held())
+    Ok(report.wrong_responses() == 0 && totals.no_violations())
 }
--- a/crates/fake/src/engine/report.rs
+++ b/crates/fake/src/engine/report.rs
@@ -1,4 +1,4 @@
-//! What `GET /admin/state` shows.
+//! State that `GET /admin/state` returns.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
@@ -7,47 +7,47 @@
 use super::accelerator::Resident;
 use super::{Engine, Inner};
 
-/// The engine's own report.
+/// Report of the engine's state.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Grows with each restart.
+    /// Number that increases with each restart.
     pub incarnation: u64,
-    /// Highest fencing number seen.
+    /// Highest fencing epoch of an order in this incarnation.
     pub fence: u64,
-    /// What is in memory.
+    /// Models and adapters in memory.
     pub residents: Vec<Resident>,
-    /// Orders of this incarnation.
+    /// Orders received in this incarnation.
     pub orders: Vec<OrderReport>,
-    /// Requests in a batch.
+    /// Number of requests in a batch.
     pub running: usize,
-    /// Requests that wait for a batch.
+    /// Number of requests that wait for a batch.
     pub waiting: usize,
-    /// Duration of a step of the fullest batch.
+    /// Duration of the longest current step, or of a step with one request if idle.
     pub step_time_us: u64,
-    /// Age of this report when it was served.
+    /// Age of this report when it was returned.
     pub report_age_ms: u64,
 }
 
 /// State of one order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderReport {
-    /// The order's number.
+    /// Number of the order.
     pub order: u64,
-    /// Fencing number it came with.
+    /// Fencing epoch of the order.
     pub fence: u64,
-    /// How far it is.
+    /// Progress of the order.
     pub state: OrderState,
 }
 
-/// How far an order is.
+/// Progress of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderState {
-    /// Under way.
+    /// Being carried out.
     InProgress,
-    /// Carried out.
+    /// Completed.
     Done,
-    /// Given up.
+    /// Failed, or made obsolete by an unload.
     Failed,
 }
 
@@ -59,11 +59,17 @@
             .flat_map(|accelerator| accelerator.residents.iter().cloned());
         Report {
             incarnation: self.incarnation,
-            fence: self.fence,
+            fence: self.highest_fencing_epoch,
             residents: residents.collect(),
             orders: self.orders.values().copied().collect(),
-            running: accelerators.iter().map(|one| one.running.len()).sum(),
-            waiting: accelerators.iter().map(|one| one.waiting.len()).sum(),
+            running: accelerators
+                .iter()
+                .map(|accelerator| accelerator.running.len())
+                .sum(),
+            waiting: accelerators
+                .iter()
+                .map(|accelerator| accelerator.waiting.len())
+                .sum(),
             step_time_us: 0,
             report_age_ms: 0,
         }
@@ -71,24 +77,29 @@
 }
 
 impl Engine {
-    /// The report to serve: as old as the report lag allows.
+    /// Returns the last report while it is younger than the report lag, else a new one.
     pub(super) fn report(&self) -> Report {
-        let durations = (0..self.wakes.len()).filter_map(|one| self.step_duration(one));
+        let durations = (0..self.step_wakeups.len())
+            .filter_map(|accelerator| self.step_duration(accelerator));
         let step = durations
             .max()
             .unwrap_or(Duration::from_micros(self.options.step_us));
         let mut inner = self.inner.lock();
         let lag = Duration::from_millis(inner.faults.report_lag_ms);
         let now = Instant::now();
-        let held = inner.report.take().filter(|(made, _)| now - *made < lag);
-        let (made, report) = held.unwrap_or_else(|| {
+        let cached = inner
+            .cached_report
+            .take()
+            .filter(|(created_at, _)| now - *created_at < lag);
+        let (created_at, report) = cached.unwrap_or_else(|| {
             let mut report = inner.fresh_report();
             report.step_time_us = u64::try_from(step.as_micros()).unwrap_or(u64::MAX);
             (now, report)
         });
-        inner.report = Some((made, report.clone()));
+        inner.cached_report = Some((created_at, report.clone()));
         Report {
-            report_age_ms: u64::try_from((now - made).as_millis()).unwrap_or(u64::MAX),
+            report_age_ms: u64::try_from((now - created_at).as_millis())
+                .unwrap_or(u64::MAX),
             ..report
         }
     }
--- a/crates/fake/src/engine/body.rs
+++ b/crates/fake/src/engine/response_body.rs
@@ -1,4 +1,4 @@
-//! Answers as the OpenAI-style API gives them.
+//! Response bodies in the format of the OpenAI API.
 
 use bytes::Bytes;
 use hyper::body::{Body, Frame};
@@ -8,34 +8,34 @@
 use std::task::{Context, Poll};
 use tokio::sync::mpsc::UnboundedReceiver;
 
-use super::run::Event;
-use crate::text::Answer;
+use super::run::RunEvent;
+use crate::text::ResponseText;
 
-/// Which of the two calls an answer belongs to.
+/// API endpoint that a response belongs to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Api {
     Chat,
     Completions,
 }
 
-/// What every part of one answer repeats.
+/// Fields that all parts of one response share.
 #[derive(Debug, Clone)]
-pub(super) struct Shape {
+pub(super) struct ResponseTemplate {
     pub(super) api: Api,
     pub(super) id: String,
     pub(super) model: String,
     pub(super) version: u32,
-    pub(super) answer: Answer,
+    pub(super) text: ResponseText,
     pub(super) prompt_tokens: u32,
-    /// Tokens of the whole answer, also those before a resumption.
-    pub(super) total: u64,
+    /// Tokens of the complete response, including those before a resume offset.
+    pub(super) total_tokens: u64,
 }
 
-impl Shape {
-    fn part(&self, kind: &str, choice: &Value) -> Value {
+impl ResponseTemplate {
+    fn envelope(&self, object_type: &str, choice: &Value) -> Value {
         json!({
             "id": self.id,
-            "object": kind,
+            "object": object_type,
             "model": self.model,
             "system_fingerprint": format!("v{}", self.version),
             "choices": [choice],
@@ -43,18 +43,19 @@
     }
 
     fn chunk(&self, text: Option<&str>) -> Value {
-        let finish = text.is_none().then_some("length");
+        let finish_reason = text.is_none().then_some("length");
         match self.api {
             Api::Chat => {
                 let delta = text.map_or(json!({}), |text| json!({"content": text}));
                 let choice =
-                    json!({"index": 0, "delta": delta, "finish_reason": finish});
-                self.part("chat.completion.chunk", &choice)
+                    json!({"index": 0, "delta": delta, "finish_reason": finish_reason});
+                self.envelope("chat.completion.chunk", &choice)
             }
             Api::Completions => {
                 let text = text.unwrap_or("");
-                let choice = json!({"index": 0, "text": text, "finish_reason": finish});
-                self.part("text_completion", &choice)
+                let choice =
+                    json!({"index": 0, "text": text, "finish_reason": finish_reason});
+                self.envelope("text_completion", &choice)
             }
         }
     }
@@ -62,28 +63,28 @@
     fn usage(&self) -> Value {
         json!({
             "prompt_tokens": self.prompt_tokens,
-            "completion_tokens": self.total,
-            "total_tokens": u64::from(self.prompt_tokens) + self.total,
+            "completion_tokens": self.total_tokens,
+            "total_tokens": u64::from(self.prompt_tokens) + self.total_tokens,
         })
     }
 
-    /// The SSE event of one token.
-    fn token(&self, index: u64) -> Bytes {
-        let chunk = self.chunk(Some(&self.answer.token(index)));
+    /// Returns the server-sent event of one token.
+    fn token_event(&self, index: u64) -> Bytes {
+        let chunk = self.chunk(Some(&self.text.token(index)));
         Bytes::from(format!("data: {chunk}\n\n"))
     }
 
-    /// The last chunk and the end mark.
-    fn end(&self) -> Bytes {
+    /// Returns the last chunk, which carries the token counts, and the `[DONE]` event.
+    fn final_events(&self) -> Bytes {
         let mut chunk = self.chunk(None);
         chunk["usage"] = self.usage();
         Bytes::from(format!("data: {chunk}\n\ndata: [DONE]\n\n"))
     }
 
-    /// A whole answer in one document, from a resumption's offset on.
-    pub(super) fn whole(&self, from: u64) -> Value {
-        let text = self.answer.tokens(from, self.total);
-        let (kind, choice) = match self.api {
+    /// Returns the response as a single document, with the text from token `from` on.
+    pub(super) fn single_document(&self, from: u64) -> Value {
+        let text = self.text.token_range(from, self.total_tokens);
+        let (object_type, choice) = match self.api {
             Api::Chat => (
                 "chat.completion",
                 json!({
@@ -97,18 +98,18 @@
                 json!({"index": 0, "text": text, "finish_reason": "length"}),
             ),
         };
-        let mut whole = self.part(kind, &choice);
-        whole["usage"] = self.usage();
-        whole
+        let mut document = self.envelope(object_type, &choice);
+        document["usage"] = self.usage();
+        document
     }
 }
 
-/// A streamed answer.
+/// Body of a streamed response.
 #[derive(Debug)]
 pub(super) struct StreamBody {
-    pub(super) shape: Shape,
-    pub(super) events: UnboundedReceiver<Event>,
-    pub(super) ended: bool,
+    pub(super) template: ResponseTemplate,
+    pub(super) events: UnboundedReceiver<RunEvent>,
+    pub(super) finished: bool,
 }
 
 impl Body for StreamBody {
@@ -119,21 +120,23 @@
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, io::Error>>> {
-        if self.ended {
+        if self.finished {
             return Poll::Ready(None);
         }
         let event = std::task::ready!(self.events.poll_recv(context));
         let frame = match event {
-            Some(Event::Token(index)) => Ok(Frame::data(self.shape.token(index))),
-            Some(Event::Done) => {
-                self.ended = true;
-                Ok(Frame::data(self.shape.end()))
+            Some(RunEvent::Token(index)) => {
+                Ok(Frame::data(self.template.token_event(index)))
+            }
+            Some(RunEvent::Done) => {
+                self.finished = true;
+                Ok(Frame::data(self.template.final_events()))
             }
-            // Without the error the connection would end cleanly, and a cut
-            // answer could pass for a whole one.
+            // Without the error, the body would end cleanly, and the client could
+            // take an aborted response for a complete one.
             None => {
-                self.ended = true;
-                Err(io::Error::other("the run was cut off"))
+                self.finished = true;
+                Err(io::Error::other("the run was aborted"))
             }
         };
         Poll::Ready(Some(frame))
--- a/crates/fake/src/load/request.rs
+++ b/crates/fake/src/load/request.rs
@@ -1,4 +1,4 @@
-//! One request, made from the seed and its place alone.
+//! Generated requests, which depend only on the seed and the request's index.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -9,50 +9,51 @@
 use serde_json::json;
 use std::net::SocketAddr;
 
-use super::{LoadOptions, Mix};
+use super::{LoadOptions, Workload};
 use crate::text::BYTES_PER_TOKEN;
 
-/// One request and what its answer must be made from.
+/// A request and what is needed to compute its expected response.
 #[derive(Debug)]
-pub(super) struct Job {
-    pub(super) mix: Mix,
+pub(super) struct GeneratedRequest {
+    pub(super) workload: Workload,
     pub(super) model: String,
     pub(super) prompt: String,
     /// Idempotency key, for a plain service.
-    pub(super) key: String,
+    pub(super) idempotency_key: String,
     target: SocketAddr,
-    bearer: Option<String>,
+    authorization: Option<String>,
 }
 
-impl Job {
-    /// The request at a place; `None` without work.
+impl GeneratedRequest {
+    /// Generates the request at `index`. Returns `None` if there are no workloads.
     pub(super) fn new(
         options: &LoadOptions,
         index: u64,
         target: SocketAddr,
     ) -> Option<Self> {
         let mut random = Pcg64::seed_from_u64(options.seed ^ index.rotate_left(32));
-        let mix = pick_mix(&options.mixes, &mut random)?.clone();
-        let model = pick_model(&mix.models, &mut random);
+        let workload = pick_workload(&options.workloads, &mut random)?.clone();
+        let model = pick_model(&workload.models, &mut random);
         Some(Self {
-            prompt: prompt(&mix, &model, options.seed, index),
-            key: format!("load-{:x}-{index:x}", options.seed),
+            prompt: build_prompt(&workload, &model, options.seed, index),
+            idempotency_key: format!("load-{:x}-{index:x}", options.seed),
             target,
-            bearer: (!options.direct).then(|| format!("Bearer {}", options.key)),
+            authorization: (!options.direct)
+                .then(|| format!("Bearer {}", options.caller_key)),
             model,
-            mix,
+            workload,
         })
     }
 
-    /// Whether it calls a plain service.
+    /// Returns whether the request is for a plain service.
     pub(super) fn is_service(&self) -> bool {
-        !self.mix.service.is_empty()
+        !self.workload.service.is_empty()
     }
 
-    /// The HTTP request; `None` if a name can't stand in a header or path.
+    /// Returns the HTTP request, or `None` if a name is not valid in a header or path.
     pub(super) fn request(&self) -> Option<Request<Full<Bytes>>> {
         let path = if self.is_service() {
-            format!("/svc/{}/orders", self.mix.service)
+            format!("/svc/{}/orders", self.workload.service)
         } else {
             "/v1/chat/completions".to_owned()
         };
@@ -60,13 +61,13 @@
             .method(Method::POST)
             .uri(format!("http://{}{path}", self.target))
             .header(CONTENT_TYPE, "application/json");
-        if let Some(bearer) = &self.bearer {
+        if let Some(authorization) = &self.authorization {
             request = request
-                .header(AUTHORIZATION, bearer)
-                .header("x-profile", &self.mix.profile);
+                .header(AUTHORIZATION, authorization)
+                .header("x-profile", &self.workload.profile);
         }
         if self.is_service() {
-            request = request.header("idempotency-key", &self.key);
+            request = request.header("idempotency-key", &self.idempotency_key);
         }
         request.body(Full::new(Bytes::from(self.body()))).ok()
     }
@@ -78,46 +79,57 @@
         json!({
             "model": self.model,
             "messages": [{"role": "user", "content": self.prompt}],
-            "max_tokens": self.mix.max_tokens,
-            "stream": self.mix.stream,
+            "max_tokens": self.workload.max_tokens,
+            "stream": self.workload.stream,
         })
         .to_string()
     }
 }
 
-fn pick_mix<'a>(mixes: &'a [Mix], random: &mut Pcg64) -> Option<&'a Mix> {
-    let total: u64 = mixes.iter().map(|mix| u64::from(mix.weight)).sum();
-    let mut ticket = random.next_u64() % total.max(1);
-    mixes.iter().find(|mix| {
-        let weight = u64::from(mix.weight);
-        let found = ticket < weight;
-        ticket = ticket.saturating_sub(weight);
+fn pick_workload<'a>(
+    workloads: &'a [Workload],
+    random: &mut Pcg64,
+) -> Option<&'a Workload> {
+    let total: u64 = workloads
+        .iter()
+        .map(|workload| u64::from(workload.weight))
+        .sum();
+    let mut threshold = random.next_u64() % total.max(1);
+    workloads.iter().find(|workload| {
+        let weight = u64::from(workload.weight);
+        let found = threshold < weight;
+        threshold = threshold.saturating_sub(weight);
         found
     })
 }
 
-/// Model *n* is asked for in proportion to 1/(n+1): a few hot ones, a long tail.
+/// Picks model *n* (from 0) with a probability proportional to 1/(n+1), so that a few
+/// models get most of the requests.
 fn pick_model(models: &[String], random: &mut Pcg64) -> String {
     let weights = (1..=models.len()).map(|rank| 1.0 / rank as f64);
     let total: f64 = weights.clone().sum();
-    let mut ticket = random.next_u32() as f64 / (f64::from(u32::MAX) + 1.0) * total;
+    let mut threshold = random.next_u32() as f64 / (f64::from(u32::MAX) + 1.0) * total;
     for (model, weight) in models.iter().zip(weights) {
-        if ticket < weight {
+        if threshold < weight {
             return model.clone();
         }
-        ticket -= weight;
+        threshold -= weight;
     }
     models.last().cloned().unwrap_or_default()
 }
 
-fn prompt(mix: &Mix, model: &str, seed: u64, index: u64) -> String {
-    let fill = |text: String, tokens: u32| -> String {
+fn build_prompt(workload: &Workload, model: &str, seed: u64, index: u64) -> String {
+    let repeat_to = |text: String, tokens: u32| -> String {
         let bytes = tokens as usize * BYTES_PER_TOKEN;
         text.chars().cycle().take(bytes).collect()
     };
-    let shared = fill(format!("manual of {model}; "), mix.shared_tokens);
-    let own = mix.prompt_tokens.saturating_sub(mix.shared_tokens).max(1);
-    // The place is written out whole, so that no two prompts are the same.
-    let own = fill(format!("fault {seed:x}-{index:x} "), own);
+    let shared = repeat_to(format!("manual of {model}; "), workload.shared_tokens);
+    let own = workload
+        .prompt_tokens
+        .saturating_sub(workload.shared_tokens)
+        .max(1);
+    // The index is included outside the repeated text, so that no two prompts are
+    // equal.
+    let own = repeat_to(format!("fault {seed:x}-{index:x} "), own);
     format!("{shared} #{seed:x}-{index:x} {own}")
 }
--- a/crates/fake/src/store.rs
+++ b/crates/fake/src/store.rs
@@ -1,7 +1,7 @@
 //! Stand-in for the weight store.
 //!
-//! Loads start at a limited rate. Up to a number of them run at full speed;
-//! beyond that they share the store's bandwidth evenly.
+//! Loads start at a limited rate. A limited number of them run at full speed; if there
+//! are more, all share the store's bandwidth evenly.
 
 use hyper::body::Incoming;
 use hyper::{Method, Request, StatusCode};
@@ -16,19 +16,19 @@
 use tokio::time::Instant;
 
 use crate::Handle;
-use crate::handle::{self, ANY_PORT, StandIn, Tasks, handle_methods};
-use crate::http::{self, Answer};
+use crate::handle::{self, ANY_PORT, StandIn, TaskSet, handle_methods};
+use crate::http::{self, ResponseResult};
 
-/// How to start the stand-in.
+/// Options of the stand-in.
 #[derive(Debug, Clone)]
 pub struct StoreOptions {
-    /// Where weights are served.
+    /// Address of the listener that serves weights.
     pub listen: SocketAddr,
-    /// Where faults are switched.
+    /// Address of the control listener.
     pub control: SocketAddr,
-    /// Loads that may start per second.
+    /// Maximum number of loads started per second.
     pub loads_per_s: f64,
-    /// Loads that run at full speed at the same time.
+    /// Maximum number of concurrent loads at full speed.
     pub full_speed_loads: u32,
     /// Duration of a load at full speed.
     pub load_time_ms: u64,
@@ -46,34 +46,34 @@
     }
 }
 
-/// Faults in force; the default is none.
+/// Active faults; the default is none.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Every load is refused with 503.
+    /// Whether every load is refused with 503.
     pub outage: bool,
-    /// Next loads that are refused with 503.
+    /// Number of following loads that are refused with 503.
     pub fail_loads: u32,
-    /// Factor on the duration of loads; 0 and 1 change nothing.
+    /// Factor that multiplies the duration of loads; 0 and 1 have no effect.
     pub slow_factor: u32,
 }
 
-/// Loads since the start.
+/// Counters since the start.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Loads asked for.
+    /// Loads that were accepted.
     pub started: u64,
-    /// Loads transferred.
+    /// Loads that completed.
     pub done: u64,
-    /// Loads refused by a fault.
+    /// Loads that a fault refused.
     pub refused: u64,
-    /// Loads that transfer now.
+    /// Loads that are transferring weights now.
     pub active: u32,
-    /// Most loads that transferred at once.
+    /// Maximum of `active`.
     pub active_max: u32,
 }
 
-/// The stand-in's state.
+/// Weight store behind a [`Handle`].
 #[derive(Debug)]
 pub struct Store {
     options: StoreOptions,
@@ -82,31 +82,31 @@
 
 #[derive(Debug)]
 struct Inner {
-    next_start: Instant,
+    next_start_at: Instant,
     faults: Faults,
     counts: Counts,
 }
 
-/// Answer to a load.
+/// JSON response to a completed load.
 #[derive(Debug, Serialize)]
-struct Transferred {
+struct LoadResponse {
     ms: u64,
 }
 
-/// How finely a shared load is stepped.
-const QUANTUM: Duration = Duration::from_millis(10);
+/// Interval at which a load's share of the bandwidth is recomputed.
+const RATE_UPDATE_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Starts the stand-in.
 ///
 /// # Errors
 ///
-/// An address can't be bound.
+/// Returns an error if an address can't be bound.
 pub async fn start(options: StoreOptions) -> io::Result<Handle<Store>> {
     let (listen, control) = (options.listen, options.control);
     let store = Arc::new(Store {
         options,
         inner: Mutex::new(Inner {
-            next_start: Instant::now(),
+            next_start_at: Instant::now(),
             faults: Faults::default(),
             counts: Counts::default(),
         }),
@@ -115,8 +115,8 @@
         store,
         listen,
         control,
-        http::Cutter::default(),
-        Tasks::default(),
+        http::ConnectionCloser::default(),
+        TaskSet::default(),
     )
     .await
 }
@@ -127,10 +127,10 @@
     type Faults = Faults;
     type Counts = Counts;
 
-    fn call(
+    fn handle_request(
         self: Arc<Self>,
         request: Request<Incoming>,
-    ) -> Pin<Box<dyn Future<Output = Answer> + Send>> {
+    ) -> Pin<Box<dyn Future<Output = ResponseResult> + Send>> {
         Box::pin(async move { Ok(self.serve(&request).await) })
     }
 
@@ -147,11 +147,11 @@
     }
 }
 
-/// Counts a load as active until dropped, also when its caller goes away.
+/// Counts a load as active until dropped, also if its client disconnects.
 #[derive(Debug)]
-struct Active<'a>(&'a Store);
+struct ActiveLoad<'a>(&'a Store);
 
-impl<'a> Active<'a> {
+impl<'a> ActiveLoad<'a> {
     fn new(store: &'a Store) -> Self {
         let mut inner = store.inner.lock();
         inner.counts.active += 1;
@@ -160,7 +160,7 @@
     }
 }
 
-impl Drop for Active<'_> {
+impl Drop for ActiveLoad<'_> {
     fn drop(&mut self) {
         self.0.inner.lock().counts.active -= 1;
     }
@@ -171,49 +171,52 @@
         let path = request.uri().path();
         let known = path
             .strip_prefix("/weights/")
-            .is_some_and(|m| !m.is_empty());
+            .is_some_and(|model| !model.is_empty());
         if request.method() != Method::GET || !known {
-            return http::text(StatusCode::NOT_FOUND, "no such call");
+            return http::text_response(StatusCode::NOT_FOUND, "no such call");
         }
-        let begun = Instant::now();
-        let Some(start) = self.admit() else {
-            return http::text(StatusCode::SERVICE_UNAVAILABLE, "outage");
+        let started_at = Instant::now();
+        let Some(start) = self.reserve_start() else {
+            return http::text_response(StatusCode::SERVICE_UNAVAILABLE, "outage");
         };
         tokio::time::sleep_until(start).await;
         self.transfer().await;
         self.inner.lock().counts.done += 1;
-        let ms = u64::try_from(begun.elapsed().as_millis()).unwrap_or(u64::MAX);
-        http::json(StatusCode::OK, &Transferred { ms })
+        let ms = u64::try_from(started_at.elapsed().as_millis()).unwrap_or(u64::MAX);
+        http::json_response(StatusCode::OK, &LoadResponse { ms })
     }
 
-    /// When a load may start; `None` if it is refused.
-    fn admit(&self) -> Option<Instant> {
+    /// Returns the time at which a load may start, or `None` if a fault refuses it.
+    fn reserve_start(&self) -> Option<Instant> {
         let mut inner = self.inner.lock();
-        let failed = crate::faults::take(&mut inner.faults.fail_loads);
-        if inner.faults.outage || failed {
+        let fails = crate::fault_count::consume(&mut inner.faults.fail_loads);
+        if inner.faults.outage || fails {
             inner.counts.refused += 1;
             return None;
         }
         inner.counts.started += 1;
-        let start = inner.next_start.max(Instant::now());
-        let gap = 1.0 / self.options.loads_per_s.max(f64::MIN_POSITIVE);
-        inner.next_start = start + Duration::from_secs_f64(gap.min(GAP_MAX_S));
+        let start = inner.next_start_at.max(Instant::now());
+        let interval_s = 1.0 / self.options.loads_per_s.max(f64::MIN_POSITIVE);
+        inner.next_start_at =
+            start + Duration::from_secs_f64(interval_s.min(START_INTERVAL_MAX_S));
         Some(start)
     }
 
     async fn transfer(&self) {
-        let _active = Active::new(self);
-        let mut left_s = Duration::from_millis(self.options.load_time_ms).as_secs_f64();
-        while left_s > 0.0 {
-            let speed = self.speed();
-            let step = QUANTUM.min(Duration::from_secs_f64(left_s / speed));
-            tokio::time::sleep(step.max(STEP_MIN)).await;
-            left_s -= step.max(STEP_MIN).as_secs_f64() * speed;
+        let _active_load = ActiveLoad::new(self);
+        let mut remaining_s =
+            Duration::from_millis(self.options.load_time_ms).as_secs_f64();
+        while remaining_s > 0.0 {
+            let speed = self.relative_speed();
+            let step =
+                RATE_UPDATE_INTERVAL.min(Duration::from_secs_f64(remaining_s / speed));
+            tokio::time::sleep(step.max(SLEEP_MIN)).await;
+            remaining_s -= step.max(SLEEP_MIN).as_secs_f64() * speed;
         }
     }
 
-    /// Share of full speed that each load has now.
-    fn speed(&self) -> f64 {
+    /// Returns the current speed of each load, as a fraction of full speed.
+    fn relative_speed(&self) -> f64 {
         let inner = self.inner.lock();
         let full = f64::from(self.options.full_speed_loads.max(1));
         let share = (full / f64::from(inner.counts.active.max(1))).min(1.0);
@@ -221,8 +224,11 @@
     }
 }
 
-/// A lower rate than one load in this time makes no difference to a test.
-const GAP_MAX_S: f64 = 3_600.0;
+/// Maximum interval between the starts of two loads, in seconds. Lower rates make no
+/// difference to a test, and the interval of a rate near zero would overflow
+/// `Duration`.
+const START_INTERVAL_MAX_S: f64 = 3_600.0;
 
-/// Shortest sleep, so that rounding can't make a loop without end.
-const STEP_MIN: Duration = Duration::from_micros(100);
+/// Minimum sleep. Without it, rounding could produce zero-length steps and an endless
+/// loop.
+const SLEEP_MIN: Duration = Duration::from_micros(100);
