--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -1,24 +1,26 @@
-//! Scripted scenarios: small text files that declare a deployment, say what
-//! fails and when, and state what callers and upstreams must have seen.
+//! Deterministic simulation of a deployment, driven by scripts.
 //!
-//! A script is parsed whole ([`parse`]); an unknown word is an error with line
-//! and column. [`run`] then drives the very machines that ship, `EntryRole` and
-//! `AgentRole`, over in-memory links with small fakes of the platform, the
-//! engines and the plain services. Time is a number that jumps from event to
-//! event and every random choice comes from the script's seed, so a file gives
-//! the same sequence of events on every run.
+//! A script is a small text file that declares a deployment, injects faults at
+//! given times and states what callers and upstreams must have observed.
 //!
-//! Besides what a script states, the world checks after every run what must
-//! hold in all of them: see the `check` module.
+//! [`parse`] reads a whole script and reports every mistake with its line and
+//! column. [`run`] then drives the production state machines, `EntryRole` and
+//! `AgentRole`, over in-memory links with fakes of the platform, the engines and
+//! the plain services. The clock is simulated and jumps from event to event, and
+//! every random choice derives from the script's seed, so a script produces the
+//! same sequence of events on every run.
+//!
+//! In addition to the expectations of the script, every run is checked against
+//! the invariants listed in the `simulation::invariants` module.
 //!
 //! `docs/scenarios.md` describes the language.
 
 mod outcome;
 mod parse;
 mod script;
-mod world;
+mod simulation;
 
 pub use outcome::Outcome;
 pub use parse::{ScriptError, parse};
 pub use script::Script;
-pub use world::run;
+pub use simulation::run;
--- a/crates/scenario/src/outcome.rs
+++ b/crates/scenario/src/outcome.rs
@@ -1,17 +1,17 @@
-//! What came of a run.
+//! Result of a run.
 
-/// What came of a run.
+/// Result of running a script.
 #[derive(Debug, Default)]
 pub struct Outcome {
-    /// Statements of the script that did not hold, and promises broken.
+    /// Expectations of the script that were not met, and violated invariants.
     pub failures: Vec<String>,
-    /// Everything that happened, a line an event, for reading and for showing
-    /// that two runs are the same.
+    /// One line for each logged event. Identical logs show that two runs of a
+    /// script were identical.
     pub log: Vec<String>,
 }
 
 impl Outcome {
-    /// Whether everything held.
+    /// Whether every expectation was met and no invariant was violated.
     pub const fn passed(&self) -> bool {
         self.failures.is_empty()
     }
--- a/crates/scenario/src/parse/decl.rs
+++ b/crates/scenario/src/parse/declaration.rs
@@ -1,4 +1,4 @@
-//! Declarations: the deployment a script is about.
+//! Declarations: the statements that describe the deployment.
 
 use base::Instant;
 use schema::settings::{
@@ -9,15 +9,15 @@
 use super::ScriptError;
 use super::line::Words;
 use super::value::{
-    duration_ms, duration_us, fraction, instant, list, number, number32, yes_no,
+    comma_list, duration_ms, duration_us, float, instant, number, number_u32, yes_no,
 };
 use crate::script::{EntryDecl, InstanceDecl, Script};
 
-/// Time a run goes on unless the script says otherwise.
+/// End of a run if the script does not declare one.
 const DEFAULT_END: Instant = Instant::from_ms(30_000);
 
-/// A script that declares nothing.
-pub(super) fn empty() -> Script {
+/// The script before its first declaration, with the default settings.
+pub(super) fn default_script() -> Script {
     Script {
         seed: 1,
         end: DEFAULT_END,
@@ -41,19 +41,19 @@
     }
 }
 
-/// Reads one declaration into the script.
-pub(super) fn declaration(
+/// Parses one declaration and adds it to the script.
+pub(super) fn parse_declaration(
     script: &mut Script,
     words: &mut Words<'_>,
 ) -> Result<(), ScriptError> {
-    let word = words.next("a declaration")?;
+    let word = words.next_word("a declaration")?;
     match word.text {
         "seed" => {
-            let value = words.next("a number")?;
+            let value = words.next_word("a number")?;
             script.seed = number(words, value)?;
         }
         "end" => {
-            let value = words.next("a time")?;
+            let value = words.next_word("a time")?;
             script.end = instant(words, value)?;
         }
         "entry" => entry(script, words)?,
@@ -73,8 +73,11 @@
     Ok(())
 }
 
-fn domain(fleet: &mut Fleet, words: &mut Words<'_>) -> Result<String, ScriptError> {
-    let name = words.needed("domain")?.text.to_owned();
+fn failure_domain(
+    fleet: &mut Fleet,
+    words: &mut Words<'_>,
+) -> Result<String, ScriptError> {
+    let name = words.required_value("domain")?.text.to_owned();
     fleet
         .failure_domains
         .entry(name.clone())
@@ -85,39 +88,39 @@
 }
 
 fn entry(script: &mut Script, words: &mut Words<'_>) -> Result<(), ScriptError> {
-    let name = words.next("a name")?.text.to_owned();
-    let domain = domain(&mut script.fleet, words)?;
-    let later = words.flag("later");
+    let name = words.next_word("a name")?.text.to_owned();
+    let failure_domain = failure_domain(&mut script.fleet, words)?;
+    let starts_later = words.take_if("later");
     script.entries.push(EntryDecl {
         name,
-        domain,
-        later,
+        failure_domain,
+        starts_later,
     });
     Ok(())
 }
 
 fn instance(script: &mut Script, words: &mut Words<'_>) -> Result<(), ScriptError> {
-    let name = words.next("a name")?.text.to_owned();
-    let domain = domain(&mut script.fleet, words)?;
-    let word = words.needed("pool")?;
+    let name = words.next_word("a name")?.text.to_owned();
+    let failure_domain = failure_domain(&mut script.fleet, words)?;
+    let word = words.required_value("pool")?;
     let Some(pool) = script.fleet.pools.get_mut(word.text) else {
         return Err(words.error(word, "no such pool declared above"));
     };
     pool.instances += 1;
-    if !pool.failure_domains.contains(&domain) {
-        pool.failure_domains.push(domain.clone());
+    if !pool.failure_domains.contains(&failure_domain) {
+        pool.failure_domains.push(failure_domain.clone());
     }
     script.instances.push(InstanceDecl {
         name,
-        domain,
+        failure_domain,
         pool: word.text.to_owned(),
     });
     Ok(())
 }
 
 fn pool(fleet: &mut Fleet, words: &mut Words<'_>) -> Result<(), ScriptError> {
-    let name = words.next("a name")?.text.to_owned();
-    let kind = words.next("`engine` or `service`")?;
+    let name = words.next_word("a name")?.text.to_owned();
+    let kind = words.next_word("`engine` or `service`")?;
     if !["engine", "service"].contains(&kind.text) {
         return Err(words.error(kind, "neither `engine` nor `service`"));
     }
@@ -132,47 +135,50 @@
     if kind.text == "engine" {
         pool.accelerators_mib = vec![81_920];
     }
-    if let Some(word) = words.named("memory") {
-        pool.accelerators_mib = memory(words, word)?;
+    if let Some(word) = words.optional_value("memory") {
+        pool.accelerators_mib = accelerator_sizes(words, word)?;
     }
-    if let Some(word) = words.named("step") {
+    if let Some(word) = words.optional_value("step") {
         let us = duration_us(words, word)?;
         pool.step_time_us = u32::try_from(us).unwrap_or(u32::MAX);
     }
-    if let Some(word) = words.named("places") {
-        pool.concurrent_max = number32(words, word)?;
+    if let Some(word) = words.optional_value("places") {
+        pool.concurrent_max = number_u32(words, word)?;
     }
-    if let Some(word) = words.named("fencing") {
+    if let Some(word) = words.optional_value("fencing") {
         pool.checks_fencing = yes_no(words, word)?;
     }
-    if let Some(word) = words.named("order-delay") {
-        pool.order_delay_max_ms = ms32(words, word)?;
+    if let Some(word) = words.optional_value("order-delay") {
+        pool.order_delay_max_ms = duration_ms_u32(words, word)?;
     }
     fleet.pools.insert(name, pool);
     Ok(())
 }
 
-fn memory(
+fn accelerator_sizes(
     words: &Words<'_>,
     word: super::line::Word<'_>,
 ) -> Result<Vec<u32>, ScriptError> {
-    let sizes = list(word).into_iter().map(|size| size.parse().ok());
+    let sizes = comma_list(word).into_iter().map(|size| size.parse().ok());
     sizes
         .collect::<Option<Vec<u32>>>()
         .ok_or_else(|| words.error(word, "not a list of sizes in MiB"))
 }
 
-fn ms32(words: &Words<'_>, word: super::line::Word<'_>) -> Result<u32, ScriptError> {
+fn duration_ms_u32(
+    words: &Words<'_>,
+    word: super::line::Word<'_>,
+) -> Result<u32, ScriptError> {
     let ms = duration_ms(words, word)?;
     Ok(u32::try_from(ms).unwrap_or(u32::MAX))
 }
 
-fn model_spec(words: &mut Words<'_>) -> Result<Model, ScriptError> {
-    let pool = words.needed("pool")?.text.to_owned();
-    let size = words.needed("size")?;
-    let size_mib = number32(words, size)?;
-    let version = match words.named("version") {
-        Some(word) => number32(words, word)?,
+fn model_options(words: &mut Words<'_>) -> Result<Model, ScriptError> {
+    let pool = words.required_value("pool")?.text.to_owned();
+    let size = words.required_value("size")?;
+    let size_mib = number_u32(words, size)?;
+    let version = match words.optional_value("version") {
+        Some(word) => number_u32(words, word)?,
         None => 1,
     };
     Ok(Model {
@@ -183,18 +189,18 @@
 }
 
 fn model(fleet: &mut Fleet, words: &mut Words<'_>) -> Result<(), ScriptError> {
-    let name = words.next("a name")?.text.to_owned();
-    let model = model_spec(words)?;
+    let name = words.next_word("a name")?.text.to_owned();
+    let model = model_options(words)?;
     fleet.models.insert(name, model);
     Ok(())
 }
 
 /// `models m count=40 …` declares `m1` to `m40`.
 fn models(fleet: &mut Fleet, words: &mut Words<'_>) -> Result<(), ScriptError> {
-    let prefix = words.next("the start of the names")?.text.to_owned();
-    let count = words.needed("count")?;
+    let prefix = words.next_word("the start of the names")?.text.to_owned();
+    let count = words.required_value("count")?;
     let count = number(words, count)?;
-    let model = model_spec(words)?;
+    let model = model_options(words)?;
     for index in 1..=count {
         fleet
             .models
@@ -204,12 +210,12 @@
 }
 
 fn adapter(fleet: &mut Fleet, words: &mut Words<'_>) -> Result<(), ScriptError> {
-    let name = words.next("a name")?.text.to_owned();
-    let base = words.needed("base")?.text.to_owned();
-    let size = words.needed("size")?;
+    let name = words.next_word("a name")?.text.to_owned();
+    let base = words.required_value("base")?.text.to_owned();
+    let size = words.required_value("size")?;
     let adapter = Adapter {
         base,
-        size_mib: number32(words, size)?,
+        size_mib: number_u32(words, size)?,
         version: 1,
     };
     fleet.adapters.insert(name, adapter);
@@ -217,8 +223,8 @@
 }
 
 fn profile(fleet: &mut Fleet, words: &mut Words<'_>) -> Result<(), ScriptError> {
-    let name = words.next("a name")?.text.to_owned();
-    let kind = words.next("`interactive` or `batch`")?;
+    let name = words.next_word("a name")?.text.to_owned();
+    let kind = words.next_word("`interactive` or `batch`")?;
     if !["interactive", "batch"].contains(&kind.text) {
         return Err(words.error(kind, "neither `interactive` nor `batch`"));
     }
@@ -229,8 +235,8 @@
         value: 1.0,
         ..Profile::default()
     };
-    match words.named("models").map(list) {
-        // `models=all` names every model and adapter declared so far.
+    match words.optional_value("models").map(comma_list) {
+        // `models=all` stands for all models and adapters declared above.
         Some(names) if names == ["all"] => {
             let all = fleet.models.keys().chain(fleet.adapters.keys());
             profile.models = all.cloned().collect();
@@ -238,36 +244,36 @@
         Some(names) => profile.models = names,
         None => {}
     }
-    if let Some(word) = words.named("service") {
+    if let Some(word) = words.optional_value("service") {
         profile.service = word.text.to_owned();
     }
-    if let Some(word) = words.named("first-token") {
-        profile.first_token_ms = ms32(words, word)?;
+    if let Some(word) = words.optional_value("first-token") {
+        profile.first_token_ms = duration_ms_u32(words, word)?;
     }
-    if let Some(word) = words.named("between") {
-        profile.between_tokens_ms = ms32(words, word)?;
+    if let Some(word) = words.optional_value("between") {
+        profile.between_tokens_ms = duration_ms_u32(words, word)?;
     }
-    if let Some(word) = words.named("deadline") {
-        profile.deadline_ms = ms32(words, word)?;
+    if let Some(word) = words.optional_value("deadline") {
+        profile.deadline_ms = duration_ms_u32(words, word)?;
     }
-    if let Some(word) = words.named("priority") {
-        profile.priority = number32(words, word)?;
+    if let Some(word) = words.optional_value("priority") {
+        profile.priority = number_u32(words, word)?;
     }
-    if let Some(word) = words.named("value") {
-        profile.value = fraction(words, word)?;
+    if let Some(word) = words.optional_value("value") {
+        profile.value = float(words, word)?;
     }
     fleet.profiles.insert(name, profile);
     Ok(())
 }
 
 fn service(fleet: &mut Fleet, words: &mut Words<'_>) -> Result<(), ScriptError> {
-    let name = words.next("a name")?.text.to_owned();
-    let pool = words.needed("pool")?.text.to_owned();
-    let timeout = match words.named("timeout") {
-        Some(word) => ms32(words, word)?,
+    let name = words.next_word("a name")?.text.to_owned();
+    let pool = words.required_value("pool")?.text.to_owned();
+    let timeout = match words.optional_value("timeout") {
+        Some(word) => duration_ms_u32(words, word)?,
         None => 2_000,
     };
-    let word = words.next("`idempotent` or `once`")?;
+    let word = words.next_word("`idempotent` or `once`")?;
     let idempotent = match word.text {
         "idempotent" => true,
         "once" => false,
@@ -283,9 +289,9 @@
 }
 
 fn caller(fleet: &mut Fleet, words: &mut Words<'_>) -> Result<(), ScriptError> {
-    let name = words.next("a name")?.text.to_owned();
-    let concurrent_max = match words.named("concurrent") {
-        Some(word) => number32(words, word)?,
+    let name = words.next_word("a name")?.text.to_owned();
+    let concurrent_max = match words.optional_value("concurrent") {
+        Some(word) => number_u32(words, word)?,
         None => 1_000,
     };
     let caller = Caller {
@@ -298,17 +304,17 @@
 
 fn weights(fleet: &mut Fleet, words: &mut Words<'_>) -> Result<(), ScriptError> {
     let mut weights = fleet.weights.unwrap_or_default();
-    if let Some(word) = words.named("attainment") {
-        weights.attainment = fraction(words, word)?;
+    if let Some(word) = words.optional_value("attainment") {
+        weights.attainment = float(words, word)?;
     }
-    if let Some(word) = words.named("move-cost") {
-        weights.move_cost = fraction(words, word)?;
+    if let Some(word) = words.optional_value("move-cost") {
+        weights.move_cost = float(words, word)?;
     }
-    if let Some(word) = words.named("min-residence") {
-        weights.min_residence_ms = ms32(words, word)?;
+    if let Some(word) = words.optional_value("min-residence") {
+        weights.min_residence_ms = duration_ms_u32(words, word)?;
     }
-    if let Some(word) = words.named("wait-max") {
-        weights.wait_max_ms = ms32(words, word)?;
+    if let Some(word) = words.optional_value("wait-max") {
+        weights.wait_max_ms = duration_ms_u32(words, word)?;
     }
     fleet.weights = Some(weights);
     Ok(())
@@ -316,14 +322,14 @@
 
 fn store(fleet: &mut Fleet, words: &mut Words<'_>) -> Result<(), ScriptError> {
     let mut store = fleet.store.unwrap_or_default();
-    if let Some(word) = words.named("loads-per-s") {
-        store.loads_per_s = fraction(words, word)?;
+    if let Some(word) = words.optional_value("loads-per-s") {
+        store.loads_per_s = float(words, word)?;
     }
-    if let Some(word) = words.named("full-speed") {
-        store.full_speed_loads = number32(words, word)?;
+    if let Some(word) = words.optional_value("full-speed") {
+        store.full_speed_loads = number_u32(words, word)?;
     }
-    if let Some(word) = words.named("load-time") {
-        store.load_time_ms = ms32(words, word)?;
+    if let Some(word) = words.optional_value("load-time") {
+        store.load_time_ms = duration_ms_u32(words, word)?;
     }
     fleet.store = Some(store);
     Ok(())
@@ -331,20 +337,20 @@
 
 fn limits(fleet: &mut Fleet, words: &mut Words<'_>) -> Result<(), ScriptError> {
     let mut limits = fleet.limits.unwrap_or_default();
-    if let Some(word) = words.named("waiting") {
-        limits.waiting_max = number32(words, word)?;
+    if let Some(word) = words.optional_value("waiting") {
+        limits.waiting_max = number_u32(words, word)?;
     }
-    if let Some(word) = words.named("retry-percent") {
-        limits.retry_percent = number32(words, word)?;
+    if let Some(word) = words.optional_value("retry-percent") {
+        limits.retry_percent = number_u32(words, word)?;
     }
-    if let Some(word) = words.named("verdict") {
-        limits.verdict_ms = ms32(words, word)?;
+    if let Some(word) = words.optional_value("verdict") {
+        limits.verdict_ms = duration_ms_u32(words, word)?;
     }
-    if let Some(word) = words.named("heartbeat") {
-        limits.heartbeat_ms = ms32(words, word)?;
+    if let Some(word) = words.optional_value("heartbeat") {
+        limits.heartbeat_ms = duration_ms_u32(words, word)?;
     }
-    if let Some(word) = words.named("claim-retention") {
-        limits.claim_retention_ms = ms32(words, word)?;
+    if let Some(word) = words.optional_value("claim-retention") {
+        limits.claim_retention_ms = duration_ms_u32(words, word)?;
     }
     fleet.limits = Some(limits);
     Ok(())
--- a/crates/scenario/src/parse/line.rs
+++ b/crates/scenario/src/parse/line.rs
@@ -1,4 +1,4 @@
-//! Splits a line of a script into words.
+//! Splits a line of a script into words and `key=value` pairs.
 
 use winnow::ascii::space0;
 use winnow::combinator::{alt, delimited, opt, preceded, repeat, terminated};
@@ -10,33 +10,33 @@
 
 type Input<'a> = LocatingSlice<&'a str>;
 
-/// A word, or the value of a `key=value` pair, with its column.
+/// A word, or a key or value of a `key=value` pair, with its column.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Word<'a> {
     pub(super) text: &'a str,
     pub(super) column: usize,
 }
 
-/// The words of one line, taken one by one.
+/// The words of one line that the parser has not consumed yet.
 ///
-/// [`Words::end`] reports what nothing took: a word that no statement knows is
-/// a mistake of the author, and a scenario that ignored it would prove less
-/// than it says.
+/// [`Words::finish`] rejects whatever is left. If the parser ignored unknown
+/// words, a scenario with a misspelt word would pass without testing what it
+/// claims to test.
 #[derive(Debug)]
 pub(super) struct Words<'a> {
     line: usize,
     end_column: usize,
-    plain: std::collections::VecDeque<Word<'a>>,
-    named: Vec<(Word<'a>, Word<'a>)>,
+    positional: std::collections::VecDeque<Word<'a>>,
+    key_values: Vec<(Word<'a>, Word<'a>)>,
 }
 
 enum Token<'a> {
-    Plain(Word<'a>),
-    Named(Word<'a>, Word<'a>),
+    Positional(Word<'a>),
+    KeyValue(Word<'a>, Word<'a>),
 }
 
 impl<'a> Words<'a> {
-    /// Splits a line; `None` if it holds no statement.
+    /// Splits a line; returns `None` for a blank line or a comment.
     pub(super) fn split(
         line: usize,
         text: &'a str,
@@ -50,61 +50,72 @@
         let mut words = Self {
             line,
             end_column: text.len() + 1,
-            plain: std::collections::VecDeque::new(),
-            named: Vec::new(),
+            positional: std::collections::VecDeque::new(),
+            key_values: Vec::new(),
         };
         for token in tokens {
             match token {
-                Token::Plain(word) => words.plain.push_back(word),
-                Token::Named(key, value) => words.named.push((key, value)),
+                Token::Positional(word) => words.positional.push_back(word),
+                Token::KeyValue(key, value) => words.key_values.push((key, value)),
             }
         }
         Ok(Some(words))
     }
 
-    /// An error at a word.
+    /// Creates an error at the position of a word.
     pub(super) fn error(&self, word: Word<'_>, message: &str) -> ScriptError {
         let text = format!("{message}: `{}`", word.text);
         ScriptError::new(self.line, word.column, &text)
     }
 
-    /// Takes the next plain word.
-    pub(super) fn next(&mut self, what: &str) -> Result<Word<'a>, ScriptError> {
-        self.plain.pop_front().ok_or_else(|| {
+    /// Consumes the next positional word.
+    ///
+    /// `what` describes the expected word in the error if there is none.
+    pub(super) fn next_word(&mut self, what: &str) -> Result<Word<'a>, ScriptError> {
+        self.positional.pop_front().ok_or_else(|| {
             let text = format!("{what} is missing");
             ScriptError::new(self.line, self.end_column, &text)
         })
     }
 
-    /// Takes the next plain word if it is this one.
-    pub(super) fn flag(&mut self, text: &str) -> bool {
-        let found = self.plain.front().is_some_and(|word| word.text == text);
+    /// Consumes the next positional word if it equals `text`.
+    pub(super) fn take_if(&mut self, text: &str) -> bool {
+        let found = self
+            .positional
+            .front()
+            .is_some_and(|word| word.text == text);
         if found {
-            self.plain.pop_front();
+            self.positional.pop_front();
         }
         found
     }
 
-    /// Takes the value of a key.
-    pub(super) fn named(&mut self, key: &str) -> Option<Word<'a>> {
-        let at = self.named.iter().position(|(name, _)| name.text == key)?;
-        Some(self.named.remove(at).1)
+    /// Consumes the value of an optional key.
+    pub(super) fn optional_value(&mut self, key: &str) -> Option<Word<'a>> {
+        let at = self
+            .key_values
+            .iter()
+            .position(|(name, _)| name.text == key)?;
+        Some(self.key_values.remove(at).1)
     }
 
-    /// Takes the value of a key that must be there.
-    pub(super) fn needed(&mut self, key: &str) -> Result<Word<'a>, ScriptError> {
-        self.named(key).ok_or_else(|| {
+    /// Consumes the value of a mandatory key.
+    pub(super) fn required_value(
+        &mut self,
+        key: &str,
+    ) -> Result<Word<'a>, ScriptError> {
+        self.optional_value(key).ok_or_else(|| {
             let text = format!("`{key}=` is missing");
             ScriptError::new(self.line, self.end_column, &text)
         })
     }
 
-    /// Reports the first word that nothing took.
-    pub(super) fn end(&self) -> Result<(), ScriptError> {
-        if let Some(word) = self.plain.front() {
+    /// Rejects the first word that was not consumed.
+    pub(super) fn finish(&self) -> Result<(), ScriptError> {
+        if let Some(word) = self.positional.front() {
             return Err(self.error(*word, "unknown word"));
         }
-        match self.named.first() {
+        match self.key_values.first() {
             Some((key, _)) => Err(self.error(*key, "unknown key")),
             None => Ok(()),
         }
@@ -121,16 +132,17 @@
 }
 
 fn token<'a>(input: &mut Input<'a>) -> ModalResult<Token<'a>> {
-    alt((named, plain.map(Token::Plain))).parse_next(input)
+    alt((key_value, bare_word.map(Token::Positional))).parse_next(input)
 }
 
-fn named<'a>(input: &mut Input<'a>) -> ModalResult<Token<'a>> {
-    let (key, _, value) = (plain, '=', alt((quoted, plain))).parse_next(input)?;
-    Ok(Token::Named(key, value))
+fn key_value<'a>(input: &mut Input<'a>) -> ModalResult<Token<'a>> {
+    let (key, _, value) =
+        (bare_word, '=', alt((quoted_word, bare_word))).parse_next(input)?;
+    Ok(Token::KeyValue(key, value))
 }
 
-fn plain<'a>(input: &mut Input<'a>) -> ModalResult<Word<'a>> {
-    let (text, span) = take_while(1.., word_character)
+fn bare_word<'a>(input: &mut Input<'a>) -> ModalResult<Word<'a>> {
+    let (text, span) = take_while(1.., is_word_character)
         .with_span()
         .parse_next(input)?;
     Ok(Word {
@@ -139,7 +151,7 @@
     })
 }
 
-fn quoted<'a>(input: &mut Input<'a>) -> ModalResult<Word<'a>> {
+fn quoted_word<'a>(input: &mut Input<'a>) -> ModalResult<Word<'a>> {
     let (text, span) = delimited('\'', take_while(0.., |c| c != '\''), '\'')
         .with_span()
         .parse_next(input)?;
@@ -149,6 +161,6 @@
     })
 }
 
-fn word_character(character: char) -> bool {
+fn is_word_character(character: char) -> bool {
     character.is_ascii_alphanumeric() || "-_./,:@".contains(character)
 }
--- a/crates/scenario/src/parse/mod.rs
+++ b/crates/scenario/src/parse/mod.rs
@@ -1,6 +1,6 @@
-//! Reads a script.
+//! Parser of the scenario language.
 
-mod decl;
+mod declaration;
 mod line;
 mod names;
 mod value;
@@ -11,7 +11,7 @@
 use crate::script::{Script, Step};
 use line::Words;
 
-/// A mistake in a script.
+/// A mistake found in a script.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 #[snafu(display("line {line}, column {column}: {message}"))]
 pub struct ScriptError {
@@ -19,7 +19,7 @@
     pub line: usize,
     /// Column, counted from 1.
     pub column: usize,
-    /// What is wrong.
+    /// Description of the mistake.
     pub message: String,
 }
 
@@ -33,20 +33,21 @@
     }
 }
 
-/// Reads a script.
+/// Parses a script.
 ///
 /// # Errors
 ///
-/// Every mistake found, in order of line.
+/// Returns every mistake found: syntax errors in order of line, then undeclared
+/// and duplicate names.
 pub fn parse(text: &str) -> Result<Script, Vec<ScriptError>> {
-    let mut script = decl::empty();
+    let mut script = declaration::default_script();
     let mut errors = Vec::new();
     for (index, line) in text.lines().enumerate() {
-        if let Err(error) = statement(&mut script, index + 1, line) {
+        if let Err(error) = parse_line(&mut script, index + 1, line) {
             errors.push(error);
         }
     }
-    errors.extend(names::check(&script));
+    errors.extend(names::check_names(&script));
     if !errors.is_empty() {
         return Err(errors);
     }
@@ -56,18 +57,18 @@
     Ok(script)
 }
 
-fn statement(script: &mut Script, line: usize, text: &str) -> Result<(), ScriptError> {
+fn parse_line(script: &mut Script, line: usize, text: &str) -> Result<(), ScriptError> {
     let Some(mut words) = Words::split(line, text)? else {
         return Ok(());
     };
-    if words.flag("at") {
-        let time = words.next("a time")?;
+    if words.take_if("at") {
+        let time = words.next_word("a time")?;
         let at = value::instant(&words, time)?;
-        let verb = verb::verb(&mut words)?;
-        words.end()?;
+        let verb = verb::parse_verb(&mut words)?;
+        words.finish()?;
         script.steps.push(Step { at, line, verb });
         return Ok(());
     }
-    decl::declaration(script, &mut words)?;
-    words.end()
+    declaration::parse_declaration(script, &mut words)?;
+    words.finish()
 }
--- a/crates/scenario/src/parse/value.rs
+++ b/crates/scenario/src/parse/value.rs
@@ -1,4 +1,4 @@
-//! Reads words as times, numbers and bounds.
+//! Parses words as times, numbers and bounds.
 
 use base::{Instant, RunStatus};
 
@@ -6,7 +6,7 @@
 use super::line::{Word, Words};
 use crate::script::Bounds;
 
-/// Reads a duration such as `250us`, `10ms`, `2s` or `3min`, in microseconds.
+/// Parses a duration such as `250us`, `10ms`, `2s` or `3min`, in microseconds.
 pub(super) fn duration_us(
     words: &Words<'_>,
     word: Word<'_>,
@@ -48,13 +48,16 @@
         .map_err(|_| words.error(word, "not a whole number"))
 }
 
-pub(super) fn number32(words: &Words<'_>, word: Word<'_>) -> Result<u32, ScriptError> {
+pub(super) fn number_u32(
+    words: &Words<'_>,
+    word: Word<'_>,
+) -> Result<u32, ScriptError> {
     word.text
         .parse()
         .map_err(|_| words.error(word, "not a whole number"))
 }
 
-pub(super) fn fraction(words: &Words<'_>, word: Word<'_>) -> Result<f64, ScriptError> {
+pub(super) fn float(words: &Words<'_>, word: Word<'_>) -> Result<f64, ScriptError> {
     word.text
         .parse()
         .map_err(|_| words.error(word, "not a number"))
@@ -68,16 +71,19 @@
     }
 }
 
-pub(super) fn ran(words: &Words<'_>, word: Word<'_>) -> Result<RunStatus, ScriptError> {
+pub(super) fn run_status(
+    words: &Words<'_>,
+    word: Word<'_>,
+) -> Result<RunStatus, ScriptError> {
     [RunStatus::NotRun, RunStatus::Ran, RunStatus::Unknown]
         .into_iter()
         .find(|ran| ran.as_str() == word.text)
         .ok_or_else(|| words.error(word, "not `not_run`, `ran` or `unknown`"))
 }
 
-/// Takes `count=`, or `min=` and `max=`.
+/// Consumes `count=`, or at least one of `min=` and `max=`.
 pub(super) fn bounds(words: &mut Words<'_>) -> Result<Bounds, ScriptError> {
-    if let Some(word) = words.named("count") {
+    if let Some(word) = words.optional_value("count") {
         let count = number(words, word)?;
         return Ok(Bounds {
             min: count,
@@ -88,10 +94,10 @@
         min: 0,
         max: u64::MAX,
     };
-    let min = words.named("min");
-    let max = words.named("max");
+    let min = words.optional_value("min");
+    let max = words.optional_value("max");
     if min.is_none() && max.is_none() {
-        words.needed("count")?;
+        words.required_value("count")?;
     }
     if let Some(word) = min {
         bounds.min = number(words, word)?;
@@ -103,6 +109,6 @@
 }
 
 /// Splits a value at commas.
-pub(super) fn list(word: Word<'_>) -> Vec<String> {
+pub(super) fn comma_list(word: Word<'_>) -> Vec<String> {
     word.text.split(',').map(str::to_owned).collect()
 }
--- a/crates/scenario/src/parse/verb.rs
+++ b/crates/scenario/src/parse/verb.rs
@@ -1,18 +1,18 @@
-//! Steps: what happens and what must have been seen.
+//! Steps: the statements that inject events or state expectations.
 
 use schema::timeline::EventKind;
 
 use super::ScriptError;
 use super::line::Words;
-use super::value::{bounds, duration_ms, number, number32, ran, yes_no};
-use crate::script::{Expect, PlatformFault, RequestDecl, UpstreamFault, Verb};
+use super::value::{bounds, duration_ms, number, number_u32, run_status, yes_no};
+use crate::script::{Expectation, PlatformFault, RequestDecl, UpstreamFault, Verb};
 
-/// Units of a whole answer unless the script says otherwise.
+/// Tokens of a complete answer if the script does not state a number.
 const DEFAULT_UNITS: u32 = 10;
 
-/// Reads what a step does.
-pub(super) fn verb(words: &mut Words<'_>) -> Result<Verb, ScriptError> {
-    let word = words.next("a verb")?;
+/// Parses the part of a step after its time.
+pub(super) fn parse_verb(words: &mut Words<'_>) -> Result<Verb, ScriptError> {
+    let word = words.next_word("a verb")?;
     match word.text {
         "request" => request(words),
         "gone" => Ok(Verb::Gone {
@@ -55,13 +55,13 @@
         "list-leaving" => Ok(Verb::ListLeaving {
             instance: name(words)?,
         }),
-        "expect" => Ok(Verb::Expect(expect(words)?)),
+        "expect" => Ok(Verb::Expect(expectation(words)?)),
         _ => Err(words.error(word, "unknown verb")),
     }
 }
 
-/// Processes that a step names.
-pub(super) fn processes(verb: &Verb) -> Vec<&str> {
+/// Returns the processes that a step refers to.
+pub(super) fn referenced_processes(verb: &Verb) -> Vec<&str> {
     match verb {
         Verb::Request(request) => vec![&request.entry],
         Verb::Kill { process }
@@ -74,7 +74,7 @@
         Verb::Upstream { instance, .. } | Verb::ListLeaving { instance } => {
             vec![instance]
         }
-        Verb::Expect(expect) => expected_processes(expect),
+        Verb::Expect(expect) => processes_in_expectation(expect),
         Verb::Gone { .. }
         | Verb::Platform(_)
         | Verb::CrashOn { .. }
@@ -82,23 +82,27 @@
     }
 }
 
-fn expected_processes(expect: &Expect) -> Vec<&str> {
+fn processes_in_expectation(expect: &Expectation) -> Vec<&str> {
     match expect {
-        Expect::Handed { instance, .. } | Expect::Holds { instance, .. } => {
+        Expectation::Handed { instance, .. } | Expectation::Holds { instance, .. } => {
             vec![instance]
         }
-        Expect::Ended { process } | Expect::Ready { process, .. } => vec![process],
+        Expectation::Ended { process } | Expectation::Ready { process, .. } => {
+            vec![process]
+        }
         _ => Vec::new(),
     }
 }
 
 fn name(words: &mut Words<'_>) -> Result<String, ScriptError> {
-    Ok(words.next("a name")?.text.to_owned())
+    Ok(words.next_word("a name")?.text.to_owned())
 }
 
-/// A kind of event; a misspelt one would be counted as never seen.
+/// Parses a kind of timeline event.
+///
+/// A misspelt kind is an error, since its count would always be zero.
 fn event_kind(words: &mut Words<'_>) -> Result<String, ScriptError> {
-    let word = words.next("a kind of event")?;
+    let word = words.next_word("a kind of event")?;
     let full = format!("EVENT_KIND_{}", word.text);
     if EventKind::from_str_name(&full).is_none() {
         return Err(words.error(word, "no such kind of event"));
@@ -109,22 +113,22 @@
 fn request(words: &mut Words<'_>) -> Result<Verb, ScriptError> {
     let name = name(words)?;
     let text = |word: Option<super::line::Word<'_>>| word.map(|w| w.text.to_owned());
-    let deadline_ms = match words.named("deadline") {
+    let deadline_ms = match words.optional_value("deadline") {
         Some(word) => Some(duration_ms(words, word)?),
         None => None,
     };
-    let units = match words.named("units") {
-        Some(word) => number32(words, word)?,
+    let units = match words.optional_value("units") {
+        Some(word) => number_u32(words, word)?,
         None => DEFAULT_UNITS,
     };
     let request = RequestDecl {
-        caller: words.needed("caller")?.text.to_owned(),
-        entry: words.needed("entry")?.text.to_owned(),
-        model: text(words.named("model")),
-        service: text(words.named("service")),
-        profile: text(words.named("profile")),
-        key: text(words.named("key")),
-        body: text(words.named("body")).unwrap_or_else(|| name.clone()),
+        caller: words.required_value("caller")?.text.to_owned(),
+        entry: words.required_value("entry")?.text.to_owned(),
+        model: text(words.optional_value("model")),
+        service: text(words.optional_value("service")),
+        profile: text(words.optional_value("profile")),
+        key: text(words.optional_value("key")),
+        body: text(words.optional_value("body")).unwrap_or_else(|| name.clone()),
         deadline_ms,
         units,
         name,
@@ -133,12 +137,12 @@
 }
 
 fn platform(words: &mut Words<'_>) -> Result<Verb, ScriptError> {
-    let word = words.next("a fault")?;
+    let word = words.next_word("a fault")?;
     let fault = match word.text {
         "away" => PlatformFault::Away,
         "back" => PlatformFault::Back,
         "delay" => {
-            let value = words.next("a time")?;
+            let value = words.next_word("a time")?;
             PlatformFault::Delay {
                 ms: duration_ms(words, value)?,
             }
@@ -157,10 +161,10 @@
 
 fn upstream(words: &mut Words<'_>) -> Result<Verb, ScriptError> {
     let instance = name(words)?;
-    let word = words.next("a fault")?;
+    let word = words.next_word("a fault")?;
     let fault = match word.text {
         "crash" => {
-            let value = words.needed("restart")?;
+            let value = words.required_value("restart")?;
             UpstreamFault::Crash {
                 restart_ms: duration_ms(words, value)?,
             }
@@ -172,13 +176,13 @@
             factor: factor(words)?,
         },
         "fail" => UpstreamFault::Fail {
-            count: failures(words)?,
+            count: failure_count(words)?,
         },
         "lose-orders" => UpstreamFault::LoseOrders {
             count: count(words)?,
         },
         "delay-orders" => {
-            let value = words.needed("by")?;
+            let value = words.required_value("by")?;
             UpstreamFault::DelayOrders {
                 by_ms: duration_ms(words, value)?,
                 count: count(words)?,
@@ -189,77 +193,77 @@
     Ok(Verb::Upstream { instance, fault })
 }
 
-/// `on`, `off` or a number of requests.
-fn failures(words: &mut Words<'_>) -> Result<u32, ScriptError> {
-    if words.flag("on") {
+/// Parses `on`, `off` or a number of requests.
+fn failure_count(words: &mut Words<'_>) -> Result<u32, ScriptError> {
+    if words.take_if("on") {
         return Ok(u32::MAX);
     }
-    if words.flag("off") {
+    if words.take_if("off") {
         return Ok(0);
     }
     count(words)
 }
 
 fn count(words: &mut Words<'_>) -> Result<u32, ScriptError> {
-    let word = words.needed("count")?;
-    number32(words, word)
+    let word = words.required_value("count")?;
+    number_u32(words, word)
 }
 
 fn factor(words: &mut Words<'_>) -> Result<u32, ScriptError> {
-    let word = words.needed("factor")?;
-    number32(words, word)
+    let word = words.required_value("factor")?;
+    number_u32(words, word)
 }
 
 fn publish(words: &mut Words<'_>) -> Result<Verb, ScriptError> {
-    let word = words.needed("revision")?;
+    let word = words.required_value("revision")?;
     let revision = number(words, word)?;
-    let patch = words.needed("patch")?.text.to_owned();
+    let patch = words.required_value("patch")?.text.to_owned();
     Ok(Verb::Publish { revision, patch })
 }
 
-fn expect(words: &mut Words<'_>) -> Result<Expect, ScriptError> {
-    let word = words.next("an expectation")?;
+fn expectation(words: &mut Words<'_>) -> Result<Expectation, ScriptError> {
+    let word = words.next_word("an expectation")?;
     let expect = match word.text {
-        "whole" => Expect::Whole {
+        "whole" => Expectation::Whole {
             request: name(words)?,
         },
         "failed" => failed(words)?,
-        "final" => Expect::Final {
+        "final" => Expectation::Final {
             request: name(words)?,
         },
-        "pending" => Expect::Pending {
+        "pending" => Expectation::Pending {
             request: name(words)?,
         },
-        "runs" => Expect::Runs {
+        "runs" => Expectation::Runs {
             body: name(words)?,
             bounds: bounds(words)?,
         },
-        "handed" => Expect::Handed {
+        "handed" => Expectation::Handed {
             instance: name(words)?,
             bounds: bounds(words)?,
         },
-        "crashes" => Expect::Crashes {
+        "crashes" => Expectation::Crashes {
             bounds: bounds(words)?,
         },
-        "event" => Expect::Event {
+        "event" => Expectation::Event {
             kind: event_kind(words)?,
             bounds: bounds(words)?,
         },
         "revision" => {
-            let value = words.next("a revision")?;
-            Expect::Revision {
+            let value = words.next_word("a revision")?;
+            Expectation::Revision {
                 revision: number(words, value)?,
             }
         }
         "first-unit" => {
             let request = name(words)?;
-            let value = words.needed("max")?;
-            Expect::FirstUnit {
+            let value = words.required_value("max")?;
+            Expectation::FirstUnit {
                 request,
                 max_ms: duration_ms(words, value)?,
             }
         }
-        "ended" => Expect::Ended {
+        "ended" => Expectation::Ended {
             process: name(words)?,
         },
         "ready" => ready(words)?,
@@ -269,9 +273,9 @@
     Ok(expect)
 }
 
-fn failed(words: &mut Words<'_>) -> Result<Expect, ScriptError> {
+fn failed(words: &mut Words<'_>) -> Result<Expectation, ScriptError> {
     let request = name(words)?;
-    let code = words.named("code");
+    let code = words.optional_value("code");
     if let Some(word) = code {
         let known = base::ErrorCode::ALL
             .iter()
@@ -280,34 +284,34 @@
             return Err(words.error(word, "no such code"));
         }
     }
-    let said = match words.named("ran") {
-        Some(word) => Some(ran(words, word)?),
+    let run_status = match words.optional_value("ran") {
+        Some(word) => Some(run_status(words, word)?),
         None => None,
     };
-    Ok(Expect::Failed {
+    Ok(Expectation::Failed {
         request,
         code: code.map(|word| word.text.to_owned()),
-        ran: said,
+        ran: run_status,
     })
 }
 
-fn ready(words: &mut Words<'_>) -> Result<Expect, ScriptError> {
+fn ready(words: &mut Words<'_>) -> Result<Expectation, ScriptError> {
     let process = name(words)?;
-    let word = words.next("`yes` or `no`")?;
-    Ok(Expect::Ready {
+    let word = words.next_word("`yes` or `no`")?;
+    Ok(Expectation::Ready {
         process,
         ready: yes_no(words, word)?,
     })
 }
 
-fn holds(words: &mut Words<'_>) -> Result<Expect, ScriptError> {
+fn holds(words: &mut Words<'_>) -> Result<Expectation, ScriptError> {
     let instance = name(words)?;
-    let model = words.needed("model")?.text.to_owned();
-    let held = match words.named("held") {
+    let model = words.required_value("model")?.text.to_owned();
+    let held = match words.optional_value("held") {
         Some(word) => yes_no(words, word)?,
         None => true,
     };
-    Ok(Expect::Holds {
+    Ok(Expectation::Holds {
         instance,
         model,
         held,
--- a/crates/scenario/src/script.rs
+++ b/crates/scenario/src/script.rs
@@ -3,53 +3,53 @@
 use base::{Instant, RunStatus};
 use schema::settings::Fleet;
 
-/// A deployment, the faults that befall it and what must be seen.
+/// A deployment, the faults injected into it and the expected observations.
 #[derive(Debug, Default)]
 pub struct Script {
     /// Seed of every random choice.
     pub seed: u64,
-    /// Time at which the run ends.
+    /// Simulated time at which the run ends.
     pub end: Instant,
-    /// First configuration.
+    /// Configuration published as revision 1.
     pub fleet: Fleet,
-    /// Entries in the order declared.
+    /// Entry processes, in order of declaration.
     pub entries: Vec<EntryDecl>,
-    /// Instances in the order declared.
+    /// Instances, in order of declaration.
     pub instances: Vec<InstanceDecl>,
-    /// What happens, in order of time and then of line.
+    /// Steps, ordered by time and then by line.
     pub steps: Vec<Step>,
 }
 
-/// An entry.
+/// Declaration of an entry process.
 #[derive(Debug)]
 pub struct EntryDecl {
     /// Name.
     pub name: String,
     /// Failure domain.
-    pub domain: String,
-    /// The process is not started until a step does.
-    pub later: bool,
+    pub failure_domain: String,
+    /// The process does not run until a `start` step starts it.
+    pub starts_later: bool,
 }
 
-/// An instance with an upstream and an agent.
+/// Declaration of an instance, which consists of an upstream and its agent.
 #[derive(Debug)]
 pub struct InstanceDecl {
     /// Name.
     pub name: String,
     /// Failure domain.
-    pub domain: String,
+    pub failure_domain: String,
     /// Pool.
     pub pool: String,
 }
 
-/// Something that happens at a time.
+/// An action or expectation at a point in simulated time.
 #[derive(Debug)]
 pub struct Step {
-    /// When.
+    /// Simulated time of the step.
     pub at: Instant,
-    /// Line of the script.
+    /// Line of the script, counted from 1.
     pub line: usize,
-    /// What.
+    /// Action or expectation.
     pub verb: Verb,
 }
 
@@ -58,7 +58,7 @@
 pub enum Verb {
     /// A caller sends a request.
     Request(RequestDecl),
-    /// The caller of a request goes away.
+    /// The caller of a request disconnects.
     Gone {
         /// Request.
         request: String,
@@ -68,52 +68,52 @@
         /// Process.
         process: String,
     },
-    /// A killed or undeclared process is started anew.
+    /// A process that was killed, has exited or is declared `later` is started.
     Start {
         /// Process.
         process: String,
     },
-    /// A process stops running but keeps its connections and its address.
+    /// A process stops being scheduled; it keeps its connections and address.
     Freeze {
         /// Process.
         process: String,
     },
-    /// A frozen process goes on with all that reached it meanwhile.
+    /// A frozen process resumes and handles every event that arrived meanwhile.
     Thaw {
         /// Process.
         process: String,
     },
-    /// A second agent is started beside an upstream whose agent is frozen; the
-    /// first is then called `<agent>.old`.
+    /// A second agent is started for an upstream whose agent is frozen. Steps
+    /// name the frozen one `<agent>.old` from then on.
     Replace {
         /// Agent.
         process: String,
     },
-    /// A process is asked to stop.
+    /// A process is asked to shut down gracefully.
     Drain {
         /// Process.
         process: String,
     },
-    /// Nothing passes between two processes until `heal`; what was sent is held.
+    /// Messages between two processes are held back until `heal`.
     Cut {
-        /// One end.
+        /// One of the two processes.
         a: String,
-        /// Other end; may be `platform`.
+        /// The other process, or `platform`.
         b: String,
     },
-    /// Ends a cut; what was held is delivered.
+    /// Ends a cut; the messages held back are delivered.
     Heal {
-        /// One end.
+        /// One of the two processes.
         a: String,
-        /// Other end.
+        /// The other process, or `platform`.
         b: String,
     },
-    /// The connection between two processes ends and what was on its way is
+    /// The connection between two processes breaks and frames in flight are
     /// lost.
     Break {
-        /// One end.
+        /// One of the two processes.
         a: String,
-        /// Other end.
+        /// The other process, or `platform`.
         b: String,
     },
     /// A fault of the platform.
@@ -125,25 +125,25 @@
         /// Fault.
         fault: UpstreamFault,
     },
-    /// The upstream of every engine dies when it runs this request's body.
+    /// From now on, every engine that runs a request with this body crashes.
     CrashOn {
-        /// Name of the request whose body it is.
+        /// Body text.
         body: String,
     },
     /// An operator publishes a change.
     Publish {
         /// Revision to create.
         revision: u64,
-        /// Merge patch.
+        /// Merge patch, as JSON.
         patch: String,
     },
-    /// The platform's list says that an instance leaves.
+    /// The platform's list of instances marks an instance as leaving.
     ListLeaving {
         /// Instance.
         instance: String,
     },
-    /// What must have been seen by now.
-    Expect(Expect),
+    /// An expectation that must hold at this time.
+    Expect(Expectation),
 }
 
 /// A request of a caller.
@@ -151,140 +151,140 @@
 pub struct RequestDecl {
     /// Name in the script.
     pub name: String,
-    /// Caller; its key is `key-<caller>`.
+    /// Caller. Its API key is `key-<caller>`.
     pub caller: String,
     /// Entry it is sent to.
     pub entry: String,
-    /// Model or adapter asked for.
+    /// Requested model or adapter.
     pub model: Option<String>,
-    /// Plain service asked for.
+    /// Requested plain service.
     pub service: Option<String>,
-    /// Profile named.
+    /// Requested profile.
     pub profile: Option<String>,
     /// Idempotency key.
     pub key: Option<String>,
-    /// Deadline named.
+    /// Requested deadline, in milliseconds from the request's arrival.
     pub deadline_ms: Option<u64>,
-    /// Units of a whole answer.
+    /// Number of tokens that an engine generates for the complete answer.
     pub units: u32,
-    /// Text of the body; the request's name unless stated.
+    /// Text of the body. Defaults to the request's name.
     pub body: String,
 }
 
 /// A fault of the platform.
 #[derive(Debug, Clone, Copy)]
 pub enum PlatformFault {
-    /// Every call is refused.
+    /// Every call fails as unavailable, without effect.
     Away,
-    /// Ends `Away`.
+    /// Ends `Away` and `MissWatches`.
     Back,
-    /// Each call takes this long.
+    /// Calls and responses are delayed.
     Delay {
-        /// Milliseconds in each direction.
+        /// Delay in each direction, in milliseconds.
         ms: u64,
     },
-    /// The next writes take effect but are not answered.
+    /// The next writes take effect, but their responses are lost.
     LoseAnswers {
-        /// Writes.
+        /// Number of writes.
         count: u32,
     },
-    /// The next reads give the value before the last write.
+    /// The next reads return the value before the last write.
     OldReads {
-        /// Reads.
+        /// Number of reads.
         count: u32,
     },
-    /// Watches miss every change until `back`.
+    /// Watches report no changes until `Back`.
     MissWatches,
 }
 
 /// A fault of one upstream.
 #[derive(Debug, Clone, Copy)]
 pub enum UpstreamFault {
-    /// It dies and comes back empty.
+    /// It crashes and restarts without loaded models.
     Crash {
-        /// Time until it is back.
+        /// Time until it runs again, in milliseconds.
         restart_ms: u64,
     },
-    /// Steps take this many times as long.
+    /// Engine steps take `factor` times as long.
     Slow {
         /// Factor.
         factor: u32,
     },
-    /// The next orders never arrive.
+    /// The next load and unload orders are lost on the way to the upstream.
     LoseOrders {
-        /// Orders.
+        /// Number of orders.
         count: u32,
     },
-    /// The next orders arrive late; the sender gets no answer.
+    /// The next load and unload orders arrive late and get no answer.
     DelayOrders {
-        /// Orders.
+        /// Number of orders.
         count: u32,
-        /// How late.
+        /// Delay in milliseconds.
         by_ms: u64,
     },
-    /// Loads take this many times as long.
+    /// Loads take `factor` times as long.
     SlowLoads {
         /// Factor.
         factor: u32,
     },
-    /// It answers the next requests with an error, and all else as before.
+    /// The next requests fail with an error; everything else works as before.
     Fail {
-        /// Requests; `u32::MAX` for all until told otherwise.
+        /// Number of requests; `u32::MAX` means all until the next such step.
         count: u32,
     },
 }
 
-/// What must have been seen.
+/// An expectation about what has been observed.
 #[derive(Debug)]
-pub enum Expect {
-    /// The request got its whole answer.
+pub enum Expectation {
+    /// The caller received the complete answer.
     Whole {
         /// Request.
         request: String,
     },
-    /// The request got an error.
+    /// The caller received an error.
     Failed {
         /// Request.
         request: String,
-        /// Name of the code, if stated.
+        /// Name of the error code, if stated.
         code: Option<String>,
-        /// What it said about having run, if stated.
+        /// Run status reported by the error, if stated.
         ran: Option<RunStatus>,
     },
-    /// The request got its final answer, whole or not.
+    /// The request has ended, with a complete answer or otherwise.
     Final {
         /// Request.
         request: String,
     },
-    /// The request has no final answer yet.
+    /// The request has not ended yet.
     Pending {
         /// Request.
         request: String,
     },
-    /// Runs counted by upstreams for a body.
+    /// Number of runs of a body, summed over all upstreams.
     Runs {
         /// Body of the request.
         body: String,
-        /// Bounds, inclusive.
+        /// Allowed counts.
         bounds: Bounds,
     },
-    /// Requests handed to one upstream so far.
+    /// Number of requests that one upstream has accepted.
     Handed {
         /// Instance.
         instance: String,
-        /// Bounds, inclusive.
+        /// Allowed counts.
         bounds: Bounds,
     },
-    /// Crashes of upstreams so far.
+    /// Number of upstream crashes so far.
     Crashes {
-        /// Bounds, inclusive.
+        /// Allowed counts.
         bounds: Bounds,
     },
-    /// Events of one kind on the time line so far.
+    /// Number of timeline events of one kind so far.
     Event {
-        /// Kind, as in the schema without its prefix.
+        /// Name of the kind in the schema, without the `EVENT_KIND_` prefix.
         kind: String,
-        /// Bounds, inclusive.
+        /// Allowed counts.
         bounds: Bounds,
     },
     /// Every running process has this revision in force.
@@ -292,32 +292,32 @@
         /// Revision.
         revision: u64,
     },
-    /// Time from the request's arrival to its first unit.
+    /// The first token or byte of the answer arrived within a time limit.
     FirstUnit {
         /// Request.
         request: String,
-        /// Milliseconds.
+        /// Limit in milliseconds after the request was sent.
         max_ms: u64,
     },
-    /// The process has ended by itself.
+    /// The process has exited by itself.
     Ended {
         /// Process.
         process: String,
     },
-    /// The process does not take work, or does.
+    /// The process reports itself as ready, or as not ready.
     Ready {
         /// Process.
         process: String,
-        /// Which of the two.
+        /// Expected readiness.
         ready: bool,
     },
-    /// The upstream holds a model, able to serve.
+    /// The upstream has a model loaded and is able to serve it, or has not.
     Holds {
         /// Instance.
         instance: String,
         /// Model or adapter.
         model: String,
-        /// False if it must not.
+        /// Whether the model must be loaded.
         held: bool,
     },
 }
@@ -325,15 +325,15 @@
 /// Inclusive bounds of a count.
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
-    /// Least.
+    /// Smallest allowed count.
     pub min: u64,
-    /// Greatest.
+    /// Largest allowed count.
     pub max: u64,
 }
 
 impl Bounds {
     /// Whether a count is within the bounds.
-    pub const fn hold(self, count: u64) -> bool {
+    pub const fn contains(self, count: u64) -> bool {
         self.min <= count && count <= self.max
     }
 }
--- a/crates/scenario/src/world/action.rs
+++ b/crates/scenario/src/simulation/action.rs
@@ -1,4 +1,4 @@
-//! Carries out what the machines ask of their drivers.
+//! Executes the actions that the state machines return.
 
 use base::prelude::*;
 use role::Peer;
@@ -7,26 +7,27 @@
 use schema::link::{Answer, Attempt, Run, frame};
 use schema::timeline::{Event, EventKind};
 
-use super::World;
-use super::caller::End;
-use super::queue::{HandOver, Happening};
+use super::Simulation;
+use super::caller::RequestEnd;
+use super::event_queue::{AttemptStart, SimEvent};
 
-/// Time in which an agent's call reaches its upstream.
-const LOCAL: Duration = Duration::from_micros(200);
+/// Latency between an agent and its upstream. Also the delay before an entry
+/// dials a peer and before an agent learns the result of a predecessor probe.
+const LOCAL_LATENCY: Duration = Duration::from_micros(200);
 
-impl World<'_> {
-    pub(crate) fn entry_actions(
+impl Simulation<'_> {
+    pub(crate) fn run_entry_actions(
         &mut self,
         name: &str,
         actions: Vec<EntryAction>,
         payload: Option<&str>,
     ) {
         for action in actions {
-            self.entry_action(name, action, payload.unwrap_or(""));
+            self.run_entry_action(name, action, payload.unwrap_or(""));
         }
     }
 
-    fn entry_action(&mut self, name: &str, action: EntryAction, payload: &str) {
+    fn run_entry_action(&mut self, name: &str, action: EntryAction, payload: &str) {
         match action {
             EntryAction::SendFrame { peer, body } => {
                 self.send_from_entry(name, &peer, body);
@@ -39,44 +40,46 @@
             EntryAction::DeliverPart {
                 request,
                 skip_units,
-            } => self.delivered(request, payload, skip_units),
-            EntryAction::Finish { request, .. } => self.ended(request, End::Whole),
+            } => self.receive_part(request, payload, skip_units),
+            EntryAction::Finish { request, .. } => {
+                self.finish_request(request, RequestEnd::Whole)
+            }
             EntryAction::Refuse { request, refusal } => {
-                self.ended(request, End::Refused(refusal));
+                self.finish_request(request, RequestEnd::Refused(refusal));
             }
             EntryAction::Connect { peer, address } => {
                 self.connect(name, peer, &address);
             }
             EntryAction::Disconnect { peer } => {
-                if let Some(node) = self.entries.get_mut(name) {
-                    node.wanted.remove(&peer);
+                if let Some(proc) = self.entries.get_mut(name) {
+                    proc.desired_peers.remove(&peer);
                 }
                 self.disconnect(name, &peer);
             }
             EntryAction::CallPlatform(call) => self.call_platform(name, call),
             EntryAction::SetReady(ready) => {
                 self.log(name, if ready { "is ready" } else { "is not ready" });
-                if let Some(node) = self.entries.get_mut(name) {
-                    node.ready = ready;
+                if let Some(proc) = self.entries.get_mut(name) {
+                    proc.ready = ready;
                 }
             }
-            EntryAction::RecordEvent(event) => self.trace(name, &event),
-            EntryAction::Exit => self.exit(name),
+            EntryAction::RecordEvent(event) => self.record_event(name, &event),
+            EntryAction::Exit => self.exit_process(name),
         }
     }
 
-    pub(crate) fn agent_actions(
+    pub(crate) fn run_agent_actions(
         &mut self,
         name: &str,
         actions: Vec<AgentAction>,
         payload: &str,
     ) {
         for action in actions {
-            self.agent_action(name, action, payload);
+            self.run_agent_action(name, action, payload);
         }
     }
 
-    fn agent_action(&mut self, name: &str, action: AgentAction, payload: &str) {
+    fn run_agent_action(&mut self, name: &str, action: AgentAction, payload: &str) {
         match action {
             AgentAction::SendFrame { entry, body } => {
                 self.send_from_agent(name, entry.as_str(), body);
@@ -95,19 +98,23 @@
                 };
                 self.send_from_agent(name, entry.as_str(), frame::Body::Answer(answer));
             }
-            AgentAction::StartAttempt { attempt, run } => self.give(name, attempt, run),
+            AgentAction::StartAttempt { attempt, run } => {
+                self.hand_to_upstream(name, attempt, run)
+            }
             AgentAction::StopAttempt { attempt } => self.stop_attempt(name, attempt),
             AgentAction::SendOrder(order) => self.send_order(name, order),
             AgentAction::CallPlatform(call) => self.call_platform(name, call),
-            AgentAction::ProbePredecessor { address } => self.probe(name, &address),
+            AgentAction::ProbePredecessor { address } => {
+                self.probe_predecessor(name, &address)
+            }
             AgentAction::SetReady(ready) => {
                 self.log(name, if ready { "is ready" } else { "is not ready" });
-                if let Some(node) = self.agents.get_mut(name) {
-                    node.ready = ready;
+                if let Some(proc) = self.agents.get_mut(name) {
+                    proc.ready = ready;
                 }
             }
-            AgentAction::RecordEvent(event) => self.trace(name, &event),
-            AgentAction::Exit => self.exit(name),
+            AgentAction::RecordEvent(event) => self.record_event(name, &event),
+            AgentAction::Exit => self.exit_process(name),
         }
     }
 
@@ -124,7 +131,7 @@
             sequence: attempt.sequence,
         };
         self.callers.add_attempt(request, attempt);
-        let body = self.callers.name(request).and_then(|name| {
+        let body = self.callers.name_of(request).and_then(|name| {
             let sent = self.callers.requests.get(&name)?;
             Some(sent.decl.body.clone())
         });
@@ -135,63 +142,64 @@
     }
 
     fn connect(&mut self, name: &str, peer: Peer, address: &str) {
-        let Some(node) = self.entries.get_mut(name) else {
+        let Some(proc) = self.entries.get_mut(name) else {
             return;
         };
-        let start = node.start;
-        let known = node.wanted.insert(peer.clone(), address.to_owned());
+        let incarnation = proc.incarnation;
+        let known = proc.desired_peers.insert(peer.clone(), address.to_owned());
         if known.is_some_and(|known| known != address) {
             self.disconnect(name, &peer);
         }
-        let dial = Happening::Dial {
+        let dial = SimEvent::Dial {
             entry: name.to_owned(),
-            start,
+            incarnation,
             peer,
         };
-        self.queue.add(self.now + LOCAL, dial);
+        self.events.schedule(self.now + LOCAL_LATENCY, dial);
     }
 
-    fn give(&mut self, name: &str, attempt: AttemptId, run: Box<Run>) {
-        let Some(node) = self.agents.get(name) else {
+    fn hand_to_upstream(&mut self, name: &str, attempt: AttemptId, run: Box<Run>) {
+        let Some(proc) = self.agents.get(name) else {
             return;
         };
-        let hand_over = HandOver {
+        let attempt_start = AttemptStart {
             process: name.to_owned(),
-            start: node.start,
-            instance: node.instance.clone(),
+            incarnation: proc.incarnation,
+            instance: proc.instance.clone(),
             attempt,
             run,
         };
-        let at = self.now + LOCAL;
-        self.queue.add(at, Happening::HandOver(hand_over));
+        let at = self.now + LOCAL_LATENCY;
+        self.events
+            .schedule(at, SimEvent::AttemptArrives(attempt_start));
     }
 
-    fn probe(&mut self, name: &str, address: &str) {
-        let dead = !self.address_taken(address);
-        let Some(node) = self.agents.get(name) else {
+    fn probe_predecessor(&mut self, name: &str, address: &str) {
+        let dead = !self.is_address_in_use(address);
+        let Some(proc) = self.agents.get(name) else {
             return;
         };
-        let happening = Happening::Agent {
+        let sim_event = SimEvent::AgentEvent {
             process: name.to_owned(),
-            start: node.start,
+            incarnation: proc.incarnation,
             event: Box::new(role::agent::AgentEvent::PredecessorProbed { dead }),
             payload: String::new(),
         };
-        self.queue.add(self.now + LOCAL, happening);
+        self.events.schedule(self.now + LOCAL_LATENCY, sim_event);
     }
 
-    fn exit(&mut self, name: &str) {
-        self.log(name, "process ends by itself");
-        if let Some(node) = self.entries.get_mut(name) {
-            node.ended = true;
+    fn exit_process(&mut self, name: &str) {
+        self.log(name, "process exits");
+        if let Some(proc) = self.entries.get_mut(name) {
+            proc.exited = true;
         }
-        if let Some(node) = self.agents.get_mut(name) {
-            node.ended = true;
+        if let Some(proc) = self.agents.get_mut(name) {
+            proc.exited = true;
         }
         self.end_process(name);
     }
 
-    fn trace(&mut self, name: &str, event: &Event) {
+    fn record_event(&mut self, name: &str, event: &Event) {
         let kind = EventKind::try_from(event.kind).unwrap_or_default();
         let kind = kind.as_str_name().trim_start_matches("EVENT_KIND_");
         let mut line = format!("[{kind}]");
--- a/crates/scenario/src/world/caller.rs
+++ b/crates/scenario/src/simulation/caller.rs
@@ -1,53 +1,58 @@
-//! Callers: what they sent and what they got.
+//! Callers: the requests they sent and the answers they received.
 
 use access::Credential;
 use base::prelude::*;
 use role::entry::{EntryEvent, IncomingRequest, RequestedResource};
 use std::collections::BTreeMap;
 
-use super::World;
+use super::Simulation;
 use crate::script::RequestDecl;
 
-/// Version of a model unless a script says otherwise.
+/// Default version of a model.
 const FIRST_VERSION: u32 = 1;
 
-/// Highest version of a model that a script may use.
+/// Highest model version for which answers are checked.
 const LAST_VERSION: u32 = 32;
 
-/// Requests by their name in the script.
+/// All requests sent so far.
 #[derive(Debug, Default)]
 pub(crate) struct Callers {
-    pub(crate) requests: BTreeMap<String, Sent>,
+    /// Requests by their name in the script.
+    pub(crate) requests: BTreeMap<String, SentRequest>,
+    /// Names of requests in the script, by the id that the entry assigned.
     names: BTreeMap<RequestId, String>,
+    /// Names of requests, by the id of each of their attempts.
     attempts: BTreeMap<AttemptId, String>,
 }
 
-/// One request of a caller.
+/// A request sent by a caller.
 #[derive(Debug)]
-pub(crate) struct Sent {
+pub(crate) struct SentRequest {
     pub(crate) decl: RequestDecl,
     pub(crate) id: RequestId,
     pub(crate) arrived: Instant,
     pub(crate) first_unit: Option<Instant>,
     pub(crate) received: String,
-    pub(crate) end: Option<End>,
-    /// Times that an upstream ran it.
+    pub(crate) end: Option<RequestEnd>,
+    /// Number of attempts of the request that upstreams ran.
     pub(crate) runs: u32,
 }
 
-/// The final answer of a request.
+/// How a request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum End {
+pub(crate) enum RequestEnd {
+    /// The response ended cleanly.
     Whole,
+    /// The entry reported an error.
     Refused(RequestError),
-    /// The connection to the entry broke.
+    /// The caller's connection to the entry broke.
     Broken,
-    /// The caller went away itself.
+    /// The caller disconnected.
     Gone,
 }
 
 impl Callers {
-    pub(crate) fn name(&self, id: RequestId) -> Option<String> {
+    pub(crate) fn name_of(&self, id: RequestId) -> Option<String> {
         self.names.get(&id).cloned()
     }
 
@@ -57,29 +62,34 @@
         }
     }
 
-    /// Counts a run by an upstream.
-    pub(crate) fn ran(&mut self, attempt: AttemptId) {
+    /// Counts a run of an attempt by an upstream.
+    pub(crate) fn count_run(&mut self, attempt: AttemptId) {
         let name = self.attempts.get(&attempt);
         if let Some(sent) = name.and_then(|name| self.requests.get_mut(name)) {
             sent.runs += 1;
         }
     }
 
-    /// The entry is killed: its callers see their connections break.
-    pub(crate) fn entry_gone(&mut self, entry: &str, _now: Instant) -> Vec<String> {
-        let mut broken = Vec::new();
+    /// Breaks the connections of all pending requests of a killed entry and returns
+    /// the requests' names.
+    pub(crate) fn disconnect_callers_of(
+        &mut self,
+        entry: &str,
+        _now: Instant,
+    ) -> Vec<String> {
+        let mut disconnected = Vec::new();
         for (name, sent) in &mut self.requests {
             if sent.decl.entry == entry && sent.end.is_none() {
-                sent.end = Some(End::Broken);
-                broken.push(name.clone());
+                sent.end = Some(RequestEnd::Broken);
+                disconnected.push(name.clone());
             }
         }
-        broken
+        disconnected
     }
 }
 
-/// One unit of the answer of an engine; each version of a model has its own, so
-/// that an answer put together from two of them shows.
+/// One token of an engine's answer. It depends on the version of the model, so
+/// that an answer assembled from two versions is detected.
 pub(crate) fn token(body: &str, version: u32, index: u64) -> String {
     if version == FIRST_VERSION {
         return format!("{body}:{index} ");
@@ -88,15 +98,15 @@
 }
 
 /// The answer of a plain service.
-pub(crate) fn service_answer(body: &str) -> String {
+pub(crate) fn service_response(body: &str) -> String {
     format!("done {body}")
 }
 
-/// The whole answers, any one of which a request must get: one for each version
-/// of its model.
-pub(crate) fn whole_answers(decl: &RequestDecl) -> Vec<String> {
+/// The complete answers that a request may receive: one for each version of its
+/// model.
+pub(crate) fn complete_answers(decl: &RequestDecl) -> Vec<String> {
     if decl.service.is_some() {
-        return vec![service_answer(&decl.body)];
+        return vec![service_response(&decl.body)];
     }
     let of_version = |version| {
         let units = 0..u64::from(decl.units);
@@ -107,8 +117,9 @@
     (FIRST_VERSION..=LAST_VERSION).map(of_version).collect()
 }
 
-/// A part of an answer less its first units.
-fn skipped(decl: &RequestDecl, payload: &str, units: u32) -> String {
+/// Returns a part of an answer without its first `units` tokens, or bytes for a
+/// plain service.
+fn without_first_units(decl: &RequestDecl, payload: &str, units: u32) -> String {
     if decl.service.is_some() {
         return payload.get(units as usize..).unwrap_or("").to_owned();
     }
@@ -120,18 +131,18 @@
     rest.to_owned()
 }
 
-impl World<'_> {
+impl Simulation<'_> {
     pub(crate) fn send_request(&mut self, decl: &RequestDecl) {
-        let Some(node) = self.entries.get(&decl.entry) else {
+        let Some(proc) = self.entries.get(&decl.entry) else {
             return;
         };
-        let Some(role) = node.role.as_ref().filter(|_| !node.frozen) else {
-            self.log(&decl.name, "finds no entry");
+        let Some(role) = proc.role.as_ref().filter(|_| !proc.frozen) else {
+            self.log(&decl.name, "is not sent: the entry is not running");
             return;
         };
         let id = role.next_request_id();
-        let arrival = arrival(decl, id);
-        let sent = Sent {
+        let incoming_request = incoming_request(decl, id);
+        let sent = SentRequest {
             decl: decl.clone(),
             id,
             arrived: self.now,
@@ -143,45 +154,56 @@
         self.log(&decl.name, &format!("is sent to {} as {id}", decl.entry));
         self.callers.names.insert(id, decl.name.clone());
         self.callers.requests.insert(decl.name.clone(), sent);
-        let event = EntryEvent::RequestReceived(Box::new(arrival));
-        self.entry_handle(&decl.entry, event, None);
+        let event = EntryEvent::RequestReceived(Box::new(incoming_request));
+        self.handle_entry_event(&decl.entry, event, None);
     }
 
-    pub(crate) fn caller_gone(&mut self, name: &str) {
+    pub(crate) fn disconnect_caller(&mut self, name: &str) {
         let Some(sent) = self.callers.requests.get_mut(name) else {
             return;
         };
         if sent.end.is_some() {
             return;
         }
-        sent.end = Some(End::Gone);
+        sent.end = Some(RequestEnd::Gone);
         let request = sent.id;
         let entry = sent.decl.entry.clone();
-        self.log(name, "caller goes away");
-        self.entry_handle(&entry, EntryEvent::CallerDisconnected { request }, None);
+        self.log(name, "caller disconnects");
+        self.handle_entry_event(
+            &entry,
+            EntryEvent::CallerDisconnected { request },
+            None,
+        );
     }
 
-    pub(crate) fn delivered(&mut self, id: RequestId, payload: &str, skip_units: u32) {
+    pub(crate) fn receive_part(
+        &mut self,
+        id: RequestId,
+        payload: &str,
+        skip_units: u32,
+    ) {
         let now = self.now;
-        let Some(name) = self.callers.name(id) else {
+        let Some(name) = self.callers.name_of(id) else {
             return;
         };
         let Some(sent) = self.callers.requests.get_mut(&name) else {
             return;
         };
-        let text = skipped(&sent.decl, payload, skip_units);
+        let text = without_first_units(&sent.decl, payload, skip_units);
         let late = sent
             .end
-            .is_some_and(|end| end != End::Gone && end != End::Broken);
+            .is_some_and(|end| end != RequestEnd::Gone && end != RequestEnd::Broken);
         sent.first_unit.get_or_insert(now);
         sent.received.push_str(&text);
         if late {
-            self.fail(&format!("{name} got a part after its final answer"));
+            self.record_failure(&format!(
+                "{name} received an answer part after its end"
+            ));
         }
     }
 
-    pub(crate) fn ended(&mut self, id: RequestId, end: End) {
-        let Some(name) = self.callers.name(id) else {
+    pub(crate) fn finish_request(&mut self, id: RequestId, end: RequestEnd) {
+        let Some(name) = self.callers.name_of(id) else {
             return;
         };
         self.log(&name, &format!("ends: {end:?}"));
@@ -190,13 +212,13 @@
         };
         match sent.end {
             None => sent.end = Some(end),
-            Some(End::Gone | End::Broken) => {}
-            Some(_) => self.fail(&format!("{name} got two final answers")),
+            Some(RequestEnd::Gone | RequestEnd::Broken) => {}
+            Some(_) => self.record_failure(&format!("{name} ended twice")),
         }
     }
 }
 
-fn arrival(decl: &RequestDecl, request: RequestId) -> IncomingRequest {
+fn incoming_request(decl: &RequestDecl, request: RequestId) -> IncomingRequest {
     let resource = match &decl.service {
         Some(service) => RequestedResource::Service(ServiceId::new(service)),
         None => RequestedResource::Model(decl.model.as_deref().map(ModelId::new)),
--- a/crates/scenario/src/world/platform.rs
+++ b/crates/scenario/src/simulation/platform.rs
@@ -1,4 +1,4 @@
-//! A fake of the platform's object API.
+//! Fake of the platform's object API.
 
 use base::prelude::*;
 use base::{
@@ -8,45 +8,47 @@
 use schema::settings::Fleet;
 use std::collections::BTreeMap;
 
-use super::World;
-use super::process::Running;
-use super::queue::{Happening, Start};
+use super::Simulation;
+use super::event_queue::{ProcessIncarnation, SimEvent};
+use super::process::ProcessState;
 use crate::script::PlatformFault;
 
-/// One way to the platform, unless a script says otherwise.
-const DELAY_MS: u64 = 2;
+/// Default one-way delay between a process and the platform.
+const DEFAULT_DELAY_MS: u64 = 2;
 
-/// Time after which a caller that is cut off gives up.
-const CUT_TIMEOUT_MS: u64 = 1_000;
+/// Time after which a process gives up on a call that gets no response.
+const CALL_TIMEOUT_MS: u64 = 1_000;
 
-/// Longest wait of a watch.
-const WATCH_MS: u64 = 10_000;
+/// Maximum time for which a watch waits for a change.
+const WATCH_TIMEOUT_MS: u64 = 10_000;
 
-/// A fake of the platform's object API.
+/// In-memory object store with injectable faults.
 #[derive(Debug)]
 pub(crate) struct FakePlatform {
     objects: BTreeMap<String, Object>,
     version: u64,
     delay_ms: u64,
-    away: bool,
-    lose_answers: u32,
-    old_reads: u32,
-    miss_watches: bool,
-    watches: BTreeMap<u64, Waiting>,
+    unavailable: bool,
+    write_responses_to_lose: u32,
+    stale_reads: u32,
+    watches_miss_changes: bool,
+    watches: BTreeMap<u64, PendingWatch>,
     next_watch: u64,
 }
 
 #[derive(Debug)]
 struct Object {
     version: ObjectVersion,
+    /// `None` if the object was deleted.
     value: Option<Vec<u8>>,
-    before: Option<(ObjectVersion, Vec<u8>)>,
+    /// Version and value before the last write, returned by stale reads.
+    previous: Option<(ObjectVersion, Vec<u8>)>,
 }
 
 #[derive(Debug)]
-struct Waiting {
+struct PendingWatch {
     process: String,
-    start: Start,
+    incarnation: ProcessIncarnation,
     call: u64,
     prefix: String,
     after: ObjectVersion,
@@ -57,11 +59,11 @@
         let mut platform = Self {
             objects: BTreeMap::new(),
             version: 0,
-            delay_ms: DELAY_MS,
-            away: false,
-            lose_answers: 0,
-            old_reads: 0,
-            miss_watches: false,
+            delay_ms: DEFAULT_DELAY_MS,
+            unavailable: false,
+            write_responses_to_lose: 0,
+            stale_reads: 0,
+            watches_miss_changes: false,
             watches: BTreeMap::new(),
             next_watch: 0,
         };
@@ -73,18 +75,18 @@
     fn put(&mut self, key: &str, value: Option<Vec<u8>>) -> ObjectVersion {
         self.version += 1;
         let version = ObjectVersion(self.version);
-        let before = self.objects.remove(key);
-        let before = before.and_then(|old| Some((old.version, old.value?)));
+        let previous = self.objects.remove(key);
+        let previous = previous.and_then(|old| Some((old.version, old.value?)));
         let object = Object {
             version,
             value,
-            before,
+            previous,
         };
         self.objects.insert(key.to_owned(), object);
         version
     }
 
-    fn holds(&self, key: &str, precondition: Precondition) -> bool {
+    fn precondition_holds(&self, key: &str, precondition: Precondition) -> bool {
         let present = self
             .objects
             .get(key)
@@ -102,9 +104,9 @@
         let Some(object) = self.objects.get(key) else {
             return PlatformResult::Object(None);
         };
-        if self.old_reads > 0 && object.before.is_some() {
-            self.old_reads -= 1;
-            return PlatformResult::Object(object.before.clone());
+        if self.stale_reads > 0 && object.previous.is_some() {
+            self.stale_reads -= 1;
+            return PlatformResult::Object(object.previous.clone());
         }
         let value = object.value.clone();
         PlatformResult::Object(value.map(|value| (object.version, value)))
@@ -112,26 +114,26 @@
 
     fn list(&mut self, prefix: &str, after: ObjectVersion) -> PlatformResult {
         let objects = self.objects.iter();
-        let within = objects
+        let newer = objects
             .filter(|(key, object)| key.starts_with(prefix) && object.version > after);
         let watching = after > ObjectVersion(0);
-        let found = within.filter_map(|(key, object)| match &object.value {
+        let found = newer.filter_map(|(key, object)| match &object.value {
             Some(value) => Some((key.clone(), object.version, value.clone())),
-            // A watch tells of a deletion by an empty value.
+            // A watch reports a deletion as an empty value.
             None if watching => Some((key.clone(), object.version, Vec::new())),
             None => None,
         });
         let mut found: Vec<_> = found.collect();
-        if self.old_reads > 0 && found.len() > 1 {
-            self.old_reads -= 1;
+        if self.stale_reads > 0 && found.len() > 1 {
+            self.stale_reads -= 1;
             found.pop();
         }
         PlatformResult::Objects(found, ObjectVersion(self.version))
     }
 
-    fn news(&self, prefix: &str, after: ObjectVersion) -> bool {
+    fn has_changes(&self, prefix: &str, after: ObjectVersion) -> bool {
         let mut objects = self.objects.iter();
-        !self.miss_watches
+        !self.watches_miss_changes
             && objects
                 .any(|(key, object)| key.starts_with(prefix) && object.version > after)
     }
@@ -141,31 +143,31 @@
         key: &str,
         precondition: Precondition,
         value: Option<Vec<u8>>,
-    ) -> Effect {
-        if !self.holds(key, precondition) {
-            return Effect::answered(PlatformResult::Conflict);
+    ) -> CallEffect {
+        if !self.precondition_holds(key, precondition) {
+            return CallEffect::answered(PlatformResult::Conflict);
         }
         let version = self.put(key, value);
-        let result = if self.lose_answers > 0 {
-            self.lose_answers -= 1;
+        let result = if self.write_responses_to_lose > 0 {
+            self.write_responses_to_lose -= 1;
             PlatformResult::Unanswered
         } else {
             PlatformResult::Written(version)
         };
-        Effect {
+        CallEffect {
             result,
             wrote: true,
         }
     }
 }
 
-/// What a call did.
-struct Effect {
+/// Result of a call, and whether it wrote an object.
+struct CallEffect {
     result: PlatformResult,
     wrote: bool,
 }
 
-impl Effect {
+impl CallEffect {
     const fn answered(result: PlatformResult) -> Self {
         Self {
             result,
@@ -174,10 +176,10 @@
     }
 }
 
-impl World<'_> {
-    /// A process calls the platform.
+impl Simulation<'_> {
+    /// Schedules the arrival of a process's call at the platform.
     pub(crate) fn call_platform(&mut self, process: &str, call: PlatformCall) {
-        let Some(start) = self.start_of(process) else {
+        let Some(incarnation) = self.incarnation_of(process) else {
             return;
         };
         if self.links.is_cut(process, "platform") {
@@ -186,56 +188,68 @@
             } else {
                 PlatformResult::Unavailable
             };
-            self.answer_platform(process, start, call.id, result, CUT_TIMEOUT_MS);
+            self.schedule_platform_response(
+                process,
+                incarnation,
+                call.id,
+                result,
+                CALL_TIMEOUT_MS,
+            );
             return;
         }
         let at = self.now.plus_ms(self.platform.delay_ms);
-        let happening = Happening::PlatformCall {
+        let sim_event = SimEvent::PlatformCallArrives {
             process: process.to_owned(),
-            start,
+            incarnation,
             call,
         };
-        self.queue.add(at, happening);
+        self.events.schedule(at, sim_event);
     }
 
-    fn start_of(&self, process: &str) -> Option<Start> {
-        let entry = self.entries.get(process).map(|node| node.start);
-        entry.or_else(|| self.agents.get(process).map(|node| node.start))
+    fn incarnation_of(&self, process: &str) -> Option<ProcessIncarnation> {
+        let entry = self.entries.get(process).map(|proc| proc.incarnation);
+        entry.or_else(|| self.agents.get(process).map(|proc| proc.incarnation))
     }
 
-    fn answer_platform(
+    fn schedule_platform_response(
         &mut self,
         process: &str,
-        start: Start,
+        incarnation: ProcessIncarnation,
         id: u64,
         result: PlatformResult,
         after_ms: u64,
     ) {
-        let happening = Happening::PlatformResponse {
+        let sim_event = SimEvent::PlatformResponseArrives {
             process: process.to_owned(),
-            start,
-            answer: PlatformResponse { id, result },
+            incarnation,
+            response: PlatformResponse { id, result },
         };
-        self.queue.add(self.now.plus_ms(after_ms), happening);
+        self.events.schedule(self.now.plus_ms(after_ms), sim_event);
     }
 
-    /// A call reaches the platform.
-    pub(crate) fn platform_call(
+    /// Handles the arrival of a call at the platform.
+    pub(crate) fn platform_call_arrives(
         &mut self,
         process: String,
-        start: Start,
+        incarnation: ProcessIncarnation,
         call: PlatformCall,
     ) {
         let delay_ms = self.platform.delay_ms;
-        if self.platform.away {
+        if self.platform.unavailable {
             let result = PlatformResult::Unavailable;
-            self.answer_platform(&process, start, call.id, result, delay_ms);
+            self.schedule_platform_response(
+                &process,
+                incarnation,
+                call.id,
+                result,
+                delay_ms,
+            );
             return;
         }
         let effect = match call.op {
-            PlatformOp::Read { key } => Effect::answered(self.platform.read(&key)),
+            PlatformOp::Read { key } => CallEffect::answered(self.platform.read(&key)),
             PlatformOp::List { prefix } => {
-                Effect::answered(self.platform.list(&prefix, ObjectVersion(0)))
+                CallEffect::answered(self.platform.list(&prefix, ObjectVersion(0)))
             }
             PlatformOp::Write {
                 key,
@@ -246,69 +260,82 @@
                 self.platform.write(&key, precondition, None)
             }
             PlatformOp::Watch { prefix, after } => {
-                let waiting = Waiting {
+                let pending_watch = PendingWatch {
                     process,
-                    start,
+                    incarnation,
                     call: call.id,
                     prefix,
                     after,
                 };
-                self.watch(waiting);
+                self.watch(pending_watch);
                 return;
             }
         };
-        // A write whose answer is lost shows as no answer after a time-out.
+        // The process notices a lost response to a write only by its timeout.
         let after_ms = match effect.result {
-            PlatformResult::Unanswered => CUT_TIMEOUT_MS,
+            PlatformResult::Unanswered => CALL_TIMEOUT_MS,
             _ => delay_ms,
         };
-        self.answer_platform(&process, start, call.id, effect.result, after_ms);
+        self.schedule_platform_response(
+            &process,
+            incarnation,
+            call.id,
+            effect.result,
+            after_ms,
+        );
         if effect.wrote {
-            self.wake_watches();
+            self.answer_changed_watches();
         }
     }
 
-    fn watch(&mut self, waiting: Waiting) {
+    fn watch(&mut self, pending_watch: PendingWatch) {
         let id = self.platform.next_watch;
         self.platform.next_watch += 1;
-        self.platform.watches.insert(id, waiting);
-        let end = self.now.plus_ms(WATCH_MS);
-        self.queue.add(end, Happening::WatchEnd { id });
-        self.wake_watches();
+        self.platform.watches.insert(id, pending_watch);
+        let end = self.now.plus_ms(WATCH_TIMEOUT_MS);
+        self.events.schedule(end, SimEvent::WatchTimeout { id });
+        self.answer_changed_watches();
     }
 
-    fn wake_watches(&mut self) {
+    fn answer_changed_watches(&mut self) {
         let platform = &self.platform;
         let watches = platform.watches.iter();
-        let woken = watches.filter(|(_, w)| platform.news(&w.prefix, w.after));
-        let woken: Vec<u64> = woken.map(|(id, _)| *id).collect();
-        for id in woken {
-            self.watch_end(id);
+        let changed = watches.filter(|(_, w)| platform.has_changes(&w.prefix, w.after));
+        let changed: Vec<u64> = changed.map(|(id, _)| *id).collect();
+        for id in changed {
+            self.answer_watch(id);
         }
     }
 
-    /// Answers a waiting watch with what is new.
-    pub(crate) fn watch_end(&mut self, id: u64) {
-        let Some(waiting) = self.platform.watches.remove(&id) else {
+    /// Answers a pending watch with the changes since its version.
+    pub(crate) fn answer_watch(&mut self, id: u64) {
+        let Some(pending_watch) = self.platform.watches.remove(&id) else {
             return;
         };
-        let result = if self.platform.away {
+        let result = if self.platform.unavailable {
             PlatformResult::Unavailable
-        } else if self.platform.miss_watches {
+        } else if self.platform.watches_miss_changes {
             PlatformResult::Objects(Vec::new(), ObjectVersion(self.platform.version))
         } else {
-            self.platform.list(&waiting.prefix, waiting.after)
+            self.platform
+                .list(&pending_watch.prefix, pending_watch.after)
         };
         let delay_ms = self.platform.delay_ms;
-        let Waiting {
+        let PendingWatch {
             process,
-            start,
+            incarnation,
             call,
             ..
-        } = waiting;
-        let current = self.current_name(&process, start);
-        if self.runs(&current, start) != Running::Gone {
-            self.answer_platform(&process, start, call, result, delay_ms);
+        } = pending_watch;
+        let current = self.current_process_name(&process, incarnation);
+        if self.process_state(&current, incarnation) != ProcessState::Gone {
+            self.schedule_platform_response(
+                &process,
+                incarnation,
+                call,
+                result,
+                delay_ms,
+            );
         }
     }
 
@@ -316,40 +343,43 @@
         self.log("platform", &format!("{fault:?}"));
         match fault {
             PlatformFault::Away => {
-                self.platform.away = true;
+                self.platform.unavailable = true;
                 let all: Vec<u64> = self.platform.watches.keys().copied().collect();
                 for id in all {
-                    self.watch_end(id);
+                    self.answer_watch(id);
                 }
             }
             PlatformFault::Back => {
-                self.platform.away = false;
-                self.platform.miss_watches = false;
+                self.platform.unavailable = false;
+                self.platform.watches_miss_changes = false;
             }
             PlatformFault::Delay { ms } => self.platform.delay_ms = ms,
-            PlatformFault::LoseAnswers { count } => self.platform.lose_answers = count,
-            PlatformFault::OldReads { count } => self.platform.old_reads = count,
-            PlatformFault::MissWatches => self.platform.miss_watches = true,
+            PlatformFault::LoseAnswers { count } => {
+                self.platform.write_responses_to_lose = count
+            }
+            PlatformFault::OldReads { count } => self.platform.stale_reads = count,
+            PlatformFault::MissWatches => self.platform.watches_miss_changes = true,
         }
     }
 
-    /// An operator creates a revision, if nobody was first.
+    /// Publishes a revision as an operator. It is refused if the platform is
+    /// unavailable or the revision already exists.
     pub(crate) fn publish(&mut self, revision: u64, patch: &str) {
         let key = conf::revision_key(Revision(revision));
-        let taken = !self.platform.holds(&key, Precondition::Absent);
-        if self.platform.away || taken {
+        let taken = !self.platform.precondition_holds(&key, Precondition::Absent);
+        if self.platform.unavailable || taken {
             self.log("operator", &format!("revision {revision} is refused"));
             return;
         }
         self.log("operator", &format!("revision {revision} is accepted"));
         self.platform.put(&key, Some(patch.as_bytes().to_vec()));
-        self.wake_watches();
+        self.answer_changed_watches();
     }
 
     pub(crate) fn list_leaving(&mut self, instance: &str) {
         let value = br#"{"state":"leaving"}"#.to_vec();
         self.platform
             .put(&format!("instances/{instance}"), Some(value));
-        self.wake_watches();
+        self.answer_changed_watches();
     }
 }
--- a/crates/scenario/src/world/step.rs
+++ b/crates/scenario/src/simulation/script_step.rs
@@ -1,17 +1,17 @@
-//! Carries out the steps of a script.
+//! Executes the steps of a script.
 
-use super::World;
-use crate::script::{Expect, Verb};
+use super::Simulation;
+use crate::script::{Expectation, Verb};
 
-impl World<'_> {
-    pub(crate) fn step(&mut self, index: usize) {
+impl Simulation<'_> {
+    pub(crate) fn run_step(&mut self, index: usize) {
         let script = self.script;
         let step = &script.steps[index];
         match &step.verb {
             Verb::Request(decl) => self.send_request(decl),
-            Verb::Gone { request } => self.caller_gone(request),
+            Verb::Gone { request } => self.disconnect_caller(request),
             Verb::Kill { process } => self.kill(process),
-            Verb::Start { process } => self.start_again(process),
+            Verb::Start { process } => self.restart_process(process),
             Verb::Freeze { process } => self.freeze(process),
             Verb::Thaw { process } => self.thaw(process),
             Verb::Replace { process } => self.replace(process),
@@ -24,15 +24,17 @@
             Verb::CrashOn { body } => self.crash_bodies.push(body.clone()),
             Verb::Publish { revision, patch } => self.publish(*revision, patch),
             Verb::ListLeaving { instance } => self.list_leaving(instance),
-            Verb::Expect(expect) => self.expect(step.line, expect),
+            Verb::Expect(expect) => self.check_expectation(step.line, expect),
         }
     }
 
-    fn start_again(&mut self, process: &str) {
-        let entry = self.entries.get(process).map(|node| node.role.is_some());
-        let agent = self.agents.get(process).map(|node| node.role.is_some());
+    fn restart_process(&mut self, process: &str) {
+        let entry = self.entries.get(process).map(|proc| proc.role.is_some());
+        let agent = self.agents.get(process).map(|proc| proc.role.is_some());
         if entry.or(agent) == Some(true) {
-            self.fail(&format!("{process} starts and was running"));
+            self.record_failure(&format!(
+                "{process} is started but was already running"
+            ));
         }
         let instances = &self.script.instances;
         if instances.iter().any(|instance| instance.name == process) {
@@ -43,17 +45,19 @@
     }
 
     fn drain(&mut self, process: &str) {
-        self.log(process, "is asked to stop");
+        self.log(process, "is asked to shut down");
         if self.entries.contains_key(process) {
-            self.entry_handle(process, role::entry::EntryEvent::Drain, None);
+            self.handle_entry_event(process, role::entry::EntryEvent::Drain, None);
         } else {
-            self.agent_handle(process, role::agent::AgentEvent::Drain, "");
+            self.handle_agent_event(process, role::agent::AgentEvent::Drain, "");
         }
     }
 
-    fn expect(&mut self, line: usize, expect: &Expect) {
-        if let Err(found) = self.holds(expect) {
-            self.fail(&format!("line {line}: {expect:?} does not hold: {found}"));
+    fn check_expectation(&mut self, line: usize, expect: &Expectation) {
+        if let Err(found) = self.evaluate(expect) {
+            self.record_failure(&format!(
+                "line {line}: {expect:?} does not hold: {found}"
+            ));
         }
     }
 }
--- a/tests/all/docs.rs
+++ b/tests/all/docs.rs
@@ -19,12 +19,12 @@
     ]
 }
 
-fn docs() -> PathBuf {
+fn docs_dir() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("docs")
 }
 
 fn every_code_is_listed() -> Result<(), Failed> {
-    let table = std::fs::read_to_string(docs().join("errors.md"))?;
+    let table = std::fs::read_to_string(docs_dir().join("errors.md"))?;
     for code in ErrorCode::ALL {
         let row = format!(
             "| {} | `{}` | {} |",
@@ -40,12 +40,12 @@
 }
 
 fn every_page_is_in_the_summary() -> Result<(), Failed> {
-    let summary = std::fs::read_to_string(docs().join("SUMMARY.md"))?;
-    for (folder, prefix) in [(docs(), ""), (docs().join("design"), "design/")] {
+    let summary = std::fs::read_to_string(docs_dir().join("SUMMARY.md"))?;
+    for (folder, prefix) in [(docs_dir(), ""), (docs_dir().join("design"), "design/")] {
         for entry in std::fs::read_dir(folder)? {
             let name = entry?.file_name().to_string_lossy().into_owned();
-            let page = name.ends_with(".md") && name != "SUMMARY.md";
-            if page && !summary.contains(&format!("({prefix}{name})")) {
+            let is_page = name.ends_with(".md") && name != "SUMMARY.md";
+            if is_page && !summary.contains(&format!("({prefix}{name})")) {
                 let missing =
                     format!("docs/SUMMARY.md does not lead to {prefix}{name}");
                 return Err(missing.into());
@@ -69,13 +69,15 @@
         if !listed.contains(&format!("`{name}`")) {
             return Err(format!("deploy/days/README.md does not list {name}").into());
         }
-        let day = std::fs::read_to_string(&path)?;
+        let schedule = std::fs::read_to_string(&path)?;
         for key in ["zone", "to_zone", "service", "class"] {
-            let before = format!(" {key} = \"");
-            let mut named = day.split(before.as_str()).skip(1);
-            if let Some(own) = named.find(|rest| !rest.starts_with('@')) {
-                let own = own.split('"').next().unwrap_or_default();
-                return Err(format!("{name}: {key} {own} is of one deployment").into());
+            let assignment = format!(" {key} = \"");
+            let mut values = schedule.split(assignment.as_str()).skip(1);
+            if let Some(literal) = values.find(|rest| !rest.starts_with('@')) {
+                let literal = literal.split('"').next().unwrap_or_default();
+                return Err(
+                    format!("{name}: {key} {literal} is of one deployment").into()
+                );
             }
         }
     }
--- a/tests/all/processes.rs
+++ b/tests/all/processes.rs
@@ -12,33 +12,39 @@
 mod rig;
 mod stop;
 
-use crate::red::{self, Passing};
+use crate::red::{self, OnPass};
 use libtest_mimic::{Failed, Trial};
-use rig::{Rig, TestResult};
+use rig::{Fixture, TestResult};
 
 pub(crate) fn trials() -> Vec<Trial> {
     vec![
-        trial("path", async |rig| {
-            path::streamed_answer_is_whole(rig).await?;
-            path::cold_model_is_loaded(rig).await?;
-            path::keyed_order_runs_once(rig).await
+        trial("path", async |fixture| {
+            path::streamed_answer_is_complete(fixture).await?;
+            path::cold_model_is_loaded(fixture).await?;
+            path::keyed_order_runs_once(fixture).await
         }),
-        trial("publish", async |rig| {
-            publish::change_is_in_force_everywhere(rig).await?;
-            publish::faulty_file_changes_nothing(rig).await?;
-            publish::conflict_changes_nothing(rig).await
+        trial("publish", async |fixture| {
+            publish::change_is_in_force_everywhere(fixture).await?;
+            publish::invalid_file_changes_nothing(fixture).await?;
+            publish::conflict_changes_nothing(fixture).await
         }),
-        trial("stop_of_an_entry_cuts_nothing", async |rig| {
-            stop::entry_under_load(rig).await
+        trial("stop_of_an_entry_cuts_nothing", async |fixture| {
+            stop::stop_entry_under_load(fixture).await
         }),
-        trial("stop_of_an_agent_cuts_nothing", async |rig| {
-            stop::agent_under_load(rig).await
+        trial("stop_of_an_agent_cuts_nothing", async |fixture| {
+            stop::stop_agent_under_load(fixture).await
         }),
-        trial("killed_agent", async |rig| faults::killed_agent(rig).await),
-        trial("killed_entry", async |rig| faults::killed_entry(rig).await),
-        trial("frozen_agent", async |rig| faults::frozen_agent(rig).await),
-        trial("platform_away", async |rig| {
-            outage::platform_away(rig).await
+        trial("killed_agent", async |fixture| {
+            faults::killed_agent(fixture).await
+        }),
+        trial("killed_entry", async |fixture| {
+            faults::killed_entry(fixture).await
+        }),
+        trial("frozen_agent", async |fixture| {
+            faults::frozen_agent(fixture).await
+        }),
+        trial("platform_away", async |fixture| {
+            outage::platform_outage(fixture).await
         }),
     ]
 }
@@ -46,10 +52,10 @@
 /// A test on a deployment of its own, under load and all.
 fn trial<F>(name: &str, test: F) -> Trial
 where
-    F: AsyncFnOnce(&mut Rig) -> TestResult + Send + 'static,
+    F: AsyncFnOnce(&mut Fixture) -> TestResult + Send + 'static,
 {
     let name = format!("processes::{name}");
-    red::trial(&name, Passing::Prints, move || -> Result<(), Failed> {
+    red::trial(&name, OnPass::PrintOnly, move || -> Result<(), Failed> {
         rig::run(test).map_err(Failed::from)
     })
 }
--- a/tests/all/processes/path.rs
+++ b/tests/all/processes/path.rs
@@ -4,55 +4,66 @@
 use serde_json::{Value, json};
 
 use super::fleet::MODELS;
-use super::rig::{Rig, TestResult, check, text};
+use super::rig::{Fixture, TestResult, check, error_text};
 
 /// Tokens of one answer.
 const TOKENS: u64 = 40;
 
 /// A streamed answer is the text that the engine makes for the prompt, all of
 /// it, and ends with `[DONE]`.
-pub(super) async fn streamed_answer_is_whole(rig: &mut Rig) -> TestResult {
-    for place in 0..2 {
-        ask(rig, place, MODELS[0], "the press stops at the second fold").await?;
+pub(super) async fn streamed_answer_is_complete(fixture: &mut Fixture) -> TestResult {
+    for index in 0..2 {
+        check_streamed_answer(
+            fixture,
+            index,
+            MODELS[0],
+            "the press stops at the second fold",
+        )
+        .await?;
     }
     Ok(())
 }
 
 /// Four models are asked for in turn where three fit: each is loaded on demand,
 /// so one of them in place of another, and memory is never overcommitted.
-pub(super) async fn cold_model_is_loaded(rig: &mut Rig) -> TestResult {
+pub(super) async fn cold_model_is_loaded(fixture: &mut Fixture) -> TestResult {
     for model in MODELS {
-        ask(rig, 0, model, "what is due").await?;
+        check_streamed_answer(fixture, 0, model, "what is due").await?;
     }
-    let counts = rig.engines().await?;
+    let counts = fixture.engine_counts().await?;
     let loads: u64 = counts.iter().map(|counts| counts.loads).sum();
     check(loads >= MODELS.len() as u64, || format!("{loads} loads"))?;
-    rig.promises_held().await
+    fixture.check_invariants().await
 }
 
 /// An order sent again through the other entry finds the stored answer; by the
 /// services' own count it ran once. With another body the key is refused.
-pub(super) async fn keyed_order_runs_once(rig: &mut Rig) -> TestResult {
-    let (first, second) = (rig.entry(0), rig.entry(1));
-    let before = rig.runs_by_key().await?.len();
-    let (status, answer) = rig.order(first, "order-1", "belt").await?;
+pub(super) async fn keyed_order_runs_once(fixture: &mut Fixture) -> TestResult {
+    let (first, second) = (fixture.entry_address(0), fixture.entry_address(1));
+    let before = fixture.runs_by_key().await?.len();
+    let (status, answer) = fixture.post_order(first, "order-1", "belt").await?;
     check(status == 200, || format!("{status} {answer}"))?;
     check(answer["count"] == 1, || format!("first: {answer}"))?;
-    let (status, again) = rig.order(second, "order-1", "belt").await?;
+    let (status, again) = fixture.post_order(second, "order-1", "belt").await?;
     check(status == 200 && again == answer, || {
         format!("resent: {status} {again} for {answer}")
     })?;
-    let (status, other) = rig.order(second, "order-1", "gear").await?;
+    let (status, other) = fixture.post_order(second, "order-1", "gear").await?;
     check(status == 422 && other["error"]["code"] == 1007, || {
         format!("other body: {status} {other}")
     })?;
-    let runs = rig.runs_by_key().await?;
+    let runs = fixture.runs_by_key().await?;
     check(runs.len() == before + 1, || format!("{runs:?}"))?;
-    rig.promises_held().await
+    fixture.check_invariants().await
 }
 
 /// Asks for a streamed answer and compares it with the deterministic text.
-async fn ask(rig: &Rig, entry: usize, model: &str, prompt: &str) -> TestResult {
+async fn check_streamed_answer(
+    fixture: &Fixture,
+    entry: usize,
+    model: &str,
+    prompt: &str,
+) -> TestResult {
     let profile = model.split('-').next().unwrap_or_default();
     let profile = if profile == "diagnosis" {
         "desk"
@@ -67,19 +78,21 @@
     });
     let headers = [("x-profile", profile)];
     let path = "/v1/chat/completions";
-    let (status, stream) = rig.post(rig.entry(entry), path, &headers, &body).await?;
+    let (status, stream) = fixture
+        .post(fixture.entry_address(entry), path, &headers, &body)
+        .await?;
     check(status == 200, || format!("{model}: {status} {stream}"))?;
     let message = Message {
         role: "user".to_owned(),
         content: prompt.to_owned(),
     };
     let expected = Answer::new(model, 1, &chat_prompt(&[message])).tokens(0, TOKENS);
-    let got = content(&stream)?;
+    let got = streamed_content(&stream)?;
     check(got == expected, || format!("{got:?} for {expected:?}"))
 }
 
 /// The text of a streamed answer that ended with `[DONE]`.
-fn content(stream: &str) -> TestResult<String> {
+fn streamed_content(stream: &str) -> TestResult<String> {
     let mut got = String::new();
     let mut done = false;
     for data in stream
@@ -91,7 +104,7 @@
             done = true;
             continue;
         }
-        let chunk: Value = serde_json::from_str(data).map_err(text)?;
+        let chunk: Value = serde_json::from_str(data).map_err(error_text)?;
         let part = &chunk["choices"][0]["delta"]["content"];
         got.push_str(part.as_str().unwrap_or_default());
     }
--- a/tests/all/processes/rig.rs
+++ b/tests/all/processes/rig.rs
@@ -21,41 +21,43 @@
 pub(super) type TestResult<T = ()> = Result<T, String>;
 
 /// Bound on waiting for a condition; it decides nothing on a sound run.
-pub(super) const BOUND: Duration = Duration::from_secs(60);
+pub(super) const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-const POLL: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Deployments that run at once. Each is a dozen processes, which would get too
 /// little of the machine for their heartbeats if all tests ran together.
 const DEPLOYMENTS_MAX: usize = 3;
 
 static RUNNING: Mutex<usize> = Mutex::new(0);
-static ENDED: Condvar = Condvar::new();
+static DEPLOYMENT_ENDED: Condvar = Condvar::new();
 
 /// Leave to run one deployment.
-struct Seat;
+struct DeploymentPermit;
 
-impl Seat {
-    fn take() -> Self {
+impl DeploymentPermit {
+    fn acquire() -> Self {
         let mut running = RUNNING.lock().unwrap_or_else(PoisonError::into_inner);
         while *running >= DEPLOYMENTS_MAX {
-            running = ENDED.wait(running).unwrap_or_else(PoisonError::into_inner);
+            running = DEPLOYMENT_ENDED
+                .wait(running)
+                .unwrap_or_else(PoisonError::into_inner);
         }
         *running += 1;
         Self
     }
 }
 
-impl Drop for Seat {
+impl Drop for DeploymentPermit {
     fn drop(&mut self) {
         *RUNNING.lock().unwrap_or_else(PoisonError::into_inner) -= 1;
-        ENDED.notify_one();
+        DEPLOYMENT_ENDED.notify_one();
     }
 }
 
 /// A deployment that is ready, and a client for its listeners.
 #[derive(Debug)]
-pub(super) struct Rig {
+pub(super) struct Fixture {
     pub(super) deployment: Deployment,
     pub(super) probe: Probe,
 }
@@ -63,29 +65,29 @@
 /// Runs a test on a deployment of its own; the logs of a failed one are kept.
 pub(super) fn run<F>(test: F) -> TestResult
 where
-    F: AsyncFnOnce(&mut Rig) -> TestResult,
+    F: AsyncFnOnce(&mut Fixture) -> TestResult,
 {
-    let _seat = Seat::take();
+    let _permit = DeploymentPermit::acquire();
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
         .enable_all()
         .build()
-        .map_err(text)?;
+        .map_err(error_text)?;
     runtime.block_on(async {
-        let mut rig = Rig::start()?;
-        let result = match rig.ready().await {
-            Ok(()) => test(&mut rig).await,
-            Err(fault) => Err(fault),
+        let mut fixture = Fixture::start()?;
+        let result = match fixture.ready().await {
+            Ok(()) => test(&mut fixture).await,
+            Err(message) => Err(message),
         };
-        result.map_err(|fault| {
-            rig.deployment.keep_folder();
-            format!("{fault}\nlogs: {}", rig.deployment.folder().display())
+        result.map_err(|message| {
+            fixture.deployment.keep_folder();
+            format!("{message}\nlogs: {}", fixture.deployment.folder().display())
         })
     })
 }
 
 /// An error as a test's finding.
-pub(super) fn text<E: Display>(error: E) -> String {
+pub(super) fn error_text<E: Display>(error: E) -> String {
     error.to_string()
 }
 
@@ -94,7 +96,7 @@
     if holds { Ok(()) } else { Err(otherwise()) }
 }
 
-impl Rig {
+impl Fixture {
     fn start() -> TestResult<Self> {
         let options = DeploymentOptions {
             engines: 3,
@@ -102,7 +104,7 @@
             ..DeploymentOptions::default()
         };
         Ok(Self {
-            deployment: Deployment::start(options).map_err(text)?,
+            deployment: Deployment::start(options).map_err(error_text)?,
             probe: Probe::new(),
         })
     }
@@ -111,22 +113,25 @@
         let document = fleet::document().to_string();
         // The processes hear of the configuration as they start, so there may
         // be none to wait for yet.
-        let said = self.deployment.publish_with(&document, &[]).map_err(text)?;
-        check(said.code == 0, || said.text.clone())?;
-        self.deployment.until_ready().await.map_err(text)?;
-        self.links_stand().await
+        let output = self
+            .deployment
+            .publish_with(&document, &[])
+            .map_err(error_text)?;
+        check(output.code == 0, || output.text.clone())?;
+        self.deployment.until_ready().await.map_err(error_text)?;
+        self.wait_for_agent_connections().await
     }
 
     /// Waits until each entry hears each agent.
-    async fn links_stand(&self) -> TestResult {
+    async fn wait_for_agent_connections(&self) -> TestResult {
         for entry in ["entry-1", "entry-2"] {
-            self.until(&format!("{entry} hears 5 agents"), async || {
+            self.wait_until(&format!("{entry} hears 5 agents"), async || {
                 let status = self.status(entry).await?;
                 let agents = status["agents"].as_array()?;
-                let heard = |agent: &&Value| {
+                let is_connected = |agent: &&Value| {
                     agent["connected"] == true && agent["state"] == "up"
                 };
-                (agents.iter().filter(heard).count() == 5).then_some(())
+                (agents.iter().filter(is_connected).count() == 5).then_some(())
             })
             .await?;
         }
@@ -134,18 +139,18 @@
     }
 
     /// Polls until something is there.
-    pub(super) async fn until<T>(
+    pub(super) async fn wait_until<T>(
         &self,
         what: &str,
-        look: impl AsyncFn() -> Option<T>,
+        poll: impl AsyncFn() -> Option<T>,
     ) -> TestResult<T> {
-        let until = Instant::now() + BOUND;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
-            if let Some(found) = look().await {
+            if let Some(found) = poll().await {
                 return Ok(found);
             }
-            check(Instant::now() < until, || format!("never: {what}"))?;
-            tokio::time::sleep(POLL).await;
+            check(Instant::now() < deadline, || format!("never: {what}"))?;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -156,8 +161,8 @@
     }
 
     /// Entries' listeners.
-    pub(super) fn entry(&self, place: usize) -> SocketAddr {
-        self.deployment.callers()[place]
+    pub(super) fn entry_address(&self, index: usize) -> SocketAddr {
+        self.deployment.callers()[index]
     }
 
     /// Sends a call as the tests' caller; status and body.
@@ -175,13 +180,13 @@
             request = request.header(*name, *value);
         }
         let body = Full::new(Bytes::from(body.to_string()));
-        let request = request.body(body).map_err(text)?;
+        let request = request.body(body).map_err(error_text)?;
         let answer = self.probe.send(request).await;
         answer.ok_or_else(|| format!("no answer to {path}"))
     }
 
     /// Sends an order under a key.
-    pub(super) async fn order(
+    pub(super) async fn post_order(
         &self,
         entry: SocketAddr,
         key: &str,
@@ -196,7 +201,7 @@
 
     /// Makes calls last long enough that some are in progress whenever a fault
     /// comes.
-    pub(super) async fn slow_services(&self) -> TestResult {
+    pub(super) async fn slow_down_services(&self) -> TestResult {
         let faults = service::Faults {
             slow_ms: 400,
             ..service::Faults::default()
@@ -222,7 +227,7 @@
     }
 
     /// Counts of all engines.
-    pub(super) async fn engines(&self) -> TestResult<Vec<engine::Counts>> {
+    pub(super) async fn engine_counts(&self) -> TestResult<Vec<engine::Counts>> {
         let mut all = Vec::new();
         for control in &self.deployment.controls().engines {
             let counts = self.probe.json(*control, "/control/counts").await;
@@ -232,11 +237,11 @@
     }
 
     /// No call ran twice, and no accelerator held more than its memory.
-    pub(super) async fn promises_held(&self) -> TestResult {
+    pub(super) async fn check_invariants(&self) -> TestResult {
         for (key, runs) in self.runs_by_key().await? {
             check(runs <= 1, || format!("{key} ran {runs} times"))?;
         }
-        for counts in self.engines().await? {
+        for counts in self.engine_counts().await? {
             check(counts.overcommits == 0, || {
                 format!("memory overcommitted {} times", counts.overcommits)
             })?;
@@ -245,7 +250,12 @@
     }
 
     /// Work of all kinds on all entries.
-    pub(super) fn load(&self, rate_per_s: f64, count: u64, seed: u64) -> LoadOptions {
+    pub(super) fn load_options(
+        &self,
+        rate_per_s: f64,
+        count: u64,
+        seed: u64,
+    ) -> LoadOptions {
         LoadOptions {
             targets: self.deployment.callers(),
             direct: false,
@@ -262,14 +272,14 @@
     /// Loads the models that the work asks for, so that a fault meets work that
     /// runs and not work that waits.
     pub(super) async fn warm_up(&self) -> TestResult {
-        let report = load::run(self.load(20.0, 40, 1)).await;
+        let report = load::run(self.load_options(20.0, 40, 1)).await;
         check(report.wrong_answers() == 0, || report.table())?;
-        check(whole(&report) > 0, || report.table())
+        check(complete_answers(&report) > 0, || report.table())
     }
 }
 
 /// Whole answers of all profiles.
-pub(super) fn whole(report: &Report) -> u64 {
+pub(super) fn complete_answers(report: &Report) -> u64 {
     report.profiles.values().map(|profile| profile.whole).sum()
 }
 
--- a/tests/all/random.rs
+++ b/tests/all/random.rs
@@ -16,47 +16,52 @@
 use std::thread;
 
 /// Seeds run in CI.
-const CI_RUNS: u64 = 32;
+const DEFAULT_SEEDS: u64 = 32;
 
 /// Trials into which the seeds are divided, so that they run side by side.
-const TRIALS: u64 = 4;
+const TRIAL_COUNT: u64 = 4;
 
 /// Failing seeds that one trial shows.
-const SHOWN_MAX: usize = 3;
+const SHOWN_FAILURES_MAX: usize = 3;
 
 pub(crate) fn trials() -> Vec<Trial> {
-    if let Some(seed) = setting("SESAME_RANDOM_SEED") {
+    if let Some(seed) = env_number("SESAME_RANDOM_SEED") {
         let run = move || {
             println!("{}", generate::text(seed));
-            check(seed).map_err(Failed::from)
+            check_seed(seed).map_err(Failed::from)
         };
         return vec![Trial::test(format!("random::seed_{seed}"), run)];
     }
-    let runs = setting("SESAME_RANDOM_RUNS").unwrap_or(CI_RUNS);
-    let trials = (0..TRIALS).map(|part| {
-        let name = format!("random::part_{part}_of_{TRIALS}");
+    let runs = env_number("SESAME_RANDOM_RUNS").unwrap_or(DEFAULT_SEEDS);
+    let trials = (0..TRIAL_COUNT).map(|part| {
+        let name = format!("random::part_{part}_of_{TRIAL_COUNT}");
         Trial::test(name, move || run_part(part, runs))
     });
     trials.collect()
 }
 
-fn setting(name: &str) -> Option<u64> {
+fn env_number(name: &str) -> Option<u64> {
     std::env::var(name).ok()?.parse().ok()
 }
 
 fn run_part(part: u64, runs: u64) -> Result<(), Failed> {
-    let seeds = (0..runs).filter(|seed| seed % TRIALS == part);
-    let failures: Vec<String> = seeds.filter_map(|seed| check(seed).err()).collect();
+    let seeds = (0..runs).filter(|seed| seed % TRIAL_COUNT == part);
+    let failures: Vec<String> =
+        seeds.filter_map(|seed| check_seed(seed).err()).collect();
     if failures.is_empty() {
         return Ok(());
     }
-    let shown = failures.iter().take(SHOWN_MAX).cloned().collect::<Vec<_>>();
+    let shown = failures
+        .iter()
+        .take(SHOWN_FAILURES_MAX)
+        .cloned()
+        .collect::<Vec<_>>();
     let count = failures.len();
     Err(format!("{count} seeds fail\n{}", shown.join("\n")).into())
 }
 
 /// Runs one seed; an error holds what failed and the scenario's text.
-fn check(seed: u64) -> Result<(), String> {
+fn check_seed(seed: u64) -> Result<(), String> {
     let text = generate::text(seed);
     let script = scenario::parse(&text).map_err(|errors| {
         let lines = errors.iter().map(ToString::to_string);
--- a/tests/all/red.rs
+++ b/tests/all/red.rs
@@ -10,51 +10,58 @@
 use std::path::Path;
 
 /// Most lines of the list.
-const LINES_MAX: usize = 3;
+const KNOWN_RED_MAX: usize = 3;
 
 /// What a known red test means that passes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Passing {
+pub(crate) enum OnPass {
     /// The fault is gone, and its line has to go.
-    Fails,
+    FailTest,
     /// Nothing: the test has real processes, and its fault may not show each
     /// time. The verdict must be the same on every run, so it is only printed.
-    Prints,
+    PrintOnly,
 }
 
 /// A test that the list may name.
-pub(crate) fn trial<F>(name: &str, passing: Passing, run: F) -> Trial
+pub(crate) fn trial<F>(name: &str, on_pass: OnPass, run: F) -> Trial
 where
     F: FnOnce() -> Result<(), Failed> + Send + 'static,
 {
-    let red = lines().iter().any(|line| names(line, name));
-    let shown = name.to_owned();
-    Trial::test(name, move || match (run(), red, passing) {
+    let is_known_red = known_red_lines()
+        .iter()
+        .any(|line| line_names_test(line, name));
+    let test_name = name.to_owned();
+    Trial::test(name, move || match (run(), is_known_red, on_pass) {
         (result, false, _) => result,
-        (Ok(()), true, Passing::Fails) => {
+        (Ok(()), true, OnPass::FailTest) => {
             Err("it passes: take it out of KNOWN-RED.txt".into())
         }
-        (Ok(()), true, Passing::Prints) => {
-            println!("known red, passed this time: {shown}");
+        (Ok(()), true, OnPass::PrintOnly) => {
+            println!("known red, passed this time: {test_name}");
             Ok(())
         }
-        (Err(fault), true, _) => {
-            println!("known red: {shown}: {}", fault.message().unwrap_or(""));
+        (Err(failure), true, _) => {
+            println!(
+                "known red: {test_name}: {}",
+                failure.message().unwrap_or("")
+            );
             Ok(())
         }
     })
 }
 
 /// The check on the list itself.
-pub(crate) fn list_is_true(trials: &[Trial]) -> Trial {
-    let all: Vec<String> = trials.iter().map(|trial| trial.name().to_owned()).collect();
+pub(crate) fn known_red_list_trial(trials: &[Trial]) -> Trial {
+    let trial_names: Vec<String> =
+        trials.iter().map(|trial| trial.name().to_owned()).collect();
     Trial::test("known_red::each_line_names_a_test", move || {
-        let lines = lines();
-        if lines.len() > LINES_MAX {
-            return Err(format!("more than {LINES_MAX} lines").into());
+        let lines = known_red_lines();
+        if lines.len() > KNOWN_RED_MAX {
+            return Err(format!("more than {KNOWN_RED_MAX} lines").into());
         }
         let known = |line: &&String| {
-            all.iter().any(|name| names(line, name)) || names_of_platform(line)
+            trial_names.iter().any(|name| line_names_test(line, name))
+                || names_platform_test(line)
         };
         match lines.iter().find(|line| !known(line)) {
             Some(line) => Err(format!("no test is named by: {line}").into()),
@@ -63,13 +70,13 @@
     })
 }
 
-fn names(line: &str, test: &str) -> bool {
+fn line_names_test(line: &str, test: &str) -> bool {
     let rest = line.strip_prefix(test);
     rest.is_some_and(|rest| rest.starts_with(':') && !rest.starts_with("::"))
 }
 
 /// Whether a line names a test function in the sources of the platform's tests.
-fn names_of_platform(line: &str) -> bool {
+fn names_platform_test(line: &str) -> bool {
     let test = line.split(": ").next().unwrap_or_default();
     let Some(path) = test.strip_prefix("platform::") else {
         return false;
@@ -87,7 +94,7 @@
     texts.into_iter().any(|text| text.contains(&signature))
 }
 
-fn lines() -> Vec<String> {
+fn known_red_lines() -> Vec<String> {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("KNOWN-RED.txt");
     let text = std::fs::read_to_string(file).unwrap_or_default();
     let lines = text.lines().map(str::trim).filter(|line| !line.is_empty());
--- a/tests/all/scenario_language.rs
+++ b/tests/all/scenario_language.rs
@@ -6,7 +6,7 @@
 use libtest_mimic::{Failed, Trial};
 
 /// A deployment for the mistakes below it; three lines.
-const HEAD: &str = "pool oracle engine\n\
+const DEPLOYMENT: &str = "pool oracle engine\n\
                     entry e1 domain=d1\n\
                     instance a1 domain=d1 pool=oracle\n";
 
@@ -78,8 +78,14 @@
 
 pub(crate) fn trials() -> Vec<Trial> {
     vec![
-        Trial::test("scenario_language::each_mistake_is_told", each_mistake),
-        Trial::test("scenario_language::all_mistakes_are_told", all_mistakes),
+        Trial::test(
+            "scenario_language::each_mistake_is_told",
+            check_each_mistake,
+        ),
+        Trial::test(
+            "scenario_language::all_mistakes_are_told",
+            check_all_mistakes,
+        ),
     ]
 }
 
@@ -90,11 +96,11 @@
     }
 }
 
-fn each_mistake() -> Result<(), Failed> {
+fn check_each_mistake() -> Result<(), Failed> {
     for (line, expected) in MISTAKES {
-        let found = errors(&format!("{HEAD}{line}\n"));
-        let told = found.len() == 1 && found[0].starts_with(expected);
-        if !told {
+        let found = errors(&format!("{DEPLOYMENT}{line}\n"));
+        let matches = found.len() == 1 && found[0].starts_with(expected);
+        if !matches {
             return Err(format!("`{line}` gives {found:?}, not `{expected}`").into());
         }
     }
@@ -102,8 +108,8 @@
 }
 
 /// One mistake does not hide the next.
-fn all_mistakes() -> Result<(), Failed> {
-    let found = errors(&format!("{HEAD}colour red\nat 1s explode e1\n"));
+fn check_all_mistakes() -> Result<(), Failed> {
+    let found = errors(&format!("{DEPLOYMENT}colour red\nat 1s explode e1\n"));
     let lines = ["line 4, ", "line 5, "];
     let each = found.len() == lines.len()
         && found
--- a/tests/all/scenarios.rs
+++ b/tests/all/scenarios.rs
@@ -3,7 +3,7 @@
 //!
 //! A known red file ([`crate::red`]) that passes fails the run.
 
-use crate::red::{self, Passing};
+use crate::red::{self, OnPass};
 use libtest_mimic::{Failed, Trial};
 use std::path::{Path, PathBuf};
 
@@ -18,12 +18,12 @@
     let trials = files.into_iter().map(|path| {
         let stem = path.file_stem().unwrap_or_default();
         let name = format!("scenario::{}", stem.to_string_lossy());
-        red::trial(&name, Passing::Fails, move || run(&path))
+        red::trial(&name, OnPass::FailTest, move || run_twice(&path))
     });
     trials.collect()
 }
 
-fn run(path: &Path) -> Result<(), Failed> {
+fn run_twice(path: &Path) -> Result<(), Failed> {
     let text = std::fs::read_to_string(path)?;
     let script = scenario::parse(&text).map_err(|errors| {
         let lines = errors.iter().map(ToString::to_string);
@@ -37,10 +37,10 @@
     if first.passed() {
         return Ok(());
     }
-    Err(report(&first).into())
+    Err(failure_report(&first).into())
 }
 
-fn report(outcome: &scenario::Outcome) -> String {
+fn failure_report(outcome: &scenario::Outcome) -> String {
     let mut text = outcome.failures.join("\n");
     if std::env::var_os("SCENARIO_LOG").is_some() {
         text.push('\n');
