--- a/crates/scenario/src/simulation/mod.rs
+++ b/crates/scenario/src/simulation/mod.rs
@@ -26,8 +26,8 @@
 /// arbitrary.
 pub(crate) const UNIX_MS_AT_ZERO: u64 = 1_790_000_000_000;
 
-/// Maximum number of events in one run. Without it, a state machine that keeps
-/// requesting ticks for the current time would never reach the end of the script.
+/// Maximum number of events in one run. It stops a run in which a state machine
+/// requests one tick after another without end.
 const EVENTS_MAX: u64 = 5_000_000;
 
 /// State of one run.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,5 +1,5 @@
-//! Sesameshore serves many models and adapters from fewer accelerators.
+//! Sesameshore serves many models and adapters on fewer accelerators.
 //!
-//! The work is done by the crates under `crates/`; `docs/architecture.md` tells
-//! what each is for. This package holds the tests of the whole, under
-//! `tests/`.
+//! The implementation is in the crates under `crates/`, which
+//! `docs/architecture.md` describes. This package contains the tests of the whole
+//! system, under `tests/`.
--- a/tests/all/docs.rs
+++ b/tests/all/docs.rs
@@ -1,5 +1,6 @@
-//! The book says what the code does: every result code stands in its table,
-//! and the table of contents leads to every page.
+//! Checks that the documentation matches the repository: `errors.md` lists every
+//! error code, the table of contents links to every page, and the scripted days
+//! under `deploy/days` are listed and independent of a particular deployment.
 
 use base::ErrorCode;
 use libtest_mimic::{Failed, Trial};
@@ -33,7 +34,7 @@
             code.http_status()
         );
         if !table.contains(&row) {
-            return Err(format!("docs/errors.md lacks a row `{row}`").into());
+            return Err(format!("docs/errors.md has no row `{row}`").into());
         }
     }
     Ok(())
@@ -47,7 +48,7 @@
             let is_page = name.ends_with(".md") && name != "SUMMARY.md";
             if is_page && !summary.contains(&format!("({prefix}{name})")) {
                 let missing =
-                    format!("docs/SUMMARY.md does not lead to {prefix}{name}");
+                    format!("docs/SUMMARY.md does not link to {prefix}{name}");
                 return Err(missing.into());
             }
         }
@@ -55,8 +56,9 @@
     Ok(())
 }
 
-/// A day that names a zone, service or class of one deployment is left out on all
-/// others without a word, and one that the table lacks is found by nobody.
+/// Each file under `deploy/days` must be listed in the README and must refer to
+/// zones, services and classes by `@` placeholders only. A literal name exists in
+/// one deployment only, and every other deployment would silently skip the file.
 fn every_day_fits_any_deployment() -> Result<(), Failed> {
     let days = Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy/days");
     let listed = std::fs::read_to_string(days.join("README.md"))?;
@@ -76,7 +78,7 @@
             if let Some(literal) = values.find(|rest| !rest.starts_with('@')) {
                 let literal = literal.split('"').next().unwrap_or_default();
                 return Err(
-                    format!("{name}: {key} {literal} is of one deployment").into()
+                    format!("{name}: `{key}` names `{literal}`, which exists in one deployment only").into()
                 );
             }
         }
--- a/tests/all/main.rs
+++ b/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the whole system: one module a theme.
+//! Tests of the whole system, one module for each topic.
 
 mod docs;
 mod processes;
--- a/tests/all/processes.rs
+++ b/tests/all/processes.rs
@@ -1,8 +1,9 @@
-//! The whole system as separate processes on loopback, with the stand-ins.
+//! Tests of the whole system as separate processes on loopback, with fake engines,
+//! services and platform.
 //!
-//! Nothing here is timed: a test waits for a condition under a generous bound.
-//! What a fault does to memory and to calls is read from the counts that the
-//! stand-ins keep, not from what the system says of itself.
+//! No test depends on timing: each waits for a condition with a generous timeout.
+//! The effects of a fault on memory and on calls are read from the counters of the
+//! fakes, not from what the system reports about itself.
 
 mod faults;
 mod fleet;
@@ -49,7 +50,7 @@
     ]
 }
 
-/// A test on a deployment of its own, under load and all.
+/// Creates a trial that runs on a deployment of its own.
 fn trial<F>(name: &str, test: F) -> Trial
 where
     F: AsyncFnOnce(&mut Fixture) -> TestResult + Send + 'static,
--- a/tests/all/processes/faults.rs
+++ b/tests/all/processes/faults.rs
@@ -1,4 +1,4 @@
-//! Processes that die or freeze under load.
+//! Processes that are killed or frozen under load.
 
 use fake::load;
 use nix::sys::signal::Signal;
@@ -9,19 +9,20 @@
 };
 use super::stop::wait_for_holder;
 
-/// Work during the fault.
+/// Rate and number of requests during the fault.
 const RATE_PER_S: f64 = 60.0;
 const COUNT: u64 = 480;
 const DELAY_BEFORE_FAULT: Duration = Duration::from_secs(2);
 
-/// Longer than the silence after which an agent is lost, ten heartbeats.
+/// Longer than ten heartbeat intervals, after which an entry considers an agent
+/// lost.
 const FREEZE_DURATION: Duration = Duration::from_secs(4);
 
-/// The agents of a hot model and of a plain service are killed under load and
-/// started again. Streams go on at another holder or end with an explicit error;
-/// orders in progress end as unknown and are not run again, also when their
-/// callers send them again. The new agents have the old ones' intents and
-/// claims, so memory and calls stay right.
+/// The agents of a busy model and of a plain service are killed under load and
+/// restarted. Streams continue at another holder or end with an explicit error.
+/// Orders in progress end with an unknown run status and are not run a second
+/// time, even if their callers send them again. The new agents read the recorded
+/// intents and claims of the old ones, so that memory is not overcommitted.
 pub(super) async fn killed_agent(fixture: &mut Fixture) -> TestResult {
     let holder = wait_for_holder(fixture, "diagnosis-01").await?;
     fixture.slow_down_services().await?;
@@ -41,9 +42,10 @@
     check_recovered(fixture, 31).await
 }
 
-/// An entry is killed under load: its callers' connections break, which none of
-/// them can take for a whole answer. Its runs at the engines are cancelled, and
-/// orders that its callers send again through the other entry run at most once.
+/// An entry is killed under load. Its callers' connections break, which none of
+/// them can mistake for a complete answer. Its attempts at the engines are
+/// cancelled, and orders that callers send again through the other entry run at
+/// most once.
 pub(super) async fn killed_entry(fixture: &mut Fixture) -> TestResult {
     fixture.warm_up().await?;
     fixture.slow_down_services().await?;
@@ -60,10 +62,10 @@
     check_recovered(fixture, 41).await
 }
 
-/// An agent freezes for longer than its silence is borne, so its work and its
-/// models go elsewhere, and then wakes with old orders and old answers at hand.
-/// What it still says belongs to attempts that were given up, and what it still
-/// orders is checked against its engine's memory.
+/// An agent freezes until the entries consider it lost and move its requests and
+/// models elsewhere, and then resumes with outdated orders and answers. Its answers
+/// belong to abandoned attempts and must reach no caller, and its orders must not
+/// overcommit the memory of its engine.
 pub(super) async fn frozen_agent(fixture: &mut Fixture) -> TestResult {
     let holder = wait_for_holder(fixture, "diagnosis-01").await?;
     fixture.slow_down_services().await?;
@@ -90,8 +92,8 @@
     check_recovered(fixture, 51).await
 }
 
-/// Sends the work of a seed again: the same keys and bodies, so that each order
-/// whose outcome was lost would run a second time if anything let it.
+/// Sends the requests of a seed again, with the same keys and bodies. An order
+/// whose outcome was lost must not run a second time.
 async fn resend_work(fixture: &Fixture, seed: u64) -> TestResult {
     let again = load::run(fixture.load_options(RATE_PER_S, COUNT, seed)).await;
     check(again.wrong_answers() == 0, || again.table())?;
@@ -111,11 +113,12 @@
     fixture.deployment.restart(id).map_err(error_text)
 }
 
-/// All processes are ready again, work is answered, and the promises held.
+/// Checks that all processes become ready, requests are answered and the
+/// invariants held.
 async fn check_recovered(fixture: &Fixture, seed: u64) -> TestResult {
     fixture.deployment.until_ready().await.map_err(error_text)?;
     fixture
-        .wait_until("work is answered again", async || {
+        .wait_until("all requests are answered again", async || {
             let report = load::run(fixture.load_options(RATE_PER_S, 60, seed)).await;
             (complete_answers(&report) == 60).then_some(())
         })
--- a/tests/all/processes/fleet.rs
+++ b/tests/all/processes/fleet.rs
@@ -1,15 +1,16 @@
-//! The tests' fleet: three engines for four models, two plain services.
+//! Configuration of the deployment under test: three engines for four models, and
+//! two plain services.
 
 use serde_json::{Value, json};
 
-/// The key of the tests' caller; its hash stands in the document.
+/// API key of the tests' caller; the configuration contains its SHA-256 hash.
 pub(super) const KEY: &str = "demo-key";
 
-/// Models, one to an accelerator.
+/// Models, of which an accelerator holds one at a time.
 pub(super) const MODELS: [&str; 4] =
     ["diagnosis-01", "diagnosis-02", "billing-01", "billing-02"];
 
-/// The fleet configuration.
+/// Returns the configuration document.
 pub(super) fn document() -> Value {
     let model =
         |size_mib: u32| json!({"size_mib": size_mib, "version": 1, "pool": "oracle"});
--- a/tests/all/processes/outage.rs
+++ b/tests/all/processes/outage.rs
@@ -1,4 +1,4 @@
-//! The platform is away.
+//! Behavior during an outage of the platform.
 
 use fake::load;
 use fake::platform::{Faults, Outage};
@@ -7,10 +7,11 @@
 
 use super::rig::{Fixture, TestResult, WAIT_TIMEOUT, check, error_text};
 
-/// The platform goes away. Model work goes on, since no request needs it. Keyed
-/// orders do, for their claim: they are refused as not run, and by the services'
-/// count were not. An entry that restarts meanwhile gets the configuration from
-/// its peer. When the platform is back, the refused keys are free and run once.
+/// The platform becomes unavailable. Requests to models are served, since they do
+/// not need it. Orders with an idempotency key need it to record their claim: they
+/// must be refused as not run, and the services must not have run them. An entry
+/// that restarts meanwhile gets the configuration from its peer. After the outage
+/// the refused keys are unclaimed, and each order runs once.
 pub(super) async fn platform_outage(fixture: &mut Fixture) -> TestResult {
     fixture.warm_up().await?;
     let revision = revision(fixture, "entry-1").await?;
@@ -25,7 +26,7 @@
 
     restart_entry(fixture).await?;
     fixture
-        .wait_until("entry-2 has the configuration", async || {
+        .wait_until("entry-2 is ready with the configuration", async || {
             let address = fixture.deployment.operators().get("entry-2")?;
             let (ready, _) = fixture.probe.get(*address, "/readyz").await?;
             let status = fixture.status("entry-2").await?;
@@ -51,7 +52,9 @@
     };
     let control = fixture.deployment.controls().platform;
     let done = fixture.probe.set_faults(control, &faults).await;
-    check(done, || "the platform's control is silent".to_owned())
+    check(done, || {
+        "the control endpoint of the fake platform does not respond".to_owned()
+    })
 }
 
 async fn revision(fixture: &Fixture, id: &str) -> TestResult<Value> {
@@ -109,10 +112,11 @@
     deployment.restart("entry-2").map_err(error_text)
 }
 
-/// Waits until the restarted entry has found the agents by its peer.
+/// Waits until the restarted entry is connected to all agents, whose addresses it
+/// learns from its peer.
 async fn wait_for_agent_connections(fixture: &Fixture) -> TestResult {
     fixture
-        .wait_until("entry-2 hears the agents", async || {
+        .wait_until("entry-2 is connected to the agents", async || {
             let status = fixture.status("entry-2").await?;
             let agents = status["agents"].as_array()?;
             let heard = agents.iter().filter(|agent| agent["connected"] == true);
--- a/tests/all/processes/path.rs
+++ b/tests/all/processes/path.rs
@@ -1,4 +1,4 @@
-//! A request's way through an entry, an agent and an upstream.
+//! The path of a request through an entry, an agent and an upstream.
 
 use fake::text::{Answer, Message, chat_prompt};
 use serde_json::{Value, json};
@@ -6,11 +6,11 @@
 use super::fleet::MODELS;
 use super::rig::{Fixture, TestResult, check, error_text};
 
-/// Tokens of one answer.
+/// Number of tokens of each answer.
 const TOKENS: u64 = 40;
 
-/// A streamed answer is the text that the engine makes for the prompt, all of
-/// it, and ends with `[DONE]`.
+/// A streamed answer is the complete text that the engine generates for the
+/// prompt, and ends with `[DONE]`. Both entries are tested.
 pub(super) async fn streamed_answer_is_complete(fixture: &mut Fixture) -> TestResult {
     for index in 0..2 {
         check_streamed_answer(
@@ -24,8 +24,9 @@
     Ok(())
 }
 
-/// Four models are asked for in turn where three fit: each is loaded on demand,
-/// so one of them in place of another, and memory is never overcommitted.
+/// Four models are requested in turn on accelerators that hold three. Each is
+/// loaded on demand, so one of them replaces another, and memory is never
+/// overcommitted.
 pub(super) async fn cold_model_is_loaded(fixture: &mut Fixture) -> TestResult {
     for model in MODELS {
         check_streamed_answer(fixture, 0, model, "what is due").await?;
@@ -36,8 +37,8 @@
     fixture.check_invariants().await
 }
 
-/// An order sent again through the other entry finds the stored answer; by the
-/// services' own count it ran once. With another body the key is refused.
+/// An order that is sent again through the other entry gets the stored answer, and
+/// the services count a single run. The same key with a different body is refused.
 pub(super) async fn keyed_order_runs_once(fixture: &mut Fixture) -> TestResult {
     let (first, second) = (fixture.entry_address(0), fixture.entry_address(1));
     let before = fixture.runs_by_key().await?.len();
@@ -57,7 +58,8 @@
     fixture.check_invariants().await
 }
 
-/// Asks for a streamed answer and compares it with the deterministic text.
+/// Requests a streamed answer and compares it with the text that the fake engine
+/// derives from model and prompt.
 async fn check_streamed_answer(
     fixture: &Fixture,
     entry: usize,
@@ -91,7 +93,7 @@
     check(got == expected, || format!("{got:?} for {expected:?}"))
 }
 
-/// The text of a streamed answer that ended with `[DONE]`.
+/// Extracts the text of a streamed answer, which must end with `[DONE]`.
 fn streamed_content(stream: &str) -> TestResult<String> {
     let mut got = String::new();
     let mut done = false;
@@ -99,7 +101,7 @@
         .lines()
         .filter_map(|line| line.strip_prefix("data: "))
     {
-        check(!done, || format!("after the end: {data}"))?;
+        check(!done, || format!("data after [DONE]: {data}"))?;
         if data == "[DONE]" {
             done = true;
             continue;
@@ -108,6 +110,6 @@
         let part = &chunk["choices"][0]["delta"]["content"];
         got.push_str(part.as_str().unwrap_or_default());
     }
-    check(done, || "ended without [DONE]".to_owned())?;
+    check(done, || "the stream ended without [DONE]".to_owned())?;
     Ok(got)
 }
--- a/tests/all/processes/publish.rs
+++ b/tests/all/processes/publish.rs
@@ -1,16 +1,16 @@
-//! Changes of the configuration by `sesamectl`.
+//! Configuration changes published with `sesamectl`.
 
 use serde_json::{Value, json};
 
 use super::fleet;
 use super::rig::{Fixture, TestResult, check, error_text};
 
-/// Exit codes of `docs/sesamectl.md`.
+/// Exit codes of `sesamectl`, documented in `docs/sesamectl.md`.
 const EXIT_INVALID_CONFIG: i32 = 1;
 const EXIT_CONFLICT: i32 = 4;
 
-/// A change that was published with `--wait` is in force in every process when
-/// the command ends, by each process's own word.
+/// When `sesamectl` exits after publishing a change with `--wait`, every process
+/// reports the new revision as in force.
 pub(super) async fn change_is_in_force_everywhere(fixture: &mut Fixture) -> TestResult {
     let before = revisions(fixture).await?;
     let mut document = fleet::document();
@@ -27,7 +27,7 @@
     Ok(())
 }
 
-/// A file with faults is refused with all of them, and nothing is changed.
+/// An invalid file is refused with all of its errors and changes nothing.
 pub(super) async fn invalid_file_changes_nothing(fixture: &mut Fixture) -> TestResult {
     let before = revisions(fixture).await?;
     let mut document = fleet::document();
@@ -45,8 +45,8 @@
     check(before == after, || format!("{before:?} and then {after:?}"))
 }
 
-/// Two operators changed the same revision: the second is refused and learns
-/// what the first changed; nothing of the first's is lost.
+/// Two operators publish changes based on the same revision. The second one is
+/// refused, so that the change of the first is not lost.
 pub(super) async fn conflict_changes_nothing(fixture: &mut Fixture) -> TestResult {
     let base = revisions(fixture).await?[0].to_string();
     let mut first = fleet::document();
@@ -73,13 +73,13 @@
     })
 }
 
-/// The revision in force in each process, in order of name.
+/// Returns the revision in force in each process, in order of the process name.
 async fn revisions(fixture: &Fixture) -> TestResult<Vec<u64>> {
     let mut all = Vec::new();
     for id in fixture.deployment.operators().keys() {
         let status = fixture.status(id).await.unwrap_or(Value::Null);
         let revision = status["revision"].as_u64();
-        all.push(revision.ok_or_else(|| format!("{id} shows no revision"))?);
+        all.push(revision.ok_or_else(|| format!("{id} reports no revision"))?);
     }
     Ok(all)
 }
--- a/tests/all/processes/rig.rs
+++ b/tests/all/processes/rig.rs
@@ -1,4 +1,4 @@
-//! A deployment with what the tests ask it.
+//! Fixture of the process tests: a running deployment and helpers to query it.
 
 use bytes::Bytes;
 use fake::demo::{Deployment, DeploymentOptions, Probe};
@@ -17,22 +17,24 @@
 
 use super::fleet;
 
-/// What a test finds.
+/// Result of a test; the error describes the failure.
 pub(super) type TestResult<T = ()> = Result<T, String>;
 
-/// Bound on waiting for a condition; it decides nothing on a sound run.
+/// Timeout for each awaited condition, far above the time needed by a passing
+/// test.
 pub(super) const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Deployments that run at once. Each is a dozen processes, which would get too
-/// little of the machine for their heartbeats if all tests ran together.
+/// Maximum number of deployments that run at once. Each consists of a dozen
+/// processes. If all tests ran together, the processes would get too little CPU
+/// time to send their heartbeats.
 const DEPLOYMENTS_MAX: usize = 3;
 
 static RUNNING: Mutex<usize> = Mutex::new(0);
 static DEPLOYMENT_ENDED: Condvar = Condvar::new();
 
-/// Leave to run one deployment.
+/// Permit to run one deployment; dropping it releases the permit.
 struct DeploymentPermit;
 
 impl DeploymentPermit {
@@ -55,14 +57,15 @@
     }
 }
 
-/// A deployment that is ready, and a client for its listeners.
+/// A deployment and a client for its listeners.
 #[derive(Debug)]
 pub(super) struct Fixture {
     pub(super) deployment: Deployment,
     pub(super) probe: Probe,
 }
 
-/// Runs a test on a deployment of its own; the logs of a failed one are kept.
+/// Runs a test on a new deployment once it is ready. The logs of a failed test are
+/// kept.
 pub(super) fn run<F>(test: F) -> TestResult
 where
     F: AsyncFnOnce(&mut Fixture) -> TestResult,
@@ -86,12 +89,12 @@
     })
 }
 
-/// An error as a test's finding.
+/// Converts an error to the message of a failed test.
 pub(super) fn error_text<E: Display>(error: E) -> String {
     error.to_string()
 }
 
-/// A finding unless a condition holds.
+/// Fails with a message unless a condition holds.
 pub(super) fn check(holds: bool, otherwise: impl FnOnce() -> String) -> TestResult {
     if holds { Ok(()) } else { Err(otherwise()) }
 }
@@ -111,8 +114,8 @@
 
     async fn ready(&self) -> TestResult {
         let document = fleet::document().to_string();
-        // The processes hear of the configuration as they start, so there may
-        // be none to wait for yet.
+        // Processes fetch the configuration when they start, and none may be
+        // running yet. So this does not wait for them as `--wait` would.
         let output = self
             .deployment
             .publish_with(&document, &[])
@@ -122,10 +125,10 @@
         self.wait_for_agent_connections().await
     }
 
-    /// Waits until each entry hears each agent.
+    /// Waits until each entry is connected to all five agents.
     async fn wait_for_agent_connections(&self) -> TestResult {
         for entry in ["entry-1", "entry-2"] {
-            self.wait_until(&format!("{entry} hears 5 agents"), async || {
+            self.wait_until(&format!("{entry} is connected to 5 agents"), async || {
                 let status = self.status(entry).await?;
                 let agents = status["agents"].as_array()?;
                 let is_connected = |agent: &&Value| {
@@ -138,7 +141,7 @@
         Ok(())
     }
 
-    /// Polls until something is there.
+    /// Polls until a value is present.
     pub(super) async fn wait_until<T>(
         &self,
         what: &str,
@@ -149,23 +152,26 @@
             if let Some(found) = poll().await {
                 return Ok(found);
             }
-            check(Instant::now() < deadline, || format!("never: {what}"))?;
+            check(Instant::now() < deadline, || {
+                format!("timed out waiting for: {what}")
+            })?;
             tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// `/status` of a process; `None` if it does not answer.
+    /// Returns the `/status` document of a process, or `None` if it does not respond.
     pub(super) async fn status(&self, id: &str) -> Option<Value> {
         let address = self.deployment.operators().get(id)?;
         self.probe.json(*address, "/status").await
     }
 
-    /// Entries' listeners.
+    /// Returns the address at which an entry accepts callers' connections.
     pub(super) fn entry_address(&self, index: usize) -> SocketAddr {
         self.deployment.callers()[index]
     }
 
-    /// Sends a call as the tests' caller; status and body.
+    /// Sends a request as the tests' caller; returns the status and body of the
+    /// response.
     pub(super) async fn post(
         &self,
         entry: SocketAddr,
@@ -182,10 +188,11 @@
         let body = Full::new(Bytes::from(body.to_string()));
         let request = request.body(body).map_err(error_text)?;
         let answer = self.probe.send(request).await;
-        answer.ok_or_else(|| format!("no answer to {path}"))
+        answer.ok_or_else(|| format!("no response to {path}"))
     }
 
-    /// Sends an order under a key.
+    /// Sends an order to the plain service with an idempotency key; returns the status
+    /// and JSON body of the response.
     pub(super) async fn post_order(
         &self,
         entry: SocketAddr,
@@ -199,8 +206,8 @@
         Ok((status, serde_json::from_str(&answer).unwrap_or(Value::Null)))
     }
 
-    /// Makes calls last long enough that some are in progress whenever a fault
-    /// comes.
+    /// Makes service calls take 400 ms, so that some are in progress when a fault
+    /// is injected.
     pub(super) async fn slow_down_services(&self) -> TestResult {
         let faults = service::Faults {
             slow_ms: 400,
@@ -208,17 +215,19 @@
         };
         for control in &self.deployment.controls().services {
             let done = self.probe.set_faults(*control, &faults).await;
-            check(done, || "a service's control is silent".to_owned())?;
+            check(done, || {
+                "the control endpoint of a service does not respond".to_owned()
+            })?;
         }
         Ok(())
     }
 
-    /// Runs of all services by key; keys are told apart by their last part.
+    /// Number of runs by idempotency key, summed over all services.
     pub(super) async fn runs_by_key(&self) -> TestResult<BTreeMap<String, u64>> {
         let mut all = BTreeMap::new();
         for control in &self.deployment.controls().services {
             let counts = self.probe.json(*control, "/control/counts").await;
-            let counts: service::Counts = counts.ok_or("a service is silent")?;
+            let counts: service::Counts = counts.ok_or("a service does not respond")?;
             for (key, runs) in counts.by_key {
                 *all.entry(key).or_default() += runs;
             }
@@ -226,20 +235,22 @@
         Ok(all)
     }
 
-    /// Counts of all engines.
+    /// Returns the counters of all engines.
     pub(super) async fn engine_counts(&self) -> TestResult<Vec<engine::Counts>> {
         let mut all = Vec::new();
         for control in &self.deployment.controls().engines {
             let counts = self.probe.json(*control, "/control/counts").await;
-            all.push(counts.ok_or("an engine is silent")?);
+            all.push(counts.ok_or("an engine does not respond")?);
         }
         Ok(all)
     }
 
-    /// No call ran twice, and no accelerator held more than its memory.
+    /// Checks that no call ran twice and no accelerator was overcommitted.
     pub(super) async fn check_invariants(&self) -> TestResult {
         for (key, runs) in self.runs_by_key().await? {
-            check(runs <= 1, || format!("{key} ran {runs} times"))?;
+            check(runs <= 1, || {
+                format!("idempotency key {key} ran {runs} times")
+            })?;
         }
         for counts in self.engine_counts().await? {
             check(counts.overcommits == 0, || {
@@ -249,7 +260,7 @@
         Ok(())
     }
 
-    /// Work of all kinds on all entries.
+    /// Options for a load of all kinds of requests, spread over all entries.
     pub(super) fn load_options(
         &self,
         rate_per_s: f64,
@@ -269,8 +280,8 @@
         }
     }
 
-    /// Loads the models that the work asks for, so that a fault meets work that
-    /// runs and not work that waits.
+    /// Sends a small load first, so that its models are loaded and a later fault
+    /// affects running requests and not waiting ones.
     pub(super) async fn warm_up(&self) -> TestResult {
         let report = load::run(self.load_options(20.0, 40, 1)).await;
         check(report.wrong_answers() == 0, || report.table())?;
@@ -278,12 +289,12 @@
     }
 }
 
-/// Whole answers of all profiles.
+/// Number of complete answers, summed over all profiles.
 pub(super) fn complete_answers(report: &Report) -> u64 {
     report.profiles.values().map(|profile| profile.whole).sum()
 }
 
-/// The kinds of work: two hot models, an adapter and orders.
+/// Kinds of requests: two busy models with an adapter, and orders to a service.
 fn mixes() -> Vec<Mix> {
     vec![
         Mix {
--- a/tests/all/processes/stop.rs
+++ b/tests/all/processes/stop.rs
@@ -1,4 +1,4 @@
-//! Processes that are asked to stop under load.
+//! Graceful shutdown of processes under load.
 
 use fake::load::{self, Report};
 use nix::sys::signal::Signal;
@@ -8,22 +8,22 @@
     Fixture, TestResult, WAIT_TIMEOUT, check, complete_answers, error_text,
 };
 
-/// Work during the stop.
+/// Rate and number of requests during the shutdown.
 const RATE_PER_S: f64 = 60.0;
 const COUNT: u64 = 360;
 const DELAY_BEFORE_FAULT: Duration = Duration::from_secs(2);
 
 /// An entry gets SIGTERM with streams and orders in progress. It refuses new
-/// requests as leaving, so the balancer sends it no more; what it has begun it
-/// finishes, and then it ends by itself. No caller sees anything cut.
+/// requests as leaving, so that the load balancer stops sending them, finishes the
+/// requests in progress and exits. No caller sees an interrupted response.
 pub(super) async fn stop_entry_under_load(fixture: &mut Fixture) -> TestResult {
     stop_under_load(fixture, "entry-2").await
 }
 
-/// An agent gets SIGTERM while its engine streams. New work goes to other
-/// holders or waits until the model is loaded elsewhere; the streams that it has
-/// begun end whole before it does, so that none has to go on at another holder.
-/// Then the same with a plain service's agent: no call's outcome is lost.
+/// An agent gets SIGTERM while its engine streams. New requests go to other holders
+/// or wait until the model is loaded elsewhere. The streams in progress complete
+/// before the agent exits, so that none has to resume at another holder. The same
+/// is then done with a plain service's agent, where no call may lose its outcome.
 pub(super) async fn stop_agent_under_load(fixture: &mut Fixture) -> TestResult {
     let holder = wait_for_holder(fixture, "diagnosis-01").await?;
     let before = resumed_streams(fixture).await?;
@@ -36,21 +36,22 @@
     stop_under_load(fixture, "deskapp-01").await
 }
 
-/// Streams that went on at another holder, over both entries.
+/// Number of streams that resumed at another holder, summed over both entries.
 async fn resumed_streams(fixture: &Fixture) -> TestResult<u64> {
     let mut all = 0;
     for entry in ["entry-1", "entry-2"] {
         let address = fixture.deployment.operators()[entry];
         let page = fixture.probe.get(address, "/metrics").await;
-        let (_, page) = page.ok_or("no metrics")?;
+        let (_, page) = page.ok_or("the entry returns no metrics")?;
         let mut lines = page.lines();
         let count = lines.find_map(|line| line.strip_prefix(RESUMED_METRIC_PREFIX));
-        let count = count.ok_or("no counter of resumed streams")?;
+        let count = count.ok_or("the metrics contain no counter of resumed streams")?;
         all += count.trim().parse::<u64>().map_err(error_text)?;
     }
     Ok(all)
 }
 
+/// Start of the line of the counter of resumed streams on the metrics page.
 const RESUMED_METRIC_PREFIX: &str = "sesame_entry_resumed_total ";
 
 async fn stop_under_load(fixture: &mut Fixture, id: &str) -> TestResult {
@@ -75,7 +76,7 @@
     fixture.check_invariants().await
 }
 
-/// Each answer is whole or a refusal that says that nothing was run.
+/// Checks that each request got a complete answer or a refusal as not run.
 fn check_nothing_interrupted(report: &Report) -> TestResult {
     check(report.wrong_answers() == 0, || report.table())?;
     for profile in report.profiles.values() {
@@ -88,11 +89,11 @@
             .all(|kind| kind.ends_with(" not_run"));
         check(all_not_run, || report.table())?;
     }
-    // Otherwise a deployment that refuses everything would pass.
+    // Without this check, a deployment that refuses everything would pass.
     check(complete_answers(report) * 2 > COUNT, || report.table())
 }
 
-/// The agent whose engine holds a model.
+/// Returns an agent whose engine holds a model.
 pub(super) async fn wait_for_holder(
     fixture: &Fixture,
     model: &str,
--- a/tests/all/random.rs
+++ b/tests/all/random.rs
@@ -1,9 +1,9 @@
-//! Seeded random sequences of faults over a whole deployment.
+//! Random sequences of faults in a simulated deployment, generated from seeds.
 //!
-//! Each seed gives the text of a scenario: a minute of faults and requests, then
-//! everything is healed, and after a pause each model and service must answer.
-//! The runner checks the promises that hold in every run. A seed that fails
-//! prints its text, which is then a file for `tests/scenarios`.
+//! Each seed yields the text of a scenario: a minute of faults and requests, then
+//! all faults end, and after a pause each model and service must answer. The
+//! simulation also checks the invariants that hold in every run. The text of a
+//! failing seed is printed; it can be saved as a file under `tests/scenarios`.
 //!
 //! ```text
 //! SESAME_RANDOM_RUNS=5000 cargo test --test all random::   # a longer run
@@ -15,13 +15,14 @@
 use libtest_mimic::{Failed, Trial};
 use std::thread;
 
-/// Seeds run in CI.
+/// Number of seeds run if `SESAME_RANDOM_RUNS` is not set.
 const DEFAULT_SEEDS: u64 = 32;
 
-/// Trials into which the seeds are divided, so that they run side by side.
+/// Number of trials among which the seeds are divided, so that they run in
+/// parallel.
 const TRIAL_COUNT: u64 = 4;
 
-/// Failing seeds that one trial shows.
+/// Maximum number of failing seeds whose text a trial prints.
 const SHOWN_FAILURES_MAX: usize = 3;
 
 pub(crate) fn trials() -> Vec<Trial> {
@@ -60,7 +61,7 @@
     Err(format!("{count} seeds fail\n{}", shown.join("\n")).into())
 }
 
-/// Runs one seed; an error holds what failed and the scenario's text.
+/// Runs one seed. An error contains the failures and the text of the scenario.
 fn check_seed(seed: u64) -> Result<(), String> {
     let text = generate::text(seed);
     let script = scenario::parse(&text).map_err(|errors| {
@@ -70,13 +71,13 @@
             lines.collect::<Vec<_>>().join("\n")
         )
     })?;
-    // A panic of a machine is a failure of this seed and hides no other.
+    // A thread of its own turns a panic into a failure of this seed only.
     let run = thread::Builder::new().spawn(move || scenario::run(&script));
     let outcome = run.map_err(|error| error.to_string())?.join();
     let failures = match outcome {
         Ok(outcome) if outcome.passed() => return Ok(()),
         Ok(outcome) => outcome.failures.join("\n"),
-        Err(_) => "a machine panicked".to_owned(),
+        Err(_) => "the simulation panicked".to_owned(),
     };
     Err(format!("seed {seed}:\n{failures}\n{text}"))
 }
--- a/tests/all/random/generate.rs
+++ b/tests/all/random/generate.rs
@@ -1,26 +1,27 @@
-//! Writes the text of a random scenario.
+//! Generates the text of a random scenario.
 
 use rand_core::Rng;
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
 
-/// Faults begin.
+/// Time at which the random steps start.
 const FAULTS_START_MS: u64 = 1_500;
 
-/// Faults end and all is healed.
+/// Time at which all faults end.
 const FAULTS_END_MS: u64 = 60_000;
 
-/// Requests to everything are sent after the faults' last effects are over.
+/// Time of the final requests to every model and service, after the last effects
+/// of the faults are over.
 const FINAL_REQUESTS_MS: u64 = 90_000;
 
-/// By then each of them has its whole answer.
+/// Time by which each of the final requests must have its complete answer.
 const FINAL_ANSWERS_MS: u64 = 170_000;
 
-/// Longest time from an agent's freeze to the start of its successor.
+/// Maximum time from an agent's freeze to the start of its successor.
 const REPLACEMENT_DELAY_MAX_MS: u64 = 4_000;
 
-/// Fewest and most happenings of a sequence.
+/// Minimum and maximum number of random steps.
 const STEP_COUNT_RANGE: (u64, u64) = (10, 60);
 
 const ENTRIES: [&str; 2] = ["e1", "e2"];
@@ -28,35 +29,36 @@
 const SERVICES: [&str; 2] = ["p1", "p2"];
 const MODELS: u64 = 4;
 
-/// What a process is known to do.
+/// State of a process as far as the generator knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ProcessState {
     Running,
     Frozen,
     Dead,
-    /// Asked to stop; when it ends is not known here.
+    /// Asked to shut down. The generator does not know when it exits.
     Draining,
 }
 
-/// A scenario being written.
+/// Writer of a random scenario.
 #[derive(Debug)]
 struct ScenarioWriter {
     rng: Pcg64Mcg,
     text: String,
     now_ms: u64,
     process_states: BTreeMap<&'static str, ProcessState>,
-    /// Agents with an earlier process that is frozen.
+    /// Agents whose frozen predecessor, `<agent>.old`, still exists.
     replaced_agents: BTreeSet<&'static str>,
     cuts: BTreeSet<(&'static str, &'static str)>,
     platform_away: bool,
     revision: u64,
     requests: u64,
-    /// Keyed orders: caller, key and body.
+    /// Requests sent with an idempotency key: caller, key and body.
     keyed_orders: Vec<(&'static str, u64, String)>,
+    /// Bodies of requests that crash the engine that runs them.
     crashing_bodies: Vec<String>,
 }
 
-/// The scenario of a seed.
+/// Generates the scenario of a seed.
 pub(super) fn text(seed: u64) -> String {
     let mut writer = ScenarioWriter::new(seed);
     writer.write_deployment(seed);
@@ -64,9 +66,10 @@
     let step_ms = (FAULTS_END_MS - FAULTS_START_MS) / count;
     writer.now_ms = FAULTS_START_MS;
     for _ in 0..count {
-        // Most steps are apart; some follow at once, as two faults together.
-        let other = writer.below(4) > 0;
-        let max_gap_ms = if other { 2 * step_ms } else { 8 };
+        // Most steps are spread out; some follow within milliseconds, so that two
+        // faults coincide.
+        let spread_out = writer.below(4) > 0;
+        let max_gap_ms = if spread_out { 2 * step_ms } else { 8 };
         writer.now_ms += writer.below(max_gap_ms);
         if writer.now_ms >= FAULTS_END_MS {
             break;
@@ -117,7 +120,7 @@
 
     fn write_step(&mut self, text: &str) {
         let ms = self.now_ms;
-        writeln!(self.text, "at {ms}ms {text}").expect("a string takes any text");
+        writeln!(self.text, "at {ms}ms {text}").expect("writing to a string succeeds");
     }
 
     fn write_deployment(&mut self, seed: u64) {
@@ -230,7 +233,7 @@
         ));
     }
 
-    /// A request that crashes its engine; its caller sends it again.
+    /// Sends a request that crashes its engine, or sends an earlier one again.
     fn write_crashing_request(&mut self) {
         let again = !self.crashing_bodies.is_empty() && self.below(2) == 0;
         let body = if again {
@@ -290,7 +293,8 @@
         }
     }
 
-    /// Freezes an agent and starts a second beside it, or wakes the first.
+    /// Freezes an agent and starts its successor, or thaws and then kills a frozen
+    /// predecessor.
     fn write_replace(&mut self) {
         let agents = [ENGINES.as_slice(), SERVICES.as_slice()].concat();
         let agent = self.pick(&agents);
@@ -443,7 +447,7 @@
         }
     }
 
-    /// Asks for every model and service, and states that each answers.
+    /// Requests every model and service and expects a complete answer from each.
     fn write_final_requests(&mut self) {
         self.now_ms = FINAL_REQUESTS_MS;
         let revision = self.revision;
--- a/tests/all/red.rs
+++ b/tests/all/red.rs
@@ -1,28 +1,29 @@
-//! Tests that `KNOWN-RED.txt` names.
+//! Handling of the tests that `KNOWN-RED.txt` lists as known to fail.
 //!
-//! Each line reads `<test>: <cause>, <issue>`. Such a test is run and its fault
-//! printed, and it does not fail the run. The list is short, and each line names
-//! a test that there is, so that nothing hides behind an old line. A test of a
-//! crate's own harness is named with its crate, as `platform::<module>::<test>`;
-//! `ci/known-red.sh` passes over it.
+//! Each line has the form `<test>: <cause>, <issue>`. A listed test is run and its
+//! failure is printed, but does not fail the test run. The list is bounded, and
+//! each line must name an existing test, so that an outdated line cannot mask a
+//! new failure. Tests in the harness of a crate are listed with the crate name, as
+//! `platform::<module>::<test>`, and `ci/known-red.sh` skips them.
 
 use libtest_mimic::{Failed, Trial};
 use std::path::Path;
 
-/// Most lines of the list.
+/// Maximum number of lines of the list.
 const KNOWN_RED_MAX: usize = 3;
 
-/// What a known red test means that passes.
+/// How a known red test that passes is treated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum OnPass {
-    /// The fault is gone, and its line has to go.
+    /// The test fails, since its line must be removed from the list.
     FailTest,
-    /// Nothing: the test has real processes, and its fault may not show each
-    /// time. The verdict must be the same on every run, so it is only printed.
+    /// A message is printed. This is for tests that run real processes, where the
+    /// fault may not occur on every run; failing the test only on the runs in
+    /// which it passes would make its result vary.
     PrintOnly,
 }
 
-/// A test that the list may name.
+/// Creates a trial that takes the list of known red tests into account.
 pub(crate) fn trial<F>(name: &str, on_pass: OnPass, run: F) -> Trial
 where
     F: FnOnce() -> Result<(), Failed> + Send + 'static,
@@ -34,7 +35,7 @@
     Trial::test(name, move || match (run(), is_known_red, on_pass) {
         (result, false, _) => result,
         (Ok(()), true, OnPass::FailTest) => {
-            Err("it passes: take it out of KNOWN-RED.txt".into())
+            Err("the test passes: remove its line from KNOWN-RED.txt".into())
         }
         (Ok(()), true, OnPass::PrintOnly) => {
             println!("known red, passed this time: {test_name}");
@@ -50,21 +51,26 @@
     })
 }
 
-/// The check on the list itself.
+/// Creates the trial that checks the list itself.
 pub(crate) fn known_red_list_trial(trials: &[Trial]) -> Trial {
     let trial_names: Vec<String> =
         trials.iter().map(|trial| trial.name().to_owned()).collect();
     Trial::test("known_red::each_line_names_a_test", move || {
         let lines = known_red_lines();
         if lines.len() > KNOWN_RED_MAX {
-            return Err(format!("more than {KNOWN_RED_MAX} lines").into());
+            return Err(
+                format!("KNOWN-RED.txt has more than {KNOWN_RED_MAX} lines").into()
+            );
         }
         let known = |line: &&String| {
             trial_names.iter().any(|name| line_names_test(line, name))
                 || names_platform_test(line)
         };
         match lines.iter().find(|line| !known(line)) {
-            Some(line) => Err(format!("no test is named by: {line}").into()),
+            Some(line) => Err(format!(
+                "this line of KNOWN-RED.txt names no existing test: {line}"
+            )
+            .into()),
             None => Ok(()),
         }
     })
@@ -75,7 +81,8 @@
     rest.is_some_and(|rest| rest.starts_with(':') && !rest.starts_with("::"))
 }
 
-/// Whether a line names a test function in the sources of the platform's tests.
+/// Whether a line names a test function in the sources of the platform's tests,
+/// which belong to a separate test binary.
 fn names_platform_test(line: &str) -> bool {
     let test = line.split(": ").next().unwrap_or_default();
     let Some(path) = test.strip_prefix("platform::") else {
--- a/tests/all/scenario_language.rs
+++ b/tests/all/scenario_language.rs
@@ -1,16 +1,17 @@
-//! Mistakes in a script are told with line, column and what is wrong.
+//! Checks that the parser reports every mistake in a script, with its line, its
+//! column and a description.
 //!
-//! A word that the parser skipped would make a scenario prove less than it
-//! says, so every mistake is an error and none is passed over.
+//! If the parser skipped unknown words, a scenario would pass without testing
+//! what it claims to test.
 
 use libtest_mimic::{Failed, Trial};
 
-/// A deployment for the mistakes below it; three lines.
+/// Valid declarations that precede each mistake; three lines.
 const DEPLOYMENT: &str = "pool oracle engine\n\
                     entry e1 domain=d1\n\
                     instance a1 domain=d1 pool=oracle\n";
 
-/// Text behind the head, and what the parser must say of it.
+/// Text of the fourth line, and the start of the error that the parser must report.
 const MISTAKES: &[(&str, &str)] = &[
     (
         "at 1s explode e1",
@@ -107,7 +108,7 @@
     Ok(())
 }
 
-/// One mistake does not hide the next.
+/// A mistake must not hide another one on a later line.
 fn check_all_mistakes() -> Result<(), Failed> {
     let found = errors(&format!("{DEPLOYMENT}colour red\nat 1s explode e1\n"));
     let lines = ["line 4, ", "line 5, "];
--- a/tests/all/scenarios.rs
+++ b/tests/all/scenarios.rs
@@ -1,7 +1,8 @@
-//! Runs every file under `tests/scenarios`, each twice: a file whose two runs
-//! differ is a failure, since its verdict could differ in the next run too.
+//! Runs every file under `tests/scenarios`.
 //!
-//! A known red file ([`crate::red`]) that passes fails the run.
+//! Each file is run twice and fails if the logs of the two runs differ, since the
+//! result would then not be reproducible. A file that is listed as known red
+//! ([`crate::red`]) fails if it passes.
 
 use crate::red::{self, OnPass};
 use libtest_mimic::{Failed, Trial};
@@ -10,8 +11,8 @@
 pub(crate) fn trials() -> Vec<Trial> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let mut files: Vec<PathBuf> = std::fs::read_dir(root.join("tests/scenarios"))
-        .expect("the folder of scenarios stands in the repository")
-        .map(|entry| entry.expect("the folder can be read").path())
+        .expect("the repository contains the folder of scenarios")
+        .map(|entry| entry.expect("the folder is readable").path())
         .filter(|path| path.extension().is_some_and(|end| end == "scenario"))
         .collect();
     files.sort();
