--- a/crates/scenario/src/simulation/action.rs
+++ b/crates/scenario/src/simulation/action.rs
@@ -42,7 +42,7 @@
                 skip_units,
             } => self.receive_part(request, payload, skip_units),
             EntryAction::Finish { request, .. } => {
-                self.finish_request(request, RequestEnd::Whole)
+                self.finish_request(request, RequestEnd::Whole);
             }
             EntryAction::Refuse { request, refusal } => {
                 self.finish_request(request, RequestEnd::Refused(refusal));
@@ -99,13 +99,13 @@
                 self.send_from_agent(name, entry.as_str(), frame::Body::Answer(answer));
             }
             AgentAction::StartAttempt { attempt, run } => {
-                self.hand_to_upstream(name, attempt, run)
+                self.hand_to_upstream(name, attempt, run);
             }
             AgentAction::StopAttempt { attempt } => self.stop_attempt(name, attempt),
             AgentAction::SendOrder(order) => self.send_order(name, order),
             AgentAction::CallPlatform(call) => self.call_platform(name, call),
             AgentAction::ProbePredecessor { address } => {
-                self.probe_predecessor(name, &address)
+                self.probe_predecessor(name, &address);
             }
             AgentAction::SetReady(ready) => {
                 self.log(name, if ready { "is ready" } else { "is not ready" });
--- a/crates/scenario/src/simulation/mod.rs
+++ b/crates/scenario/src/simulation/mod.rs
@@ -124,7 +124,7 @@
                 peer,
             } => self.dial(&entry, incarnation, &peer),
             SimEvent::LinkMessage { link, to, message } => {
-                self.deliver_link_message(link, &to, message)
+                self.deliver_link_message(link, &to, message);
             }
             SimEvent::PlatformCallArrives {
                 process,
@@ -148,7 +148,7 @@
                 payload,
             } => self.deliver_agent_event(&process, incarnation, *event, payload),
             SimEvent::AttemptArrives(attempt_start) => {
-                self.attempt_arrives(attempt_start)
+                self.attempt_arrives(attempt_start);
             }
             SimEvent::EngineStep {
                 instance,
@@ -169,7 +169,7 @@
                 order,
             } => self.order_completes(&instance, upstream_incarnation, order),
             SimEvent::UpstreamRestarts { instance } => {
-                self.upstream_restarts(&instance)
+                self.upstream_restarts(&instance);
             }
         }
     }
--- a/crates/scenario/src/simulation/platform.rs
+++ b/crates/scenario/src/simulation/platform.rs
@@ -355,7 +355,7 @@
             }
             PlatformFault::Delay { ms } => self.platform.delay_ms = ms,
             PlatformFault::LoseAnswers { count } => {
-                self.platform.write_responses_to_lose = count
+                self.platform.write_responses_to_lose = count;
             }
             PlatformFault::OldReads { count } => self.platform.stale_reads = count,
             PlatformFault::MissWatches => self.platform.watches_miss_changes = true,
--- a/crates/scenario/src/simulation/upstream/mod.rs
+++ b/crates/scenario/src/simulation/upstream/mod.rs
@@ -295,7 +295,7 @@
             UpstreamFault::Crash { restart_ms } => self.crash(instance, restart_ms),
             UpstreamFault::Slow { factor } => upstream.step_time_factor = factor.into(),
             UpstreamFault::SlowLoads { factor } => {
-                upstream.load_time_factor = factor.into()
+                upstream.load_time_factor = factor.into();
             }
             UpstreamFault::Fail { count } => upstream.requests_to_fail = count,
             UpstreamFault::LoseOrders { count } => upstream.orders_to_lose = count,
