--- a/crates/scenario/src/simulation/platform.rs
+++ b/crates/scenario/src/simulation/platform.rs
@@ -124,6 +124,7 @@
             None => None,
         });
         let mut found: Vec<_> = found.collect();
+        // A stale list lacks its last object.
         if self.stale_reads > 0 && found.len() > 1 {
             self.stale_reads -= 1;
             found.pop();
--- a/crates/scenario/src/simulation/process/mod.rs
+++ b/crates/scenario/src/simulation/process/mod.rs
@@ -210,16 +210,16 @@
             self.record_failure(&format!("{name} thaws but was not frozen"));
         }
         self.log(name, "process thaws");
-        let mut held = Vec::new();
+        let mut deferred = Vec::new();
         if let Some(proc) = self.entries.get_mut(name) {
             proc.frozen = false;
-            held.append(&mut proc.deferred);
+            deferred.append(&mut proc.deferred);
         }
         if let Some(proc) = self.agents.get_mut(name) {
             proc.frozen = false;
-            held.append(&mut proc.deferred);
+            deferred.append(&mut proc.deferred);
         }
-        for sim_event in held {
+        for sim_event in deferred {
             self.events
                 .schedule(self.now, with_process_name(sim_event, name));
         }
