--- a/crates/scenario/src/simulation/mod.rs
+++ b/crates/scenario/src/simulation/mod.rs
@@ -42,8 +42,11 @@
     upstreams: BTreeMap<String, FakeUpstream>,
     links: Links,
     callers: Callers,
+    /// Number of timeline events by kind.
     event_counts: BTreeMap<String, u64>,
+    /// Request bodies that crash the engine that runs them.
     crash_bodies: Vec<String>,
+    /// Number of the latest process start.
     last_incarnation: u64,
     outcome: Outcome,
 }
--- a/tests/all/docs.rs
+++ b/tests/all/docs.rs
@@ -77,9 +77,11 @@
             let mut values = schedule.split(assignment.as_str()).skip(1);
             if let Some(literal) = values.find(|rest| !rest.starts_with('@')) {
                 let literal = literal.split('"').next().unwrap_or_default();
-                return Err(
-                    format!("{name}: `{key}` names `{literal}`, which exists in one deployment only").into()
-                );
+                return Err(format!(
+                    "{name}: `{key}` names `{literal}`, which exists in one \
+                     deployment only"
+                )
+                .into());
             }
         }
     }
--- a/tests/all/processes/faults.rs
+++ b/tests/all/processes/faults.rs
@@ -12,6 +12,8 @@
 /// Rate and number of requests during the fault.
 const RATE_PER_S: f64 = 60.0;
 const COUNT: u64 = 480;
+
+/// Time under load before the fault.
 const DELAY_BEFORE_FAULT: Duration = Duration::from_secs(2);
 
 /// Longer than ten heartbeat intervals, after which an entry considers an agent
@@ -22,7 +24,8 @@
 /// restarted. Streams continue at another holder or end with an explicit error.
 /// Orders in progress end with an unknown run status and are not run a second
 /// time, even if their callers send them again. The new agents read the recorded
-/// intents and claims of the old ones, so that memory is not overcommitted.
+/// intents and claims of the old ones, so that memory is not overcommitted and no
+/// order runs twice.
 pub(super) async fn killed_agent(fixture: &mut Fixture) -> TestResult {
     let holder = wait_for_holder(fixture, "diagnosis-01").await?;
     fixture.slow_down_services().await?;
@@ -38,7 +41,7 @@
     killed?;
     check(report.wrong_answers() == 0, || report.table())?;
     check(complete_answers(&report) * 2 > COUNT, || report.table())?;
-    resend_work(fixture, 3).await?;
+    resend_requests(fixture, 3).await?;
     check_recovered(fixture, 31).await
 }
 
@@ -58,7 +61,7 @@
     killed?;
     check(report.wrong_answers() == 0, || report.table())?;
     check(complete_answers(&report) * 2 > COUNT, || report.table())?;
-    resend_work(fixture, 4).await?;
+    resend_requests(fixture, 4).await?;
     check_recovered(fixture, 41).await
 }
 
@@ -94,7 +97,7 @@
 
 /// Sends the requests of a seed again, with the same keys and bodies. An order
 /// whose outcome was lost must not run a second time.
-async fn resend_work(fixture: &Fixture, seed: u64) -> TestResult {
+async fn resend_requests(fixture: &Fixture, seed: u64) -> TestResult {
     let again = load::run(fixture.load_options(RATE_PER_S, COUNT, seed)).await;
     check(again.wrong_answers() == 0, || again.table())?;
     fixture.check_invariants().await
--- a/tests/all/processes/outage.rs
+++ b/tests/all/processes/outage.rs
@@ -97,8 +97,8 @@
     let mut options = fixture.load_options(40.0, 120, seed);
     options.mixes.retain(|mix| mix.service.is_empty());
     let report = load::run(options).await;
-    let whole = report.profiles["desk"].whole;
-    check(whole == 120, || report.table())
+    let complete = report.profiles["desk"].whole;
+    check(complete == 120, || report.table())
 }
 
 async fn restart_entry(fixture: &mut Fixture) -> TestResult {
@@ -119,8 +119,8 @@
         .wait_until("entry-2 is connected to the agents", async || {
             let status = fixture.status("entry-2").await?;
             let agents = status["agents"].as_array()?;
-            let heard = agents.iter().filter(|agent| agent["connected"] == true);
-            (heard.count() == 5).then_some(())
+            let connected = agents.iter().filter(|agent| agent["connected"] == true);
+            (connected.count() == 5).then_some(())
         })
         .await
 }
--- a/tests/all/processes/stop.rs
+++ b/tests/all/processes/stop.rs
@@ -11,7 +11,9 @@
 /// Rate and number of requests during the shutdown.
 const RATE_PER_S: f64 = 60.0;
 const COUNT: u64 = 360;
-const DELAY_BEFORE_FAULT: Duration = Duration::from_secs(2);
+
+/// Time under load before the shutdown.
+const DELAY_BEFORE_SHUTDOWN: Duration = Duration::from_secs(2);
 
 /// An entry gets SIGTERM with streams and orders in progress. It refuses new
 /// requests as leaving, so that the load balancer stops sending them, finishes the
@@ -38,7 +40,7 @@
 
 /// Number of streams that resumed at another holder, summed over both entries.
 async fn resumed_streams(fixture: &Fixture) -> TestResult<u64> {
-    let mut all = 0;
+    let mut total = 0;
     for entry in ["entry-1", "entry-2"] {
         let address = fixture.deployment.operators()[entry];
         let page = fixture.probe.get(address, "/metrics").await;
@@ -46,9 +48,9 @@
         let mut lines = page.lines();
         let count = lines.find_map(|line| line.strip_prefix(RESUMED_METRIC_PREFIX));
         let count = count.ok_or("the metrics contain no counter of resumed streams")?;
-        all += count.trim().parse::<u64>().map_err(error_text)?;
+        total += count.trim().parse::<u64>().map_err(error_text)?;
     }
-    Ok(all)
+    Ok(total)
 }
 
 /// Start of the line of the counter of resumed streams on the metrics page.
@@ -58,7 +60,7 @@
     fixture.warm_up().await?;
     let load = load::run(fixture.load_options(RATE_PER_S, COUNT, 2));
     let stop = async {
-        tokio::time::sleep(DELAY_BEFORE_FAULT).await;
+        tokio::time::sleep(DELAY_BEFORE_SHUTDOWN).await;
         fixture
             .deployment
             .signal(id, Signal::SIGTERM)
