--- a/crates/scenario/src/parse/declaration.rs
+++ b/crates/scenario/src/parse/declaration.rs
@@ -9,11 +9,12 @@
 use super::ScriptError;
 use super::line::Words;
 use super::value::{
-    comma_list, duration_ms, duration_us, float, instant, number, number_u32, yes_no,
+    parse_duration_ms, parse_duration_us, parse_float, parse_instant, parse_number,
+    parse_number_u32, parse_yes_no, split_list,
 };
 use crate::script::{EntryDecl, InstanceDecl, Script};
 
-/// End of a run if the script does not declare one.
+/// End of a run if the script declares none. A later step extends the run.
 const DEFAULT_END: Instant = Instant::from_ms(30_000);
 
 /// The script before its first declaration, with the default settings.
@@ -50,30 +51,31 @@
     match word.text {
         "seed" => {
             let value = words.next_word("a number")?;
-            script.seed = number(words, value)?;
+            script.seed = parse_number(words, value)?;
         }
         "end" => {
             let value = words.next_word("a time")?;
-            script.end = instant(words, value)?;
+            script.end = parse_instant(words, value)?;
         }
-        "entry" => entry(script, words)?,
-        "instance" => instance(script, words)?,
-        "pool" => pool(&mut script.fleet, words)?,
-        "model" => model(&mut script.fleet, words)?,
-        "models" => models(&mut script.fleet, words)?,
-        "adapter" => adapter(&mut script.fleet, words)?,
-        "profile" => profile(&mut script.fleet, words)?,
-        "service" => service(&mut script.fleet, words)?,
-        "caller" => caller(&mut script.fleet, words)?,
-        "weights" => weights(&mut script.fleet, words)?,
-        "store" => store(&mut script.fleet, words)?,
-        "limits" => limits(&mut script.fleet, words)?,
+        "entry" => parse_entry(script, words)?,
+        "instance" => parse_instance(script, words)?,
+        "pool" => parse_pool(&mut script.fleet, words)?,
+        "model" => parse_model(&mut script.fleet, words)?,
+        "models" => parse_models(&mut script.fleet, words)?,
+        "adapter" => parse_adapter(&mut script.fleet, words)?,
+        "profile" => parse_profile(&mut script.fleet, words)?,
+        "service" => parse_service(&mut script.fleet, words)?,
+        "caller" => parse_caller(&mut script.fleet, words)?,
+        "weights" => parse_weights(&mut script.fleet, words)?,
+        "store" => parse_store(&mut script.fleet, words)?,
+        "limits" => parse_limits(&mut script.fleet, words)?,
         _ => return Err(words.error(word, "unknown declaration")),
     }
     Ok(())
 }
 
-fn failure_domain(
+/// Parses `domain=` and declares the failure domain if it is new.
+fn parse_failure_domain(
     fleet: &mut Fleet,
     words: &mut Words<'_>,
 ) -> Result<String, ScriptError> {
@@ -87,9 +89,9 @@
     Ok(name)
 }
 
-fn entry(script: &mut Script, words: &mut Words<'_>) -> Result<(), ScriptError> {
+fn parse_entry(script: &mut Script, words: &mut Words<'_>) -> Result<(), ScriptError> {
     let name = words.next_word("a name")?.text.to_owned();
-    let failure_domain = failure_domain(&mut script.fleet, words)?;
+    let failure_domain = parse_failure_domain(&mut script.fleet, words)?;
     let starts_later = words.take_if("later");
     script.entries.push(EntryDecl {
         name,
@@ -99,9 +101,12 @@
     Ok(())
 }
 
-fn instance(script: &mut Script, words: &mut Words<'_>) -> Result<(), ScriptError> {
+fn parse_instance(
+    script: &mut Script,
+    words: &mut Words<'_>,
+) -> Result<(), ScriptError> {
     let name = words.next_word("a name")?.text.to_owned();
-    let failure_domain = failure_domain(&mut script.fleet, words)?;
+    let failure_domain = parse_failure_domain(&mut script.fleet, words)?;
     let word = words.required_value("pool")?;
     let Some(pool) = script.fleet.pools.get_mut(word.text) else {
         return Err(words.error(word, "no such pool declared above"));
@@ -118,7 +123,7 @@
     Ok(())
 }
 
-fn pool(fleet: &mut Fleet, words: &mut Words<'_>) -> Result<(), ScriptError> {
+fn parse_pool(fleet: &mut Fleet, words: &mut Words<'_>) -> Result<(), ScriptError> {
     let name = words.next_word("a name")?.text.to_owned();
     let kind = words.next_word("`engine` or `service`")?;
     if !["engine", "service"].contains(&kind.text) {
@@ -136,49 +141,49 @@
         pool.accelerators_mib = vec![81_920];
     }
     if let Some(word) = words.optional_value("memory") {
-        pool.accelerators_mib = accelerator_sizes(words, word)?;
+        pool.accelerators_mib = parse_accelerator_sizes(words, word)?;
     }
     if let Some(word) = words.optional_value("step") {
-        let us = duration_us(words, word)?;
+        let us = parse_duration_us(words, word)?;
         pool.step_time_us = u32::try_from(us).unwrap_or(u32::MAX);
     }
     if let Some(word) = words.optional_value("places") {
-        pool.concurrent_max = number_u32(words, word)?;
+        pool.concurrent_max = parse_number_u32(words, word)?;
     }
     if let Some(word) = words.optional_value("fencing") {
-        pool.checks_fencing = yes_no(words, word)?;
+        pool.checks_fencing = parse_yes_no(words, word)?;
     }
     if let Some(word) = words.optional_value("order-delay") {
-        pool.order_delay_max_ms = duration_ms_u32(words, word)?;
+        pool.order_delay_max_ms = parse_duration_ms_u32(words, word)?;
     }
     fleet.pools.insert(name, pool);
     Ok(())
 }
 
-fn accelerator_sizes(
+fn parse_accelerator_sizes(
     words: &Words<'_>,
     word: super::line::Word<'_>,
 ) -> Result<Vec<u32>, ScriptError> {
-    let sizes = comma_list(word).into_iter().map(|size| size.parse().ok());
+    let sizes = split_list(word).into_iter().map(|size| size.parse().ok());
     sizes
         .collect::<Option<Vec<u32>>>()
         .ok_or_else(|| words.error(word, "not a list of sizes in MiB"))
 }
 
-fn duration_ms_u32(
+fn parse_duration_ms_u32(
     words: &Words<'_>,
     word: super::line::Word<'_>,
 ) -> Result<u32, ScriptError> {
-    let ms = duration_ms(words, word)?;
+    let ms = parse_duration_ms(words, word)?;
     Ok(u32::try_from(ms).unwrap_or(u32::MAX))
 }
 
-fn model_options(words: &mut Words<'_>) -> Result<Model, ScriptError> {
+fn parse_model_options(words: &mut Words<'_>) -> Result<Model, ScriptError> {
     let pool = words.required_value("pool")?.text.to_owned();
     let size = words.required_value("size")?;
-    let size_mib = number_u32(words, size)?;
+    let size_mib = parse_number_u32(words, size)?;
     let version = match words.optional_value("version") {
-        Some(word) => number_u32(words, word)?,
+        Some(word) => parse_number_u32(words, word)?,
         None => 1,
     };
     Ok(Model {
@@ -188,19 +193,19 @@
     })
 }
 
-fn model(fleet: &mut Fleet, words: &mut Words<'_>) -> Result<(), ScriptError> {
+fn parse_model(fleet: &mut Fleet, words: &mut Words<'_>) -> Result<(), ScriptError> {
     let name = words.next_word("a name")?.text.to_owned();
-    let model = model_options(words)?;
+    let model = parse_model_options(words)?;
     fleet.models.insert(name, model);
     Ok(())
 }
 
 /// `models m count=40 …` declares `m1` to `m40`.
-fn models(fleet: &mut Fleet, words: &mut Words<'_>) -> Result<(), ScriptError> {
+fn parse_models(fleet: &mut Fleet, words: &mut Words<'_>) -> Result<(), ScriptError> {
     let prefix = words.next_word("the start of the names")?.text.to_owned();
     let count = words.required_value("count")?;
-    let count = number(words, count)?;
-    let model = model_options(words)?;
+    let count = parse_number(words, count)?;
+    let model = parse_model_options(words)?;
     for index in 1..=count {
         fleet
             .models
@@ -209,20 +214,20 @@
     Ok(())
 }
 
-fn adapter(fleet: &mut Fleet, words: &mut Words<'_>) -> Result<(), ScriptError> {
+fn parse_adapter(fleet: &mut Fleet, words: &mut Words<'_>) -> Result<(), ScriptError> {
     let name = words.next_word("a name")?.text.to_owned();
     let base = words.required_value("base")?.text.to_owned();
     let size = words.required_value("size")?;
     let adapter = Adapter {
         base,
-        size_mib: number_u32(words, size)?,
+        size_mib: parse_number_u32(words, size)?,
         version: 1,
     };
     fleet.adapters.insert(name, adapter);
     Ok(())
 }
 
-fn profile(fleet: &mut Fleet, words: &mut Words<'_>) -> Result<(), ScriptError> {
+fn parse_profile(fleet: &mut Fleet, words: &mut Words<'_>) -> Result<(), ScriptError> {
     let name = words.next_word("a name")?.text.to_owned();
     let kind = words.next_word("`interactive` or `batch`")?;
     if !["interactive", "batch"].contains(&kind.text) {
@@ -235,7 +240,7 @@
         value: 1.0,
         ..Profile::default()
     };
-    match words.optional_value("models").map(comma_list) {
+    match words.optional_value("models").map(split_list) {
         // `models=all` stands for all models and adapters declared above.
         Some(names) if names == ["all"] => {
             let all = fleet.models.keys().chain(fleet.adapters.keys());
@@ -248,29 +253,29 @@
         profile.service = word.text.to_owned();
     }
     if let Some(word) = words.optional_value("first-token") {
-        profile.first_token_ms = duration_ms_u32(words, word)?;
+        profile.first_token_ms = parse_duration_ms_u32(words, word)?;
     }
     if let Some(word) = words.optional_value("between") {
-        profile.between_tokens_ms = duration_ms_u32(words, word)?;
+        profile.between_tokens_ms = parse_duration_ms_u32(words, word)?;
     }
     if let Some(word) = words.optional_value("deadline") {
-        profile.deadline_ms = duration_ms_u32(words, word)?;
+        profile.deadline_ms = parse_duration_ms_u32(words, word)?;
     }
     if let Some(word) = words.optional_value("priority") {
-        profile.priority = number_u32(words, word)?;
+        profile.priority = parse_number_u32(words, word)?;
     }
     if let Some(word) = words.optional_value("value") {
-        profile.value = float(words, word)?;
+        profile.value = parse_float(words, word)?;
     }
     fleet.profiles.insert(name, profile);
     Ok(())
 }
 
-fn service(fleet: &mut Fleet, words: &mut Words<'_>) -> Result<(), ScriptError> {
+fn parse_service(fleet: &mut Fleet, words: &mut Words<'_>) -> Result<(), ScriptError> {
     let name = words.next_word("a name")?.text.to_owned();
     let pool = words.required_value("pool")?.text.to_owned();
     let timeout = match words.optional_value("timeout") {
-        Some(word) => duration_ms_u32(words, word)?,
+        Some(word) => parse_duration_ms_u32(words, word)?,
         None => 2_000,
     };
     let word = words.next_word("`idempotent` or `once`")?;
@@ -288,10 +293,10 @@
     Ok(())
 }
 
-fn caller(fleet: &mut Fleet, words: &mut Words<'_>) -> Result<(), ScriptError> {
+fn parse_caller(fleet: &mut Fleet, words: &mut Words<'_>) -> Result<(), ScriptError> {
     let name = words.next_word("a name")?.text.to_owned();
     let concurrent_max = match words.optional_value("concurrent") {
-        Some(word) => number_u32(words, word)?,
+        Some(word) => parse_number_u32(words, word)?,
         None => 1_000,
     };
     let caller = Caller {
@@ -302,55 +307,55 @@
     Ok(())
 }
 
-fn weights(fleet: &mut Fleet, words: &mut Words<'_>) -> Result<(), ScriptError> {
+fn parse_weights(fleet: &mut Fleet, words: &mut Words<'_>) -> Result<(), ScriptError> {
     let mut weights = fleet.weights.unwrap_or_default();
     if let Some(word) = words.optional_value("attainment") {
-        weights.attainment = float(words, word)?;
+        weights.attainment = parse_float(words, word)?;
     }
     if let Some(word) = words.optional_value("move-cost") {
-        weights.move_cost = float(words, word)?;
+        weights.move_cost = parse_float(words, word)?;
     }
     if let Some(word) = words.optional_value("min-residence") {
-        weights.min_residence_ms = duration_ms_u32(words, word)?;
+        weights.min_residence_ms = parse_duration_ms_u32(words, word)?;
     }
     if let Some(word) = words.optional_value("wait-max") {
-        weights.wait_max_ms = duration_ms_u32(words, word)?;
+        weights.wait_max_ms = parse_duration_ms_u32(words, word)?;
     }
     fleet.weights = Some(weights);
     Ok(())
 }
 
-fn store(fleet: &mut Fleet, words: &mut Words<'_>) -> Result<(), ScriptError> {
+fn parse_store(fleet: &mut Fleet, words: &mut Words<'_>) -> Result<(), ScriptError> {
     let mut store = fleet.store.unwrap_or_default();
     if let Some(word) = words.optional_value("loads-per-s") {
-        store.loads_per_s = float(words, word)?;
+        store.loads_per_s = parse_float(words, word)?;
     }
     if let Some(word) = words.optional_value("full-speed") {
-        store.full_speed_loads = number_u32(words, word)?;
+        store.full_speed_loads = parse_number_u32(words, word)?;
     }
     if let Some(word) = words.optional_value("load-time") {
-        store.load_time_ms = duration_ms_u32(words, word)?;
+        store.load_time_ms = parse_duration_ms_u32(words, word)?;
     }
     fleet.store = Some(store);
     Ok(())
 }
 
-fn limits(fleet: &mut Fleet, words: &mut Words<'_>) -> Result<(), ScriptError> {
+fn parse_limits(fleet: &mut Fleet, words: &mut Words<'_>) -> Result<(), ScriptError> {
     let mut limits = fleet.limits.unwrap_or_default();
     if let Some(word) = words.optional_value("waiting") {
-        limits.waiting_max = number_u32(words, word)?;
+        limits.waiting_max = parse_number_u32(words, word)?;
     }
     if let Some(word) = words.optional_value("retry-percent") {
-        limits.retry_percent = number_u32(words, word)?;
+        limits.retry_percent = parse_number_u32(words, word)?;
     }
     if let Some(word) = words.optional_value("verdict") {
-        limits.verdict_ms = duration_ms_u32(words, word)?;
+        limits.verdict_ms = parse_duration_ms_u32(words, word)?;
     }
     if let Some(word) = words.optional_value("heartbeat") {
-        limits.heartbeat_ms = duration_ms_u32(words, word)?;
+        limits.heartbeat_ms = parse_duration_ms_u32(words, word)?;
     }
     if let Some(word) = words.optional_value("claim-retention") {
-        limits.claim_retention_ms = duration_ms_u32(words, word)?;
+        limits.claim_retention_ms = parse_duration_ms_u32(words, word)?;
     }
     fleet.limits = Some(limits);
     Ok(())
--- a/crates/scenario/src/parse/mod.rs
+++ b/crates/scenario/src/parse/mod.rs
@@ -63,7 +63,7 @@
     };
     if words.take_if("at") {
         let time = words.next_word("a time")?;
-        let at = value::instant(&words, time)?;
+        let at = value::parse_instant(&words, time)?;
         let verb = verb::parse_verb(&mut words)?;
         words.finish()?;
         script.steps.push(Step { at, line, verb });
--- a/crates/scenario/src/parse/value.rs
+++ b/crates/scenario/src/parse/value.rs
@@ -7,7 +7,7 @@
 use crate::script::Bounds;
 
 /// Parses a duration such as `250us`, `10ms`, `2s` or `3min`, in microseconds.
-pub(super) fn duration_us(
+pub(super) fn parse_duration_us(
     words: &Words<'_>,
     word: Word<'_>,
 ) -> Result<u64, ScriptError> {
@@ -28,27 +28,30 @@
     Err(words.error(word, "not a duration (`10ms`, `2s`, `3min`)"))
 }
 
-pub(super) fn duration_ms(
+pub(super) fn parse_duration_ms(
     words: &Words<'_>,
     word: Word<'_>,
 ) -> Result<u64, ScriptError> {
-    Ok(duration_us(words, word)? / 1_000)
+    Ok(parse_duration_us(words, word)? / 1_000)
 }
 
-pub(super) fn instant(
+pub(super) fn parse_instant(
     words: &Words<'_>,
     word: Word<'_>,
 ) -> Result<Instant, ScriptError> {
-    Ok(Instant::from_us(duration_us(words, word)?))
+    Ok(Instant::from_us(parse_duration_us(words, word)?))
 }
 
-pub(super) fn number(words: &Words<'_>, word: Word<'_>) -> Result<u64, ScriptError> {
+pub(super) fn parse_number(
+    words: &Words<'_>,
+    word: Word<'_>,
+) -> Result<u64, ScriptError> {
     word.text
         .parse()
         .map_err(|_| words.error(word, "not a whole number"))
 }
 
-pub(super) fn number_u32(
+pub(super) fn parse_number_u32(
     words: &Words<'_>,
     word: Word<'_>,
 ) -> Result<u32, ScriptError> {
@@ -57,13 +60,19 @@
         .map_err(|_| words.error(word, "not a whole number"))
 }
 
-pub(super) fn float(words: &Words<'_>, word: Word<'_>) -> Result<f64, ScriptError> {
+pub(super) fn parse_float(
+    words: &Words<'_>,
+    word: Word<'_>,
+) -> Result<f64, ScriptError> {
     word.text
         .parse()
         .map_err(|_| words.error(word, "not a number"))
 }
 
-pub(super) fn yes_no(words: &Words<'_>, word: Word<'_>) -> Result<bool, ScriptError> {
+pub(super) fn parse_yes_no(
+    words: &Words<'_>,
+    word: Word<'_>,
+) -> Result<bool, ScriptError> {
     match word.text {
         "yes" => Ok(true),
         "no" => Ok(false),
@@ -71,7 +80,7 @@
     }
 }
 
-pub(super) fn run_status(
+pub(super) fn parse_run_status(
     words: &Words<'_>,
     word: Word<'_>,
 ) -> Result<RunStatus, ScriptError> {
@@ -82,9 +91,9 @@
 }
 
 /// Consumes `count=`, or at least one of `min=` and `max=`.
-pub(super) fn bounds(words: &mut Words<'_>) -> Result<Bounds, ScriptError> {
+pub(super) fn parse_bounds(words: &mut Words<'_>) -> Result<Bounds, ScriptError> {
     if let Some(word) = words.optional_value("count") {
-        let count = number(words, word)?;
+        let count = parse_number(words, word)?;
         return Ok(Bounds {
             min: count,
             max: count,
@@ -100,15 +109,15 @@
         words.required_value("count")?;
     }
     if let Some(word) = min {
-        bounds.min = number(words, word)?;
+        bounds.min = parse_number(words, word)?;
     }
     if let Some(word) = max {
-        bounds.max = number(words, word)?;
+        bounds.max = parse_number(words, word)?;
     }
     Ok(bounds)
 }
 
 /// Splits a value at commas.
-pub(super) fn comma_list(word: Word<'_>) -> Vec<String> {
+pub(super) fn split_list(word: Word<'_>) -> Vec<String> {
     word.text.split(',').map(str::to_owned).collect()
 }
--- a/crates/scenario/src/parse/verb.rs
+++ b/crates/scenario/src/parse/verb.rs
@@ -4,7 +4,10 @@
 
 use super::ScriptError;
 use super::line::Words;
-use super::value::{bounds, duration_ms, number, number_u32, run_status, yes_no};
+use super::value::{
+    parse_bounds, parse_duration_ms, parse_number, parse_number_u32, parse_run_status,
+    parse_yes_no,
+};
 use crate::script::{Expectation, PlatformFault, RequestDecl, UpstreamFault, Verb};
 
 /// Tokens of a complete answer if the script does not state a number.
@@ -14,48 +17,50 @@
 pub(super) fn parse_verb(words: &mut Words<'_>) -> Result<Verb, ScriptError> {
     let word = words.next_word("a verb")?;
     match word.text {
-        "request" => request(words),
+        "request" => parse_request(words),
         "gone" => Ok(Verb::Gone {
-            request: name(words)?,
+            request: parse_name(words)?,
         }),
         "kill" => Ok(Verb::Kill {
-            process: name(words)?,
+            process: parse_name(words)?,
         }),
         "start" => Ok(Verb::Start {
-            process: name(words)?,
+            process: parse_name(words)?,
         }),
         "freeze" => Ok(Verb::Freeze {
-            process: name(words)?,
+            process: parse_name(words)?,
         }),
         "thaw" => Ok(Verb::Thaw {
-            process: name(words)?,
+            process: parse_name(words)?,
         }),
         "replace" => Ok(Verb::Replace {
-            process: name(words)?,
+            process: parse_name(words)?,
         }),
         "drain" => Ok(Verb::Drain {
-            process: name(words)?,
+            process: parse_name(words)?,
         }),
         "cut" => Ok(Verb::Cut {
-            a: name(words)?,
-            b: name(words)?,
+            a: parse_name(words)?,
+            b: parse_name(words)?,
         }),
         "heal" => Ok(Verb::Heal {
-            a: name(words)?,
-            b: name(words)?,
+            a: parse_name(words)?,
+            b: parse_name(words)?,
         }),
         "break" => Ok(Verb::Break {
-            a: name(words)?,
-            b: name(words)?,
+            a: parse_name(words)?,
+            b: parse_name(words)?,
         }),
-        "platform" => platform(words),
-        "upstream" => upstream(words),
-        "crash-on" => Ok(Verb::CrashOn { body: name(words)? }),
-        "publish" => publish(words),
+        "platform" => parse_platform_fault(words),
+        "upstream" => parse_upstream_fault(words),
+        "crash-on" => Ok(Verb::CrashOn {
+            body: parse_name(words)?,
+        }),
+        "publish" => parse_publish(words),
         "list-leaving" => Ok(Verb::ListLeaving {
-            instance: name(words)?,
+            instance: parse_name(words)?,
         }),
-        "expect" => Ok(Verb::Expect(expectation(words)?)),
+        "expect" => Ok(Verb::Expect(parse_expectation(words)?)),
         _ => Err(words.error(word, "unknown verb")),
     }
 }
@@ -94,14 +99,14 @@
     }
 }
 
-fn name(words: &mut Words<'_>) -> Result<String, ScriptError> {
+fn parse_name(words: &mut Words<'_>) -> Result<String, ScriptError> {
     Ok(words.next_word("a name")?.text.to_owned())
 }
 
 /// Parses a kind of timeline event.
 ///
 /// A misspelt kind is an error, since its count would always be zero.
-fn event_kind(words: &mut Words<'_>) -> Result<String, ScriptError> {
+fn parse_event_kind(words: &mut Words<'_>) -> Result<String, ScriptError> {
     let word = words.next_word("a kind of event")?;
     let full = format!("EVENT_KIND_{}", word.text);
     if EventKind::from_str_name(&full).is_none() {
@@ -110,15 +115,15 @@
     Ok(word.text.to_owned())
 }
 
-fn request(words: &mut Words<'_>) -> Result<Verb, ScriptError> {
-    let name = name(words)?;
+fn parse_request(words: &mut Words<'_>) -> Result<Verb, ScriptError> {
+    let name = parse_name(words)?;
     let text = |word: Option<super::line::Word<'_>>| word.map(|w| w.text.to_owned());
     let deadline_ms = match words.optional_value("deadline") {
-        Some(word) => Some(duration_ms(words, word)?),
+        Some(word) => Some(parse_duration_ms(words, word)?),
         None => None,
     };
     let units = match words.optional_value("units") {
-        Some(word) => number_u32(words, word)?,
+        Some(word) => parse_number_u32(words, word)?,
         None => DEFAULT_UNITS,
     };
     let request = RequestDecl {
@@ -136,7 +141,7 @@
     Ok(Verb::Request(request))
 }
 
-fn platform(words: &mut Words<'_>) -> Result<Verb, ScriptError> {
+fn parse_platform_fault(words: &mut Words<'_>) -> Result<Verb, ScriptError> {
     let word = words.next_word("a fault")?;
     let fault = match word.text {
         "away" => PlatformFault::Away,
@@ -144,14 +149,14 @@
         "delay" => {
             let value = words.next_word("a time")?;
             PlatformFault::Delay {
-                ms: duration_ms(words, value)?,
+                ms: parse_duration_ms(words, value)?,
             }
         }
         "lose-answers" => PlatformFault::LoseAnswers {
-            count: count(words)?,
+            count: parse_count(words)?,
         },
         "old-reads" => PlatformFault::OldReads {
-            count: count(words)?,
+            count: parse_count(words)?,
         },
         "miss-watches" => PlatformFault::MissWatches,
         _ => return Err(words.error(word, "unknown fault of the platform")),
@@ -159,33 +164,33 @@
     Ok(Verb::Platform(fault))
 }
 
-fn upstream(words: &mut Words<'_>) -> Result<Verb, ScriptError> {
-    let instance = name(words)?;
+fn parse_upstream_fault(words: &mut Words<'_>) -> Result<Verb, ScriptError> {
+    let instance = parse_name(words)?;
     let word = words.next_word("a fault")?;
     let fault = match word.text {
         "crash" => {
             let value = words.required_value("restart")?;
             UpstreamFault::Crash {
-                restart_ms: duration_ms(words, value)?,
+                restart_ms: parse_duration_ms(words, value)?,
             }
         }
         "slow" => UpstreamFault::Slow {
-            factor: factor(words)?,
+            factor: parse_factor(words)?,
         },
         "slow-loads" => UpstreamFault::SlowLoads {
-            factor: factor(words)?,
+            factor: parse_factor(words)?,
         },
         "fail" => UpstreamFault::Fail {
-            count: failure_count(words)?,
+            count: parse_failure_count(words)?,
         },
         "lose-orders" => UpstreamFault::LoseOrders {
-            count: count(words)?,
+            count: parse_count(words)?,
         },
         "delay-orders" => {
             let value = words.required_value("by")?;
             UpstreamFault::DelayOrders {
-                by_ms: duration_ms(words, value)?,
-                count: count(words)?,
+                by_ms: parse_duration_ms(words, value)?,
+                count: parse_count(words)?,
             }
         }
         _ => return Err(words.error(word, "unknown fault of an upstream")),
@@ -194,87 +199,87 @@
 }
 
 /// Parses `on`, `off` or a number of requests.
-fn failure_count(words: &mut Words<'_>) -> Result<u32, ScriptError> {
+fn parse_failure_count(words: &mut Words<'_>) -> Result<u32, ScriptError> {
     if words.take_if("on") {
         return Ok(u32::MAX);
     }
     if words.take_if("off") {
         return Ok(0);
     }
-    count(words)
+    parse_count(words)
 }
 
-fn count(words: &mut Words<'_>) -> Result<u32, ScriptError> {
+fn parse_count(words: &mut Words<'_>) -> Result<u32, ScriptError> {
     let word = words.required_value("count")?;
-    number_u32(words, word)
+    parse_number_u32(words, word)
 }
 
-fn factor(words: &mut Words<'_>) -> Result<u32, ScriptError> {
+fn parse_factor(words: &mut Words<'_>) -> Result<u32, ScriptError> {
     let word = words.required_value("factor")?;
-    number_u32(words, word)
+    parse_number_u32(words, word)
 }
 
-fn publish(words: &mut Words<'_>) -> Result<Verb, ScriptError> {
+fn parse_publish(words: &mut Words<'_>) -> Result<Verb, ScriptError> {
     let word = words.required_value("revision")?;
-    let revision = number(words, word)?;
+    let revision = parse_number(words, word)?;
     let patch = words.required_value("patch")?.text.to_owned();
     Ok(Verb::Publish { revision, patch })
 }
 
-fn expectation(words: &mut Words<'_>) -> Result<Expectation, ScriptError> {
+fn parse_expectation(words: &mut Words<'_>) -> Result<Expectation, ScriptError> {
     let word = words.next_word("an expectation")?;
     let expect = match word.text {
         "whole" => Expectation::Whole {
-            request: name(words)?,
+            request: parse_name(words)?,
         },
-        "failed" => failed(words)?,
+        "failed" => parse_failed(words)?,
         "final" => Expectation::Final {
-            request: name(words)?,
+            request: parse_name(words)?,
         },
         "pending" => Expectation::Pending {
-            request: name(words)?,
+            request: parse_name(words)?,
         },
         "runs" => Expectation::Runs {
-            body: name(words)?,
-            bounds: bounds(words)?,
+            body: parse_name(words)?,
+            bounds: parse_bounds(words)?,
         },
         "handed" => Expectation::Handed {
-            instance: name(words)?,
-            bounds: bounds(words)?,
+            instance: parse_name(words)?,
+            bounds: parse_bounds(words)?,
         },
         "crashes" => Expectation::Crashes {
-            bounds: bounds(words)?,
+            bounds: parse_bounds(words)?,
         },
         "event" => Expectation::Event {
-            kind: event_kind(words)?,
-            bounds: bounds(words)?,
+            kind: parse_event_kind(words)?,
+            bounds: parse_bounds(words)?,
         },
         "revision" => {
             let value = words.next_word("a revision")?;
             Expectation::Revision {
-                revision: number(words, value)?,
+                revision: parse_number(words, value)?,
             }
         }
         "first-unit" => {
-            let request = name(words)?;
+            let request = parse_name(words)?;
             let value = words.required_value("max")?;
             Expectation::FirstUnit {
                 request,
-                max_ms: duration_ms(words, value)?,
+                max_ms: parse_duration_ms(words, value)?,
             }
         }
         "ended" => Expectation::Ended {
-            process: name(words)?,
+            process: parse_name(words)?,
         },
-        "ready" => ready(words)?,
-        "holds" => holds(words)?,
+        "ready" => parse_ready(words)?,
+        "holds" => parse_holds(words)?,
         _ => return Err(words.error(word, "unknown expectation")),
     };
     Ok(expect)
 }
 
-fn failed(words: &mut Words<'_>) -> Result<Expectation, ScriptError> {
-    let request = name(words)?;
+fn parse_failed(words: &mut Words<'_>) -> Result<Expectation, ScriptError> {
+    let request = parse_name(words)?;
     let code = words.optional_value("code");
     if let Some(word) = code {
         let known = base::ErrorCode::ALL
@@ -285,7 +290,7 @@
         }
     }
     let run_status = match words.optional_value("ran") {
-        Some(word) => Some(run_status(words, word)?),
+        Some(word) => Some(parse_run_status(words, word)?),
         None => None,
     };
     Ok(Expectation::Failed {
@@ -295,20 +300,20 @@
     })
 }
 
-fn ready(words: &mut Words<'_>) -> Result<Expectation, ScriptError> {
-    let process = name(words)?;
+fn parse_ready(words: &mut Words<'_>) -> Result<Expectation, ScriptError> {
+    let process = parse_name(words)?;
     let word = words.next_word("`yes` or `no`")?;
     Ok(Expectation::Ready {
         process,
-        ready: yes_no(words, word)?,
+        ready: parse_yes_no(words, word)?,
     })
 }
 
-fn holds(words: &mut Words<'_>) -> Result<Expectation, ScriptError> {
-    let instance = name(words)?;
+fn parse_holds(words: &mut Words<'_>) -> Result<Expectation, ScriptError> {
+    let instance = parse_name(words)?;
     let model = words.required_value("model")?.text.to_owned();
     let held = match words.optional_value("held") {
-        Some(word) => yes_no(words, word)?,
+        Some(word) => parse_yes_no(words, word)?,
         None => true,
     };
     Ok(Expectation::Holds {
