--- a/crates/scenario/src/parse/value.rs
+++ b/crates/scenario/src/parse/value.rs
@@ -1,4 +1,4 @@
-//! Reads words as times, numbers and bounds.
+//! Parses words as times, numbers and bounds.
 
 use base::{Instant, RunStatus};
 
@@ -6,8 +6,8 @@
 use super::line::{Word, Words};
 use crate::script::Bounds;
 
-/// Reads a duration such as `250us`, `10ms`, `2s` or `3min`, in microseconds.
-pub(super) fn duration_us(
+/// Parses a duration such as `250us`, `10ms`, `2s` or `3min`, in microseconds.
+pub(super) fn parse_duration_us(
     words: &Words<'_>,
     word: Word<'_>,
 ) -> Result<u64, ScriptError> {
@@ -28,39 +28,51 @@
     Err(words.error(word, "not a duration (`10ms`, `2s`, `3min`)"))
 }
 
-pub(super) fn duration_ms(
+pub(super) fn parse_duration_ms(
     words: &Words<'_>,
     word: Word<'_>,
 ) -> Result<u64, ScriptError> {
-    Ok(duration_us(words, word)? / 1_000)
+    Ok(parse_duration_us(words, word)? / 1_000)
 }
 
-pub(super) fn instant(
+pub(super) fn parse_instant(
     words: &Words<'_>,
     word: Word<'_>,
 ) -> Result<Instant, ScriptError> {
-    Ok(Instant::from_us(duration_us(words, word)?))
+    Ok(Instant::from_us(parse_duration_us(words, word)?))
 }
 
-pub(super) fn number(words: &Words<'_>, word: Word<'_>) -> Result<u64, ScriptError> {
+pub(super) fn parse_number(
+    words: &Words<'_>,
+    word: Word<'_>,
+) -> Result<u64, ScriptError> {
     word.text
         .parse()
         .map_err(|_| words.error(word, "not a whole number"))
 }
 
-pub(super) fn number32(words: &Words<'_>, word: Word<'_>) -> Result<u32, ScriptError> {
+pub(super) fn parse_number_u32(
+    words: &Words<'_>,
+    word: Word<'_>,
+) -> Result<u32, ScriptError> {
     word.text
         .parse()
         .map_err(|_| words.error(word, "not a whole number"))
 }
 
-pub(super) fn fraction(words: &Words<'_>, word: Word<'_>) -> Result<f64, ScriptError> {
+pub(super) fn parse_float(
+    words: &Words<'_>,
+    word: Word<'_>,
+) -> Result<f64, ScriptError> {
     word.text
         .parse()
         .map_err(|_| words.error(word, "not a number"))
 }
 
-pub(super) fn yes_no(words: &Words<'_>, word: Word<'_>) -> Result<bool, ScriptError> {
+pub(super) fn parse_yes_no(
+    words: &Words<'_>,
+    word: Word<'_>,
+) -> Result<bool, ScriptError> {
     match word.text {
         "yes" => Ok(true),
         "no" => Ok(false),
@@ -68,17 +80,20 @@
     }
 }
 
-pub(super) fn ran(words: &Words<'_>, word: Word<'_>) -> Result<RunStatus, ScriptError> {
+pub(super) fn parse_run_status(
+    words: &Words<'_>,
+    word: Word<'_>,
+) -> Result<RunStatus, ScriptError> {
     [RunStatus::NotRun, RunStatus::Ran, RunStatus::Unknown]
         .into_iter()
         .find(|ran| ran.as_str() == word.text)
         .ok_or_else(|| words.error(word, "not `not_run`, `ran` or `unknown`"))
 }
 
-/// Takes `count=`, or `min=` and `max=`.
-pub(super) fn bounds(words: &mut Words<'_>) -> Result<Bounds, ScriptError> {
-    if let Some(word) = words.named("count") {
-        let count = number(words, word)?;
+/// Consumes `count=`, or at least one of `min=` and `max=`.
+pub(super) fn parse_bounds(words: &mut Words<'_>) -> Result<Bounds, ScriptError> {
+    if let Some(word) = words.optional_value("count") {
+        let count = parse_number(words, word)?;
         return Ok(Bounds {
             min: count,
             max: count,
@@ -88,21 +103,21 @@
         min: 0,
         max: u64::MAX,
     };
-    let min = words.named("min");
-    let max = words.named("max");
+    let min = words.optional_value("min");
+    let max = words.optional_value("max");
     if min.is_none() && max.is_none() {
-        words.needed("count")?;
+        words.required_value("count")?;
     }
     if let Some(word) = min {
-        bounds.min = number(words, word)?;
+        bounds.min = parse_number(words, word)?;
     }
     if let Some(word) = max {
-        bounds.max = number(words, word)?;
+        bounds.max = parse_number(words, word)?;
     }
     Ok(bounds)
 }
 
 /// Splits a value at commas.
-pub(super) fn list(word: Word<'_>) -> Vec<String> {
+pub(super) fn split_list(word: Word<'_>) -> Vec<String> {
     word.text.split(',').map(str::to_owned).collect()
 }
--- a/tests/all/docs.rs
+++ b/tests/all/docs.rs
@@ -1,5 +1,6 @@
-//! The book says what the code does: every result code stands in its table,
-//! and the table of contents leads to every page.
+//! Checks that the documentation matches the repository: `errors.md` lists every
+//! error code, the table of contents links to every page, and the scripted days
+//! under `deploy/days` are listed and independent of a particular deployment.
 
 use base::ErrorCode;
 use libtest_mimic::{Failed, Trial};
@@ -19,12 +20,12 @@
     ]
 }
 
-fn docs() -> PathBuf {
+fn docs_dir() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("docs")
 }
 
 fn every_code_is_listed() -> Result<(), Failed> {
-    let table = std::fs::read_to_string(docs().join("errors.md"))?;
+    let table = std::fs::read_to_string(docs_dir().join("errors.md"))?;
     for code in ErrorCode::ALL {
         let row = format!(
             "| {} | `{}` | {} |",
@@ -33,21 +34,21 @@
             code.http_status()
         );
         if !table.contains(&row) {
-            return Err(format!("docs/errors.md lacks a row `{row}`").into());
+            return Err(format!("docs/errors.md has no row `{row}`").into());
         }
     }
     Ok(())
 }
 
 fn every_page_is_in_the_summary() -> Result<(), Failed> {
-    let summary = std::fs::read_to_string(docs().join("SUMMARY.md"))?;
-    for (folder, prefix) in [(docs(), ""), (docs().join("design"), "design/")] {
+    let summary = std::fs::read_to_string(docs_dir().join("SUMMARY.md"))?;
+    for (folder, prefix) in [(docs_dir(), ""), (docs_dir().join("design"), "design/")] {
         for entry in std::fs::read_dir(folder)? {
             let name = entry?.file_name().to_string_lossy().into_owned();
-            let page = name.ends_with(".md") && name != "SUMMARY.md";
-            if page && !summary.contains(&format!("({prefix}{name})")) {
+            let is_page = name.ends_with(".md") && name != "SUMMARY.md";
+            if is_page && !summary.contains(&format!("({prefix}{name})")) {
                 let missing =
-                    format!("docs/SUMMARY.md does not lead to {prefix}{name}");
+                    format!("docs/SUMMARY.md does not link to {prefix}{name}");
                 return Err(missing.into());
             }
         }
@@ -55,8 +56,9 @@
     Ok(())
 }
 
-/// A day that names a zone, service or class of one deployment is left out on all
-/// others without a word, and one that the table lacks is found by nobody.
+/// Each file under `deploy/days` must be listed in the README and must refer to
+/// zones, services and classes by `@` placeholders only. A literal name exists in
+/// one deployment only, and every other deployment would silently skip the file.
 fn every_day_fits_any_deployment() -> Result<(), Failed> {
     let days = Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy/days");
     let listed = std::fs::read_to_string(days.join("README.md"))?;
@@ -69,13 +71,17 @@
         if !listed.contains(&format!("`{name}`")) {
             return Err(format!("deploy/days/README.md does not list {name}").into());
         }
-        let day = std::fs::read_to_string(&path)?;
+        let schedule = std::fs::read_to_string(&path)?;
         for key in ["zone", "to_zone", "service", "class"] {
-            let before = format!(" {key} = \"");
-            let mut named = day.split(before.as_str()).skip(1);
-            if let Some(own) = named.find(|rest| !rest.starts_with('@')) {
-                let own = own.split('"').next().unwrap_or_default();
-                return Err(format!("{name}: {key} {own} is of one deployment").into());
+            let assignment = format!(" {key} = \"");
+            let mut values = schedule.split(assignment.as_str()).skip(1);
+            if let Some(literal) = values.find(|rest| !rest.starts_with('@')) {
+                let literal = literal.split('"').next().unwrap_or_default();
+                return Err(format!(
+                    "{name}: `{key}` names `{literal}`, which exists in one \
+                     deployment only"
+                )
+                .into());
             }
         }
     }
--- a/tests/all/scenario_language.rs
+++ b/tests/all/scenario_language.rs
@@ -1,16 +1,17 @@
-//! Mistakes in a script are told with line, column and what is wrong.
+//! Checks that the parser reports every mistake in a script, with its line, its
+//! column and a description.
 //!
-//! A word that the parser skipped would make a scenario prove less than it
-//! says, so every mistake is an error and none is passed over.
+//! If the parser skipped unknown words, a scenario would pass without testing
+//! what it claims to test.
 
 use libtest_mimic::{Failed, Trial};
 
-/// A deployment for the mistakes below it; three lines.
-const HEAD: &str = "pool oracle engine\n\
+/// Valid declarations that precede each mistake; three lines.
+const DEPLOYMENT: &str = "pool oracle engine\n\
                     entry e1 domain=d1\n\
                     instance a1 domain=d1 pool=oracle\n";
 
-/// Text behind the head, and what the parser must say of it.
+/// Text of the fourth line, and the start of the error that the parser must report.
 const MISTAKES: &[(&str, &str)] = &[
     (
         "at 1s explode e1",
@@ -78,8 +79,14 @@
 
 pub(crate) fn trials() -> Vec<Trial> {
     vec![
-        Trial::test("scenario_language::each_mistake_is_told", each_mistake),
-        Trial::test("scenario_language::all_mistakes_are_told", all_mistakes),
+        Trial::test(
+            "scenario_language::each_mistake_is_told",
+            check_each_mistake,
+        ),
+        Trial::test(
+            "scenario_language::all_mistakes_are_told",
+            check_all_mistakes,
+        ),
     ]
 }
 
@@ -90,20 +97,20 @@
     }
 }
 
-fn each_mistake() -> Result<(), Failed> {
+fn check_each_mistake() -> Result<(), Failed> {
     for (line, expected) in MISTAKES {
-        let found = errors(&format!("{HEAD}{line}\n"));
-        let told = found.len() == 1 && found[0].starts_with(expected);
-        if !told {
+        let found = errors(&format!("{DEPLOYMENT}{line}\n"));
+        let matches = found.len() == 1 && found[0].starts_with(expected);
+        if !matches {
             return Err(format!("`{line}` gives {found:?}, not `{expected}`").into());
         }
     }
     Ok(())
 }
 
-/// One mistake does not hide the next.
-fn all_mistakes() -> Result<(), Failed> {
-    let found = errors(&format!("{HEAD}colour red\nat 1s explode e1\n"));
+/// A mistake must not hide another one on a later line.
+fn check_all_mistakes() -> Result<(), Failed> {
+    let found = errors(&format!("{DEPLOYMENT}colour red\nat 1s explode e1\n"));
     let lines = ["line 4, ", "line 5, "];
     let each = found.len() == lines.len()
         && found
