--- a/crates/entry/src/driver.rs
+++ b/crates/entry/src/driver.rs
@@ -244,8 +244,8 @@
                     total_units,
                 },
             ),
-            EntryAction::Refuse { request, refusal } => {
-                self.end_request(request, ResponseEnd::Failed(refusal));
+            EntryAction::Fail { request, error } => {
+                self.end_request(request, ResponseEnd::Failed(error));
             }
             EntryAction::SendFrame { peer, body } => self.send_frame(&peer, body),
             EntryAction::SendRun {
--- a/crates/role/src/entry/event.rs
+++ b/crates/role/src/entry/event.rs
@@ -144,11 +144,11 @@
     },
     /// End the request with an error: as an error response, or as an error event
     /// if the answer's stream has begun.
-    Refuse {
+    Fail {
         /// Request.
         request: RequestId,
         /// Error code, whether the request ran, and when to retry.
-        refusal: RequestError,
+        error: RequestError,
     },
     /// Establish a link to a process and keep it up.
     Connect {
--- a/crates/role/src/entry/requests/end.rs
+++ b/crates/role/src/entry/requests/end.rs
@@ -47,9 +47,9 @@
             .model(request.resolved.resource.as_str())
             .code(refusal.code)
             .record(ctx.out);
-        ctx.out.push(EntryAction::Refuse {
+        ctx.out.push(EntryAction::Fail {
             request: request.id(),
-            refusal,
+            error: refusal,
         });
         Dispatched::Ended
     }
--- a/crates/role/src/entry/role.rs
+++ b/crates/role/src/entry/role.rs
@@ -301,9 +301,9 @@
         .request(id)
         .code(refusal.code)
         .record(out);
-        out.push(EntryAction::Refuse {
+        out.push(EntryAction::Fail {
             request: id,
-            refusal,
+            error: refusal,
         });
     }
 
--- a/crates/role/tests/entry/random.rs
+++ b/crates/role/tests/entry/random.rs
@@ -70,8 +70,8 @@
                     assert_eq!(*total_units, delivered);
                     self.end(*request);
                 }
-                EntryAction::Refuse { request, refusal } => {
-                    if refusal.ran == RunStatus::NotRun {
+                EntryAction::Fail { request, error } => {
+                    if error.ran == RunStatus::NotRun {
                         assert!(!self.started.contains(request), "it had started");
                     }
                     self.end(*request);
--- a/crates/role/tests/entry/rig/observed.rs
+++ b/crates/role/tests/entry/rig/observed.rs
@@ -31,10 +31,7 @@
 
     pub fn refusals(&self, request: RequestId) -> Vec<RequestError> {
         let refused = self.actions.iter().filter_map(|action| match action {
-            EntryAction::Refuse {
-                request: of,
-                refusal,
-            } if *of == request => Some(*refusal),
+            EntryAction::Fail { request: of, error } if *of == request => Some(*error),
             _ => None,
         });
         refused.collect()
--- a/crates/scenario/src/world/action.rs
+++ b/crates/scenario/src/world/action.rs
@@ -41,8 +41,8 @@
                 skip_units,
             } => self.delivered(request, payload, skip_units),
             EntryAction::Finish { request, .. } => self.ended(request, End::Whole),
-            EntryAction::Refuse { request, refusal } => {
-                self.ended(request, End::Refused(refusal));
+            EntryAction::Fail { request, error } => {
+                self.ended(request, End::Refused(error));
             }
             EntryAction::Connect { peer, address } => {
                 self.connect(name, peer, &address);
