--- a/crates/role/src/agent/admission.rs
+++ b/crates/role/src/agent/admission.rs
@@ -7,10 +7,10 @@
 
 /// Suggested retry delay when all slots are taken and no service time is known
 /// yet.
-const FULL_RETRY_MS: u64 = 100;
+const SLOTS_FULL_RETRY_MS: u64 = 100;
 
 /// Suggested retry delay while the agent is not ready.
-const READY_RETRY_MS: u64 = 1_000;
+const NOT_READY_RETRY_MS: u64 = 1_000;
 
 impl AgentRole {
     /// Refuses an attempt that must not run here and now. A refusal guarantees
@@ -55,9 +55,12 @@
         if can_run {
             return Ok(());
         }
-        Err(RequestError::not_run(ErrorCode::NotReady).retry_after_ms(READY_RETRY_MS))
+        Err(RequestError::not_run(ErrorCode::NotReady)
+            .retry_after_ms(NOT_READY_RETRY_MS))
     }
 
+    /// Refuses an attempt for a model that is not loaded, or for a service that
+    /// is not served here.
     pub(super) fn check_resource_available(
         &self,
         run: &Run,
@@ -120,7 +123,7 @@
         let Some(config) = self.config() else {
             return 0;
         };
-        let holds = |model: &ModelId| {
+        let is_loaded = |model: &ModelId| {
             let mut residents = self.ledger.residents();
             residents
                 .any(|resident| resident.loaded && resident.placement.model == *model)
@@ -129,18 +132,20 @@
             .profiles()
             .filter(|profile| profile.kind == ProfileKind::Interactive)
             .filter(|profile| profile.between_tokens_ms > 0)
-            .filter(|profile| profile.models.iter().any(holds))
+            .filter(|profile| profile.models.iter().any(is_loaded))
             .map(|profile| u64::from(profile.between_tokens_ms) * 1_000);
         targets_us.min().unwrap_or(0)
     }
 
+    /// Refuses an attempt while all slots are taken, or while an exclusive run is
+    /// in progress or waits.
     fn check_slot_available(
         &self,
         now: Instant,
         run: &Run,
     ) -> Result<(), RequestError> {
         if self.attempts.any_exclusive() {
-            return Err(self.gate_full_refusal());
+            return Err(self.gate_full_error());
         }
         if run.alone {
             return self.check_exclusive(now, run);
@@ -148,20 +153,21 @@
         if self.attempts.in_flight() < self.max_in_flight() {
             return Ok(());
         }
-        Err(self.gate_full_refusal())
+        Err(self.gate_full_error())
     }
 
-    /// Refusal for an attempt that finds no free slot, with the predicted time
-    /// until one is free.
-    pub(super) fn gate_full_refusal(&self) -> RequestError {
+    /// Error for an attempt that finds no free slot; its retry delay is the
+    /// predicted time until one is free.
+    pub(super) fn gate_full_error(&self) -> RequestError {
         let slots = u64::from(self.max_in_flight().max(1));
         let retry_ms = match self.upstream.service_ms() {
-            0 => FULL_RETRY_MS,
+            0 => SLOTS_FULL_RETRY_MS,
             service_ms => (service_ms / slots).max(1),
         };
         RequestError::not_run(ErrorCode::GateFull).retry_after_ms(retry_ms)
     }
 
+    /// Refuses an attempt that is predicted to start only after its deadline.
     fn check_deadline(&self, run: &Run) -> Result<(), RequestError> {
         if run.remaining_ms > self.predicted_wait_ms() {
             return Ok(());
@@ -175,11 +181,11 @@
         u64::from(self.upstream.waiting()) * self.upstream.service_ms() / slots
     }
 
-    /// Load hint for frames to the entries.
+    /// Builds the load report that frames to the entries carry.
     ///
     /// During an exclusive run no slot is available. Entries that saw the usual
     /// maximum would keep sending work that is then refused.
-    pub(super) fn load_hint(&self, now: Instant) -> Load {
+    pub(super) fn load_report(&self, now: Instant) -> Load {
         let running_max = match self.attempts.any_exclusive() {
             true => 0,
             false => self.max_in_flight(),
--- a/crates/role/src/agent/attempt_lifecycle.rs
+++ b/crates/role/src/agent/attempt_lifecycle.rs
@@ -8,16 +8,16 @@
 use schema::link::{self, Refused, Revoke, Revoked, Run, frame};
 use schema::timeline::EventKind;
 
-/// Reads an attempt id from a frame.
-pub(super) fn attempt_id(attempt: Option<link::Attempt>) -> Option<AttemptId> {
+/// Decodes the attempt id of a frame.
+pub(super) fn decode_attempt_id(attempt: Option<link::Attempt>) -> Option<AttemptId> {
     attempt.map(|attempt| AttemptId {
         origin: attempt.origin,
         sequence: attempt.sequence,
     })
 }
 
-/// Converts an attempt id for a frame.
-pub(super) fn attempt_frame(id: AttemptId) -> Option<link::Attempt> {
+/// Encodes an attempt id for a frame.
+pub(super) fn encode_attempt_id(id: AttemptId) -> Option<link::Attempt> {
     Some(link::Attempt {
         origin: id.origin,
         sequence: id.sequence,
@@ -33,7 +33,7 @@
         run: Run,
         out: &mut Vec<AgentAction>,
     ) {
-        let Some(id) = attempt_id(run.attempt) else {
+        let Some(id) = decode_attempt_id(run.attempt) else {
             self.counters.frames_dropped += 1;
             return;
         };
@@ -47,8 +47,8 @@
         } else {
             self.check_admission(now, &run)
         };
-        if let Err(refusal) = checked {
-            self.send_refusal(now, Some(entry), id, refusal, out);
+        if let Err(error) = checked {
+            self.send_refusal(now, Some(entry), id, error, out);
             return;
         }
         let must_wait = run.alone && self.attempts.in_flight() > 0;
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Hands an attempt to the driver.
+    /// Gives an attempt to the driver, which hands it to the upstream.
     pub(super) fn hand_over(
         &mut self,
         now: Instant,
@@ -123,17 +123,17 @@
         now: Instant,
         entry: Option<&EntryId>,
         id: AttemptId,
-        refusal: RequestError,
+        error: RequestError,
         out: &mut Vec<AgentAction>,
     ) {
         self.counters.refused += 1;
-        let code = refusal.code.number();
+        let code = error.code.number();
         timeline::attempt_event(EventKind::RequestRefusedByGate, id, code, out);
         let body = frame::Body::Refused(Refused {
-            attempt: attempt_frame(id),
+            attempt: encode_attempt_id(id),
             code,
-            retry_after_ms: retry_after(&refusal),
-            load: Some(self.load_hint(now)),
+            retry_after_ms: encode_retry_after_ms(&error),
+            load: Some(self.load_report(now)),
         });
         self.send(entry, body, out);
     }
@@ -145,7 +145,7 @@
         attempt: Option<link::Attempt>,
         out: &mut Vec<AgentAction>,
     ) {
-        let Some(id) = attempt_id(attempt) else {
+        let Some(id) = decode_attempt_id(attempt) else {
             self.counters.frames_dropped += 1;
             return;
         };
@@ -158,8 +158,8 @@
     /// Handles an attempt whose answer nobody waits for any more.
     ///
     /// An idempotent attempt is stopped, which frees its slot at once. A
-    /// non-idempotent one continues, so that a resend of its key finds the
-    /// answer. One that waits for its claim or for an idle upstream is dropped;
+    /// non-idempotent one continues, so that a later request with the same key
+    /// gets the answer. One that waits for its claim or for an idle upstream is dropped;
     /// its claim is released if it is granted later.
     fn detach(&mut self, now: Instant, id: AttemptId, out: &mut Vec<AgentAction>) {
         let Some(attempt) = self.attempts.get_mut(id) else {
@@ -222,7 +222,7 @@
         revoke: &Revoke,
         out: &mut Vec<AgentAction>,
     ) {
-        let Some(id) = attempt_id(revoke.attempt) else {
+        let Some(id) = decode_attempt_id(revoke.attempt) else {
             self.counters.frames_dropped += 1;
             return;
         };
@@ -232,12 +232,14 @@
             timeline::attempt_event(EventKind::RequestRevoked, id, 0, out);
         }
         let body = frame::Body::Revoked(Revoked {
-            attempt: attempt_frame(id),
+            attempt: encode_attempt_id(id),
             ran: ran.number(),
         });
         self.send(Some(entry), body, out);
     }
 
+    /// Returns whether the attempt ran. `NotRun` also means that it never will: an
+    /// attempt that has not started is removed, and a tombstone is stored.
     fn revoke_attempt(
         &mut self,
         now: Instant,
@@ -273,8 +275,9 @@
     }
 }
 
-pub(super) fn retry_after(refusal: &RequestError) -> u32 {
-    let retry_ms = refusal.retry_after_ms.unwrap_or(0);
+/// Encodes an error's retry delay for a frame: 0 for none.
+pub(super) fn encode_retry_after_ms(error: &RequestError) -> u32 {
+    let retry_ms = error.retry_after_ms.unwrap_or(0);
     u32::try_from(retry_ms).unwrap_or(u32::MAX)
 }
 
--- a/crates/role/src/agent/attempts.rs
+++ b/crates/role/src/agent/attempts.rs
@@ -27,7 +27,7 @@
     /// It was not run, and waits for its claim to be released.
     Releasing {
         /// What to tell the entry.
-        refusal: RequestError,
+        error: RequestError,
         /// It was handed over before, so it ends with `End` instead of
         /// `Refused`.
         handed_over: bool,
@@ -56,13 +56,13 @@
     pub(super) upstream_incarnation: u64,
     /// Units of the answer before the next part.
     pub(super) offset: u64,
-    /// When it was admitted or, once it was given to the driver, when that was.
+    /// When it was given to the driver; until then, when it was admitted.
     pub(super) began_at: Instant,
     pub(super) deadline: Instant,
     /// The entry was told that the deadline has passed.
     pub(super) deadline_reported: bool,
-    /// Answer of a call with a claim, stored for a resend; `None` if it is
-    /// incomplete or exceeds the size limit.
+    /// Answer to an attempt with a claim, stored for later requests with the same
+    /// key; `None` if it is incomplete or exceeds the size limit.
     pub(super) stored_answer: Option<Vec<u8>>,
 }
 
--- a/crates/role/src/agent/claims.rs
+++ b/crates/role/src/agent/claims.rs
@@ -1,6 +1,8 @@
-//! Claims of non-idempotent calls with an idempotency key.
+//! Claims of idempotency keys by non-idempotent requests. A claim is stored in
+//! the platform; of all requests with the same key, only the one that holds it
+//! runs.
 
-use super::attempt_lifecycle::{attempt_frame, retry_after};
+use super::attempt_lifecycle::{encode_attempt_id, encode_retry_after_ms};
 use super::attempts::Phase;
 use super::{AgentAction, AgentRole, timeline};
 use base::PlatformResult;
@@ -10,14 +12,16 @@
 use schema::timeline::EventKind;
 
 impl AgentRole {
+    /// Calls the claims' state machine (crate `once`) and carries out the actions
+    /// that it returns.
     fn with_claims(
         &mut self,
         now: Instant,
         out: &mut Vec<AgentAction>,
-        act: impl FnOnce(&mut Claims, &mut Vec<ClaimAction>),
+        work: impl FnOnce(&mut Claims, &mut Vec<ClaimAction>),
     ) {
         let mut actions = Vec::new();
-        act(&mut self.claims, &mut actions);
+        work(&mut self.claims, &mut actions);
         for action in actions {
             match action {
                 ClaimAction::CallPlatform(call) => {
@@ -98,13 +102,13 @@
             ClaimOutcome::Replay(answer) => {
                 self.send_stored_answer(now, id, answer, out);
             }
-            ClaimOutcome::Refused(refusal) => {
-                self.on_claim_refused(now, id, refusal, out);
+            ClaimOutcome::Refused(error) => {
+                self.on_claim_refused(now, id, error, out);
             }
         }
     }
 
-    /// Starts a call whose claim was granted. Time has passed since admission,
+    /// Starts an attempt whose claim was granted. Time has passed since admission,
     /// so the conditions that may have changed are checked again first.
     fn on_claim_granted(
         &mut self,
@@ -119,15 +123,15 @@
             self.release_claim(now, id, out);
             return;
         };
-        let late = attempt.deadline <= now;
-        let checked = if late {
+        let deadline_passed = attempt.deadline <= now;
+        let checked = if deadline_passed {
             Err(RequestError::not_run(ErrorCode::DeadlineBeforeRun))
         } else {
             self.check_can_run()
         };
         match checked {
             Ok(()) => self.hand_over(now, id, out),
-            Err(refusal) => self.withdraw_attempt(now, id, refusal, false, out),
+            Err(error) => self.withdraw_attempt(now, id, error, false, out),
         }
     }
 
@@ -135,7 +139,7 @@
         &mut self,
         now: Instant,
         id: AttemptId,
-        refusal: RequestError,
+        error: RequestError,
         out: &mut Vec<AgentAction>,
     ) {
         let is_claiming = |phase| phase == Phase::Claiming;
@@ -147,22 +151,22 @@
         };
         self.counters.claims_refused += 1;
         self.record_ended(now, id, RunStatus::NotRun);
-        let code = refusal.code.number();
+        let code = error.code.number();
         timeline::attempt_event(EventKind::ClaimRefused, id, code, out);
-        if refusal.ran == RunStatus::NotRun {
-            self.send_refusal(now, attempt.entry.as_ref(), id, refusal, out);
+        if error.ran == RunStatus::NotRun {
+            self.send_refusal(now, attempt.entry.as_ref(), id, error, out);
             return;
         }
         // This attempt was not run, but an earlier one with the same key was or
-        // may have been; `End` tells the caller to query the call's outcome.
+        // may have been, which `End` reports and `Refused` could not.
         let end = End {
-            retry_after_ms: retry_after(&refusal),
-            ..self.end_frame(now, id, code, refusal.ran)
+            retry_after_ms: encode_retry_after_ms(&error),
+            ..self.end_frame(now, id, code, error.ran)
         };
         self.send(attempt.entry.as_ref(), frame::Body::End(end), out);
     }
 
-    /// Answers a call that ran before with its stored answer.
+    /// Sends the stored answer of an earlier request with the same key.
     fn send_stored_answer(
         &mut self,
         now: Instant,
@@ -179,7 +183,7 @@
         let units = u32::try_from(answer.body.len()).unwrap_or(u32::MAX);
         if units > 0 {
             let part = link::Answer {
-                attempt: attempt_frame(id),
+                attempt: encode_attempt_id(id),
                 offset: 0,
                 units,
                 payload: answer.body,
--- a/crates/role/src/agent/config_sync.rs
+++ b/crates/role/src/agent/config_sync.rs
@@ -1,5 +1,5 @@
-//! Configuration updates: read from the platform at the start, then received
-//! from the entries.
+//! Configuration updates: read from the platform until a configuration is in
+//! force, then received from the entries.
 
 use super::AgentAction;
 use super::platform_client::{Backoff, PlatformClient};
--- a/crates/role/src/agent/counters.rs
+++ b/crates/role/src/agent/counters.rs
@@ -24,7 +24,8 @@
     pub claims_granted: u64,
     /// Claims refused.
     pub claims_refused: u64,
-    /// Calls answered with a stored answer.
+    /// Attempts answered with the stored answer of an earlier request with the
+    /// same idempotency key.
     pub replays: u64,
     /// Crashes of the upstream with attempts in flight.
     pub crashes: u64,
--- a/crates/role/src/agent/event.rs
+++ b/crates/role/src/agent/event.rs
@@ -34,7 +34,7 @@
         /// Content of the frame.
         body: frame::Body,
     },
-    /// Something happened at the upstream.
+    /// An event at the upstream.
     Upstream(UpstreamEvent),
     /// The platform answered a call, or the call failed.
     PlatformAnswered(PlatformResponse),
@@ -62,7 +62,7 @@
         /// The attempt.
         attempt: AttemptId,
     },
-    /// A part of an answer arrived; the driver holds its payload until the call
+    /// A part of an answer arrived; the driver holds its payload until `handle`
     /// returns.
     AnswerPart {
         /// The attempt.
@@ -70,16 +70,16 @@
         /// Units in the part: tokens for an engine, bytes for a plain service.
         units: u32,
     },
-    /// A part of the answer to a non-idempotent call with an idempotency key,
-    /// instead of `AnswerPart`; the answer is stored for a resend. The driver
-    /// recognises such a call by its `StartAttempt`, whose run is not
-    /// idempotent and has a key.
+    /// A part of the answer to a non-idempotent request with an idempotency key,
+    /// reported instead of `AnswerPart`; the answer is stored for later requests
+    /// with the same key. The driver recognizes such a request by its
+    /// `StartAttempt`, whose `run` is not idempotent and has a key.
     KeyedAnswerPart {
         /// The attempt.
         attempt: AttemptId,
         /// Units in the part: tokens for an engine, bytes for a plain service.
         units: u32,
-        /// Payload, of which the driver keeps its own copy until the call
+        /// Payload, of which the driver keeps its own copy until `handle`
         /// returns.
         payload: Vec<u8>,
     },
--- a/crates/role/src/agent/exclusive.rs
+++ b/crates/role/src/agent/exclusive.rs
@@ -38,7 +38,7 @@
         if wait_ms < EXCLUSIVE_WAIT_MAX_MS.min(run.remaining_ms) {
             return Ok(());
         }
-        Err(self.gate_full_refusal())
+        Err(self.gate_full_error())
     }
 
     /// Predicted time until the upstream is idle: until the attempt that
@@ -78,12 +78,12 @@
         match self.check_waiting_exclusive(now, id) {
             Ok(false) => {}
             Ok(true) => self.claim_and_start(now, id, out),
-            Err(refusal) => {
+            Err(error) => {
                 let Some(attempt) = self.attempts.remove(id) else {
                     return;
                 };
                 self.record_ended(now, id, RunStatus::NotRun);
-                self.send_refusal(now, attempt.entry.as_ref(), id, refusal, out);
+                self.send_refusal(now, attempt.entry.as_ref(), id, error, out);
             }
         }
     }
@@ -113,7 +113,7 @@
         }
         match attempt.phase {
             Phase::WaitingForIdle { until } if until <= now => {
-                Err(self.gate_full_refusal())
+                Err(self.gate_full_error())
             }
             _ => Ok(false),
         }
--- a/crates/role/src/agent/heartbeat.rs
+++ b/crates/role/src/agent/heartbeat.rs
@@ -6,12 +6,12 @@
 use schema::link::{Goodbye, Heartbeat, Resident, ResidentState, frame};
 use std::collections::BTreeMap;
 
-/// Number of heartbeats between two `ConfigAsk` frames, so that an agent that
-/// receives no work learns of new revisions as well.
+/// Every so many heartbeats, the agent sends `ConfigAsk` to one entry, each in
+/// turn. An agent that receives no work learns of new revisions only by this.
 const HEARTBEATS_PER_CONFIG_ASK: u64 = 4;
 
-/// State that entries route by; a change is sent at once, not at the next
-/// interval.
+/// State by which entries choose agents; a change is sent at once and does not
+/// wait for the next periodic heartbeat.
 #[derive(Debug, Default, PartialEq, Eq)]
 struct AdvertisedState {
     /// State and size in MiB of each resident.
@@ -60,7 +60,7 @@
         now: Instant,
         out: &mut Vec<AgentAction>,
     ) {
-        let advertised = self.advertised();
+        let advertised = self.state_to_advertise();
         let changed = advertised != self.heartbeat_state.advertised;
         if !changed && now < self.heartbeat_state.next_at {
             return;
@@ -80,22 +80,24 @@
         self.ask_next_entry_for_config(now, &entries, out);
     }
 
+    /// Sends `ConfigAsk` to the entry whose turn it is, if it is due with this
+    /// heartbeat.
     fn ask_next_entry_for_config(
         &mut self,
         now: Instant,
         entries: &[EntryId],
         out: &mut Vec<AgentAction>,
     ) {
-        let turn = self.heartbeat_state.sequence / HEARTBEATS_PER_CONFIG_ASK;
-        let is_turn = self
+        let ask_number = self.heartbeat_state.sequence / HEARTBEATS_PER_CONFIG_ASK;
+        let is_due = self
             .heartbeat_state
             .sequence
             .is_multiple_of(HEARTBEATS_PER_CONFIG_ASK);
-        if entries.is_empty() || !is_turn || !self.config_sync.try_begin_ask(now) {
+        if entries.is_empty() || !is_due || !self.config_sync.try_begin_ask(now) {
             return;
         }
         let count = u64::try_from(entries.len()).unwrap_or(1);
-        let index = usize::try_from(turn % count).unwrap_or(0);
+        let index = usize::try_from(ask_number % count).unwrap_or(0);
         self.send_config_ask(&entries[index], out);
     }
 
@@ -109,7 +111,7 @@
             epoch: self.record.epoch().0,
             pool: self.options.pool.as_str().to_owned(),
             failure_domain: self.options.failure_domain.as_str().to_owned(),
-            load: Some(self.load_hint(now)),
+            load: Some(self.load_report(now)),
             leaving: self.drain.is_some(),
             upstream_up: self.upstream.is_up(),
             accelerators_mib: pool
@@ -124,7 +126,7 @@
     }
 
     fn build_residents(&mut self, now: Instant) -> Vec<Resident> {
-        let advertised = self.advertised().residents;
+        let advertised = self.state_to_advertise().residents;
         let state_since = &mut self.heartbeat_state.state_since;
         state_since.retain(|placement, _| advertised.contains_key(placement));
         let residents = advertised
@@ -147,9 +149,9 @@
         residents.collect()
     }
 
-    fn advertised(&self) -> AdvertisedState {
+    fn state_to_advertise(&self) -> AdvertisedState {
         AdvertisedState {
-            residents: self.advertised_residents(),
+            residents: self.residents_to_advertise(),
             upstream_up: self.upstream.is_up(),
             leaving: self.drain.is_some(),
             epoch: self.record.epoch().0,
@@ -157,9 +159,9 @@
         }
     }
 
-    /// Returns everything that occupies memory or may come to: residents, and
-    /// loads that may still take effect.
-    fn advertised_residents(&self) -> BTreeMap<Placement, (ResidentState, u32)> {
+    /// Returns everything that occupies accelerator memory or may do so later:
+    /// residents, and loads that may still take effect.
+    fn residents_to_advertise(&self) -> BTreeMap<Placement, (ResidentState, u32)> {
         let mut advertised = BTreeMap::new();
         for order in self.ledger.orders().filter(|order| order.load) {
             let value = (ResidentState::Loading, order.size_mib);
@@ -179,6 +181,7 @@
         advertised
     }
 
+    /// Tells the connected entries that this process is leaving.
     pub(super) fn send_goodbyes(&self, out: &mut Vec<AgentAction>) {
         for entry in &self.connected_entries {
             let goodbye = Goodbye {
--- a/crates/role/src/agent/mod.rs
+++ b/crates/role/src/agent/mod.rs
@@ -8,7 +8,7 @@
 //! - *Admission.* Every refusal is decided before the attempt is handed to the
 //!   upstream, so `not_run` is always true. A revoked attempt leaves a
 //!   tombstone that refuses a late `Run`.
-//! - *At most once.* A non-idempotent call with an idempotency key is claimed
+//! - *At most once.* A non-idempotent request with an idempotency key is claimed
 //!   before it is handed over (crate `once`).
 //! - *Memory.* The ledger (crate `mem`) reserves memory before an order is
 //!   started, and the order's intent is recorded under the agent's epoch before
--- a/crates/role/src/agent/orders.rs
+++ b/crates/role/src/agent/orders.rs
@@ -47,13 +47,14 @@
 }
 
 impl Orders {
-    /// Whether a copy of a model version waits to be unloaded.
+    /// Whether a model version waits to be unloaded from some accelerator.
     pub(super) fn is_unload_pending(&self, model: &str, version: u32) -> bool {
         self.pending_unloads.iter().any(|placement| {
             placement.model.as_str() == model && placement.version == version
         })
     }
 
+    /// Whether a resident waits to be unloaded.
     pub(super) fn is_unload_pending_at(&self, placement: &Placement) -> bool {
         self.pending_unloads.contains(placement)
     }
@@ -95,7 +96,8 @@
         })
     }
 
-    /// Advances all orders by one step.
+    /// Plans new orders, sends those whose intents are recorded, resends those
+    /// whose end is not reported, and writes the record.
     pub(super) fn advance_orders(&mut self, now: Instant, out: &mut Vec<AgentAction>) {
         self.orders.refused_until.retain(|_, until| *until > now);
         if !self.is_engine() || self.record.is_fenced() {
@@ -115,7 +117,7 @@
     fn plan_orders(&mut self, now: Instant) {
         self.orders.pending_unloads.clear();
         // Plan nothing that could not be carried out: while the platform is
-        // away, all models stay loaded and keep serving.
+        // unreachable, all models stay loaded and keep serving.
         if !self.record.is_writable(now)
             || self.upstream.highest_fencing_epoch() > self.record.epoch().0
         {
@@ -203,6 +205,8 @@
             .any(|other| is_base(other) || is_being_replaced(other))
     }
 
+    /// Reserves memory for a new order in the ledger, unless the same order was
+    /// refused a short time ago.
     fn reserve(
         &mut self,
         load: bool,
@@ -304,7 +308,10 @@
         let due = self.orders.resend_at.iter().filter(|(_, at)| **at <= now);
         let ids: Vec<u64> = due.map(|(id, _)| *id).collect();
         for id in ids {
-            let not_in_progress = self.ledger.order(id).is_some_and(|o| !o.in_progress);
+            let not_in_progress = self
+                .ledger
+                .order(id)
+                .is_some_and(|order| !order.in_progress);
             let can_send = self.record.is_confirmed() && self.upstream.is_up();
             if not_in_progress && can_send && self.record.contains_intent(id) {
                 self.send_order(now, id, out);
@@ -316,10 +323,15 @@
         }
     }
 
+    /// Writes the record if it lacks an intent, or if the removal of ended intents
+    /// is due.
     fn write_record(&mut self, now: Instant, out: &mut Vec<AgentAction>) {
         let intents = self.ledger.intents(&self.options.link_address);
-        let has_ended_intents =
-            self.record.intents().iter().any(|o| !intents.contains(o));
+        let has_ended_intents = self
+            .record
+            .intents()
+            .iter()
+            .any(|intent| !intents.contains(intent));
         let cleanup_at = self
             .orders
             .cleanup_at
@@ -327,8 +339,8 @@
         self.orders.cleanup_at = has_ended_intents.then_some(cleanup_at);
         let cleanup_due = has_ended_intents && cleanup_at <= now;
         if !self.record.is_writable(now) || self.record.has_call_in_flight() {
-            // The write must wait; the next attempt must not be due in the
-            // past.
+            // The record can't be written now, so the cleanup is postponed: the
+            // state machine's `due` ignores a time in the past.
             if cleanup_due {
                 self.orders.cleanup_at = Some(now.plus_ms(RESEND_INTERVAL_MS));
             }
@@ -336,7 +348,7 @@
         }
         // An intent inherited from a predecessor is written at once, too.
         let recorded = self.record.intents();
-        let unrecorded = intents.iter().any(|o| !recorded.contains(o));
+        let unrecorded = intents.iter().any(|intent| !recorded.contains(intent));
         if unrecorded || cleanup_due {
             self.orders.cleanup_at = None;
             self.record.write(now, intents, &mut self.client, out);
@@ -384,22 +396,22 @@
 
     pub(super) fn on_orders_ended(
         &mut self,
-        ends: Vec<EndedOrder>,
+        ended: Vec<EndedOrder>,
         out: &mut Vec<AgentAction>,
     ) {
-        for end in ends {
-            self.orders.resend_at.remove(&end.id);
-            let kind = match (end.took_effect, end.load) {
+        for order in ended {
+            self.orders.resend_at.remove(&order.id);
+            let kind = match (order.took_effect, order.load) {
                 (false, _) => continue,
                 (true, true) => EventKind::ModelLoaded,
                 (true, false) => EventKind::ModelUnloaded,
             };
-            match end.load {
+            match order.load {
                 true => self.counters.loads += 1,
                 false => self.counters.unloads += 1,
             }
-            let detail = format!("order {:x}", end.id);
-            timeline::model_event(kind, end.placement.model.as_str(), detail, out);
+            let detail = format!("order {:x}", order.id);
+            timeline::model_event(kind, order.placement.model.as_str(), detail, out);
         }
     }
 }
--- a/crates/role/src/agent/platform_client.rs
+++ b/crates/role/src/agent/platform_client.rs
@@ -1,4 +1,4 @@
-//! Call numbers and retry delays for calls of the platform.
+//! Call numbers and retry delays for the agent's calls to the platform.
 
 use base::{Instant, PlatformCall, PlatformOp};
 use rand_core::{Rng as _, SeedableRng as _};
@@ -10,7 +10,7 @@
 const RETRY_MIN_MS: u64 = 200;
 const RETRY_MAX_MS: u64 = 3_000;
 
-/// Numbers the calls and holds the random generator that spreads retries.
+/// Numbers the calls and holds the random generator for their retry delays.
 #[derive(Debug)]
 pub(super) struct PlatformClient {
     next_call_id: u64,
--- a/crates/role/src/agent/registration.rs
+++ b/crates/role/src/agent/registration.rs
@@ -31,9 +31,11 @@
     /// Version in the platform (`Some(None)` if absent); `None` if it must be
     /// read.
     known_version: Option<Option<ObjectVersion>>,
+    /// State last written; `None` if this process has written none.
     written: Option<DesiredState>,
     call: Option<(u64, Call)>,
     backoff: Backoff,
+    /// The registration belongs to a successor of this process.
     superseded: bool,
 }
 
--- a/crates/role/src/agent/status.rs
+++ b/crates/role/src/agent/status.rs
@@ -33,7 +33,7 @@
     pub target_planner: String,
     /// Number of attempts in progress.
     pub attempts: usize,
-    /// Claims held by running calls.
+    /// Claims held by attempts in progress.
     pub claims_held: usize,
 }
 
--- a/crates/role/src/agent/upstream.rs
+++ b/crates/role/src/agent/upstream.rs
@@ -1,13 +1,11 @@
-//! State of the upstream according to its reports.
+//! Evaluates the upstream's reports about itself.
 
-use super::UpstreamReport;
+use super::{UpstreamOrderState, UpstreamReport};
 use base::Instant;
 use mem::{
     MemoryReport, Placement, ReportedOrder, ReportedOrderState, ReportedResident,
 };
 
-use super::UpstreamOrderState;
-
 /// Smoothing of the averages: a new sample weighs one part in this many.
 const SMOOTHING: u64 = 8;
 
@@ -16,7 +14,8 @@
 pub(super) struct Upstream {
     up: bool,
     incarnation: Option<u64>,
-    made_at: Instant,
+    /// When the upstream made its last report.
+    report_made_at: Instant,
     waiting: u32,
     step_time_us: u64,
     service_ms: u64,
@@ -37,6 +36,7 @@
         self.up = false;
     }
 
+    /// Requests that wait to join the upstream's batch.
     pub(super) const fn waiting(&self) -> u32 {
         self.waiting
     }
@@ -57,8 +57,9 @@
         self.service_ms
     }
 
+    /// Time since the upstream made its last report.
     pub(super) fn report_age_ms(&self, now: Instant) -> u32 {
-        u32::try_from(now.ms_since(self.made_at)).unwrap_or(u32::MAX)
+        u32::try_from(now.ms_since(self.report_made_at)).unwrap_or(u32::MAX)
     }
 
     /// Records the duration of a completed attempt.
@@ -73,10 +74,12 @@
         now: Instant,
         report: &UpstreamReport,
     ) -> bool {
-        let restarted = self.incarnation.is_some_and(|i| i != report.incarnation);
+        let restarted = self
+            .incarnation
+            .is_some_and(|last| last != report.incarnation);
         self.up = true;
         self.incarnation = Some(report.incarnation);
-        self.made_at = made_at(now, report);
+        self.report_made_at = report_made_at(now, report);
         self.waiting = report.waiting;
         self.highest_fencing_epoch = report.highest_fencing_epoch;
         let step_us = u64::from(report.step_time_us);
@@ -95,12 +98,12 @@
 }
 
 /// When the upstream made a report, in this process's time.
-pub(super) fn made_at(now: Instant, report: &UpstreamReport) -> Instant {
+pub(super) fn report_made_at(now: Instant, report: &UpstreamReport) -> Instant {
     now - std::time::Duration::from_millis(u64::from(report.age_ms))
 }
 
 /// Extracts the part of a report that the memory ledger needs.
-pub(super) fn memory_state(now: Instant, report: &UpstreamReport) -> MemoryReport {
+pub(super) fn memory_report(now: Instant, report: &UpstreamReport) -> MemoryReport {
     let residents = report.residents.iter().map(|resident| ReportedResident {
         placement: Placement {
             accelerator: resident.accelerator,
@@ -120,7 +123,7 @@
     });
     MemoryReport {
         incarnation: report.incarnation,
-        made_at: made_at(now, report),
+        made_at: report_made_at(now, report),
         residents: residents.collect(),
         orders: orders.collect(),
     }
--- a/crates/role/src/agent/upstream_events.rs
+++ b/crates/role/src/agent/upstream_events.rs
@@ -1,7 +1,7 @@
 //! Processes what the upstream reports about attempts and forwards it to the
 //! entry.
 
-use super::attempt_lifecycle::{attempt_frame, retry_after};
+use super::attempt_lifecycle::{encode_attempt_id, encode_retry_after_ms};
 use super::attempts::{Attempt, Phase};
 use super::{AgentAction, AgentRole, UpstreamEvent, timeline};
 use base::prelude::*;
@@ -12,7 +12,7 @@
 /// Suggested retry delay after the upstream itself refused an attempt.
 const UPSTREAM_REFUSAL_RETRY_MS: u64 = 1_000;
 
-/// How long a non-idempotent call may run past its deadline before it is
+/// How long a non-idempotent request may run past its deadline before it is
 /// stopped.
 const NON_IDEMPOTENT_GRACE_MS: u64 = 60_000;
 
@@ -61,8 +61,8 @@
         let entry = attempt.entry.clone();
         timeline::attempt_event(EventKind::RequestStarted, id, 0, out);
         let body = frame::Body::Started(Started {
-            attempt: attempt_frame(id),
-            load: Some(self.load_hint(now)),
+            attempt: encode_attempt_id(id),
+            load: Some(self.load_report(now)),
         });
         self.send(entry.as_ref(), body, out);
     }
@@ -150,9 +150,9 @@
         };
         let handed_over = attempt.is_handed_over();
         if ran == RunStatus::NotRun {
-            let refusal = RequestError::not_run(ErrorCode::UpstreamFault)
+            let error = RequestError::not_run(ErrorCode::UpstreamFault)
                 .retry_after_ms(UPSTREAM_REFUSAL_RETRY_MS);
-            self.withdraw_attempt(now, id, refusal, handed_over, out);
+            self.withdraw_attempt(now, id, error, handed_over, out);
             return;
         }
         // If the upstream has died, its next report will say so, and this
@@ -180,17 +180,14 @@
         &mut self,
         now: Instant,
         id: AttemptId,
-        refusal: RequestError,
+        error: RequestError,
         handed_over: bool,
         out: &mut Vec<AgentAction>,
     ) {
         let Some(attempt) = self.attempts.get_mut(id) else {
             return;
         };
-        attempt.phase = Phase::Releasing {
-            refusal,
-            handed_over,
-        };
+        attempt.phase = Phase::Releasing { error, handed_over };
         if attempt.needs_claim {
             self.release_claim(now, id, out);
         } else {
@@ -206,11 +203,7 @@
         out: &mut Vec<AgentAction>,
     ) {
         let phase = self.attempts.get(id).map(|attempt| attempt.phase);
-        let Some(Phase::Releasing {
-            refusal,
-            handed_over,
-        }) = phase
-        else {
+        let Some(Phase::Releasing { error, handed_over }) = phase else {
             return;
         };
         let Some(attempt) = self.attempts.remove(id) else {
@@ -218,15 +211,15 @@
         };
         self.record_ended(now, id, RunStatus::NotRun);
         if !handed_over {
-            self.send_refusal(now, attempt.entry.as_ref(), id, refusal, out);
+            self.send_refusal(now, attempt.entry.as_ref(), id, error, out);
             return;
         }
         self.counters.failed += 1;
         let end = End {
-            retry_after_ms: retry_after(&refusal),
+            retry_after_ms: encode_retry_after_ms(&error),
             total_units: attempt.offset,
             upstream_incarnation: attempt.upstream_incarnation,
-            ..self.end_frame(now, id, refusal.code.number(), RunStatus::NotRun)
+            ..self.end_frame(now, id, error.code.number(), RunStatus::NotRun)
         };
         self.send(attempt.entry.as_ref(), frame::Body::End(end), out);
     }
@@ -240,10 +233,10 @@
         ran: RunStatus,
     ) -> End {
         End {
-            attempt: attempt_frame(id),
+            attempt: encode_attempt_id(id),
             code,
             ran: ran.number(),
-            load: Some(self.load_hint(now)),
+            load: Some(self.load_report(now)),
             ..End::default()
         }
     }
@@ -274,9 +267,9 @@
 
     /// Settles the claim of an attempt that has no complete answer.
     ///
-    /// For a call that ran, the claim records that its outcome is unknown, so
-    /// that a resend is answered at once. If it is not even known whether the
-    /// call ran, the claim stays open.
+    /// For an attempt that ran, the claim records that its outcome is unknown, so
+    /// that a later request with the same key is answered at once. If it is not
+    /// even known whether the attempt ran, the claim stays open.
     fn close_claim(
         &mut self,
         now: Instant,
@@ -315,11 +308,11 @@
             );
             self.end_attempt(now, id, end, out);
         }
-        let is_late = |attempt: &Attempt| {
-            let runs = matches!(attempt.phase, Phase::Starting | Phase::Running);
-            runs && attempt.deadline <= now
+        let is_overdue = |attempt: &Attempt| {
+            let in_progress = matches!(attempt.phase, Phase::Starting | Phase::Running);
+            in_progress && attempt.deadline <= now
         };
-        for id in self.attempts.ids_matching(is_late) {
+        for id in self.attempts.ids_matching(is_overdue) {
             self.on_deadline(now, id, out);
         }
     }
--- a/crates/role/src/agent/upstream_health.rs
+++ b/crates/role/src/agent/upstream_health.rs
@@ -2,7 +2,7 @@
 //! crash.
 
 use super::attempts::Attempt;
-use super::upstream::memory_state;
+use super::upstream::memory_report;
 use super::{AgentAction, AgentRole, UpstreamReport, timeline};
 use base::prelude::*;
 use schema::link::End;
@@ -20,8 +20,8 @@
         let restarted = self.upstream.apply_report(now, report);
         // A fencing epoch higher than this agent's epoch shows that a successor
         // sends orders.
-        let raised = report.highest_fencing_epoch > epoch_before;
-        if raised
+        let epoch_raised = report.highest_fencing_epoch > epoch_before;
+        if epoch_raised
             && report.highest_fencing_epoch > self.record.epoch().0
             && self.record.is_confirmed()
         {
@@ -35,9 +35,9 @@
             self.end_crashed_attempts(now, out);
         }
         if self.is_engine() || self.config().is_none() {
-            let state = memory_state(now, report);
-            let ends = self.ledger.apply_report(now, &state);
-            self.on_orders_ended(ends, out);
+            let memory = memory_report(now, report);
+            let ended = self.ledger.apply_report(now, &memory);
+            self.on_orders_ended(ended, out);
             self.adjust_concurrency_limit(report.step_time_us);
         }
     }
--- a/crates/role/src/entry/accept.rs
+++ b/crates/role/src/entry/accept.rs
@@ -22,7 +22,7 @@
 ///
 /// # Errors
 ///
-/// The refusal to send; the request was not run.
+/// The error to send to the caller; the request was not run.
 pub(super) fn accept(
     ctx: &mut Ctx<'_>,
     incoming: Box<IncomingRequest>,
@@ -65,12 +65,12 @@
             refuse(ErrorCode::CallerLimit).retry_after_ms(CALLER_LIMIT_RETRY_MS)
         );
     }
-    let percent = config.limits().retry_percent;
+    let retry_percent = config.limits().retry_percent;
     ctx.shared.workload.lock().record_arrival(
         ctx.now,
         &resolved.resource,
         resolved.value,
-        percent,
+        retry_percent,
     );
     Ok(Request {
         caller: caller.id.clone(),
--- a/crates/role/src/entry/circuit_breakers.rs
+++ b/crates/role/src/entry/circuit_breakers.rs
@@ -15,15 +15,15 @@
 use super::timeline::TimelineEvent;
 
 /// Time without a probe or a change of the breaker after which every entry may
-/// probe, with any request: the designated entry may receive no request to probe
-/// with.
+/// probe, with any request. The entry chosen to probe may receive no request for
+/// this upstream.
 const PROBER_TIMEOUT_MS: u64 = 10_000;
 
 /// How long a closed breaker is still sent in gossip.
 const RECOVERY_GOSSIP_MS: u64 = 60_000;
 
 #[derive(Debug)]
-struct BreakerEntry {
+struct TrackedBreaker {
     breaker: CircuitBreaker,
     /// When the breaker opened or closed, or this entry last sent a probe.
     changed_at: Instant,
@@ -32,7 +32,7 @@
 /// Circuit breakers by agent. An agent whose upstream never failed has none.
 #[derive(Debug, Default)]
 pub(crate) struct CircuitBreakers {
-    upstreams: BTreeMap<AgentId, BreakerEntry>,
+    upstreams: BTreeMap<AgentId, TrackedBreaker>,
     open_count: usize,
 }
 
@@ -53,8 +53,8 @@
 
     /// Whether the breaker is open, so that the upstream gets only probes.
     pub(crate) fn is_failing(&self, agent: &AgentId) -> bool {
-        let entry = self.upstreams.get(agent);
-        entry.is_some_and(|entry| entry.breaker.is_open())
+        let tracked = self.upstreams.get(agent);
+        tracked.is_some_and(|tracked| tracked.breaker.is_open())
     }
 
     /// Reserves the next probe for a request; if it returns true, the request has to
@@ -69,15 +69,15 @@
         is_prober: bool,
         idempotent: bool,
     ) -> bool {
-        let Some(entry) = self.upstreams.get_mut(agent) else {
+        let Some(tracked) = self.upstreams.get_mut(agent) else {
             return false;
         };
-        let prober_timed_out = now.ms_since(entry.changed_at) >= PROBER_TIMEOUT_MS;
+        let prober_timed_out = now.ms_since(tracked.changed_at) >= PROBER_TIMEOUT_MS;
         let may_probe = prober_timed_out || is_prober && idempotent;
         let probe =
-            entry.breaker.acquire_permission(now, may_probe) == Permission::Probe;
+            tracked.breaker.acquire_permission(now, may_probe) == Permission::Probe;
         if probe {
-            entry.changed_at = now;
+            tracked.changed_at = now;
         }
         probe
     }
@@ -100,26 +100,26 @@
     pub(crate) fn merge(
         &mut self,
         now: Instant,
-        from: &UpstreamVerdict,
+        remote: &UpstreamVerdict,
     ) -> Option<BreakerChange> {
         let state = BreakerState {
-            version: from.version,
-            open: from.open,
+            version: remote.version,
+            open: remote.open,
         };
-        let agent = AgentId::new(&from.agent);
+        let agent = AgentId::new(&remote.agent);
         self.update(now, &agent, |breaker| breaker.merge(now, state))
     }
 
     /// States to send in gossip: all open breakers and those closed recently. They
     /// are repeated, so that a lost message delays them by one heartbeat only.
     pub(crate) fn export(&self, now: Instant) -> Vec<UpstreamVerdict> {
-        let to_send = self.upstreams.iter().filter(|(_, entry)| {
-            let recent = now.ms_since(entry.changed_at) < RECOVERY_GOSSIP_MS;
-            entry.breaker.is_open() || entry.breaker.state().version > 0 && recent
+        let to_send = self.upstreams.iter().filter(|(_, tracked)| {
+            let recent = now.ms_since(tracked.changed_at) < RECOVERY_GOSSIP_MS;
+            tracked.breaker.is_open() || tracked.breaker.state().version > 0 && recent
         });
         to_send
-            .map(|(agent, entry)| {
-                let state = entry.breaker.state();
+            .map(|(agent, tracked)| {
+                let state = tracked.breaker.state();
                 UpstreamVerdict {
                     agent: agent.to_string(),
                     version: state.version,
@@ -141,18 +141,18 @@
         agent: &AgentId,
         work: impl FnOnce(&mut CircuitBreaker),
     ) -> Option<BreakerChange> {
-        let entry = self.upstreams.entry(agent.clone());
-        let entry = entry.or_insert_with(|| BreakerEntry {
+        let tracked = self.upstreams.entry(agent.clone());
+        let tracked = tracked.or_insert_with(|| TrackedBreaker {
             breaker: CircuitBreaker::new(),
             changed_at: now,
         });
-        let before = entry.breaker.is_open();
-        work(&mut entry.breaker);
-        let after = entry.breaker.is_open();
+        let before = tracked.breaker.is_open();
+        work(&mut tracked.breaker);
+        let after = tracked.breaker.is_open();
         if before == after {
             return None;
         }
-        entry.changed_at = now;
+        tracked.changed_at = now;
         self.recount_open();
         Some(match after {
             true => BreakerChange::Failing,
@@ -161,8 +161,8 @@
     }
 
     fn recount_open(&mut self) {
-        let entry = self.upstreams.values();
-        self.open_count = entry.filter(|entry| entry.breaker.is_open()).count();
+        let tracked = self.upstreams.values();
+        self.open_count = tracked.filter(|tracked| tracked.breaker.is_open()).count();
     }
 }
 
--- a/crates/role/src/entry/control/config.rs
+++ b/crates/role/src/entry/control/config.rs
@@ -29,7 +29,7 @@
         effects: &mut Effects,
     ) {
         match ConfigChanges::decode(value) {
-            Ok(offered) => self.merge_config(&offered, shared, out, effects),
+            Ok(snapshot) => self.merge_config(&snapshot, shared, out, effects),
             Err(error) => record_rejected(shared, &error, out),
         }
     }
@@ -49,16 +49,16 @@
             .collect();
         changes.sort_by_key(|change| change.revision);
         let next = self.config_log.revision().0 + 1;
-        let first_new = changes.iter().map(|change| change.revision);
-        let gap = first_new
+        let revisions = changes.iter().map(|change| change.revision);
+        let gap = revisions
             .filter(|revision| *revision >= next)
             .min()
             .is_some_and(|revision| revision > next);
-        let offered = ConfigChanges {
+        let received = ConfigChanges {
             changes,
             ..ConfigChanges::default()
         };
-        self.merge_config(&offered, shared, out, effects);
+        self.merge_config(&received, shared, out, effects);
         gap
     }
 
@@ -66,13 +66,13 @@
     /// unchanged.
     pub(super) fn merge_config(
         &mut self,
-        offered: &ConfigChanges,
+        changes: &ConfigChanges,
         shared: &Shared,
         out: &mut Vec<EntryAction>,
         effects: &mut Effects,
     ) {
         let before = self.config_log.revision();
-        if let Err(error) = self.config_log.apply_newer(offered) {
+        if let Err(error) = self.config_log.apply_newer(changes) {
             record_rejected(shared, &error, out);
         }
         if self.config_log.revision() == before {
@@ -82,6 +82,7 @@
         effects.wake_all = true;
     }
 
+    /// Puts a new configuration into effect here.
     fn config_applied(
         &mut self,
         before: Revision,
@@ -91,15 +92,15 @@
         let Some(config) = self.config_log.current() else {
             return;
         };
-        let timing = SilenceLimits::new(config.limits().heartbeat_ms);
-        self.directory.set_silence_limits(timing);
-        self.entries.set_silence_limits(timing);
+        let silence_limits = SilenceLimits::new(config.limits().heartbeat_ms);
+        self.directory.set_silence_limits(silence_limits);
+        self.entries.set_silence_limits(silence_limits);
         let verdict_ms = u64::from(config.limits().verdict_ms);
         shared.suspects.lock().set_verdict_ms(verdict_ms);
         let detail =
             format!("revision {} replaces {before}", self.config_log.revision());
         TimelineEvent::new(EventKind::ConfigApplied, detail).record(out);
-        self.set_ready(out);
+        self.update_ready(out);
     }
 
     /// Requests the missing changes from a peer that has a higher revision in force.
@@ -149,7 +150,7 @@
 }
 
 fn record_rejected(shared: &Shared, error: &impl Display, out: &mut Vec<EntryAction>) {
-    Counts::add(&shared.counts.config_rejected);
+    Counts::increment(&shared.counts.config_rejected);
     let detail = format!("configuration change rejected: {error}");
     TimelineEvent::new(EventKind::ConfigRejected, detail)
         .code(ErrorCode::BadSyntax)
--- a/crates/role/src/entry/control/forecast.rs
+++ b/crates/role/src/entry/control/forecast.rs
@@ -100,14 +100,14 @@
         if spec.base.is_some() {
             return Some(load_ms + PLAN_DELAY_MS);
         }
-        let room_at = self.forecast.room_from(spec);
+        let room_at = self.forecast.earliest_room_at(spec);
         let room_at = room_at.or_else(|| self.can_fit(spec).then_some(now))?;
         let start = room_at.max(self.forecast.next_load_start).max(now);
         Some(start.ms_since(now) + load_ms + PLAN_DELAY_MS)
     }
 
-    /// Whether any accelerator is large enough for a model. Also considers agents first
-    /// heard after the last forecast.
+    /// Whether any accelerator is large enough for a model. Also considers agents that
+    /// became known after the last forecast.
     fn can_fit(&self, spec: &ModelSpec) -> bool {
         let agents = self.directory.agents().filter(|agent| can_load(agent));
         let mut of_pool = agents.filter(|agent| agent.pool == spec.pool);
@@ -218,7 +218,7 @@
     }
 
     /// Earliest time at which an accelerator has room for a model.
-    fn room_from(&self, spec: &ModelSpec) -> Option<Instant> {
+    fn earliest_room_at(&self, spec: &ModelSpec) -> Option<Instant> {
         let candidates = self.accelerators.iter();
         let fitting = candidates.filter(|accelerator| accelerator.pool == spec.pool);
         let times =
--- a/crates/role/src/entry/control/frames.rs
+++ b/crates/role/src/entry/control/frames.rs
@@ -33,9 +33,9 @@
                 self.receive_gossip(now, gossip, shared, out, effects);
             }
             (frame::Body::ConfigAsk(ask), _) => self.send_config(peer, ask, out),
-            (frame::Body::ConfigChanges(offered), _) => {
+            (frame::Body::ConfigChanges(changes), _) => {
                 self.config_requested_at = None;
-                self.merge_config(&offered, shared, out, effects);
+                self.merge_config(&changes, shared, out, effects);
             }
             (frame::Body::Goodbye(goodbye), _) => {
                 self.goodbye(peer, &goodbye, out, effects);
@@ -49,7 +49,7 @@
         &mut self,
         now: Instant,
         heartbeat: Heartbeat,
-        heard: HeartbeatSource,
+        source: HeartbeatSource,
         out: &mut Vec<EntryAction>,
         effects: &mut Effects,
     ) {
@@ -59,7 +59,7 @@
         let mut changes = Vec::new();
         if !self
             .directory
-            .record_heartbeat(now, heartbeat, heard, &mut changes)
+            .record_heartbeat(now, heartbeat, source, &mut changes)
         {
             return;
         }
@@ -71,8 +71,9 @@
         effects.agents_with_capacity.insert(id);
     }
 
-    /// Handles the configuration revision that came with a peer's frame.
-    pub(crate) fn heard_revision(
+    /// Requests newer configuration changes from a peer whose frame named a higher
+    /// revision than the one in force here.
+    pub(crate) fn peer_revision_received(
         &mut self,
         now: Instant,
         peer: &Peer,
--- a/crates/role/src/entry/control/freeze.rs
+++ b/crates/role/src/entry/control/freeze.rs
@@ -18,11 +18,12 @@
 /// The latest freeze of the process.
 #[derive(Debug)]
 pub(super) struct Freeze {
+    /// Duration of the freeze.
     gap_ms: u64,
-    /// Until when the gap is discounted from silences. An agent that is not heard by
+    /// Until when the gap is discounted from silences. An agent that sends nothing by
     /// then has been silent for the whole limit since the process resumed.
     discount_until: Instant,
-    /// When the frames received during the freeze have been read.
+    /// By when the frames that arrived during the freeze are assumed to have been read.
     backlog_read_by: Instant,
 }
 
@@ -45,7 +46,7 @@
         self.due().map(|due| due.plus_ms(late_ms))
     }
 
-    /// Notes a freeze, if one has just ended.
+    /// Detects a freeze that has just ended, and records it.
     pub(crate) fn detect_freeze(&mut self, now: Instant) {
         let (Some(due), Some(threshold)) = (self.due(), self.freeze_threshold()) else {
             return;
@@ -53,15 +54,15 @@
         if now < threshold {
             return;
         }
-        let timing = self.directory.silence_limits();
+        let silence_limits = self.directory.silence_limits();
         let before_ms = match due < self.freeze.discount_until {
             true => self.freeze.gap_ms,
             false => 0,
         };
         self.freeze = Freeze {
             gap_ms: before_ms + now.ms_since(due),
-            discount_until: now.plus_ms(timing.lost_ms()),
-            backlog_read_by: now.plus_ms(timing.heartbeat_ms()),
+            discount_until: now.plus_ms(silence_limits.lost_ms()),
+            backlog_read_by: now.plus_ms(silence_limits.heartbeat_ms()),
         };
         // Reset the overdue timers, so that the next event does not find them late.
         let mut late = Vec::new();
@@ -81,8 +82,9 @@
         }
     }
 
-    /// When the frames that peers sent during a freeze have been read. Until then no
-    /// plan is made, and no attempt counts as silent.
+    /// By when the frames that peers sent during a freeze are assumed to have been read:
+    /// one heartbeat interval after its end. Until then no plan is made, and no attempt
+    /// counts as silent.
     pub(crate) const fn backlog_read_by(&self) -> Instant {
         self.freeze.backlog_read_by
     }
--- a/crates/role/src/entry/control/gossip.rs
+++ b/crates/role/src/entry/control/gossip.rs
@@ -15,14 +15,15 @@
 /// Limit of models whose demand is accepted from one entry.
 const DEMANDS_MAX: usize = 4_096;
 
-/// Limit, each, of the heartbeats, silences, suspects and verdicts accepted from one
-/// gossip message.
+/// Limit, for each kind of item, of the heartbeats, silences, suspect requests and circuit
+/// breaker states accepted from one gossip message.
 const ITEMS_MAX: usize = 4_096;
 
 /// Minimum interval between gossip messages sent ahead of the next heartbeat.
 const GOSSIP_MIN_INTERVAL_MS: u64 = 20;
 
-/// State of the gossip with other entries.
+/// State of this entry's gossip: messages to the other entries with heartbeats, demand,
+/// suspect requests and circuit breaker states.
 #[derive(Debug)]
 pub(crate) struct GossipState {
     sequence: u64,
@@ -120,10 +121,11 @@
         let suspect_ms = self.directory.silence_limits().suspect_ms();
         let mut heartbeats = Vec::new();
         for agent in self.directory.agents() {
-            let direct = agent.last_heard_directly_at;
-            let heard = direct.is_some_and(|at| now.ms_since(at) < suspect_ms);
+            let heard_at = agent.last_heard_directly_at;
+            let heard_recently =
+                heard_at.is_some_and(|at| now.ms_since(at) < suspect_ms);
             let newest = (agent.incarnation, agent.sequence);
-            if heard && self.gossip.relayed.get(&agent.id) != Some(&newest) {
+            if heard_recently && self.gossip.relayed.get(&agent.id) != Some(&newest) {
                 self.gossip.relayed.insert(agent.id.clone(), newest);
                 heartbeats.push(agent.last_heartbeat.clone());
             }
@@ -135,6 +137,7 @@
         heartbeats
     }
 
+    /// Agents from which this entry has received no heartbeat for the suspicion limit.
     fn silences(&self, now: Instant) -> Vec<Silence> {
         let suspect_ms = self.directory.silence_limits().suspect_ms();
         let agents = self.directory.agents();
@@ -190,16 +193,16 @@
         for suspect in gossip.suspects.iter().take(ITEMS_MAX) {
             merge_suspect(now, suspect, shared, out, effects);
         }
-        for verdict in gossip.verdicts.iter().take(ITEMS_MAX) {
-            self.merge_verdict(now, &from, verdict, shared, out, effects);
+        for state in gossip.verdicts.iter().take(ITEMS_MAX) {
+            self.merge_breaker_state(now, &from, state, shared, out, effects);
         }
         let mut demands = gossip.demands;
         demands.truncate(DEMANDS_MAX);
-        let unheld_model_awaited = demands.iter().any(|demand| {
+        let awaits_unheld_model = demands.iter().any(|demand| {
             demand.waiting > 0 && self.directory.holders(&demand.model).next().is_none()
         });
         self.gossip.demands.insert(from, demands);
-        if unheld_model_awaited {
+        if awaits_unheld_model {
             effects.set_plan_job(self.plan_soon(now, shared));
         }
     }
@@ -207,20 +210,20 @@
 
 impl Control {
     /// Merges another entry's circuit breaker state of an upstream.
-    fn merge_verdict(
+    fn merge_breaker_state(
         &self,
         now: Instant,
         from: &EntryId,
-        verdict: &UpstreamVerdict,
+        state: &UpstreamVerdict,
         shared: &Shared,
         out: &mut Vec<EntryAction>,
         effects: &mut Effects,
     ) {
-        let agent = AgentId::new(&verdict.agent);
+        let agent = AgentId::new(&state.agent);
         if self.directory.get(&agent).is_none() {
             return;
         }
-        let change = shared.breakers.lock().merge(now, verdict);
+        let change = shared.breakers.lock().merge(now, state);
         if let Some(change) = change {
             change.record(&agent, &format!("reported by {from}"), out);
             effects.agents_with_capacity.insert(agent);
--- a/crates/role/src/entry/control/instances.rs
+++ b/crates/role/src/entry/control/instances.rs
@@ -37,15 +37,14 @@
     /// While entries see different peers alive, too many or too few of them may watch;
     /// if too few do, polling finds the changes.
     pub(super) fn is_watcher(&self, now: Instant) -> bool {
-        let own_weight = rendezvous_rank(WATCHER_KEY, self.own_id.as_str());
+        let own_rank = rendezvous_rank(WATCHER_KEY, self.own_id.as_str());
         let others = self.entries.all().filter(|entry| {
             entry.failure_domain == self.failure_domain
                 && !entry.leaving
                 && self.entries.is_alive(now, &entry.id)
         });
-        let higher_ranked = others.filter(|entry| {
-            rendezvous_rank(WATCHER_KEY, entry.id.as_str()) > own_weight
-        });
+        let higher_ranked = others
+            .filter(|entry| rendezvous_rank(WATCHER_KEY, entry.id.as_str()) > own_rank);
         higher_ranked.count() < WATCHERS_PER_DOMAIN
     }
 
--- a/crates/role/src/entry/control/links.rs
+++ b/crates/role/src/entry/control/links.rs
@@ -33,6 +33,7 @@
         }
     }
 
+    /// Connects to the process that a member record names.
     pub(super) fn apply_member(&mut self, member: &Member, out: &mut Vec<EntryAction>) {
         let kind = match member.kind.as_str() {
             "entry" => MemberKind::Entry,
@@ -197,6 +198,7 @@
         TimelineEvent::new(kind, detail).peer(id).record(out);
     }
 
+    /// Tells all connected peers that this process is leaving.
     pub(super) fn send_goodbye(&self, shared: &Shared, out: &mut Vec<EntryAction>) {
         for peer in self.links.keys() {
             out.push(EntryAction::SendFrame {
--- a/crates/role/src/entry/control/mod.rs
+++ b/crates/role/src/entry/control/mod.rs
@@ -52,7 +52,7 @@
 /// the end of the previous turn.
 const EXCLUSIVE_TURN_GUARD_MS: u64 = 1_000;
 
-/// Why the entry stops waiting for the attempts at an agent.
+/// Why the entry gives up the attempts in flight at an agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum GoneReason {
     /// The link broke: frames may be lost, and the agent can't be queried.
@@ -63,7 +63,7 @@
     Lost,
 }
 
-/// Liveness checks of all agents in each heartbeat interval.
+/// Number of times in each heartbeat interval that the liveness of all agents is checked.
 const LIVENESS_CHECKS_PER_HEARTBEAT: u64 = 5;
 
 /// Effects of a change of the control state on requests.
@@ -135,10 +135,10 @@
         now: Instant,
         out: &mut Vec<EntryAction>,
     ) -> Self {
-        let timing = SilenceLimits::new(HEARTBEAT_DEFAULT_MS);
+        let silence_limits = SilenceLimits::new(HEARTBEAT_DEFAULT_MS);
         let mut control = Self {
-            directory: AgentDirectory::new(timing),
-            entries: EntryTable::new(timing),
+            directory: AgentDirectory::new(silence_limits),
+            entries: EntryTable::new(silence_limits),
             config_log: ConfigLog::new(),
             leaving: false,
             ready: false,
@@ -190,7 +190,7 @@
 
     /// Whether the platform answers.
     pub(crate) const fn platform_up(&self) -> bool {
-        self.platform.up()
+        self.platform.is_up()
     }
 
     /// Whether this process started so recently that it may not know all agents.
@@ -318,13 +318,14 @@
         self.leaving = true;
         let detail = "accepts no new requests, finishes those in progress";
         TimelineEvent::new(EventKind::ProcessDraining, detail).record(out);
-        self.set_ready(out);
+        self.update_ready(out);
         self.register(shared, out);
         self.send_gossip(now, shared, out);
         self.planning.stop();
     }
 
-    fn set_ready(&mut self, out: &mut Vec<EntryAction>) {
+    /// Reports whether the process accepts requests, if that has changed.
+    fn update_ready(&mut self, out: &mut Vec<EntryAction>) {
         let ready = self.config().is_some() && !self.leaving;
         if ready == self.ready {
             return;
@@ -345,7 +346,7 @@
         shared: &Shared,
         out: &mut Vec<EntryAction>,
     ) {
-        if self.platform.unregistering() || self.exited {
+        if self.platform.is_unregistering() || self.exited {
             return;
         }
         self.send_goodbye(shared, out);
--- a/crates/role/src/entry/control/plan.rs
+++ b/crates/role/src/entry/control/plan.rs
@@ -43,6 +43,7 @@
 pub(crate) struct Planning {
     cells: BTreeMap<String, CellPlan>,
     planned_at: Option<Instant>,
+    /// A timer is set for a round ahead of the next interval.
     scheduled: bool,
     /// Since when a round has been running outside of the control state's lock.
     running_since: Option<Instant>,
@@ -114,6 +115,7 @@
         }
     }
 
+    /// Forgets the cells: other entries plan them from now on.
     pub(super) fn stop(&mut self) {
         self.cells.clear();
     }
@@ -157,7 +159,7 @@
         self.plan_now(now, shared)
     }
 
-    /// Starts a round now, or schedules it for when the minimum interval has passed.
+    /// Starts a round of planning now, or schedules it for when the minimum interval has passed.
     pub(crate) fn plan_soon(
         &mut self,
         now: Instant,
@@ -224,9 +226,9 @@
     }
 
     /// Stores the result of a round of planning, and sends agents their targets.
-    pub(crate) fn planned(
+    pub(crate) fn apply_plan_result(
         &mut self,
-        done: PlanResult,
+        result: PlanResult,
         shared: &Shared,
         out: &mut Vec<EntryAction>,
     ) {
@@ -235,8 +237,8 @@
         if self.leaving {
             return;
         }
-        for planned in done.cells {
-            Counts::add(&shared.counts.plans);
+        for planned in result.cells {
+            Counts::increment(&shared.counts.plans);
             let placements = planned_placements(&planned.plan);
             let key = &planned.cell.key;
             let state = self.planning.cells.entry(key.clone()).or_default();
@@ -266,7 +268,7 @@
         if !agent.connected {
             return;
         }
-        Counts::add(&shared.counts.targets_sent);
+        Counts::increment(&shared.counts.targets_sent);
         let models = target.models.iter().map(|placed| TargetModel {
             model: placed.model.to_string(),
             version: placed.version,
--- a/crates/role/src/entry/control/platform.rs
+++ b/crates/role/src/entry/control/platform.rs
@@ -67,8 +67,9 @@
     next_id: u64,
     pending: BTreeMap<u64, CallKind>,
     failures: BTreeMap<CallKind, u32>,
-    away: bool,
+    unavailable: bool,
     config_version: ObjectVersion,
+    /// Number of polls made for the next revision.
     polls: u32,
     /// Revision requested by the poll in flight. The answer does not name it, and by
     /// then another revision may be the next.
@@ -81,18 +82,18 @@
             next_id: 1,
             pending: BTreeMap::new(),
             failures: BTreeMap::new(),
-            away: false,
+            unavailable: false,
             config_version: ObjectVersion(0),
             polls: 0,
             polled_revision: Revision(0),
         }
     }
 
-    pub(super) const fn up(&self) -> bool {
-        !self.away
+    pub(super) const fn is_up(&self) -> bool {
+        !self.unavailable
     }
 
-    pub(super) fn unregistering(&self) -> bool {
+    pub(super) fn is_unregistering(&self) -> bool {
         self.pending
             .values()
             .any(|call| *call == CallKind::Unregister)
@@ -126,6 +127,7 @@
         self.call(CallKind::Unregister, &shared.options, out);
     }
 
+    /// Makes a call whose timer is due.
     pub(super) fn call_due(
         &mut self,
         call: CallKind,
@@ -229,7 +231,7 @@
                 self.call_failed(now, call, shared, out);
             }
             result => {
-                self.platform_answered(out);
+                self.mark_platform_up(out);
                 self.platform.failures.remove(&call);
                 self.apply_result(now, call, result, shared, out, effects);
             }
@@ -243,9 +245,9 @@
         shared: &Shared,
         out: &mut Vec<EntryAction>,
     ) {
-        Counts::add(&shared.counts.platform_away);
-        if !self.platform.away {
-            self.platform.away = true;
+        Counts::increment(&shared.counts.platform_away);
+        if !self.platform.unavailable {
+            self.platform.unavailable = true;
             let detail = "continues with the state known so far";
             TimelineEvent::new(EventKind::PlatformAway, detail).record(out);
         }
@@ -263,9 +265,9 @@
         self.timers.schedule(at, Timer::Call(call));
     }
 
-    fn platform_answered(&mut self, out: &mut Vec<EntryAction>) {
-        if self.platform.away {
-            self.platform.away = false;
+    fn mark_platform_up(&mut self, out: &mut Vec<EntryAction>) {
+        if self.platform.unavailable {
+            self.platform.unavailable = false;
             TimelineEvent::new(EventKind::PlatformBack, "answers again").record(out);
         }
     }
--- a/crates/role/src/entry/counters.rs
+++ b/crates/role/src/entry/counters.rs
@@ -27,14 +27,15 @@
     pub retried: u64,
     /// Attempts sent after a failure to continue a partly delivered answer.
     pub resumed: u64,
-    /// Attempts whose agent was asked whether they ran, and forbidden to start them,
-    /// because it did not answer.
+    /// Attempts that an agent did not answer, so that it was asked whether they ran
+    /// and told not to start them.
     pub revoked: u64,
     /// Frames dropped because they were late, duplicated or of another attempt.
     pub stray_frames: u64,
     /// Retries not made because the retry budget was exhausted.
     pub retries_denied: u64,
-    /// `Target` frames sent to agents: the models each is to hold.
+    /// `Target` frames sent to agents, each of which names the models that the agent
+    /// is to hold.
     pub targets_sent: u64,
     /// Plans made, one for each planning cell.
     pub plans: u64,
@@ -52,12 +53,12 @@
     pub agents_known: u64,
 }
 
-/// Refusals with one code.
+/// Requests that ended with one error code.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RefusalCount {
     /// Error code.
     pub code: ErrorCode,
-    /// Number of refusals.
+    /// Number of requests.
     pub count: u64,
 }
 
@@ -102,14 +103,15 @@
         }
     }
 
-    pub(crate) fn add(counter: &AtomicU64) {
+    pub(crate) fn increment(counter: &AtomicU64) {
         counter.fetch_add(1, Ordering::Relaxed);
     }
 
-    pub(crate) fn refused(&self, code: ErrorCode) {
+    /// Counts a request that ended with this code.
+    pub(crate) fn record_refused(&self, code: ErrorCode) {
         let index = ErrorCode::ALL.iter().position(|other| *other == code);
         if let Some(counter) = index.and_then(|index| self.refused.get(index)) {
-            Self::add(counter);
+            Self::increment(counter);
         }
     }
 
--- a/crates/role/src/entry/event.rs
+++ b/crates/role/src/entry/event.rs
@@ -20,7 +20,7 @@
     RequestReceived(Box<IncomingRequest>),
     /// The caller closed its connection before the answer was complete.
     CallerDisconnected {
-        /// Request.
+        /// The request.
         request: RequestId,
     },
     /// A link is established: the peer's `Hello` was received.
@@ -59,7 +59,8 @@
     },
     /// The platform answered a call, or the call failed.
     PlatformAnswered(PlatformResponse),
-    /// The process is to stop: it finishes its requests and accepts no new ones.
+    /// The process is to shut down: it accepts no new requests and exits once those in
+    /// progress have ended.
     Drain,
 }
 
@@ -116,7 +117,7 @@
     },
     /// Send a request to an agent; the driver adds the request's body.
     SendRun {
-        /// Request.
+        /// The request.
         request: RequestId,
         /// Destination.
         agent: AgentId,
@@ -126,14 +127,14 @@
     /// Send the caller the answer part that the driver keeps, without its first
     /// `skip_units` units.
     DeliverPart {
-        /// Request.
+        /// The request.
         request: RequestId,
         /// Units at the start of the part that were delivered before.
         skip_units: u32,
     },
     /// End the answer: all of it has been delivered.
     Finish {
-        /// Request.
+        /// The request.
         request: RequestId,
         /// HTTP status.
         status: u16,
@@ -145,7 +146,7 @@
     /// End the request with an error: as an error response, or as an error event
     /// if the answer's stream has begun.
     Fail {
-        /// Request.
+        /// The request.
         request: RequestId,
         /// Error code, whether the request ran, and when to retry.
         error: RequestError,
--- a/crates/role/src/entry/follow_up.rs
+++ b/crates/role/src/entry/follow_up.rs
@@ -10,13 +10,15 @@
 use super::role::EntryRole;
 use super::shared::FollowUps;
 
-/// Requests of one queue tried when an agent may have capacity for it.
+/// Number of requests at the head of a queue that are dispatched again when an agent may
+/// have capacity for them.
 const WAKE_SCAN_MAX: usize = 256;
 
-/// Requests of one queue that can't be sent before a wake-up gives up on the rest.
+/// Number of requests that still can't be sent after which the rest of the queue is
+/// skipped.
 const BLOCKED_MAX: usize = 16;
 
-/// Requests of one queue tried at each heartbeat.
+/// Number of requests at the head of a queue that are dispatched again at each heartbeat.
 const FULL_SCAN_MAX: usize = 4_096;
 
 /// Rounds of follow-ups after one event. Whatever remains is done at the next
@@ -89,6 +91,7 @@
         }
     }
 
+    /// Sends gossip and plans, as far as the deferred work calls for it.
     fn follow_up_in_control(
         &self,
         now: Instant,
@@ -99,7 +102,8 @@
             return;
         }
         let job = self.with_control(|control| {
-            // Another entry may be the one that plans the model's cell.
+            // Also if only a plan is due: the entry that plans the model's cell may be
+            // another one.
             control.request_gossip(now, &self.shared, out);
             work.plan
                 .then(|| control.plan_soon(now, &self.shared))
@@ -111,13 +115,15 @@
     /// Runs a round of planning; no lock is held while the plan is computed.
     fn plan(&self, job: Option<PlanJob>, out: &mut Vec<EntryAction>) {
         if let Some(job) = job {
-            let done = job.run();
-            self.with_control(|control| control.planned(done, &self.shared, out));
+            let result = job.run();
+            self.with_control(|control| {
+                control.apply_plan_result(result, &self.shared, out);
+            });
         }
     }
 
-    /// Queues to try: those named, and those of models that the agents with
-    /// capacity can serve. Services are always included.
+    /// Queues whose requests are dispatched again: those in `work.wake` and, if any agents
+    /// have capacity, those of the models that they have loaded and of all services.
     fn queues_to_wake(&self, work: &FollowUps) -> BTreeSet<Resource> {
         let mut queues = work.wake.clone();
         if work.agents_with_capacity.is_empty() {
@@ -140,11 +146,11 @@
         queues
     }
 
-    /// Tries to send the requests of a queue in order.
+    /// Dispatches the first requests of a queue again, in order.
     ///
-    /// At each heartbeat the queue is tried beyond its blocked head: a request behind
-    /// it that can no longer meet its deadline is refused now, and not only when the
-    /// deadline passes.
+    /// At each heartbeat the queue is scanned beyond a head that can't be sent: a request
+    /// behind it that can no longer meet its deadline is refused now, and not only when
+    /// the deadline passes.
     fn wake(
         &self,
         now: Instant,
--- a/crates/role/src/entry/report.rs
+++ b/crates/role/src/entry/report.rs
@@ -126,7 +126,7 @@
             return Vec::new();
         };
         let demands = control.total_demands(now, &self.shared, config);
-        let lines = config.models().map(|spec| {
+        let summaries = config.models().map(|spec| {
             let id = spec.id.as_str();
             let demand = demands.iter().find(|demand| demand.model == spec.id);
             let resource = Resource::Model(spec.id.clone());
@@ -138,8 +138,8 @@
                 rate_per_s: demand.map_or(0.0, |demand| demand.rate_per_s),
             }
         });
-        let shown = lines.filter(|line| {
-            !line.holders.is_empty() || line.waiting > 0 || line.rate_per_s > 0.0
+        let shown = summaries.filter(|model| {
+            !model.holders.is_empty() || model.waiting > 0 || model.rate_per_s > 0.0
         });
         shown.collect()
     }
@@ -155,27 +155,27 @@
 }
 
 fn agent_summary(now: Instant, agent: &Agent) -> AgentSummary {
-    let hint = agent.load.latest(now);
+    let load = agent.load.latest(now);
     let loaded = agent.residents.iter();
     let loaded = loaded.filter(|resident| resident.state == ResidencyState::Loaded);
     AgentSummary {
         id: agent.id.to_string(),
         pool: agent.pool.to_string(),
         failure_domain: agent.failure_domain.to_string(),
-        state: life_name(agent.liveness),
+        state: liveness_name(agent.liveness),
         leaving: agent.leaving(),
         upstream_up: agent.upstream_up,
         connected: agent.connected,
-        running: hint.running,
-        waiting: hint.waiting,
-        running_max: hint.running_max,
-        models: loaded.map(|demand| demand.model.to_string()).collect(),
+        running: load.running,
+        waiting: load.waiting,
+        running_max: load.running_max,
+        models: loaded.map(|resident| resident.model.to_string()).collect(),
         silent_ms: now.ms_since(agent.last_heard_at),
     }
 }
 
-const fn life_name(life: Liveness) -> &'static str {
-    match life {
+const fn liveness_name(liveness: Liveness) -> &'static str {
+    match liveness {
         Liveness::Up => "up",
         Liveness::Suspected => "suspected",
         Liveness::Lost => "lost",
@@ -197,7 +197,7 @@
                 agent.id,
                 resident.version,
                 resident.accelerator,
-                life_name(agent.liveness),
+                liveness_name(agent.liveness),
                 if agent.leaving() { " and leaving" } else { "" },
             )
         })
--- a/crates/role/src/entry/requests/answers.rs
+++ b/crates/role/src/entry/requests/answers.rs
@@ -11,6 +11,7 @@
 use super::super::timeline::TimelineEvent;
 use super::Requests;
 use super::failures::{Failure, RetryCharge};
+use super::timers::Timer;
 
 /// Backoff before a request that was refused is dispatched again.
 const REFUSAL_BACKOFF_MS: u64 = 100;
@@ -57,7 +58,7 @@
         let sequence = self.current(part.agent, part.attempt);
         let request = sequence.and_then(|sequence| self.requests.get_mut(&sequence));
         let Some(request) = request else {
-            Counts::add(&shared.counts.stray_frames);
+            Counts::increment(&shared.counts.stray_frames);
             return PartOutcome::Done;
         };
         let delivered = request.delivered;
@@ -69,12 +70,12 @@
         let Some(attempt) = request.attempt_mut() else {
             return PartOutcome::Done;
         };
-        attempt.heard_at = now;
+        attempt.last_frame_at = now;
         attempt.started = true;
         attempt.answered = true;
         let version = attempt.version;
         if end <= delivered {
-            Counts::add(&shared.counts.stray_frames);
+            Counts::increment(&shared.counts.stray_frames);
             return PartOutcome::Done;
         }
         if delivered == 0 {
@@ -107,7 +108,7 @@
     ) {
         record_load_report(ctx, agent, load);
         let Some(sequence) = self.current(agent, attempt) else {
-            Counts::add(&ctx.shared.counts.stray_frames);
+            Counts::increment(&ctx.shared.counts.stray_frames);
             return;
         };
         let Some(request) = self.requests.get_mut(&sequence) else {
@@ -116,7 +117,7 @@
         let id = request.id();
         if let Some(current) = request.attempt_mut() {
             current.started = true;
-            current.heard_at = ctx.now;
+            current.last_frame_at = ctx.now;
             let ms = ctx.now.ms_since(current.sent_at);
             TimelineEvent::new(
                 EventKind::RequestStarted,
@@ -139,10 +140,10 @@
         record_load_report(ctx, agent, frame.load.as_ref());
         let attempt = decode_attempt_id(frame.attempt.as_ref());
         let Some(sequence) = self.current(agent, attempt) else {
-            Counts::add(&ctx.shared.counts.stray_frames);
+            Counts::increment(&ctx.shared.counts.stray_frames);
             return;
         };
-        Counts::add(&ctx.shared.counts.refused_by_gate);
+        Counts::increment(&ctx.shared.counts.refused_by_gate);
         let code = ErrorCode::from_number(frame.code).unwrap_or(ErrorCode::Overloaded);
         let retry_after_ms = u64::from(frame.retry_after_ms);
         if let Some(request) = self.requests.get(&sequence) {
@@ -174,7 +175,7 @@
         };
         if !retryable_elsewhere(code) {
             let retry_after = (retry_after_ms > 0).then_some(retry_after_ms);
-            self.refuse(ctx, sequence, code, retry_after);
+            self.fail(ctx, sequence, code, retry_after);
             return;
         }
         if let Some(request) = self.requests.get_mut(&sequence) {
@@ -195,8 +196,7 @@
                 .clamp(1, REFUSAL_BACKOFF_STEPS_MAX);
             let retry_at = ctx.now.plus_ms(REFUSAL_BACKOFF_MS * steps);
             request.not_before = retry_at;
-            self.timers
-                .schedule(retry_at, super::timers::Timer::Retry { sequence });
+            self.timers.schedule(retry_at, Timer::Retry { sequence });
         }
     }
 
@@ -213,7 +213,7 @@
         }
         let attempt = decode_attempt_id(frame.attempt.as_ref());
         let Some(sequence) = self.current(agent, attempt) else {
-            Counts::add(&ctx.shared.counts.stray_frames);
+            Counts::increment(&ctx.shared.counts.stray_frames);
             return;
         };
         if frame.code != 0 {
@@ -226,12 +226,12 @@
             return;
         };
         if frame.total_units != request.delivered {
-            let broken = Failure {
+            let incomplete = Failure {
                 code: ErrorCode::AnswerBroken,
                 ran: Some(RunStatus::Ran),
                 charge: RetryCharge::Charged,
             };
-            self.attempt_failed(ctx, sequence, broken);
+            self.attempt_failed(ctx, sequence, incomplete);
             return;
         }
         self.record_service_time(ctx, sequence);
@@ -265,16 +265,22 @@
     }
 
     /// Records the crash of an upstream. Crashes are told apart by the incarnation of
-    /// the upstream. The agent's own incarnation stays the same, so by that a second
+    /// the upstream: the agent's own incarnation does not change with a crash, so a second
     /// crash would be taken for another report of the first.
     fn upstream_crashed(&mut self, ctx: &mut Ctx<'_>, agent: &AgentId, frame: &End) {
         let fingerprints = &frame.crash_fingerprints;
-        let alone = fingerprints.len() == 1;
+        let sole_request = fingerprints.len() == 1;
         let worsened = {
             let mut suspects = ctx.shared.suspects.lock();
             apply_and_diff(&mut suspects, ctx.now, fingerprints, |suspects| {
-                let run = frame.upstream_incarnation;
-                suspects.record_crash(ctx.now, fingerprints, agent, run, alone);
+                let incarnation = frame.upstream_incarnation;
+                suspects.record_crash(
+                    ctx.now,
+                    fingerprints,
+                    agent,
+                    incarnation,
+                    sole_request,
+                );
             })
         };
         let attempt = decode_attempt_id(frame.attempt.as_ref());
--- a/crates/role/src/entry/requests/candidates.rs
+++ b/crates/role/src/entry/requests/candidates.rs
@@ -37,7 +37,7 @@
         Self { holders, agents }
     }
 
-    /// Removes agents.
+    /// Removes the given agents.
     pub(super) fn exclude(&mut self, excluded: &[AgentId]) {
         let keep = |id: &AgentId| !excluded.contains(id);
         self.holders.retain(|holder| keep(holder.agent));
@@ -86,6 +86,7 @@
         self.holders.iter().map(|holder| holder.running_max).sum()
     }
 
+    /// Number of further requests that the holders can be sent.
     fn free_slots(&self) -> u32 {
         let free = self.holders.iter().map(|holder| {
             let load = holder
@@ -152,16 +153,16 @@
 }
 
 fn holder(now: Instant, agent: &Agent) -> Holder<'_> {
-    let hint = agent.load.latest(now);
+    let load = agent.load.latest(now);
     Holder {
         agent: &agent.id,
         domain: &agent.failure_domain,
-        running: hint.running,
-        waiting: hint.waiting,
-        running_max: hint.running_max,
-        step_time_us: hint.step_time_us,
-        report_age_ms: hint.age_ms,
-        sent_since_report: hint.sent_since_report,
+        running: load.running,
+        waiting: load.waiting,
+        running_max: load.running_max,
+        step_time_us: load.step_time_us,
+        report_age_ms: load.age_ms,
+        sent_since_report: load.sent_since_report,
         suspected: false,
     }
 }
@@ -232,7 +233,7 @@
         })
         .collect();
     if pool_agents.is_empty() {
-        // A process that has just started may not have heard of the agents yet.
+        // A process that has just started may not know the agents yet.
         let starting = ctx.control.just_started(ctx.now);
         return starting.then_some(AGENT_RETURN_MIN_MS);
     }
@@ -345,8 +346,8 @@
     }
 }
 
-/// Time until the loads of other models have started that requests began to wait for here
-/// since the last forecast: the weight store starts them one after another.
+/// Time until the loads of models awaited here only since the last forecast have started.
+/// The weight store starts them one after another, before the load of `model`.
 fn new_loads_wait_ms(ctx: &Ctx<'_>, model: &ModelId) -> u64 {
     if ctx.control.has_forecast(model) {
         return 0;
--- a/crates/role/src/entry/requests/dispatch.rs
+++ b/crates/role/src/entry/requests/dispatch.rs
@@ -18,8 +18,9 @@
 use super::state::{Request, State};
 use super::timers::Timer;
 
-/// Number of refusals by agents after which a request is refused. Each says that the
-/// request did not run, so the limit only keeps it from circulating forever.
+/// Number of refusals by agents' admission control after which a request fails. Each
+/// states that the request did not run, so the limit only keeps it from being sent from
+/// agent to agent forever.
 const ADMISSION_REFUSALS_MAX: u32 = 16;
 
 /// Retry delay sent to the caller if none can be predicted.
@@ -69,10 +70,10 @@
             return Dispatched::Ended;
         };
         if request.deadline <= ctx.now {
-            return self.refuse(ctx, sequence, ErrorCode::DeadlineBeforeRun, None);
+            return self.fail(ctx, sequence, ErrorCode::DeadlineBeforeRun, None);
         }
         if request.admission_refusals > ADMISSION_REFUSALS_MAX {
-            return self.refuse(
+            return self.fail(
                 ctx,
                 sequence,
                 ErrorCode::Overloaded,
@@ -84,7 +85,7 @@
         match verdict {
             CrashVerdict::Clear => self.dispatch_with(ctx, sequence, ahead, false),
             CrashVerdict::Suspect => self.dispatch_with(ctx, sequence, ahead, true),
-            CrashVerdict::Convicted { remaining_ms } => self.refuse(
+            CrashVerdict::Convicted { remaining_ms } => self.fail(
                 ctx,
                 sequence,
                 ErrorCode::RequestCrashedUpstreams,
@@ -93,6 +94,8 @@
         }
     }
 
+    /// Like [`Self::dispatch_behind`], once the request's crash verdict is known; a suspect
+    /// request is dispatched as an exclusive run.
     fn dispatch_with(
         &mut self,
         ctx: &mut Ctx<'_>,
@@ -114,14 +117,14 @@
         }
         let failing = candidates.take_failing(ctx);
         if cannot_resume(ctx, request, &candidates) {
-            return self.refuse(ctx, sequence, ErrorCode::AnswerBroken, None);
+            return self.fail(ctx, sequence, ErrorCode::AnswerBroken, None);
         }
         let input = admission_input(ctx, request, &candidates, &crashed_agents, ahead);
         if exclusive
             && let Some((code, ms)) =
                 exclusive_run_refusal(ctx, request, &input, &crashed_agents)
         {
-            return self.refuse(ctx, sequence, code, Some(ms));
+            return self.fail(ctx, sequence, code, Some(ms));
         }
         match admit(&input) {
             Admission::Refuse(_)
@@ -129,8 +132,8 @@
             {
                 self.wait_in_queue(ctx, sequence, input.load_wait_ms)
             }
-            Admission::Refuse(refusal) => {
-                self.refuse(ctx, sequence, refusal.code, refusal.retry_after_ms)
+            Admission::Refuse(error) => {
+                self.fail(ctx, sequence, error.code, error.retry_after_ms)
             }
             Admission::Wait { predicted_ms } => {
                 ctx.follow_ups.plan |= input.holders == 0;
@@ -195,7 +198,7 @@
         })
     }
 
-    /// Adds a request to its wait queue, unless it is in it.
+    /// Adds a request to its wait queue, unless it is there already.
     pub(super) fn wait_in_queue(
         &mut self,
         ctx: &mut Ctx<'_>,
@@ -214,7 +217,7 @@
         let resource = request.resolved.resource.clone();
         if let Err(code) = enqueue(ctx, request, position) {
             let retry_after = predicted_ms.unwrap_or(DEFAULT_RETRY_AFTER_MS);
-            return self.refuse(ctx, sequence, code, Some(retry_after));
+            return self.fail(ctx, sequence, code, Some(retry_after));
         }
         request.state = State::Waiting(position);
         let detail = match predicted_ms {
@@ -237,7 +240,7 @@
         let current = self.requests.get(&request.sequence);
         if current.is_some_and(|current| matches!(current.state, State::Waiting(_))) {
             let retry_after = Some(DEFAULT_RETRY_AFTER_MS);
-            self.refuse(ctx, request.sequence, ErrorCode::QueueFull, retry_after);
+            self.fail(ctx, request.sequence, ErrorCode::QueueFull, retry_after);
         }
     }
 
@@ -391,6 +394,8 @@
     late.then_some((ErrorCode::Overloaded, turn_ms.max(EXCLUSIVE_RUN_RETRY_MS)))
 }
 
+/// Reserves the model's exclusive run for a suspect request; returns whether it may start
+/// now.
 fn try_start_exclusive(ctx: &mut Ctx<'_>, request: &Request) -> bool {
     let Some(model) = request.resolved.resource.model() else {
         return true;
--- a/crates/role/src/entry/requests/end.rs
+++ b/crates/role/src/entry/requests/end.rs
@@ -14,9 +14,9 @@
 use super::upstream_outcome::record_outcome;
 
 impl Requests {
-    /// Ends a request with an error. The refusal reports whether the request ran, as far
-    /// as is known from its attempts, including the one in flight, which is ended.
-    pub(super) fn refuse(
+    /// Ends a request with an error, which reports whether the request ran, as far as is
+    /// known from its attempts, including the one in flight, which is ended.
+    pub(super) fn fail(
         &mut self,
         ctx: &mut Ctx<'_>,
         sequence: u64,
@@ -27,12 +27,12 @@
             return Dispatched::Ended;
         };
         let ran = request.history.ran();
-        let refusal = RequestError {
-            code: refusal_code(&request, code, ran),
+        let error = RequestError {
+            code: final_error_code(&request, code, ran),
             ran,
             retry_after_ms,
         };
-        ctx.shared.counts.refused(refusal.code);
+        ctx.shared.counts.record_refused(error.code);
         ctx.shared.outcomes.lock().record_refused(&request);
         let detail = format!(
             "{} after {} ms, {} attempts, {} refused by agents, {} units delivered: {code}",
@@ -45,11 +45,11 @@
         TimelineEvent::new(EventKind::RequestFailed, detail)
             .request(request.id())
             .model(request.resolved.resource.as_str())
-            .code(refusal.code)
+            .code(error.code)
             .record(ctx.out);
         ctx.out.push(EntryAction::Fail {
             request: request.id(),
-            error: refusal,
+            error,
         });
         Dispatched::Ended
     }
@@ -66,7 +66,7 @@
         let Some(request) = self.remove(ctx, sequence) else {
             return;
         };
-        Counts::add(&ctx.shared.counts.finished);
+        Counts::increment(&ctx.shared.counts.finished);
         ctx.shared
             .outcomes
             .lock()
@@ -161,9 +161,9 @@
 /// Replaces codes that imply that a request did not run (the 2000s) if it may have run.
 ///
 /// Two of these codes are kept. A convicted request did run. A key in progress belongs
-/// to another call, whose answer the caller gets by retrying; it would not retry if it
-/// were told that the outcome is unknown.
-fn refusal_code(request: &Request, code: ErrorCode, ran: RunStatus) -> ErrorCode {
+/// to another request, whose answer the caller gets by retrying; it would not retry if
+/// it were told that the outcome is unknown.
+fn final_error_code(request: &Request, code: ErrorCode, ran: RunStatus) -> ErrorCode {
     let keeps_code = matches!(
         code,
         ErrorCode::RequestCrashedUpstreams | ErrorCode::KeyInProgress
--- a/crates/role/src/entry/requests/failures.rs
+++ b/crates/role/src/entry/requests/failures.rs
@@ -18,11 +18,11 @@
 /// Retry delay sent to the caller if the retry budget was exhausted.
 const BUDGET_RETRY_MS: u64 = 2_000;
 
-/// Retry delay sent to the caller after a deadline. The slot is freed at once, and a call
-/// that continues may have ended by then.
+/// Retry delay sent to the caller after a deadline. The slot is freed at once, and a
+/// request that the agent does not stop may have ended by then.
 const DEADLINE_RETRY_MS: u64 = 1_000;
 
-/// Number of failures after which a request is refused, whatever the retry budget.
+/// Number of failures after which a request fails, whatever is left of the retry budget.
 const FAILURES_MAX: u32 = 4;
 
 /// Whether a retry is charged to the retry budget.
@@ -30,10 +30,11 @@
 pub(super) enum RetryCharge {
     /// The attempt failed at its upstream.
     Charged,
-    /// The upstream crashed, possibly due to another request, which must not use up the
-    /// budget. These retries are limited, as suspect requests run one at a time. Neither
-    /// is a failed probe charged: it was sent to a failing upstream on behalf of all
-    /// entries, and there is one at a time.
+    /// The upstream crashed, or the attempt was a probe that failed.
+    ///
+    /// A crash may be due to another request, and its retries must not use up the budget;
+    /// they are limited anyway, as suspect requests run one at a time. A probe is sent to a
+    /// failing upstream on behalf of all entries, and there is one at a time.
     Exempt,
 }
 
@@ -88,7 +89,7 @@
         }
         let retry_after = u64::from(frame.retry_after_ms);
         self.end_attempt(ctx, sequence, Some(ran));
-        self.refuse(
+        self.fail(
             ctx,
             sequence,
             code,
@@ -107,16 +108,16 @@
             return;
         };
         self.cancel_attempt(ctx, sequence);
-        let broken = Failure {
+        let incomplete = Failure {
             code: ErrorCode::AnswerBroken,
             ran: Some(RunStatus::Ran),
             charge: RetryCharge::Charged,
         };
-        self.attempt_failed(ctx, sequence, broken);
+        self.attempt_failed(ctx, sequence, incomplete);
     }
 
     /// Ends an attempt that failed after it may have run. The request is dispatched again
-    /// if that is safe and the limits allow it, and is refused otherwise.
+    /// if that is safe and the limits allow it, and fails otherwise.
     pub(super) fn attempt_failed(
         &mut self,
         ctx: &mut Ctx<'_>,
@@ -136,20 +137,20 @@
         // A request that is not idempotent and may have run must not run again. The
         // caller is told at once that the outcome is unknown, and decides what to do.
         if !request.resolved.idempotent {
-            self.refuse(ctx, sequence, ErrorCode::OutcomeUnknown, None);
+            self.fail(ctx, sequence, ErrorCode::OutcomeUnknown, None);
             return;
         }
         if !request.can_resume() {
-            self.refuse(ctx, sequence, ErrorCode::AnswerBroken, None);
+            self.fail(ctx, sequence, ErrorCode::AnswerBroken, None);
             return;
         }
         if request.failures > FAILURES_MAX {
-            self.refuse(ctx, sequence, code, Some(BUDGET_RETRY_MS));
+            self.fail(ctx, sequence, code, Some(BUDGET_RETRY_MS));
             return;
         }
         if charge == RetryCharge::Charged && !take_retry(ctx, request) {
-            Counts::add(&ctx.shared.counts.retries_denied);
-            self.refuse(ctx, sequence, code, Some(BUDGET_RETRY_MS));
+            Counts::increment(&ctx.shared.counts.retries_denied);
+            self.fail(ctx, sequence, code, Some(BUDGET_RETRY_MS));
             return;
         }
         self.dispatch_elsewhere(ctx, sequence);
@@ -168,8 +169,8 @@
             request.attempt().is_some_and(|attempt| {
                 // An attempt sent to the agent's current incarnation is not affected by
                 // the restart.
-                let same_run = Some(attempt.incarnation) == incarnation;
-                let spared = reason == GoneReason::Restarted && same_run;
+                let same_incarnation = Some(attempt.incarnation) == incarnation;
+                let spared = reason == GoneReason::Restarted && same_incarnation;
                 // Another thread may have sent an attempt after the event.
                 attempt.agent == *agent && attempt.sent_at <= ctx.now && !spared
             })
@@ -230,7 +231,7 @@
     /// Tells the agent to stop the attempt in flight, or not to start it.
     ///
     /// A delayed `Run` frame could start an attempt that nobody waits for any more; the
-    /// tombstone left by `Revoke` prevents that. A call that is not idempotent and has
+    /// tombstone left by `Revoke` prevents that. A request that is not idempotent and has
     /// started is left running, so that its answer is stored for the caller's retry.
     fn cancel_attempt(&mut self, ctx: &mut Ctx<'_>, sequence: u64) {
         let Some(request) = self.requests.get(&sequence) else {
@@ -262,7 +263,7 @@
         attempt.revoked_at = Some(ctx.now);
         send_revoke(ctx, attempt);
         let (agent, attempt) = (attempt.agent.clone(), attempt.id);
-        Counts::add(&ctx.shared.counts.revoked);
+        Counts::increment(&ctx.shared.counts.revoked);
         TimelineEvent::new(
             EventKind::RequestRevoked,
             format!("queried {agent} whether it ran"),
@@ -270,7 +271,7 @@
         .request(id)
         .peer(&agent)
         .record(ctx.out);
-        self.wait_for_revoked(ctx.now, attempt);
+        self.schedule_revoke_timeout(ctx.now, attempt);
     }
 
     /// Handles `Revoked`, in which the agent reports whether an attempt ran.
@@ -282,7 +283,7 @@
     ) {
         let attempt = decode_attempt_id(frame.attempt.as_ref());
         let Some(sequence) = self.current(agent, attempt) else {
-            Counts::add(&ctx.shared.counts.stray_frames);
+            Counts::increment(&ctx.shared.counts.stray_frames);
             return;
         };
         let Some(request) = self.requests.get_mut(&sequence) else {
@@ -306,7 +307,7 @@
                 // started attempt.
                 if let Some(attempt) = request.attempt_mut() {
                     attempt.started = true;
-                    attempt.heard_at = ctx.now;
+                    attempt.last_frame_at = ctx.now;
                 }
             }
         }
@@ -327,7 +328,7 @@
         }
         self.cancel_attempt(ctx, sequence);
         if let Some(removed) = self.remove(ctx, sequence) {
-            Counts::add(&ctx.shared.counts.cancelled);
+            Counts::increment(&ctx.shared.counts.cancelled);
             let detail =
                 format!("the caller disconnected after {} units", removed.delivered);
             TimelineEvent::new(EventKind::RequestCancelled, detail)
@@ -346,13 +347,13 @@
             State::Running(_) => ErrorCode::DeadlineWhileRunning,
             _ => ErrorCode::DeadlineBeforeRun,
         };
-        // For a call that is not idempotent, a retry is useful only with an idempotency
+        // For a request that is not idempotent, a retry is useful only with an idempotency
         // key, by which the stored answer is found.
         let can_retry =
             request.resolved.idempotent || request.incoming.idempotency_key.is_some();
         let retry_after = can_retry.then_some(DEADLINE_RETRY_MS);
         self.cancel_attempt(ctx, sequence);
-        self.refuse(ctx, sequence, code, retry_after);
+        self.fail(ctx, sequence, code, retry_after);
     }
 }
 
--- a/crates/role/src/entry/requests/send.rs
+++ b/crates/role/src/entry/requests/send.rs
@@ -17,8 +17,8 @@
 /// Time within which an agent has to report that an attempt started or was refused.
 pub(super) const START_WAIT_MS: u64 = 3_000;
 
-/// The same for an exclusive run, which waits until nothing else is in flight at the
-/// upstream.
+/// Time within which an agent has to report that an exclusive run started or was refused.
+/// Such a run waits until nothing else is in flight at the upstream.
 pub(super) const EXCLUSIVE_START_WAIT_MS: u64 = 20_000;
 
 /// Destination and parameters of an attempt.
@@ -43,6 +43,7 @@
 }
 
 impl Requests {
+    /// Sends an attempt of a request to the chosen agent.
     pub(super) fn send(
         &mut self,
         ctx: &mut Ctx<'_>,
@@ -65,7 +66,7 @@
             sent_at: ctx.now,
             started: false,
             answered: false,
-            heard_at: ctx.now,
+            last_frame_at: ctx.now,
             revoked_at: None,
             exclusive: route.exclusive,
             probe: route.probe,
@@ -80,8 +81,8 @@
         request.attempts_sent += 1;
         self.attempts.insert(id.sequence, sequence);
         let at = ctx.now.plus_ms(wait_ms);
-        self.timers.schedule(at, Timer::Answer { attempt: id });
-        Counts::add(&ctx.shared.counts.sent);
+        self.timers.schedule(at, Timer::Silence { attempt: id });
+        Counts::increment(&ctx.shared.counts.sent);
         ctx.out.push(EntryAction::SendRun {
             request: request.id(),
             agent: route.agent.clone(),
@@ -91,6 +92,7 @@
     }
 }
 
+/// Records in the timeline and the counters that an attempt is sent.
 fn record_sent(ctx: &mut Ctx<'_>, request: &Request, route: &Route) {
     let (kind, counter) = match (request.failures, request.delivered) {
         (0, _) => (EventKind::RequestSent, None),
@@ -98,7 +100,7 @@
         _ => (EventKind::RequestResumed, Some(&ctx.shared.counts.resumed)),
     };
     if let Some(counter) = counter {
-        Counts::add(counter);
+        Counts::increment(counter);
     }
     if let Some(reason) = RouteReason::from_number(route.reason) {
         ctx.shared
--- a/crates/role/src/entry/requests/state.rs
+++ b/crates/role/src/entry/requests/state.rs
@@ -9,7 +9,9 @@
 /// What is known of a request's finished attempts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub(crate) struct AttemptHistory {
-    started: bool,
+    /// An attempt ran.
+    ran: bool,
+    /// Of an attempt it is unknown whether it ran.
     unknown: bool,
 }
 
@@ -18,14 +20,14 @@
     pub(crate) const fn add(&mut self, ran: RunStatus) {
         match ran {
             RunStatus::NotRun => {}
-            RunStatus::Ran => self.started = true,
+            RunStatus::Ran => self.ran = true,
             RunStatus::Unknown => self.unknown = true,
         }
     }
 
     /// Whether the request ran, as far as is known.
     pub(crate) const fn ran(self) -> RunStatus {
-        match (self.started, self.unknown) {
+        match (self.ran, self.unknown) {
             (true, _) => RunStatus::Ran,
             (false, true) => RunStatus::Unknown,
             (false, false) => RunStatus::NotRun,
@@ -49,7 +51,8 @@
     /// same version.
     pub(crate) version: Option<u32>,
     pub(crate) history: AttemptHistory,
-    /// Agents to which the request is currently not sent.
+    /// Agents that have refused or failed the request; it is not sent to them until it
+    /// waits in the queue again.
     pub(crate) excluded_agents: Vec<AgentId>,
     /// Attempts sent.
     pub(crate) attempts_sent: u32,
@@ -83,11 +86,12 @@
     pub(crate) incarnation: Incarnation,
     pub(crate) version: u32,
     pub(crate) sent_at: Instant,
+    /// The agent reported that it handed the attempt to the upstream, or that it ran.
     pub(crate) started: bool,
     /// At least one part of its answer was received.
     pub(crate) answered: bool,
     /// When a frame about it was last received, or when it was sent.
-    pub(crate) heard_at: Instant,
+    pub(crate) last_frame_at: Instant,
     /// When `Revoke` was sent, which asks the agent whether the attempt ran and forbids
     /// it to start.
     pub(crate) revoked_at: Option<Instant>,
@@ -125,8 +129,8 @@
         self.deadline.ms_since(now)
     }
 
-    /// Whether another attempt may continue the answer. That of a plain service can't be
-    /// continued, since the bytes may differ from run to run.
+    /// Whether another attempt may continue the answer. The answer of a plain
+    /// service can't be continued, since its bytes may differ from run to run.
     pub(crate) fn can_resume(&self) -> bool {
         self.delivered == 0 || self.resolved.resource.model().is_some()
     }
--- a/crates/role/src/entry/requests/timers.rs
+++ b/crates/role/src/entry/requests/timers.rs
@@ -10,7 +10,7 @@
 /// How long to wait for an agent's answer to `Revoke`.
 const REVOKED_WAIT_MS: u64 = 1_000;
 
-/// Minimum silence after the start of an attempt that counts as a stall.
+/// Minimum silence of a started attempt that counts as a stall.
 const STALL_MIN_MS: u64 = 5_000;
 
 /// Stall limit of batch requests, which may be queued behind other requests at the
@@ -21,12 +21,12 @@
 const STALL_TOKENS: u64 = 20;
 
 /// Stall limit before the first token, as a multiple of its target time.
-const STALL_FIRST: u64 = 4;
+const STALL_FIRST_TOKENS: u64 = 4;
 
 /// Stall limit as a multiple of the engine's step time.
 const STALL_STEPS: u64 = 200;
 
-/// Grace period beyond the configured time limit of a service.
+/// Silence allowed to a request of a plain service beyond the service's time limit.
 const SERVICE_GRACE_MS: u64 = 1_000;
 
 /// A timer of a shard.
@@ -35,7 +35,7 @@
     /// The request's deadline.
     Deadline { sequence: u64 },
     /// The attempt may have been silent for too long.
-    Answer { attempt: AttemptId },
+    Silence { attempt: AttemptId },
     /// The request may be sent again: its backoff has passed.
     Retry { sequence: u64 },
 }
@@ -46,7 +46,7 @@
         while let Some(timer) = self.timers.pop_due(ctx.now) {
             match timer {
                 Timer::Deadline { sequence } => self.deadline_passed(ctx, sequence),
-                Timer::Answer { attempt } => self.answer_due(ctx, attempt),
+                Timer::Silence { attempt } => self.check_silence(ctx, attempt),
                 Timer::Retry { sequence } => {
                     if let Some(request) = self.requests.get(&sequence) {
                         let resource = request.resolved.resource.clone();
@@ -57,14 +57,15 @@
         }
     }
 
-    pub(super) fn wait_for_revoked(&mut self, now: Instant, attempt: AttemptId) {
+    /// Sets the timer for an agent's missing answer to `Revoke`.
+    pub(super) fn schedule_revoke_timeout(&mut self, now: Instant, attempt: AttemptId) {
         let at = now.plus_ms(REVOKED_WAIT_MS);
-        self.timers.schedule(at, Timer::Answer { attempt });
+        self.timers.schedule(at, Timer::Silence { attempt });
     }
 
     /// Checks whether the attempt has been silent for too long; if not, sets the timer to
     /// the end of its limit.
-    fn answer_due(&mut self, ctx: &mut Ctx<'_>, attempt: AttemptId) {
+    fn check_silence(&mut self, ctx: &mut Ctx<'_>, attempt: AttemptId) {
         let Some(sequence) = self.attempts.get(&attempt.sequence).copied() else {
             return;
         };
@@ -78,7 +79,7 @@
         let limit =
             silence_limit(ctx, request, current).max(ctx.control.backlog_read_by());
         if limit > ctx.now {
-            self.timers.schedule(limit, Timer::Answer { attempt });
+            self.timers.schedule(limit, Timer::Silence { attempt });
             return;
         }
         self.answer_missing(ctx, sequence);
@@ -88,7 +89,9 @@
 /// When an attempt is given up if no further frame about it is received.
 fn silence_limit(ctx: &Ctx<'_>, request: &Request, attempt: &Attempt) -> Instant {
     if attempt.started {
-        return attempt.heard_at.plus_ms(stall_ms(ctx, request, attempt));
+        return attempt
+            .last_frame_at
+            .plus_ms(stall_ms(ctx, request, attempt));
     }
     if let Some(at) = attempt.revoked_at {
         return at.plus_ms(REVOKED_WAIT_MS);
@@ -100,6 +103,7 @@
     attempt.sent_at.plus_ms(wait_ms)
 }
 
+/// Silence after which a started attempt counts as stalled.
 fn stall_ms(ctx: &Ctx<'_>, request: &Request, attempt: &Attempt) -> u64 {
     let resolved = &request.resolved;
     if resolved.resource.model().is_none() {
@@ -113,7 +117,7 @@
     let step_us = agent.map_or(0, |agent| agent.load.latest(ctx.now).step_time_us);
     let by_steps = u64::from(step_us) * STALL_STEPS / 1_000;
     let by_target = match request.delivered {
-        0 => u64::from(resolved.first_token_ms) * STALL_FIRST,
+        0 => u64::from(resolved.first_token_ms) * STALL_FIRST_TOKENS,
         _ => u64::from(resolved.between_tokens_ms) * STALL_TOKENS,
     };
     by_target.max(by_steps).max(STALL_MIN_MS)
--- a/crates/role/src/entry/requests/upstream_outcome.rs
+++ b/crates/role/src/entry/requests/upstream_outcome.rs
@@ -6,8 +6,8 @@
 use super::Requests;
 
 impl Requests {
-    /// Records the outcome of the attempt in flight for its upstream. Returns whether it
-    /// was a probe.
+    /// Records the outcome of the attempt in flight in the circuit breaker of its
+    /// upstream. Returns whether the attempt was a probe.
     pub(super) fn record_upstream_outcome(
         &mut self,
         ctx: &mut Ctx<'_>,
@@ -24,7 +24,7 @@
     }
 }
 
-/// Records the outcome of an attempt for its upstream.
+/// Records the outcome of an attempt in the circuit breaker of its upstream.
 pub(super) fn record_outcome(
     ctx: &mut Ctx<'_>,
     agent: &AgentId,
--- a/crates/role/src/entry/resolve.rs
+++ b/crates/role/src/entry/resolve.rs
@@ -52,13 +52,18 @@
     pub(crate) profile: String,
     pub(crate) interactive: bool,
     pub(crate) idempotent: bool,
+    /// Target time to the first token; 0 for none.
     pub(crate) first_token_ms: u32,
+    /// Target time between two tokens; 0 for none.
     pub(crate) between_tokens_ms: u32,
     pub(crate) priority: u32,
+    /// Value of serving the request, by which the planner weighs models.
     pub(crate) value: f64,
     pub(crate) deadline_ms: u64,
-    /// Configured time limit of one call of a plain service; 0 for a model.
+    /// Configured time limit of one request to a plain service; 0 for a model.
     pub(crate) service_timeout_ms: u32,
+    /// Hash of the model or service and of the request's content. Requests with the same
+    /// fingerprint count as the same when they crash upstreams.
     pub(crate) fingerprint: u64,
 }
 
@@ -124,10 +129,10 @@
     if config.model(model.as_str()).is_none() {
         return Err(ErrorCode::UnknownModel);
     }
-    let mut candidates = config.profiles();
+    let mut profiles = config.profiles();
     let profile = match named_profile {
         Some(profile) => Some(profile).filter(|profile| profile.models.contains(model)),
-        None => candidates.find(|profile| profile.models.contains(model)),
+        None => profiles.find(|profile| profile.models.contains(model)),
     };
     let profile = profile.ok_or(ErrorCode::UnknownProfile)?;
     Ok((Resource::Model(model.clone()), Some(profile)))
@@ -142,7 +147,7 @@
         .filter(|profile| !profile.models.is_empty());
     let profile = match named_profile {
         Some(profile) => Some(profile),
-        // Without a named_profile profile there has to be exactly one with models.
+        // If the request names no profile, exactly one must have models.
         None => with_models.next().filter(|_| with_models.next().is_none()),
     };
     let profile = profile.ok_or(ErrorCode::UnknownProfile)?;
--- a/crates/role/src/entry/role.rs
+++ b/crates/role/src/entry/role.rs
@@ -262,7 +262,7 @@
         incoming: Box<IncomingRequest>,
         out: &mut Vec<EntryAction>,
     ) {
-        Counts::add(&self.shared.counts.arrived);
+        Counts::increment(&self.shared.counts.arrived);
         let id = incoming.request;
         let mut follow_ups = FollowUps::default();
         {
@@ -280,7 +280,7 @@
                         shard.start(&mut ctx, request);
                     });
                 }
-                Err(refusal) => self.refuse_on_arrival(id, refusal, out),
+                Err(error) => self.refuse_on_arrival(id, error, out),
             }
         }
         self.run_follow_ups(now, follow_ups, out);
@@ -290,21 +290,18 @@
     fn refuse_on_arrival(
         &self,
         id: RequestId,
-        refusal: RequestError,
+        error: RequestError,
         out: &mut Vec<EntryAction>,
     ) {
-        self.shared.counts.refused(refusal.code);
+        self.shared.counts.record_refused(error.code);
         TimelineEvent::new(
             EventKind::RequestFailed,
-            format!("refused on arrival: {}", refusal.code),
+            format!("refused on arrival: {}", error.code),
         )
         .request(id)
-        .code(refusal.code)
+        .code(error.code)
         .record(out);
-        out.push(EntryAction::Fail {
-            request: id,
-            error: refusal,
-        });
+        out.push(EntryAction::Fail { request: id, error });
     }
 
     fn answer_part(
@@ -337,7 +334,7 @@
         let behind = revision > self.control.read().config_log.revision();
         if behind {
             self.with_control(|control| {
-                control.heard_revision(now, peer, revision, out);
+                control.peer_revision_received(now, peer, revision, out);
             });
         }
         match (peer, body) {
--- a/crates/role/src/entry/status.rs
+++ b/crates/role/src/entry/status.rs
@@ -67,7 +67,7 @@
 pub struct PeerEntrySummary {
     /// Name.
     pub id: String,
-    /// Whether it was heard recently.
+    /// Whether a message from it was received recently.
     pub alive: bool,
     /// Whether it is draining.
     pub leaving: bool,
--- a/crates/role/src/entry/suspect_events.rs
+++ b/crates/role/src/entry/suspect_events.rs
@@ -15,12 +15,13 @@
 #[derive(Debug)]
 pub(crate) struct VerdictChange {
     pub(crate) fingerprint: u64,
-    /// It is convicted and not only a suspect.
+    /// The request is convicted, and not only a suspect.
     convicted: bool,
     /// Agents whose upstreams crashed with the request in flight.
     agents: Vec<AgentId>,
-    /// It was the only request in flight at one of the crashes.
-    alone: bool,
+    /// The request was the only one in flight at one of the crashes.
+    sole_request: bool,
+    /// Time until the verdict expires.
     remaining_ms: u64,
 }
 
@@ -31,8 +32,8 @@
     fingerprints: &[u64],
     work: impl FnOnce(&mut SuspectRequests),
 ) -> Vec<VerdictChange> {
-    let verdicts = fingerprints.iter();
-    let before: Vec<CrashVerdict> = verdicts
+    let before: Vec<CrashVerdict> = fingerprints
+        .iter()
         .map(|fingerprint| suspects.verdict(now, *fingerprint))
         .collect();
     work(suspects);
@@ -47,7 +48,7 @@
             fingerprint: *fingerprint,
             convicted: after != CrashVerdict::Suspect,
             agents: suspects.crashed_agents(*fingerprint).collect(),
-            alone: suspects.crashed_as_sole_request(*fingerprint),
+            sole_request: suspects.crashed_as_sole_request(*fingerprint),
             remaining_ms: suspects.remaining_ms(now, *fingerprint),
         });
     }
@@ -85,7 +86,7 @@
     fn description(&self) -> String {
         let names = self.agents.iter().map(AgentId::as_str);
         let names = names.collect::<Vec<_>>().join(" and ");
-        let what = match (self.convicted, self.alone) {
+        let what = match (self.convicted, self.sole_request) {
             (false, _) => "gets only exclusive runs from now on",
             (true, true) => "is refused",
             (true, false) => {
--- a/crates/role/src/entry/workload.rs
+++ b/crates/role/src/entry/workload.rs
@@ -13,13 +13,14 @@
 /// Weight of a new sample in the moving averages of service time and value.
 const MEAN_WEIGHT: f64 = 0.1;
 
-/// Limit of models and services with statistics. Names come from configurations, so
-/// removed ones would otherwise accumulate.
+/// Limit of models and services with statistics. Names come from configurations, and
+/// those removed from the configuration would otherwise accumulate.
 const RESOURCES_MAX: usize = 16_384;
 
 #[derive(Debug)]
 struct ResourceStats {
     rate_per_s: f64,
+    /// When `rate_per_s` was last updated.
     rate_at: Instant,
     service_time_ms: Option<f64>,
     value: Option<f64>,
@@ -109,6 +110,8 @@
         self.resources.keys().filter_map(Resource::model)
     }
 
+    /// Statistics of a model or service, created if needed; `None` if the limit is
+    /// reached.
     fn stats_mut(
         &mut self,
         now: Instant,
