--- a/crates/place/benches/queue/cell.rs
+++ b/crates/place/benches/queue/cell.rs
@@ -100,8 +100,8 @@
     }
 
     pub fn batch_share(&self, model: usize) -> f64 {
-        let [desk, batch] = &self.queues[model];
-        batch.len() as f64 / (desk.len() + batch.len()).max(1) as f64
+        let [interactive, batch] = &self.queues[model];
+        batch.len() as f64 / (interactive.len() + batch.len()).max(1) as f64
     }
 
     pub fn running(&self, server: usize) -> usize {
@@ -174,7 +174,7 @@
     /// already wanted or in progress.
     pub fn available_load_starts(&self) -> usize {
         let residents = self.servers.iter().flat_map(|server| &server.residents);
-        let coming = residents
+        let in_progress = residents
             .filter(|r| matches!(r.stage, Stage::Queued | Stage::Loading))
             .count();
         let wanted = self.servers.iter().map(|server| {
@@ -184,8 +184,8 @@
                 .filter(|model| !server.residents.iter().any(|r| r.model == **model));
             missing.count()
         });
-        let coming = coming + wanted.sum::<usize>();
-        let at_once = self.setup.full_speed_loads.saturating_sub(coming);
+        let planned = in_progress + wanted.sum::<usize>();
+        let at_once = self.setup.full_speed_loads.saturating_sub(planned);
         at_once.min(self.store_tokens as usize)
     }
 
@@ -264,7 +264,7 @@
             let mut moves = 0;
             for resident in residents.iter_mut() {
                 let wanted = target.contains(&resident.model);
-                let runs = running.iter().any(|r| {
+                let in_use = running.iter().any(|r| {
                     r.request.model == resident.model
                         || setup.base(r.request.model) == resident.model
                 });
@@ -275,7 +275,7 @@
                         resident.since_ms = now_ms;
                     }
                     Stage::Draining if wanted => resident.stage = Stage::Loaded,
-                    Stage::Draining if !runs => {
+                    Stage::Draining if !in_use => {
                         resident.stage = Stage::Unloading;
                         resident.remaining_ms = UNLOAD_MS as f64;
                         resident.since_ms = now_ms;
@@ -324,23 +324,23 @@
         let mut queued: BTreeMap<(u64, usize, usize), ()> = BTreeMap::new();
         let mut loading = 0;
         for (index, server) in self.servers.iter().enumerate() {
-            for (place, resident) in server.residents.iter().enumerate() {
+            for (position, resident) in server.residents.iter().enumerate() {
                 match resident.stage {
                     Stage::Queued => {
-                        queued.insert((resident.since_ms, index, place), ());
+                        queued.insert((resident.since_ms, index, position), ());
                     }
                     Stage::Loading => loading += 1,
                     _ => {}
                 }
             }
         }
-        for (_, server, place) in queued.into_keys() {
+        for (_, server, position) in queued.into_keys() {
             if self.store_tokens < 1.0 {
                 break;
             }
             self.store_tokens -= 1.0;
             loading += 1;
-            let resident = &mut self.servers[server].residents[place];
+            let resident = &mut self.servers[server].residents[position];
             resident.stage = Stage::Loading;
             resident.since_ms = now_ms;
             resident.remaining_ms = self.setup.load_ms as f64;
@@ -403,13 +403,14 @@
             let mut residents = server.residents.iter();
             residents.any(|r| r.model == model && r.stage == Stage::Loaded)
         };
-        let open = self.servers.iter().enumerate().filter(|(_, server)| {
+        let with_free_slot = self.servers.iter().enumerate().filter(|(_, server)| {
             server.failed_at_ms.is_none()
                 && server.running.len() < self.setup.slots
                 && holds(server, base)
                 && holds(server, model)
         });
-        open.min_by_key(|(_, server)| server.running.len())
+        with_free_slot
+            .min_by_key(|(_, server)| server.running.len())
             .map(|(index, _)| index)
     }
 }
--- a/crates/place/benches/queue/policies.rs
+++ b/crates/place/benches/queue/policies.rs
@@ -106,6 +106,8 @@
     }
 }
 
+/// Adds a base model to the target of a server with room, or of the one whose base model
+/// was least recently used; returns whether it could.
 fn load_base(
     base: usize,
     cell: &Cell,
@@ -136,15 +138,15 @@
             let used = oldest.map_or(0, |oldest| cell.last_started_ms[oldest] + 1);
             (used, server, oldest)
         };
-        if best.is_none_or(|held| (candidate.0, candidate.1) < (held.0, held.1)) {
+        if best.is_none_or(|best| (candidate.0, candidate.1) < (best.0, best.1)) {
             best = Some(candidate);
         }
     }
-    let Some((_, server, victim)) = best else {
+    let Some((_, server, displaced)) = best else {
         return false;
     };
-    if let Some(victim) = victim {
-        targets[server].retain(|model| setup.base(*model) != victim);
+    if let Some(displaced) = displaced {
+        targets[server].retain(|model| setup.base(*model) != displaced);
     }
     // Remove adapters of the other base model if the new one needs their memory.
     let size = |models: &[usize]| -> u32 {
@@ -163,6 +165,8 @@
     true
 }
 
+/// Adds an adapter to a server's target in place of the least recently used adapters;
+/// returns whether it could.
 fn load_adapter(adapter: usize, cell: &Cell, target: &mut Vec<usize>) -> bool {
     let setup = &cell.setup;
     let size = |models: &[usize]| -> u32 {
--- a/crates/place/src/adapters.rs
+++ b/crates/place/src/adapters.rs
@@ -52,6 +52,7 @@
     }
 }
 
+/// Places an adapter next to the base model where its displacements lose least.
 fn place_adapter(
     builder: &mut PlanBuilder<'_, '_>,
     adapter: usize,
@@ -135,12 +136,14 @@
     Some(displaced)
 }
 
+/// Value of holding an adapter.
 fn value_of(builder: &PlanBuilder<'_, '_>, planned: &PlannedModel) -> f64 {
     builder
         .costs
         .adapter_value(&builder.catalog.models[planned.model].demand)
 }
 
+/// Adds an adapter on an accelerator and removes the adapters that it displaces.
 fn add_adapter(
     builder: &mut PlanBuilder<'_, '_>,
     accelerator: usize,
--- a/crates/place/src/candidates.rs
+++ b/crates/place/src/candidates.rs
@@ -126,6 +126,8 @@
             .unwrap_or(0)
     }
 
+    /// Returns the replicas to displace for the group on an accelerator; `None` if it
+    /// can't be placed there.
     fn candidate_on(
         &self,
         group: usize,
@@ -183,6 +185,7 @@
         displaceable
     }
 
+    /// Whether a replica may be displaced.
     fn may_displace(&self, replica: &Replica, displacement: Displacement) -> bool {
         if replica.outdated {
             return true;
@@ -204,6 +207,7 @@
         self.costs.loss(group, slots, removed)
     }
 
+    /// Computes the sort key of a candidate.
     fn rank(
         &self,
         group: usize,
--- a/crates/place/src/costs.rs
+++ b/crates/place/src/costs.rs
@@ -4,7 +4,7 @@
 
 use crate::catalog::{Demand, ModelGroup};
 
-/// Time over which the expected value is summed up.
+/// Length of the time over which expected values are compared.
 pub(crate) const HORIZON_S: f64 = 20.0;
 
 /// Fraction of the loss by which a gain must exceed it, to tolerate noise in the
@@ -19,7 +19,9 @@
 /// Computes gains, losses and the cost of moves in one unit of value.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct CostModel {
+    /// Configured weight of the value of requests that meet their latency targets.
     attainment: f64,
+    /// Configured cost of one move, in the same unit as gains and losses.
     move_cost: f64,
     /// Part of the horizon during which a newly loaded replica serves requests.
     serving_s: f64,
--- a/crates/place/src/history.rs
+++ b/crates/place/src/history.rs
@@ -159,6 +159,7 @@
         });
     }
 
+    /// Stops wanting the models whose removal was planned but is not reported yet.
     fn apply_removals(&self, cell: &mut CellState<'_>, catalog: &Catalog<'_>) {
         for key in self.removals.keys() {
             let accelerator = cell.accelerator_index(&key.agent, key.accelerator);
@@ -169,6 +170,8 @@
         }
     }
 
+    /// Adds the loads that were planned but are not reported yet: those of adapters or
+    /// those of base models.
     fn apply_loads(
         &mut self,
         now: Instant,
@@ -277,11 +280,11 @@
                 continue;
             }
             if model.demand.waiting > 0.0 {
-                let first = Unserved {
+                let new = Unserved {
                     since: now,
                     last_waiting_at: now,
                 };
-                let unserved = self.unserved.entry(id.clone()).or_insert(first);
+                let unserved = self.unserved.entry(id.clone()).or_insert(new);
                 unserved.last_waiting_at = now;
             }
             let Some(unserved) = self.unserved.get(id) else {
--- a/crates/place/src/plan_builder.rs
+++ b/crates/place/src/plan_builder.rs
@@ -199,6 +199,8 @@
         true
     }
 
+    /// Whether a gain justifies a loss, plus the cost of the move unless the group must
+    /// move.
     fn is_justified(&self, group: usize, gain: f64, loss: f64) -> bool {
         if self.must_move(group) {
             self.costs.justifies_loss(gain, loss)
@@ -223,6 +225,7 @@
         self.replica_counts[group] == 0 && (retiring.leaving || retiring.outdated)
     }
 
+    /// Reason shown to operators for a new replica of the group.
     fn placement_reason(&self, group: usize, candidate: &Candidate) -> PlacementReason {
         let retiring = self.retiring[group];
         if self.replica_counts[group] == 0 && retiring.outdated {
--- a/crates/place/src/wait_bound.rs
+++ b/crates/place/src/wait_bound.rs
@@ -15,7 +15,8 @@
 /// has left.
 const EARLY_FRACTION: f64 = 0.6;
 
-/// Time for orders and heartbeats to arrive and running requests to end.
+/// Time besides the load itself until a model is served: orders and heartbeats have
+/// to arrive, and running requests to end.
 const SETTLE_S: f64 = 2.0;
 
 /// A model or adapter with waiting requests that no accelerator can serve.
@@ -40,6 +41,7 @@
     place_due(builder, EARLY_FRACTION);
 }
 
+/// Places the models that are due at this fraction of the bound.
 fn place_due(builder: &mut PlanBuilder<'_, '_>, fraction: f64) {
     for waiting in due_models(builder, fraction) {
         let group = builder.catalog.models[waiting.model].group;
@@ -52,6 +54,7 @@
     }
 }
 
+/// Places a group's base model, if the weight store's budget and the memory permit.
 fn place_base(builder: &mut PlanBuilder<'_, '_>, group: usize, misses_bound: bool) {
     if !builder.allowance.can_start() {
         builder.note_base(group, PlacementReason::StoreBudget);
@@ -98,6 +101,8 @@
     queue
 }
 
+/// Returns all models with waiting requests that no accelerator can serve, the longest
+/// wait first.
 fn waiting_models(builder: &PlanBuilder<'_, '_>) -> Vec<WaitingModel> {
     let mut queue = Vec::new();
     for (index, model) in builder.catalog.models.iter().enumerate() {
--- a/crates/role/tests/agent/admission.rs
+++ b/crates/role/tests/agent/admission.rs
@@ -22,7 +22,7 @@
 
 pub fn send_revoke(agent: &mut TestAgent, sequence: u64, agent_incarnation: u64) {
     agent.receive_frame(frame::Body::Revoke(Revoke {
-        attempt: attempt_frame(sequence),
+        attempt: encoded_attempt_id(sequence),
         agent_incarnation,
     }));
 }
@@ -192,7 +192,7 @@
 #[test]
 fn without_a_configuration_nothing_is_taken() {
     let mut platform = Platform::new();
-    platform.away = true;
+    platform.unavailable = true;
     let mut agent = TestAgent::start(10, "engines", "127.0.0.1:1", Instant::from_ms(1));
     agent.link_up(ENTRY);
     agent.answer_all_calls(&mut platform);
@@ -246,7 +246,7 @@
 
 fn cancelled(agent: &mut TestAgent) {
     start_attempt(agent, 99);
-    let attempt = attempt_frame(99);
+    let attempt = encoded_attempt_id(99);
     agent.receive_frame(frame::Body::Cancel(Cancel { attempt }));
     assert_eq!(agent.stops, [attempt_id(99)]);
 }
--- a/crates/role/tests/agent/concurrency_limit.rs
+++ b/crates/role/tests/agent/concurrency_limit.rs
@@ -25,7 +25,7 @@
 fn advertised_limit(agent: &mut TestAgent) -> u32 {
     agent.advance_time(HEARTBEAT_MS);
     let last = agent.frames.iter().rev().find_map(|(_, body)| match body {
-        frame::Body::Heartbeat(beat) => beat.load,
+        frame::Body::Heartbeat(heartbeat) => heartbeat.load,
         _ => None,
     });
     last.expect("a heartbeat").running_max
@@ -60,7 +60,7 @@
 }
 
 /// The target is shorter than the shortest step. A low limit would gain nothing
-/// and cost throughput, so after one try the limit returns to its maximum for
+/// and cost throughput, so after one attempt to lower it, the limit returns to its maximum for
 /// minutes.
 #[test]
 fn an_unattainable_target_does_not_lower_the_limit_for_long() {
--- a/crates/role/tests/agent/exclusive.rs
+++ b/crates/role/tests/agent/exclusive.rs
@@ -13,14 +13,14 @@
     send_run(agent, message);
 }
 
-/// Load hint of the last frame that carried one.
+/// Load report of the last frame that carried one.
 fn last_load(agent: &TestAgent) -> Load {
     let loads = agent
         .frames
         .iter()
         .rev()
         .filter_map(|(_, body)| match body {
-            frame::Body::Heartbeat(beat) => beat.load,
+            frame::Body::Heartbeat(heartbeat) => heartbeat.load,
             frame::Body::Refused(refused) => refused.load,
             frame::Body::End(end) => end.load,
             _ => None,
@@ -127,7 +127,7 @@
 }
 
 fn cancel(agent: &mut TestAgent) {
-    let attempt = attempt_frame(99);
+    let attempt = encoded_attempt_id(99);
     agent.receive_frame(frame::Body::Cancel(Cancel { attempt }));
 }
 
@@ -138,7 +138,7 @@
     agent.report_from(&engine);
 }
 
-/// A suspect call with an idempotency key waits as well. Its key is claimed
+/// A suspect request with an idempotency key waits as well. Its key is claimed
 /// only when it may start: an earlier claim would have to be released for every
 /// refusal.
 #[test]
--- a/crates/role/tests/agent/idempotency_keys.rs
+++ b/crates/role/tests/agent/idempotency_keys.rs
@@ -1,4 +1,4 @@
-//! Non-idempotent calls with an idempotency key, through whole agents.
+//! Non-idempotent requests with an idempotency key, handled by whole agents.
 
 use crate::fixtures::*;
 use base::prelude::*;
@@ -7,18 +7,18 @@
 
 const NOW: Instant = Instant::from_ms(1_000);
 
-fn send_call(agent: &mut TestAgent, sequence: u64, key: &str) {
+fn send_request(agent: &mut TestAgent, sequence: u64, key: &str) {
     let incarnation = agent.incarnation();
     agent.receive_frame(frame::Body::Run(service_run(sequence, incarnation, key)));
 }
 
-/// The call is not run before its claim is granted, and a resend gets the
-/// stored answer without another run.
+/// The request is not run before its claim is granted, and a second request with the
+/// same key gets the stored answer without another run.
 #[test]
 fn a_resend_gets_the_stored_answer() {
     let mut platform = Platform::new();
     let mut agent = TestAgent::beside_service(10, NOW, &mut platform);
-    send_call(&mut agent, 1, "key");
+    send_request(&mut agent, 1, "key");
     assert!(agent.starts.is_empty(), "run before it was claimed");
     agent.answer_all_calls(&mut platform);
     assert!(agent.started(1));
@@ -27,7 +27,7 @@
     assert_eq!(agent.end_frame(1).map(|end| end.code), Some(0));
 
     let mut other = TestAgent::beside_service(20, NOW, &mut platform);
-    send_call(&mut other, 2, "key");
+    send_request(&mut other, 2, "key");
     other.answer_all_calls(&mut platform);
     assert!(other.starts.is_empty(), "run twice");
     let end = other.end_frame(2).expect("an end");
@@ -40,23 +40,23 @@
     assert_eq!(body.as_deref(), Some(&b"ok"[..]));
 }
 
-/// While the platform is away no claim can be written. The call is refused at
-/// once as `not_run` with a retry delay, and is not run later either.
+/// While the platform is unavailable, no claim can be written. The request is refused
+/// at once as `not_run` with a retry delay, and is not run later either.
 #[test]
 fn while_the_platform_is_away_a_call_is_not_run() {
     let mut platform = Platform::new();
     let mut agent = TestAgent::beside_service(10, NOW, &mut platform);
-    platform.away = true;
-    send_call(&mut agent, 1, "key");
+    platform.unavailable = true;
+    send_request(&mut agent, 1, "key");
     agent.answer_all_calls(&mut platform);
     assert_eq!(agent.refusal(1), Some(ErrorCode::PlatformAway));
-    platform.away = false;
+    platform.unavailable = false;
     for _ in 0..100 {
         agent.advance_time(100);
         agent.answer_all_calls(&mut platform);
     }
     assert!(agent.starts.is_empty());
-    send_call(&mut agent, 2, "key");
+    send_request(&mut agent, 2, "key");
     agent.answer_all_calls(&mut platform);
     assert!(agent.started(2), "the key is free");
 }
@@ -66,12 +66,12 @@
 
 const WITHDRAWALS: [Withdrawal; 3] = [
     ("cancelled", |agent| {
-        let attempt = attempt_frame(1);
+        let attempt = encoded_attempt_id(1);
         agent.receive_frame(frame::Body::Cancel(Cancel { attempt }));
     }),
     ("revoked", |agent| {
         let agent_incarnation = agent.incarnation();
-        let attempt = attempt_frame(1);
+        let attempt = encoded_attempt_id(1);
         agent.receive_frame(frame::Body::Revoke(Revoke {
             attempt,
             agent_incarnation,
@@ -82,27 +82,27 @@
 ];
 
 /// The attempt is withdrawn while its claim is being written. The claim is
-/// granted too late: the call is not run and its key is free again.
+/// granted too late: the request is not run and its key is free again.
 #[test]
 fn a_claim_granted_too_late_is_released() {
     for (name, withdraw) in WITHDRAWALS {
         let mut platform = Platform::new();
         let mut agent = TestAgent::beside_service(10, NOW, &mut platform);
-        send_call(&mut agent, 1, "key");
+        send_request(&mut agent, 1, "key");
         agent.answer_next_call(&mut platform);
         assert_eq!(agent.calls.len(), 1, "{name}: the write is in flight");
         withdraw(&mut agent);
         agent.answer_all_calls(&mut platform);
         assert!(agent.starts.is_empty(), "{name}");
         agent.link_up(ENTRY);
-        send_call(&mut agent, 2, "key");
+        send_request(&mut agent, 2, "key");
         agent.answer_all_calls(&mut platform);
         assert!(agent.started(2), "{name}: the key is not free");
     }
 }
 
 /// The platform answers slowly and the deadline passes before the claim is
-/// granted. The call is refused as `not_run`, is not run, and its key is free
+/// granted. The request is refused as `not_run`, is not run, and its key is free
 /// again when the caller receives the refusal.
 #[test]
 fn a_claim_granted_after_the_deadline_is_released() {
@@ -116,18 +116,18 @@
     agent.answer_all_calls(&mut platform);
     assert!(agent.starts.is_empty());
     assert_eq!(agent.refusal(1), Some(ErrorCode::DeadlineBeforeRun));
-    send_call(&mut agent, 2, "key");
+    send_request(&mut agent, 2, "key");
     agent.answer_all_calls(&mut platform);
     assert!(agent.started(2), "the key is not free");
 }
 
-/// The upstream itself refuses the call. The claim is released before the
-/// caller is told, so that a resend does not find the key claimed.
+/// The upstream itself refuses the request. The claim is released before the caller is
+/// told, so that its next request does not find the key claimed.
 #[test]
 fn a_call_the_upstream_refused_frees_its_key_first() {
     let mut platform = Platform::new();
     let mut agent = TestAgent::beside_service(10, NOW, &mut platform);
-    send_call(&mut agent, 1, "key");
+    send_request(&mut agent, 1, "key");
     agent.answer_all_calls(&mut platform);
     agent.upstream_event(UpstreamEvent::Failed {
         attempt: attempt_id(1),
@@ -138,20 +138,20 @@
     assert_eq!(agent.refusal(1), None, "refused before the key was free");
     agent.answer_all_calls(&mut platform);
     assert_eq!(agent.refusal(1), Some(ErrorCode::UpstreamFault));
-    send_call(&mut agent, 2, "key");
+    send_request(&mut agent, 2, "key");
     agent.answer_all_calls(&mut platform);
     assert!(agent.started(2));
 }
 
-/// The agent dies between claim and run, or between run and answer. A resend
-/// through its successor is never run, because the successor can't tell whether
-/// the first call was.
+/// The agent dies between claim and run, or between run and answer. Another request with
+/// the same key is never run by its successor, which can't tell whether the first one
+/// was.
 #[test]
 fn a_call_of_a_dead_agent_is_not_run_again() {
     for ran in [false, true] {
         let mut platform = Platform::new();
         let mut agent = TestAgent::beside_service(10, NOW, &mut platform);
-        send_call(&mut agent, 1, "key");
+        send_request(&mut agent, 1, "key");
         agent.answer_all_calls(&mut platform);
         if ran {
             agent.upstream_event(UpstreamEvent::Started {
@@ -160,13 +160,13 @@
         }
         drop(agent);
         let mut next = TestAgent::beside_service(11, NOW.plus_ms(500), &mut platform);
-        send_call(&mut next, 2, "key");
+        send_request(&mut next, 2, "key");
         next.answer_all_calls(&mut platform);
         let end = next.end_frame(2).expect("an end");
         assert_eq!(end.code, ErrorCode::KeyInProgress.number());
         assert_eq!(RunStatus::from_number(end.ran), RunStatus::Unknown);
         next.advance_time(20_000);
-        send_call(&mut next, 3, "key");
+        send_request(&mut next, 3, "key");
         next.answer_all_calls(&mut platform);
         let end = next.end_frame(3).expect("an end");
         assert_eq!(end.code, ErrorCode::OutcomeUnknown.number());
@@ -174,13 +174,13 @@
     }
 }
 
-/// The entry disconnects during the run. The call can't be undone, so it
-/// finishes and its answer is stored for a resend.
+/// The entry disconnects during the run. The request can't be undone, so it finishes and
+/// its answer is stored for a later request with the same key.
 #[test]
 fn a_call_without_its_entry_still_stores_its_answer() {
     let mut platform = Platform::new();
     let mut agent = TestAgent::beside_service(10, NOW, &mut platform);
-    send_call(&mut agent, 1, "key");
+    send_request(&mut agent, 1, "key");
     agent.answer_all_calls(&mut platform);
     agent.upstream_event(UpstreamEvent::Started {
         attempt: attempt_id(1),
@@ -190,18 +190,18 @@
     agent.complete_attempt(1);
     agent.answer_all_calls(&mut platform);
     agent.link_up(ENTRY);
-    send_call(&mut agent, 2, "key");
+    send_request(&mut agent, 2, "key");
     agent.answer_all_calls(&mut platform);
     assert!(agent.end_frame(2).is_some_and(|end| end.replayed));
 }
 
-/// The upstream dies with the call in flight. It may have taken effect, so a
-/// resend is told that it ran with an unknown outcome.
+/// The upstream dies with the request in flight. It may have taken effect, so another
+/// request with the same key is told that it ran with an unknown outcome.
 #[test]
 fn a_call_lost_in_a_crash_is_not_run_again() {
     let mut platform = Platform::new();
     let mut agent = TestAgent::beside_service(10, NOW, &mut platform);
-    send_call(&mut agent, 1, "key");
+    send_request(&mut agent, 1, "key");
     agent.answer_all_calls(&mut platform);
     agent.upstream_event(UpstreamEvent::Started {
         attempt: attempt_id(1),
@@ -209,7 +209,7 @@
     agent.upstream_event(UpstreamEvent::Down);
     agent.answer_all_calls(&mut platform);
     agent.report_from(&Engine::new());
-    send_call(&mut agent, 2, "key");
+    send_request(&mut agent, 2, "key");
     agent.answer_all_calls(&mut platform);
     let end = agent.end_frame(2).expect("an end");
     assert_eq!(end.code, ErrorCode::OutcomeUnknown.number());
@@ -217,13 +217,13 @@
     assert_eq!(agent.starts.len(), 1);
 }
 
-/// On a graceful shutdown the call in progress finishes, its answer is stored,
+/// On a graceful shutdown the request in progress finishes, its answer is stored,
 /// and only then does the process exit.
 #[test]
 fn a_stop_waits_for_the_answer_to_be_stored() {
     let mut platform = Platform::new();
     let mut agent = TestAgent::beside_service(10, NOW, &mut platform);
-    send_call(&mut agent, 1, "key");
+    send_request(&mut agent, 1, "key");
     agent.answer_all_calls(&mut platform);
     agent.handle(AgentEvent::Drain);
     agent.answer_all_calls(&mut platform);
@@ -235,7 +235,7 @@
     agent.answer_all_calls(&mut platform);
     assert!(agent.exited);
     let mut next = TestAgent::beside_service(11, NOW, &mut platform);
-    send_call(&mut next, 2, "key");
+    send_request(&mut next, 2, "key");
     next.answer_all_calls(&mut platform);
     assert!(next.end_frame(2).is_some_and(|end| end.replayed));
 }
--- a/crates/role/tests/agent/lifecycle.rs
+++ b/crates/role/tests/agent/lifecycle.rs
@@ -24,12 +24,12 @@
     Some(Member::decode(value.as_slice()).expect("the agent registers itself"))
 }
 
-/// The platform is away when the agent starts. The agent gets its configuration
+/// The platform is unavailable when the agent starts. The agent gets its configuration
 /// from an entry and serves; it takes the epoch once the platform is back.
 #[test]
 fn a_start_without_the_platform_takes_the_configuration_from_an_entry() {
     let mut platform = Platform::new();
-    platform.away = true;
+    platform.unavailable = true;
     let mut agent = TestAgent::start(10, "desk", "127.0.0.1:1", NOW);
     agent.answer_all_calls(&mut platform);
     agent.report_from(&Engine::new());
@@ -45,7 +45,7 @@
     }));
     assert!(agent.ready);
     assert_eq!(agent.role.status().epoch, 0);
-    platform.away = false;
+    platform.unavailable = false;
     for _ in 0..50 {
         agent.advance_time(100);
         agent.answer_all_calls(&mut platform);
@@ -157,13 +157,13 @@
     assert_eq!(last, Some(10));
 }
 
-/// The platform is away during a shutdown, which does not wait for it
+/// The platform is unavailable during a shutdown, which does not wait for it
 /// indefinitely.
 #[test]
 fn a_stop_does_not_wait_for_the_platform() {
     let mut platform = Platform::new();
     let mut agent = TestAgent::beside_service(10, NOW, &mut platform);
-    platform.away = true;
+    platform.unavailable = true;
     agent.handle(AgentEvent::Drain);
     for _ in 0..150 {
         agent.advance_time(100);
--- a/crates/role/tests/agent/orders.rs
+++ b/crates/role/tests/agent/orders.rs
@@ -175,13 +175,13 @@
     assert!(engine.peak_mib <= 100);
 }
 
-/// While the platform is away no intent can be recorded, so no order is sent
+/// While the platform is unavailable, no intent can be recorded, so no order is sent
 /// and no model stops being served. The plan is carried out once the platform
 /// is back.
 #[test]
 fn while_the_platform_is_away_models_stay_and_are_served() {
     let (mut platform, mut engine, mut agent) = agent_with_model_a();
-    platform.away = true;
+    platform.unavailable = true;
     agent.receive_target("p", 1, &[("b", 1)]);
     agent.answer_all_calls(&mut platform);
     for attempt in 1..=5 {
@@ -196,7 +196,7 @@
         assert!(agent.orders.is_empty());
     }
     assert!(engine.has_loaded("a"));
-    platform.away = false;
+    platform.unavailable = false;
     agent.receive_target("p", 1, &[("b", 1)]);
     agent.run_for(5_000, &mut platform, &mut engine);
     assert!(engine.has_loaded("b"));
--- a/crates/role/tests/agent/random/keys.rs
+++ b/crates/role/tests/agent/random/keys.rs
@@ -1,4 +1,4 @@
-//! Randomised test: two agents of one service run each idempotency key at most
+//! Randomized test: two agents of one service run each idempotency key at most
 //! once.
 
 use super::{SEED, cases};
@@ -66,7 +66,7 @@
         let index = u.choose_index(2)?;
         match u.int_in_range(0..=11)? {
             0..=4 => self.answer(index, u)?,
-            5 | 6 => self.send_call(index, u)?,
+            5 | 6 => self.send_request(index, u)?,
             7 => self.agents[index].advance_time(u.int_in_range(1..=3_000)?),
             8 => self.end(index, u)?,
             9 => {
@@ -114,7 +114,7 @@
         Ok(())
     }
 
-    fn send_call(&mut self, index: usize, u: &mut Unstructured<'_>) -> Result<()> {
+    fn send_request(&mut self, index: usize, u: &mut Unstructured<'_>) -> Result<()> {
         self.sequence += 1;
         let key = ["x", "y", "z"][u.choose_index(3)?];
         let incarnation = self.agents[index].incarnation();
--- a/crates/role/tests/agent/random/memory.rs
+++ b/crates/role/tests/agent/random/memory.rs
@@ -1,4 +1,4 @@
-//! Randomised test: successive agents beside one engine never overcommit its
+//! Randomized test: successive agents beside one engine never overcommit its
 //! memory.
 
 use super::{SEED, cases};
@@ -96,7 +96,7 @@
         }
     }
 
-    /// The platform answers a call, is away, or loses the answer, with the
+    /// The platform answers a call, is unavailable, or loses the answer, with the
     /// write taking effect at once, later or never.
     fn answer(&mut self, index: usize, u: &mut Unstructured<'_>) -> Result<()> {
         let agent = &mut self.agents[index];
@@ -302,7 +302,7 @@
     }
 }
 
-/// Orders are lost, duplicated and late; the platform is away or loses answers;
+/// Orders are lost, duplicated and late; the platform is unavailable or loses answers;
 /// agents freeze, wake and are replaced while they live. In every sequence, no
 /// load is sent for which the accelerator has no room.
 #[test]
--- a/crates/role/tests/agent/random/mod.rs
+++ b/crates/role/tests/agent/random/mod.rs
@@ -1,4 +1,4 @@
-//! Randomised sequences of faults around agents, an upstream and a platform.
+//! Randomized sequences of faults around agents, an upstream and a platform.
 
 mod keys;
 mod memory;
--- a/crates/role/tests/entry/answers.rs
+++ b/crates/role/tests/entry/answers.rs
@@ -77,7 +77,7 @@
             5,
         ),
         (
-            "refusal of the old attempt, again",
+            "error of the old attempt, again",
             |r, old, new| {
                 r.refuse(old, ErrorCode::GateFull);
                 r.part(new, 0, 5);
@@ -130,7 +130,7 @@
         rig.end(&new, *total);
         assert_eq!(rig.skipped_units(request), *skips, "{name}");
         assert_eq!(rig.finished(request), Some(*total), "{name}");
-        assert!(rig.refusals(request).is_empty(), "{name}");
+        assert!(rig.errors(request).is_empty(), "{name}");
     }
 }
 
@@ -207,9 +207,9 @@
         rig.send_heartbeat("a1");
         fault(&mut rig, &only);
         rig.advance(100);
-        let refusal = rig.refusal(request);
-        assert_eq!(refusal.code, ErrorCode::AnswerBroken, "{name}");
-        assert_eq!(refusal.ran, RunStatus::Ran, "{name}");
+        let error = rig.error(request);
+        assert_eq!(error.code, ErrorCode::AnswerBroken, "{name}");
+        assert_eq!(error.ran, RunStatus::Ran, "{name}");
         assert_eq!(rig.finished(request), None, "{name}");
     }
 }
@@ -228,7 +228,7 @@
     let run = rig.run(request);
     rig.part(&run, 0, 10);
     rig.fail(&run, ErrorCode::UpstreamLost, RunStatus::Ran);
-    assert_eq!(rig.refusal(request).code, ErrorCode::AnswerBroken);
+    assert_eq!(rig.error(request).code, ErrorCode::AnswerBroken);
     assert_eq!(rig.runs(request).len(), 1);
 }
 
@@ -246,6 +246,6 @@
     rig.part(&run, 0, 1);
     rig.end(&run, 1);
     assert!(rig.skipped_units(request).is_empty());
-    assert!(rig.finished(request).is_none() && rig.refusals(request).is_empty());
+    assert!(rig.finished(request).is_none() && rig.errors(request).is_empty());
     assert_eq!(rig.role.counters().running, 0);
 }
--- a/crates/role/tests/entry/control.rs
+++ b/crates/role/tests/entry/control.rs
@@ -108,7 +108,7 @@
     rig.start();
     rig.advance(3_000);
     let request = rig.request_model("m1");
-    assert_eq!(rig.refusal(request).code, ErrorCode::NotReady);
+    assert_eq!(rig.error(request).code, ErrorCode::NotReady);
     rig.handle(EntryEvent::LinkUp {
         peer: entry_peer("e2"),
         incarnation: Incarnation(9),
@@ -226,12 +226,12 @@
     rig.handle(EntryEvent::Drain);
     rig.handle(EntryEvent::Drain);
     let new = rig.request_model("m1");
-    let refusal = rig.refusal(new);
+    let error = rig.error(new);
     assert_eq!(
-        (refusal.code, refusal.ran),
+        (error.code, error.ran),
         (ErrorCode::Leaving, RunStatus::NotRun)
     );
-    assert!(refusal.retry_after_ms.is_some());
+    assert!(error.retry_after_ms.is_some());
     rig.advance(1_000);
     assert_eq!(rig.exits(), 0);
     rig.part(&run, 2, 1);
--- a/crates/role/tests/entry/crashes.rs
+++ b/crates/role/tests/entry/crashes.rs
@@ -169,17 +169,17 @@
         assert_eq!(pair.rigs[0].finished(request), Some(0));
     }
     for (index, request) in sent {
-        let refusal = pair.rigs[index].refusal(request);
-        assert_eq!(refusal.code, ErrorCode::RequestCrashedUpstreams);
+        let error = pair.rigs[index].error(request);
+        assert_eq!(error.code, ErrorCode::RequestCrashedUpstreams);
     }
     for index in 0..2 {
         let last = pair.send_poison(index);
-        let refusal = pair.rigs[index].refusal(last);
+        let error = pair.rigs[index].error(last);
         assert_eq!(
-            (refusal.code, refusal.ran),
+            (error.code, error.ran),
             (ErrorCode::RequestCrashedUpstreams, RunStatus::NotRun)
         );
-        assert!(refusal.retry_after_ms.is_some());
+        assert!(error.retry_after_ms.is_some());
     }
 }
 
@@ -205,10 +205,7 @@
         }
         assert_eq!(pair.crashes, 2, "phase {phase_ms}");
         for (rig, request) in pair.rigs.iter().zip(again) {
-            assert_eq!(
-                rig.refusal(request).code,
-                ErrorCode::RequestCrashedUpstreams
-            );
+            assert_eq!(rig.error(request).code, ErrorCode::RequestCrashedUpstreams);
         }
     }
 }
--- a/crates/role/tests/entry/early_refusals.rs
+++ b/crates/role/tests/entry/early_refusals.rs
@@ -164,7 +164,7 @@
                 incoming.profile = Some(ProfileId::new("night"));
                 incoming.deadline_ms = Some(8_000);
                 let request = rig.submit(incoming);
-                assert!(rig.refusals(request).is_empty());
+                assert!(rig.errors(request).is_empty());
                 for _ in 0..40 {
                     rig.request_model("m1");
                 }
@@ -194,17 +194,17 @@
         let mut rig = configured(&config);
         let request = (case.set_up)(&mut rig);
         rig.advance(case.within_ms);
-        let refusals = rig.refusals(request);
-        assert_eq!(refusals.len(), 1, "{}: {refusals:?}", case.name);
-        let refusal = refusals[0];
+        let errors = rig.errors(request);
+        assert_eq!(errors.len(), 1, "{}: {errors:?}", case.name);
+        let error = errors[0];
         assert_eq!(
-            (refusal.code, refusal.ran),
+            (error.code, error.ran),
             (case.code, case.ran),
             "{}",
             case.name
         );
         assert!(
-            refusal.retry_after_ms.is_some_and(|ms| ms > 0),
+            error.retry_after_ms.is_some_and(|ms| ms > 0),
             "{}",
             case.name
         );
@@ -225,18 +225,14 @@
     rig.agents.get_mut("a1").expect("known").models = vec![("m1".to_owned(), 1)];
     fill(&mut rig, "a1");
     let new = rig.request_model("m1");
-    let refusal = rig.refusal(new);
+    let error = rig.error(new);
     assert_eq!(
-        refusal.code,
+        error.code,
         ErrorCode::Overloaded,
         "a new request would miss its target"
     );
     rig.advance(600);
-    assert!(
-        waited
-            .iter()
-            .all(|request| rig.refusals(*request).is_empty())
-    );
+    assert!(waited.iter().all(|request| rig.errors(*request).is_empty()));
     rig.agents.get_mut("a1").expect("known").running = 0;
     rig.send_heartbeat("a1");
     assert_eq!(rig.runs(waited[0]).len(), 1);
@@ -255,25 +251,25 @@
     let burst: Vec<RequestId> = (0..12).map(|_| rig.request_model("m1")).collect();
     let refused = burst
         .iter()
-        .filter(|request| !rig.refusals(**request).is_empty());
+        .filter(|request| !rig.errors(**request).is_empty());
     assert_eq!(refused.count(), 4);
-    let refusal = rig.refusal(burst[11]);
+    let error = rig.error(burst[11]);
     assert_eq!(
-        (refusal.code, refusal.ran),
+        (error.code, error.ran),
         (ErrorCode::CallerLimit, RunStatus::NotRun)
     );
-    assert!(refusal.retry_after_ms.is_some());
+    assert!(error.retry_after_ms.is_some());
     let mut incoming = rig.incoming(RequestedResource::Model(Some(ModelId::new("m1"))));
     incoming.credential = access::Credential::from_key("other");
     let request = rig.submit(incoming);
-    assert!(rig.refusals(request).is_empty());
+    assert!(rig.errors(request).is_empty());
     // Requests that were sent no longer count towards the limit.
     rig.agents.get_mut("a1").expect("known").models = vec![("m1".to_owned(), 1)];
     rig.send_heartbeat("a1");
     assert!(rig.role.counters().waiting < 9);
     fill(&mut rig, "a1");
     let again = rig.request_model("m1");
-    assert!(rig.refusals(again).is_empty());
+    assert!(rig.errors(again).is_empty());
 }
 
 /// When the deadline passes while a request runs, the refusal has a retry delay, unless
@@ -292,8 +288,8 @@
         let run = rig.run(request);
         rig.started(&run);
         rig.advance(1_100);
-        let refusal = rig.refusal(request);
-        assert_eq!(refusal.ran, RunStatus::Ran);
-        assert_eq!(refusal.retry_after_ms.is_some(), idempotent || key);
+        let error = rig.error(request);
+        assert_eq!(error.ran, RunStatus::Ran);
+        assert_eq!(error.retry_after_ms.is_some(), idempotent || key);
     }
 }
--- a/crates/role/tests/entry/failing.rs
+++ b/crates/role/tests/entry/failing.rs
@@ -49,7 +49,7 @@
             rig.started(&run);
             rig.fail(&run, ErrorCode::UpstreamFault, RunStatus::Ran);
         }
-        if rig.refusals(request).is_empty() {
+        if rig.errors(request).is_empty() {
             let run = rig.run(request);
             answer(&mut rig, &run);
         }
@@ -168,7 +168,7 @@
         let run = rig.run(request);
         rig.started(&run);
         rig.fail(&run, ErrorCode::AnswerBroken, RunStatus::Ran);
-        if !rig.refusals(request).is_empty() {
+        if !rig.errors(request).is_empty() {
             break;
         }
         // The only other upstream is tried again after a backoff.
--- a/crates/role/tests/entry/forecast.rs
+++ b/crates/role/tests/entry/forecast.rs
@@ -32,12 +32,11 @@
         rig.incoming(RequestedResource::Model(Some(ModelId::new(model))));
     incoming.deadline_ms = Some(deadline_ms);
     let request = rig.submit(incoming);
-    let refusals = rig.refusals(request);
-    let all_with_retry_delay = refusals
-        .iter()
-        .all(|refusal| refusal.retry_after_ms.is_some());
-    assert!(all_with_retry_delay, "{refusals:?}");
-    !refusals.is_empty()
+    let errors = rig.errors(request);
+    let all_with_retry_delay =
+        errors.iter().all(|error| error.retry_after_ms.is_some());
+    assert!(all_with_retry_delay, "{errors:?}");
+    !errors.is_empty()
 }
 
 /// An adapter whose base is not loaded takes two loads. A request with time for only one
@@ -85,8 +84,8 @@
         rig.advance(25_000);
         let agent = rig.agents.get_mut("a1").expect("known");
         agent.sequence += 1;
-        let mut beat = heartbeat("a1", agent);
-        beat.residents = vec![Resident {
+        let mut heartbeat = heartbeat("a1", agent);
+        heartbeat.residents = vec![Resident {
             model: "m1".to_owned(),
             version: 1,
             accelerator: 0,
@@ -94,7 +93,7 @@
             size_mib: 70,
             age_ms,
         }];
-        rig.frame("a1", frame::Body::Heartbeat(beat));
+        rig.frame("a1", frame::Body::Heartbeat(heartbeat));
         assert_eq!(refused_at_once(&mut rig, "m1", 5_000), expected, "{age_ms}");
     }
 }
@@ -131,7 +130,7 @@
 fn report_load(rig: &mut Rig, state: Option<ResidentState>, age_ms: u64) {
     let agent = rig.agents.get_mut("a1").expect("known");
     agent.sequence += 1;
-    let mut beat = heartbeat("a1", agent);
+    let mut heartbeat = heartbeat("a1", agent);
     let resident = state.map(|state| Resident {
         model: "m1".to_owned(),
         version: 1,
@@ -140,8 +139,8 @@
         size_mib: 70,
         age_ms,
     });
-    beat.residents.extend(resident);
-    rig.frame("a1", frame::Body::Heartbeat(beat));
+    heartbeat.residents.extend(resident);
+    rig.frame("a1", frame::Body::Heartbeat(heartbeat));
 }
 
 /// A request waits for a load that takes four times the configured load time. While the
@@ -193,7 +192,7 @@
                 rig.started(&run);
                 rig.end(&run, 0);
             }
-            if refused_after_ms.is_none() && !rig.refusals(request).is_empty() {
+            if refused_after_ms.is_none() && !rig.errors(request).is_empty() {
                 refused_after_ms = Some(passed_ms);
             }
         }
@@ -210,9 +209,9 @@
                     bounds.contains(&refused_after_ms),
                     "{load:?} {refused_after_ms}"
                 );
-                let refusal = rig.refusal(request);
-                assert_eq!(refusal.code, ErrorCode::ModelUnavailable, "{load:?}");
-                assert!(refusal.retry_after_ms > Some(1_000), "{load:?}");
+                let error = rig.error(request);
+                assert_eq!(error.code, ErrorCode::ModelUnavailable, "{load:?}");
+                assert!(error.retry_after_ms > Some(1_000), "{load:?}");
             }
         }
     }
--- a/crates/role/tests/entry/freeze.rs
+++ b/crates/role/tests/entry/freeze.rs
@@ -69,7 +69,7 @@
         freeze(&mut rig);
         first(&mut rig);
         let request = rig.submit(incoming);
-        assert!(rig.refusals(request).is_empty(), "{name}");
+        assert!(rig.errors(request).is_empty(), "{name}");
         rig.send_heartbeats();
         assert_eq!(rig.events_recorded(EventKind::AgentLost), 0, "{name}");
         assert_eq!(rig.events_recorded(EventKind::AgentSuspected), 0, "{name}");
@@ -128,7 +128,7 @@
     rig.handle(EntryEvent::Tick);
     let request = rig.request_model("m1");
     assert_eq!(rig.role.counters().plans, before);
-    assert!(rig.refusals(request).is_empty());
+    assert!(rig.errors(request).is_empty());
     let agent = rig.agents.get_mut("a1").expect("known");
     agent.models = vec![("m1".to_owned(), 1)];
     rig.send_heartbeats();
--- a/crates/role/tests/entry/outcome_counts.rs
+++ b/crates/role/tests/entry/outcome_counts.rs
@@ -68,7 +68,7 @@
         base::ErrorCode::UpstreamLost,
         base::RunStatus::Unknown,
     );
-    assert!(!rig.refusals(request).is_empty());
+    assert!(!rig.errors(request).is_empty());
     let counters = rig.role.counters();
     let found = counters.profiles.first().expect("one profile was used");
     assert_eq!([found.refused, found.finished, found.attained], [1, 0, 0]);
--- a/crates/role/tests/entry/retries.rs
+++ b/crates/role/tests/entry/retries.rs
@@ -59,9 +59,9 @@
                     rig.started(&run);
                 }
                 fault(&mut rig, &run);
-                let outcome = match (rig.runs(request).len(), rig.refusals(request)) {
-                    (1, refusals) if refusals.is_empty() => Queried,
-                    (1, refusals) => Refused(refusals[0].code, refusals[0].ran),
+                let outcome = match (rig.runs(request).len(), rig.errors(request)) {
+                    (1, errors) if errors.is_empty() => Queried,
+                    (1, errors) => Refused(errors[0].code, errors[0].ran),
                     (2, _) => Retried,
                     other => panic!("{name}: {other:?}"),
                 };
@@ -87,8 +87,8 @@
                 if outcome == Queried {
                     // Without a reply of the agent the request still ends.
                     rig.advance(1_200);
-                    let refusal = rig.refusal(request);
-                    assert_eq!(refusal.ran, RunStatus::Unknown, "{row}");
+                    let error = rig.error(request);
+                    assert_eq!(error.ran, RunStatus::Unknown, "{row}");
                 }
                 assert_eq!(outcome, expected, "{row}");
             }
@@ -119,7 +119,7 @@
             "unknown",
             |r, run| r.revoked(run, RunStatus::Unknown),
             |r, request, _| {
-                assert_eq!(r.refusal(request).ran, RunStatus::Unknown);
+                assert_eq!(r.error(request).ran, RunStatus::Unknown);
                 assert_eq!(r.runs(request).len(), 1);
             },
         ),
@@ -206,7 +206,7 @@
             RunStatus::NotRun,
         ),
         (
-            "final refusal by the agent",
+            "final error by the agent",
             |r| {
                 let request = r.call_orders();
                 let run = r.run(request);
@@ -281,8 +281,8 @@
         rig.agent("a1", &["m1"]);
         rig.agent_in("s1", "desk", "d1", &[]);
         let request = steps(&mut rig);
-        let refusal = rig.refusal(request);
-        assert_eq!((refusal.code, refusal.ran), (*code, *ran), "{name}");
+        let error = rig.error(request);
+        assert_eq!((error.code, error.ran), (*code, *ran), "{name}");
         assert_eq!(rig.role.counters().running, 0, "{name}");
         assert_eq!(rig.role.counters().waiting, 0, "{name}");
     }
@@ -309,11 +309,11 @@
             rig.started(&run);
             rig.fail(&run, ErrorCode::UpstreamFault, RunStatus::Ran);
             let resent = rig.run(request).id() != run.id();
-            if !resent && rig.refusals(request).is_empty() {
+            if !resent && rig.errors(request).is_empty() {
                 rig.advance(150);
             }
         }
-        assert_eq!(rig.refusals(request).len(), 1);
+        assert_eq!(rig.errors(request).len(), 1);
         rig.send_heartbeats();
     }
     let counters = rig.role.counters();
@@ -337,7 +337,7 @@
     rig.part(&run1, 0, 4);
     rig.end(&run1, 4);
     assert_eq!(rig.finished(first), Some(4));
-    assert_eq!(rig.refusal(second).code, ErrorCode::KeyInProgress);
+    assert_eq!(rig.error(second).code, ErrorCode::KeyInProgress);
 }
 
 /// The first call with a key is in progress at a frozen agent, and its caller retries
@@ -362,8 +362,8 @@
             ..End::default()
         });
         rig.frame(&run.agent, body);
-        let refusal = rig.refusal(request);
-        let reported = (refusal.code, refusal.ran, refusal.retry_after_ms);
+        let error = rig.error(request);
+        let reported = (error.code, error.ran, error.retry_after_ms);
         assert_eq!(
             reported,
             (ErrorCode::KeyInProgress, RunStatus::Unknown, Some(1_000))
@@ -395,7 +395,7 @@
             rig.fail(&run, ErrorCode::AnswerBroken, RunStatus::Ran);
             rig.advance(100);
             again += rig.runs(request).len() - 1;
-            if rig.refusals(request).is_empty() {
+            if rig.errors(request).is_empty() {
                 let run = rig.run(request);
                 rig.started(&run);
                 rig.end(&run, 0);
--- a/crates/role/tests/entry/rig/observed.rs
+++ b/crates/role/tests/entry/rig/observed.rs
@@ -29,7 +29,7 @@
         self.runs(request).pop().expect("the request was sent")
     }
 
-    pub fn refusals(&self, request: RequestId) -> Vec<RequestError> {
+    pub fn errors(&self, request: RequestId) -> Vec<RequestError> {
         let refused = self.actions.iter().filter_map(|action| match action {
             EntryAction::Fail { request: of, error } if *of == request => Some(*error),
             _ => None,
@@ -37,10 +37,10 @@
         refused.collect()
     }
 
-    pub fn refusal(&self, request: RequestId) -> RequestError {
-        let refusals = self.refusals(request);
-        assert_eq!(refusals.len(), 1, "one refusal of {request}: {refusals:?}");
-        refusals[0]
+    pub fn error(&self, request: RequestId) -> RequestError {
+        let errors = self.errors(request);
+        assert_eq!(errors.len(), 1, "one error of {request}: {errors:?}");
+        errors[0]
     }
 
     pub fn finished(&self, request: RequestId) -> Option<u64> {
--- a/crates/role/tests/entry/suspects.rs
+++ b/crates/role/tests/entry/suspects.rs
@@ -86,10 +86,7 @@
     );
     assert_eq!(convicted[0].peer, second);
     assert_eq!(events(&rig, EventKind::RequestSuspected).len(), 1);
-    assert_eq!(
-        rig.refusal(request).code,
-        ErrorCode::RequestCrashedUpstreams
-    );
+    assert_eq!(rig.error(request).code, ErrorCode::RequestCrashedUpstreams);
 }
 
 /// When gossip of another entry convicts a suspect request, a waiting copy is refused at
@@ -102,7 +99,7 @@
     crash(&mut rig, before, 1);
     assert!(rig.run(before).run.alone);
     let first = crash(&mut rig, request, 2);
-    assert!(rig.refusals(request).is_empty() && rig.runs(request).len() == 1);
+    assert!(rig.errors(request).is_empty() && rig.runs(request).len() == 1);
     rig.advance(20);
     let gossip = gossiped_suspects(&rig).pop().expect("gossiped at once");
     let fingerprint = rig.run(request).run.fingerprint;
@@ -124,17 +121,17 @@
             }),
         });
     }
-    let refusal = rig.refusal(request);
+    let error = rig.error(request);
     assert_eq!(
-        (refusal.code, refusal.ran),
+        (error.code, error.ran),
         (ErrorCode::RequestCrashedUpstreams, RunStatus::Ran)
     );
-    assert!(refusal.retry_after_ms.is_some());
+    assert!(error.retry_after_ms.is_some());
     assert_eq!(events(&rig, EventKind::RequestConvicted).len(), 1);
     let later = send_poison(&mut rig);
-    let refusal = rig.refusal(later);
+    let error = rig.error(later);
     assert_eq!(
-        (refusal.code, refusal.ran),
+        (error.code, error.ran),
         (ErrorCode::RequestCrashedUpstreams, RunStatus::NotRun)
     );
 }
@@ -197,8 +194,8 @@
         rig.agent("a1", &["m1"]);
         let request = send_poison(&mut rig);
         crash(&mut rig, request, 1);
-        let refusal = rig.refusal(request);
-        assert_eq!(refusal.retry_after_ms, Some(expected_ms));
+        let error = rig.error(request);
+        assert_eq!(error.retry_after_ms, Some(expected_ms));
     }
 }
 
--- a/crates/role/tests/entry/waiting.rs
+++ b/crates/role/tests/entry/waiting.rs
@@ -53,15 +53,15 @@
         batch_request(&mut rig),
         batch_request(&mut rig),
     );
-    assert_eq!(rig.refusal(third).code, ErrorCode::QueueFull);
+    assert_eq!(rig.error(third).code, ErrorCode::QueueFull);
     let urgent = rig.request_model("m1");
-    assert!(rig.refusals(urgent).is_empty() && rig.refusals(first).is_empty());
-    let refusal = rig.refusal(second);
+    assert!(rig.errors(urgent).is_empty() && rig.errors(first).is_empty());
+    let error = rig.error(second);
     assert_eq!(
-        (refusal.code, refusal.ran),
+        (error.code, error.ran),
         (ErrorCode::QueueFull, RunStatus::NotRun)
     );
-    assert!(refusal.retry_after_ms.is_some());
+    assert!(error.retry_after_ms.is_some());
     assert_eq!(rig.role.counters().waiting, 2);
 }
 
@@ -101,11 +101,11 @@
     }
     assert!(!planned.is_empty(), "waiting requests cause loads");
     for request in &requests {
-        match rig.refusals(*request).as_slice() {
+        match rig.errors(*request).as_slice() {
             [] => {}
-            [refusal] => {
-                assert_eq!(refusal.ran, RunStatus::NotRun);
-                assert!(refusal.retry_after_ms.is_some());
+            [error] => {
+                assert_eq!(error.ran, RunStatus::NotRun);
+                assert!(error.retry_after_ms.is_some());
             }
             more => panic!("refused {} times", more.len()),
         }
@@ -151,7 +151,7 @@
     let mut incoming = rig.incoming(RequestedResource::Model(Some(ModelId::new("m1"))));
     incoming.deadline_ms = Some(300);
     let request = rig.submit(incoming);
-    let refusal = rig.refusal(request);
-    assert_eq!(refusal.code, ErrorCode::ModelUnavailable);
-    assert!(refusal.retry_after_ms.is_some_and(|ms| ms > 0));
+    let error = rig.error(request);
+    assert_eq!(error.code, ErrorCode::ModelUnavailable);
+    assert!(error.retry_after_ms.is_some_and(|ms| ms > 0));
 }
--- a/crates/route/benches/policy/retries.rs
+++ b/crates/route/benches/policy/retries.rs
@@ -60,7 +60,7 @@
 }
 
 pub fn print() {
-    println!("\nretries: 60 s at 100 requests/s, 18 upstreams, four tries at most");
+    println!("\nretries: 60 s at 100 requests/s, 18 upstreams, four attempts at most");
     println!(
         "{:>8} {:>7} | {:>14} {:>6}",
         "failing", "budget", "attempts/first", "done%"
--- a/crates/route/benches/verdicts.rs
+++ b/crates/route/benches/verdicts.rs
@@ -13,11 +13,14 @@
 
 const SECONDS: u64 = 40;
 const OUTAGE_MS: std::ops::Range<u64> = 10_000..25_000;
+/// Interval at which entries that share breakers exchange states.
 const GOSSIP_MS: u64 = 500;
 /// Mean interval between requests of the whole fleet, so that each entry of a
 /// larger fleet sees fewer.
 const GAP_US: u64 = 10_000;
+/// Duration of a request that fails at once.
 const FAIL_MS: u64 = 20;
+/// Duration of any other request.
 const OK_MS: u64 = 100;
 /// Time after which an entry gives up on a slow upstream.
 const TIMEOUT_MS: u64 = 1_000;
@@ -34,11 +37,14 @@
 
 #[derive(Debug, Default)]
 struct Counts {
+    /// Most probes in flight at once.
     probes_max: usize,
     probes: u64,
+    /// Time during the outage in which all entries' breakers had the same state.
     agreeing_ms: u64,
     differing_ms: u64,
-    turned_away: u64,
+    /// Requests that a breaker kept from the failing upstream.
+    denied: u64,
     failed: u64,
     requests: u64,
     opened: u64,
@@ -55,9 +61,11 @@
     shared: bool,
     fault: Fault,
     rng: Pcg64Mcg,
-    entries: Vec<CircuitBreaker>,
+    /// Breaker of each entry for the failing upstream.
+    breakers: Vec<CircuitBreaker>,
     pending: BTreeMap<(u64, u64), PendingOutcome>,
     sequence: u64,
+    /// Probes in flight.
     probes: usize,
     next_arrival_us: u64,
     counts: Counts,
@@ -69,7 +77,7 @@
             shared,
             fault,
             rng: Pcg64Mcg::seed_from_u64(seed),
-            entries: (0..count).map(|_| CircuitBreaker::new()).collect(),
+            breakers: (0..count).map(|_| CircuitBreaker::new()).collect(),
             pending: BTreeMap::new(),
             sequence: 0,
             probes: 0,
@@ -95,12 +103,17 @@
         self.record_agreement(now_us);
     }
 
+    /// Records whether the breakers of all entries agree during the outage.
     fn record_agreement(&mut self, now_us: u64) {
         if !OUTAGE_MS.contains(&(now_us / 1_000)) {
             return;
         }
-        let open = self.entries.iter().filter(|entry| entry.is_open()).count();
-        if open == 0 || open == self.entries.len() {
+        let open = self
+            .breakers
+            .iter()
+            .filter(|breaker| breaker.is_open())
+            .count();
+        if open == 0 || open == self.breakers.len() {
             self.counts.agreeing_ms += 1;
         } else {
             self.counts.differing_ms += 1;
@@ -109,25 +122,25 @@
 
     /// Merges the newest state into all entries.
     fn gossip(&mut self, now: Instant) {
-        let newest = self.entries.iter().map(CircuitBreaker::state).max();
+        let newest = self.breakers.iter().map(CircuitBreaker::state).max();
         let Some(newest) = newest else { return };
-        for entry in &mut self.entries {
-            entry.merge(now, newest);
+        for breaker in &mut self.breakers {
+            breaker.merge(now, newest);
         }
     }
 
     fn arrive(&mut self, now_us: u64) {
-        let entry = self.rng.next_u32() as usize % self.entries.len();
+        let entry = self.rng.next_u32() as usize % self.breakers.len();
         let upstream = u64::from(self.rng.next_u32()) % UPSTREAMS;
         self.counts.requests += 1;
         if upstream != 0 {
             return;
         }
         let prober = !self.shared || entry == 0;
-        let allow =
-            self.entries[entry].acquire_permission(Instant::from_us(now_us), prober);
-        match allow {
-            Permission::Denied => self.counts.turned_away += 1,
+        let permission =
+            self.breakers[entry].acquire_permission(Instant::from_us(now_us), prober);
+        match permission {
+            Permission::Denied => self.counts.denied += 1,
             Permission::Granted => self.send(now_us, entry, false),
             Permission::Probe => self.send(now_us, entry, true),
         }
@@ -160,10 +173,10 @@
             let outcome = first.remove();
             self.probes -= usize::from(outcome.probe);
             self.counts.failed += u64::from(!outcome.ok);
-            let health = &mut self.entries[outcome.entry];
-            let was_open = health.is_open();
-            health.record_outcome(Instant::from_us(now_us), outcome.ok, outcome.probe);
-            self.counts.opened += u64::from(!was_open && health.is_open());
+            let breaker = &mut self.breakers[outcome.entry];
+            let was_open = breaker.is_open();
+            breaker.record_outcome(Instant::from_us(now_us), outcome.ok, outcome.probe);
+            self.counts.opened += u64::from(!was_open && breaker.is_open());
         }
     }
 }
@@ -207,7 +220,7 @@
         counts.probes_max,
         counts.opened,
         counts.agreeing_ms as f64 * 100.0 / measured_ms as f64,
-        counts.turned_away,
+        counts.denied,
         counts.failed,
     );
 }
--- a/crates/route/src/adaptive_limit.rs
+++ b/crates/route/src/adaptive_limit.rs
@@ -1,9 +1,10 @@
 //! Concurrency limit that follows an engine's step time.
 
-/// Step time, in percent of the floor, below which the limit grows.
+/// Step time below which the limit grows, in percent of the shortest step time seen,
+/// the floor.
 const GROW_BELOW_PERCENT: u64 = 150;
 
-/// Step time, in percent of the floor, above which the limit shrinks.
+/// Step time above which the limit shrinks, in percent of the floor.
 const SHRINK_ABOVE_PERCENT: u64 = 200;
 
 /// Observations between two changes, so that the effect of one shows before the
--- a/crates/route/src/choose.rs
+++ b/crates/route/src/choose.rs
@@ -204,6 +204,7 @@
             && !self.input.excluded.contains(holder.agent)
     }
 
+    /// Recomputes the totals over the eligible holders.
     fn update_totals(&mut self) {
         let (mut count, mut load, mut all_slots) = (0, 0, 0);
         let mut min_step_time_us = u64::MAX;
@@ -253,6 +254,7 @@
         load * step_time_us(holder) / slots(holder).max(1)
     }
 
+    /// Whether a holder's estimated load permits choosing it by prompt prefix.
     fn within_bound(&self, holder: &Holder<'_>) -> bool {
         let slowness = step_time_us(holder).max(1);
         let bound = self.mean_load * slots(holder) * LOAD_BOUND_PERCENT / 100;
@@ -260,6 +262,8 @@
         self.estimated_load(holder) < bound.max(LOAD_BOUND_FLOOR * ONE_REQUEST)
     }
 
+    /// Chooses the holder that ranks first for the prefix among those within the load
+    /// bound.
     fn choose_by_prefix(&self, prefix_hash: u64) -> ChosenHolder {
         let mut first = (0, 0);
         let mut bounded = None;
@@ -288,6 +292,7 @@
         }
     }
 
+    /// Chooses the less loaded of two random holders.
     fn choose_by_two_choices(&self, rng: &mut Pcg64Mcg) -> ChosenHolder {
         let first = random_below(rng, self.count);
         let second = (first + 1 + random_below(rng, self.count - 1)) % self.count;
--- a/crates/route/src/crash_record.rs
+++ b/crates/route/src/crash_record.rs
@@ -9,12 +9,14 @@
 /// Crashes and verdict of one fingerprint.
 #[derive(Debug)]
 pub(crate) struct CrashRecord {
+    /// Known crashes, at most `CRASHES_MAX`.
     pub(crate) crashes: Vec<CrashWitness>,
     /// Number of crashes, from the start of `crashes`, that no longer count because
     /// the request has since completed an exclusive run.
     pub(crate) cleared: usize,
     /// Whether two different upstreams crashed with the request in flight.
     pub(crate) convicted: bool,
+    /// When the record is forgotten.
     pub(crate) expires_at: Instant,
     /// When this entry last learned of a new crash.
     pub(crate) learned_at: Instant,
@@ -37,6 +39,7 @@
         }
     }
 
+    /// Crashes that still count against the request.
     pub(crate) fn counted_crashes(&self) -> &[CrashWitness] {
         &self.crashes[self.cleared..]
     }
@@ -96,6 +99,8 @@
     }
 }
 
+/// Whether two reports are about the same crash: the end of the same incarnation of
+/// the same upstream.
 pub(crate) fn same_crash(a: &CrashWitness, b: &CrashWitness) -> bool {
     a.agent == b.agent && a.upstream_incarnation == b.upstream_incarnation
 }
--- a/crates/route/src/rendezvous.rs
+++ b/crates/route/src/rendezvous.rs
@@ -43,6 +43,7 @@
 const EXCLUSIVE_RUN_SEED: u64 = 0x0061_6c6f_6e65;
 const PROBE_SEED: u64 = 0x0070_726f_6265;
 
+/// Returns the entry with the highest weight for `key`.
 fn winner<'a>(
     key: u64,
     entries: impl IntoIterator<Item = &'a EntryId>,
--- a/crates/route/src/retry_budget.rs
+++ b/crates/route/src/retry_budget.rs
@@ -8,11 +8,13 @@
 /// Number of buckets in the window; one bucket expires at a time.
 const BUCKETS: usize = 10;
 
+/// Time covered by one bucket.
 const BUCKET_MS: u64 = WINDOW_MS / BUCKETS as u64;
 
 /// Retries always allowed within a window, so that a rarely used model can retry.
 const RETRIES_MIN: u64 = 2;
 
+/// Counts of one part of the window.
 #[derive(Debug, Clone, Copy, Default)]
 struct Bucket {
     /// Time of the bucket, in units of `BUCKET_MS`.
@@ -65,6 +67,7 @@
         true
     }
 
+    /// The bucket of the current time, emptied if it was last used a window ago.
     fn bucket(&mut self, now: Instant) -> &mut Bucket {
         let number = now.as_ms() / BUCKET_MS;
         let bucket = &mut self.buckets[(number % BUCKETS as u64) as usize];
@@ -77,6 +80,7 @@
         bucket
     }
 
+    /// First attempts and retries within the window.
     fn totals(&self, now: Instant) -> (u64, u64) {
         let number = now.as_ms() / BUCKET_MS;
         let oldest = (number + 1).saturating_sub(BUCKETS as u64);
--- a/crates/route/src/suspects.rs
+++ b/crates/route/src/suspects.rs
@@ -25,17 +25,17 @@
 /// this limit two entries could send each other an expiring verdict forever.
 const MERGE_REMAINING_MIN_MS: u64 = 2_000;
 
-/// Age up to which a suspect is part of each message, because the receivers may
-/// have lost one or two.
+/// Age up to which a suspect's record is part of every message to other entries, as
+/// one or two of the messages may be lost.
 const RECENT_MS: u64 = 1_500;
 
 /// Retry delay for a suspect request whose exclusive run can't start now.
 pub const EXCLUSIVE_RUN_RETRY_MS: u64 = 1_000;
 
-/// What is known against a request.
+/// Verdict on a request, from the upstream crashes that it was in flight at.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CrashVerdict {
-    /// Nothing.
+    /// No crash counts against the request; it may run like any other.
     Clear,
     /// An upstream crashed while the request was in flight; it may only run
     /// exclusively.
@@ -74,6 +74,7 @@
     entries: Vec<EntryId>,
     /// Lower bound for the expiry of all records; `None` without records.
     next_expiry: Option<Instant>,
+    /// Latest time that this registry was called with.
     now: Instant,
 }
 
@@ -306,6 +307,7 @@
         self.note_expiry(expires_at);
     }
 
+    /// Lowers `next_expiry` to the expiry of a new record.
     fn note_expiry(&mut self, at: Instant) {
         self.next_expiry = Some(self.next_expiry.map_or(at, |first| first.min(at)));
     }
@@ -346,14 +348,15 @@
             .counted_crashes()
             .iter()
             .all(|counted| from.crashes.iter().any(|crash| same_crash(crash, counted)));
-        let changes =
+        let clears =
             all_known && !record.convicted && !record.counted_crashes().is_empty();
-        if changes {
+        if clears {
             record.cleared = record.crashes.len();
         }
-        changes
+        clears
     }
 
+    /// Records whether the sender runs the request exclusively.
     fn update_remote_run(&mut self, now: Instant, from: &Suspect) {
         if from.model.is_empty() {
             return;
@@ -377,6 +380,8 @@
         }
     }
 
+    /// Whether another entry is known to run a suspect request for the model
+    /// exclusively; `entry` is this entry.
     fn runs_remotely(&self, model: &ModelId, entry: &EntryId) -> bool {
         self.remote_runs.get(model.as_str()).is_some_and(|running| {
             running.entry != entry.as_str()
@@ -384,6 +389,7 @@
         })
     }
 
+    /// Removes expired records and outdated messages about exclusive runs.
     fn expire(&mut self, now: Instant) {
         self.now = self.now.max(now);
         if self
@@ -391,8 +397,8 @@
             .is_some_and(|next_expiry| next_expiry <= now)
         {
             self.records.retain(|_, record| record.expires_at > now);
-            let ends = self.records.values().map(|record| record.expires_at);
-            self.next_expiry = ends.min();
+            let expiries = self.records.values().map(|record| record.expires_at);
+            self.next_expiry = expiries.min();
         }
         self.remote_runs.retain(|_, running| {
             now.ms_since(running.learned_at) < REMOTE_RUN_TIMEOUT_MS
@@ -404,13 +410,13 @@
         if self.records.len() < RECORDS_MAX || self.records.contains_key(&fingerprint) {
             return;
         }
-        let first = self
+        let replaced = self
             .records
             .iter()
             .min_by_key(|(key, record)| (record.convicted, record.expires_at, **key))
             .map(|(key, _)| *key);
-        if let Some(first) = first {
-            self.records.remove(&first);
+        if let Some(replaced) = replaced {
+            self.records.remove(&replaced);
         }
     }
 }
