--- a/crates/place/benches/policy.rs
+++ b/crates/place/benches/policy.rs
@@ -37,28 +37,33 @@
         "wait s"
     );
     for deployment in [Deployment::Harbourline, Deployment::Naskhah] {
-        for slots in [1, 2] {
-            let mut setup = Setup::new(deployment, slots, SEED);
+        for models_per_accelerator in [1, 2] {
+            let mut setup = Setup::new(deployment, models_per_accelerator, SEED);
             if bare {
                 setup.without_adapters();
             }
             for workload in Workload::ALL {
                 let named = |word: &&String| workload.name().contains(word.as_str());
                 if names.is_empty() || names.iter().any(named) {
-                    compare(&setup, slots, workload, quick);
+                    compare(&setup, models_per_accelerator, workload, quick);
                 }
             }
         }
     }
 }
 
-fn compare(setup: &Setup, slots: u32, workload: Workload, quick: bool) {
+fn compare(
+    setup: &Setup,
+    models_per_accelerator: u32,
+    workload: Workload,
+    quick: bool,
+) {
     let bound = if quick {
         f64::NAN
     } else {
         queue::bound::share(setup, workload)
     };
-    let mut lru = 0.0f64;
+    let mut best_lru = 0.0f64;
     let harbourline = Setup::weights(Deployment::Harbourline);
     let naskhah = Setup::weights(Deployment::Naskhah);
     let policies: Vec<(&str, Box<dyn Policy>)> = vec![
@@ -77,14 +82,22 @@
     for (name, mut policy) in policies {
         let outcome = queue::run(setup, workload, policy.as_mut());
         if name.starts_with("lru") {
-            lru = lru.max(outcome.per_accelerator());
+            best_lru = best_lru.max(outcome.per_accelerator());
         }
-        row(setup, slots, workload, name, &outcome, bound, lru);
+        row(
+            setup,
+            models_per_accelerator,
+            workload,
+            name,
+            &outcome,
+            bound,
+            best_lru,
+        );
     }
     println!(
         "{:<12}{:>2} {:<13}{:<12}{:>9}{:>8.3}",
         format!("{:?}", setup.deployment),
-        slots,
+        models_per_accelerator,
         workload.name(),
         "bound",
         "",
@@ -94,24 +107,24 @@
 
 fn row(
     setup: &Setup,
-    slots: u32,
+    models_per_accelerator: u32,
     workload: Workload,
     name: &str,
     outcome: &Outcome,
     bound: f64,
-    lru: f64,
+    best_lru: f64,
 ) {
     println!(
         "{:<12}{:>2} {:<13}{:<12}{:>9.3}{:>8.3}{:>8.2}{:>7.2}{:>7}{:>8.1}",
         format!("{:?}", setup.deployment),
-        slots,
+        models_per_accelerator,
         workload.name(),
         name,
         outcome.per_accelerator(),
         outcome.share(),
         outcome.share() / bound,
-        if lru > 0.0 {
-            outcome.per_accelerator() / lru
+        if best_lru > 0.0 {
+            outcome.per_accelerator() / best_lru
         } else {
             0.0
         },
--- a/crates/place/benches/queue/bound.rs
+++ b/crates/place/benches/queue/bound.rs
@@ -19,12 +19,14 @@
 /// Iterations of the subgradient search.
 const ROUNDS: usize = 250;
 
+/// Prices of the relaxed constraints, the first two per block of time.
 struct Prices {
     residency: Vec<f64>,
     batch_slot: Vec<f64>,
     load: f64,
 }
 
+/// Use of the priced resources by the schedules of all models.
 #[derive(Clone)]
 struct Usage {
     residency: Vec<f64>,
@@ -35,6 +37,7 @@
 /// Arrivals per second for one base model.
 struct Demand {
     arrivals: Vec<f64>,
+    /// Arrivals averaged over `max_wait_s`.
     smooth: Vec<f64>,
     /// Seconds that a request can wait for the model and still meet its deadline.
     max_wait_s: usize,
@@ -177,7 +180,7 @@
             if value == unreachable {
                 continue;
             }
-            let mut relax = |at: usize, to: usize, gain: f64| {
+            let mut update = |at: usize, to: usize, gain: f64| {
                 if value + gain > values[at][to] {
                     values[at][to] = value + gain;
                     origins[at][to] = (second, state);
@@ -185,11 +188,11 @@
             };
             if state == resident {
                 let (gain, _, _) = resident_second(setup, demand, prices, second);
-                relax(second + 1, resident, gain);
-                relax(second + 1, 1.min(demand.max_wait_s), 0.0);
+                update(second + 1, resident, gain);
+                update(second + 1, 1.min(demand.max_wait_s), 0.0);
                 continue;
             }
-            relax(second + 1, (state + 1).min(demand.max_wait_s), 0.0);
+            update(second + 1, (state + 1).min(demand.max_wait_s), 0.0);
             let ready = second + load_s;
             if ready <= seconds {
                 let backlog_s = (state + load_s).min(demand.max_wait_s).min(ready);
@@ -201,7 +204,7 @@
                 let residency_cost: f64 = (second..ready)
                     .map(|second| prices.residency[second / BLOCK_S])
                     .sum();
-                relax(ready, resident, gain - residency_cost - prices.load);
+                update(ready, resident, gain - residency_cost - prices.load);
             }
         }
     }
@@ -228,6 +231,7 @@
     total
 }
 
+/// Mean time for which a request occupies a batch slot.
 fn service_s(setup: &Setup) -> f64 {
     100.0 * setup.step_us as f64 / 1e6
 }
--- a/crates/place/benches/queue/server.rs
+++ b/crates/place/benches/queue/server.rs
@@ -18,7 +18,9 @@
 pub struct Resident {
     pub model: usize,
     pub stage: Stage,
+    /// When it entered this stage.
     pub since_ms: u64,
+    /// Time left of the load at full speed, or of the unload.
     pub remaining_ms: f64,
 }
 
@@ -40,23 +42,29 @@
 /// Result of one run.
 #[derive(Debug, Clone, Default)]
 pub struct Outcome {
+    /// Requests that arrived.
     pub offered: u64,
+    /// Requests completed by their deadline.
     pub attained: u64,
     pub offered_interactive: u64,
     pub attained_interactive: u64,
+    /// Loads started and unloads.
     pub moves: u64,
     /// Longest time during which a model had requests and none of them started.
     pub longest_wait_ms: u64,
+    /// Sum of the accelerators' time in service.
     pub accelerator_s: f64,
     /// Attained requests and moves in each second.
     pub seconds: Vec<(u64, u64)>,
 }
 
 impl Outcome {
+    /// Fraction of the requests that were attained.
     pub fn share(&self) -> f64 {
         self.attained as f64 / self.offered.max(1) as f64
     }
 
+    /// Requests attained per accelerator and second.
     pub fn per_accelerator(&self) -> f64 {
         self.attained as f64 / self.accelerator_s
     }
--- a/crates/role/src/entry/control/links.rs
+++ b/crates/role/src/entry/control/links.rs
@@ -166,7 +166,7 @@
             }
             AgentChange::Recovered(id) => {
                 effects.agents_with_capacity.insert(id.clone());
-                (EventKind::AgentBack, id, "heard again")
+                (EventKind::AgentBack, id, "sends heartbeats again")
             }
             AgentChange::Leaving(id) => (
                 EventKind::AgentLeaving,
--- a/crates/role/src/entry/control/plan.rs
+++ b/crates/role/src/entry/control/plan.rs
@@ -226,7 +226,7 @@
     }
 
     /// Stores the result of a round of planning, and sends agents their targets.
-    pub(crate) fn apply_plan_result(
+    pub(crate) fn apply_plan(
         &mut self,
         result: PlanResult,
         shared: &Shared,
--- a/crates/role/src/entry/follow_up.rs
+++ b/crates/role/src/entry/follow_up.rs
@@ -116,9 +116,7 @@
     fn plan(&self, job: Option<PlanJob>, out: &mut Vec<EntryAction>) {
         if let Some(job) = job {
             let result = job.run();
-            self.with_control(|control| {
-                control.apply_plan_result(result, &self.shared, out);
-            });
+            self.with_control(|control| control.apply_plan(result, &self.shared, out));
         }
     }
 
--- a/crates/role/src/entry/requests/answers.rs
+++ b/crates/role/src/entry/requests/answers.rs
@@ -11,7 +11,6 @@
 use super::super::timeline::TimelineEvent;
 use super::Requests;
 use super::failures::{Failure, RetryCharge};
-use super::timers::Timer;
 
 /// Backoff before a request that was refused is dispatched again.
 const REFUSAL_BACKOFF_MS: u64 = 100;
@@ -196,7 +195,8 @@
                 .clamp(1, REFUSAL_BACKOFF_STEPS_MAX);
             let retry_at = ctx.now.plus_ms(REFUSAL_BACKOFF_MS * steps);
             request.not_before = retry_at;
-            self.timers.schedule(retry_at, Timer::Retry { sequence });
+            self.timers
+                .schedule(retry_at, super::timers::Timer::Retry { sequence });
         }
     }
 
--- a/crates/role/src/entry/suspect_events.rs
+++ b/crates/role/src/entry/suspect_events.rs
@@ -32,8 +32,8 @@
     fingerprints: &[u64],
     work: impl FnOnce(&mut SuspectRequests),
 ) -> Vec<VerdictChange> {
-    let before: Vec<CrashVerdict> = fingerprints
-        .iter()
+    let affected = fingerprints.iter();
+    let before: Vec<CrashVerdict> = affected
         .map(|fingerprint| suspects.verdict(now, *fingerprint))
         .collect();
     work(suspects);
--- a/crates/role/tests/agent/random/keys.rs
+++ b/crates/role/tests/agent/random/keys.rs
@@ -19,17 +19,17 @@
     for case in 0..cases() {
         let seed = SEED + 1 + (case << 32);
         arbtest::arbtest(|u| {
-            let mut world = TwoAgents::new();
+            let mut simulation = TwoAgents::new();
             while !u.is_empty() {
-                world.step(u)?;
-                world.check();
+                simulation.step(u)?;
+                simulation.check();
             }
-            total_runs += world.runs.len();
+            total_runs += simulation.runs.len();
             Ok(())
         })
         .seed(seed);
     }
-    assert!(total_runs > 0, "no call was run: the cases test nothing");
+    assert!(total_runs > 0, "no request was run: the cases test nothing");
 }
 
 /// Two agents of one service, and the platform they share.
--- a/crates/role/tests/agent/random/memory.rs
+++ b/crates/role/tests/agent/random/memory.rs
@@ -21,7 +21,7 @@
 }
 
 /// Successive agents beside one engine, each of which may be frozen or killed.
-struct World {
+struct Simulation {
     platform: Platform,
     engine: Engine,
     agents: Vec<TestAgent>,
@@ -37,9 +37,9 @@
     wanted: Vec<(&'static str, u32)>,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             platform: Platform::new(),
             engine: Engine::new(),
             agents: Vec::new(),
@@ -51,8 +51,8 @@
             now: Instant::from_ms(1_000),
             wanted: Vec::new(),
         };
-        world.start_agent();
-        world
+        simulation.start_agent();
+        simulation
     }
 
     fn start_agent(&mut self) {
@@ -311,12 +311,12 @@
     for case in 0..cases() {
         let seed = SEED + (case << 32);
         arbtest::arbtest(|u| {
-            let mut world = World::new();
+            let mut simulation = Simulation::new();
             while !u.is_empty() {
-                world.step(u)?;
-                world.check();
+                simulation.step(u)?;
+                simulation.check();
             }
-            loads += world
+            loads += simulation
                 .agents
                 .iter()
                 .map(|agent| agent.role.counters().loads)
--- a/crates/role/tests/entry/control.rs
+++ b/crates/role/tests/entry/control.rs
@@ -15,7 +15,7 @@
     }
 }
 
-fn offer(rig: &mut Rig, changes: Vec<ConfigChange>) {
+fn receive_changes(rig: &mut Rig, changes: Vec<ConfigChange>) {
     rig.agents.clear();
     rig.handle(EntryEvent::Frame {
         peer: entry_peer("e2"),
@@ -65,14 +65,14 @@
     ];
     for (name, changes, revision, cost) in rows {
         let mut rig = Rig::new();
-        offer(&mut rig, vec![change(2, &patch(2.0))]);
-        offer(&mut rig, changes.clone());
+        receive_changes(&mut rig, vec![change(2, &patch(2.0))]);
+        receive_changes(&mut rig, changes.clone());
         assert_eq!(rig.role.revision(), Revision(*revision), "{name}");
         assert!((weight(&rig) - cost).abs() < f64::EPSILON, "{name}");
     }
     // An old read of the platform: a watch reports an earlier revision.
     let mut rig = Rig::new();
-    offer(&mut rig, vec![change(2, &patch(2.0))]);
+    receive_changes(&mut rig, vec![change(2, &patch(2.0))]);
     let id = rig.actions.iter().rev().find_map(|action| match action {
         EntryAction::CallPlatform(call) => match &call.op {
             PlatformOp::Watch { prefix, .. } if prefix == "config/" => Some(call.id),
@@ -100,7 +100,7 @@
     let mut options = options("e1", 7);
     options.peers = vec![(EntryId::new("e2"), "10.0.0.2:1".to_owned())];
     let mut rig = Rig::without_config(options);
-    rig.platform_away = true;
+    rig.platform_unavailable = true;
     let connected = rig.actions.iter().any(|action| {
         matches!(action, EntryAction::Connect { peer, .. } if *peer == entry_peer("e2"))
     });
@@ -124,13 +124,13 @@
             .count()
     };
     assert_eq!(ready(&rig), 0);
-    offer(&mut rig, vec![change(1, &document())]);
+    receive_changes(&mut rig, vec![change(1, &document())]);
     assert_eq!(ready(&rig), 1);
     assert_eq!(rig.events_recorded(EventKind::PlatformAway), 1);
     rig.agent("a1", &["m1"]);
     let request = rig.request_model("m1");
     assert_eq!(rig.runs(request).len(), 1);
-    rig.platform_away = false;
+    rig.platform_unavailable = false;
     rig.advance(6_000);
     assert_eq!(rig.events_recorded(EventKind::PlatformBack), 1);
 }
--- a/crates/role/tests/entry/early_refusals.rs
+++ b/crates/role/tests/entry/early_refusals.rs
@@ -35,7 +35,8 @@
     });
 }
 
-fn fill(rig: &mut Rig, id: &str) {
+/// Reports an agent with all slots taken.
+fn occupy_all_slots(rig: &mut Rig, id: &str) {
     rig.agents.get_mut(id).expect("known").running = 9;
     rig.send_heartbeat(id);
 }
@@ -112,7 +113,7 @@
             ran: RunStatus::NotRun,
         },
         Case {
-            name: "a call of a service that has been down for long",
+            name: "a request to a service that has been down for long",
             set_up: |rig| {
                 rig.agent_in("s1", "desk", "d1", &[]);
                 rig.agents.get_mut("s1").expect("known").upstream_up = false;
@@ -158,7 +159,7 @@
             name: "a batch request behind later interactive ones",
             set_up: |rig| {
                 rig.agent("a1", &["m1"]);
-                fill(rig, "a1");
+                occupy_all_slots(rig, "a1");
                 let mut incoming =
                     rig.incoming(RequestedResource::Model(Some(ModelId::new("m1"))));
                 incoming.profile = Some(ProfileId::new("night"));
@@ -223,7 +224,7 @@
     let waited: Vec<RequestId> = (0..8).map(|_| rig.request_model("m1")).collect();
     rig.advance(2_000);
     rig.agents.get_mut("a1").expect("known").models = vec![("m1".to_owned(), 1)];
-    fill(&mut rig, "a1");
+    occupy_all_slots(&mut rig, "a1");
     let new = rig.request_model("m1");
     let error = rig.error(new);
     assert_eq!(
@@ -267,13 +268,13 @@
     rig.agents.get_mut("a1").expect("known").models = vec![("m1".to_owned(), 1)];
     rig.send_heartbeat("a1");
     assert!(rig.role.counters().waiting < 9);
-    fill(&mut rig, "a1");
+    occupy_all_slots(&mut rig, "a1");
     let again = rig.request_model("m1");
     assert!(rig.errors(again).is_empty());
 }
 
-/// When the deadline passes while a request runs, the refusal has a retry delay, unless
-/// the call is not idempotent and has no idempotency key.
+/// When the deadline passes while a request runs, the error has a retry delay, unless
+/// the request is not idempotent and has no idempotency key.
 #[test]
 fn a_missed_deadline_comes_with_a_retry_delay() {
     for (idempotent, key) in [(true, false), (false, true), (false, false)] {
--- a/crates/role/tests/entry/failing.rs
+++ b/crates/role/tests/entry/failing.rs
@@ -6,13 +6,13 @@
 use schema::link::{Gossip, UpstreamVerdict, frame};
 use schema::timeline::EventKind;
 
-fn submit_call(rig: &mut Rig, service: &str) -> RequestId {
+fn submit_service_request(rig: &mut Rig, service: &str) -> RequestId {
     let incoming = rig.incoming(RequestedResource::Service(ServiceId::new(service)));
     rig.submit(incoming)
 }
 
-fn call(rig: &mut Rig, service: &str) -> SentRun {
-    let request = submit_call(rig, service);
+fn send_service_request(rig: &mut Rig, service: &str) -> SentRun {
+    let request = submit_service_request(rig, service);
     rig.run(request)
 }
 
@@ -22,7 +22,7 @@
     rig.end(run, 1);
 }
 
-fn receive_verdicts(rig: &mut Rig, verdicts: Vec<UpstreamVerdict>) {
+fn receive_breaker_states(rig: &mut Rig, verdicts: Vec<UpstreamVerdict>) {
     rig.handle(EntryEvent::Frame {
         peer: entry_peer("e2"),
         revision: Revision(0),
@@ -43,7 +43,7 @@
         rig.agent_in(name, "desk", "d1", &[]);
     }
     for _ in 0..60 {
-        let request = submit_call(&mut rig, "parts");
+        let request = submit_service_request(&mut rig, "parts");
         let run = rig.run(request);
         if run.agent == names[0] {
             rig.started(&run);
@@ -59,14 +59,14 @@
     rig
 }
 
-/// Agents that calls are sent to during `ms`, one call every 100 ms, all answered.
-fn answer_calls(rig: &mut Rig, service: &str, ms: u64, gossip: bool) -> Vec<String> {
+/// Agents that requests are sent to during `ms`, one request every 100 ms, all answered.
+fn answer_requests(rig: &mut Rig, service: &str, ms: u64, gossip: bool) -> Vec<String> {
     let mut agents = Vec::new();
     for _ in 0..ms / 100 {
         if gossip {
-            receive_verdicts(rig, Vec::new());
+            receive_breaker_states(rig, Vec::new());
         }
-        let run = call(rig, service);
+        let run = send_service_request(rig, service);
         answer(rig, &run);
         agents.push(run.agent);
         rig.advance(100);
@@ -82,9 +82,9 @@
     rig.agent_in("s1", "desk", "d1", &[]);
     rig.agent_in("s2", "desk", "d1", &[]);
     for _ in 0..30 {
-        let run = call(&mut rig, "parts");
+        let run = send_service_request(&mut rig, "parts");
         rig.refuse(&run, ErrorCode::GateFull);
-        let run = call(&mut rig, "parts");
+        let run = send_service_request(&mut rig, "parts");
         rig.started(&run);
         rig.crash(&run, &[run.run.fingerprint]);
         rig.advance(10);
@@ -92,23 +92,23 @@
     assert_eq!(rig.events_recorded(EventKind::UpstreamFailing), 0);
 }
 
-/// A failing upstream gets one probe per second, and the other calls go to the other one.
+/// A failing upstream gets one probe per second, and the other requests go to the other one.
 /// After a successful probe it gets its share again.
 #[test]
 fn one_probe_per_second_until_recovery() {
     let mut rig = rig_with_failing(["s1", "s2"]);
-    let first = answer_calls(&mut rig, "parts", 900, false);
+    let first = answer_requests(&mut rig, "parts", 900, false);
     assert!(first.iter().all(|agent| agent == "s2"), "{first:?}");
     rig.advance(200);
-    let run = call(&mut rig, "parts");
+    let run = send_service_request(&mut rig, "parts");
     assert_eq!(run.agent, "s1");
     rig.started(&run);
     // No second probe is sent while the outcome of this one is unknown.
-    let meanwhile = answer_calls(&mut rig, "parts", 2_000, false);
+    let meanwhile = answer_requests(&mut rig, "parts", 2_000, false);
     assert!(meanwhile.iter().all(|agent| agent == "s2"), "{meanwhile:?}");
     answer(&mut rig, &run);
     assert_eq!(rig.events_recorded(EventKind::UpstreamRecovered), 1);
-    let after = answer_calls(&mut rig, "parts", 3_000, false);
+    let after = answer_requests(&mut rig, "parts", 3_000, false);
     assert!(after.iter().filter(|agent| *agent == "s1").count() > 5);
 }
 
@@ -118,18 +118,18 @@
 fn a_lost_probe_is_followed_by_another() {
     let mut rig = rig_with_failing(["s1", "s2"]);
     rig.advance(1_100);
-    let run = call(&mut rig, "parts");
+    let run = send_service_request(&mut rig, "parts");
     assert_eq!(run.agent, "s1");
     rig.link_down("s1");
     rig.link_up("s1");
     rig.advance(1_100);
-    let next = call(&mut rig, "parts");
+    let next = send_service_request(&mut rig, "parts");
     assert_eq!(next.agent, "s1");
 }
 
 /// If another entry is the one to probe, this one sends nothing to the failing upstream
 /// until ten seconds have passed without a change of the breaker: the other entry may get
-/// no calls to probe with.
+/// no requests to probe with.
 #[test]
 fn other_entries_probe_if_the_prober_does_not() {
     let entries = ["e1", "e2"].map(EntryId::new);
@@ -140,21 +140,21 @@
     let name = (0..).map(|n| format!("s{n}")).find(of_other);
     let name = name.expect("one of many");
     let mut rig = rig_with_failing([&name, "other"]);
-    let agents = answer_calls(&mut rig, "parts", 9_000, true);
+    let agents = answer_requests(&mut rig, "parts", 9_000, true);
     assert!(!agents.contains(&name), "{agents:?}");
-    let agents = answer_calls(&mut rig, "parts", 2_000, true);
+    let agents = answer_requests(&mut rig, "parts", 2_000, true);
     assert!(agents.contains(&name), "{agents:?}");
     assert_eq!(rig.events_recorded(EventKind::UpstreamRecovered), 1);
 }
 
-/// A call that is not idempotent is not used as a probe, since its outcome would be unknown
-/// if it failed. If no other calls come, it is used after ten seconds.
+/// A request that is not idempotent is not used as a probe, since its outcome would be
+/// unknown if it failed. If no other requests come, it is used after ten seconds.
 #[test]
 fn non_idempotent_calls_probe_last() {
     let mut rig = rig_with_failing(["s1", "s2"]);
-    let agents = answer_calls(&mut rig, "orders", 9_000, false);
+    let agents = answer_requests(&mut rig, "orders", 9_000, false);
     assert!(agents.iter().all(|agent| agent == "s2"), "{agents:?}");
-    let agents = answer_calls(&mut rig, "orders", 2_000, false);
+    let agents = answer_requests(&mut rig, "orders", 2_000, false);
     assert!(agents.iter().any(|agent| agent == "s1"), "{agents:?}");
 }
 
@@ -164,7 +164,7 @@
 fn a_failed_probe_is_retried_outside_the_budget() {
     let mut rig = rig_with_failing(["s1", "s2"]);
     loop {
-        let request = submit_call(&mut rig, "parts");
+        let request = submit_service_request(&mut rig, "parts");
         let run = rig.run(request);
         rig.started(&run);
         rig.fail(&run, ErrorCode::AnswerBroken, RunStatus::Ran);
@@ -177,7 +177,7 @@
         answer(&mut rig, &run);
     }
     rig.advance(1_100);
-    let request = submit_call(&mut rig, "parts");
+    let request = submit_service_request(&mut rig, "parts");
     let run = rig.run(request);
     assert_eq!(run.agent, "s1");
     rig.started(&run);
@@ -200,26 +200,26 @@
         version,
         open,
     };
-    receive_verdicts(&mut rig, vec![verdict(1, true)]);
-    let agents = answer_calls(&mut rig, "parts", 900, false);
+    receive_breaker_states(&mut rig, vec![verdict(1, true)]);
+    let agents = answer_requests(&mut rig, "parts", 900, false);
     assert!(agents.iter().all(|agent| agent == "s2"), "{agents:?}");
-    receive_verdicts(&mut rig, vec![verdict(2, false)]);
+    receive_breaker_states(&mut rig, vec![verdict(2, false)]);
     rig.advance(1);
-    receive_verdicts(&mut rig, vec![verdict(1, true)]);
-    let agents = answer_calls(&mut rig, "parts", 3_000, false);
+    receive_breaker_states(&mut rig, vec![verdict(1, true)]);
+    let agents = answer_requests(&mut rig, "parts", 3_000, false);
     assert!(agents.iter().filter(|agent| *agent == "s1").count() > 5);
     assert_eq!(rig.events_recorded(EventKind::UpstreamFailing), 1);
     assert_eq!(rig.events_recorded(EventKind::UpstreamRecovered), 1);
 }
 
-/// A service accepts calls and never answers, while its agent's heartbeats continue. Five
-/// stalled calls open the breaker, like five errors.
+/// A service accepts requests and never answers, while its agent's heartbeats continue. Five
+/// stalled requests open the breaker, like five errors.
 #[test]
 fn stalls_count_as_failures() {
     let mut rig = Rig::new();
     rig.agent_in("s1", "desk", "d1", &[]);
     for _ in 0..5 {
-        let run = call(&mut rig, "parts");
+        let run = send_service_request(&mut rig, "parts");
         rig.started(&run);
     }
     rig.advance(5_300);
--- a/crates/role/tests/entry/freeze.rs
+++ b/crates/role/tests/entry/freeze.rs
@@ -57,7 +57,7 @@
         let mut rig = Rig::new();
         rig.agent("a1", &["m1"]);
         rig.agent_in("s1", "desk", "d1", &[]);
-        let (running, order) = (rig.request_model("m1"), rig.call_orders());
+        let (running, order) = (rig.request_model("m1"), rig.request_orders());
         for request in [running, order] {
             let run = rig.run(request);
             rig.started(&run);
--- a/crates/role/tests/entry/outcome_counts.rs
+++ b/crates/role/tests/entry/outcome_counts.rs
@@ -55,12 +55,12 @@
     }
 }
 
-/// A call with an unknown outcome counts as refused and not as attained.
+/// A request with an unknown outcome counts as refused and not as attained.
 #[test]
 fn refusals_count_against_the_profile() {
     let mut rig = Rig::new();
     rig.agent_in("s1", "desk", "d1", &[]);
-    let request = rig.call_orders();
+    let request = rig.request_orders();
     let run = rig.run(request);
     rig.started(&run);
     rig.fail(
--- a/crates/role/tests/entry/random.rs
+++ b/crates/role/tests/entry/random.rs
@@ -126,7 +126,7 @@
     match u.int_in_range(0..=9)? {
         0 | 1 => {
             let request = match u.int_in_range(0..=2)? {
-                0 => rig.call_orders(),
+                0 => rig.request_orders(),
                 1 => rig.request_model("m1"),
                 _ => rig.request_model("m2"),
             };
@@ -239,7 +239,7 @@
 
 /// For any order of events: no part is delivered to another request, the delivered units
 /// are contiguous, each request ends once, `not_run` is not reported for a request that
-/// started, a call that is not idempotent starts at most once, and no request outlives
+/// started, a request that is not idempotent starts at most once, and no request outlives
 /// its deadline.
 #[test]
 fn random_events_violate_no_invariant() {
--- a/crates/role/tests/entry/retries.rs
+++ b/crates/role/tests/entry/retries.rs
@@ -1,4 +1,4 @@
-//! Retries: which requests are sent again, and what refusals report about the rest.
+//! Retries: which requests are sent again, and what the errors of the others report.
 
 use crate::rig::{Rig, SentRun};
 use base::prelude::*;
@@ -14,6 +14,7 @@
 
 type Fault = fn(&mut Rig, &SentRun);
 
+/// Name of the fault, whether the agent can still be queried after it, and the fault.
 fn fault_table() -> Vec<(&'static str, bool, Fault)> {
     vec![
         ("link down", false, |r, run| r.link_down(&run.agent.clone())),
@@ -31,8 +32,8 @@
     ]
 }
 
-/// An idempotent request is retried at once. A call that is not idempotent and may have
-/// run is not; its caller is told at once that the outcome is unknown, unless the agent
+/// An idempotent request is retried at once. One that is not idempotent and may have run
+/// is not; its caller is told at once that the outcome is unknown, unless the agent
 /// can still be queried. Rows: fault, and whether the agent can be queried; each before
 /// and after the start was reported.
 #[test]
@@ -52,7 +53,7 @@
                 let request = if idempotent {
                     rig.request_model("m1")
                 } else {
-                    rig.call_orders()
+                    rig.request_orders()
                 };
                 let run = rig.run(request);
                 if started {
@@ -96,9 +97,9 @@
     }
 }
 
-/// The `Run` of a call that is not idempotent, or the answer to it, is lost. The agent is
-/// queried by `Revoke`, and its reply races with late frames. The call is sent again only
-/// if the agent reports that it did not run.
+/// The `Run` of a request that is not idempotent, or the answer to it, is lost. The agent
+/// is queried by `Revoke`, and its reply races with late frames. The request is sent again
+/// only if the agent reports that it did not run.
 #[test]
 fn the_reply_to_revoke_decides_about_a_retry() {
     type Steps = fn(&mut Rig, &SentRun);
@@ -164,7 +165,7 @@
         let mut rig = Rig::new();
         rig.agent_in("s1", "desk", "d1", &[]);
         rig.agent_in("s2", "desk", "d1", &[]);
-        let request = rig.call_orders();
+        let request = rig.request_orders();
         let run = rig.run(request);
         rig.advance(3_100);
         assert_eq!(rig.revokes(&run), 1, "{name}");
@@ -173,7 +174,7 @@
     }
 }
 
-/// Callers rely on `not_run`. On every path that refuses a request, it is reported only if
+/// Callers rely on `not_run`. On every path that ends a request with an error, it is reported only if
 /// each attempt was refused by its agent or none was sent, and none is in flight.
 #[test]
 fn not_run_is_reported_only_without_open_attempts() {
@@ -208,7 +209,7 @@
         (
             "final error by the agent",
             |r| {
-                let request = r.call_orders();
+                let request = r.request_orders();
                 let run = r.run(request);
                 r.refuse(&run, ErrorCode::KeyInProgress);
                 request
@@ -328,8 +329,8 @@
 fn duplicate_keys_are_decided_by_the_agent() {
     let mut rig = Rig::new();
     rig.agent_in("s1", "desk", "d1", &[]);
-    let first = rig.call_orders();
-    let second = rig.call_orders();
+    let first = rig.request_orders();
+    let second = rig.request_orders();
     let (run1, run2) = (rig.run(first), rig.run(second));
     assert_eq!(run1.run.idempotency_key, run2.run.idempotency_key);
     rig.refuse(&run2, ErrorCode::KeyInProgress);
@@ -340,16 +341,16 @@
     assert_eq!(rig.error(second).code, ErrorCode::KeyInProgress);
 }
 
-/// The first call with a key is in progress at a frozen agent, and its caller retries
+/// The first request with a key is in progress at a frozen agent, and its caller retries
 /// through this entry. The agent reports that the key is in use, but not the outcome of
-/// that call. The caller gets this code with a retry delay: an unknown outcome would have
+/// that request. The caller gets this code with a retry delay: an unknown outcome would have
 /// to be handled by hand, though the answer may be available a second later.
 #[test]
 fn a_key_in_progress_is_reported_as_such() {
     for started in [false, true] {
         let mut rig = Rig::new();
         rig.agent_in("s1", "desk", "d1", &[]);
-        let request = rig.call_orders();
+        let request = rig.request_orders();
         let run = rig.run(request);
         if started {
             rig.started(&run);
--- a/crates/role/tests/entry/rig/agents.rs
+++ b/crates/role/tests/entry/rig/agents.rs
@@ -98,6 +98,7 @@
         self.frame(&run.agent, body);
     }
 
+    /// Refuses an attempt by the agent's admission control.
     pub fn refuse(&mut self, run: &SentRun, code: ErrorCode) {
         let body = frame::Body::Refused(link::Refused {
             attempt: run.run.attempt,
@@ -108,6 +109,7 @@
         self.frame(&run.agent, body);
     }
 
+    /// Delivers an answer part.
     pub fn part(&mut self, run: &SentRun, offset: u64, units: u32) {
         self.handle(EntryEvent::AnswerPart {
             agent: AgentId::new(&run.agent),
@@ -117,6 +119,7 @@
         });
     }
 
+    /// Ends an attempt with a complete answer.
     pub fn end(&mut self, run: &SentRun, total_units: u64) {
         let body = frame::Body::End(link::End {
             attempt: run.run.attempt,
@@ -127,6 +130,7 @@
         self.frame(&run.agent, body);
     }
 
+    /// Ends an attempt with an error code.
     pub fn fail(&mut self, run: &SentRun, code: ErrorCode, ran: RunStatus) {
         let body = frame::Body::End(link::End {
             attempt: run.run.attempt,
@@ -137,6 +141,7 @@
         self.frame(&run.agent, body);
     }
 
+    /// Ends an attempt because its upstream crashed with these fingerprints in flight.
     pub fn crash(&mut self, run: &SentRun, fingerprints: &[u64]) {
         let body = frame::Body::End(link::End {
             attempt: run.run.attempt,
@@ -149,6 +154,7 @@
         self.frame(&run.agent, body);
     }
 
+    /// Answers a `Revoke`.
     pub fn revoked(&mut self, run: &SentRun, ran: RunStatus) {
         let body = frame::Body::Revoked(link::Revoked {
             attempt: run.run.attempt,
--- a/crates/role/tests/entry/rig/mod.rs
+++ b/crates/role/tests/entry/rig/mod.rs
@@ -15,14 +15,17 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
+/// API key of the configured caller.
 pub const KEY: &str = "key-desk";
-pub const ME: u64 = 7;
+/// Incarnation of the entry under test.
+pub const OWN_INCARNATION: u64 = 7;
 
 pub struct Rig {
     pub role: EntryRole,
     pub now: Instant,
     pub agents: BTreeMap<String, FakeAgent>,
-    pub platform_away: bool,
+    /// Calls to the platform fail without effect.
+    pub platform_unavailable: bool,
     /// Reads at the platform are not answered.
     pub hold_reads: bool,
     pub objects: BTreeMap<String, Vec<u8>>,
@@ -33,7 +36,7 @@
 impl Rig {
     /// A ready entry with a configuration and without agents.
     pub fn new() -> Self {
-        let mut rig = Self::without_config(options("e1", ME));
+        let mut rig = Self::without_config(options("e1", OWN_INCARNATION));
         rig.publish(1, &document());
         rig.start();
         assert!(rig.role.config().is_some());
@@ -47,7 +50,7 @@
             role: EntryRole::new(options, now, &mut actions),
             now,
             agents: BTreeMap::new(),
-            platform_away: false,
+            platform_unavailable: false,
             hold_reads: false,
             objects: BTreeMap::new(),
             actions,
@@ -98,7 +101,7 @@
         for action in actions {
             if let EntryAction::CallPlatform(call) = action {
                 let id = call.id;
-                let result = match (&call.op, self.platform_away) {
+                let result = match (&call.op, self.platform_unavailable) {
                     (_, true) => PlatformResult::Unavailable,
                     (PlatformOp::Read { .. }, _) if self.hold_reads => continue,
                     (PlatformOp::Read { key }, _) => {
@@ -147,6 +150,7 @@
         }
     }
 
+    /// Forgets the actions so far.
     pub fn clear(&mut self) {
         self.actions.clear();
     }
--- a/crates/role/tests/entry/rig/observed.rs
+++ b/crates/role/tests/entry/rig/observed.rs
@@ -29,20 +29,23 @@
         self.runs(request).pop().expect("the request was sent")
     }
 
+    /// Errors with which a request ended; a correct state machine gives at most one.
     pub fn errors(&self, request: RequestId) -> Vec<RequestError> {
-        let refused = self.actions.iter().filter_map(|action| match action {
+        let errors = self.actions.iter().filter_map(|action| match action {
             EntryAction::Fail { request: of, error } if *of == request => Some(*error),
             _ => None,
         });
-        refused.collect()
+        errors.collect()
     }
 
+    /// The error with which a request ended.
     pub fn error(&self, request: RequestId) -> RequestError {
         let errors = self.errors(request);
         assert_eq!(errors.len(), 1, "one error of {request}: {errors:?}");
         errors[0]
     }
 
+    /// Total units of a request's complete answer, if it has ended with one.
     pub fn finished(&self, request: RequestId) -> Option<u64> {
         self.actions.iter().find_map(|action| match action {
             EntryAction::Finish {
--- a/crates/role/tests/entry/rig/requests.rs
+++ b/crates/role/tests/entry/rig/requests.rs
@@ -37,8 +37,8 @@
         self.submit(incoming)
     }
 
-    /// Submits a call of a service that is not idempotent, with an idempotency key.
-    pub fn call_orders(&mut self) -> RequestId {
+    /// Submits a request to a service that is not idempotent, with an idempotency key.
+    pub fn request_orders(&mut self) -> RequestId {
         let mut incoming =
             self.incoming(RequestedResource::Service(ServiceId::new("orders")));
         incoming.idempotency_key = Some("k1".to_owned());
--- a/crates/route/tests/all/circuit_breaker.rs
+++ b/crates/route/tests/all/circuit_breaker.rs
@@ -2,11 +2,11 @@
 use route::{BreakerState, CircuitBreaker, Permission, probing_entry};
 
 fn failed(now: Instant) -> CircuitBreaker {
-    let mut health = CircuitBreaker::new();
+    let mut breaker = CircuitBreaker::new();
     for _ in 0..5 {
-        health.record_outcome(now, false, false);
+        breaker.record_outcome(now, false, false);
     }
-    health
+    breaker
 }
 
 /// Guards against probes from every entry, which would be load for a failing
@@ -96,10 +96,10 @@
             true,
         ),
     ] {
-        let mut health = failed(now);
-        assert_eq!(health.state(), open);
-        health.merge(now, from);
-        assert_eq!(health.is_open(), expected, "{from:?}");
+        let mut breaker = failed(now);
+        assert_eq!(breaker.state(), open);
+        breaker.merge(now, from);
+        assert_eq!(breaker.is_open(), expected, "{from:?}");
     }
 }
 
--- a/crates/route/tests/all/suspects.rs
+++ b/crates/route/tests/all/suspects.rs
@@ -241,19 +241,19 @@
 }
 
 /// An entry becomes the owner of a model while the previous owner still has an
-/// exclusive run. It must wait until that run ends, or until it has heard nothing
-/// for five seconds.
+/// exclusive run. It must wait until it is told that this run has ended, or until
+/// it has received nothing about it for five seconds.
 #[test]
 fn a_new_owner_waits_for_the_old() {
     let (model, old, new) = (ModelId::new("m"), EntryId::new("e1"), EntryId::new("e2"));
-    for heard_end in [true, false] {
+    for end_received in [true, false] {
         let mut at_old = suspects_after(&[("a", 1, &[7, 8], false)]);
         let mut at_new = SuspectRequests::new(VERDICT_MS);
         assert!(at_old.try_start_exclusive_run(&model, 7, &old));
         merge_all(&mut at_new, &at_old, Instant::ZERO);
         assert!(!at_new.try_start_exclusive_run(&model, 8, &new));
         let mut now = Instant::from_ms(4_999);
-        if heard_end {
+        if end_received {
             at_old.end_exclusive_run(&model, 7);
             merge_all(&mut at_new, &at_old, now);
         } else {
@@ -264,7 +264,7 @@
         }
         assert!(
             at_new.try_start_exclusive_run(&model, 8, &new),
-            "heard end: {heard_end}"
+            "end received: {end_received}"
         );
     }
 }
