--- a/crates/place/benches/queue/policies.rs
+++ b/crates/place/benches/queue/policies.rs
@@ -106,8 +106,8 @@
     }
 }
 
-/// Adds a base model to the target of a server with room, or of the one whose base model
-/// was least recently used; returns whether it could.
+/// Adds a base model to the target of a server with room, or of the one whose base
+/// model was least recently used; returns whether it could.
 fn load_base(
     base: usize,
     cell: &Cell,
@@ -165,8 +165,8 @@
     true
 }
 
-/// Adds an adapter to a server's target in place of the least recently used adapters;
-/// returns whether it could.
+/// Adds an adapter to a server's target in place of the least recently used
+/// adapters; returns whether it could.
 fn load_adapter(adapter: usize, cell: &Cell, target: &mut Vec<usize>) -> bool {
     let setup = &cell.setup;
     let size = |models: &[usize]| -> u32 {
--- a/crates/place/src/candidates.rs
+++ b/crates/place/src/candidates.rs
@@ -126,8 +126,8 @@
             .unwrap_or(0)
     }
 
-    /// Returns the replicas to displace for the group on an accelerator; `None` if it
-    /// can't be placed there.
+    /// Returns the replicas to displace for the group on an accelerator; `None` if
+    /// it can't be placed there.
     fn candidate_on(
         &self,
         group: usize,
--- a/crates/place/src/costs.rs
+++ b/crates/place/src/costs.rs
@@ -19,7 +19,8 @@
 /// Computes gains, losses and the cost of moves in one unit of value.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct CostModel {
-    /// Configured weight of the value of requests that meet their latency targets.
+    /// Configured weight of the value of requests that meet their latency
+    /// targets.
     attainment: f64,
     /// Configured cost of one move, in the same unit as gains and losses.
     move_cost: f64,
--- a/crates/place/src/history.rs
+++ b/crates/place/src/history.rs
@@ -170,8 +170,8 @@
         }
     }
 
-    /// Adds the loads that were planned but are not reported yet: those of adapters or
-    /// those of base models.
+    /// Adds the loads that were planned but are not reported yet: those of adapters
+    /// or those of base models.
     fn apply_loads(
         &mut self,
         now: Instant,
--- a/crates/place/src/plan_builder.rs
+++ b/crates/place/src/plan_builder.rs
@@ -199,8 +199,8 @@
         true
     }
 
-    /// Whether a gain justifies a loss, plus the cost of the move unless the group must
-    /// move.
+    /// Whether a gain justifies a loss, plus the cost of the move unless the group
+    /// must move.
     fn is_justified(&self, group: usize, gain: f64, loss: f64) -> bool {
         if self.must_move(group) {
             self.costs.justifies_loss(gain, loss)
--- a/crates/place/src/wait_bound.rs
+++ b/crates/place/src/wait_bound.rs
@@ -101,8 +101,8 @@
     queue
 }
 
-/// Returns all models with waiting requests that no accelerator can serve, the longest
-/// wait first.
+/// Returns all models with waiting requests that no accelerator can serve, the
+/// longest wait first.
 fn waiting_models(builder: &PlanBuilder<'_, '_>) -> Vec<WaitingModel> {
     let mut queue = Vec::new();
     for (index, model) in builder.catalog.models.iter().enumerate() {
--- a/crates/role/src/agent/admission.rs
+++ b/crates/role/src/agent/admission.rs
@@ -137,8 +137,8 @@
         targets_us.min().unwrap_or(0)
     }
 
-    /// Refuses an attempt while all slots are taken, or while an exclusive run is
-    /// in progress or waits.
+    /// Refuses an attempt while all slots are taken, or while an exclusive run
+    /// is in progress or waits.
     fn check_slot_available(
         &self,
         now: Instant,
--- a/crates/role/src/agent/attempt_lifecycle.rs
+++ b/crates/role/src/agent/attempt_lifecycle.rs
@@ -159,8 +159,8 @@
     ///
     /// An idempotent attempt is stopped, which frees its slot at once. A
     /// non-idempotent one continues, so that a later request with the same key
-    /// gets the answer. One that waits for its claim or for an idle upstream is dropped;
-    /// its claim is released if it is granted later.
+    /// gets the answer. One that waits for its claim or for an idle upstream is
+    /// dropped; its claim is released if it is granted later.
     fn detach(&mut self, now: Instant, id: AttemptId, out: &mut Vec<AgentAction>) {
         let Some(attempt) = self.attempts.get_mut(id) else {
             return;
@@ -238,8 +238,8 @@
         self.send(Some(entry), body, out);
     }
 
-    /// Returns whether the attempt ran. `NotRun` also means that it never will: an
-    /// attempt that has not started is removed, and a tombstone is stored.
+    /// Returns whether the attempt ran. `NotRun` also means that it never will:
+    /// an attempt that has not started is removed, and a tombstone is stored.
     fn revoke_attempt(
         &mut self,
         now: Instant,
--- a/crates/role/src/agent/attempts.rs
+++ b/crates/role/src/agent/attempts.rs
@@ -61,8 +61,8 @@
     pub(super) deadline: Instant,
     /// The entry was told that the deadline has passed.
     pub(super) deadline_reported: bool,
-    /// Answer to an attempt with a claim, stored for later requests with the same
-    /// key; `None` if it is incomplete or exceeds the size limit.
+    /// Answer to an attempt with a claim, stored for later requests with the
+    /// same key; `None` if it is incomplete or exceeds the size limit.
     pub(super) stored_answer: Option<Vec<u8>>,
 }
 
--- a/crates/role/src/agent/claims.rs
+++ b/crates/role/src/agent/claims.rs
@@ -12,8 +12,8 @@
 use schema::timeline::EventKind;
 
 impl AgentRole {
-    /// Calls the claims' state machine (crate `once`) and carries out the actions
-    /// that it returns.
+    /// Calls the claims' state machine (crate `once`) and carries out the
+    /// actions that it returns.
     fn with_claims(
         &mut self,
         now: Instant,
@@ -108,8 +108,9 @@
         }
     }
 
-    /// Starts an attempt whose claim was granted. Time has passed since admission,
-    /// so the conditions that may have changed are checked again first.
+    /// Starts an attempt whose claim was granted. Time has passed since
+    /// admission, so the conditions that may have changed are checked again
+    /// first.
     fn on_claim_granted(
         &mut self,
         now: Instant,
--- a/crates/role/src/agent/drain.rs
+++ b/crates/role/src/agent/drain.rs
@@ -47,8 +47,8 @@
     /// Moves the shutdown through every stage that is complete.
     ///
     /// Attempts are waited for until their deadlines. The other waits have a
-    /// fixed limit because the platform may be unreachable; leaving those
-    /// steps undone is safe.
+    /// fixed limit because the platform may be unreachable; leaving those steps
+    /// undone is safe.
     pub(super) fn advance_drain(&mut self, now: Instant, out: &mut Vec<AgentAction>) {
         if self.drain == Some(Drain::FinishingAttempts) && self.attempts.is_empty() {
             let until = now.plus_ms(FLUSH_MAX_MS);
--- a/crates/role/src/agent/event.rs
+++ b/crates/role/src/agent/event.rs
@@ -70,9 +70,9 @@
         /// Units in the part: tokens for an engine, bytes for a plain service.
         units: u32,
     },
-    /// A part of the answer to a non-idempotent request with an idempotency key,
-    /// reported instead of `AnswerPart`; the answer is stored for later requests
-    /// with the same key. The driver recognizes such a request by its
+    /// A part of the answer to a non-idempotent request with an idempotency
+    /// key, reported instead of `AnswerPart`; the answer is stored for later
+    /// requests with the same key. The driver recognizes such a request by its
     /// `StartAttempt`, whose `run` is not idempotent and has a key.
     KeyedAnswerPart {
         /// The attempt.
--- a/crates/role/src/agent/orders.rs
+++ b/crates/role/src/agent/orders.rs
@@ -323,8 +323,8 @@
         }
     }
 
-    /// Writes the record if it lacks an intent, or if the removal of ended intents
-    /// is due.
+    /// Writes the record if it lacks an intent, or if the removal of ended
+    /// intents is due.
     fn write_record(&mut self, now: Instant, out: &mut Vec<AgentAction>) {
         let intents = self.ledger.intents(&self.options.link_address);
         let has_ended_intents = self
--- a/crates/role/src/agent/upstream_events.rs
+++ b/crates/role/src/agent/upstream_events.rs
@@ -267,9 +267,9 @@
 
     /// Settles the claim of an attempt that has no complete answer.
     ///
-    /// For an attempt that ran, the claim records that its outcome is unknown, so
-    /// that a later request with the same key is answered at once. If it is not
-    /// even known whether the attempt ran, the claim stays open.
+    /// For an attempt that ran, the claim records that its outcome is unknown,
+    /// so that a later request with the same key is answered at once. If it is
+    /// not even known whether the attempt ran, the claim stays open.
     fn close_claim(
         &mut self,
         now: Instant,
--- a/crates/role/src/entry/circuit_breakers.rs
+++ b/crates/role/src/entry/circuit_breakers.rs
@@ -14,9 +14,9 @@
 use super::EntryAction;
 use super::timeline::TimelineEvent;
 
-/// Time without a probe or a change of the breaker after which every entry may
-/// probe, with any request. The entry chosen to probe may receive no request for
-/// this upstream.
+/// Time without a probe or a change of the breaker after which every entry may probe,
+/// with any request. The entry chosen to probe may receive no request for this
+/// upstream.
 const PROBER_TIMEOUT_MS: u64 = 10_000;
 
 /// How long a closed breaker is still sent in gossip.
--- a/crates/role/src/entry/control/frames.rs
+++ b/crates/role/src/entry/control/frames.rs
@@ -71,8 +71,8 @@
         effects.agents_with_capacity.insert(id);
     }
 
-    /// Requests newer configuration changes from a peer whose frame named a higher
-    /// revision than the one in force here.
+    /// Requests newer configuration changes from a peer whose frame named a
+    /// higher revision than the one in force here.
     pub(crate) fn peer_revision_received(
         &mut self,
         now: Instant,
--- a/crates/role/src/entry/control/freeze.rs
+++ b/crates/role/src/entry/control/freeze.rs
@@ -23,7 +23,8 @@
     /// Until when the gap is discounted from silences. An agent that sends nothing by
     /// then has been silent for the whole limit since the process resumed.
     discount_until: Instant,
-    /// By when the frames that arrived during the freeze are assumed to have been read.
+    /// By when the frames that arrived during the freeze are assumed to have been
+    /// read.
     backlog_read_by: Instant,
 }
 
@@ -82,9 +83,9 @@
         }
     }
 
-    /// By when the frames that peers sent during a freeze are assumed to have been read:
-    /// one heartbeat interval after its end. Until then no plan is made, and no attempt
-    /// counts as silent.
+    /// By when the frames that peers sent during a freeze are assumed to have been
+    /// read: one heartbeat interval after its end. Until then no plan is made, and no
+    /// attempt counts as silent.
     pub(crate) const fn backlog_read_by(&self) -> Instant {
         self.freeze.backlog_read_by
     }
--- a/crates/role/src/entry/control/gossip.rs
+++ b/crates/role/src/entry/control/gossip.rs
@@ -15,8 +15,8 @@
 /// Limit of models whose demand is accepted from one entry.
 const DEMANDS_MAX: usize = 4_096;
 
-/// Limit, for each kind of item, of the heartbeats, silences, suspect requests and circuit
-/// breaker states accepted from one gossip message.
+/// Limit, for each kind of item, of the heartbeats, silences, suspect requests and
+/// circuit breaker states accepted from one gossip message.
 const ITEMS_MAX: usize = 4_096;
 
 /// Minimum interval between gossip messages sent ahead of the next heartbeat.
--- a/crates/role/src/entry/control/mod.rs
+++ b/crates/role/src/entry/control/mod.rs
@@ -63,7 +63,8 @@
     Lost,
 }
 
-/// Number of times in each heartbeat interval that the liveness of all agents is checked.
+/// Number of times in each heartbeat interval that the liveness of all agents is
+/// checked.
 const LIVENESS_CHECKS_PER_HEARTBEAT: u64 = 5;
 
 /// Effects of a change of the control state on requests.
--- a/crates/role/src/entry/control/plan.rs
+++ b/crates/role/src/entry/control/plan.rs
@@ -159,7 +159,8 @@
         self.plan_now(now, shared)
     }
 
-    /// Starts a round of planning now, or schedules it for when the minimum interval has passed.
+    /// Starts a round of planning now, or schedules it for when the minimum interval
+    /// has passed.
     pub(crate) fn plan_soon(
         &mut self,
         now: Instant,
--- a/crates/role/src/entry/event.rs
+++ b/crates/role/src/entry/event.rs
@@ -59,8 +59,8 @@
     },
     /// The platform answered a call, or the call failed.
     PlatformAnswered(PlatformResponse),
-    /// The process is to shut down: it accepts no new requests and exits once those in
-    /// progress have ended.
+    /// The process is to shut down: it accepts no new requests and exits once
+    /// those in progress have ended.
     Drain,
 }
 
--- a/crates/role/src/entry/follow_up.rs
+++ b/crates/role/src/entry/follow_up.rs
@@ -10,15 +10,16 @@
 use super::role::EntryRole;
 use super::shared::FollowUps;
 
-/// Number of requests at the head of a queue that are dispatched again when an agent may
-/// have capacity for them.
+/// Number of requests at the head of a queue that are dispatched again when an agent
+/// may have capacity for them.
 const WAKE_SCAN_MAX: usize = 256;
 
 /// Number of requests that still can't be sent after which the rest of the queue is
 /// skipped.
 const BLOCKED_MAX: usize = 16;
 
-/// Number of requests at the head of a queue that are dispatched again at each heartbeat.
+/// Number of requests at the head of a queue that are dispatched again at each
+/// heartbeat.
 const FULL_SCAN_MAX: usize = 4_096;
 
 /// Rounds of follow-ups after one event. Whatever remains is done at the next
@@ -102,8 +103,8 @@
             return;
         }
         let job = self.with_control(|control| {
-            // Also if only a plan is due: the entry that plans the model's cell may be
-            // another one.
+            // Also if only a plan is due: the entry that plans the model's cell may
+            // be another one.
             control.request_gossip(now, &self.shared, out);
             work.plan
                 .then(|| control.plan_soon(now, &self.shared))
@@ -120,8 +121,9 @@
         }
     }
 
-    /// Queues whose requests are dispatched again: those in `work.wake` and, if any agents
-    /// have capacity, those of the models that they have loaded and of all services.
+    /// Queues whose requests are dispatched again: those in `work.wake` and, if any
+    /// agents have capacity, those of the models that they have loaded and of all
+    /// services.
     fn queues_to_wake(&self, work: &FollowUps) -> BTreeSet<Resource> {
         let mut queues = work.wake.clone();
         if work.agents_with_capacity.is_empty() {
@@ -146,9 +148,9 @@
 
     /// Dispatches the first requests of a queue again, in order.
     ///
-    /// At each heartbeat the queue is scanned beyond a head that can't be sent: a request
-    /// behind it that can no longer meet its deadline is refused now, and not only when
-    /// the deadline passes.
+    /// At each heartbeat the queue is scanned beyond a head that can't be sent: a
+    /// request behind it that can no longer meet its deadline is refused now, and not
+    /// only when the deadline passes.
     fn wake(
         &self,
         now: Instant,
--- a/crates/role/src/entry/requests/answers.rs
+++ b/crates/role/src/entry/requests/answers.rs
@@ -265,8 +265,8 @@
     }
 
     /// Records the crash of an upstream. Crashes are told apart by the incarnation of
-    /// the upstream: the agent's own incarnation does not change with a crash, so a second
-    /// crash would be taken for another report of the first.
+    /// the upstream: the agent's own incarnation does not change with a crash, so a
+    /// second crash would be taken for another report of the first.
     fn upstream_crashed(&mut self, ctx: &mut Ctx<'_>, agent: &AgentId, frame: &End) {
         let fingerprints = &frame.crash_fingerprints;
         let sole_request = fingerprints.len() == 1;
--- a/crates/role/src/entry/requests/candidates.rs
+++ b/crates/role/src/entry/requests/candidates.rs
@@ -346,8 +346,8 @@
     }
 }
 
-/// Time until the loads of models awaited here only since the last forecast have started.
-/// The weight store starts them one after another, before the load of `model`.
+/// Time until the loads of models awaited here only since the last forecast have
+/// started. The weight store starts them one after another, before the load of `model`.
 fn new_loads_wait_ms(ctx: &Ctx<'_>, model: &ModelId) -> u64 {
     if ctx.control.has_forecast(model) {
         return 0;
--- a/crates/role/src/entry/requests/dispatch.rs
+++ b/crates/role/src/entry/requests/dispatch.rs
@@ -94,8 +94,8 @@
         }
     }
 
-    /// Like [`Self::dispatch_behind`], once the request's crash verdict is known; a suspect
-    /// request is dispatched as an exclusive run.
+    /// Like [`Self::dispatch_behind`], once the request's crash verdict is known; a
+    /// suspect request is dispatched as an exclusive run.
     fn dispatch_with(
         &mut self,
         ctx: &mut Ctx<'_>,
@@ -394,8 +394,8 @@
     late.then_some((ErrorCode::Overloaded, turn_ms.max(EXCLUSIVE_RUN_RETRY_MS)))
 }
 
-/// Reserves the model's exclusive run for a suspect request; returns whether it may start
-/// now.
+/// Reserves the model's exclusive run for a suspect request; returns whether it may
+/// start now.
 fn try_start_exclusive(ctx: &mut Ctx<'_>, request: &Request) -> bool {
     let Some(model) = request.resolved.resource.model() else {
         return true;
--- a/crates/role/src/entry/requests/end.rs
+++ b/crates/role/src/entry/requests/end.rs
@@ -14,8 +14,8 @@
 use super::upstream_outcome::record_outcome;
 
 impl Requests {
-    /// Ends a request with an error, which reports whether the request ran, as far as is
-    /// known from its attempts, including the one in flight, which is ended.
+    /// Ends a request with an error, which reports whether the request ran, as far as
+    /// is known from its attempts, including the one in flight, which is ended.
     pub(super) fn fail(
         &mut self,
         ctx: &mut Ctx<'_>,
--- a/crates/role/src/entry/requests/failures.rs
+++ b/crates/role/src/entry/requests/failures.rs
@@ -22,7 +22,8 @@
 /// request that the agent does not stop may have ended by then.
 const DEADLINE_RETRY_MS: u64 = 1_000;
 
-/// Number of failures after which a request fails, whatever is left of the retry budget.
+/// Number of failures after which a request fails, whatever is left of the retry
+/// budget.
 const FAILURES_MAX: u32 = 4;
 
 /// Whether a retry is charged to the retry budget.
@@ -32,9 +33,10 @@
     Charged,
     /// The upstream crashed, or the attempt was a probe that failed.
     ///
-    /// A crash may be due to another request, and its retries must not use up the budget;
-    /// they are limited anyway, as suspect requests run one at a time. A probe is sent to a
-    /// failing upstream on behalf of all entries, and there is one at a time.
+    /// A crash may be due to another request, and its retries must not use up the
+    /// budget; they are limited anyway, as suspect requests run one at a time. A probe
+    /// is sent to a failing upstream on behalf of all entries, and there is one at a
+    /// time.
     Exempt,
 }
 
@@ -116,8 +118,8 @@
         self.attempt_failed(ctx, sequence, incomplete);
     }
 
-    /// Ends an attempt that failed after it may have run. The request is dispatched again
-    /// if that is safe and the limits allow it, and fails otherwise.
+    /// Ends an attempt that failed after it may have run. The request is dispatched
+    /// again if that is safe and the limits allow it, and fails otherwise.
     pub(super) fn attempt_failed(
         &mut self,
         ctx: &mut Ctx<'_>,
@@ -231,8 +233,9 @@
     /// Tells the agent to stop the attempt in flight, or not to start it.
     ///
     /// A delayed `Run` frame could start an attempt that nobody waits for any more; the
-    /// tombstone left by `Revoke` prevents that. A request that is not idempotent and has
-    /// started is left running, so that its answer is stored for the caller's retry.
+    /// tombstone left by `Revoke` prevents that. A request that is not idempotent and
+    /// has started is left running, so that its answer is stored for the caller's
+    /// retry.
     fn cancel_attempt(&mut self, ctx: &mut Ctx<'_>, sequence: u64) {
         let Some(request) = self.requests.get(&sequence) else {
             return;
@@ -347,8 +350,8 @@
             State::Running(_) => ErrorCode::DeadlineWhileRunning,
             _ => ErrorCode::DeadlineBeforeRun,
         };
-        // For a request that is not idempotent, a retry is useful only with an idempotency
-        // key, by which the stored answer is found.
+        // For a request that is not idempotent, a retry is useful only with an
+        // idempotency key, by which the stored answer is found.
         let can_retry =
             request.resolved.idempotent || request.incoming.idempotency_key.is_some();
         let retry_after = can_retry.then_some(DEADLINE_RETRY_MS);
--- a/crates/role/src/entry/requests/send.rs
+++ b/crates/role/src/entry/requests/send.rs
@@ -17,8 +17,8 @@
 /// Time within which an agent has to report that an attempt started or was refused.
 pub(super) const START_WAIT_MS: u64 = 3_000;
 
-/// Time within which an agent has to report that an exclusive run started or was refused.
-/// Such a run waits until nothing else is in flight at the upstream.
+/// Time within which an agent has to report that an exclusive run started or was
+/// refused. Such a run waits until nothing else is in flight at the upstream.
 pub(super) const EXCLUSIVE_START_WAIT_MS: u64 = 20_000;
 
 /// Destination and parameters of an attempt.
--- a/crates/role/src/entry/requests/state.rs
+++ b/crates/role/src/entry/requests/state.rs
@@ -129,8 +129,8 @@
         self.deadline.ms_since(now)
     }
 
-    /// Whether another attempt may continue the answer. The answer of a plain
-    /// service can't be continued, since its bytes may differ from run to run.
+    /// Whether another attempt may continue the answer. The answer of a plain service
+    /// can't be continued, since its bytes may differ from run to run.
     pub(crate) fn can_resume(&self) -> bool {
         self.delivered == 0 || self.resolved.resource.model().is_some()
     }
--- a/crates/role/src/entry/resolve.rs
+++ b/crates/role/src/entry/resolve.rs
@@ -62,8 +62,8 @@
     pub(crate) deadline_ms: u64,
     /// Configured time limit of one request to a plain service; 0 for a model.
     pub(crate) service_timeout_ms: u32,
-    /// Hash of the model or service and of the request's content. Requests with the same
-    /// fingerprint count as the same when they crash upstreams.
+    /// Hash of the model or service and of the request's content. Requests with the
+    /// same fingerprint count as the same when they crash upstreams.
     pub(crate) fingerprint: u64,
 }
 
--- a/crates/role/src/entry/workload.rs
+++ b/crates/role/src/entry/workload.rs
@@ -13,8 +13,8 @@
 /// Weight of a new sample in the moving averages of service time and value.
 const MEAN_WEIGHT: f64 = 0.1;
 
-/// Limit of models and services with statistics. Names come from configurations, and
-/// those removed from the configuration would otherwise accumulate.
+/// Limit of models and services with statistics. Names come from configurations,
+/// and those removed from the configuration would otherwise accumulate.
 const RESOURCES_MAX: usize = 16_384;
 
 #[derive(Debug)]
--- a/crates/role/tests/agent/concurrency_limit.rs
+++ b/crates/role/tests/agent/concurrency_limit.rs
@@ -60,8 +60,8 @@
 }
 
 /// The target is shorter than the shortest step. A low limit would gain nothing
-/// and cost throughput, so after one attempt to lower it, the limit returns to its maximum for
-/// minutes.
+/// and cost throughput, so after one attempt to lower it, the limit returns to
+/// its maximum for minutes.
 #[test]
 fn an_unattainable_target_does_not_lower_the_limit_for_long() {
     let mut limit = ConcurrencyLimit::default();
--- a/crates/role/tests/agent/idempotency_keys.rs
+++ b/crates/role/tests/agent/idempotency_keys.rs
@@ -12,8 +12,8 @@
     agent.receive_frame(frame::Body::Run(service_run(sequence, incarnation, key)));
 }
 
-/// The request is not run before its claim is granted, and a second request with the
-/// same key gets the stored answer without another run.
+/// The request is not run before its claim is granted, and a second request
+/// with the same key gets the stored answer without another run.
 #[test]
 fn a_resend_gets_the_stored_answer() {
     let mut platform = Platform::new();
@@ -40,8 +40,9 @@
     assert_eq!(body.as_deref(), Some(&b"ok"[..]));
 }
 
-/// While the platform is unavailable, no claim can be written. The request is refused
-/// at once as `not_run` with a retry delay, and is not run later either.
+/// While the platform is unavailable, no claim can be written. The request is
+/// refused at once as `not_run` with a retry delay, and is not run later
+/// either.
 #[test]
 fn while_the_platform_is_away_a_call_is_not_run() {
     let mut platform = Platform::new();
@@ -102,8 +103,8 @@
 }
 
 /// The platform answers slowly and the deadline passes before the claim is
-/// granted. The request is refused as `not_run`, is not run, and its key is free
-/// again when the caller receives the refusal.
+/// granted. The request is refused as `not_run`, is not run, and its key is
+/// free again when the caller receives the refusal.
 #[test]
 fn a_claim_granted_after_the_deadline_is_released() {
     let mut platform = Platform::new();
@@ -121,8 +122,8 @@
     assert!(agent.started(2), "the key is not free");
 }
 
-/// The upstream itself refuses the request. The claim is released before the caller is
-/// told, so that its next request does not find the key claimed.
+/// The upstream itself refuses the request. The claim is released before the
+/// caller is told, so that its next request does not find the key claimed.
 #[test]
 fn a_call_the_upstream_refused_frees_its_key_first() {
     let mut platform = Platform::new();
@@ -143,9 +144,9 @@
     assert!(agent.started(2));
 }
 
-/// The agent dies between claim and run, or between run and answer. Another request with
-/// the same key is never run by its successor, which can't tell whether the first one
-/// was.
+/// The agent dies between claim and run, or between run and answer. Another
+/// request with the same key is never run by its successor, which can't tell
+/// whether the first one was.
 #[test]
 fn a_call_of_a_dead_agent_is_not_run_again() {
     for ran in [false, true] {
@@ -174,8 +175,8 @@
     }
 }
 
-/// The entry disconnects during the run. The request can't be undone, so it finishes and
-/// its answer is stored for a later request with the same key.
+/// The entry disconnects during the run. The request can't be undone, so it
+/// finishes and its answer is stored for a later request with the same key.
 #[test]
 fn a_call_without_its_entry_still_stores_its_answer() {
     let mut platform = Platform::new();
@@ -195,8 +196,9 @@
     assert!(agent.end_frame(2).is_some_and(|end| end.replayed));
 }
 
-/// The upstream dies with the request in flight. It may have taken effect, so another
-/// request with the same key is told that it ran with an unknown outcome.
+/// The upstream dies with the request in flight. It may have taken effect, so
+/// another request with the same key is told that it ran with an unknown
+/// outcome.
 #[test]
 fn a_call_lost_in_a_crash_is_not_run_again() {
     let mut platform = Platform::new();
@@ -217,8 +219,8 @@
     assert_eq!(agent.starts.len(), 1);
 }
 
-/// On a graceful shutdown the request in progress finishes, its answer is stored,
-/// and only then does the process exit.
+/// On a graceful shutdown the request in progress finishes, its answer is
+/// stored, and only then does the process exit.
 #[test]
 fn a_stop_waits_for_the_answer_to_be_stored() {
     let mut platform = Platform::new();
--- a/crates/role/tests/agent/lifecycle.rs
+++ b/crates/role/tests/agent/lifecycle.rs
@@ -24,8 +24,9 @@
     Some(Member::decode(value.as_slice()).expect("the agent registers itself"))
 }
 
-/// The platform is unavailable when the agent starts. The agent gets its configuration
-/// from an entry and serves; it takes the epoch once the platform is back.
+/// The platform is unavailable when the agent starts. The agent gets its
+/// configuration from an entry and serves; it takes the epoch once the platform
+/// is back.
 #[test]
 fn a_start_without_the_platform_takes_the_configuration_from_an_entry() {
     let mut platform = Platform::new();
--- a/crates/role/tests/agent/orders.rs
+++ b/crates/role/tests/agent/orders.rs
@@ -175,9 +175,9 @@
     assert!(engine.peak_mib <= 100);
 }
 
-/// While the platform is unavailable, no intent can be recorded, so no order is sent
-/// and no model stops being served. The plan is carried out once the platform
-/// is back.
+/// While the platform is unavailable, no intent can be recorded, so no order is
+/// sent and no model stops being served. The plan is carried out once the
+/// platform is back.
 #[test]
 fn while_the_platform_is_away_models_stay_and_are_served() {
     let (mut platform, mut engine, mut agent) = agent_with_model_a();
--- a/crates/role/tests/agent/random/memory.rs
+++ b/crates/role/tests/agent/random/memory.rs
@@ -96,8 +96,8 @@
         }
     }
 
-    /// The platform answers a call, is unavailable, or loses the answer, with the
-    /// write taking effect at once, later or never.
+    /// The platform answers a call, is unavailable, or loses the answer, with
+    /// the write taking effect at once, later or never.
     fn answer(&mut self, index: usize, u: &mut Unstructured<'_>) -> Result<()> {
         let agent = &mut self.agents[index];
         let Some(call) = agent.calls.pop_front() else {
@@ -302,9 +302,9 @@
     }
 }
 
-/// Orders are lost, duplicated and late; the platform is unavailable or loses answers;
-/// agents freeze, wake and are replaced while they live. In every sequence, no
-/// load is sent for which the accelerator has no room.
+/// Orders are lost, duplicated and late; the platform is unavailable or loses
+/// answers; agents freeze, wake and are replaced while they live. In every
+/// sequence, no load is sent for which the accelerator has no room.
 #[test]
 fn no_sequence_of_faults_overcommits() {
     let mut loads = 0;
--- a/crates/role/tests/entry/failing.rs
+++ b/crates/role/tests/entry/failing.rs
@@ -59,7 +59,8 @@
     rig
 }
 
-/// Agents that requests are sent to during `ms`, one request every 100 ms, all answered.
+/// Agents that requests are sent to during `ms`, one request every 100 ms, all
+/// answered.
 fn answer_requests(rig: &mut Rig, service: &str, ms: u64, gossip: bool) -> Vec<String> {
     let mut agents = Vec::new();
     for _ in 0..ms / 100 {
@@ -92,8 +93,8 @@
     assert_eq!(rig.events_recorded(EventKind::UpstreamFailing), 0);
 }
 
-/// A failing upstream gets one probe per second, and the other requests go to the other one.
-/// After a successful probe it gets its share again.
+/// A failing upstream gets one probe per second, and the other requests go to the other
+/// one. After a successful probe it gets its share again.
 #[test]
 fn one_probe_per_second_until_recovery() {
     let mut rig = rig_with_failing(["s1", "s2"]);
@@ -128,8 +129,8 @@
 }
 
 /// If another entry is the one to probe, this one sends nothing to the failing upstream
-/// until ten seconds have passed without a change of the breaker: the other entry may get
-/// no requests to probe with.
+/// until ten seconds have passed without a change of the breaker: the other entry may
+/// get no requests to probe with.
 #[test]
 fn other_entries_probe_if_the_prober_does_not() {
     let entries = ["e1", "e2"].map(EntryId::new);
@@ -212,8 +213,8 @@
     assert_eq!(rig.events_recorded(EventKind::UpstreamRecovered), 1);
 }
 
-/// A service accepts requests and never answers, while its agent's heartbeats continue. Five
-/// stalled requests open the breaker, like five errors.
+/// A service accepts requests and never answers, while its agent's heartbeats continue.
+/// Five stalled requests open the breaker, like five errors.
 #[test]
 fn stalls_count_as_failures() {
     let mut rig = Rig::new();
--- a/crates/role/tests/entry/random.rs
+++ b/crates/role/tests/entry/random.rs
@@ -237,10 +237,10 @@
     Ok(())
 }
 
-/// For any order of events: no part is delivered to another request, the delivered units
-/// are contiguous, each request ends once, `not_run` is not reported for a request that
-/// started, a request that is not idempotent starts at most once, and no request outlives
-/// its deadline.
+/// For any order of events: no part is delivered to another request, the delivered
+/// units are contiguous, each request ends once, `not_run` is not reported for a
+/// request that started, a request that is not idempotent starts at most once, and no
+/// request outlives its deadline.
 #[test]
 fn random_events_violate_no_invariant() {
     let property = |u: &mut Unstructured<'_>| {
--- a/crates/role/tests/entry/retries.rs
+++ b/crates/role/tests/entry/retries.rs
@@ -32,8 +32,8 @@
     ]
 }
 
-/// An idempotent request is retried at once. One that is not idempotent and may have run
-/// is not; its caller is told at once that the outcome is unknown, unless the agent
+/// An idempotent request is retried at once. One that is not idempotent and may have
+/// run is not; its caller is told at once that the outcome is unknown, unless the agent
 /// can still be queried. Rows: fault, and whether the agent can be queried; each before
 /// and after the start was reported.
 #[test]
@@ -97,9 +97,9 @@
     }
 }
 
-/// The `Run` of a request that is not idempotent, or the answer to it, is lost. The agent
-/// is queried by `Revoke`, and its reply races with late frames. The request is sent again
-/// only if the agent reports that it did not run.
+/// The `Run` of a request that is not idempotent, or the answer to it, is lost. The
+/// agent is queried by `Revoke`, and its reply races with late frames. The request is
+/// sent again only if the agent reports that it did not run.
 #[test]
 fn the_reply_to_revoke_decides_about_a_retry() {
     type Steps = fn(&mut Rig, &SentRun);
@@ -174,8 +174,9 @@
     }
 }
 
-/// Callers rely on `not_run`. On every path that ends a request with an error, it is reported only if
-/// each attempt was refused by its agent or none was sent, and none is in flight.
+/// Callers rely on `not_run`. On every path that ends a request with an error, it is
+/// reported only if each attempt was refused by its agent or none was sent, and none is
+/// in flight.
 #[test]
 fn not_run_is_reported_only_without_open_attempts() {
     type Steps = fn(&mut Rig) -> RequestId;
@@ -341,10 +342,11 @@
     assert_eq!(rig.error(second).code, ErrorCode::KeyInProgress);
 }
 
-/// The first request with a key is in progress at a frozen agent, and its caller retries
-/// through this entry. The agent reports that the key is in use, but not the outcome of
-/// that request. The caller gets this code with a retry delay: an unknown outcome would have
-/// to be handled by hand, though the answer may be available a second later.
+/// The first request with a key is in progress at a frozen agent, and its caller
+/// retries through this entry. The agent reports that the key is in use, but not the
+/// outcome of that request. The caller gets this code with a retry delay: an unknown
+/// outcome would have to be handled by hand, though the answer may be available a
+/// second later.
 #[test]
 fn a_key_in_progress_is_reported_as_such() {
     for started in [false, true] {
--- a/crates/role/tests/entry/rig/agents.rs
+++ b/crates/role/tests/entry/rig/agents.rs
@@ -141,7 +141,8 @@
         self.frame(&run.agent, body);
     }
 
-    /// Ends an attempt because its upstream crashed with these fingerprints in flight.
+    /// Ends an attempt because its upstream crashed with these fingerprints in
+    /// flight.
     pub fn crash(&mut self, run: &SentRun, fingerprints: &[u64]) {
         let body = frame::Body::End(link::End {
             attempt: run.run.attempt,
--- a/crates/role/tests/entry/rig/observed.rs
+++ b/crates/role/tests/entry/rig/observed.rs
@@ -29,7 +29,8 @@
         self.runs(request).pop().expect("the request was sent")
     }
 
-    /// Errors with which a request ended; a correct state machine gives at most one.
+    /// Errors with which a request ended; a correct state machine gives at most
+    /// one.
     pub fn errors(&self, request: RequestId) -> Vec<RequestError> {
         let errors = self.actions.iter().filter_map(|action| match action {
             EntryAction::Fail { request: of, error } if *of == request => Some(*error),
--- a/crates/role/tests/entry/rig/requests.rs
+++ b/crates/role/tests/entry/rig/requests.rs
@@ -37,7 +37,8 @@
         self.submit(incoming)
     }
 
-    /// Submits a request to a service that is not idempotent, with an idempotency key.
+    /// Submits a request to a service that is not idempotent, with an idempotency
+    /// key.
     pub fn request_orders(&mut self) -> RequestId {
         let mut incoming =
             self.incoming(RequestedResource::Service(ServiceId::new("orders")));
--- a/crates/route/src/adaptive_limit.rs
+++ b/crates/route/src/adaptive_limit.rs
@@ -1,7 +1,7 @@
 //! Concurrency limit that follows an engine's step time.
 
-/// Step time below which the limit grows, in percent of the shortest step time seen,
-/// the floor.
+/// Step time below which the limit grows, in percent of the shortest step time
+/// seen, the floor.
 const GROW_BELOW_PERCENT: u64 = 150;
 
 /// Step time above which the limit shrinks, in percent of the floor.
--- a/crates/route/src/choose.rs
+++ b/crates/route/src/choose.rs
@@ -262,8 +262,8 @@
         self.estimated_load(holder) < bound.max(LOAD_BOUND_FLOOR * ONE_REQUEST)
     }
 
-    /// Chooses the holder that ranks first for the prefix among those within the load
-    /// bound.
+    /// Chooses the holder that ranks first for the prefix among those within the
+    /// load bound.
     fn choose_by_prefix(&self, prefix_hash: u64) -> ChosenHolder {
         let mut first = (0, 0);
         let mut bounded = None;
--- a/crates/route/tests/all/choice.rs
+++ b/crates/route/tests/all/choice.rs
@@ -183,8 +183,8 @@
     );
 }
 
-/// A request is not sent to an excluded holder. The last holder left is reported as the
-/// only one, and there is none when all are excluded.
+/// A request is not sent to an excluded holder. The last holder left is reported as
+/// the only one, and there is none when all are excluded.
 #[test]
 fn tried_holders_are_not_chosen_again() {
     let ids = Ids::new(3);
