--- a/crates/place/src/catalog.rs
+++ b/crates/place/src/catalog.rs
@@ -25,6 +25,8 @@
         self.waiting > 0.0 || self.rate_per_s > RATE_FLOOR_PER_S
     }
 
+    /// Adds another demand. Service time and value become means, weighted by the
+    /// requests that arrive or wait.
     fn add(&mut self, other: &Self) {
         let own_weight = self.rate_per_s + self.waiting;
         let other_weight = other.rate_per_s + other.waiting;
@@ -131,6 +133,7 @@
         catalog
     }
 
+    /// Sets a model's demand and adds it to that of its group.
     fn add_demand(&mut self, reported: &ModelDemand, specs: &[&ModelSpec]) {
         let Some(index) = find(specs, reported.model.as_str()) else {
             return;
--- a/crates/role/src/agent/epoch_record.rs
+++ b/crates/role/src/agent/epoch_record.rs
@@ -61,7 +61,7 @@
     version: Option<ObjectVersion>,
     intents: Vec<Intent>,
     call: Option<(u64, Call)>,
-    /// The record must be read before anything is done that depends on it.
+    /// The record must be read before any further order is sent.
     needs_read: bool,
     backoff: Backoff,
 }
@@ -273,6 +273,7 @@
         RecordOutcome::Nothing
     }
 
+    /// Handles a record that this process wrote.
     fn on_own_record(&mut self, record: AgentRecord) -> RecordOutcome {
         self.needs_read = false;
         self.intents = record.intents;
--- a/crates/role/src/agent/orders.rs
+++ b/crates/role/src/agent/orders.rs
@@ -34,6 +34,7 @@
 /// State of this agent's orders besides the ledger.
 #[derive(Debug, Default)]
 pub(super) struct Orders {
+    /// Number of the last order within the epoch.
     sequence: u64,
     /// When each order is resent, by order number.
     resend_at: BTreeMap<u64, Instant>,
@@ -114,6 +115,7 @@
         self.write_record(now, out);
     }
 
+    /// Reserves the loads and unloads that lead to the followed planner's target.
     fn plan_orders(&mut self, now: Instant) {
         self.orders.pending_unloads.clear();
         // Plan nothing that could not be carried out: while the platform is
@@ -132,6 +134,7 @@
         self.plan_unloads(&wanted);
     }
 
+    /// Reserves loads of the wanted models, base models before adapters.
     fn plan_loads(&mut self, wanted: &[Placement]) {
         let (adapters, bases): (Vec<_>, Vec<_>) = wanted
             .iter()
@@ -155,6 +158,8 @@
         spec.base.clone()
     }
 
+    /// Reserves unloads of the residents that are not wanted, once no attempt runs on
+    /// them.
     fn plan_unloads(&mut self, wanted: &[Placement]) {
         let loaded: Vec<(Placement, u32)> = self
             .ledger
--- a/crates/role/src/agent/registration.rs
+++ b/crates/role/src/agent/registration.rs
@@ -73,6 +73,7 @@
         self.superseded || (self.call.is_none() && self.written == Some(self.desired))
     }
 
+    /// Makes the next call towards the desired state, unless one is in flight.
     pub(super) fn advance(
         &mut self,
         now: Instant,
--- a/crates/role/src/agent/role.rs
+++ b/crates/role/src/agent/role.rs
@@ -251,6 +251,7 @@
         self.heartbeat_state.set_next_at(now);
     }
 
+    /// Advances every part of the state machine to the current time.
     fn advance_all(&mut self, now: Instant, out: &mut Vec<AgentAction>) {
         self.last_advanced_at = now;
         self.config_sync.advance(now, &mut self.client, out);
@@ -266,6 +267,7 @@
         self.advance_heartbeat(now, out);
     }
 
+    /// Tells the driver whether the process accepts work, if that has changed.
     fn update_ready(&mut self, out: &mut Vec<AgentAction>) {
         let ready = self.pool().is_some()
             && self.upstream.is_up()
@@ -342,6 +344,7 @@
         self.on_config_update(update, out);
     }
 
+    /// Puts a new configuration into effect, if the update contains one.
     fn on_config_update(&mut self, update: ConfigUpdate, out: &mut Vec<AgentAction>) {
         if update.undecodable {
             self.counters.undecodable += 1;
--- a/crates/role/src/entry/control/frames.rs
+++ b/crates/role/src/entry/control/frames.rs
@@ -11,7 +11,7 @@
 
 impl Control {
     /// Handles a frame that concerns the control state; any other is dropped.
-    pub(crate) fn frame(
+    pub(crate) fn frame_received(
         &mut self,
         now: Instant,
         shared: &Shared,
@@ -25,7 +25,13 @@
             (frame::Body::Heartbeat(heartbeat), Peer::Agent(id))
                 if heartbeat.agent == id.as_str() =>
             {
-                self.heartbeat(now, heartbeat, HeartbeatSource::Direct, out, effects);
+                self.heartbeat_received(
+                    now,
+                    heartbeat,
+                    HeartbeatSource::Direct,
+                    out,
+                    effects,
+                );
             }
             (frame::Body::Gossip(gossip), Peer::Entry(id))
                 if gossip.entry == id.as_str() =>
@@ -38,14 +44,14 @@
                 self.merge_config(&changes, shared, out, effects);
             }
             (frame::Body::Goodbye(goodbye), _) => {
-                self.goodbye(peer, &goodbye, out, effects);
+                self.goodbye_received(peer, &goodbye, out, effects);
             }
             _ => {}
         }
     }
 
     /// Handles an agent's heartbeat, received directly or relayed in gossip.
-    pub(super) fn heartbeat(
+    pub(super) fn heartbeat_received(
         &mut self,
         now: Instant,
         heartbeat: Heartbeat,
@@ -83,7 +89,7 @@
         self.request_newer_config(now, peer, revision, out);
     }
 
-    fn goodbye(
+    fn goodbye_received(
         &mut self,
         peer: &Peer,
         goodbye: &Goodbye,
--- a/crates/role/src/entry/control/gossip.rs
+++ b/crates/role/src/entry/control/gossip.rs
@@ -71,6 +71,7 @@
         }
     }
 
+    /// Sends gossip to all connected entries.
     pub(super) fn send_gossip(
         &mut self,
         now: Instant,
@@ -154,6 +155,7 @@
             .collect()
     }
 
+    /// Handles another entry's gossip; outdated messages are dropped.
     pub(super) fn receive_gossip(
         &mut self,
         now: Instant,
@@ -176,7 +178,13 @@
             out,
         );
         for heartbeat in gossip.agents.into_iter().take(ITEMS_MAX) {
-            self.heartbeat(now, heartbeat, HeartbeatSource::Relayed, out, effects);
+            self.heartbeat_received(
+                now,
+                heartbeat,
+                HeartbeatSource::Relayed,
+                out,
+                effects,
+            );
         }
         let silences: Vec<_> = gossip
             .silences
--- a/crates/role/src/entry/control/links.rs
+++ b/crates/role/src/entry/control/links.rs
@@ -141,6 +141,7 @@
         }
     }
 
+    /// Records a change in the timeline and collects its effects on requests.
     fn apply_change(
         &mut self,
         change: &AgentChange,
--- a/crates/role/src/entry/control/plan.rs
+++ b/crates/role/src/entry/control/plan.rs
@@ -256,6 +256,7 @@
         }
     }
 
+    /// Sends an agent the models that it is to hold, if there is a link to it.
     fn send_target(
         &self,
         cell: &PlanningCell,
@@ -308,7 +309,7 @@
             }
         }
         let sums = sums.into_iter();
-        sums.map(|(model, sum)| sum.demand(model)).collect()
+        sums.map(|(model, sum)| sum.into_demand(model)).collect()
     }
 }
 
@@ -336,7 +337,7 @@
         self.weight += weight;
     }
 
-    fn demand(self, model: ModelId) -> ModelDemand {
+    fn into_demand(self, model: ModelId) -> ModelDemand {
         ModelDemand {
             model,
             rate_per_s: self.rate_per_s,
--- a/crates/role/src/entry/control/platform.rs
+++ b/crates/role/src/entry/control/platform.rs
@@ -67,6 +67,7 @@
     next_id: u64,
     pending: BTreeMap<u64, CallKind>,
     failures: BTreeMap<CallKind, u32>,
+    /// The last call failed or got no answer.
     unavailable: bool,
     config_version: ObjectVersion,
     /// Number of polls made for the next revision.
@@ -138,6 +139,8 @@
         self.call(call, &shared.options, out);
     }
 
+    /// Makes a call, unless the same one is in flight or another entry keeps the watch
+    /// open.
     fn call(
         &mut self,
         call: CallKind,
@@ -168,6 +171,7 @@
         out.push(EntryAction::CallPlatform(PlatformCall { id, op }));
     }
 
+    /// The platform operation of a call.
     fn operation(&self, call: CallKind, options: &EntryOptions) -> PlatformOp {
         match call {
             CallKind::Snapshot => PlatformOp::Read {
@@ -192,7 +196,7 @@
             CallKind::Register => PlatformOp::Write {
                 key: member_key(options),
                 precondition: Precondition::Any,
-                value: self.member(options).encode_to_vec(),
+                value: self.member_record(options).encode_to_vec(),
             },
             CallKind::Unregister => PlatformOp::Delete {
                 key: member_key(options),
@@ -201,7 +205,7 @@
         }
     }
 
-    fn member(&self, options: &EntryOptions) -> Member {
+    fn member_record(&self, options: &EntryOptions) -> Member {
         Member {
             kind: "entry".to_owned(),
             id: options.id.to_string(),
@@ -215,7 +219,7 @@
     }
 
     /// Handles the result of a call; one without a pending call is dropped.
-    pub(crate) fn answered(
+    pub(crate) fn platform_call_answered(
         &mut self,
         now: Instant,
         shared: &Shared,
@@ -238,6 +242,7 @@
         }
     }
 
+    /// Records that the platform is unavailable, and schedules the call again.
     fn call_failed(
         &mut self,
         now: Instant,
@@ -265,6 +270,7 @@
         self.timers.schedule(at, Timer::Call(call));
     }
 
+    /// Records that the platform answers, if it was unavailable.
     fn mark_platform_up(&mut self, out: &mut Vec<EntryAction>) {
         if self.platform.unavailable {
             self.platform.unavailable = false;
@@ -379,6 +385,7 @@
         self.timers.schedule(at, Timer::Call(call));
     }
 
+    /// Connects to the processes that the member records name.
     fn apply_members(
         &mut self,
         objects: &[(String, ObjectVersion, Vec<u8>)],
--- a/crates/role/src/entry/requests/answers.rs
+++ b/crates/role/src/entry/requests/answers.rs
@@ -47,14 +47,14 @@
     /// Only parts of the attempt in flight are delivered. A part of another attempt may
     /// belong to another request, or repeat units from an upstream that was considered
     /// dead. Units that the caller already has are skipped.
-    pub(crate) fn answer_part(
+    pub(crate) fn answer_part_received(
         &mut self,
         now: Instant,
         shared: &Shared,
         part: &AnswerPart<'_>,
         out: &mut Vec<EntryAction>,
     ) -> PartOutcome {
-        let sequence = self.current(part.agent, part.attempt);
+        let sequence = self.request_of_attempt(part.agent, part.attempt);
         let request = sequence.and_then(|sequence| self.requests.get_mut(&sequence));
         let Some(request) = request else {
             Counts::increment(&shared.counts.stray_frames);
@@ -106,7 +106,7 @@
         load: Option<&Load>,
     ) {
         record_load_report(ctx, agent, load);
-        let Some(sequence) = self.current(agent, attempt) else {
+        let Some(sequence) = self.request_of_attempt(agent, attempt) else {
             Counts::increment(&ctx.shared.counts.stray_frames);
             return;
         };
@@ -138,7 +138,7 @@
     ) {
         record_load_report(ctx, agent, frame.load.as_ref());
         let attempt = decode_attempt_id(frame.attempt.as_ref());
-        let Some(sequence) = self.current(agent, attempt) else {
+        let Some(sequence) = self.request_of_attempt(agent, attempt) else {
             Counts::increment(&ctx.shared.counts.stray_frames);
             return;
         };
@@ -212,7 +212,7 @@
             self.upstream_crashed(ctx, agent, &frame);
         }
         let attempt = decode_attempt_id(frame.attempt.as_ref());
-        let Some(sequence) = self.current(agent, attempt) else {
+        let Some(sequence) = self.request_of_attempt(agent, attempt) else {
             Counts::increment(&ctx.shared.counts.stray_frames);
             return;
         };
@@ -245,6 +245,8 @@
         );
     }
 
+    /// Records the duration of a completed attempt, and that a suspect request completed
+    /// its exclusive run.
     fn record_service_time(&mut self, ctx: &mut Ctx<'_>, sequence: u64) {
         let Some(request) = self.requests.get(&sequence) else {
             return;
@@ -284,7 +286,7 @@
             })
         };
         let attempt = decode_attempt_id(frame.attempt.as_ref());
-        let request = self.current(agent, attempt);
+        let request = self.request_of_attempt(agent, attempt);
         let request = request.and_then(|sequence| self.requests.get(&sequence));
         for change in worsened {
             let own =
--- a/crates/role/src/entry/requests/failures.rs
+++ b/crates/role/src/entry/requests/failures.rs
@@ -100,13 +100,13 @@
     }
 
     /// Handles a gap in the units of an answer.
-    pub(crate) fn answer_gap(
+    pub(crate) fn answer_gap_found(
         &mut self,
         ctx: &mut Ctx<'_>,
         agent: &AgentId,
         attempt: AttemptId,
     ) {
-        let Some(sequence) = self.current(agent, attempt) else {
+        let Some(sequence) = self.request_of_attempt(agent, attempt) else {
             return;
         };
         self.cancel_attempt(ctx, sequence);
@@ -183,6 +183,8 @@
         }
     }
 
+    /// Handles an attempt whose agent is gone. A lost agent may still answer, so it is
+    /// queried first if the request is not idempotent and its start was not reported.
     fn attempt_gone(&mut self, ctx: &mut Ctx<'_>, sequence: u64, reason: GoneReason) {
         let Some(request) = self.requests.get(&sequence) else {
             return;
@@ -285,7 +287,7 @@
         frame: &Revoked,
     ) {
         let attempt = decode_attempt_id(frame.attempt.as_ref());
-        let Some(sequence) = self.current(agent, attempt) else {
+        let Some(sequence) = self.request_of_attempt(agent, attempt) else {
             Counts::increment(&ctx.shared.counts.stray_frames);
             return;
         };
--- a/crates/role/src/entry/requests/mod.rs
+++ b/crates/role/src/entry/requests/mod.rs
@@ -73,7 +73,7 @@
         self.attempts.len()
     }
 
-    fn attempt_id(&mut self) -> AttemptId {
+    fn next_attempt_id(&mut self) -> AttemptId {
         let sequence = self.next_attempt << self.shard_bits | self.shard;
         self.next_attempt += 1;
         AttemptId {
@@ -84,7 +84,7 @@
 
     /// Sequence number of the request whose current attempt this is, provided that
     /// `agent`, the sender of a frame, is the one that the attempt was sent to.
-    fn current(&self, agent: &AgentId, attempt: AttemptId) -> Option<u64> {
+    fn request_of_attempt(&self, agent: &AgentId, attempt: AttemptId) -> Option<u64> {
         if attempt.origin != self.origin {
             return None;
         }
--- a/crates/role/src/entry/requests/send.rs
+++ b/crates/role/src/entry/requests/send.rs
@@ -50,7 +50,7 @@
         sequence: u64,
         route: &Route,
     ) -> Dispatched {
-        let id = self.attempt_id();
+        let id = self.next_attempt_id();
         let Some(request) = self.requests.get_mut(&sequence) else {
             return Dispatched::Ended;
         };
--- a/crates/role/src/entry/requests/state.rs
+++ b/crates/role/src/entry/requests/state.rs
@@ -11,7 +11,7 @@
 pub(crate) struct AttemptHistory {
     /// An attempt ran.
     ran: bool,
-    /// Of an attempt it is unknown whether it ran.
+    /// It is unknown whether some attempt ran.
     unknown: bool,
 }
 
@@ -86,7 +86,7 @@
     pub(crate) incarnation: Incarnation,
     pub(crate) version: u32,
     pub(crate) sent_at: Instant,
-    /// The agent reported that it handed the attempt to the upstream, or that it ran.
+    /// A frame of the agent shows that it handed the attempt to the upstream.
     pub(crate) started: bool,
     /// At least one part of its answer was received.
     pub(crate) answered: bool,
--- a/crates/role/src/entry/role.rs
+++ b/crates/role/src/entry/role.rs
@@ -108,7 +108,7 @@
                 peer,
                 revision,
                 body,
-            } => self.frame(now, &peer, revision, body, out),
+            } => self.frame_received(now, &peer, revision, body, out),
             EntryEvent::AnswerPart {
                 agent,
                 attempt,
@@ -121,11 +121,17 @@
                     offset,
                     units,
                 };
-                self.answer_part(now, &part, out);
+                self.answer_part_received(now, &part, out);
             }
             EntryEvent::PlatformAnswered(answer) => {
                 self.run_in_control(now, out, |control, out, effects| {
-                    control.answered(now, &self.shared, answer, out, effects);
+                    control.platform_call_answered(
+                        now,
+                        &self.shared,
+                        answer,
+                        out,
+                        effects,
+                    );
                 });
             }
             EntryEvent::Drain => {
@@ -160,7 +166,8 @@
         self.control.read().config_log.revision()
     }
 
-    fn index(&self, sequence: u64) -> usize {
+    /// Index of the shard of a request or attempt, by its sequence number.
+    fn shard_index(&self, sequence: u64) -> usize {
         let mask = self.shards.len() as u64 - 1;
         let index = usize::try_from(sequence & mask);
         index.expect("shards number at most 256")
@@ -168,7 +175,7 @@
 
     /// Locks the shard of a sequence number, and stores its next timer afterwards.
     fn with_shard<T>(&self, sequence: u64, work: impl FnOnce(&mut Requests) -> T) -> T {
-        let index = self.index(sequence);
+        let index = self.shard_index(sequence);
         let mut shard = self.shards[index].lock();
         let done = work(&mut shard);
         // Stored under the lock, so that an older value can't replace a newer one.
@@ -304,7 +311,7 @@
         out.push(EntryAction::Fail { request: id, error });
     }
 
-    fn answer_part(
+    fn answer_part_received(
         &self,
         now: Instant,
         part: &AnswerPart<'_>,
@@ -313,17 +320,19 @@
         let sequence = part.attempt.sequence;
         // An answer part sets no timer, so `with_shard` is not needed.
         let outcome = {
-            let mut shard = self.shards[self.index(sequence)].lock();
-            shard.answer_part(now, &self.shared, part, out)
+            let mut shard = self.shards[self.shard_index(sequence)].lock();
+            shard.answer_part_received(now, &self.shared, part, out)
         };
         if outcome == PartOutcome::Gap {
             self.run_in_shard(now, sequence, out, |shard, ctx| {
-                shard.answer_gap(ctx, part.agent, part.attempt);
+                shard.answer_gap_found(ctx, part.agent, part.attempt);
             });
         }
     }
 
-    fn frame(
+    /// Handles a frame: those about attempts in their request's shard, all others in the
+    /// control state.
+    fn frame_received(
         &self,
         now: Instant,
         peer: &Peer,
@@ -363,7 +372,7 @@
                 });
             }
             (peer, body) => self.run_in_control(now, out, |control, out, effects| {
-                control.frame(now, &self.shared, peer, body, out, effects);
+                control.frame_received(now, &self.shared, peer, body, out, effects);
             }),
         }
     }
--- a/crates/route/src/choose.rs
+++ b/crates/route/src/choose.rs
@@ -198,6 +198,7 @@
         (eligible.count > 0).then_some(eligible)
     }
 
+    /// Whether a holder may be chosen.
     fn is_eligible(&self, holder: &Holder<'_>) -> bool {
         holder.suspected == self.suspected
             && has_capacity(holder)
