--- a/crates/role/src/agent/heartbeat.rs
+++ b/crates/role/src/agent/heartbeat.rs
@@ -7,7 +7,8 @@
 use std::collections::BTreeMap;
 
 /// Every so many heartbeats, the agent sends `ConfigAsk` to one entry, each in
-/// turn. By this, an agent that receives no work learns of new revisions as well.
+/// turn. By this, an agent that receives no work learns of new revisions as
+/// well.
 const HEARTBEATS_PER_CONFIG_ASK: u64 = 4;
 
 /// State by which entries choose agents; a change is sent at once and does not
--- a/crates/role/src/agent/orders.rs
+++ b/crates/role/src/agent/orders.rs
@@ -158,8 +158,8 @@
         spec.base.clone()
     }
 
-    /// Reserves unloads of the residents that are not wanted, once no attempt runs on
-    /// them.
+    /// Reserves unloads of the residents that are not wanted, once no attempt
+    /// runs on them.
     fn plan_unloads(&mut self, wanted: &[Placement]) {
         let loaded: Vec<(Placement, u32)> = self
             .ledger
--- a/crates/role/src/agent/upstream_health.rs
+++ b/crates/role/src/agent/upstream_health.rs
@@ -9,7 +9,8 @@
 use schema::timeline::EventKind;
 
 impl AgentRole {
-    /// Handles the upstream's report: detects a restart, and updates orders and limits.
+    /// Handles the upstream's report: detects a restart, and updates orders and
+    /// limits.
     pub(super) fn on_report(
         &mut self,
         now: Instant,
--- a/crates/role/src/entry/circuit_breakers.rs
+++ b/crates/role/src/entry/circuit_breakers.rs
@@ -135,8 +135,8 @@
         self.recount_open();
     }
 
-    /// Applies `work` to an agent's breaker, which is created if there is none; returns
-    /// whether it opened or closed.
+    /// Applies `work` to an agent's breaker, which is created if there is none;
+    /// returns whether it opened or closed.
     fn update(
         &mut self,
         now: Instant,
--- a/crates/role/src/entry/control/mod.rs
+++ b/crates/role/src/entry/control/mod.rs
@@ -271,8 +271,8 @@
         }
     }
 
-    /// Does the periodic work of a heartbeat interval: the forecast, gossip and a scan of
-    /// all wait queues.
+    /// Does the periodic work of a heartbeat interval: the forecast, gossip and a scan
+    /// of all wait queues.
     fn heartbeat_due(
         &mut self,
         now: Instant,
--- a/crates/role/src/entry/requests/answers.rs
+++ b/crates/role/src/entry/requests/answers.rs
@@ -245,8 +245,8 @@
         );
     }
 
-    /// Records the duration of a completed attempt, and that a suspect request completed
-    /// its exclusive run.
+    /// Records the duration of a completed attempt, and that a suspect request
+    /// completed its exclusive run.
     fn record_service_time(&mut self, ctx: &mut Ctx<'_>, sequence: u64) {
         let Some(request) = self.requests.get(&sequence) else {
             return;
--- a/crates/role/src/entry/role.rs
+++ b/crates/role/src/entry/role.rs
@@ -330,8 +330,8 @@
         }
     }
 
-    /// Handles a frame: those about attempts in their request's shard, all others in the
-    /// control state.
+    /// Handles a frame: those about attempts in their request's shard, all others
+    /// in the control state.
     fn frame_received(
         &self,
         now: Instant,
--- a/crates/route/src/suspects.rs
+++ b/crates/route/src/suspects.rs
@@ -313,7 +313,8 @@
         self.next_expiry = Some(self.next_expiry.map_or(at, |first| first.min(at)));
     }
 
-    /// Merges another entry's crashes and conviction; returns whether anything changed.
+    /// Merges another entry's crashes and conviction; returns whether anything
+    /// changed.
     fn merge_crashes(&mut self, now: Instant, from: &Suspect) -> bool {
         self.make_room(from.fingerprint);
         let expires_at = now.plus_ms(from.remaining_ms.min(self.verdict_ms));
@@ -375,7 +376,8 @@
         self.remote_runs.insert(from.model.clone(), remote_run);
     }
 
-    /// Forgets another entry's exclusive run, once a message shows that it has ended.
+    /// Forgets another entry's exclusive run, once a message shows that it has
+    /// ended.
     fn remove_remote_run(&mut self, from: &Suspect) {
         let running = self.remote_runs.get(&from.model);
         if running.is_some_and(|running| running.fingerprint == from.fingerprint) {
