--- a/crates/ctl/tests/ctl/main.rs
+++ b/crates/ctl/tests/ctl/main.rs
@@ -1,9 +1,9 @@
-//! Tests of the operators' commands.
+//! Tests of the commands of `sesamectl`.
 
 mod cli;
 mod fake;
+mod history;
 mod losses;
 mod members;
 mod platform;
 mod publish;
-mod trail;
