--- a/crates/place/benches/queue/bound.rs
+++ b/crates/place/benches/queue/bound.rs
@@ -34,8 +34,9 @@
     loads: f64,
 }
 
-/// Arrivals per second for one base model.
+/// Interactive or batch requests for one base model and its adapters.
 struct Demand {
+    /// Requests that arrive in each second.
     arrivals: Vec<f64>,
     /// Arrivals averaged over `max_wait_s`.
     smooth: Vec<f64>,
@@ -163,8 +164,8 @@
     let load_s = (setup.load_ms / 1_000) as usize;
     let resident = demand.max_wait_s + 1;
     let unreachable = f64::NEG_INFINITY;
-    // States 0..=max_wait_s count the seconds without the model; `resident` follows
-    // them.
+    // States 0..=max_wait_s count the seconds without the model, up to the longest that
+    // matters; the last state, `resident`, means that the model is resident.
     let mut values = vec![vec![unreachable; resident + 1]; seconds + 1];
     let mut origins: Vec<Vec<Origin>> = vec![vec![(0, 0); resident + 1]; seconds + 1];
     values[0][resident] = 0.0;
@@ -248,10 +249,10 @@
     let slot_price = prices.batch_slot[second / BLOCK_S];
     let service_s = service_s(setup);
     let capacity_per_s = setup.slots as f64 / service_s;
-    let count = demand.smooth[second];
+    let arrivals = demand.smooth[second];
     let net_value = 1.0 - slot_price * service_s;
-    let served = count.min(capacity_per_s);
-    let further = count - served;
+    let served = arrivals.min(capacity_per_s);
+    let beyond_capacity = arrivals - served;
     let mut gain = -residency_price;
     let mut batch_slots = 0.0;
     let mut residencies = 1.0;
@@ -259,10 +260,12 @@
         gain += served * net_value;
         batch_slots += served * service_s;
     }
+    // Arrivals beyond one accelerator's capacity are served by fractions of further
+    // accelerators, if that is worth their price.
     if net_value > residency_price / capacity_per_s {
-        gain += further * (net_value - residency_price / capacity_per_s);
-        batch_slots += further * service_s;
-        residencies += further / capacity_per_s;
+        gain += beyond_capacity * (net_value - residency_price / capacity_per_s);
+        batch_slots += beyond_capacity * service_s;
+        residencies += beyond_capacity / capacity_per_s;
     }
     (gain, residencies, batch_slots)
 }
--- a/crates/place/benches/queue/cell.rs
+++ b/crates/place/benches/queue/cell.rs
@@ -119,6 +119,7 @@
         self.outcome
     }
 
+    /// Simulates one step of `STEP_MS`.
     pub fn step(&mut self, now_ms: u64, traffic: &[Request]) {
         if now_ms.is_multiple_of(1_000) {
             self.outcome.seconds.push((0, 0));
@@ -160,6 +161,7 @@
         }
     }
 
+    /// Whether some server has the model, and its base model, loaded.
     fn is_served(&self, model: usize) -> bool {
         let base = self.setup.base(model);
         let loaded = |server: &Server, model: usize| {
@@ -189,6 +191,8 @@
         at_once.min(self.store_tokens as usize)
     }
 
+    /// Fails servers, and brings them back empty, at the workload's times. Running
+    /// requests return to the head of their queues.
     fn fail_servers(&mut self, now_ms: u64) {
         let failed_servers: Vec<usize> = match self.workload {
             Workload::LoseServer => vec![0],
@@ -213,6 +217,7 @@
         }
     }
 
+    /// Queues the requests that have arrived and updates the arrival rates.
     fn arrive(&mut self, now_ms: u64, traffic: &[Request]) {
         let decay = (-(STEP_MS as f64) / RATE_SMOOTHING_MS).exp();
         for rate in &mut self.rate_per_s {
@@ -232,6 +237,7 @@
         }
     }
 
+    /// Ends the requests whose service time has passed.
     fn complete(&mut self, now_ms: u64) {
         for server in &mut self.servers {
             server.running.retain(|running| {
@@ -316,6 +322,8 @@
         }
     }
 
+    /// Starts queued loads within the weight store's rate limit, and advances those in
+    /// progress.
     fn run_weight_store(&mut self, now_ms: u64) {
         let step_s = STEP_MS as f64 / 1_000.0;
         let tokens_max = self.setup.loads_per_s.max(1.0);
@@ -364,12 +372,15 @@
         }
     }
 
+    /// Drops waiting requests that can no longer meet their deadline.
     fn expire_requests(&mut self, now_ms: u64) {
         for queue in self.queues.iter_mut().flatten() {
             queue.retain(|request| now_ms + request.service_ms <= request.deadline_ms);
         }
     }
 
+    /// Starts waiting requests on holders with free batch slots, interactive requests
+    /// first. The first model differs from step to step, so that none is favored.
     fn dispatch(&mut self, now_ms: u64) {
         let models = self.setup.models();
         let first = (now_ms / STEP_MS) as usize * 7 % models;
--- a/crates/role/src/entry/control/forecast.rs
+++ b/crates/role/src/entry/control/forecast.rs
@@ -35,6 +35,7 @@
 struct Accelerator {
     pool: PoolId,
     capacity_mib: u64,
+    /// Memory that is neither occupied nor reserved for a simulated load.
     free_mib: u64,
     /// When its agent is expected to be able to serve.
     available_from: Instant,
@@ -46,9 +47,12 @@
 /// Result of the simulation, and its state while it runs.
 #[derive(Debug, Default)]
 pub(crate) struct LoadForecast {
+    /// Predicted time at which each awaited model can be served.
     ready_at: BTreeMap<ModelId, Instant>,
     accelerators: Vec<Accelerator>,
+    /// Earliest time at which the weight store permits another load to start.
     next_load_start: Instant,
+    /// Predicted duration of one load, given the other loads.
     load_ms: u64,
 }
 
@@ -131,7 +135,7 @@
         config: &Config,
     ) -> Vec<(Instant, ModelId)> {
         let mut since: BTreeMap<ModelId, Instant> = BTreeMap::new();
-        let mut note = |model: &ModelId, at: Instant| {
+        let mut add_wait = |model: &ModelId, at: Instant| {
             let oldest = since.entry(model.clone()).or_insert(at);
             *oldest = (*oldest).min(at);
         };
@@ -141,7 +145,7 @@
                 let oldest = wait_queue
                     .depth_and_oldest(&Resource::Model(model.clone()))
                     .1;
-                note(model, oldest.unwrap_or(now));
+                add_wait(model, oldest.unwrap_or(now));
             }
         }
         let gossiped = self.gossip.demands.iter();
@@ -152,7 +156,7 @@
             .filter(has_waiting)
         {
             let wait = Duration::from_millis(demand.oldest_wait_ms);
-            note(&ModelId::new(&demand.model), now - wait);
+            add_wait(&ModelId::new(&demand.model), now - wait);
         }
         let mut models: Vec<(Instant, ModelId)> = since
             .into_iter()
@@ -289,8 +293,9 @@
 }
 
 /// Extends the prediction for a load whose requests have already waited for longer than
-/// it: it is predicted to take the time waited again, but not longer than until the
-/// planner gives precedence to requests that waited for `wait_max_ms`.
+/// it: the remaining time is at least the excess of the wait over the prediction, but
+/// not longer than until the planner gives precedence to requests that waited for
+/// `wait_max_ms`.
 fn extend_overdue(
     now: Instant,
     since: Instant,
@@ -299,11 +304,11 @@
     config: &Config,
 ) -> Instant {
     let waited_ms = now.ms_since(since);
-    let left_ms = ready.ms_since(now);
-    let again_ms = waited_ms.saturating_sub(left_ms);
+    let remaining_ms = ready.ms_since(now);
+    let excess_wait_ms = waited_ms.saturating_sub(remaining_ms);
     let wait_max_ms = u64::from(config.weights().wait_max_ms);
     let precedence_ms = wait_max_ms.saturating_sub(waited_ms) + forecast.load_ms;
-    now.plus_ms(left_ms.max(again_ms.min(precedence_ms)))
+    now.plus_ms(remaining_ms.max(excess_wait_ms.min(precedence_ms)))
 }
 
 fn can_load(agent: &Agent) -> bool {
@@ -325,23 +330,23 @@
     let agents = directory.agents().filter(|agent| can_load(agent));
     let since = agents.filter_map(|agent| agent.loading_since(model.as_str()));
     let elapsed_ms = now.ms_since(since.min()?);
-    let left_ms = elapsed_ms.abs_diff(load_time_ms(config));
-    Some(now.plus_ms(left_ms.max(LOAD_REMAINING_MIN_MS)))
+    let remaining_ms = elapsed_ms.abs_diff(load_time_ms(config));
+    Some(now.plus_ms(remaining_ms.max(LOAD_REMAINING_MIN_MS)))
 }
 
 fn load_time_ms(config: &Config) -> u64 {
     u64::from(config.store().load_time_ms)
 }
 
-/// Duration of a load that shares the weight store with the others started in that
-/// time.
+/// Predicted duration of a load if `loads` are in progress or awaited. Those that the
+/// store starts within the time of one load share its throughput.
 fn shared_load_ms(config: &Config, loads: usize) -> u64 {
     let store = config.store();
     let load_ms = f64::from(store.load_time_ms);
-    let started = store.loads_per_s * load_ms / 1_000.0;
-    let at_once = (loads as f64).min(started);
-    let slower = at_once / f64::from(store.full_speed_loads.max(1));
-    (load_ms * slower.max(1.0)) as u64
+    let startable_loads = store.loads_per_s * load_ms / 1_000.0;
+    let concurrent_loads = (loads as f64).min(startable_loads);
+    let slowdown = concurrent_loads / f64::from(store.full_speed_loads.max(1));
+    (load_ms * slowdown.max(1.0)) as u64
 }
 
 fn agent_accelerators(
--- a/crates/role/src/entry/requests/dispatch.rs
+++ b/crates/role/src/entry/requests/dispatch.rs
@@ -390,8 +390,8 @@
     }
     request.resolved.resource.model()?;
     let turn_ms = ctx.control.exclusive_turn_wait_ms(ctx.now);
-    let late = turn_ms.saturating_add(input.answer_time_ms) > input.remaining_ms;
-    late.then_some((ErrorCode::Overloaded, turn_ms.max(EXCLUSIVE_RUN_RETRY_MS)))
+    let too_late = turn_ms.saturating_add(input.answer_time_ms) > input.remaining_ms;
+    too_late.then_some((ErrorCode::Overloaded, turn_ms.max(EXCLUSIVE_RUN_RETRY_MS)))
 }
 
 /// Reserves the model's exclusive run for a suspect request; returns whether it may
