--- a/crates/role/src/entry/control/frames.rs
+++ b/crates/role/src/entry/control/frames.rs
@@ -11,7 +11,7 @@
 
 impl Control {
     /// Handles a frame that concerns the control state; any other is dropped.
-    pub(crate) fn frame(
+    pub(crate) fn frame_received(
         &mut self,
         now: Instant,
         shared: &Shared,
@@ -25,7 +25,13 @@
             (frame::Body::Heartbeat(heartbeat), Peer::Agent(id))
                 if heartbeat.agent == id.as_str() =>
             {
-                self.heartbeat(now, heartbeat, HeartbeatSource::Direct, out, effects);
+                self.heartbeat_received(
+                    now,
+                    heartbeat,
+                    HeartbeatSource::Direct,
+                    out,
+                    effects,
+                );
             }
             (frame::Body::Gossip(gossip), Peer::Entry(id))
                 if gossip.entry == id.as_str() =>
@@ -33,23 +39,23 @@
                 self.receive_gossip(now, gossip, shared, out, effects);
             }
             (frame::Body::ConfigAsk(ask), _) => self.send_config(peer, ask, out),
-            (frame::Body::ConfigChanges(offered), _) => {
+            (frame::Body::ConfigChanges(changes), _) => {
                 self.config_requested_at = None;
-                self.merge_config(&offered, shared, out, effects);
+                self.merge_config(&changes, shared, out, effects);
             }
             (frame::Body::Goodbye(goodbye), _) => {
-                self.goodbye(peer, &goodbye, out, effects);
+                self.goodbye_received(peer, &goodbye, out, effects);
             }
             _ => {}
         }
     }
 
     /// Handles an agent's heartbeat, received directly or relayed in gossip.
-    pub(super) fn heartbeat(
+    pub(super) fn heartbeat_received(
         &mut self,
         now: Instant,
         heartbeat: Heartbeat,
-        heard: HeartbeatSource,
+        source: HeartbeatSource,
         out: &mut Vec<EntryAction>,
         effects: &mut Effects,
     ) {
@@ -59,7 +65,7 @@
         let mut changes = Vec::new();
         if !self
             .directory
-            .record_heartbeat(now, heartbeat, heard, &mut changes)
+            .record_heartbeat(now, heartbeat, source, &mut changes)
         {
             return;
         }
@@ -71,8 +77,9 @@
         effects.agents_with_capacity.insert(id);
     }
 
-    /// Handles the configuration revision that came with a peer's frame.
-    pub(crate) fn heard_revision(
+    /// Requests newer configuration changes from a peer whose frame named a
+    /// higher revision than the one in force here.
+    pub(crate) fn peer_revision_received(
         &mut self,
         now: Instant,
         peer: &Peer,
@@ -82,7 +89,7 @@
         self.request_newer_config(now, peer, revision, out);
     }
 
-    fn goodbye(
+    fn goodbye_received(
         &mut self,
         peer: &Peer,
         goodbye: &Goodbye,
--- a/crates/role/src/entry/control/links.rs
+++ b/crates/role/src/entry/control/links.rs
@@ -33,6 +33,7 @@
         }
     }
 
+    /// Connects to the process that a member record names.
     pub(super) fn apply_member(&mut self, member: &Member, out: &mut Vec<EntryAction>) {
         let kind = match member.kind.as_str() {
             "entry" => MemberKind::Entry,
@@ -140,6 +141,7 @@
         }
     }
 
+    /// Records a change in the timeline and collects its effects on requests.
     fn apply_change(
         &mut self,
         change: &AgentChange,
@@ -165,7 +167,7 @@
             }
             AgentChange::Recovered(id) => {
                 effects.agents_with_capacity.insert(id.clone());
-                (EventKind::AgentBack, id, "heard again")
+                (EventKind::AgentBack, id, "sends heartbeats again")
             }
             AgentChange::Leaving(id) => (
                 EventKind::AgentLeaving,
@@ -197,6 +199,7 @@
         TimelineEvent::new(kind, detail).peer(id).record(out);
     }
 
+    /// Tells all connected peers that this process is leaving.
     pub(super) fn send_goodbye(&self, shared: &Shared, out: &mut Vec<EntryAction>) {
         for peer in self.links.keys() {
             out.push(EntryAction::SendFrame {
--- a/crates/role/src/entry/control/platform.rs
+++ b/crates/role/src/entry/control/platform.rs
@@ -67,8 +67,10 @@
     next_id: u64,
     pending: BTreeMap<u64, CallKind>,
     failures: BTreeMap<CallKind, u32>,
-    away: bool,
+    /// The last call failed or got no answer.
+    unavailable: bool,
     config_version: ObjectVersion,
+    /// Number of polls made for the next revision.
     polls: u32,
     /// Revision requested by the poll in flight. The answer does not name it, and by
     /// then another revision may be the next.
@@ -81,18 +83,18 @@
             next_id: 1,
             pending: BTreeMap::new(),
             failures: BTreeMap::new(),
-            away: false,
+            unavailable: false,
             config_version: ObjectVersion(0),
             polls: 0,
             polled_revision: Revision(0),
         }
     }
 
-    pub(super) const fn up(&self) -> bool {
-        !self.away
+    pub(super) const fn is_up(&self) -> bool {
+        !self.unavailable
     }
 
-    pub(super) fn unregistering(&self) -> bool {
+    pub(super) fn is_unregistering(&self) -> bool {
         self.pending
             .values()
             .any(|call| *call == CallKind::Unregister)
@@ -126,6 +128,7 @@
         self.call(CallKind::Unregister, &shared.options, out);
     }
 
+    /// Makes a call whose timer is due.
     pub(super) fn call_due(
         &mut self,
         call: CallKind,
@@ -136,6 +139,8 @@
         self.call(call, &shared.options, out);
     }
 
+    /// Makes a call, unless the same one is in flight or another entry keeps the watch
+    /// open.
     fn call(
         &mut self,
         call: CallKind,
@@ -166,6 +171,7 @@
         out.push(EntryAction::CallPlatform(PlatformCall { id, op }));
     }
 
+    /// The platform operation of a call.
     fn operation(&self, call: CallKind, options: &EntryOptions) -> PlatformOp {
         match call {
             CallKind::Snapshot => PlatformOp::Read {
@@ -190,7 +196,7 @@
             CallKind::Register => PlatformOp::Write {
                 key: member_key(options),
                 precondition: Precondition::Any,
-                value: self.member(options).encode_to_vec(),
+                value: self.member_record(options).encode_to_vec(),
             },
             CallKind::Unregister => PlatformOp::Delete {
                 key: member_key(options),
@@ -199,7 +205,7 @@
         }
     }
 
-    fn member(&self, options: &EntryOptions) -> Member {
+    fn member_record(&self, options: &EntryOptions) -> Member {
         Member {
             kind: "entry".to_owned(),
             id: options.id.to_string(),
@@ -213,7 +219,7 @@
     }
 
     /// Handles the result of a call; one without a pending call is dropped.
-    pub(crate) fn answered(
+    pub(crate) fn platform_call_answered(
         &mut self,
         now: Instant,
         shared: &Shared,
@@ -229,13 +235,14 @@
                 self.call_failed(now, call, shared, out);
             }
             result => {
-                self.platform_answered(out);
+                self.mark_platform_up(out);
                 self.platform.failures.remove(&call);
                 self.apply_result(now, call, result, shared, out, effects);
             }
         }
     }
 
+    /// Records that the platform is unavailable, and schedules the call again.
     fn call_failed(
         &mut self,
         now: Instant,
@@ -243,9 +250,9 @@
         shared: &Shared,
         out: &mut Vec<EntryAction>,
     ) {
-        Counts::add(&shared.counts.platform_away);
-        if !self.platform.away {
-            self.platform.away = true;
+        Counts::increment(&shared.counts.platform_away);
+        if !self.platform.unavailable {
+            self.platform.unavailable = true;
             let detail = "continues with the state known so far";
             TimelineEvent::new(EventKind::PlatformAway, detail).record(out);
         }
@@ -263,9 +270,10 @@
         self.timers.schedule(at, Timer::Call(call));
     }
 
-    fn platform_answered(&mut self, out: &mut Vec<EntryAction>) {
-        if self.platform.away {
-            self.platform.away = false;
+    /// Records that the platform answers, if it was unavailable.
+    fn mark_platform_up(&mut self, out: &mut Vec<EntryAction>) {
+        if self.platform.unavailable {
+            self.platform.unavailable = false;
             TimelineEvent::new(EventKind::PlatformBack, "answers again").record(out);
         }
     }
@@ -377,6 +385,7 @@
         self.timers.schedule(at, Timer::Call(call));
     }
 
+    /// Connects to the processes that the member records name.
     fn apply_members(
         &mut self,
         objects: &[(String, ObjectVersion, Vec<u8>)],
--- a/crates/scenario/src/simulation/action.rs
+++ b/crates/scenario/src/simulation/action.rs
@@ -44,8 +44,8 @@
             EntryAction::Finish { request, .. } => {
                 self.finish_request(request, RequestEnd::Whole);
             }
-            EntryAction::Refuse { request, refusal } => {
-                self.finish_request(request, RequestEnd::Refused(refusal));
+            EntryAction::Fail { request, error } => {
+                self.finish_request(request, RequestEnd::Refused(error));
             }
             EntryAction::Connect { peer, address } => {
                 self.connect(name, peer, &address);
