--- a/tests/all/processes/faults.rs
+++ b/tests/all/processes/faults.rs
@@ -104,8 +104,15 @@
 }
 
 async fn kill_and_restart(fixture: &mut Fixture, id: &str) -> TestResult {
-    fixture.deployment.signal(id, Signal::SIGKILL).map_err(error_text)?;
-    fixture.deployment.wait_exited(id, WAIT_TIMEOUT).await.map_err(error_text)?;
+    fixture
+        .deployment
+        .signal(id, Signal::SIGKILL)
+        .map_err(error_text)?;
+    fixture
+        .deployment
+        .wait_exited(id, WAIT_TIMEOUT)
+        .await
+        .map_err(error_text)?;
     fixture.deployment.restart(id).map_err(error_text)
 }
 
--- a/tests/all/processes/publish.rs
+++ b/tests/all/processes/publish.rs
@@ -60,7 +60,9 @@
     let mut second = fleet::document();
     second["profiles"]["desk"]["value"] = json!(30);
     let options = ["--base", &base];
-    let output = fixture.deployment.publish_with(&second.to_string(), &options);
+    let output = fixture
+        .deployment
+        .publish_with(&second.to_string(), &options);
     let output = output.map_err(error_text)?;
     check(output.exit_code == EXIT_CONFLICT, || {
         format!("{} {}", output.exit_code, output.text)
--- a/tests/all/processes/rig.rs
+++ b/tests/all/processes/rig.rs
@@ -84,7 +84,10 @@
         };
         result.map_err(|message| {
             fixture.deployment.keep_directory();
-            format!("{message}\nlogs: {}", fixture.deployment.directory().display())
+            format!(
+                "{message}\nlogs: {}",
+                fixture.deployment.directory().display()
+            )
         })
     })
 }
--- a/tests/all/processes/stop.rs
+++ b/tests/all/processes/stop.rs
@@ -61,8 +61,15 @@
     let load = load::run(fixture.load_options(RATE_PER_S, COUNT, 2));
     let stop = async {
         tokio::time::sleep(DELAY_BEFORE_SHUTDOWN).await;
-        fixture.deployment.signal(id, Signal::SIGTERM).map_err(error_text)?;
-        fixture.deployment.wait_exited(id, WAIT_TIMEOUT).await.map_err(error_text)
+        fixture
+            .deployment
+            .signal(id, Signal::SIGTERM)
+            .map_err(error_text)?;
+        fixture
+            .deployment
+            .wait_exited(id, WAIT_TIMEOUT)
+            .await
+            .map_err(error_text)
     };
     let (report, status) = tokio::join!(load, stop);
     let status = status?;
