--- a/crates/direct/src/adapters.rs
+++ b/crates/direct/src/adapters.rs
@@ -153,8 +153,8 @@
         Some(choice)
     }
 
-    /// Returns adapters worth loading before any request asks for them, at most one per
-    /// upstream.
+    /// Returns the loads of adapters that are worth holding before any request names
+    /// them, at most one load per upstream.
     pub fn prefetch(&mut self) -> Vec<PlannedAdapterLoad> {
         let mut choices = Vec::new();
         for (index, upstream) in self.upstreams.iter().enumerate() {
--- a/crates/direct/src/avoidance.rs
+++ b/crates/direct/src/avoidance.rs
@@ -6,10 +6,10 @@
 
 use crate::{Fleet, Upstream};
 
-/// Why other upstreams are preferred.
+/// Why an upstream is avoided, so that others are preferred.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AvoidReason {
-    /// It has work and gives no sign of life to any request.
+    /// It has requests of this entry and has sent nothing to any of them for too long.
     Silent,
     /// A connection attempt failed.
     Unreached,
--- a/crates/direct/src/config.rs
+++ b/crates/direct/src/config.rs
@@ -114,7 +114,7 @@
     pub store_load_ms: u64,
     /// Duration of a load from the upstream's disk.
     pub disk_load_ms: u64,
-    /// Duration of a load from the upstream's memory.
+    /// Duration of a load from the memory of the upstream's host.
     pub memory_load_ms: u64,
     /// Size of each adapter, in MB.
     pub adapter_mb: f64,
--- a/crates/direct/src/fleet.rs
+++ b/crates/direct/src/fleet.rs
@@ -38,7 +38,7 @@
     first_heard_at: Instant,
 }
 
-/// Upstreams named in the last message of each other entry, by usage and by activity.
+/// Upstreams for which the last message of each other entry stated usage or activity.
 ///
 /// An entry no longer uses an upstream that its last message doesn't name. Searching
 /// all upstreams for those on each message took all processor time of an entry with
@@ -195,11 +195,11 @@
     /// which this was seen and whether the record vanished. Each is returned for
     /// `LEAVING_RESEND_MS` after it was last active.
     ///
-    /// Other entries learn this from the platform as well, and know it after seconds of
-    /// repetition. When these upstreams were sent for as long as they are remembered,
-    /// those of a lost failure domain filled most of each message for a minute. What
-    /// the platform doesn't say yet is sent for as long as that lasts, because an entry
-    /// that starts can't learn it elsewhere.
+    /// Other entries learn this from the platform as well, and after a few seconds of
+    /// resending all of them know it. When these upstreams were sent for as long as
+    /// they are remembered, those of a lost failure domain filled most of each message
+    /// for a minute. An upstream that the platform doesn't list as leaving yet is sent
+    /// until it does, because an entry that starts can't learn of it elsewhere.
     pub fn leaving_upstreams(
         &self,
         now: Instant,
--- a/crates/direct/src/fleet/refusals.rs
+++ b/crates/direct/src/fleet/refusals.rs
@@ -11,7 +11,8 @@
 /// requests ends.
 const FIRST_PAUSE_MS: u64 = 50;
 
-/// Maximum pause. It bounds the time until an accepted model is noticed.
+/// Maximum pause. It bounds the time until this entry notices that the upstream accepts
+/// requests for the model again.
 const MAX_PAUSE_MS: u64 = 2_400;
 
 /// A model for which requests are refused.
--- a/crates/direct/src/fleet/upstream.rs
+++ b/crates/direct/src/fleet/upstream.rs
@@ -12,8 +12,8 @@
 /// Time for which an upstream is still used if its record was found missing just after
 /// the platform was away. Records that expired meanwhile are back within two seconds of
 /// the platform's return if the upstream is alive. An upstream that really left must
-/// get no request two seconds after the platform knew it, and the news may have taken
-/// almost one second.
+/// get no request later than two seconds after its record was removed, and this entry
+/// may learn of the removal almost one second late.
 const VANISHED_GRACE_MS: u64 = 1_000;
 
 /// Age after which another entry's usage is ignored.
@@ -87,8 +87,8 @@
     pub(super) peer_usage: HashMap<String, (Instant, Usage)>,
     /// What the upstream holds according to the coordinator.
     pub(super) coordinator_holdings: Option<CoordinatorHoldings>,
-    /// Prompt parts that the upstream has read, by the hash of the prompt up to and
-    /// including the part.
+    /// Prompt parts that the upstream has prefilled, by the hash of the prompt up to
+    /// and including the part.
     pub(super) prompt_parts: HashMap<u64, Instant>,
     /// Models and adapters that the upstream said it doesn't hold, and until when that
     /// takes precedence over other sources.
@@ -172,7 +172,7 @@
         self.gone_version.map(|version| (version, true))
     }
 
-    /// Whether other upstreams are preferred.
+    /// Whether the upstream is avoided, so that others are preferred.
     pub fn is_avoided(&self, now: Instant) -> bool {
         self.avoid_reason(now).is_some()
     }
@@ -188,7 +188,8 @@
         self.is_silent(now).then_some(AvoidReason::Silent)
     }
 
-    /// Whether it has requests of this entry and gives no sign of life that is due.
+    /// Whether it has requests of this entry and has sent them nothing for longer than
+    /// is allowed.
     pub fn is_silent(&self, now: Instant) -> bool {
         if self.own_usage.running == 0 {
             return false;
@@ -256,7 +257,7 @@
         cached.map(|(_, tokens)| tokens).sum()
     }
 
-    /// Remembers prompt parts that the upstream reads now.
+    /// Remembers prompt parts that the upstream prefills now.
     pub fn remember_prompt_parts(&mut self, now: Instant, parts: &[(u64, u64)]) {
         for (prefix_hash, _) in parts {
             self.prompt_parts.insert(*prefix_hash, now);
--- a/crates/direct/src/forecast.rs
+++ b/crates/direct/src/forecast.rs
@@ -54,6 +54,8 @@
 /// current demand are ready when it is over; copies that also serve the next busiest
 /// models are ready when their demand arrives.
 ///
+/// `step` is the number of ranks by which demand shifted last, if a shift was observed.
+///
 /// Without spare capacity, shifted demand is ignored, unless loads take so long that
 /// all requests that ask for a model while it is loading would be too late.
 pub(crate) fn forecasts(
--- a/crates/direct/src/lease.rs
+++ b/crates/direct/src/lease.rs
@@ -15,10 +15,10 @@
 pub struct LeaseRecord {
     /// Entry that holds the lease; empty if the lease was released.
     pub holder: String,
-    /// Start time of the holder's process, which tells a restarted process from its
-    /// predecessor.
+    /// Start time of the holder's process, in milliseconds since the Unix epoch. It
+    /// tells a restarted process from its predecessor.
     pub start: u64,
-    /// Fencing token of this holding. Orders carry it, and it only grows.
+    /// Fencing token, which grows each time the lease is acquired. Orders carry it.
     pub token: u64,
     /// Renewal counter, so that each write changes the object.
     pub renewal: u64,
@@ -39,11 +39,11 @@
 impl LeaseRecord {
     /// Record to assume for an object that can't be decoded.
     ///
-    /// If the lease were taken for one that was never held, an entry would take it at
+    /// If the lease counted as one that was never held, an entry would acquire it at
     /// once with the first token: two entries would send orders, and upstreams would
     /// refuse those of the newer holder. Instead it counts as held by a silent entry,
-    /// with the highest token possible at this version: each holding is a write, and
-    /// each write increases the version.
+    /// with the highest token possible at this version: each acquisition is a write,
+    /// and each write increases the version.
     pub fn unreadable(version: u64) -> Self {
         Self {
             holder: UNREADABLE_HOLDER.to_owned(),
@@ -88,7 +88,7 @@
 #[derive(Debug)]
 pub struct Lease {
     entry: String,
-    start: u64,
+    started_unix_ms: u64,
     /// Time after a renewal for which its holder may send orders.
     validity_ms: u64,
     /// Minimum time between the last order of one holder and the first order of the
@@ -122,12 +122,19 @@
 }
 
 impl Lease {
-    /// Creates the state of the entry named `entry`. After its last order, no other
-    /// holder sends orders for at least `quiet_ms`.
-    pub fn new(entry: &str, start: u64, validity_ms: u64, quiet_ms: u64) -> Self {
+    /// Creates the state of the entry named `entry`, whose process started at
+    /// `started_unix_ms`. A renewal allows its holder to send orders for `validity_ms`.
+    /// After a holder's last order, no other holder sends orders for at least
+    /// `quiet_ms`.
+    pub fn new(
+        entry: &str,
+        started_unix_ms: u64,
+        validity_ms: u64,
+        quiet_ms: u64,
+    ) -> Self {
         Self {
             entry: entry.to_owned(),
-            start,
+            started_unix_ms,
             validity_ms,
             quiet_ms,
             observed: None,
@@ -158,12 +165,12 @@
     /// Other entries notice that the holder is silent before they read the object.
     /// Measured from the read, the lease would end that much later than it really does.
     /// The holder announces a renewal only after it was written, when the validity
-    /// already runs. So measuring from the first announcement starts no entry too
-    /// early.
+    /// already runs. So an entry that measures from the first announcement never
+    /// acquires the lease too early.
     pub fn on_holder_message(&mut self, now: Instant, record: LeaseRecord) {
-        let number = |record: &LeaseRecord| (record.token, record.renewal);
+        let position = |record: &LeaseRecord| (record.token, record.renewal);
         let known = self.announced.as_ref();
-        if known.is_none_or(|known| number(&known.record) < number(&record)) {
+        if known.is_none_or(|known| position(&known.record) < position(&record)) {
             self.announced = Some(AnnouncedRenewal {
                 record,
                 first_heard_at: now,
@@ -182,16 +189,19 @@
     /// Time until which earlier holders may have sent orders, for an entry whose
     /// process started at `started_at` and that acquires the lease now.
     ///
-    /// Another entry has been quiet for the required time. An earlier process of the
-    /// same entry isn't waited for: it may have sent orders until it ended, which was
-    /// before this process started. When it was assumed to have been quiet as well, its
-    /// recent loads were ordered again within the same window of the weight store.
+    /// If the last holder was another entry, it has been quiet for the required time.
+    /// An earlier process of the same entry isn't waited for: it may have sent orders
+    /// until it ended, which was before this process started. When it was assumed to
+    /// have been quiet as well, its recent loads were ordered again within the same
+    /// window of the weight store.
     pub fn others_ordered_until(&self, now: Instant, started_at: Instant) -> Instant {
         started_at.max(now - Duration::from_millis(self.quiet_ms))
     }
 
-    /// Returns the next step. The driver reports the result with [`Self::on_read`],
-    /// [`Self::on_written`], [`Self::on_failed`] or [`Self::on_uncertain`].
+    /// Returns the next step. `holder_heard` tells whether the holder's messages
+    /// arrive, so that its lease need not be read. The driver reports the result with
+    /// [`Self::on_read`], [`Self::on_written`], [`Self::on_failed`] or
+    /// [`Self::on_uncertain`].
     pub fn next_step(&mut self, now: Instant, holder_heard: bool) -> LeaseStep {
         if self.call_in_flight || now < self.next_at {
             return LeaseStep::Wait;
@@ -325,7 +335,7 @@
     }
 
     fn is_own(&self, record: &LeaseRecord) -> bool {
-        record.holder == self.entry && record.start == self.start
+        record.holder == self.entry && record.start == self.started_unix_ms
     }
 
     /// Whether the lease can be acquired. An earlier process of the same entry has
@@ -361,7 +371,7 @@
         LeaseStep::Write {
             record: LeaseRecord {
                 holder: self.entry.clone(),
-                start: self.start,
+                start: self.started_unix_ms,
                 token: observed.record.token + 1,
                 renewal: observed.record.renewal + 1,
                 idle_ms: 0,
--- a/crates/direct/src/ledger.rs
+++ b/crates/direct/src/ledger.rs
@@ -187,7 +187,7 @@
             || self.local_weights.on_disk.contains(model)
     }
 
-    /// Models and adapters that can serve requests now, as told to the entries.
+    /// Models and adapters that can serve requests now, as announced to the entries.
     pub fn servable(&self, now: Instant) -> Vec<ResidentModel> {
         let loaded = self
             .held
--- a/crates/direct/src/plan/mod.rs
+++ b/crates/direct/src/plan/mod.rs
@@ -365,6 +365,7 @@
             .sum()
     }
 
+    /// Adds a load to the plan and updates the planned state of its upstream.
     fn commit(&mut self, model: usize, placement: &CopyPlacement, reason: LoadReason) {
         let size_mb = self.model_facts[model]
             .spec
--- a/crates/direct/src/select.rs
+++ b/crates/direct/src/select.rs
@@ -72,7 +72,7 @@
     pub prefill_tokens: u64,
 }
 
-/// Why no upstream was selected.
+/// Why no upstream was selected. The variants are declared in the order of the checks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SelectionError {
     /// The service has no usable upstream.
@@ -131,7 +131,7 @@
             continue;
         }
         match score_candidate(upstream, input, &affinity, index as u64) {
-            Err(error) => reason = reason.closer(error),
+            Err(error) => reason = reason.of_later_check(error),
             Ok((score, selected)) => {
                 let is_avoided = upstream.is_avoided(input.now);
                 let better = best.as_ref().is_none_or(|(other, best_score, _)| {
@@ -147,8 +147,8 @@
 }
 
 impl SelectionError {
-    /// The reason that is closer to an upstream that could run the request.
-    const fn closer(self, other: Self) -> Self {
+    /// The reason of the upstream that passed more of the checks.
+    const fn of_later_check(self, other: Self) -> Self {
         if other as u8 > self as u8 {
             other
         } else {
@@ -271,12 +271,12 @@
             return Err(SelectionError::Full);
         }
     }
-    let uncached =
+    let scaled_prefill_tokens =
         input.prompt_tokens.saturating_sub(cached_tokens) as f64 * input.time_factor;
     Ok(RequestNeed {
         usage: Usage {
             running: 1,
-            prefill: PrefillQueue::single(input.priority, uncached as u64),
+            prefill: PrefillQueue::single(input.priority, scaled_prefill_tokens as u64),
             kv_tokens: input.kv_tokens,
         },
         cached_tokens,
--- a/crates/direct/src/unserved.rs
+++ b/crates/direct/src/unserved.rs
@@ -7,9 +7,9 @@
 use crate::{DemandEstimate, EngineSpec};
 
 /// Time for which a model with demand may go without a holder before it replaces
-/// another model with demand. Demand that shifts frees places within seconds. With 2 s,
-/// models that were still in demand lost their places, which cost two percent of the
-/// value earned at high load.
+/// another model with demand. When demand shifts, memory becomes free within seconds.
+/// With 2 s, models that were still in demand were evicted, which cost two percent of
+/// the value earned at high load.
 const OVERDUE_AFTER_MS: u64 = 6_000;
 
 /// Guaranteed residence of a model, in multiples of its load time from disk. With three
--- a/crates/direct/tests/all/lease.rs
+++ b/crates/direct/tests/all/lease.rs
@@ -30,15 +30,20 @@
     }
 }
 
-fn lease(entry: &str, start: u64) -> Lease {
-    Lease::new(entry, start, VALID_MS, QUIET_MS)
+fn lease(entry: &str, started_unix_ms: u64) -> Lease {
+    Lease::new(entry, started_unix_ms, VALID_MS, QUIET_MS)
 }
 
 /// A renewal as announced by its holder.
-fn announced_record(holder: &str, start: u64, token: u64, renewal: u64) -> LeaseRecord {
+fn announced_record(
+    holder: &str,
+    started_unix_ms: u64,
+    token: u64,
+    renewal: u64,
+) -> LeaseRecord {
     LeaseRecord {
         holder: holder.to_owned(),
-        start,
+        start: started_unix_ms,
         token,
         renewal,
         idle_ms: 0,
@@ -270,7 +275,7 @@
 struct Announcement {
     at_ms: u64,
     from: usize,
-    start: u64,
+    started_unix_ms: u64,
     renewal: (u64, u64),
     to: usize,
 }
@@ -300,8 +305,12 @@
                 }
                 let holder = format!("e{}", announcement.from);
                 let (token, renewal) = announcement.renewal;
-                let record =
-                    announced_record(&holder, announcement.start, token, renewal);
+                let record = announced_record(
+                    &holder,
+                    announcement.started_unix_ms,
+                    token,
+                    renewal,
+                );
                 leases[announcement.to].on_holder_message(at(ms), record);
                 false
             });
@@ -347,7 +356,7 @@
                         announcements.push(Announcement {
                             at_ms: ms + takes_ms,
                             from: entry,
-                            start: starts[entry],
+                            started_unix_ms: starts[entry],
                             renewal: (token, renewal),
                             to,
                         });
--- a/crates/direct/tests/all/rate.rs
+++ b/crates/direct/tests/all/rate.rs
@@ -13,11 +13,11 @@
     fleet
 }
 
-fn notice(per_s: Option<f64>, asked_ms: u64, heard_ms: u64) -> RateNotice {
+fn notice(per_s: Option<f64>, sent_ms: u64, received_ms: u64) -> RateNotice {
     RateNotice {
         per_s,
-        request_sent_at: at(asked_ms),
-        answered_at: at(heard_ms),
+        request_sent_at: at(sent_ms),
+        answered_at: at(received_ms),
     }
 }
 
@@ -79,8 +79,8 @@
     fleet.note_rate(incarnation("1"), notice(Some(2.0), 0, 100));
     fleet.note_rate(incarnation("1"), notice(None, 2_000, 2_100));
     for now in (2_200..9_000).step_by(100) {
-        let heard_ms_ago = now - 100;
-        let ago = (now, heard_ms_ago);
+        let received_ms_ago = now - 100;
+        let ago = (now, received_ms_ago);
         assert!(!fleet.peer_reported_rate(at(now), incarnation("1"), Some(2.0), ago));
         fleet.forget_gone(at(now));
     }
@@ -158,14 +158,14 @@
         let mut fleet = fleet();
         // The upstream asks for its limit from 5,000 ms on.
         for _ in 0..40 {
-            let asked: u64 = random.int_in_range(0..=9_000)?;
-            let heard = asked + random.int_in_range(0..=2_000)?;
-            let named = heard >= 5_000 && (asked >= 5_000 || random.arbitrary()?);
+            let sent: u64 = random.int_in_range(0..=9_000)?;
+            let received = sent + random.int_in_range(0..=2_000)?;
+            let named = received >= 5_000 && (sent >= 5_000 || random.arbitrary()?);
             let per_s = named.then_some(2.0);
             if random.arbitrary()? {
-                fleet.note_rate(incarnation("1"), notice(per_s, asked, heard));
+                fleet.note_rate(incarnation("1"), notice(per_s, sent, received));
             } else {
-                let ago = (12_000 - asked, 12_000 - heard);
+                let ago = (12_000 - sent, 12_000 - received);
                 fleet.peer_reported_rate(at(12_000), incarnation("1"), per_s, ago);
             }
         }
--- a/crates/direct/tests/all/retry.rs
+++ b/crates/direct/tests/all/retry.rs
@@ -15,7 +15,7 @@
     AttemptOutcome::Failed,
 ];
 
-fn tried(upstreams: u32, may_have_run: bool) -> AttemptHistory {
+fn history(upstreams: u32, may_have_run: bool) -> AttemptHistory {
     AttemptHistory {
         upstreams,
         upstreams_max: 2,
@@ -31,7 +31,7 @@
     for kind in [RouteKind::NonIdempotent, RouteKind::Stream] {
         for outcome in OUTCOMES {
             for before in [false, true] {
-                let next = decide_retry(kind, tried(1, before), outcome);
+                let next = decide_retry(kind, history(1, before), outcome);
                 let ran = before
                     || matches!(
                         outcome,
@@ -62,7 +62,7 @@
     for kind in KINDS {
         for outcome in OUTCOMES {
             for before in [false, true] {
-                let next = decide_retry(kind, tried(2, before), outcome);
+                let next = decide_retry(kind, history(2, before), outcome);
                 if next == RetryDecision::FailNotRun {
                     assert!(!before, "{kind:?} {outcome:?}");
                     assert_eq!(outcome, AttemptOutcome::Refused);
@@ -76,11 +76,11 @@
 fn a_refused_request_is_retried_up_to_its_upstream_limit() {
     for kind in KINDS {
         assert_eq!(
-            decide_retry(kind, tried(1, false), AttemptOutcome::Refused),
+            decide_retry(kind, history(1, false), AttemptOutcome::Refused),
             RetryDecision::Retry
         );
         assert_eq!(
-            decide_retry(kind, tried(2, false), AttemptOutcome::Refused),
+            decide_retry(kind, history(2, false), AttemptOutcome::Refused),
             RetryDecision::FailNotRun
         );
     }
@@ -90,11 +90,11 @@
 fn a_request_that_was_never_sent_is_resent_without_a_retry() {
     for kind in KINDS {
         assert_eq!(
-            decide_retry(kind, tried(0, false), AttemptOutcome::NotSent),
+            decide_retry(kind, history(0, false), AttemptOutcome::NotSent),
             RetryDecision::Resend
         );
         assert_eq!(
-            decide_retry(kind, tried(2, false), AttemptOutcome::NotSent),
+            decide_retry(kind, history(2, false), AttemptOutcome::NotSent),
             RetryDecision::Resend
         );
     }
@@ -105,11 +105,11 @@
     for kind in [RouteKind::Idempotent, RouteKind::ResumableStream] {
         for outcome in [AttemptOutcome::Unknown, AttemptOutcome::Failed] {
             assert_eq!(
-                decide_retry(kind, tried(1, false), outcome),
+                decide_retry(kind, history(1, false), outcome),
                 RetryDecision::Retry
             );
             assert_eq!(
-                decide_retry(kind, tried(2, false), outcome),
+                decide_retry(kind, history(2, false), outcome),
                 RetryDecision::FailMayHaveRun
             );
         }
--- a/crates/front/src/attempt.rs
+++ b/crates/front/src/attempt.rs
@@ -200,7 +200,7 @@
         return AttemptResult::Failed(AttemptOutcome::Unknown, None);
     }
     if head.wrong_upstream {
-        in_flight.record_missing(request);
+        in_flight.record_not_held(request);
     } else if head.not_run {
         in_flight.record_refusal(request);
     } else if success {
@@ -304,8 +304,8 @@
     path.map(hyper::Uri::from).unwrap_or_default()
 }
 
-/// Returns the urgency header for the request's priority. Engines admit the
-/// most urgent requests first.
+/// Returns the value of the urgency header, from 0 to 9, for the request's
+/// priority. Engines admit the most urgent requests first.
 fn urgency(request: &CallerRequest) -> u32 {
     (request.priority() * 2 + 1).min(9)
 }
--- a/crates/front/src/coordinator/adapters.rs
+++ b/crates/front/src/coordinator/adapters.rs
@@ -1,4 +1,4 @@
-//! Orders for adapters: for those that requests wait for, and for preloading
+//! Orders for adapters: for those that requests wait for, and to prefetch
 //! others.
 
 use base::prelude::*;
@@ -15,14 +15,14 @@
 /// Time for which an adapter counts as wanted after an entry named it.
 const WANTED_TIMEOUT_MS: u64 = 500;
 
-/// Interval between preload orders to an upstream, for adapters that no request
-/// waits for. A few of them may be in progress at an upstream at a time, and
-/// each takes tens of milliseconds.
-const PRELOAD_INTERVAL_MS: u64 = 100;
+/// Interval between prefetch orders to an upstream, for adapters that no
+/// request waits for. A few of them may be in progress at an upstream at a
+/// time, and each takes tens of milliseconds.
+const PREFETCH_INTERVAL_MS: u64 = 100;
 
 /// The same interval per upstream; the larger one applies. Looking at all
 /// upstreams takes time proportional to their number.
-const PRELOAD_INTERVAL_PER_UPSTREAM_MS: u64 = 1;
+const PREFETCH_INTERVAL_PER_UPSTREAM_MS: u64 = 1;
 
 impl CoordinatorState {
     /// Returns orders for the adapters that requests wait for and, at
@@ -38,17 +38,17 @@
         }
         self.wanted_adapters
             .retain(|_, at| now.ms_since(*at) < WANTED_TIMEOUT_MS);
-        let each_ms = PRELOAD_INTERVAL_PER_UPSTREAM_MS * self.upstreams.len() as u64;
-        let preload_due =
-            now.ms_since(self.adapters_planned_at) >= PRELOAD_INTERVAL_MS.max(each_ms);
-        if preload_due {
+        let each_ms = PREFETCH_INTERVAL_PER_UPSTREAM_MS * self.upstreams.len() as u64;
+        let prefetch_due =
+            now.ms_since(self.adapters_planned_at) >= PREFETCH_INTERVAL_MS.max(each_ms);
+        if prefetch_due {
             self.adapters_planned_at = now;
         }
         let services: Vec<Arc<str>> = self.planners.keys().cloned().collect();
         let mut orders = Vec::new();
         for service in services {
             let wanted = self.missing_adapters(&service);
-            if wanted.is_empty() && !preload_due {
+            if wanted.is_empty() && !prefetch_due {
                 continue;
             }
             let Some(engine) = engine_of(config, &service) else {
@@ -61,7 +61,7 @@
                 .iter()
                 .filter_map(|name| planner.load_requested(name))
                 .collect();
-            if preload_due {
+            if prefetch_due {
                 planned.extend(planner.prefetch());
             }
             for choice in planned {
--- a/crates/front/src/coordinator/mod.rs
+++ b/crates/front/src/coordinator/mod.rs
@@ -51,7 +51,8 @@
     }
 }
 
-/// Stops sending orders, as this entry no longer holds the lease.
+/// Ends this entry's term as coordinator, if it has one: it holds no valid
+/// lease or has no configuration.
 fn stop_ordering(node: &Node) {
     let token = node.coordinator.state.lock().token.take();
     if let Some(token) = token {
@@ -59,6 +60,8 @@
     }
 }
 
+/// Starts a term as coordinator if none is running, then spawns the sending of
+/// all orders and requests for reports that are due.
 fn tick(node: &Arc<Node>, config: &Config, token: u64) {
     let now = node.now();
     let mut state = node.coordinator.state.lock();
@@ -89,6 +92,8 @@
     }
 }
 
+/// An order to send: name and service of the upstream, the order, and whether
+/// it loads a model from the weight store.
 type OutgoingOrder = (Arc<str>, Arc<str>, direct::Order, bool);
 
 impl CoordinatorState {
@@ -182,6 +187,8 @@
         orders
     }
 
+    /// Plans model loads for each service, and returns the orders that start
+    /// them.
     fn plan(
         &mut self,
         node: &Node,
@@ -200,8 +207,14 @@
                 continue;
             };
             let planned = planner.plan(now, engine, &planner_input, &demand);
-            for choice in planned {
-                orders.extend(self.start_load(node, &service, engine, now, &choice));
+            for planned_load in planned {
+                orders.extend(self.start_load(
+                    node,
+                    &service,
+                    engine,
+                    now,
+                    &planned_load,
+                ));
             }
         }
         orders
@@ -228,37 +241,39 @@
             .collect()
     }
 
+    /// Starts a planned load: returns the order for it, or for the unload that
+    /// has to precede it.
     fn start_load(
         &mut self,
         node: &Node,
         service: &Arc<str>,
         engine: &EngineSpec,
         now: Instant,
-        choice: &PlannedLoad,
+        planned: &PlannedLoad,
     ) -> Option<OutgoingOrder> {
-        let managed = self.upstreams.get_mut(&choice.upstream)?;
-        let action = match &choice.unload {
+        let managed = self.upstreams.get_mut(&planned.upstream)?;
+        let action = match &planned.unload {
             Some(unloaded) => OrderAction::Unload(Arc::clone(unloaded)),
-            None => OrderAction::Load(Arc::clone(&choice.load)),
+            None => OrderAction::Load(Arc::clone(&planned.load)),
         };
         let order = managed.ledger.issue_order(engine, action)?;
-        if choice.unload.is_some() {
+        if planned.unload.is_some() {
             managed.pending_load = Some(PendingLoad {
-                model: Arc::clone(&choice.load),
+                model: Arc::clone(&planned.load),
                 started_at: now,
             });
-        } else if choice.from_store {
+        } else if planned.from_store {
             self.planners.get_mut(service)?.record_store_load(now);
         }
         node.log.line(
             "move",
-            json!({ "upstream": &*choice.upstream, "load": &*choice.load,
-                "unload": choice.unload.as_deref(), "why": choice.reason.as_str(),
-                "relief": choice.relief, "from_store": choice.from_store }),
+            json!({ "upstream": &*planned.upstream, "load": &*planned.load,
+                "unload": planned.unload.as_deref(), "why": planned.reason.as_str(),
+                "relief": planned.relief, "from_store": planned.from_store }),
         );
-        let from_store = choice.unload.is_none() && choice.from_store;
+        let from_store = planned.unload.is_none() && planned.from_store;
         Some((
-            Arc::clone(&choice.upstream),
+            Arc::clone(&planned.upstream),
             Arc::clone(service),
             order,
             from_store,
@@ -301,15 +316,15 @@
 ) -> BTreeMap<Arc<str>, DemandEstimate> {
     let mut total: BTreeMap<Arc<str>, DemandEstimate> = BTreeMap::new();
     if let Some(demand) = node.demand.lock().get(service) {
-        for (model, load) in demand.estimates(now) {
-            total.insert(Arc::clone(model), load);
+        for (model, estimate) in demand.estimates(now) {
+            total.insert(Arc::clone(model), estimate);
         }
     }
     node.peers.add_demand(now, service, &mut total);
-    let request_ms = total.values().map(|load| load.request_ms);
+    let request_ms = total.values().map(|estimate| estimate.request_ms);
     let request_ms = request_ms.fold(0.0, f64::max);
-    for load in total.values_mut() {
-        load.request_ms = request_ms;
+    for estimate in total.values_mut() {
+        estimate.request_ms = request_ms;
     }
     total
 }
--- a/crates/front/src/crash.rs
+++ b/crates/front/src/crash.rs
@@ -13,7 +13,8 @@
 const CRASH_CHECK_DELAY: Duration = Duration::from_millis(30);
 
 /// Checks whether an upstream that broke a request's connection has crashed. If
-/// it can't be connected to either, it has, and the request becomes a suspect.
+/// it can't be connected to either, it has, and the request is recorded as a
+/// suspect: one that may have caused the crash.
 ///
 /// A lost response or a cut stream breaks the connection in the same way. If
 /// two of those counted as crashes, a harmless request, and all that have the
--- a/crates/front/src/dispatch.rs
+++ b/crates/front/src/dispatch.rs
@@ -11,12 +11,13 @@
 use std::sync::Arc;
 
 use crate::attempt::{AttemptResult, UpstreamStream, attempt};
-use crate::response::{BufferedResponse, ResponseBody, refusal_response};
+use crate::response::{BufferedResponse, ResponseBody, error_response};
 use crate::state::Node;
 use crate::state::caller_request::CallerRequest;
 use crate::state::quota::Charge;
 
-/// Default for when a refused caller should come back.
+/// Time after which a refused caller should come back, if nothing better is
+/// known.
 pub(crate) const DEFAULT_RETRY_AFTER_MS: u64 = 250;
 
 /// How the dispatch of a request ended.
@@ -25,8 +26,9 @@
     Stream(Box<UpstreamStream>),
     /// A complete response of an upstream.
     Response(BufferedResponse),
-    /// No upstream's response can be forwarded.
-    Refused(RequestError),
+    /// No upstream's response can be forwarded; the error tells whether the
+    /// request may have run.
+    Failed(RequestError),
 }
 
 /// The dispatch of one request.
@@ -38,6 +40,7 @@
     pub(crate) sent_to: Vec<Arc<str>>,
     /// Upstreams that could not be connected to.
     pub(crate) unreachable: Vec<Arc<str>>,
+    /// Whether any attempt so far may have run the request.
     may_have_run: bool,
     /// What the next attempt takes from its upstream's advertised rate.
     pub(crate) rate_charge: Option<Charge>,
@@ -49,6 +52,7 @@
     pub(crate) last_event_id: Option<u64>,
     /// The attempts so far, for the log.
     pub(crate) attempts: Vec<Value>,
+    /// Total time for which the request waited for an upstream.
     pub(crate) waited_ms: u64,
     /// How often an upstream was passed over because its rate was used up.
     pub(crate) rate_limited_count: u32,
@@ -237,10 +241,8 @@
 
     fn end_rejected(&mut self, rejection: &Rejection) -> DispatchResult {
         match self.end_without_response(rejection.code) {
-            DispatchResult::Refused(refusal) if refusal.retry_after_ms.is_some() => {
-                DispatchResult::Refused(
-                    refusal.retry_after_ms(rejection.retry_after_ms),
-                )
+            DispatchResult::Failed(error) if error.retry_after_ms.is_some() => {
+                DispatchResult::Failed(error.retry_after_ms(rejection.retry_after_ms))
             }
             end => end,
         }
@@ -261,8 +263,9 @@
             && self.node.shutdown.respond_now.is_cancelled()
     }
 
-    /// Ends a request whose deadline passed while its stream was running.
-    pub(crate) fn deadline_passed(&mut self) -> DispatchResult {
+    /// Ends a request whose stream was running when its deadline passed or the
+    /// process had to exit.
+    pub(crate) fn end_running_stream(&mut self) -> DispatchResult {
         self.may_have_run = true;
         self.end_without_response(ErrorCode::DeadlineWhileRunning)
     }
@@ -280,7 +283,7 @@
                 code => code,
             };
             let retry_after_ms = self.retry_after_ms();
-            return DispatchResult::Refused(
+            return DispatchResult::Failed(
                 RequestError::not_run(code).retry_after_ms(retry_after_ms),
             );
         }
@@ -289,7 +292,7 @@
         } else {
             ErrorCode::OutcomeUnknown
         };
-        DispatchResult::Refused(RequestError {
+        DispatchResult::Failed(RequestError {
             code,
             ran: RunStatus::Unknown,
             retry_after_ms: None,
@@ -323,12 +326,12 @@
         result: &AttemptResult,
     ) {
         let model = self.request.head.model.as_ref();
-        if let (AttemptResult::Stream(_), Some(reading_ms), Some((model, _))) =
+        if let (AttemptResult::Stream(_), Some(prefill_ms), Some((model, _))) =
             (result, selected.unqueued_prefill_ms, model)
         {
             let took_ms = self.node.now().since(started_at).as_secs_f64() * 1_000.0;
             let mut time_factors = self.node.time_factors.lock();
-            time_factors.observe(&self.request.service, model, reading_ms, took_ms);
+            time_factors.observe(&self.request.service, model, prefill_ms, took_ms);
         }
     }
 
@@ -353,13 +356,13 @@
                 self.record_end("answered", response.status.as_u16());
                 response.into_response()
             }
-            DispatchResult::Refused(refusal) => {
-                self.record_end(refusal.code.name(), refusal.code.http_status());
-                refusal_response(&*self.node.protocol, &self.request.head.id, &refusal)
+            DispatchResult::Failed(error) => {
+                self.record_end(error.code.name(), error.code.http_status());
+                error_response(&*self.node.protocol, &self.request.head.id, &error)
             }
             DispatchResult::Stream(_) => {
-                let refusal = RequestError::not_run(ErrorCode::Overloaded);
-                refusal_response(&*self.node.protocol, &self.request.head.id, &refusal)
+                let error = RequestError::not_run(ErrorCode::Overloaded);
+                error_response(&*self.node.protocol, &self.request.head.id, &error)
             }
         }
     }
--- a/crates/front/src/in_flight.rs
+++ b/crates/front/src/in_flight.rs
@@ -22,6 +22,7 @@
 }
 
 impl InFlight {
+    /// Starts the accounting of a request that is about to be sent.
     pub(crate) fn start(
         node: &Arc<Node>,
         request: &CallerRequest,
@@ -109,7 +110,7 @@
 
     /// Records that the upstream doesn't hold the model or adapter of the
     /// request.
-    pub(crate) fn record_missing(&self, request: &CallerRequest) {
+    pub(crate) fn record_not_held(&self, request: &CallerRequest) {
         let now = self.node.now();
         let Some((model, adapter)) = &request.head.model else {
             return;
@@ -136,6 +137,8 @@
         }
     }
 
+    /// Records whether the response was good, for the upstream's share of
+    /// failed ones.
     pub(crate) fn record_result(&self, ok: bool) {
         self.with_upstream(|upstream| upstream.record_answer(ok));
     }
--- a/crates/front/src/peers/announce.rs
+++ b/crates/front/src/peers/announce.rs
@@ -167,9 +167,9 @@
     /// Returns the addresses to send this message to.
     fn addresses_due(&self, now: Instant) -> Vec<SocketAddr> {
         let mut table = self.table.lock();
-        table.announcements += 1;
+        table.message_rounds += 1;
         let include_unreachable = table
-            .announcements
+            .message_rounds
             .is_multiple_of(UNREACHABLE_ROUND_INTERVAL);
         let live: BTreeSet<SocketAddr> = table
             .peers
@@ -190,7 +190,7 @@
     let (sequence, round, periodic_round) = {
         let mut table = node.peers.table.lock();
         table.sequence += 1;
-        (table.sequence, table.announcements, table.periodic_rounds)
+        (table.sequence, table.message_rounds, table.periodic_rounds)
     };
     let (coordinator_token, lease_renewal) = {
         let lease = node.lease.lock();
@@ -230,7 +230,7 @@
         lease_ask: node.lease_relay.renewal_request(now),
         lease_told: node.lease_relay.renewal_confirmation(now),
         domain: node.options.failure_domain.clone(),
-        watches: node.shared_watches.works() && !node.shutdown.is_stopping(),
+        watches: node.shared_watches.are_working() && !node.shutdown.is_stopping(),
         setup: watched(Collection::Config),
         upstreams: watched(Collection::Upstreams),
         tokens: None,
@@ -242,6 +242,7 @@
     }
 }
 
+/// Returns the upstreams that are leaving or whose records have vanished.
 fn leaving(fleet: &Fleet, now: Instant) -> Vec<LeavingUpstream> {
     let leaving = fleet.leaving_upstreams(now);
     let leaving = leaving.map(|(upstream, version, vanished)| LeavingUpstream {
@@ -253,6 +254,7 @@
     leaving.collect()
 }
 
+/// Returns this entry's usage of upstreams, and what it hears from them.
 fn uses(fleet: &Fleet, now: Instant) -> Vec<UpstreamUse> {
     let used = fleet
         .all()
@@ -272,21 +274,25 @@
     uses.collect()
 }
 
+/// Returns the demand for models that this entry measured.
 fn demands(node: &Node, now: Instant) -> Vec<ModelDemand> {
     let demand = node.demand.lock();
     let demands = demand.iter().flat_map(|(service, demand)| {
-        demand.estimates(now).map(move |(model, load)| ModelDemand {
-            service: service.to_string(),
-            model: model.to_string(),
-            newest_us_per_s: (load.recent_ms_per_s * 1_000.0) as u64,
-            lasting_us_per_s: (load.sustained_ms_per_s * 1_000.0) as u64,
-            waiting: load.waiting,
-            oldest_wait_ms: load.oldest_wait_ms,
-        })
+        demand
+            .estimates(now)
+            .map(move |(model, estimate)| ModelDemand {
+                service: service.to_string(),
+                model: model.to_string(),
+                newest_us_per_s: (estimate.recent_ms_per_s * 1_000.0) as u64,
+                lasting_us_per_s: (estimate.sustained_ms_per_s * 1_000.0) as u64,
+                waiting: estimate.waiting,
+                oldest_wait_ms: estimate.oldest_wait_ms,
+            })
     });
     demands.collect()
 }
 
+/// Returns the adapters that requests at this entry wait for.
 fn wants(node: &Node, now: Instant) -> Vec<AdapterWant> {
     let wants = node.wanted_adapters.current(now).into_iter();
     let wants = wants.map(|wanted| AdapterWant {
--- a/crates/front/src/peers/receive.rs
+++ b/crates/front/src/peers/receive.rs
@@ -55,6 +55,8 @@
     workspaces.or(upstreams.map(with_scope(Scope::Upstreams)))
 }
 
+/// Applies the sender's state, unless a later message from it was handled
+/// already.
 fn apply_message(node: &Arc<Node>, from: SocketAddr, message: PeerNews) {
     if message.entry == node.peers.own_name
         || !node.peers.record_sender(node, from, &message)
@@ -180,8 +182,8 @@
                 json!({ "peer": message.entry, "from": from, "setup": message.setup_version }),
             );
         }
-        let loads = message.demands.iter().map(|demand| {
-            let load = DemandEstimate {
+        let estimates = message.demands.iter().map(|demand| {
+            let estimate = DemandEstimate {
                 recent_ms_per_s: demand.newest_us_per_s as f64 / 1_000.0,
                 sustained_ms_per_s: demand.lasting_us_per_s as f64 / 1_000.0,
                 waiting: demand.waiting,
@@ -191,7 +193,7 @@
             (
                 demand.service.as_str().into(),
                 demand.model.as_str().into(),
-                load,
+                estimate,
             )
         });
         let state = PeerState {
@@ -205,7 +207,7 @@
             watch_works: message.watches,
             keeps_tokens: message.keeps_tokens,
             shutting_down: message.stopping,
-            demand: loads.collect(),
+            demand: estimates.collect(),
         };
         table.peers.insert(message.entry.clone(), state);
         true
--- a/crates/front/src/peers/register.rs
+++ b/crates/front/src/peers/register.rs
@@ -27,6 +27,7 @@
 /// An entry's record in the platform.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct EntryRecord {
+    /// Address of the entry's UDP socket for messages between entries.
     peers: SocketAddr,
     /// Whether the entry has been listed for long enough that all others count
     /// it.
@@ -38,14 +39,15 @@
 /// others, forever.
 pub(crate) async fn register(node: Arc<Node>) {
     let key = format!("{}{}", node.options.keys.entry_prefix, node.options.entry);
-    let mut written = None;
-    let mut known_since = None;
+    // The `settled` flag of the record that was written last.
+    let mut written_settled = None;
+    let mut listed_since = None;
     loop {
         let listed = list_entries(&node).await;
         let own = listed.as_ref().and_then(|listed| listed.own_record(&node));
         let now = node.now();
         if let Some(own) = &own {
-            let since = *known_since.get_or_insert(now);
+            let since = *listed_since.get_or_insert(now);
             if own.settled || now.ms_since(since) >= SETTLED_AFTER_MS {
                 node.workspace_quotas
                     .is_settled
@@ -56,11 +58,14 @@
             peers: node.options.peer_address,
             settled: node.workspace_quotas.is_settled.load(Ordering::Relaxed),
         };
-        let known = own.as_ref() == Some(&record);
+        let is_listed = own.as_ref() == Some(&record);
         let replaced = listed
             .as_ref()
             .is_some_and(|listed| listed.is_unreadable(&key));
-        if listed.is_some() && !known && (written != Some(record.settled) || replaced) {
+        if listed.is_some()
+            && !is_listed
+            && (written_settled != Some(record.settled) || replaced)
+        {
             // An address and a flag always serialize.
             let value = serde_json::to_vec(&record).unwrap_or_default();
             let op = PlatformOp::Write {
@@ -70,15 +75,16 @@
             };
             let result = node.store.call(&op).await;
             let is_written = matches!(result, PlatformResult::Written(_));
-            written = is_written.then_some(record.settled);
+            written_settled = is_written.then_some(record.settled);
         }
-        tokio::time::sleep(list_delay(known, record.settled)).await;
+        tokio::time::sleep(list_delay(is_listed, record.settled)).await;
     }
 }
 
-/// Returns the time until the list is read again.
-fn list_delay(known: bool, settled: bool) -> Duration {
-    match (known, settled) {
+/// Returns the time until the list is read again, given whether it has this
+/// entry's current record and whether all other entries count this one.
+fn list_delay(is_listed: bool, settled: bool) -> Duration {
+    match (is_listed, settled) {
         (true, true) => LIST_INTERVAL,
         (true, false) => Duration::from_millis(SETTLED_AFTER_MS),
         (false, _) => LIST_RETRY_DELAY,
@@ -145,6 +151,8 @@
 }
 
 impl Peers {
+    /// Adds the addresses of the listed entries, and returns their number,
+    /// which is at least 1 for this entry.
     fn set_listed(&self, records: &[EntryRecord]) -> usize {
         let mut table = self.table.lock();
         for record in records {
--- a/crates/front/src/platform_watch.rs
+++ b/crates/front/src/platform_watch.rs
@@ -76,8 +76,10 @@
         };
         let mut has_watched = false;
         let mut started_at = node.now();
-        while let Some(at) = watch_once(&node, collection, after, &mut contact).await {
-            after = at;
+        while let Some(to_version) =
+            watch_once(&node, collection, after, &mut contact).await
+        {
+            after = to_version;
             has_watched = true;
             wait_for_next_watch(&node, collection, started_at).await;
             started_at = node.now();
@@ -99,19 +101,20 @@
     let prefix = collection.prefix(node);
     let result = node.store.call(&PlatformOp::List { prefix }).await;
     count_call(node, collection, "list", &result);
-    let PlatformResult::Objects(objects, at) = result else {
-        node.shared_watches.failed(collection);
+    let PlatformResult::Objects(objects, list_version) = result else {
+        node.shared_watches.record_failure(collection);
         contact.note_failure(node, &result);
         return None;
     };
     contact.note_success(node);
     match collection {
         Collection::Config => apply_configs(node, &objects),
-        Collection::Upstreams => replace_upstreams(node, at, &objects),
+        Collection::Upstreams => replace_upstreams(node, list_version, &objects),
     }
-    node.shared_watches.listed(node.now(), collection, at.0);
-    collection.confirm(node, at.0, node.now());
-    Some(at)
+    node.shared_watches
+        .record_list(node.now(), collection, list_version.0);
+    collection.confirm(node, list_version.0, node.now());
+    Some(list_version)
 }
 
 async fn watch_once(
@@ -124,8 +127,8 @@
     let watch = PlatformOp::Watch { prefix, after };
     let result = watch_platform(node, collection, &watch).await;
     count_call(node, collection, "watch", &result);
-    let PlatformResult::Objects(objects, at) = result else {
-        node.shared_watches.failed(collection);
+    let PlatformResult::Objects(objects, to_version) = result else {
+        node.shared_watches.record_failure(collection);
         contact.note_failure(node, &result);
         return None;
     };
@@ -138,14 +141,15 @@
     });
     let batch = WatchBatch {
         after_version: after.0,
-        to_version: at.0,
+        to_version: to_version.0,
         objects: objects.collect(),
         is_partial: false,
     };
     apply_changes(node, collection, &batch.objects);
-    node.shared_watches.watched(node.now(), collection, batch);
-    collection.confirm(node, at.0, node.now());
-    Some(at)
+    node.shared_watches
+        .record_watch(node.now(), collection, batch);
+    collection.confirm(node, to_version.0, node.now());
+    Some(to_version)
 }
 
 impl Collection {
@@ -172,12 +176,12 @@
         }
     }
 
-    /// Records that the platform confirmed, at a time, that everything up to a
-    /// version is known.
-    pub(crate) fn confirm(self, node: &Node, at: u64, confirmed_at: Instant) {
+    /// Records that the platform confirmed at `confirmed_at` that this entry
+    /// knows everything up to `version`.
+    pub(crate) fn confirm(self, node: &Node, version: u64, confirmed_at: Instant) {
         let mut config;
         let mut fleet;
-        let mark = match self {
+        let watermark = match self {
             Self::Config => {
                 config = node.config.lock();
                 &mut config.1
@@ -187,8 +191,8 @@
                 &mut *fleet
             }
         };
-        mark.version = mark.version.max(at);
-        mark.confirmed_at = mark.confirmed_at.max(Some(confirmed_at));
+        watermark.version = watermark.version.max(version);
+        watermark.confirmed_at = watermark.confirmed_at.max(Some(confirmed_at));
     }
 }
 
@@ -244,6 +248,7 @@
     }
 }
 
+/// Counts a call to the platform by its outcome.
 fn count_call(
     node: &Node,
     collection: Collection,
@@ -273,6 +278,7 @@
     }
 }
 
+/// Puts a configuration into force unless the current one is as new.
 fn adopt_config(node: &Node, config: direct::Config) {
     let mut current = node.config.lock();
     let before = current.0.as_ref().map_or(0, |config| config.version);
@@ -295,7 +301,8 @@
     }
 }
 
-fn replace_upstreams(node: &Node, at: ObjectVersion, objects: &[Object]) {
+/// Applies the complete list of the upstreams' records.
+fn replace_upstreams(node: &Node, list_version: ObjectVersion, objects: &[Object]) {
     let mut listed = Vec::new();
     let mut unreadable = Vec::new();
     for object in objects {
@@ -305,7 +312,7 @@
         }
     }
     let mut fleet = node.fleet.lock();
-    fleet.apply_list(node.now(), at.0, listed);
+    fleet.apply_list(node.now(), list_version.0, listed);
     for (key, version, _) in unreadable {
         fleet.mark_unreadable(upstream_id(node, key), version.0);
     }
--- a/crates/front/src/protocol.rs
+++ b/crates/front/src/protocol.rs
@@ -157,7 +157,9 @@
     /// Sets the request id on a response that this entry produces itself.
     fn set_response_id(&self, headers: &mut HeaderMap, id: &str);
 
-    /// Returns the HTTP request that gives an order to an upstream.
+    /// Returns the HTTP request that sends an order to an upstream.
+    /// `coordinator` is the name of the sending entry, and `token` the fencing
+    /// token of its lease.
     fn order_request(
         &self,
         upstream: &str,
--- a/crates/front/src/quota/charge.rs
+++ b/crates/front/src/quota/charge.rs
@@ -32,7 +32,7 @@
 /// Result of taking tokens.
 pub(crate) struct TakeResult {
     /// The decision; `None` if no keeper responded.
-    pub(crate) take: Option<TakeOutcome>,
+    pub(crate) outcome: Option<TakeOutcome>,
     /// The entry that was asked, if any.
     pub(crate) asked_keeper: Option<String>,
 }
@@ -55,21 +55,22 @@
     let name = &workspace.name;
     let cost = allowance.cost.of(tokens);
     let scope = Scope::Workspaces;
-    let TakeResult { take, asked_keeper } = take(node, scope, name, cost).await;
-    let refusal = match take {
+    let TakeResult {
+        outcome,
+        asked_keeper,
+    } = take(node, scope, name, cost).await;
+    let refusal = match outcome {
         Some(TakeOutcome::Unlimited) => return Ok(None),
         Some(TakeOutcome::Taken) => {
             let charge = Charge::new(Arc::clone(node), scope, Arc::clone(name), cost);
             return Ok(Some(charge));
         }
-        Some(TakeOutcome::Insufficient {
-            retry_after_ms: return_ms,
-        }) => {
+        Some(TakeOutcome::Insufficient { retry_after_ms }) => {
             if asked_keeper.is_some() {
                 node.workspace_quotas
-                    .cache_shortage(node.now(), name, return_ms);
+                    .cache_shortage(node.now(), name, retry_after_ms);
             }
-            RequestError::not_run(ErrorCode::QuotaSpent).retry_after_ms(return_ms)
+            RequestError::not_run(ErrorCode::QuotaSpent).retry_after_ms(retry_after_ms)
         }
         Some(TakeOutcome::ExceedsLimit) => RequestError::not_run(ErrorCode::QuotaSpent),
         None => RequestError::not_run(ErrorCode::QuotaUnknown)
@@ -85,7 +86,8 @@
     Err(refusal)
 }
 
-/// Takes tokens from this entry's own or from their keeper.
+/// Takes tokens from those that this entry itself has or, if they don't
+/// suffice, from their keeper.
 pub(crate) async fn take(
     node: &Node,
     scope: Scope,
@@ -97,16 +99,14 @@
     let own = quotas.pools.lock().take_local(now, pool, cost);
     if matches!(own, TakeOutcome::Taken | TakeOutcome::Unlimited) {
         return TakeResult {
-            take: Some(own),
+            outcome: Some(own),
             asked_keeper: None,
         };
     }
     if let Some(cached_shortage_ms) = quotas.cached_shortage_ms(now, pool) {
-        let return_ms = cached_shortage_ms + node.random() % RETRY_JITTER_MS;
+        let retry_after_ms = cached_shortage_ms + node.random() % RETRY_JITTER_MS;
         return TakeResult {
-            take: Some(TakeOutcome::Insufficient {
-                retry_after_ms: return_ms,
-            }),
+            outcome: Some(TakeOutcome::Insufficient { retry_after_ms }),
             asked_keeper: None,
         };
     }
@@ -128,7 +128,7 @@
             Keeper::Other(name, address) => (name, address),
             Keeper::This => {
                 return TakeResult {
-                    take: Some(quotas.pools.lock().take(now, pool, cost)),
+                    outcome: Some(quotas.pools.lock().take(now, pool, cost)),
                     asked_keeper: Some(node.options.entry.clone()),
                 };
             }
@@ -141,16 +141,16 @@
             .unwrap_or_else(|| KeeperRequest::open(node, scope, name, pool, cost));
         pending.send(node, scope, address).await;
         let wait = Duration::from_millis(wait_ms);
-        if let Ok(Ok(take)) = timeout(wait, &mut pending.answer).await {
+        if let Ok(Ok(outcome)) = timeout(wait, &mut pending.response).await {
             return TakeResult {
-                take: Some(take),
+                outcome: Some(outcome),
                 asked_keeper: Some(pending.keeper),
             };
         }
         request = Some(pending);
     }
     TakeResult {
-        take: None,
+        outcome: None,
         asked_keeper: request.map(|request| request.keeper),
     }
 }
@@ -160,7 +160,7 @@
 struct KeeperRequest {
     keeper: String,
     ask: TokenAsk,
-    answer: Receiver<TakeOutcome>,
+    response: Receiver<TakeOutcome>,
 }
 
 impl KeeperRequest {
@@ -171,7 +171,7 @@
         pool: &Arc<str>,
         cost: f64,
     ) -> Self {
-        let (id, answer) = node.quotas(scope).open_request(node.now(), pool, cost);
+        let (id, response) = node.quotas(scope).open_request(node.now(), pool, cost);
         let ask = TokenAsk {
             id,
             workspace: pool.to_string(),
@@ -180,7 +180,7 @@
         Self {
             keeper,
             ask,
-            answer,
+            response,
         }
     }
 
--- a/crates/front/src/quota/feed.rs
+++ b/crates/front/src/quota/feed.rs
@@ -1,4 +1,4 @@
-//! Sends the tokens that this entry produces to their keepers.
+//! Sends the tokens that this entry refills to their keepers.
 
 use quota::feed_interval_ms;
 use schema::peer::{TokenFeed, Tokens};
@@ -13,26 +13,30 @@
 use super::{Keeper, Scope, keeper_of, send};
 use crate::state::Node;
 
-/// Sends tokens to their keepers, forever.
+/// Sends the tokens that this entry refills to their keepers, forever.
 pub(crate) async fn feed_keepers(node: Arc<Node>, scope: Scope) {
     let mut logged = None;
     let quotas = node.quotas(scope);
     loop {
         if quotas.pools.lock().is_empty() {
-            // Tokens are only produced from the first feed on.
+            // Tokens are only refilled from the first feed on.
             quotas.limits_set.notified().await;
             continue;
         }
         let entries = node.peers.entry_count();
-        let makes = node.workspace_quotas.is_settled.load(Ordering::Relaxed);
-        if logged.replace((entries, makes)) != Some((entries, makes)) {
+        let refills_tokens = node.workspace_quotas.is_settled.load(Ordering::Relaxed);
+        if logged.replace((entries, refills_tokens)) != Some((entries, refills_tokens))
+        {
             node.log.line(
                 "quota_share",
-                json!({ "of": scope.as_str(), "entries": entries, "makes": makes }),
+                json!({ "of": scope.as_str(), "entries": entries, "makes": refills_tokens }),
             );
         }
         let now = node.now();
-        quotas.pools.lock().set_entries(now, entries, makes);
+        quotas
+            .pools
+            .lock()
+            .set_entries(now, entries, refills_tokens);
         send_feeds(&node, scope).await;
         sleep(Duration::from_millis(feed_interval_ms(entries))).await;
     }
--- a/crates/front/src/quota/mod.rs
+++ b/crates/front/src/quota/mod.rs
@@ -1,10 +1,14 @@
 //! Quota tokens of workspaces and rate tokens of upstreams, and their exchange
 //! between entries.
 //!
+//! Each workspace with a quota and each upstream with a rate has a pool of
+//! tokens. Every entry refills its share of them and sends it to the pool's
+//! keeper, the one entry from which the others take tokens.
+//!
 //! The `quota` crate makes the decisions; this module sends and receives the
 //! messages. [`charge`] takes a request's tokens, [`feed_keepers`] sends the
-//! tokens that this entry produces to their keepers, and [`receive`] handles
-//! the other entries' messages.
+//! tokens that this entry refills to their keepers, and [`receive`] handles the
+//! other entries' messages.
 
 mod charge;
 mod feed;
--- a/crates/front/src/quota/receive.rs
+++ b/crates/front/src/quota/receive.rs
@@ -1,4 +1,5 @@
-//! Handles tokens that other entries send, request, or return as a response.
+//! Handles messages in which other entries send tokens, request tokens, or
+//! respond to a request.
 
 use base::prelude::*;
 use prost::Message;
@@ -33,7 +34,7 @@
         reply.levels = accept_feeds(quotas, now, &sender, &tokens.feeds);
     }
     if tokens.fed > 0 {
-        quotas.note_answer(&message.entry);
+        quotas.note_response(&message.entry);
         let mut pools = quotas.pools.lock();
         let keeper = incarnation_name(&message.entry, message.start);
         for level in &tokens.levels {
@@ -44,7 +45,7 @@
         reply.answer = Some(answer_request(quotas, now, &sender, message.start, ask));
     }
     if let Some(answer) = &tokens.answer {
-        quotas.note_answer(&message.entry);
+        quotas.note_response(&message.entry);
         quotas.complete(answer.id, decode_verdict(answer));
     }
     if reply != Tokens::default() {
@@ -85,22 +86,22 @@
 ) -> TokenAnswer {
     let request_id = (Arc::clone(sender), started_unix_ms, ask.id);
     let mut answered = quotas.answered_requests.lock();
-    let take = answered.get_or_decide(now, request_id, || {
+    let outcome = answered.get_or_decide(now, request_id, || {
         let mut pools = quotas.pools.lock();
         pools.take(now, &ask.workspace, ask.cost)
     });
-    let (verdict, return_ms) = match take {
+    let (verdict, retry_after_ms) = match outcome {
         TakeOutcome::Taken => (TokenVerdict::Taken, 0),
-        TakeOutcome::Insufficient {
-            retry_after_ms: return_ms,
-        } => (TokenVerdict::Short, return_ms),
+        TakeOutcome::Insufficient { retry_after_ms } => {
+            (TokenVerdict::Short, retry_after_ms)
+        }
         TakeOutcome::ExceedsLimit => (TokenVerdict::Never, 0),
         TakeOutcome::Unlimited => (TokenVerdict::Unbounded, 0),
     };
     TokenAnswer {
         id: ask.id,
         verdict: verdict.into(),
-        return_ms,
+        return_ms: retry_after_ms,
     }
 }
 
--- a/crates/front/src/readiness.rs
+++ b/crates/front/src/readiness.rs
@@ -46,7 +46,7 @@
     }
 }
 
-/// Serves requests forever.
+/// Serves the readiness check and metrics on a listener, forever.
 pub(crate) async fn serve(node: Arc<Node>, listener: TcpListener) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
--- a/crates/front/src/request.rs
+++ b/crates/front/src/request.rs
@@ -16,7 +16,7 @@
 use crate::dispatch::{Dispatch, DispatchResult};
 use crate::headers::{has_ambiguous_framing, set_connection_close, strip_hop_by_hop};
 use crate::quota::charge;
-use crate::response::{ResponseBody, refusal_response};
+use crate::response::{ResponseBody, error_response};
 use crate::state::Node;
 use crate::state::caller_request::CallerRequest;
 use crate::state::shutdown::ShutdownPhase;
@@ -74,7 +74,7 @@
             );
             let route = ["", refusal.code.name()];
             node.metrics.requests_ended.with_label_values(&route).inc();
-            refusal_response(&*node.protocol, &id, &refusal)
+            error_response(&*node.protocol, &id, &refusal)
         }
     };
     if phase > ShutdownPhase::Serving {
--- a/crates/front/src/response.rs
+++ b/crates/front/src/response.rs
@@ -45,31 +45,31 @@
 }
 
 #[derive(Debug, Serialize)]
-struct RefusalBody<'a> {
+struct ErrorBody<'a> {
     code: u32,
     name: &'a str,
     ran: &'a str,
 }
 
-/// Returns a response that this entry produces itself.
-pub(crate) fn refusal_response(
+/// Returns the response to a request that ended with an error of this entry.
+pub(crate) fn error_response(
     protocol: &dyn PlatformProtocol,
     id: &str,
-    refusal: &RequestError,
+    error: &RequestError,
 ) -> Response<ResponseBody> {
-    let body = RefusalBody {
-        code: refusal.code.number(),
-        name: refusal.code.name(),
-        ran: refusal.ran.as_str(),
+    let body = ErrorBody {
+        code: error.code.number(),
+        name: error.code.name(),
+        ran: error.ran.as_str(),
     };
     // A struct of numbers and strings always serializes.
     let body = serde_json::to_vec(&body).unwrap_or_default();
     let mut response = Response::new(full_body(Bytes::from(body)));
-    *response.status_mut() = StatusCode::from_u16(refusal.code.http_status())
+    *response.status_mut() = StatusCode::from_u16(error.code.http_status())
         .unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let headers = response.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    if let Some(ms) = refusal.retry_after_ms {
+    if let Some(ms) = error.retry_after_ms {
         let seconds = format!("{}.{:03}", ms / 1_000, ms % 1_000);
         if let Ok(value) = HeaderValue::from_str(&seconds) {
             headers.insert(RETRY_AFTER, value);
--- a/crates/front/src/response_feedback.rs
+++ b/crates/front/src/response_feedback.rs
@@ -28,9 +28,10 @@
     }
 }
 
-/// The platform may report this much later, or be unavailable. The other
-/// entries, and the coordinator, which has to replace the models that the
-/// upstream holds, are told at once.
+/// Records that a response announced that its upstream is leaving, and notifies
+/// the other entries and the coordinator at once. The coordinator has to
+/// replace the models that the upstream holds, and the platform may report the
+/// departure much later or be unavailable.
 fn record_leaving(node: &Node, incarnation: UpstreamIncarnation<'_>) {
     let is_new = node.fleet.lock().note_leaving(incarnation);
     if is_new {
@@ -43,7 +44,8 @@
     }
 }
 
-/// The pause concerns only this entry, so it isn't announced to others.
+/// Records that an upstream asked this entry to send no requests for a time.
+/// This concerns only this entry, so it isn't announced to others.
 fn record_retry_after(node: &Node, incarnation: UpstreamIncarnation<'_>, ms: u64) {
     let until = node.now().plus_ms(ms);
     if let Some(upstream) = node.fleet.lock().incarnation_mut(incarnation) {
--- a/crates/front/src/shared_watch.rs
+++ b/crates/front/src/shared_watch.rs
@@ -48,19 +48,25 @@
         }
     }
 
-    /// Records that a list of this entry's own succeeded.
-    pub(crate) fn listed(&self, now: Instant, collection: Collection, at: u64) {
-        self.watch(collection).lock().on_listed(now, at);
+    /// Records that a list call of this entry's own returned everything up to
+    /// `version`.
+    pub(crate) fn record_list(
+        &self,
+        now: Instant,
+        collection: Collection,
+        version: u64,
+    ) {
+        self.watch(collection).lock().on_listed(now, version);
     }
 
     /// Records that a call of this entry's own failed.
-    pub(crate) fn failed(&self, collection: Collection) {
+    pub(crate) fn record_failure(&self, collection: Collection) {
         self.watch(collection).lock().on_failed();
     }
 
     /// Records that a watch of this entry's own succeeded, to be passed on to
     /// followers.
-    pub(crate) fn watched(
+    pub(crate) fn record_watch(
         &self,
         now: Instant,
         collection: Collection,
@@ -71,7 +77,7 @@
     }
 
     /// Returns whether other entries may rely on this entry's watches.
-    pub(crate) fn works(&self) -> bool {
+    pub(crate) fn are_working(&self) -> bool {
         self.config.lock().is_working() && self.upstreams.lock().is_working()
     }
 }
@@ -187,8 +193,8 @@
     for batch in &received.new_batches {
         apply_changes(node, collection, &batch.objects);
     }
-    if let Some(at) = received.known_version {
-        collection.confirm(node, at, confirmed_at);
+    if let Some(version) = received.known_version {
+        collection.confirm(node, version, confirmed_at);
     }
     if received.needs_own_watch {
         node.shared_watches.due.notify_waiters();
--- a/crates/front/src/start.rs
+++ b/crates/front/src/start.rs
@@ -126,6 +126,7 @@
     Ok(Arc::new(socket))
 }
 
+/// Removes expired state at intervals, forever.
 async fn sweep(node: Arc<Node>) {
     loop {
         tokio::time::sleep(SWEEP_INTERVAL).await;
@@ -137,9 +138,9 @@
         drop(fleet);
         upstream_rate::expire(&node);
         if let Some(config) = node.config() {
-            let is_configured =
+            let is_route =
                 |name: &str| config.routes().any(|route| *route.name == *name);
-            node.mean_prefill_times.lock().retain(is_configured);
+            node.mean_prefill_times.lock().retain(is_route);
         }
     }
 }
--- a/crates/front/src/state/coordinator.rs
+++ b/crates/front/src/state/coordinator.rs
@@ -34,13 +34,17 @@
     pub(crate) token: Option<u64>,
     /// Fencing token of the last term.
     pub(crate) last_token: Option<u64>,
+    /// Usable upstreams that run engines, by name.
     pub(crate) upstreams: BTreeMap<Arc<str>, ManagedUpstream>,
     /// Unanswered orders to upstreams that are not in use now.
     pub(crate) unanswered_orders: BTreeMap<Arc<str>, UnansweredOrders>,
+    /// Planners of model loads, by service.
     pub(crate) planners: BTreeMap<Arc<str>, LoadPlanner>,
     pub(crate) planned_at: Instant,
-    /// When adapters were last planned for preloading.
+    /// When adapters to prefetch were last planned.
     pub(crate) adapters_planned_at: Instant,
+    /// Adapters that requests wait for, with the time at which an entry last
+    /// named them.
     pub(crate) wanted_adapters: BTreeMap<WantedAdapter, Instant>,
 }
 
--- a/crates/front/src/state/managed_upstream.rs
+++ b/crates/front/src/state/managed_upstream.rs
@@ -27,12 +27,19 @@
     /// Whether it asked this entry to send no requests for a while, which
     /// includes orders.
     pub(crate) backed_off: bool,
+    /// When a report was last requested; `None` if the next one is due at once.
     pub(crate) report_requested_at: Option<Instant>,
     pub(crate) pending_load: Option<PendingLoad>,
+    /// When each model was first seen on the upstream.
     pub(crate) held_since: HashMap<Arc<str>, Instant>,
+    /// Models and adapters that can serve requests, as announced to entries.
     pub(crate) serving: Vec<ResidentModel>,
+    /// Models being loaded, with the time at which they are expected to be
+    /// ready, as announced to entries.
     pub(crate) loading: Vec<(Arc<str>, Instant)>,
+    /// When `serving` or the number of `loading` models last changed.
     pub(crate) holdings_changed_at: Instant,
+    /// Models that the upstream can load without the weight store.
     pub(crate) local_weights: Vec<Arc<str>>,
 }
 
@@ -115,6 +122,7 @@
         restarted
     }
 
+    /// Applies what the fleet knows about this incarnation.
     pub(crate) fn apply_record(&mut self, now: Instant, upstream: &Upstream) {
         self.record_started_unix_ms = upstream.record.started_unix_ms;
         self.ledger.expire(now);
@@ -126,11 +134,11 @@
             self.version = upstream.version;
             self.report_requested_at = None;
         }
-        let copies = &upstream.record.local_weights;
-        self.local_weights = copies
+        let local_weights = &upstream.record.local_weights;
+        self.local_weights = local_weights
             .in_memory
             .iter()
-            .chain(&copies.on_disk)
+            .chain(&local_weights.on_disk)
             .cloned()
             .collect();
         let held: Vec<Arc<str>> = self
@@ -201,16 +209,17 @@
     /// waits for an unload: otherwise each plan would start its load again
     /// elsewhere.
     pub(crate) fn placed_models(&self, engine: &EngineSpec) -> Vec<PlacedModel> {
-        let group = |model: &Arc<str>, unloading| PlacedModel {
+        let placed = |model: &Arc<str>, unloading| PlacedModel {
             model: Arc::clone(model),
             size_mb: engine.models.get(model).map_or(0.0, |spec| spec.weights_mb),
             unloading,
             since: self.held_since.get(model).copied().unwrap_or(Instant::ZERO),
         };
         let held = self.ledger.models();
-        let held = held.map(|(model, _)| group(model, self.ledger.is_unloading(model)));
+        let held =
+            held.map(|(model, _)| placed(model, self.ledger.is_unloading(model)));
         let pending_load = self.pending_load.iter();
-        held.chain(pending_load.map(|pending_load| group(&pending_load.model, false)))
+        held.chain(pending_load.map(|pending_load| placed(&pending_load.model, false)))
             .collect()
     }
 
@@ -225,7 +234,7 @@
         UpstreamAdapterState {
             upstream: Arc::clone(id),
             accepts_orders,
-            // On an upstream that leaves orders unanswered, preloads would
+            // On an upstream that leaves orders unanswered, prefetching would
             // delay orders that callers wait for.
             accepts_prefetch: accepts_orders
                 && self.pending_load.is_none()
--- a/crates/front/src/state/metrics.rs
+++ b/crates/front/src/state/metrics.rs
@@ -154,6 +154,6 @@
     pub(crate) fn text(&self) -> String {
         TextEncoder::new()
             .encode_to_string(&self.registry.gather())
-            .unwrap_or_else(|fault| format!("# {fault}\n"))
+            .unwrap_or_else(|error| format!("# {error}\n"))
     }
 }
--- a/crates/front/src/state/node.rs
+++ b/crates/front/src/state/node.rs
@@ -41,8 +41,8 @@
 /// holder that merely restarts acquires the lease again at once.
 const LEASE_VALID_MS: u64 = 5_000;
 
-/// State shared by all tasks of the process. Each part has its own lock, and
-/// none is held across an await.
+/// This entry: the state shared by all tasks of the process. Each part has its
+/// own lock, and none is held across an await.
 #[derive(Debug)]
 pub(crate) struct Node {
     pub(crate) options: Options,
@@ -168,8 +168,8 @@
     /// Returns whether the configuration was confirmed recently, so that what
     /// it doesn't contain doesn't exist.
     pub(crate) fn config_is_fresh(&self) -> bool {
-        let mark = self.config.lock().1;
-        mark.is_fresh(self.now(), self.options.deployment.platform_freshness_ms)
+        let watermark = self.config.lock().1;
+        watermark.is_fresh(self.now(), self.options.deployment.platform_freshness_ms)
     }
 
     /// Returns a random number.
--- a/crates/front/src/state/peers.rs
+++ b/crates/front/src/state/peers.rs
@@ -37,10 +37,11 @@
     /// Addresses at which entries may run.
     pub(crate) addresses: BTreeSet<SocketAddr>,
     pub(crate) peers: HashMap<String, PeerState>,
+    /// Sequence number of the last message sent.
     pub(crate) sequence: u64,
     /// Number of rounds in which peers were sent messages. `sequence` can't be
     /// used for this: it counts two messages per round and others in between.
-    pub(crate) announcements: u64,
+    pub(crate) message_rounds: u64,
     /// Number of periodic rounds, which determine the part of the holdings to
     /// send. Counting the messages about changes in between would leave out
     /// parts for a long time.
@@ -54,10 +55,12 @@
 pub(crate) struct PeerState {
     pub(crate) address: SocketAddr,
     pub(crate) started_unix_ms: u64,
+    /// Sequence number of its last message.
     pub(crate) sequence: u64,
     pub(crate) heard_at: Instant,
     /// Whether its silence was logged.
     pub(crate) reported_lost: bool,
+    /// Fencing token of its lease; 0 unless it is the coordinator.
     pub(crate) coordinator_token: u64,
     pub(crate) domain: String,
     /// Whether its own watch of the platform works.
@@ -66,6 +69,7 @@
     pub(crate) keeps_tokens: bool,
     /// Whether it is shutting down.
     pub(crate) shutting_down: bool,
+    /// Demand that it measured, by service and model.
     pub(crate) demand: Vec<(Arc<str>, Arc<str>, DemandEstimate)>,
 }
 
@@ -198,10 +202,10 @@
         domain: &str,
     ) -> Vec<SocketAddr> {
         let table = self.table.lock();
-        let neighbors = table
+        let peers = table
             .live_peers(now)
             .filter(|(_, peer)| peer.domain == domain);
-        neighbors.map(|(_, peer)| peer.address).collect()
+        peers.map(|(_, peer)| peer.address).collect()
     }
 
     /// Adds the other entries' demand for a service's models.
@@ -213,9 +217,9 @@
     ) {
         let table = self.table.lock();
         let live = table.live_peers(now).map(|(_, peer)| peer);
-        for (peer_service, model, load) in live.flat_map(|peer| &peer.demand) {
+        for (peer_service, model, estimate) in live.flat_map(|peer| &peer.demand) {
             if **peer_service == *service {
-                demand.entry(Arc::clone(model)).or_default().add(load);
+                demand.entry(Arc::clone(model)).or_default().add(estimate);
             }
         }
     }
--- a/crates/front/src/state/quota.rs
+++ b/crates/front/src/state/quota.rs
@@ -1,5 +1,9 @@
 //! Tokens of workspaces and of upstreams at this entry, and requests for tokens
 //! to other entries.
+//!
+//! Each pool of tokens has a keeper, the entry from which others take tokens.
+//! The other entries send it the tokens that they refill, which is called a
+//! feed.
 
 use base::prelude::*;
 use direct::Config;
@@ -38,12 +42,12 @@
     /// Requests of other entries that were answered.
     pub(crate) answered_requests: Mutex<RecentAnswers>,
     /// Whether the other entries have known this one for long enough that it
-    /// may produce tokens.
+    /// may refill tokens.
     pub(crate) is_settled: AtomicBool,
     /// Notified when a limit is set.
     pub(crate) limits_set: Notify,
     pending: Mutex<HashMap<u64, PendingRequest>>,
-    /// Number of the last request or feed.
+    /// Number of the last request or feed that this entry sent.
     last_number: AtomicU64,
     /// Entries that were sent something, with the time since which they have
     /// not responded.
@@ -61,7 +65,8 @@
     workspace: Arc<str>,
     cost: f64,
     sent_at: Instant,
-    answer: Option<oneshot::Sender<TakeOutcome>>,
+    /// Passes the result to the task that waits for it.
+    result_sender: Option<oneshot::Sender<TakeOutcome>>,
 }
 
 impl Quotas {
@@ -123,7 +128,7 @@
             workspace: Arc::clone(workspace),
             cost,
             sent_at: now,
-            answer: Some(sender),
+            result_sender: Some(sender),
         };
         self.pending.lock().insert(id, pending);
         (id, receiver)
@@ -131,14 +136,14 @@
 
     /// Completes a request. If nobody waits for its tokens anymore, they are
     /// returned to the pool.
-    pub(crate) fn complete(&self, id: u64, take: TakeOutcome) {
+    pub(crate) fn complete(&self, id: u64, outcome: TakeOutcome) {
         let Some(pending) = self.pending.lock().remove(&id) else {
             return;
         };
         let unused = pending
-            .answer
-            .is_none_or(|answer| answer.send(take).is_err());
-        if unused && take == TakeOutcome::Taken {
+            .result_sender
+            .is_none_or(|sender| sender.send(outcome).is_err());
+        if unused && outcome == TakeOutcome::Taken {
             self.pools.lock().refund(&pending.workspace, pending.cost);
         }
     }
@@ -152,7 +157,7 @@
     }
 
     /// Records that an entry responded.
-    pub(crate) fn note_answer(&self, entry: &str) {
+    pub(crate) fn note_response(&self, entry: &str) {
         self.unanswered.lock().remove(entry);
     }
 
@@ -182,7 +187,7 @@
         is_new
     }
 
-    /// Records that a workspace has too few tokens for some time.
+    /// Records that a pool has too few tokens for `ms` milliseconds.
     pub(crate) fn cache_shortage(&self, now: Instant, workspace: &Arc<str>, ms: u64) {
         let until = now.plus_ms(ms.min(MAX_SHORTAGE_CACHE_MS));
         let shortage = (until, now.plus_ms(ms));
@@ -199,8 +204,8 @@
         workspace: &str,
     ) -> Option<u64> {
         let shortages = self.shortages.lock();
-        let (until, return_at) = shortages.get(workspace)?;
-        (now < *until).then(|| return_at.ms_since(now))
+        let (until, available_at) = shortages.get(workspace)?;
+        (now < *until).then(|| available_at.ms_since(now))
     }
 
     /// Removes expired state.
--- a/crates/front/src/state/shutdown.rs
+++ b/crates/front/src/state/shutdown.rs
@@ -51,15 +51,16 @@
 pub(crate) struct Shutdown {
     /// When the termination signal came, and when the process exits.
     stopping: Mutex<Option<(Instant, Instant)>>,
-    /// Connections are to be closed after their current response.
+    /// Cancelled when connections are to be closed after their current
+    /// response.
     pub(crate) close_connections: CancellationToken,
-    /// No more connections are to be accepted.
+    /// Cancelled when no more connections are to be accepted.
     pub(crate) stop_accepting: CancellationToken,
-    /// Requests without a response are to get one now.
+    /// Cancelled when requests without a response are to get one at once.
     pub(crate) respond_now: CancellationToken,
-    /// Nothing is left to do except to hand the lease over.
+    /// Cancelled when nothing is left to do except to hand the lease over.
     pub(crate) hand_over_now: CancellationToken,
-    /// The process is about to exit.
+    /// Cancelled when the process is about to exit.
     pub(crate) finished: CancellationToken,
 }
 
--- a/crates/front/src/state_monitor.rs
+++ b/crates/front/src/state_monitor.rs
@@ -40,8 +40,9 @@
     }
 }
 
-/// A lease that isn't renewed expires without any event. From then on no entry
-/// sends orders until one of them acquires the lease.
+/// Logs that this entry's lease has ended. A lease that isn't renewed expires
+/// without any other event. From then on no entry sends orders until one of
+/// them acquires the lease.
 fn log_lease_expiry(node: &Node, before: Option<u64>, now: Option<u64>) {
     if let (Some(before), None) = (before, now) {
         node.log.line(
@@ -66,9 +67,10 @@
     }
 }
 
-/// Leases and deadlines are measured by a clock that keeps running while the
-/// process doesn't, so after a suspension they are correctly seen as expired.
-/// This line tells a reader of the log why.
+/// Logs and counts a time for which the process did not run. Leases and
+/// deadlines are measured by a clock that keeps running meanwhile, so after a
+/// suspension they are correctly seen as expired; this line tells a reader of
+/// the log why.
 fn record_suspension(node: &Node, slept: Duration) {
     let late = slept.saturating_sub(CHECK_INTERVAL);
     let late_ms = late.as_millis() as u64;
@@ -84,6 +86,7 @@
     );
 }
 
+/// Logs a change of the reason to avoid an upstream, and counts a new reason.
 fn log_avoidance_change(node: &Node, now: Instant, change: &AvoidanceChange) {
     let known = node.fleet.lock().get(&change.upstream).map(|upstream| {
         (
@@ -98,8 +101,8 @@
     let event = match change.after {
         Some(reason) => {
             if reason == direct::AvoidReason::Silent {
-                // This is the only way for other entries, whose requests are
-                // merely waiting there, to learn of it.
+                // Other entries whose requests are still waiting at the
+                // upstream can learn only from a message that it is silent.
                 node.peers.announce_now.notify_one();
             }
             let counter = node.metrics.avoided.with_label_values(&[reason.as_str()]);
--- a/crates/front/src/stream.rs
+++ b/crates/front/src/stream.rs
@@ -41,8 +41,9 @@
     Complete,
     /// The stream broke.
     Broken,
-    /// The request's deadline has passed.
-    DeadlinePassed,
+    /// The request's deadline has passed, or the process is about to exit and
+    /// no part of the response was forwarded.
+    OutOfTime,
 }
 
 /// Waits for the first event, so that a stream that breaks before it can be
@@ -128,14 +129,16 @@
                     return Ok(None);
                 }
                 StreamStep::Broken => self.resume().await?,
-                StreamStep::DeadlinePassed => {
+                StreamStep::OutOfTime => {
                     self.source = None;
-                    return Err(self.dispatch.deadline_passed());
+                    return Err(self.dispatch.end_running_stream());
                 }
             }
         }
     }
 
+    /// Reads from the upstream until there are complete events or the stream
+    /// ends.
     async fn step(&mut self) -> StreamStep {
         loop {
             if let Some(step) = self.take_events() {
@@ -147,7 +150,7 @@
             let remaining_ms =
                 self.dispatch.request.remaining_ms(self.dispatch.node.clock);
             if remaining_ms == 0 || self.dispatch.must_end_for_shutdown() {
-                return StreamStep::DeadlinePassed;
+                return StreamStep::OutOfTime;
             }
             let check_after = CHECK_INTERVAL.min(Duration::from_millis(remaining_ms));
             match timeout(check_after, source.body.frame()).await {
--- a/crates/front/src/upstream_rate.rs
+++ b/crates/front/src/upstream_rate.rs
@@ -2,7 +2,7 @@
 //! together.
 //!
 //! A rate applies no matter which entries the requests come from, some of which
-//! may be cut off from one another. As with workspaces, entries produce tokens
+//! may be cut off from one another. As with workspaces, entries refill tokens
 //! in small shares, and tokens are moved between entries but never copied. The
 //! `quota` crate guarantees the limit; an entry that is cut off sends less, not
 //! more.
@@ -26,7 +26,8 @@
 /// Shortest time for which an upstream is passed over when its rate is used up.
 const MIN_SKIP_MS: u64 = 20;
 
-/// Records the rate that an upstream's response advertises.
+/// Records the rate that an upstream's response advertises. The request was
+/// sent at `sent_at`.
 ///
 /// The absence of a rate counts only in a signed response, which the upstream
 /// produced itself: a report, a refusal or a corrupted response may lack the
@@ -35,7 +36,7 @@
     node: &Node,
     incarnation: UpstreamIncarnation<'_>,
     head: &ResponseHead,
-    asked_at: Instant,
+    sent_at: Instant,
 ) {
     let per_s = match head.rate {
         AdvertisedRate::Unlimited if !head.signed => return,
@@ -46,11 +47,11 @@
     if per_s.is_none() && has_no_limits(node) {
         return;
     }
-    let heard_at = node.now();
+    let received_at = node.now();
     let notice = RateNotice {
         per_s,
-        request_sent_at: asked_at,
-        answered_at: heard_at,
+        request_sent_at: sent_at,
+        answered_at: received_at,
     };
     let changed = node.fleet.lock().note_rate(incarnation, notice);
     if changed {
@@ -99,11 +100,11 @@
     rates.collect()
 }
 
-fn on_rate_change(node: &Node, upstream: &str, per_s: Option<f64>, told_by: &str) {
+fn on_rate_change(node: &Node, upstream: &str, per_s: Option<f64>, reported_by: &str) {
     update_limits(node);
     node.log.line(
         "upstream_rate",
-        json!({ "upstream": upstream, "per_s": per_s, "told_by": told_by }),
+        json!({ "upstream": upstream, "per_s": per_s, "told_by": reported_by }),
     );
 }
 
@@ -157,25 +158,26 @@
     };
     let scope = Scope::Upstreams;
     let result = take(node, scope, &limit.key, 1.0).await;
-    let return_ms = match result.take {
+    let retry_after_ms = match result.outcome {
         Some(TakeOutcome::Taken) => {
             let charge = Charge::new(Arc::clone(node), scope, limit.key, 1.0);
             return Ok(Some(charge));
         }
-        Some(TakeOutcome::Insufficient {
-            retry_after_ms: return_ms,
-        }) => {
+        Some(TakeOutcome::Insufficient { retry_after_ms }) => {
             if result.asked_keeper.is_some() {
-                node.quotas(scope)
-                    .cache_shortage(node.now(), &limit.key, return_ms);
+                node.quotas(scope).cache_shortage(
+                    node.now(),
+                    &limit.key,
+                    retry_after_ms,
+                );
             }
-            return_ms
+            retry_after_ms
         }
         Some(TakeOutcome::ExceedsLimit | TakeOutcome::Unlimited) | None => {
             UNKNOWN_LIMIT_RETRY_MS
         }
     };
-    let until = node.now().plus_ms(return_ms.max(MIN_SKIP_MS));
+    let until = node.now().plus_ms(retry_after_ms.max(MIN_SKIP_MS));
     if let Some(upstream) = node.fleet.lock().get_mut(upstream) {
         upstream.set_rate_spent_until(until);
     }
