--- a/crates/direct/benches/entry.rs
+++ b/crates/direct/benches/entry.rs
@@ -32,17 +32,17 @@
         for round in 0..ROUNDS {
             benchmark.handle_messages(round);
         }
-        let begun = WallInstant::now();
+        let started_at = WallInstant::now();
         for round in ROUNDS..2 * ROUNDS {
             benchmark.handle_messages(round);
         }
         let messages = ROUNDS * (entries - 1);
-        let message_us = begun.elapsed().as_secs_f64() * 1e6 / messages as f64;
-        let begun = WallInstant::now();
+        let message_us = started_at.elapsed().as_secs_f64() * 1e6 / messages as f64;
+        let started_at = WallInstant::now();
         for number in 0..SELECTIONS {
             benchmark.select(number as u64);
         }
-        let selection_us = begun.elapsed().as_secs_f64() * 1e6 / SELECTIONS as f64;
+        let selection_us = started_at.elapsed().as_secs_f64() * 1e6 / SELECTIONS as f64;
         let every_s = peer_message_interval_ms(entries) as f64 / 1_000.0;
         let per_s = (entries - 1) as f64 / every_s;
         let upstreams = entries * UPSTREAMS_EACH;
--- a/crates/direct/benches/plan.rs
+++ b/crates/direct/benches/plan.rs
@@ -26,7 +26,7 @@
         let engine = engine(&names);
         let upstream_states = upstream_states(&names, upstreams);
         let demand = demand(&names);
-        let begun = std::time::Instant::now();
+        let started_at = std::time::Instant::now();
         let mut planned = 0;
         for _ in 0..PLANS {
             let mut planner = LoadPlanner::new(6_000);
@@ -34,7 +34,7 @@
                 .plan(Instant::from_ms(60_000), &engine, &upstream_states, &demand)
                 .len();
         }
-        let ms = begun.elapsed().as_secs_f64() * 1_000.0 / f64::from(PLANS);
+        let ms = started_at.elapsed().as_secs_f64() * 1_000.0 / f64::from(PLANS);
         println!("| {models} | {upstreams} | {planned} | {ms:.2} |");
     }
 }
@@ -64,8 +64,8 @@
 /// Upstreams with three models each. The first third of all models is held.
 fn upstream_states(names: &[Arc<str>], upstreams: usize) -> Vec<UpstreamState> {
     let upstream_state = |index: usize| {
-        let models_held = (0..3).map(|place| PlacedModel {
-            model: Arc::clone(&names[(index * 3 + place) % (names.len() / 3)]),
+        let models_held = (0..3).map(|offset| PlacedModel {
+            model: Arc::clone(&names[(index * 3 + offset) % (names.len() / 3)]),
             size_mb: 70_000.0,
             unloading: false,
             since: Instant::ZERO,
--- a/crates/direct/tests/all/fleet.rs
+++ b/crates/direct/tests/all/fleet.rs
@@ -49,7 +49,7 @@
     assert!(!usable(&fleet, 20, "2"));
 }
 
-/// The store loses an upstream's writes, so its record expires although it is alive.
+/// The platform loses an upstream's writes, so its record expires although it is alive.
 /// Its next write restores the record under the same name, and the upstream is used
 /// again. Another entry that only knows of the loss must not undo this.
 #[test]
--- a/crates/direct/tests/all/incarnations.rs
+++ b/crates/direct/tests/all/incarnations.rs
@@ -105,9 +105,9 @@
     assert_eq!(upstream.usage(at(0)), Usage::default());
 }
 
-/// The store is away while an upstream restarts. Its report, or another entry that has
-/// read the store, is the first source to name the new incarnation. What it holds is
-/// unknown until a source says so for that incarnation.
+/// The platform is away while an upstream restarts. Its report, or another entry that
+/// has read the platform's record, is the first source to name the new incarnation.
+/// What it holds is unknown until a source says so for that incarnation.
 #[test]
 fn a_later_incarnation_is_learned_from_reports_and_other_entries() {
     let sources: [fn(&mut Fleet); 3] = [
@@ -221,7 +221,7 @@
 
 /// Information about four incarnations arrives in every way and in any order, most of
 /// it late. The known state is always that of the latest incarnation, and after a
-/// record of it was read from the store, it is usable and holds exactly what that
+/// record of it was read from the platform, it is usable and holds exactly what that
 /// record says.
 #[test]
 fn the_latest_incarnation_wins_in_any_order_of_events() {
--- a/crates/direct/tests/all/lease.rs
+++ b/crates/direct/tests/all/lease.rs
@@ -10,12 +10,12 @@
 
 /// The lease object in the platform: its version and content.
 #[derive(Debug, Default, Clone)]
-struct Store {
+struct LeaseObject {
     version: u64,
     record: Option<LeaseRecord>,
 }
 
-impl Store {
+impl LeaseObject {
     fn write(&mut self, record: &LeaseRecord, version: Option<u64>) -> Option<u64> {
         let matches = match version {
             None => self.record.is_none(),
@@ -51,33 +51,38 @@
 }
 
 /// Carries out a step at once, with an answer.
-fn carry_out(lease: &mut Lease, store: &mut Store, now: Instant, holder_heard: bool) {
+fn carry_out(
+    lease: &mut Lease,
+    object: &mut LeaseObject,
+    now: Instant,
+    holder_heard: bool,
+) {
     match lease.next_step(now, holder_heard) {
         LeaseStep::Wait => {}
         LeaseStep::Read => {
-            let found = store.record.clone().map(|record| (store.version, record));
+            let found = object.record.clone().map(|record| (object.version, record));
             lease.on_read(now, found);
         }
-        LeaseStep::Write { record, version } => match store.write(&record, version) {
+        LeaseStep::Write { record, version } => match object.write(&record, version) {
             Some(version) => lease.on_written(now, version, record),
             None => lease.on_uncertain(now),
         },
     }
 }
 
-fn run(lease: &mut Lease, store: &mut Store, from_ms: u64, to_ms: u64) {
+fn run(lease: &mut Lease, object: &mut LeaseObject, from_ms: u64, to_ms: u64) {
     for ms in (from_ms..to_ms).step_by(100) {
-        carry_out(lease, store, at(ms), false);
+        carry_out(lease, object, at(ms), false);
     }
 }
 
 #[test]
 fn the_first_entry_gets_the_lease_at_once_and_keeps_it() {
-    let mut store = Store::default();
+    let mut object = LeaseObject::default();
     let mut first = lease("one", 1);
-    run(&mut first, &mut store, 0, 300);
+    run(&mut first, &mut object, 0, 300);
     assert_eq!(first.token(at(300)), Some(1));
-    run(&mut first, &mut store, 300, 60_000);
+    run(&mut first, &mut object, 300, 60_000);
     assert_eq!(first.token(at(60_000)), Some(1));
 }
 
@@ -86,12 +91,12 @@
 /// time has passed.
 #[test]
 fn a_successor_waits_for_the_lease_to_end_and_the_quiet_time() {
-    let mut store = Store::default();
+    let mut object = LeaseObject::default();
     let (mut first, mut second) = (lease("one", 1), lease("two", 2));
-    run(&mut first, &mut store, 0, 1_000);
+    run(&mut first, &mut object, 0, 1_000);
     let mut began_at = None;
     for ms in (1_000..30_000).step_by(100) {
-        carry_out(&mut second, &mut store, at(ms), false);
+        carry_out(&mut second, &mut object, at(ms), false);
         if second.token(at(ms)).is_some() {
             began_at = Some(ms);
             break;
@@ -105,18 +110,18 @@
 
 #[test]
 fn a_released_lease_is_acquired_after_the_quiet_time() {
-    let mut store = Store::default();
+    let mut object = LeaseObject::default();
     let (mut first, mut second) = (lease("one", 1), lease("two", 2));
-    run(&mut first, &mut store, 0, 1_000);
+    run(&mut first, &mut object, 0, 1_000);
     let (record, version) =
         first.release(at(1_000)).expect("the entry holds the lease");
     assert_eq!(first.token(at(1_000)), None);
-    store
+    object
         .write(&record, Some(version))
         .expect("no other entry wrote");
-    run(&mut second, &mut store, 1_000, 1_000 + QUIET_MS);
+    run(&mut second, &mut object, 1_000, 1_000 + QUIET_MS);
     assert_eq!(second.token(at(1_000 + QUIET_MS)), None);
-    run(&mut second, &mut store, 1_000 + QUIET_MS, 6_500);
+    run(&mut second, &mut object, 1_000 + QUIET_MS, 6_500);
     assert_eq!(second.token(at(6_500)), Some(2));
 }
 
@@ -126,28 +131,28 @@
 /// successor need not wait as for a silent holder.
 #[test]
 fn a_renewal_in_flight_does_not_revive_a_released_lease() {
-    let mut store = Store::default();
+    let mut object = LeaseObject::default();
     let (mut first, mut second) = (lease("one", 1), lease("two", 2));
-    run(&mut first, &mut store, 0, 1_000);
+    run(&mut first, &mut object, 0, 1_000);
     let (renewal, version) = first
         .next_renewal(at(1_000))
         .expect("the entry holds the lease");
-    let renewed_version = store
+    let renewed_version = object
         .write(&renewal, Some(version))
         .expect("no other entry wrote");
     let (record, version) =
         first.release(at(1_000)).expect("the entry holds the lease");
-    assert_eq!(store.write(&record, Some(version)), None);
+    assert_eq!(object.write(&record, Some(version)), None);
     first.on_written(at(1_000), renewed_version, renewal);
     first.on_uncertain(at(1_010));
     assert_eq!(first.token(at(1_020)), None);
     let (record, version) = first.release(at(1_000)).expect("the entry still holds it");
-    let released = store
+    let released = object
         .write(&record, Some(version))
         .expect("no other entry wrote");
     first.on_written(at(1_030), released, record);
     assert_eq!(first.release(at(1_000)), None);
-    run(&mut second, &mut store, 1_100, 1_200 + QUIET_MS + 1_000);
+    run(&mut second, &mut object, 1_100, 1_200 + QUIET_MS + 1_000);
     assert_eq!(second.token(at(1_200 + QUIET_MS + 1_000)), Some(2));
 }
 
@@ -156,16 +161,16 @@
 /// from then.
 #[test]
 fn the_wait_for_a_silent_holder_starts_at_its_last_announced_renewal() {
-    let mut store = Store::default();
+    let mut object = LeaseObject::default();
     let (mut first, mut second) = (lease("one", 1), lease("two", 2));
-    run(&mut first, &mut store, 0, 1_000);
+    run(&mut first, &mut object, 0, 1_000);
     let renewal = first
         .held_renewal(at(1_000))
         .expect("the entry holds the lease");
     second.on_holder_message(at(1_000), announced_record("one", 1, 1, renewal));
-    run(&mut second, &mut store, 3_500, 1_000 + VALID_MS + QUIET_MS);
+    run(&mut second, &mut object, 3_500, 1_000 + VALID_MS + QUIET_MS);
     assert_eq!(second.token(at(1_000 + VALID_MS + QUIET_MS)), None);
-    run(&mut second, &mut store, 9_000, 9_400);
+    run(&mut second, &mut object, 9_000, 9_400);
     assert_eq!(second.token(at(9_400)), Some(2));
 }
 
@@ -174,31 +179,31 @@
 /// waits for it again.
 #[test]
 fn a_lease_that_had_ended_before_its_release_is_acquired_at_once() {
-    let mut store = Store::default();
+    let mut object = LeaseObject::default();
     let (mut first, mut second) = (lease("one", 1), lease("two", 2));
-    run(&mut first, &mut store, 0, 1_000);
+    run(&mut first, &mut object, 0, 1_000);
     let ends_ms = (1..20_000).find(|ms| first.token(at(*ms)).is_none());
     let ends_ms = ends_ms.expect("the lease is not renewed");
     let late_ms = ends_ms + QUIET_MS - 200;
     let (record, version) = first.release(at(late_ms)).expect("the entry holds it");
     assert_eq!(record.idle_ms, QUIET_MS - 200);
-    store
+    object
         .write(&record, Some(version))
         .expect("no other entry wrote");
-    carry_out(&mut second, &mut store, at(late_ms), false);
-    run(&mut second, &mut store, late_ms + 100, late_ms + 200);
+    carry_out(&mut second, &mut object, at(late_ms), false);
+    run(&mut second, &mut object, late_ms + 100, late_ms + 200);
     assert_eq!(second.token(at(late_ms + 200)), None);
-    run(&mut second, &mut store, late_ms + 200, late_ms + 500);
+    run(&mut second, &mut object, late_ms + 200, late_ms + 500);
     assert_eq!(second.token(at(late_ms + 500)), Some(2));
 }
 
 #[test]
 fn a_restarted_entry_acquires_its_own_lease_at_once() {
-    let mut store = Store::default();
+    let mut object = LeaseObject::default();
     let mut first = lease("one", 1);
-    run(&mut first, &mut store, 0, 1_000);
+    run(&mut first, &mut object, 0, 1_000);
     let mut restarted = lease("one", 2);
-    run(&mut restarted, &mut store, 1_500, 1_900);
+    run(&mut restarted, &mut object, 1_500, 1_900);
     assert_eq!(restarted.token(at(1_900)), Some(2));
 }
 
@@ -209,12 +214,12 @@
 #[test]
 fn a_restarted_coordinator_counts_loads_of_its_earlier_process() {
     const WINDOW_MS: u64 = 5_000;
-    let mut store = Store::default();
+    let mut object = LeaseObject::default();
     let mut first = lease("one", 1);
-    run(&mut first, &mut store, 0, 1_000);
+    run(&mut first, &mut object, 0, 1_000);
     let started_at = at(1_500);
     let mut restarted = lease("one", 2);
-    run(&mut restarted, &mut store, 1_600, 1_900);
+    run(&mut restarted, &mut object, 1_600, 1_900);
     assert_eq!(restarted.token(at(1_900)), Some(2));
     let engine: EngineSpec = engine(&["a"]);
     let mut planner = LoadPlanner::new(WINDOW_MS);
@@ -242,21 +247,21 @@
 /// object is its own, and no other entry acquires the lease before it ends.
 #[test]
 fn a_renewal_without_an_answer_does_not_end_the_lease() {
-    let mut store = Store::default();
+    let mut object = LeaseObject::default();
     let mut first = lease("one", 1);
-    run(&mut first, &mut store, 0, 1_000);
+    run(&mut first, &mut object, 0, 1_000);
     let unanswered_ms = (1_000..3_000).step_by(100).find(|ms| {
         let LeaseStep::Write { record, version } = first.next_step(at(*ms), false)
         else {
             return false;
         };
-        store.write(&record, version);
+        object.write(&record, version);
         first.on_uncertain(at(*ms));
         true
     });
     let unanswered_ms = unanswered_ms.expect("the lease is renewed once a second");
     assert_eq!(first.token(at(unanswered_ms)), Some(1));
-    run(&mut first, &mut store, unanswered_ms + 100, 20_000);
+    run(&mut first, &mut object, unanswered_ms + 100, 20_000);
     assert_eq!(first.token(at(20_000)), Some(1));
 }
 
@@ -288,7 +293,7 @@
 #[test]
 fn no_two_entries_send_orders_within_the_quiet_time() {
     cases(300, |random| {
-        let mut store = Store::default();
+        let mut object = LeaseObject::default();
         let mut leases: Vec<Lease> = (0..3)
             .map(|entry| lease(&format!("e{entry}"), entry))
             .collect();
@@ -320,7 +325,7 @@
                 if call.done_at > ms {
                     calls.push(call);
                 } else {
-                    complete(&mut leases, &mut store, &call, ms);
+                    complete(&mut leases, &mut object, &call, ms);
                 }
             }
             for entry in 0..3usize {
@@ -402,17 +407,17 @@
     })
 }
 
-fn complete(leases: &mut [Lease], store: &mut Store, call: &Call, ms: u64) {
+fn complete(leases: &mut [Lease], object: &mut LeaseObject, call: &Call, ms: u64) {
     let lease = &mut leases[call.entry];
     match &call.step {
         LeaseStep::Wait => {}
         LeaseStep::Read if call.answered => {
-            let found = store.record.clone().map(|record| (store.version, record));
+            let found = object.record.clone().map(|record| (object.version, record));
             lease.on_read(at(ms), found);
         }
         LeaseStep::Read => lease.on_failed(at(ms)),
         LeaseStep::Write { record, version } => {
-            let written = store.write(record, *version);
+            let written = object.write(record, *version);
             match written {
                 _ if !call.answered => lease.on_uncertain(at(ms)),
                 Some(version) => {
--- a/crates/direct/tests/all/ledger.rs
+++ b/crates/direct/tests/all/ledger.rs
@@ -187,6 +187,7 @@
 #[derive(Debug, Default)]
 struct Upstream {
     orders: u64,
+    /// Models held, and whether each is being unloaded.
     held: BTreeMap<String, bool>,
     busy_until: u64,
 }
@@ -194,7 +195,7 @@
 impl Upstream {
     fn settle(&mut self, ms: u64) {
         if self.busy_until <= ms {
-            self.held.retain(|_, leaving| !*leaving);
+            self.held.retain(|_, unloading| !*unloading);
         }
     }
 
@@ -270,7 +271,7 @@
             let Some(order) = ledger.issue_order(&engine, action) else {
                 continue;
             };
-            let sent = match random.int_in_range(0..=3)? {
+            let outcome = match random.int_in_range(0..=3)? {
                 0 => SendOutcome::NotSent,
                 1 => {
                     let takes = random.int_in_range(100..=12_000)?;
@@ -279,7 +280,7 @@
                 }
                 _ => SendOutcome::Answered(upstream.order(ms, &order, &engine)),
             };
-            ledger.apply_outcome(at(ms), &order, sent);
+            ledger.apply_outcome(at(ms), &order, outcome);
         }
         Ok(())
     });
--- a/crates/direct/tests/all/load_planner.rs
+++ b/crates/direct/tests/all/load_planner.rs
@@ -297,8 +297,8 @@
 }
 
 /// Loads from local weights got no answer, and their upstreams restarted. The new
-/// incarnations have no weights in memory, so each load may come from the store and
-/// counts until it can no longer be carried out.
+/// incarnations have no weights in memory, so each load may come from the weight store
+/// and counts until it can no longer be carried out.
 #[test]
 fn loads_that_outlive_an_incarnation_count_as_store_loads() {
     let engine = engine(&MODELS);
--- a/crates/front/src/attempt.rs
+++ b/crates/front/src/attempt.rs
@@ -29,9 +29,8 @@
 /// silent.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time without a response after which a request that may be executed twice is
-/// sent to another upstream, if its upstream has fallen silent for all
-/// requests.
+/// Time without a response after which a request that may run twice is sent to
+/// another upstream, if its upstream has fallen silent for all requests.
 const SILENCE_TOLERANCE_MS: u64 = 700;
 
 /// A stream that an upstream has started.
@@ -189,8 +188,7 @@
     strip_hop_by_hop(&mut parts.headers);
     if head.id.as_ref().is_some_and(|id| *id != request.head.id) {
         // A late response to an earlier request on this connection. Dropping
-        // the connection closes it; whether this request was executed is
-        // unknown.
+        // the connection closes it; whether this request has run is unknown.
         return AttemptResult::Failed(AttemptOutcome::Unknown, None);
     }
     in_flight.record_head(&head);
--- a/crates/front/src/coordinator/mod.rs
+++ b/crates/front/src/coordinator/mod.rs
@@ -25,8 +25,8 @@
 /// Interval between two plans.
 const PLAN_INTERVAL_MS: u64 = 150;
 
-/// Interval between two requests for the report of an upstream that is
-/// executing an order.
+/// Interval between two requests for the report of an upstream that is carrying
+/// out an order.
 const REPORT_INTERVAL_MS: u64 = 200;
 
 /// Time for which a load waits for the unload that precedes it.
@@ -98,7 +98,8 @@
 
 impl CoordinatorState {
     /// Starts a term as coordinator. Nothing known from an earlier term is
-    /// kept, except that this entry's own earlier orders may still be executed.
+    /// kept, except that this entry's own earlier orders may still be carried
+    /// out.
     fn start_term(&mut self, node: &Node, config: &Config, token: u64, now: Instant) {
         self.token = Some(token);
         for (id, managed) in std::mem::take(&mut self.upstreams) {
--- a/crates/front/src/coordinator/upstreams.rs
+++ b/crates/front/src/coordinator/upstreams.rs
@@ -46,7 +46,7 @@
     }
 
     /// Takes the orders to an upstream's earlier incarnations that may still be
-    /// executed.
+    /// carried out.
     fn take_unanswered(
         &mut self,
         now: Instant,
--- a/crates/front/src/in_flight.rs
+++ b/crates/front/src/in_flight.rs
@@ -121,7 +121,7 @@
     }
 
     /// Records that the upstream refused the model of the request without
-    /// executing it.
+    /// running it.
     pub(crate) fn record_refusal(&self, request: &CallerRequest) {
         let now = self.node.now();
         let Some((model, _)) = &request.head.model else {
--- a/crates/front/src/lease_relay.rs
+++ b/crates/front/src/lease_relay.rs
@@ -67,7 +67,7 @@
         // Strings and numbers always serialize.
         value: serde_json::to_vec(&record).unwrap_or_default(),
     };
-    let result = node.store.call(&op).await;
+    let result = node.platform.call(&op).await;
     let PlatformResult::Written(version) = result else {
         return;
     };
--- a/crates/front/src/orders.rs
+++ b/crates/front/src/orders.rs
@@ -210,7 +210,7 @@
 
 async fn read_lease(node: &Node) {
     let key = node.options.keys.lease.clone();
-    let result = node.store.call(&PlatformOp::Read { key }).await;
+    let result = node.platform.call(&PlatformOp::Read { key }).await;
     let now = node.now();
     let mut lease = node.lease.lock();
     match result {
@@ -257,7 +257,7 @@
         precondition,
         value,
     };
-    let result = node.store.call(&op).await;
+    let result = node.platform.call(&op).await;
     let now = node.now();
     let mut lease = node.lease.lock();
     let token_before = lease.token(now);
--- a/crates/front/src/peers/register.rs
+++ b/crates/front/src/peers/register.rs
@@ -73,7 +73,7 @@
                 precondition: Precondition::Any,
                 value,
             };
-            let result = node.store.call(&op).await;
+            let result = node.platform.call(&op).await;
             let is_written = matches!(result, PlatformResult::Written(_));
             written_settled = is_written.then_some(record.settled);
         }
@@ -117,7 +117,7 @@
 async fn list_entries(node: &Node) -> Option<EntryList> {
     let prefix = node.options.keys.entry_prefix.clone();
     // An outdated list will do: new entries announce themselves.
-    let result = node.store.list_allow_stale(prefix).await;
+    let result = node.platform.list_allow_stale(prefix).await;
     let PlatformResult::Objects(objects, _) = result else {
         return None;
     };
--- a/crates/front/src/platform_watch.rs
+++ b/crates/front/src/platform_watch.rs
@@ -99,7 +99,7 @@
     contact: &mut PlatformContact,
 ) -> Option<ObjectVersion> {
     let prefix = collection.prefix(node);
-    let result = node.store.call(&PlatformOp::List { prefix }).await;
+    let result = node.platform.call(&PlatformOp::List { prefix }).await;
     count_call(node, collection, "list", &result);
     let PlatformResult::Objects(objects, list_version) = result else {
         node.shared_watches.record_failure(collection);
--- a/crates/front/src/protocol.rs
+++ b/crates/front/src/protocol.rs
@@ -20,7 +20,8 @@
     /// Prompt tokens plus the largest number of output tokens; `None` if the
     /// caller doesn't state them.
     pub tokens: Option<u64>,
-    /// Time within which the caller wants its final response, in milliseconds.
+    /// Time within which the caller wants the complete response, in
+    /// milliseconds.
     pub deadline_ms: Option<u64>,
     /// Model, and the adapter if the request names one.
     pub model: Option<(Arc<str>, Option<Arc<str>>)>,
@@ -70,7 +71,7 @@
 pub struct ResponseHead {
     /// Id of the request that this responds to.
     pub id: Option<String>,
-    /// Whether the upstream did not execute the request and never will.
+    /// Whether the upstream has not run the request and never will.
     pub not_run: bool,
     /// Whether a different upstream now has the address.
     pub wrong_upstream: bool,
--- a/crates/front/src/request.rs
+++ b/crates/front/src/request.rs
@@ -33,8 +33,8 @@
 /// Deadline of requests that state none; the route's timeout may be shorter.
 const DEFAULT_DEADLINE_MS: u64 = 60_000;
 
-/// The process exits before it could execute the request; another entry can
-/// take it at once.
+/// The process exits before it could run the request; another entry can take it
+/// at once.
 const SHUTTING_DOWN: RequestError =
     RequestError::not_run(ErrorCode::Leaving).retry_after_ms(0);
 
@@ -205,8 +205,8 @@
     Ok(workspace)
 }
 
-/// Returns how long a caller waits for a stream to start or, for other
-/// requests, the whole timeout.
+/// Returns how long a caller waits for the first event of a stream. For other
+/// requests it is the route's timeout.
 fn first_event_timeout_ms(route: &Route) -> u64 {
     if !route.kind.is_stream() {
         return route.timeout_ms;
--- a/crates/front/src/shared_watch.rs
+++ b/crates/front/src/shared_watch.rs
@@ -126,14 +126,14 @@
         PlatformOp::Watch { prefix, after }
             if role(node, collection) == WatchRole::Leader =>
         {
-            let watch = node.store.watch_with_timeout(
+            let watch = node.platform.watch_with_timeout(
                 prefix.clone(),
                 *after,
                 LEADER_WATCH_TIMEOUT,
             );
             watch.await
         }
-        _ => node.store.call(op).await,
+        _ => node.platform.call(op).await,
     }
 }
 
--- a/crates/front/src/start.rs
+++ b/crates/front/src/start.rs
@@ -62,14 +62,14 @@
 pub async fn start(
     options: Options,
     protocol: Box<dyn PlatformProtocol>,
-    store: Box<dyn ObjectApi>,
+    platform: Box<dyn ObjectApi>,
 ) -> Result<EntryServer, StartError> {
     let mut options = options;
     let callers = listen("callers", &mut options.caller_address).await?;
     let readiness = listen("readiness", &mut options.readiness_address).await?;
     let socket = bind_peer_socket(&mut options.peer_address).await?;
     let log = Log::start();
-    let node = Arc::new(Node::new(options, protocol, store, log));
+    let node = Arc::new(Node::new(options, protocol, platform, log));
     node.log.line(
         "started",
         json!({ "entry": node.options.entry, "domain": node.options.failure_domain,
--- a/crates/front/src/state/caller_request.rs
+++ b/crates/front/src/state/caller_request.rs
@@ -15,7 +15,7 @@
 #[derive(Debug)]
 pub(crate) struct CallerRequest {
     pub(crate) arrived_at: Instant,
-    /// Latest time for the final response.
+    /// Latest time for the complete response.
     pub(crate) deadline: Instant,
     /// Latest time at which the first part of the response is useful.
     pub(crate) first_response_by: Instant,
--- a/crates/front/src/state/connection_pool.rs
+++ b/crates/front/src/state/connection_pool.rs
@@ -24,9 +24,9 @@
 /// an idle connection, as the two ends start counting at different times.
 const KEEP_ALIVE_MARGIN_MS: u64 = 600;
 
-/// Longest idle time of a connection for requests that must not be executed
-/// twice. If the upstream closes the connection at that moment, it is unknown
-/// whether the request was executed.
+/// Longest idle time of a connection for requests that must not run twice. If
+/// the upstream closes the connection at that moment, it is unknown whether the
+/// request has run.
 const MAX_SAFE_IDLE_MS: u64 = 500;
 
 /// Largest number of idle connections kept per upstream.
@@ -67,7 +67,7 @@
 }
 
 /// An HTTP connection to an upstream. Dropping it closes it, which also cancels
-/// what the upstream is executing on it.
+/// the request that the upstream is running for it.
 #[derive(Debug)]
 pub(crate) struct UpstreamConnection {
     /// Incarnation of the upstream at the other end.
@@ -188,7 +188,7 @@
     /// Returns the most recently used idle connection that can take a request.
     ///
     /// Connections to earlier incarnations are closed: a request on one would
-    /// be lost, and it would be unknown whether it was executed.
+    /// be lost, and it would be unknown whether it has run.
     fn idle(
         &self,
         id: &str,
--- a/crates/front/src/state/managed_upstream.rs
+++ b/crates/front/src/state/managed_upstream.rs
@@ -52,7 +52,7 @@
 
 impl ManagedUpstream {
     /// Creates the state of an incarnation, with the unanswered orders to
-    /// earlier ones that may still be executed.
+    /// earlier ones that may still be carried out.
     pub(crate) fn new(upstream: &Upstream, unanswered: UnansweredOrders) -> Self {
         Self {
             service: Arc::clone(&upstream.record.service),
--- a/crates/front/src/state/node.rs
+++ b/crates/front/src/state/node.rs
@@ -47,7 +47,8 @@
 pub(crate) struct Node {
     pub(crate) options: Options,
     pub(crate) protocol: Box<dyn PlatformProtocol>,
-    pub(crate) store: Box<dyn ObjectApi>,
+    /// The platform's object storage, shared by all entries.
+    pub(crate) platform: Box<dyn ObjectApi>,
     pub(crate) clock: BootClock,
     pub(crate) log: Log,
     pub(crate) metrics: Metrics,
@@ -97,7 +98,7 @@
     pub(crate) fn new(
         options: Options,
         protocol: Box<dyn PlatformProtocol>,
-        store: Box<dyn ObjectApi>,
+        platform: Box<dyn ObjectApi>,
         log: Log,
     ) -> Self {
         let now = SystemTime::now().duration_since(UNIX_EPOCH);
@@ -121,7 +122,7 @@
         );
         Self {
             protocol,
-            store,
+            platform,
             clock: BootClock,
             log,
             metrics: Metrics::new(),
--- a/crates/front/src/state/shutdown.rs
+++ b/crates/front/src/state/shutdown.rs
@@ -12,7 +12,7 @@
 /// Time before the exit until which other requests are accepted.
 const REQUEST_MARGIN_MS: u64 = 2_500;
 
-/// Time before the exit at which requests get their final response, whatever
+/// Time before the exit at which requests without a response get one, whatever
 /// they are waiting for. It is long enough for the response to reach the
 /// caller.
 const FINAL_RESPONSE_MARGIN_MS: u64 = 400;
@@ -91,11 +91,11 @@
         self.stopping.lock().is_some()
     }
 
-    /// Returns when requests get their final response, once the shutdown has
+    /// Returns when requests without a response get one, once the shutdown has
     /// started.
     ///
     /// A request without a response at the exit would see its connection
-    /// closed, and its caller would not know whether it was executed.
+    /// closed, and its caller would not know whether it has run.
     pub(crate) fn final_response_at(&self) -> Option<Instant> {
         let stopping = self.stopping.lock();
         stopping
--- a/crates/front/src/upstream_selection.rs
+++ b/crates/front/src/upstream_selection.rs
@@ -17,9 +17,9 @@
 use crate::state::wanted_adapters::WantedAdapter;
 use crate::upstream_rate::{self, RateExhausted};
 
-/// Share of the time until its first response, in percent, that a request waits
-/// for capacity. The rest is for its execution. A caller that is refused
-/// earlier can still come back in time.
+/// Share of the time until the first part of its response is due, in percent,
+/// that a request waits for capacity. The rest is for running it. A caller that
+/// is refused earlier can still come back in time.
 const MAX_WAIT_PERCENT: u64 = 50;
 
 /// Longest wait for an adapter. Loading one takes tens of milliseconds.
@@ -29,8 +29,8 @@
 /// knows nothing of.
 const DISCOVERY_WAIT_MS: u64 = 250;
 
-/// Time needed to execute a request between the moment its model is ready and
-/// the latest time for its first response.
+/// Time needed between the moment a request's model is ready and the latest
+/// time for the first part of its response.
 const MIN_RUN_MS: u64 = 200;
 
 /// When to come back for a model whose load has not started.
@@ -185,6 +185,8 @@
         }
     }
 
+    /// Returns when the request's model is expected to be ready on some
+    /// upstream, if it is being loaded.
     fn ready_at(&self) -> Option<Instant> {
         let (model, _) = self.request.head.model.as_ref()?;
         let fleet = self.node.fleet.lock();
@@ -200,9 +202,9 @@
         fleet.accepts_again_at(self.node.now(), &self.request.service, model)
     }
 
-    /// Returns when the caller should come back after attempts that were not
-    /// executed. If no upstream accepts requests now, that is when the first one
-    /// does again.
+    /// Returns when the caller should come back after attempts of which none
+    /// has run the request. If no upstream accepts requests now, that is when
+    /// the first one does again.
     pub(crate) fn retry_after_ms(&self) -> u64 {
         match self.select_excluding(&[]) {
             Err(reason @ (SelectionError::BackedOff | SelectionError::RateSpent)) => {
@@ -231,7 +233,7 @@
     }
 
     /// Selects an upstream that was not attempted yet or, if there is none and
-    /// the request may be executed twice, one that was.
+    /// the request may run twice, one that was.
     fn select(&self) -> Result<SelectedUpstream, SelectionError> {
         let attempted = self.sent_to.iter().chain(&self.unreachable);
         let attempted: Vec<Arc<str>> = attempted.cloned().collect();
@@ -252,6 +254,7 @@
         self.select_excluding(&attempted).is_ok()
     }
 
+    /// Selects an upstream other than the excluded ones.
     fn select_excluding(
         &self,
         excluded: &[Arc<str>],
@@ -276,6 +279,8 @@
         select_upstream(&self.node.fleet.lock(), &input)
     }
 
+    /// Marks the request's adapter as wanted if its absence is what the request
+    /// waits for.
     fn request_adapter(&self, reason: SelectionError) {
         let model = self.request.head.model.as_ref();
         let Some((model, Some(adapter))) = model else {
