--- a/crates/direct/src/demand.rs
+++ b/crates/direct/src/demand.rs
@@ -99,7 +99,7 @@
         self.request_ms = self.request_ms.max(other.request_ms);
     }
 
-    /// Whether requests ask for the model now.
+    /// Whether there are enough requests for the model to count it as in demand.
     pub fn is_wanted(&self) -> bool {
         self.waiting > 0 || self.sustained_ms_per_s > WANTED_MS_PER_S
     }
--- a/crates/direct/src/fleet.rs
+++ b/crates/direct/src/fleet.rs
@@ -101,8 +101,8 @@
     pub fn apply_update(&mut self, version: u64, record: UpstreamRecord) -> bool {
         let known_count = self.upstreams.len();
         let restarted = self.apply_record(version, record);
-        // This visits all upstreams. Most updates are signs of life, which don't change
-        // the number of upstreams.
+        // This visits all upstreams. Most updates only refresh a known record, which
+        // doesn't change the number of upstreams.
         if restarted || self.upstreams.len() != known_count {
             self.update_missing_start_times();
         }
@@ -134,7 +134,7 @@
         }
         // An upstream that announced that it is leaving never takes work again; only
         // its next incarnation does. One whose record had vanished and is back is
-        // alive: its signs of life were lost in transit.
+        // alive: its own writes were lost in transit.
         let leaving = known.record.leaving || record.leaving;
         known.is_leaving_unlisted &= !record.leaving;
         known.record = record;
--- a/crates/direct/src/fleet/liveness.rs
+++ b/crates/direct/src/fleet/liveness.rs
@@ -1,4 +1,4 @@
-//! Detection of upstreams that have work and give no sign of life.
+//! Detection of upstreams that have requests and send nothing.
 //!
 //! When engines are nearly full and there are many entries, each entry has only one or
 //! two requests at an engine. One that waits behind a full batch or long prompts
@@ -10,8 +10,8 @@
 use base::prelude::*;
 use std::collections::HashMap;
 
-/// Silence after which an upstream that should give a sign of life is considered dead.
-/// A stream that has started gives an event every few tens of milliseconds.
+/// Silence after which an upstream that should be sending is considered dead. A stream
+/// that has started gives an event every few tens of milliseconds.
 const SILENT_MS: u64 = 700;
 
 /// Silence towards this entry's waiting requests after which an upstream is considered
@@ -117,7 +117,7 @@
 
     fn allowed_silence_ms(&self, now: Instant, prefill_ms: u64) -> u64 {
         // An entry whose requests are all waiting has heard nothing. If its reports
-        // counted as signs of life, each new request to a dead upstream would make all
+        // counted as received bytes, each new request to a dead upstream would make all
         // others wait longer for it.
         let reports = self.peer_reports.values().filter(|report| {
             now.ms_since(report.received_at) < PEER_REPORT_MAX_AGE_MS
--- a/crates/direct/src/fleet/rate.rs
+++ b/crates/direct/src/fleet/rate.rs
@@ -1,9 +1,9 @@
-//! Request rates that upstreams ask for in their responses.
+//! Request rates that upstreams advertise in their responses.
 //!
-//! An upstream in trouble can serve fewer requests than selection would send it, summed
-//! over all entries. Each entry receives only some of its responses, and entries tell
-//! one another about them. Which of two notices is newer is therefore decided by when
-//! the response can have been made, not by when it was received.
+//! A degraded upstream can serve fewer requests than all entries together would send
+//! it. Each entry receives only some of its responses, and entries forward the
+//! advertised rates to one another. Which of two notices is newer is therefore decided
+//! by the time span in which the response was made, not by when it was received.
 
 use base::prelude::*;
 use std::sync::Arc;
@@ -11,8 +11,8 @@
 use super::{Fleet, Upstream};
 use crate::UpstreamIncarnation;
 
-/// Minimum rate that is kept even if an upstream asks for less: without any request, no
-/// response would announce the end of the limit.
+/// Minimum rate that is kept even if an upstream advertises less: without any request,
+/// no response would announce the end of the limit.
 const MIN_PER_S: f64 = 0.1;
 
 /// Time for which entries tell one another that a limit has ended.
@@ -22,7 +22,7 @@
 /// until a slow process handles it.
 const MAX_TRANSIT_MS: u64 = 1_000;
 
-/// The request rate that a response of an upstream asked for.
+/// The request rate that a response of an upstream advertised.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RateNotice {
     /// Requests per second from all entries together; `None` for no limit.
@@ -56,12 +56,12 @@
 }
 
 impl Upstream {
-    /// Requests per second that the upstream asks for, if it asks for a limit.
+    /// Requests per second that the upstream accepts, if it advertises a limit.
     pub fn rate_per_s(&self) -> Option<f64> {
         self.rate_notice.and_then(|notice| notice.per_s)
     }
 
-    /// The limit that is applied, if the upstream asks for one.
+    /// The limit that is applied, if the upstream advertises one.
     pub fn rate_limit(&self) -> Option<RateLimit> {
         let per_s = self.rate_per_s()?.max(MIN_PER_S);
         let started_unix_ms = self.record.started_unix_ms.unwrap_or(0);
@@ -110,7 +110,7 @@
 }
 
 impl Fleet {
-    /// Records the rate that a response of this incarnation asked for. Returns whether
+    /// Records the rate that a response of this incarnation advertised. Returns whether
     /// the limit has changed.
     pub fn note_rate(
         &mut self,
@@ -121,8 +121,9 @@
             .is_some_and(|upstream| upstream.apply_rate_notice(notice))
     }
 
-    /// Handles another entry's report of a response, with the time since its request
-    /// was sent and since it was received. Returns whether the limit has changed.
+    /// Handles another entry's report of a response, with the milliseconds since its
+    /// request was sent and since it was received. Returns whether the limit has
+    /// changed.
     pub fn peer_reported_rate(
         &mut self,
         now: Instant,
@@ -140,7 +141,7 @@
             .is_some_and(|upstream| upstream.apply_rate_notice(notice))
     }
 
-    /// Upstreams that ask for a rate, or did until recently, with their notices.
+    /// Upstreams that advertise a rate, or did until recently, with their notices.
     pub fn rate_notices(
         &self,
         now: Instant,
--- a/crates/direct/src/fleet/upstream.rs
+++ b/crates/direct/src/fleet/upstream.rs
@@ -97,14 +97,17 @@
     pub(super) refusals: Refusals,
     /// What entries hear from the upstream.
     pub(super) liveness: Liveness,
-    /// The request rate that its responses ask for.
+    /// The request rate that its responses advertise.
     pub(super) rate_notice: Option<RateNotice>,
+    /// Until when no request is sent because the advertised rate is used up.
     pub(super) rate_spent_until: Instant,
     /// Time until which it asked this entry to send no requests.
     pub(super) backed_off_until: Instant,
     /// When it was last seen to be usable or in use.
     pub(super) last_active_at: Instant,
+    /// Until when it is avoided because a connection attempt failed.
     pub(super) connect_failed_until: Instant,
+    /// Share of recent answers that failed, from 0 to 1.
     pub(super) failed_share: f64,
 }
 
@@ -163,8 +166,8 @@
         is_new
     }
 
-    /// The version at which the upstream was said to be leaving or its record vanished,
-    /// and whether the record vanished.
+    /// The version at which the upstream was reported as leaving or its record
+    /// vanished, and whether the record vanished; `None` if neither applies.
     pub fn leaving_version(&self) -> Option<(u64, bool)> {
         if self.record.leaving {
             return Some((self.version, false));
--- a/crates/direct/tests/all/liveness.rs
+++ b/crates/direct/tests/all/liveness.rs
@@ -117,8 +117,8 @@
 }
 
 /// An engine is dead from the start, and other entries keep sending it requests.
-/// Requests that were just sent are no sign of life, so this entry's request doesn't
-/// wait any longer because of them.
+/// Requests that were just sent don't show that it is alive, so this entry's request
+/// doesn't wait any longer because of them.
 #[test]
 fn requests_just_sent_by_peers_are_no_sign_of_life() {
     let mut fleet = fleet();
--- a/crates/direct/tests/all/rate.rs
+++ b/crates/direct/tests/all/rate.rs
@@ -1,4 +1,4 @@
-//! Request rates that upstreams ask for.
+//! Request rates that upstreams advertise.
 
 use crate::support::{at, cases, engine, incarnation, name, record, record_with_start};
 use direct::{
@@ -102,8 +102,8 @@
     assert_eq!(rate(&fleet), None);
 }
 
-/// The same name after a restart has asked for no limit, and what its earlier
-/// incarnation asked for doesn't apply.
+/// An upstream that restarts under its name has advertised no limit yet, and what its
+/// earlier incarnation advertised doesn't apply.
 #[test]
 fn the_next_incarnation_has_no_limit() {
     let mut fleet = Fleet::new();
@@ -121,7 +121,7 @@
 }
 
 /// An upstream whose allowed rate is used up isn't selected until more is allowed, and
-/// is selected normally once it asks for no limit.
+/// is selected normally once it advertises no limit.
 #[test]
 fn an_upstream_whose_rate_is_used_up_is_not_selected() {
     let mut fleet = fleet();
@@ -156,7 +156,7 @@
 fn the_newest_limit_applies_whatever_the_order_of_reports() {
     cases(200, |random| {
         let mut fleet = fleet();
-        // The upstream asks for its limit from 5,000 ms on.
+        // The upstream advertises its limit from 5,000 ms on.
         for _ in 0..40 {
             let sent: u64 = random.int_in_range(0..=9_000)?;
             let received = sent + random.int_in_range(0..=2_000)?;
--- a/crates/front/src/coordinator/adapters.rs
+++ b/crates/front/src/coordinator/adapters.rs
@@ -64,8 +64,8 @@
             if prefetch_due {
                 planned.extend(planner.prefetch());
             }
-            for choice in planned {
-                orders.extend(self.adapter_order(&service, engine, &choice));
+            for planned_load in planned {
+                orders.extend(self.adapter_order(&service, engine, &planned_load));
             }
         }
         orders
@@ -114,12 +114,12 @@
         &mut self,
         service: &Arc<str>,
         engine: &EngineSpec,
-        choice: &PlannedAdapterLoad,
+        planned: &PlannedAdapterLoad,
     ) -> Option<OutgoingOrder> {
-        let managed = self.upstreams.get_mut(&choice.upstream)?;
-        let order = managed.adapter_order(engine, choice)?;
+        let managed = self.upstreams.get_mut(&planned.upstream)?;
+        let order = managed.adapter_order(engine, planned)?;
         Some((
-            Arc::clone(&choice.upstream),
+            Arc::clone(&planned.upstream),
             Arc::clone(service),
             order,
             false,
--- a/crates/front/src/peers/receive.rs
+++ b/crates/front/src/peers/receive.rs
@@ -128,8 +128,8 @@
         };
         node.coordinator.request_adapter(now, wanted);
     }
-    if let Some(ask) = &message.lease_ask {
-        receive_request(node, ask);
+    if let Some(request) = &message.lease_ask {
+        receive_request(node, request);
     }
     if let Some(confirmation) = &message.lease_told {
         receive_confirmation(node, confirmation);
--- a/crates/front/src/quota/charge.rs
+++ b/crates/front/src/quota/charge.rs
@@ -159,7 +159,7 @@
 /// nobody waits for it anymore are returned to the pool.
 struct KeeperRequest {
     keeper: String,
-    ask: TokenAsk,
+    message: TokenAsk,
     response: Receiver<TakeOutcome>,
 }
 
@@ -172,14 +172,14 @@
         cost: f64,
     ) -> Self {
         let (id, response) = node.quotas(scope).open_request(node.now(), pool, cost);
-        let ask = TokenAsk {
+        let message = TokenAsk {
             id,
             workspace: pool.to_string(),
             cost,
         };
         Self {
             keeper,
-            ask,
+            message,
             response,
         }
     }
@@ -187,7 +187,7 @@
     async fn send(&self, node: &Node, scope: Scope, address: SocketAddr) {
         node.quotas(scope).note_sent(node.now(), &self.keeper);
         let tokens = Tokens {
-            ask: Some(self.ask.clone()),
+            ask: Some(self.message.clone()),
             ..Tokens::default()
         };
         send(node, scope, address, tokens).await;
--- a/crates/front/src/quota/receive.rs
+++ b/crates/front/src/quota/receive.rs
@@ -41,8 +41,9 @@
             pools.set_keeper_level(&keeper, &level.workspace, level.tokens);
         }
     }
-    if let Some(ask) = &tokens.ask {
-        reply.answer = Some(answer_request(quotas, now, &sender, message.start, ask));
+    if let Some(request) = &tokens.ask {
+        reply.answer =
+            Some(answer_request(quotas, now, &sender, message.start, request));
     }
     if let Some(answer) = &tokens.answer {
         quotas.note_response(&message.entry);
@@ -82,13 +83,13 @@
     now: Instant,
     sender: &Arc<str>,
     started_unix_ms: u64,
-    ask: &TokenAsk,
+    request: &TokenAsk,
 ) -> TokenAnswer {
-    let request_id = (Arc::clone(sender), started_unix_ms, ask.id);
+    let request_id = (Arc::clone(sender), started_unix_ms, request.id);
     let mut answered = quotas.answered_requests.lock();
     let outcome = answered.get_or_decide(now, request_id, || {
         let mut pools = quotas.pools.lock();
-        pools.take(now, &ask.workspace, ask.cost)
+        pools.take(now, &request.workspace, request.cost)
     });
     let (verdict, retry_after_ms) = match outcome {
         TakeOutcome::Taken => (TokenVerdict::Taken, 0),
@@ -99,7 +100,7 @@
         TakeOutcome::Unlimited => (TokenVerdict::Unbounded, 0),
     };
     TokenAnswer {
-        id: ask.id,
+        id: request.id,
         verdict: verdict.into(),
         return_ms: retry_after_ms,
     }
--- a/crates/front/src/state/managed_upstream.rs
+++ b/crates/front/src/state/managed_upstream.rs
@@ -253,16 +253,16 @@
     pub(crate) fn adapter_order(
         &mut self,
         engine: &EngineSpec,
-        choice: &PlannedAdapterLoad,
+        planned: &PlannedAdapterLoad,
     ) -> Option<direct::Order> {
-        let action = match &choice.unload {
+        let action = match &planned.unload {
             Some(unloaded) => OrderAction::UnloadAdapter(
                 Arc::clone(&unloaded.model),
                 Arc::clone(&unloaded.adapter),
             ),
             None => OrderAction::LoadAdapter(
-                Arc::clone(&choice.load.model),
-                Arc::clone(&choice.load.adapter),
+                Arc::clone(&planned.load.model),
+                Arc::clone(&planned.load.adapter),
             ),
         };
         self.ledger.issue_order(engine, action)
