--- a/crates/direct/src/adapters.rs
+++ b/crates/direct/src/adapters.rs
@@ -169,6 +169,8 @@
         choices
     }
 
+    /// The adapter that is most worth loading on an upstream, if it is worth more than
+    /// what it replaces.
     fn prefetch_for(
         &self,
         upstream: &UpstreamAdapterState,
--- a/crates/direct/src/fleet/liveness.rs
+++ b/crates/direct/src/fleet/liveness.rs
@@ -46,6 +46,7 @@
 }
 
 impl PeerReport {
+    /// When the reporting entry last received bytes, by this entry's clock.
     fn last_bytes_at(&self) -> Instant {
         self.received_at - Duration::from_millis(self.activity.silent_ms)
     }
@@ -74,6 +75,7 @@
         self.answering = self.answering.saturating_sub(requests);
     }
 
+    /// What this entry hears from the upstream, for messages to other entries.
     pub(super) fn activity(&self, now: Instant) -> Activity {
         Activity {
             answering: self.answering,
@@ -115,6 +117,8 @@
         now.ms_since(self.last_bytes_at) > self.allowed_silence_ms(now, prefill_ms)
     }
 
+    /// Silence after which the upstream counts as silent. It is longer for requests
+    /// that may still be queued there.
     fn allowed_silence_ms(&self, now: Instant, prefill_ms: u64) -> u64 {
         // An entry whose requests are all waiting has heard nothing. If its reports
         // counted as received bytes, each new request to a dead upstream would make all
--- a/crates/direct/src/fleet/rate.rs
+++ b/crates/direct/src/fleet/rate.rs
@@ -98,6 +98,7 @@
         self.rate_per_s() != before
     }
 
+    /// Forgets a limit whose end was announced for long enough.
     pub(super) fn forget_ended_rate_limit(&mut self, now: Instant) {
         self.rate_notice = self
             .rate_notice
@@ -105,6 +106,7 @@
     }
 }
 
+/// Whether other entries are still told of a notice.
 fn is_current(now: Instant, notice: &RateNotice) -> bool {
     notice.per_s.is_some() || now.ms_since(notice.answered_at) < ENDED_RESEND_MS
 }
--- a/crates/direct/src/lease.rs
+++ b/crates/direct/src/lease.rs
@@ -318,6 +318,8 @@
         Some((record, observed.version))
     }
 
+    /// Stores the object as read. If the holder announced the same record before, the
+    /// time of that announcement counts.
     fn observe(&mut self, now: Instant, version: u64, record: LeaseRecord) {
         let unchanged = self.observed.as_ref().is_some_and(|observed| {
             observed.version == version && observed.record == record
@@ -334,6 +336,8 @@
         });
     }
 
+    /// Whether the record names this process as the holder, rather than another entry
+    /// or an earlier process of this one.
     fn is_own(&self, record: &LeaseRecord) -> bool {
         record.holder == self.entry && record.start == self.started_unix_ms
     }
@@ -357,6 +361,7 @@
         }
     }
 
+    /// The write that renews this entry's lease.
     fn renewal_step(&self, observed: &ObservedLease) -> LeaseStep {
         LeaseStep::Write {
             record: LeaseRecord {
@@ -367,6 +372,7 @@
         }
     }
 
+    /// The write that acquires the lease with the next token.
     fn acquisition_step(&self, observed: &ObservedLease) -> LeaseStep {
         LeaseStep::Write {
             record: LeaseRecord {
--- a/crates/direct/src/ledger.rs
+++ b/crates/direct/src/ledger.rs
@@ -323,6 +323,7 @@
         }
     }
 
+    /// Expected duration of an order; 0 unless it loads a model.
     fn expected_ms(&self, engine: &EngineSpec, action: &OrderAction) -> u64 {
         let OrderAction::Load(model) = action else {
             return 0;
@@ -353,6 +354,7 @@
         loading.map(|(model, held)| (model, held.ready_at))
     }
 
+    /// Whether an order can be sent now and what it adds fits.
     fn allows(&self, engine: &EngineSpec, action: &OrderAction) -> bool {
         match action {
             OrderAction::Load(model) => {
@@ -383,6 +385,8 @@
         }
     }
 
+    /// Applies an order that the upstream has accepted. With `done`, the upstream is in
+    /// the ordered state already.
     fn apply_accepted(&mut self, now: Instant, order: &Order, done: bool) {
         if !done {
             self.orders_accepted = order.expected_count + 1;
@@ -431,6 +435,7 @@
         }
     }
 
+    /// Tracks a reported model as loaded, with the known times of its adapters.
     fn track_resident(
         &mut self,
         now: Instant,
--- a/crates/direct/src/load_planner.rs
+++ b/crates/direct/src/load_planner.rs
@@ -188,6 +188,7 @@
         builder.planned
     }
 
+    /// Number of loads from the weight store that may be ordered in one window.
     fn loads_per_window(&self, engine: &EngineSpec) -> usize {
         let seconds = self.window_ms as f64 / 1_000.0;
         (engine.store_loads_per_s * seconds * USABLE_STORE_SHARE).max(1.0) as usize
--- a/crates/direct/src/order.rs
+++ b/crates/direct/src/order.rs
@@ -34,7 +34,8 @@
 pub enum OrderAnswer {
     /// The order is being carried out.
     Accepted,
-    /// The upstream was already in the ordered state.
+    /// The upstream is in the ordered state: it already was, or the order took effect
+    /// at once.
     Done,
     /// Another order is in progress or the order count differs.
     Conflict,
--- a/crates/direct/src/plan/mod.rs
+++ b/crates/direct/src/plan/mod.rs
@@ -227,6 +227,8 @@
         }
     }
 
+    /// The model and upstream for which one more copy brings the highest net relief, if
+    /// any is positive.
     fn best_extra_copy(&self) -> Option<(usize, CopyPlacement)> {
         let mut best: Option<(usize, CopyPlacement)> = None;
         for model in 0..self.models.len() {
@@ -279,6 +281,7 @@
         best
     }
 
+    /// Cost of loading a model on an upstream, in the unit of relief.
     fn move_cost(
         &self,
         model: usize,
@@ -358,6 +361,7 @@
         self.weighted_sum(|forecast| forecast.relief(candidate, &self.models))
     }
 
+    /// Sum of a value over all forecasts, by their weights.
     fn weighted_sum(&self, value: impl Fn(&ForecastLoads) -> f64) -> f64 {
         let forecasts = self.forecasts.iter();
         forecasts
--- a/crates/direct/src/plan/model_index.rs
+++ b/crates/direct/src/plan/model_index.rs
@@ -55,6 +55,7 @@
         &self.holder_sets[model]
     }
 
+    /// Number of upstreams that hold the model or will hold it after the planned loads.
     pub(super) fn copy_count(&self, model: usize) -> usize {
         self.holders[model].len()
     }
--- a/crates/direct/src/plan/relief.rs
+++ b/crates/direct/src/plan/relief.rs
@@ -63,6 +63,7 @@
         self.losses = indices.map(|model| self.loss_of(model, models)).collect();
     }
 
+    /// Reduction of the squared loads of a model's holders if it gets one more copy.
     fn gain_of(&self, model: usize, models: &ModelIndex) -> f64 {
         let change = self.change_if_added(model, models);
         let holders = models.holders(model).iter();
@@ -71,6 +72,7 @@
             .sum()
     }
 
+    /// Reduction of the squared loads of a model's holders if it loses one copy.
     fn loss_of(&self, model: usize, models: &ModelIndex) -> f64 {
         let change = self.change_if_removed(model, models);
         let holders = models.holders(model).iter();
--- a/crates/direct/src/retry_budget.rs
+++ b/crates/direct/src/retry_budget.rs
@@ -98,6 +98,7 @@
         now.as_ms() * SLICES / self.window_ms
     }
 
+    /// The slice of the window that contains `now`, emptied if it held an earlier one.
     fn slice(&mut self, now: Instant, service: &Arc<str>) -> &mut WindowSlice {
         let slice_number = self.slice_number(now);
         let slices = self.services.entry(Arc::clone(service)).or_default();
--- a/crates/direct/src/select.rs
+++ b/crates/direct/src/select.rs
@@ -157,6 +157,8 @@
     }
 }
 
+/// Scores an upstream for a request, lower being better, or returns why it can't run
+/// the request.
 fn score_candidate(
     upstream: &Upstream,
     input: &SelectionInput<'_>,
@@ -254,6 +256,7 @@
     }
 }
 
+/// What a request for a model needs, or why the upstream has no capacity for it.
 fn model_need(
     upstream: &Upstream,
     input: &SelectionInput<'_>,
@@ -283,17 +286,20 @@
     })
 }
 
+/// Expected time to the first answer of an engine.
 fn engine_wait_ms(usage: &Usage, added: &Usage, priority: u32) -> f64 {
     let ahead_ms = usage.prefill.wait_ms(priority);
     ahead_ms + added.prefill.prefill_ms() + f64::from(usage.running) * PER_RUNNING_MS
 }
 
+/// Expected time to the answer of a plain service's upstream.
 fn service_wait_ms(upstream: &Upstream, usage: &Usage) -> f64 {
     let slots = upstream.record.batch_slots.max(1);
     let queued = usage.running.saturating_sub(slots - 1);
     f64::from(usage.running) * PER_SLOT_MS + f64::from(queued) * PER_QUEUED_MS
 }
 
+/// Expected cost of a failed answer, from the share of recent answers that failed.
 fn failure_penalty_ms(upstream: &Upstream) -> f64 {
     let share = upstream.failed_share();
     share * share * FAILURE_MS
--- a/crates/direct/src/shared_watch.rs
+++ b/crates/direct/src/shared_watch.rs
@@ -85,6 +85,7 @@
 }
 
 impl WatchBatch {
+    /// Size of the keys and values.
     fn bytes(&self) -> usize {
         let objects = self.objects.iter();
         objects
@@ -144,6 +145,7 @@
         }
     }
 
+    /// Records that an own call succeeded and that everything up to `version` is known.
     fn on_confirmed(&mut self, now: Instant, version: u64) {
         self.known_version = self.known_version.max(version);
         self.own_call_at = Some(now);
--- a/crates/front/src/attempt.rs
+++ b/crates/front/src/attempt.rs
@@ -106,6 +106,7 @@
     exchange(node, request, in_flight, connection, upstream_request).await
 }
 
+/// Sends the request on an open connection and evaluates the response.
 async fn exchange(
     node: &Arc<Node>,
     request: &CallerRequest,
@@ -236,6 +237,7 @@
     classify(response, &head)
 }
 
+/// Decides whether a complete response can be forwarded.
 fn classify(response: BufferedResponse, head: &ResponseHead) -> AttemptResult {
     if head.not_run {
         AttemptResult::Failed(AttemptOutcome::Refused, None)
@@ -269,6 +271,7 @@
     }
 }
 
+/// Builds the HTTP request to the upstream from the caller's request.
 fn build_request(
     node: &Node,
     request: &CallerRequest,
--- a/crates/front/src/coordinator/adapters.rs
+++ b/crates/front/src/coordinator/adapters.rs
@@ -84,6 +84,8 @@
             .collect()
     }
 
+    /// Returns whether any upstream holds the adapter, loads it or was just
+    /// ordered to.
     fn is_adapter_ordered(&self, wanted: &WantedAdapter) -> bool {
         let mut managed_upstreams = self.upstreams.values();
         managed_upstreams
@@ -110,6 +112,7 @@
         planner_input.collect()
     }
 
+    /// Returns the order that starts a planned adapter load.
     fn adapter_order(
         &mut self,
         service: &Arc<str>,
--- a/crates/front/src/dispatch.rs
+++ b/crates/front/src/dispatch.rs
@@ -195,6 +195,8 @@
         self.after_failed_attempt(&selected, AttemptOutcome::Unknown, None)
     }
 
+    /// Handles an attempt without a response that can be forwarded. Returns the
+    /// result of the dispatch if no further attempt is allowed.
     fn after_failed_attempt(
         &mut self,
         selected: &SelectedUpstream,
@@ -239,6 +241,8 @@
         }
     }
 
+    /// Ends a request for which no upstream is attempted, with the rejection's
+    /// time to come back.
     fn end_rejected(&mut self, rejection: &Rejection) -> DispatchResult {
         match self.end_without_response(rejection.code) {
             DispatchResult::Failed(error) if error.retry_after_ms.is_some() => {
@@ -299,6 +303,7 @@
         })
     }
 
+    /// Records an attempt in metrics and for the request's log line.
     fn record_attempt(
         &mut self,
         selected: &SelectedUpstream,
@@ -319,6 +324,8 @@
             "ms": self.node.now().ms_since(started_at) }));
     }
 
+    /// Updates the model's time factor from the time to the start of a stream
+    /// whose prompt waited behind no other.
     fn learn_time_factor(
         &self,
         selected: &SelectedUpstream,
--- a/crates/front/src/lease_relay.rs
+++ b/crates/front/src/lease_relay.rs
@@ -60,6 +60,7 @@
     tokio::spawn(write_renewal(Arc::clone(node), record, request.version));
 }
 
+/// Writes another entry's renewal to the platform and announces the result.
 async fn write_renewal(node: Arc<Node>, record: LeaseRecord, version: u64) {
     let op = PlatformOp::Write {
         key: node.options.keys.lease.clone(),
--- a/crates/front/src/orders.rs
+++ b/crates/front/src/orders.rs
@@ -198,6 +198,7 @@
     !node.shutdown.is_stopping() || node.lease.lock().token(node.now()).is_some()
 }
 
+/// Returns the next step to maintain the lease.
 fn lease_step(node: &Node) -> LeaseStep {
     let now = node.now();
     let mut lease = node.lease.lock();
@@ -208,6 +209,7 @@
     lease.next_step(now, holder_alive)
 }
 
+/// Reads the lease from the platform and applies it.
 async fn read_lease(node: &Node) {
     let key = node.options.keys.lease.clone();
     let result = node.platform.call(&PlatformOp::Read { key }).await;
@@ -245,6 +247,8 @@
     LeaseRecord::unreadable(version)
 }
 
+/// Writes the lease record if the object still has the version, and applies the
+/// result. If the write fails, another entry is asked to renew.
 async fn write_lease(node: &Node, record: LeaseRecord, version: Option<u64>) {
     let sent_at = node.now();
     // Strings and numbers always serialize.
--- a/crates/front/src/peers/announce.rs
+++ b/crates/front/src/peers/announce.rs
@@ -88,6 +88,7 @@
     }
 }
 
+/// Sends a message to all entries that are due for one.
 async fn announce_to_all(node: &Node, socket: &UdpSocket, trigger: Trigger) {
     let addresses = node.peers.addresses_due(node.now());
     announce_to(node, socket, addresses, trigger).await;
@@ -139,6 +140,7 @@
     PlatformWatch,
 }
 
+/// Builds one message and sends it to all addresses.
 async fn send_message(
     node: &Node,
     socket: &UdpSocket,
--- a/crates/front/src/peers/register.rs
+++ b/crates/front/src/peers/register.rs
@@ -114,6 +114,8 @@
     }
 }
 
+/// Reads the list of entries, and adopts their addresses and number. Returns
+/// `None` if the call failed.
 async fn list_entries(node: &Node) -> Option<EntryList> {
     let prefix = node.options.keys.entry_prefix.clone();
     // An outdated list will do: new entries announce themselves.
--- a/crates/front/src/platform_watch.rs
+++ b/crates/front/src/platform_watch.rs
@@ -93,6 +93,8 @@
     }
 }
 
+/// Lists a collection and applies it. Returns the version of the list, or
+/// `None` if the call failed.
 async fn list_once(
     node: &Node,
     collection: Collection,
@@ -117,6 +119,8 @@
     Some(list_version)
 }
 
+/// Waits for changes after a version and applies them. Returns the version up
+/// to which they are known, or `None` if the call failed.
 async fn watch_once(
     node: &Node,
     collection: Collection,
@@ -260,6 +264,7 @@
     node.metrics.platform_calls.with_label_values(&labels).inc();
 }
 
+/// Puts the newest configuration among the objects into force.
 fn apply_configs(node: &Node, objects: &[Object]) {
     for (key, _, value) in objects {
         if *key != node.options.keys.config || value.is_empty() {
@@ -335,6 +340,7 @@
     }
 }
 
+/// Applies one changed or deleted record of an upstream.
 fn apply_upstream_change(node: &Node, object: &Object) {
     let (key, version, value) = object;
     let id = upstream_id(node, key);
@@ -364,6 +370,7 @@
     }
 }
 
+/// Returns the name of the upstream whose record has this key.
 fn upstream_id<'a>(node: &Node, key: &'a str) -> &'a str {
     key.strip_prefix(node.options.keys.upstream_prefix.as_str())
         .unwrap_or(key)
--- a/crates/front/src/quota/feed.rs
+++ b/crates/front/src/quota/feed.rs
@@ -42,6 +42,7 @@
     }
 }
 
+/// Sends one message to each keeper with the tokens of the pools that it keeps.
 async fn send_feeds(node: &Node, scope: Scope) {
     let quotas = node.quotas(scope);
     for (name, (address, pools)) in pools_by_keeper(node, scope) {
--- a/crates/front/src/quota/receive.rs
+++ b/crates/front/src/quota/receive.rs
@@ -56,6 +56,8 @@
     }
 }
 
+/// Adds the tokens that another entry sent, and returns the levels of the
+/// pools.
 fn accept_feeds(
     quotas: &Quotas,
     now: Instant,
@@ -78,6 +80,8 @@
     levels.collect()
 }
 
+/// Takes the tokens that another entry requests. A repeated request gets the
+/// same result and is charged once.
 fn answer_request(
     quotas: &Quotas,
     now: Instant,
--- a/crates/front/src/request.rs
+++ b/crates/front/src/request.rs
@@ -106,6 +106,8 @@
     }
 }
 
+/// Reads the body, then finds the route, workspace and service of a request and
+/// charges the workspace's quota.
 async fn build_request(
     node: &Arc<Node>,
     arrived_at: Instant,
@@ -215,6 +217,7 @@
     scaled_ms.max(MIN_FIRST_EVENT_WAIT_MS)
 }
 
+/// Reads a request's body up to the size limit.
 async fn read_body(body: Incoming, max_bytes: usize) -> Result<Bytes, RequestError> {
     let too_large = RequestError::not_run(ErrorCode::BodyTooLarge);
     // A body that is announced as too large is refused without reading it.
@@ -228,6 +231,7 @@
     }
 }
 
+/// Returns a hash of the path and the body.
 fn fingerprint(uri: &Uri, body: &[u8]) -> u64 {
     let mut hash = Xxh3::new();
     hash.update(uri.path().as_bytes());
--- a/crates/front/src/server.rs
+++ b/crates/front/src/server.rs
@@ -76,17 +76,20 @@
 
 fn spawn_connection(node: &Arc<Node>, stream: TcpStream) {
     node.caller_connections
-        .spawn(connection(Arc::clone(node), stream));
+        .spawn(serve_connection(Arc::clone(node), stream));
 }
 
-async fn connection(node: Arc<Node>, stream: TcpStream) {
+/// Serves one connection until it is closed.
+async fn serve_connection(node: Arc<Node>, stream: TcpStream) {
     configure_caller_socket(&stream);
     let limits = node.config().map(|config| config.limits.clone());
     let limits = limits.unwrap_or_default();
     let framing = RequestFraming::default();
     let service = {
         let (node, framing) = (Arc::clone(&node), framing.clone());
-        service_fn(move |request| handle(Arc::clone(&node), framing.clone(), request))
+        service_fn(move |request| {
+            handle_request(Arc::clone(&node), framing.clone(), request)
+        })
     };
     // The HTTP library measures the time for a head from the end of the
     // previous request, so this must cover idle connections as well.
@@ -136,7 +139,8 @@
     }
 }
 
-async fn handle(
+/// Handles one request and tracks the phase of its connection.
+async fn handle_request(
     node: Arc<Node>,
     framing: RequestFraming,
     request: Request<Incoming>,
--- a/crates/front/src/shared_watch.rs
+++ b/crates/front/src/shared_watch.rs
@@ -183,6 +183,7 @@
     }
 }
 
+/// Applies what the leader's watch of one collection observed.
 fn receive_watched(node: &Node, collection: Collection, watched: &Watched) {
     let now = node.now();
     let confirmed_at = now - Duration::from_millis(watched.age_ms);
--- a/crates/front/src/upstream_rate.rs
+++ b/crates/front/src/upstream_rate.rs
@@ -100,6 +100,7 @@
     rates.collect()
 }
 
+/// Updates the token limits after an advertised rate changed, and logs it.
 fn on_rate_change(node: &Node, upstream: &str, per_s: Option<f64>, reported_by: &str) {
     update_limits(node);
     node.log.line(
