--- a/crates/direct/src/load_planner.rs
+++ b/crates/direct/src/load_planner.rs
@@ -80,7 +80,7 @@
     pub from_store: bool,
     /// Why the model is loaded.
     pub reason: LoadReason,
-    /// Reduction of the sum of squared upstream loads.
+    /// Reduction of the sum of squared upstream loads, minus the cost of the unload.
     pub relief: f64,
 }
 
--- a/crates/direct/src/plan/mod.rs
+++ b/crates/direct/src/plan/mod.rs
@@ -112,8 +112,9 @@
     /// Index, among the upstream's models, of the model to evict.
     victim: Option<usize>,
     from_store: bool,
+    /// Relief minus the cost of the eviction.
     relief: f64,
-    /// Relief minus the cost of the load.
+    /// `relief` minus the cost of the load.
     net_relief: f64,
 }
 
@@ -304,8 +305,8 @@
         cost
     }
 
-    /// Makes room on an upstream: returns the index of the model to evict, if any, and
-    /// the relief of the move.
+    /// Finds room on an upstream: returns the index of the model to evict, if any, and
+    /// the relief of the move minus the cost of the eviction.
     fn find_room(
         &self,
         model: usize,
--- a/crates/direct/tests/all/lease.rs
+++ b/crates/direct/tests/all/lease.rs
@@ -50,8 +50,8 @@
     }
 }
 
-/// Carries out a step at once, with an answer.
-fn carry_out(
+/// Performs the lease's next step at once; its call gets an answer.
+fn perform_step(
     lease: &mut Lease,
     object: &mut LeaseObject,
     now: Instant,
@@ -70,9 +70,10 @@
     }
 }
 
+/// Performs a step every 100 ms.
 fn run(lease: &mut Lease, object: &mut LeaseObject, from_ms: u64, to_ms: u64) {
     for ms in (from_ms..to_ms).step_by(100) {
-        carry_out(lease, object, at(ms), false);
+        perform_step(lease, object, at(ms), false);
     }
 }
 
@@ -96,7 +97,7 @@
     run(&mut first, &mut object, 0, 1_000);
     let mut began_at = None;
     for ms in (1_000..30_000).step_by(100) {
-        carry_out(&mut second, &mut object, at(ms), false);
+        perform_step(&mut second, &mut object, at(ms), false);
         if second.token(at(ms)).is_some() {
             began_at = Some(ms);
             break;
@@ -190,7 +191,7 @@
     object
         .write(&record, Some(version))
         .expect("no other entry wrote");
-    carry_out(&mut second, &mut object, at(late_ms), false);
+    perform_step(&mut second, &mut object, at(late_ms), false);
     run(&mut second, &mut object, late_ms + 100, late_ms + 200);
     assert_eq!(second.token(at(late_ms + 200)), None);
     run(&mut second, &mut object, late_ms + 200, late_ms + 500);
--- a/crates/direct/tests/all/load_planner.rs
+++ b/crates/direct/tests/all/load_planner.rs
@@ -317,9 +317,10 @@
 const UNLOAD_COST: f64 = 1.0;
 const LAST_COPY_LOSS: f64 = 0.5;
 
-/// Reduction of the sum of squared upstream loads by a move, computed from its
-/// definition: each copy carries its share of the model's expected demand, and the
-/// retained demand of an evicted copy goes to the other copies.
+/// Reduction of the sum of squared upstream loads by a move, minus the cost of its
+/// unload, computed from the definition: each copy carries its share of the model's
+/// expected demand, and the retained demand of an evicted copy goes to the other
+/// copies.
 fn reduction_by_definition(
     upstreams: &[UpstreamState],
     demand: &BTreeMap<Arc<str>, DemandEstimate>,
--- a/crates/direct/tests/all/shared_watch.rs
+++ b/crates/direct/tests/all/shared_watch.rs
@@ -11,19 +11,19 @@
     }
 }
 
-fn batch(after: u64, at: u64) -> WatchBatch {
+fn batch(after_version: u64, to_version: u64) -> WatchBatch {
     WatchBatch {
-        after_version: after,
-        to_version: at,
-        objects: vec![changed(&format!("servers/{at}"), at, 1)],
+        after_version,
+        to_version,
+        objects: vec![changed(&format!("servers/{to_version}"), to_version, 1)],
         is_partial: false,
     }
 }
 
-fn role(me: &str, others: &[&str]) -> WatchRole {
+fn role(entry: &str, others: &[&str]) -> WatchRole {
     let mut shared = SharedWatch::new();
     shared.on_listed(at(0), 1);
-    shared.role(me, others)
+    shared.role(entry, others)
 }
 
 /// The state of an entry that has listed up to version 10.
