--- a/crates/direct/src/fleet.rs
+++ b/crates/direct/src/fleet.rs
@@ -38,7 +38,7 @@
     first_heard_at: Instant,
 }
 
-/// Upstreams named in the last message of each other entry, by usage and by activity.
+/// Upstreams for which the last message of each other entry stated usage or activity.
 ///
 /// An entry no longer uses an upstream that its last message doesn't name. Searching
 /// all upstreams for those on each message took all processor time of an entry with
@@ -101,8 +101,8 @@
     pub fn apply_update(&mut self, version: u64, record: UpstreamRecord) -> bool {
         let known_count = self.upstreams.len();
         let restarted = self.apply_record(version, record);
-        // This visits all upstreams. Most updates are signs of life, which don't change
-        // the number of upstreams.
+        // This visits all upstreams. Most updates only refresh a known record, which
+        // doesn't change the number of upstreams.
         if restarted || self.upstreams.len() != known_count {
             self.update_missing_start_times();
         }
@@ -134,7 +134,7 @@
         }
         // An upstream that announced that it is leaving never takes work again; only
         // its next incarnation does. One whose record had vanished and is back is
-        // alive: its signs of life were lost in transit.
+        // alive: its own writes were lost in transit.
         let leaving = known.record.leaving || record.leaving;
         known.is_leaving_unlisted &= !record.leaving;
         known.record = record;
@@ -195,11 +195,11 @@
     /// which this was seen and whether the record vanished. Each is returned for
     /// `LEAVING_RESEND_MS` after it was last active.
     ///
-    /// Other entries learn this from the platform as well, and know it after seconds of
-    /// repetition. When these upstreams were sent for as long as they are remembered,
-    /// those of a lost failure domain filled most of each message for a minute. What
-    /// the platform doesn't say yet is sent for as long as that lasts, because an entry
-    /// that starts can't learn it elsewhere.
+    /// Other entries learn this from the platform as well, and after a few seconds of
+    /// resending all of them know it. When these upstreams were sent for as long as
+    /// they are remembered, those of a lost failure domain filled most of each message
+    /// for a minute. An upstream that the platform doesn't list as leaving yet is sent
+    /// until it does, because an entry that starts can't learn of it elsewhere.
     pub fn leaving_upstreams(
         &self,
         now: Instant,
--- a/crates/direct/src/load_planner.rs
+++ b/crates/direct/src/load_planner.rs
@@ -80,7 +80,7 @@
     pub from_store: bool,
     /// Why the model is loaded.
     pub reason: LoadReason,
-    /// Reduction of the sum of squared upstream loads.
+    /// Reduction of the sum of squared upstream loads, minus the cost of the unload.
     pub relief: f64,
 }
 
@@ -188,6 +188,7 @@
         builder.planned
     }
 
+    /// Number of loads from the weight store that may be ordered in one window.
     fn loads_per_window(&self, engine: &EngineSpec) -> usize {
         let seconds = self.window_ms as f64 / 1_000.0;
         (engine.store_loads_per_s * seconds * USABLE_STORE_SHARE).max(1.0) as usize
--- a/crates/direct/src/plan/mod.rs
+++ b/crates/direct/src/plan/mod.rs
@@ -112,8 +112,9 @@
     /// Index, among the upstream's models, of the model to evict.
     victim: Option<usize>,
     from_store: bool,
+    /// Relief minus the cost of the eviction.
     relief: f64,
-    /// Relief minus the cost of the load.
+    /// `relief` minus the cost of the load.
     net_relief: f64,
 }
 
@@ -227,6 +228,8 @@
         }
     }
 
+    /// The model and upstream for which one more copy brings the highest net relief, if
+    /// any is positive.
     fn best_extra_copy(&self) -> Option<(usize, CopyPlacement)> {
         let mut best: Option<(usize, CopyPlacement)> = None;
         for model in 0..self.models.len() {
@@ -279,6 +282,7 @@
         best
     }
 
+    /// Cost of loading a model on an upstream, in the unit of relief.
     fn move_cost(
         &self,
         model: usize,
@@ -301,8 +305,8 @@
         cost
     }
 
-    /// Makes room on an upstream: returns the index of the model to evict, if any, and
-    /// the relief of the move.
+    /// Finds room on an upstream: returns the index of the model to evict, if any, and
+    /// the relief of the move minus the cost of the eviction.
     fn find_room(
         &self,
         model: usize,
@@ -358,6 +362,7 @@
         self.weighted_sum(|forecast| forecast.relief(candidate, &self.models))
     }
 
+    /// Sum of a value over all forecasts, by their weights.
     fn weighted_sum(&self, value: impl Fn(&ForecastLoads) -> f64) -> f64 {
         let forecasts = self.forecasts.iter();
         forecasts
@@ -365,6 +370,7 @@
             .sum()
     }
 
+    /// Adds a load to the plan and updates the planned state of its upstream.
     fn commit(&mut self, model: usize, placement: &CopyPlacement, reason: LoadReason) {
         let size_mb = self.model_facts[model]
             .spec
--- a/crates/direct/src/select.rs
+++ b/crates/direct/src/select.rs
@@ -72,7 +72,7 @@
     pub prefill_tokens: u64,
 }
 
-/// Why no upstream was selected.
+/// Why no upstream was selected. The variants are declared in the order of the checks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SelectionError {
     /// The service has no usable upstream.
@@ -131,7 +131,7 @@
             continue;
         }
         match score_candidate(upstream, input, &affinity, index as u64) {
-            Err(error) => reason = reason.closer(error),
+            Err(error) => reason = reason.of_later_check(error),
             Ok((score, selected)) => {
                 let is_avoided = upstream.is_avoided(input.now);
                 let better = best.as_ref().is_none_or(|(other, best_score, _)| {
@@ -147,8 +147,8 @@
 }
 
 impl SelectionError {
-    /// The reason that is closer to an upstream that could run the request.
-    const fn closer(self, other: Self) -> Self {
+    /// The reason of the upstream that passed more of the checks.
+    const fn of_later_check(self, other: Self) -> Self {
         if other as u8 > self as u8 {
             other
         } else {
@@ -157,6 +157,8 @@
     }
 }
 
+/// Scores an upstream for a request, lower being better, or returns why it can't run
+/// the request.
 fn score_candidate(
     upstream: &Upstream,
     input: &SelectionInput<'_>,
@@ -254,6 +256,7 @@
     }
 }
 
+/// What a request for a model needs, or why the upstream has no capacity for it.
 fn model_need(
     upstream: &Upstream,
     input: &SelectionInput<'_>,
@@ -271,29 +274,32 @@
             return Err(SelectionError::Full);
         }
     }
-    let uncached =
+    let scaled_prefill_tokens =
         input.prompt_tokens.saturating_sub(cached_tokens) as f64 * input.time_factor;
     Ok(RequestNeed {
         usage: Usage {
             running: 1,
-            prefill: PrefillQueue::single(input.priority, uncached as u64),
+            prefill: PrefillQueue::single(input.priority, scaled_prefill_tokens as u64),
             kv_tokens: input.kv_tokens,
         },
         cached_tokens,
     })
 }
 
+/// Expected time to the first answer of an engine.
 fn engine_wait_ms(usage: &Usage, added: &Usage, priority: u32) -> f64 {
     let ahead_ms = usage.prefill.wait_ms(priority);
     ahead_ms + added.prefill.prefill_ms() + f64::from(usage.running) * PER_RUNNING_MS
 }
 
+/// Expected time to the answer of a plain service's upstream.
 fn service_wait_ms(upstream: &Upstream, usage: &Usage) -> f64 {
     let slots = upstream.record.batch_slots.max(1);
     let queued = usage.running.saturating_sub(slots - 1);
     f64::from(usage.running) * PER_SLOT_MS + f64::from(queued) * PER_QUEUED_MS
 }
 
+/// Expected cost of a failed answer, from the share of recent answers that failed.
 fn failure_penalty_ms(upstream: &Upstream) -> f64 {
     let share = upstream.failed_share();
     share * share * FAILURE_MS
--- a/crates/direct/tests/all/load_planner.rs
+++ b/crates/direct/tests/all/load_planner.rs
@@ -297,8 +297,8 @@
 }
 
 /// Loads from local weights got no answer, and their upstreams restarted. The new
-/// incarnations have no weights in memory, so each load may come from the store and
-/// counts until it can no longer be carried out.
+/// incarnations have no weights in memory, so each load may come from the weight store
+/// and counts until it can no longer be carried out.
 #[test]
 fn loads_that_outlive_an_incarnation_count_as_store_loads() {
     let engine = engine(&MODELS);
@@ -317,9 +317,10 @@
 const UNLOAD_COST: f64 = 1.0;
 const LAST_COPY_LOSS: f64 = 0.5;
 
-/// Reduction of the sum of squared upstream loads by a move, computed from its
-/// definition: each copy carries its share of the model's expected demand, and the
-/// retained demand of an evicted copy goes to the other copies.
+/// Reduction of the sum of squared upstream loads by a move, minus the cost of its
+/// unload, computed from the definition: each copy carries its share of the model's
+/// expected demand, and the retained demand of an evicted copy goes to the other
+/// copies.
 fn reduction_by_definition(
     upstreams: &[UpstreamState],
     demand: &BTreeMap<Arc<str>, DemandEstimate>,
--- a/crates/front/src/attempt.rs
+++ b/crates/front/src/attempt.rs
@@ -29,9 +29,8 @@
 /// silent.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time without a response after which a request that may be executed twice is
-/// sent to another upstream, if its upstream has fallen silent for all
-/// requests.
+/// Time without a response after which a request that may run twice is sent to
+/// another upstream, if its upstream has fallen silent for all requests.
 const SILENCE_TOLERANCE_MS: u64 = 700;
 
 /// A stream that an upstream has started.
@@ -107,6 +106,7 @@
     exchange(node, request, in_flight, connection, upstream_request).await
 }
 
+/// Sends the request on an open connection and evaluates the response.
 async fn exchange(
     node: &Arc<Node>,
     request: &CallerRequest,
@@ -189,8 +189,7 @@
     strip_hop_by_hop(&mut parts.headers);
     if head.id.as_ref().is_some_and(|id| *id != request.head.id) {
         // A late response to an earlier request on this connection. Dropping
-        // the connection closes it; whether this request was executed is
-        // unknown.
+        // the connection closes it; whether this request has run is unknown.
         return AttemptResult::Failed(AttemptOutcome::Unknown, None);
     }
     in_flight.record_head(&head);
@@ -200,7 +199,7 @@
         return AttemptResult::Failed(AttemptOutcome::Unknown, None);
     }
     if head.wrong_upstream {
-        in_flight.record_missing(request);
+        in_flight.record_not_held(request);
     } else if head.not_run {
         in_flight.record_refusal(request);
     } else if success {
@@ -238,6 +237,7 @@
     classify(response, &head)
 }
 
+/// Decides whether a complete response can be forwarded.
 fn classify(response: BufferedResponse, head: &ResponseHead) -> AttemptResult {
     if head.not_run {
         AttemptResult::Failed(AttemptOutcome::Refused, None)
@@ -271,6 +271,7 @@
     }
 }
 
+/// Builds the HTTP request to the upstream from the caller's request.
 fn build_request(
     node: &Node,
     request: &CallerRequest,
@@ -304,8 +305,8 @@
     path.map(hyper::Uri::from).unwrap_or_default()
 }
 
-/// Returns the urgency header for the request's priority. Engines admit the
-/// most urgent requests first.
+/// Returns the value of the urgency header, from 0 to 9, for the request's
+/// priority. Engines admit the most urgent requests first.
 fn urgency(request: &CallerRequest) -> u32 {
     (request.priority() * 2 + 1).min(9)
 }
--- a/crates/front/src/orders.rs
+++ b/crates/front/src/orders.rs
@@ -198,6 +198,7 @@
     !node.shutdown.is_stopping() || node.lease.lock().token(node.now()).is_some()
 }
 
+/// Returns the next step to maintain the lease.
 fn lease_step(node: &Node) -> LeaseStep {
     let now = node.now();
     let mut lease = node.lease.lock();
@@ -208,9 +209,10 @@
     lease.next_step(now, holder_alive)
 }
 
+/// Reads the lease from the platform and applies it.
 async fn read_lease(node: &Node) {
     let key = node.options.keys.lease.clone();
-    let result = node.store.call(&PlatformOp::Read { key }).await;
+    let result = node.platform.call(&PlatformOp::Read { key }).await;
     let now = node.now();
     let mut lease = node.lease.lock();
     match result {
@@ -245,6 +247,8 @@
     LeaseRecord::unreadable(version)
 }
 
+/// Writes the lease record if the object still has the version, and applies the
+/// result. If the write fails, another entry is asked to renew.
 async fn write_lease(node: &Node, record: LeaseRecord, version: Option<u64>) {
     let sent_at = node.now();
     // Strings and numbers always serialize.
@@ -257,7 +261,7 @@
         precondition,
         value,
     };
-    let result = node.store.call(&op).await;
+    let result = node.platform.call(&op).await;
     let now = node.now();
     let mut lease = node.lease.lock();
     let token_before = lease.token(now);
--- a/crates/front/src/request.rs
+++ b/crates/front/src/request.rs
@@ -16,7 +16,7 @@
 use crate::dispatch::{Dispatch, DispatchResult};
 use crate::headers::{has_ambiguous_framing, set_connection_close, strip_hop_by_hop};
 use crate::quota::charge;
-use crate::response::{ResponseBody, refusal_response};
+use crate::response::{ResponseBody, error_response};
 use crate::state::Node;
 use crate::state::caller_request::CallerRequest;
 use crate::state::shutdown::ShutdownPhase;
@@ -33,8 +33,8 @@
 /// Deadline of requests that state none; the route's timeout may be shorter.
 const DEFAULT_DEADLINE_MS: u64 = 60_000;
 
-/// The process exits before it could execute the request; another entry can
-/// take it at once.
+/// The process exits before it could run the request; another entry can take it
+/// at once.
 const SHUTTING_DOWN: RequestError =
     RequestError::not_run(ErrorCode::Leaving).retry_after_ms(0);
 
@@ -74,7 +74,7 @@
             );
             let route = ["", refusal.code.name()];
             node.metrics.requests_ended.with_label_values(&route).inc();
-            refusal_response(&*node.protocol, &id, &refusal)
+            error_response(&*node.protocol, &id, &refusal)
         }
     };
     if phase > ShutdownPhase::Serving {
@@ -106,6 +106,8 @@
     }
 }
 
+/// Reads the body, then finds the route, workspace and service of a request and
+/// charges the workspace's quota.
 async fn build_request(
     node: &Arc<Node>,
     arrived_at: Instant,
@@ -205,8 +207,8 @@
     Ok(workspace)
 }
 
-/// Returns how long a caller waits for a stream to start or, for other
-/// requests, the whole timeout.
+/// Returns how long a caller waits for the first event of a stream. For other
+/// requests it is the route's timeout.
 fn first_event_timeout_ms(route: &Route) -> u64 {
     if !route.kind.is_stream() {
         return route.timeout_ms;
@@ -215,6 +217,7 @@
     scaled_ms.max(MIN_FIRST_EVENT_WAIT_MS)
 }
 
+/// Reads a request's body up to the size limit.
 async fn read_body(body: Incoming, max_bytes: usize) -> Result<Bytes, RequestError> {
     let too_large = RequestError::not_run(ErrorCode::BodyTooLarge);
     // A body that is announced as too large is refused without reading it.
@@ -228,6 +231,7 @@
     }
 }
 
+/// Returns a hash of the path and the body.
 fn fingerprint(uri: &Uri, body: &[u8]) -> u64 {
     let mut hash = Xxh3::new();
     hash.update(uri.path().as_bytes());
--- a/crates/front/src/start.rs
+++ b/crates/front/src/start.rs
@@ -62,14 +62,14 @@
 pub async fn start(
     options: Options,
     protocol: Box<dyn PlatformProtocol>,
-    store: Box<dyn ObjectApi>,
+    platform: Box<dyn ObjectApi>,
 ) -> Result<EntryServer, StartError> {
     let mut options = options;
     let callers = listen("callers", &mut options.caller_address).await?;
     let readiness = listen("readiness", &mut options.readiness_address).await?;
     let socket = bind_peer_socket(&mut options.peer_address).await?;
     let log = Log::start();
-    let node = Arc::new(Node::new(options, protocol, store, log));
+    let node = Arc::new(Node::new(options, protocol, platform, log));
     node.log.line(
         "started",
         json!({ "entry": node.options.entry, "domain": node.options.failure_domain,
@@ -126,6 +126,7 @@
     Ok(Arc::new(socket))
 }
 
+/// Removes expired state at intervals, forever.
 async fn sweep(node: Arc<Node>) {
     loop {
         tokio::time::sleep(SWEEP_INTERVAL).await;
@@ -137,9 +138,9 @@
         drop(fleet);
         upstream_rate::expire(&node);
         if let Some(config) = node.config() {
-            let is_configured =
+            let is_route =
                 |name: &str| config.routes().any(|route| *route.name == *name);
-            node.mean_prefill_times.lock().retain(is_configured);
+            node.mean_prefill_times.lock().retain(is_route);
         }
     }
 }
--- a/crates/front/src/state/node.rs
+++ b/crates/front/src/state/node.rs
@@ -41,13 +41,14 @@
 /// holder that merely restarts acquires the lease again at once.
 const LEASE_VALID_MS: u64 = 5_000;
 
-/// State shared by all tasks of the process. Each part has its own lock, and
-/// none is held across an await.
+/// This entry: the state shared by all tasks of the process. Each part has its
+/// own lock, and none is held across an await.
 #[derive(Debug)]
 pub(crate) struct Node {
     pub(crate) options: Options,
     pub(crate) protocol: Box<dyn PlatformProtocol>,
-    pub(crate) store: Box<dyn ObjectApi>,
+    /// The platform's object storage, shared by all entries.
+    pub(crate) platform: Box<dyn ObjectApi>,
     pub(crate) clock: BootClock,
     pub(crate) log: Log,
     pub(crate) metrics: Metrics,
@@ -97,7 +98,7 @@
     pub(crate) fn new(
         options: Options,
         protocol: Box<dyn PlatformProtocol>,
-        store: Box<dyn ObjectApi>,
+        platform: Box<dyn ObjectApi>,
         log: Log,
     ) -> Self {
         let now = SystemTime::now().duration_since(UNIX_EPOCH);
@@ -121,7 +122,7 @@
         );
         Self {
             protocol,
-            store,
+            platform,
             clock: BootClock,
             log,
             metrics: Metrics::new(),
@@ -168,8 +169,8 @@
     /// Returns whether the configuration was confirmed recently, so that what
     /// it doesn't contain doesn't exist.
     pub(crate) fn config_is_fresh(&self) -> bool {
-        let mark = self.config.lock().1;
-        mark.is_fresh(self.now(), self.options.deployment.platform_freshness_ms)
+        let watermark = self.config.lock().1;
+        watermark.is_fresh(self.now(), self.options.deployment.platform_freshness_ms)
     }
 
     /// Returns a random number.
