--- a/crates/ctl/tests/ctl/platform.rs
+++ b/crates/ctl/tests/ctl/platform.rs
@@ -94,7 +94,7 @@
             Err(error) => error.exit_status(),
         };
         assert_eq!(exit_status, expected, "{name}");
-        assert_eq!(platform.keys("config/").len(), revisions, "{name}");
+        assert_eq!(platform.object_keys("config/").len(), revisions, "{name}");
     }
 }
 
--- a/crates/fake/src/demo/deployment/commands.rs
+++ b/crates/fake/src/demo/deployment/commands.rs
@@ -1,45 +1,46 @@
-//! Commands of `sesamectl` on a deployment.
+//! Runs `sesamectl` commands on a deployment.
 
 use std::process::Command;
 
 use super::Deployment;
 use crate::demo::DemoError;
 
-/// What `sesamectl` did.
+/// Result of a `sesamectl` command.
 #[derive(Debug, Clone)]
-pub struct Said {
-    /// Exit code; -1 if a signal ended it.
-    pub code: i32,
-    /// What it printed, on standard output and then on standard error.
+pub struct CommandOutput {
+    /// Exit code, or -1 if a signal killed it.
+    pub exit_code: i32,
+    /// Standard output followed by standard error.
     pub text: String,
 }
 
 impl Deployment {
-    /// Publishes a fleet configuration and waits until it is in force; returns
-    /// what was printed.
+    /// Publishes a fleet configuration, waits until it is in force and returns the
+    /// command's output.
     ///
     /// # Errors
     ///
-    /// `sesamectl` failed.
+    /// Returns an error if `sesamectl` can't be started or fails.
     pub fn publish(&self, fleet: &str) -> Result<String, DemoError> {
-        let said = self.publish_with(fleet, &["--wait"])?;
-        if said.code == 0 {
-            return Ok(said.text);
+        let output = self.publish_with(fleet, &["--wait"])?;
+        if output.exit_code == 0 {
+            return Ok(output.text);
         }
-        Err(DemoError::Command(said.text))
+        Err(DemoError::CommandFailed(output.text))
     }
 
-    /// Publishes a fleet configuration with further options.
+    /// Publishes a fleet configuration with additional command-line options.
     ///
     /// # Errors
     ///
-    /// `sesamectl` can't be started.
+    /// Returns an error if the configuration can't be written to a file or `sesamectl`
+    /// can't be started. A failure of `sesamectl` shows in the exit code.
     pub fn publish_with(
         &self,
         fleet: &str,
         options: &[&str],
-    ) -> Result<Said, DemoError> {
-        let file = self.folder.write_text("fleet.jsonc", fleet)?;
+    ) -> Result<CommandOutput, DemoError> {
+        let file = self.directory.write_text("fleet.jsonc", fleet)?;
         let file = file.to_string_lossy();
         let mut arguments = vec!["publish"];
         arguments.extend(options);
@@ -47,33 +48,34 @@
         self.sesamectl(&arguments)
     }
 
-    /// The explained time line of one request.
+    /// Returns the explained timeline of a request, or the error as text. Returns `None`
+    /// if the request has no id.
     pub fn timeline(&self, request: &str) -> Option<String> {
         if request.is_empty() {
             return None;
         }
         match self.sesamectl(&["timeline", "--request", request]) {
-            Ok(said) => Some(said.text),
+            Ok(output) => Some(output.text),
             Err(error) => Some(error.to_string()),
         }
     }
 
-    /// Runs a command of `sesamectl` on the deployment's platform.
+    /// Runs a `sesamectl` command on the deployment's platform.
     ///
     /// # Errors
     ///
-    /// It can't be started.
-    pub fn sesamectl(&self, arguments: &[&str]) -> Result<Said, DemoError> {
+    /// Returns an error if `sesamectl` can't be started.
+    pub fn sesamectl(&self, arguments: &[&str]) -> Result<CommandOutput, DemoError> {
         let (command, rest) = arguments.split_first().unwrap_or((&"--help", &[]));
         let done = Command::new(self.programs.path("sesamectl"))
             .args([command, "--platform", &self.platform.to_string()])
             .args(rest)
             .output()
-            .map_err(|error| DemoError::Io("sesamectl can't be started", error))?;
+            .map_err(|error| DemoError::Io("starting sesamectl", error))?;
         let mut text = String::from_utf8_lossy(&done.stdout).into_owned();
         text.push_str(&String::from_utf8_lossy(&done.stderr));
-        Ok(Said {
-            code: done.status.code().unwrap_or(-1),
+        Ok(CommandOutput {
+            exit_code: done.status.code().unwrap_or(-1),
             text,
         })
     }
--- a/crates/fake/src/demo/deployment/mod.rs
+++ b/crates/fake/src/demo/deployment/mod.rs
@@ -1,4 +1,4 @@
-//! A deployment's processes and their settings.
+//! A deployment of the system and the stand-ins as child processes.
 
 mod commands;
 mod options;
@@ -11,121 +11,127 @@
 use std::path::{Path, PathBuf};
 
 use super::DemoError;
-use super::children::{Programs, Running};
-use super::folder::Folder;
-use super::ports::Block;
+use super::child_process::{ChildProcess, ProgramDirectory};
+use super::directory::TempDirectory;
+use super::ports::PortBlock;
 
-pub use commands::Said;
+pub use commands::CommandOutput;
 pub use options::DeploymentOptions;
 
-/// Control listeners of the stand-ins, on which faults can be switched while the
-/// deployment runs.
+/// Addresses of the stand-ins' control listeners, which set faults while the deployment
+/// runs. Written to `controls.json`.
 #[derive(Debug, Serialize)]
-pub struct Controls {
-    /// The platform's.
+pub struct ControlAddresses {
+    /// Platform.
     pub platform: SocketAddr,
-    /// The weight store's.
+    /// Weight store, if there is one.
     pub store: Option<SocketAddr>,
-    /// The engines', in the order of their agents' names.
+    /// Engines, in the order of their agents' ids.
     pub engines: Vec<SocketAddr>,
-    /// The plain services', in the order of their agents' names.
+    /// Plain services, in the order of their agents' ids.
     pub services: Vec<SocketAddr>,
 }
 
-/// One process of the system.
+/// A process of the system, with what is needed to restart it.
 #[derive(Debug)]
 struct Process {
-    running: Running,
+    child: ChildProcess,
     program: PathBuf,
     settings: PathBuf,
 }
 
-/// A running deployment; dropping it ends its processes and its folder.
+/// A running deployment. Dropping it kills its processes and removes its directory.
 #[derive(Debug)]
 pub struct Deployment {
     options: DeploymentOptions,
-    programs: Programs,
+    programs: ProgramDirectory,
     platform: SocketAddr,
-    engines: Vec<SocketAddr>,
-    callers: Vec<SocketAddr>,
-    operators: BTreeMap<String, SocketAddr>,
-    controls: Controls,
-    system: BTreeMap<String, Process>,
-    fakes: BTreeMap<String, Running>,
-    folder: Folder,
-    ports: Block,
+    engine_addresses: Vec<SocketAddr>,
+    entry_addresses: Vec<SocketAddr>,
+    operator_addresses: BTreeMap<String, SocketAddr>,
+    control_addresses: ControlAddresses,
+    system_processes: BTreeMap<String, Process>,
+    stand_ins: BTreeMap<String, ChildProcess>,
+    directory: TempDirectory,
+    ports: PortBlock,
 }
 
 impl Deployment {
-    /// Starts every process; nothing is published yet.
+    /// Starts all processes, without publishing a fleet configuration.
     ///
     /// # Errors
     ///
-    /// Programs are missing, or one did not start.
+    /// Returns an error if programs are missing or one fails to start.
     pub fn start(options: DeploymentOptions) -> Result<Self, DemoError> {
-        let programs = Programs::find()?;
-        let folder = Folder::new(options.keep)?;
+        let programs = ProgramDirectory::find()?;
+        let directory = TempDirectory::new(options.keep_directory)?;
         let program = programs.path("fake-platform");
-        let none: [&str; 0] = [];
-        let (child, platform, control) =
-            Running::start_fake(&program, "platform", &none, &folder.path)?;
+        let no_arguments: [&str; 0] = [];
+        let (child, platform, control) = ChildProcess::start_stand_in(
+            &program,
+            "platform",
+            &no_arguments,
+            &directory.path,
+        )?;
         let mut deployment = Self {
             programs,
             platform,
-            engines: Vec::new(),
-            callers: Vec::new(),
-            operators: BTreeMap::new(),
-            controls: Controls {
+            engine_addresses: Vec::new(),
+            entry_addresses: Vec::new(),
+            operator_addresses: BTreeMap::new(),
+            control_addresses: ControlAddresses {
                 platform: control,
                 store: None,
                 engines: Vec::new(),
                 services: Vec::new(),
             },
-            system: BTreeMap::new(),
-            fakes: BTreeMap::from([("platform".to_owned(), child)]),
-            folder,
-            ports: Block::take()?,
+            system_processes: BTreeMap::new(),
+            stand_ins: BTreeMap::from([("platform".to_owned(), child)]),
+            directory,
+            ports: PortBlock::acquire()?,
             options,
         };
         deployment.start_all()?;
         Ok(deployment)
     }
 
-    /// Process ids of the system and of the stand-ins, by name.
+    /// Returns the process ids of the system and the stand-ins, by name.
     pub fn pids(&self) -> BTreeMap<String, u32> {
-        let system = self.system.iter().map(|(id, one)| (id, &one.running));
-        let all = system.chain(self.fakes.iter());
-        all.map(|(id, running)| (id.clone(), running.pid()))
-            .collect()
+        let system = self
+            .system_processes
+            .iter()
+            .map(|(id, process)| (id, &process.child));
+        let all = system.chain(self.stand_ins.iter());
+        all.map(|(id, child)| (id.clone(), child.pid())).collect()
     }
 
-    /// Callers' listeners of the entries, in the order of their names.
-    pub fn callers(&self) -> Vec<SocketAddr> {
-        self.callers.clone()
+    /// Returns the entries' caller listeners, in the order of the entries' ids.
+    pub fn entry_addresses(&self) -> Vec<SocketAddr> {
+        self.entry_addresses.clone()
     }
 
-    /// The engines, in the order of their agents' names.
-    pub fn engines(&self) -> Vec<SocketAddr> {
-        self.engines.clone()
+    /// Returns the engines' API listeners, in the order of their agents' ids.
+    pub fn engine_addresses(&self) -> Vec<SocketAddr> {
+        self.engine_addresses.clone()
     }
 
-    /// Operators' listeners by process.
-    pub const fn operators(&self) -> &BTreeMap<String, SocketAddr> {
-        &self.operators
+    /// Returns the operator listeners, by the id of the process in its settings.
+    pub const fn operator_addresses(&self) -> &BTreeMap<String, SocketAddr> {
+        &self.operator_addresses
     }
 
-    /// Control listeners of the stand-ins.
-    pub const fn controls(&self) -> &Controls {
-        &self.controls
+    /// Returns the control listeners of the stand-ins.
+    pub const fn control_addresses(&self) -> &ControlAddresses {
+        &self.control_addresses
     }
 
-    /// Folder with settings, logs and the stand-ins' control addresses.
-    pub fn folder(&self) -> &Path {
-        &self.folder.path
+    /// Returns the directory with settings, logs and `controls.json`.
+    pub fn directory(&self) -> &Path {
+        &self.directory.path
     }
 
-    /// Leaves the folder with settings and logs in place.
-    pub fn keep_folder(&mut self) {
-        self.folder.keep = true;
+    /// Keeps the directory with settings and logs when the deployment is dropped.
+    pub fn keep_directory(&mut self) {
+        self.directory.keep = true;
     }
 }
--- a/crates/fake/src/demo/deployment/options.rs
+++ b/crates/fake/src/demo/deployment/options.rs
@@ -1,22 +1,23 @@
-//! What a deployment is made of.
+//! Options of a deployment.
 
-/// What a deployment is made of.
+/// Size and other options of a deployment.
 #[derive(Debug, Clone)]
 pub struct DeploymentOptions {
-    /// Engines with an agent each, in the pool `oracle`: `oracle-01` and on.
+    /// Number of engines, each with an agent: `oracle-01`, … in the pool `oracle`.
     pub engines: usize,
-    /// Plain services with an agent each, in the pool `deskapp`.
+    /// Number of plain services, each with an agent: `deskapp-01`, … in the pool
+    /// `deskapp`.
     pub services: usize,
-    /// Entries: `entry-1` and on.
+    /// Number of entries: `entry-1`, …
     pub entries: usize,
-    /// Further arguments of each engine.
+    /// Additional command-line arguments of each engine.
     pub engine_arguments: Vec<String>,
-    /// Whether weights come from a weight store, not after a fixed time.
-    pub store: bool,
-    /// Runtime threads of an entry.
-    pub entry_threads: u32,
-    /// Leave the folder with settings and logs in place.
-    pub keep: bool,
+    /// Whether engines load weights from a weight store, instead of after a fixed time.
+    pub use_weight_store: bool,
+    /// Worker threads of each entry's runtime.
+    pub entry_worker_threads: u32,
+    /// Whether to keep the directory with settings and logs.
+    pub keep_directory: bool,
 }
 
 impl Default for DeploymentOptions {
@@ -26,9 +27,9 @@
             services: 3,
             entries: 2,
             engine_arguments: vec!["--check-fencing".to_owned()],
-            store: true,
-            entry_threads: 4,
-            keep: false,
+            use_weight_store: true,
+            entry_worker_threads: 4,
+            keep_directory: false,
         }
     }
 }
--- a/crates/fake/src/demo/deployment/processes.rs
+++ b/crates/fake/src/demo/deployment/processes.rs
@@ -1,4 +1,4 @@
-//! The ends, restarts and readiness of a deployment's processes.
+//! Readiness, signals, restarts and shutdown of a deployment's processes.
 
 use nix::sys::signal::Signal;
 use std::process::ExitStatus;
@@ -7,28 +7,31 @@
 
 use super::Deployment;
 use crate::demo::DemoError;
-use crate::demo::children::{Running, stop};
-use crate::demo::probe::Probe;
+use crate::demo::child_process::{ChildProcess, stop_all};
+use crate::demo::probe::ProbeClient;
 
-/// How long the processes may take to become ready.
+/// Time that the processes may take to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(60);
-const READY_POLL: Duration = Duration::from_millis(50);
+
+/// Interval at which readiness and exit are polled.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 impl Deployment {
-    /// Starts a process of the system that has ended once more, with its
-    /// settings and ports.
+    /// Restarts a process of the system that has exited, with the same settings and
+    /// ports.
     ///
     /// # Errors
     ///
-    /// There is no such process, or it does not start.
+    /// Returns an error if there is no such process or it can't be started.
     pub fn restart(&mut self, id: &str) -> Result<(), DemoError> {
-        let process = self.system.get_mut(id);
-        let process = process.ok_or_else(|| DemoError::NoProcess(id.to_owned()))?;
-        process.running = Running::start_system(
+        let process = self.system_processes.get_mut(id);
+        let process =
+            process.ok_or_else(|| DemoError::UnknownProcess(id.to_owned()))?;
+        process.child = ChildProcess::start_system(
             &process.program,
             id,
             &process.settings,
-            &self.folder.path,
+            &self.directory.path,
         )?;
         Ok(())
     }
@@ -37,77 +40,77 @@
     ///
     /// # Errors
     ///
-    /// There is no such process.
+    /// Returns an error if there is no such process.
     pub fn signal(&self, id: &str, signal: Signal) -> Result<(), DemoError> {
-        let process = self.system.get(id);
-        let process = process.ok_or_else(|| DemoError::NoProcess(id.to_owned()))?;
-        process.running.signal(signal);
+        let process = self.system_processes.get(id);
+        let process =
+            process.ok_or_else(|| DemoError::UnknownProcess(id.to_owned()))?;
+        process.child.signal(signal);
         Ok(())
     }
 
-    /// Waits until a process of the system has ended by itself.
+    /// Waits until a process of the system has exited.
     ///
     /// # Errors
     ///
-    /// It still runs after the time given, or there is no such process.
-    pub async fn until_ended(
+    /// Returns an error if it still runs after `timeout` or there is no such process.
+    pub async fn wait_exited(
         &mut self,
         id: &str,
-        bound: Duration,
+        timeout: Duration,
     ) -> Result<ExitStatus, DemoError> {
-        let process = self.system.get_mut(id);
-        let process = process.ok_or_else(|| DemoError::NoProcess(id.to_owned()))?;
-        let until = Instant::now() + bound;
+        let process = self.system_processes.get_mut(id);
+        let process =
+            process.ok_or_else(|| DemoError::UnknownProcess(id.to_owned()))?;
+        let deadline = Instant::now() + timeout;
         loop {
-            if let Some(status) = process.running.ended() {
+            if let Some(status) = process.child.try_wait() {
                 return Ok(status);
             }
-            if Instant::now() >= until {
-                return Err(DemoError::StillRuns(id.to_owned()));
+            if Instant::now() >= deadline {
+                return Err(DemoError::ExitTimeout(id.to_owned()));
             }
-            tokio::time::sleep(READY_POLL).await;
+            tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
     }
 
-    /// Waits until every process says that it is ready.
+    /// Waits until `/readyz` of every process of the system returns 200.
     ///
     /// # Errors
     ///
-    /// Some are not ready after a minute.
-    pub async fn until_ready(&self) -> Result<(), DemoError> {
-        let probe = Probe::new();
-        let until = Instant::now() + READY_TIMEOUT;
+    /// Returns an error if some are not ready after [`READY_TIMEOUT`].
+    pub async fn wait_ready(&self) -> Result<(), DemoError> {
+        let probe = ProbeClient::new();
+        let deadline = Instant::now() + READY_TIMEOUT;
         loop {
             let mut waiting = Vec::new();
-            for (name, address) in &self.operators {
-                let answer = probe.get(*address, "/readyz").await;
-                if answer.is_none_or(|(status, _)| status != 200) {
+            for (name, address) in &self.operator_addresses {
+                let response = probe.get(*address, "/readyz").await;
+                if response.is_none_or(|(status, _)| status != 200) {
                     waiting.push(name.clone());
                 }
             }
             if waiting.is_empty() {
                 return Ok(());
             }
-            if Instant::now() >= until {
-                return Err(DemoError::NotReady(waiting, self.folder.path.clone()));
+            if Instant::now() >= deadline {
+                return Err(DemoError::ReadyTimeout(
+                    waiting,
+                    self.directory.path.clone(),
+                ));
             }
-            tokio::time::sleep(READY_POLL).await;
+            tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
     }
 
-    /// Ends every process in good order: the system drains, then the stand-ins
-    /// that it needs for that end.
+    /// Stops all processes gracefully. The system is drained first, since it needs the
+    /// stand-ins for that.
     pub fn stop(mut self) {
-        let system = std::mem::take(&mut self.system);
-        stop(
-            system
-                .into_values()
-                .map(|process| process.running)
-                .collect(),
-        );
-        stop(std::mem::take(&mut self.fakes).into_values().collect());
-        if self.folder.keep {
-            println!("settings and logs are in {}", self.folder.path.display());
+        let system = std::mem::take(&mut self.system_processes);
+        stop_all(system.into_values().map(|process| process.child).collect());
+        stop_all(std::mem::take(&mut self.stand_ins).into_values().collect());
+        if self.directory.keep {
+            println!("settings and logs are in {}", self.directory.path.display());
         }
     }
 }
--- a/crates/fake/src/demo/ports.rs
+++ b/crates/fake/src/demo/ports.rs
@@ -1,4 +1,4 @@
-//! Loopback ports for processes that are started, stopped and started again.
+//! Loopback ports for processes that may be restarted on the same ports.
 
 use std::fs::{self, File};
 use std::io;
@@ -6,48 +6,48 @@
 
 use super::DemoError;
 
-/// Ports are taken in blocks from here on.
+/// First port of the first block.
 ///
-/// The kernel gives ports from 32768 on to outgoing connections. A port of that
-/// range, once let go here, would now and then be taken by a connection of a
-/// process that was started before the one that is to listen on it, and that
-/// one would not start. Ports below the range are taken only by listeners.
+/// All blocks lie below 32768, where the kernel's range of ports for outgoing
+/// connections begins. A port in that range could be taken by an outgoing connection
+/// between its release here and the start of the process that is to listen on it, which
+/// would then fail to start.
 const FIRST_PORT: u16 = 20_000;
-const PORTS_EACH: u16 = 100;
-const BLOCKS: u16 = 120;
+const PORTS_PER_BLOCK: u16 = 100;
+const BLOCK_COUNT: u16 = 120;
 
-/// Loopback ports that one process listens on.
+/// Loopback addresses that one process listens on.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Listeners {
+pub(super) struct ListenAddresses {
     pub(super) caller: SocketAddr,
     pub(super) link: SocketAddr,
     pub(super) operator: SocketAddr,
 }
 
-/// A block of ports that no other deployment on this machine takes.
+/// A block of ports that no other deployment on this machine uses.
 ///
-/// Between the choice of a port and the start of its process the port is free.
-/// Two deployments that started at once would choose the same, and processes of
-/// one would not start. A lock on a file stands for the block; the kernel frees
-/// it with the last handle, also when the process is killed.
+/// A port is free between its selection and the start of its process. Without the
+/// block, two deployments started at the same time could select the same port, and a
+/// process of one would fail to start. A file lock reserves the block; the kernel
+/// releases it with the last file handle, even if the process is killed.
 #[derive(Debug)]
-pub(super) struct Block {
-    first: u16,
+pub(super) struct PortBlock {
+    first_port: u16,
     _lock: File,
 }
 
-impl Block {
-    /// Takes the first block that nobody holds.
-    pub(super) fn take() -> Result<Self, DemoError> {
-        let error = |error| DemoError::Io("no block of ports", error);
-        let folder = std::env::temp_dir().join("sesame-ports");
-        fs::create_dir_all(&folder).map_err(error)?;
-        for block in 0..BLOCKS {
-            let name = folder.join(block.to_string());
+impl PortBlock {
+    /// Reserves the first block that is not locked.
+    pub(super) fn acquire() -> Result<Self, DemoError> {
+        let error = |error| DemoError::Io("reserving a block of ports", error);
+        let directory = std::env::temp_dir().join("sesame-ports");
+        fs::create_dir_all(&directory).map_err(error)?;
+        for block in 0..BLOCK_COUNT {
+            let name = directory.join(block.to_string());
             let lock = File::create(name).map_err(error)?;
             if lock.try_lock().is_ok() {
                 return Ok(Self {
-                    first: FIRST_PORT + block * PORTS_EACH,
+                    first_port: FIRST_PORT + block * PORTS_PER_BLOCK,
                     _lock: lock,
                 });
             }
@@ -55,28 +55,31 @@
         Err(error(io::Error::from(io::ErrorKind::AddrInUse)))
     }
 
-    /// Ports of the block on which nobody else listens.
-    pub(super) fn listeners(&self, count: usize) -> Result<Vec<Listeners>, DemoError> {
-        let error = |error| DemoError::Io("no free port", error);
-        let mut held = Vec::new();
-        for port in self.first..self.first + PORTS_EACH {
-            if held.len() < count * 3 {
-                held.extend(TcpListener::bind((Ipv4Addr::LOCALHOST, port)));
+    /// Returns `count` sets of addresses from the block on which nothing listens.
+    pub(super) fn listen_addresses(
+        &self,
+        count: usize,
+    ) -> Result<Vec<ListenAddresses>, DemoError> {
+        let error = |error| DemoError::Io("finding free ports", error);
+        let mut bound = Vec::new();
+        for port in self.first_port..self.first_port + PORTS_PER_BLOCK {
+            if bound.len() < count * 3 {
+                bound.extend(TcpListener::bind((Ipv4Addr::LOCALHOST, port)));
             }
         }
         let addresses: Result<Vec<_>, _> =
-            held.iter().map(TcpListener::local_addr).collect();
-        let listeners: Vec<_> = addresses
+            bound.iter().map(TcpListener::local_addr).collect();
+        let listen_addresses: Vec<_> = addresses
             .map_err(error)?
             .chunks_exact(3)
-            .map(|three| Listeners {
-                caller: three[0],
-                link: three[1],
-                operator: three[2],
+            .map(|triple| ListenAddresses {
+                caller: triple[0],
+                link: triple[1],
+                operator: triple[2],
             })
             .collect();
-        if listeners.len() == count {
-            return Ok(listeners);
+        if listen_addresses.len() == count {
+            return Ok(listen_addresses);
         }
         Err(error(io::Error::from(io::ErrorKind::AddrInUse)))
     }
--- a/crates/fake/src/demo/summary.rs
+++ b/crates/fake/src/demo/summary.rs
@@ -1,58 +1,61 @@
-//! What the processes counted, beside what the driver saw.
+//! Summary of the counters of all processes, beside the load generator's report.
 
 use serde::de::DeserializeOwned;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use super::deployment::Deployment;
-use super::probe::Probe;
+use super::probe::ProbeClient;
 use crate::{engine, service};
 
-/// Totals over all processes.
+/// Counters summed over all processes.
 #[derive(Debug, Default)]
 pub(super) struct Totals {
-    /// Loads and unloads that the agents saw done.
+    /// Loads and unloads that the agents saw complete.
     loads: u64,
     unloads: u64,
-    /// Runs and tokens at the engines.
+    /// Runs and tokens that the engines counted.
     runs: u64,
     tokens: u64,
     cached_tokens: u64,
     prefilled_tokens: u64,
-    /// What must not be.
+    /// Loads that exceeded an accelerator's memory; must be 0.
     overcommits: u64,
-    calls: u64,
-    /// Runs by idempotency key: a call sent twice may run at two services.
+    /// Requests that ran at the plain services.
+    service_requests: u64,
+    /// Runs by idempotency key, summed because a request sent twice may run at two
+    /// services.
     runs_by_key: BTreeMap<String, u64>,
-    /// Processes that did not answer.
-    silent: u64,
+    /// Processes that did not respond.
+    unresponsive: u64,
 }
 
 impl Totals {
-    /// Reads every process once.
+    /// Reads the counters of every process once.
     pub(super) async fn read(deployment: &Deployment) -> Self {
-        let probe = Probe::new();
+        let probe = ProbeClient::new();
         let mut totals = Self::default();
-        for (name, address) in deployment.operators() {
+        for (name, address) in deployment.operator_addresses() {
             match probe.get(*address, "/metrics").await {
                 Some((200, text)) if !name.starts_with("entry") => {
-                    totals.loads += counter(&text, "sesame_agent_loads_total");
-                    totals.unloads += counter(&text, "sesame_agent_unloads_total");
+                    totals.loads += parse_counter(&text, "sesame_agent_loads_total");
+                    totals.unloads +=
+                        parse_counter(&text, "sesame_agent_unloads_total");
                 }
                 Some(_) => {}
-                None => totals.silent += 1,
+                None => totals.unresponsive += 1,
             }
         }
-        for address in &deployment.controls().engines {
-            match counts::<engine::Counts>(&probe, *address).await {
+        for address in &deployment.control_addresses().engines {
+            match fetch_counts::<engine::Counts>(&probe, *address).await {
                 Some(counts) => totals.add_engine(&counts),
-                None => totals.silent += 1,
+                None => totals.unresponsive += 1,
             }
         }
-        for address in &deployment.controls().services {
-            match counts::<service::Counts>(&probe, *address).await {
+        for address in &deployment.control_addresses().services {
+            match fetch_counts::<service::Counts>(&probe, *address).await {
                 Some(counts) => totals.add_service(&counts),
-                None => totals.silent += 1,
+                None => totals.unresponsive += 1,
             }
         }
         totals
@@ -67,23 +70,23 @@
     }
 
     fn add_service(&mut self, counts: &service::Counts) {
-        self.calls += counts.runs;
+        self.service_requests += counts.runs;
         for (key, runs) in &counts.by_key {
             *self.runs_by_key.entry(key.clone()).or_default() += runs;
         }
     }
 
-    fn doubled_calls(&self) -> usize {
-        let doubled = self.runs_by_key.values().filter(|runs| **runs > 1);
-        doubled.count()
+    fn repeated_requests(&self) -> usize {
+        let repeated = self.runs_by_key.values().filter(|runs| **runs > 1);
+        repeated.count()
     }
 
-    /// Whether nothing happened that must not.
-    pub(super) fn promises_held(&self) -> bool {
-        self.overcommits == 0 && self.doubled_calls() == 0 && self.silent == 0
+    /// Returns whether no counter shows a violation and every process responded.
+    pub(super) fn no_violations(&self) -> bool {
+        self.overcommits == 0 && self.repeated_requests() == 0 && self.unresponsive == 0
     }
 
-    /// The totals for people.
+    /// Formats the totals for the terminal.
     pub(super) fn table(&self) -> String {
         let Self {
             loads,
@@ -101,19 +104,22 @@
              service calls: {}, run twice: {} (must be 0)\n\
              processes without an answer: {} (must be 0)\n",
             self.overcommits,
-            self.calls,
-            self.doubled_calls(),
-            self.silent
+            self.service_requests,
+            self.repeated_requests(),
+            self.unresponsive
         )
     }
 }
 
-async fn counts<T: DeserializeOwned>(probe: &Probe, control: SocketAddr) -> Option<T> {
-    probe.json(control, "/control/counts").await
+async fn fetch_counts<T: DeserializeOwned>(
+    probe: &ProbeClient,
+    control: SocketAddr,
+) -> Option<T> {
+    probe.get_json(control, "/control/counts").await
 }
 
-/// One counter of a metrics page; 0 if it is not there.
-fn counter(metrics: &str, name: &str) -> u64 {
+/// Returns a counter without labels from a metrics page, or 0 if it is missing.
+fn parse_counter(metrics: &str, name: &str) -> u64 {
     let value = metrics.lines().find_map(|line| {
         let (found, value) = line.split_once(' ')?;
         (found == name).then(|| value.trim().parse::<f64>().ok())?
--- a/crates/fake/src/handle.rs
+++ b/crates/fake/src/handle.rs
@@ -1,4 +1,4 @@
-//! A running stand-in and its control listener.
+//! A running stand-in, with its protocol listener and its control listener.
 
 use hyper::body::Incoming;
 use hyper::{Method, Request, StatusCode};
@@ -12,57 +12,58 @@
 use std::sync::Arc;
 use tokio::task::JoinSet;
 
-use crate::http::{self, Answer, Cutter, Server};
+use crate::http::{self, ConnectionCloser, ResponseResult, Server};
 
-/// Largest body the control listener reads.
-const CONTROL_MAX_BYTES: usize = 64 << 10;
+/// Maximum size of a request body on the control listener.
+const CONTROL_BODY_MAX_BYTES: usize = 64 << 10;
 
-/// Loopback with a port chosen by the kernel.
+/// Loopback address whose port the kernel chooses.
 pub const ANY_PORT: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// Behaviour of one kind of stand-in.
+/// Protocol, faults and counters of one kind of stand-in.
 pub(crate) trait StandIn: Send + Sync + 'static {
-    /// Faults that can be switched on.
+    /// Faults that can be injected.
     type Faults: Serialize + DeserializeOwned + Send;
-    /// What it counts.
+    /// Counters that it keeps.
     type Counts: Serialize;
 
-    /// Serves one request of the protocol.
-    fn call(
+    /// Handles one request on the protocol listener.
+    fn handle_request(
         self: Arc<Self>,
         request: Request<Incoming>,
-    ) -> Pin<Box<dyn Future<Output = Answer> + Send>>;
-    /// Replaces the faults in force.
+    ) -> Pin<Box<dyn Future<Output = ResponseResult> + Send>>;
+    /// Replaces the active faults.
     fn set_faults(&self, faults: Self::Faults);
-    /// The faults in force, with what is left of those that count down.
+    /// Returns the active faults; limited ones hold their remaining number.
     fn faults(&self) -> Self::Faults;
-    /// What was counted since the start.
+    /// Returns the counters since the start.
     fn counts(&self) -> Self::Counts;
-    /// Does what `POST /control/<name>` asks; false if it knows no such command.
-    fn command(self: Arc<Self>, _name: &str) -> bool {
+    /// Runs the command of `POST /control/<name>`; returns false if it is unknown.
+    fn run_command(self: Arc<Self>, _name: &str) -> bool {
         false
     }
 }
 
-/// A running stand-in; dropping it ends its listeners, connections and tasks.
+/// A running stand-in. Dropping it closes its listeners and connections and aborts
+/// its tasks.
 #[derive(Debug)]
 pub struct Handle<S> {
-    /// Where the protocol is served.
+    /// Address of the protocol listener.
     pub address: SocketAddr,
-    /// Where faults are switched and counts are read.
+    /// Address of the control listener.
     pub control: SocketAddr,
     pub(crate) stand_in: Arc<S>,
     _servers: [Server; 2],
-    _tasks: TaskGuard,
+    _tasks: AbortOnDrop,
 }
 
-/// Tasks that end when the handle that owns them is dropped.
+/// Background tasks of a stand-in, aborted when its [`Handle`] is dropped.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Tasks(Arc<Mutex<JoinSet<()>>>);
+pub(crate) struct TaskSet(Arc<Mutex<JoinSet<()>>>);
 
-impl Tasks {
-    /// Starts a task.
+impl TaskSet {
+    /// Spawns a task and discards the finished ones.
     pub(crate) fn spawn<F>(&self, task: F)
     where
         F: Future<Output = ()> + Send + 'static,
@@ -73,11 +74,12 @@
     }
 }
 
-/// Ends all tasks when dropped; the stand-in's own copies don't.
+/// Aborts all tasks when dropped. The stand-in holds clones of the set, whose drop
+/// aborts nothing.
 #[derive(Debug)]
-struct TaskGuard(Tasks);
+struct AbortOnDrop(TaskSet);
 
-impl Drop for TaskGuard {
+impl Drop for AbortOnDrop {
     fn drop(&mut self) {
         self.0.0.lock().abort_all();
     }
@@ -88,37 +90,38 @@
     stand_in: Arc<S>,
     listen: SocketAddr,
     control: SocketAddr,
-    cutter: Cutter,
-    tasks: Tasks,
+    connection_closer: ConnectionCloser,
+    tasks: TaskSet,
 ) -> io::Result<Handle<S>> {
     let shared = Arc::clone(&stand_in);
-    let protocol = Server::start(listen, cutter, move |request| {
-        Arc::clone(&shared).call(request)
+    let protocol_server = Server::start(listen, connection_closer, move |request| {
+        Arc::clone(&shared).handle_request(request)
     })
     .await?;
     let shared = Arc::clone(&stand_in);
-    let controls = Server::start(control, Cutter::default(), move |request| {
-        serve_control(Arc::clone(&shared), request)
-    })
-    .await?;
+    let control_server =
+        Server::start(control, ConnectionCloser::default(), move |request| {
+            serve_control(Arc::clone(&shared), request)
+        })
+        .await?;
     Ok(Handle {
-        address: protocol.address,
-        control: controls.address,
+        address: protocol_server.address,
+        control: control_server.address,
         stand_in,
-        _servers: [protocol, controls],
-        _tasks: TaskGuard(tasks),
+        _servers: [protocol_server, control_server],
+        _tasks: AbortOnDrop(tasks),
     })
 }
 
 macro_rules! handle_methods {
     ($stand_in:ty, $faults:ty, $counts:ty) => {
         impl crate::Handle<$stand_in> {
-            /// Replaces the faults in force.
+            /// Replaces the active faults.
             pub fn set_faults(&self, faults: $faults) {
                 crate::handle::StandIn::set_faults(&*self.stand_in, faults);
             }
 
-            /// What was counted since the start.
+            /// Returns the counters since the start.
             pub fn counts(&self) -> $counts {
                 crate::handle::StandIn::counts(&*self.stand_in)
             }
@@ -127,35 +130,39 @@
 }
 pub(crate) use handle_methods;
 
-/// `PUT /control/faults` replaces the faults, `GET /control/faults` and
-/// `GET /control/counts` read, `POST /control/<command>` gives a command.
+/// Serves the control listener: `PUT /control/faults` replaces the faults,
+/// `GET /control/faults` and `GET /control/counts` return faults and counters, and
+/// `POST /control/<command>` runs a command.
 async fn serve_control<S: StandIn>(
     stand_in: Arc<S>,
     request: Request<Incoming>,
-) -> Answer {
+) -> ResponseResult {
     let path = request.uri().path().to_owned();
     match (request.method(), path.as_str()) {
         (&Method::GET, "/control/counts") => {
-            Ok(http::json(StatusCode::OK, &stand_in.counts()))
+            Ok(http::json_response(StatusCode::OK, &stand_in.counts()))
         }
         (&Method::GET, "/control/faults") => {
-            Ok(http::json(StatusCode::OK, &stand_in.faults()))
+            Ok(http::json_response(StatusCode::OK, &stand_in.faults()))
         }
         (&Method::PUT, "/control/faults") => {
-            match http::read_json(request, CONTROL_MAX_BYTES).await? {
+            match http::read_json(request, CONTROL_BODY_MAX_BYTES).await? {
                 Ok(faults) => stand_in.set_faults(faults),
-                Err(answer) => return Ok(answer),
+                Err(response) => return Ok(response),
             }
-            Ok(http::text(StatusCode::OK, ""))
+            Ok(http::text_response(StatusCode::OK, ""))
         }
         (&Method::POST, path) => {
             let name = path.strip_prefix("/control/").unwrap_or_default();
-            Ok(if stand_in.command(name) {
-                http::text(StatusCode::OK, "")
+            Ok(if stand_in.run_command(name) {
+                http::text_response(StatusCode::OK, "")
             } else {
-                http::text(StatusCode::NOT_FOUND, "no such control")
+                http::text_response(StatusCode::NOT_FOUND, "no such control")
             })
         }
-        _ => Ok(http::text(StatusCode::NOT_FOUND, "no such control")),
+        _ => Ok(http::text_response(
+            StatusCode::NOT_FOUND,
+            "no such control",
+        )),
     }
 }
--- a/crates/fake/src/http.rs
+++ b/crates/fake/src/http.rs
@@ -1,8 +1,8 @@
-//! HTTP/1.1 plumbing that the stand-ins share.
+//! HTTP/1.1 server and helpers that the stand-ins share.
 //!
-//! A [`Server`] owns its listener and every connection: dropping it ends them
-//! all, and [`Cutter::cut`] closes the open connections without an answer, which
-//! is how the stand-ins play a crash.
+//! A [`Server`] owns its listener and all its connections and closes them when it is
+//! dropped. [`ConnectionCloser::close_all`] closes the open connections without a
+//! response; the stand-ins use it to simulate a crash.
 
 use bytes::Bytes;
 use http_body_util::combinators::BoxBody;
@@ -22,51 +22,53 @@
 use tokio::sync::Notify;
 use tokio::task::{AbortHandle, JoinSet};
 
-/// Body of an answer.
+/// Body of a response.
 pub(crate) type Body = BoxBody<Bytes, io::Error>;
 
-/// An answer, or the connection is closed without one.
-pub(crate) type Answer = Result<Response<Body>, Cut>;
+/// Result of handling a request: a response, or an order to close the connection
+/// without one.
+pub(crate) type ResponseResult = Result<Response<Body>, ConnectionAborted>;
 
-/// The connection is closed without an answer.
+/// Error that closes the connection without a response.
 #[derive(Debug)]
-pub(crate) struct Cut;
+pub(crate) struct ConnectionAborted;
 
-impl std::fmt::Display for Cut {
+impl std::fmt::Display for ConnectionAborted {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("connection closed without an answer")
+        f.write_str("connection closed without a response")
     }
 }
 
-impl std::error::Error for Cut {}
+impl std::error::Error for ConnectionAborted {}
 
-/// Closes the connections of one server.
+/// Closes or rejects the connections of one server.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Cutter {
-    now: Arc<Notify>,
-    away: Arc<AtomicBool>,
+pub(crate) struct ConnectionCloser {
+    close_signal: Arc<Notify>,
+    rejecting: Arc<AtomicBool>,
 }
 
-impl Cutter {
+impl ConnectionCloser {
     /// Closes every open connection.
-    pub(crate) fn cut(&self) {
-        self.now.notify_one();
+    pub(crate) fn close_all(&self) {
+        self.close_signal.notify_one();
     }
 
-    /// While away, a new connection is closed at once.
-    pub(crate) fn set_away(&self, away: bool) {
-        self.away.store(away, Ordering::SeqCst);
-        if away {
-            self.cut();
+    /// While `rejecting` is set, new connections are closed as soon as they are accepted.
+    /// Setting it also closes the open ones.
+    pub(crate) fn set_rejecting(&self, rejecting: bool) {
+        self.rejecting.store(rejecting, Ordering::SeqCst);
+        if rejecting {
+            self.close_all();
         }
     }
 
-    fn is_away(&self) -> bool {
-        self.away.load(Ordering::SeqCst)
+    fn is_rejecting(&self) -> bool {
+        self.rejecting.load(Ordering::SeqCst)
     }
 }
 
-/// A listener with its connections; dropping it ends them.
+/// A listener and its connections, all closed when it is dropped.
 #[derive(Debug)]
 pub(crate) struct Server {
     pub(crate) address: SocketAddr,
@@ -74,19 +76,21 @@
 }
 
 impl Server {
-    /// Binds `listen` and serves each request with `call`.
+    /// Binds `listen` and passes each request to `handler`.
     pub(crate) async fn start<C, F>(
         listen: SocketAddr,
-        cutter: Cutter,
-        call: C,
+        connection_closer: ConnectionCloser,
+        handler: C,
     ) -> io::Result<Self>
     where
         C: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
-        F: Future<Output = Answer> + Send + 'static,
+        F: Future<Output = ResponseResult> + Send + 'static,
     {
         let listener = TcpListener::bind(listen).await?;
         let address = listener.local_addr()?;
-        let task = tokio::spawn(accept(listener, cutter, call)).abort_handle();
+        let task =
+            tokio::spawn(accept_connections(listener, connection_closer, handler))
+                .abort_handle();
         Ok(Self { address, task })
     }
 }
@@ -97,150 +101,163 @@
     }
 }
 
-async fn accept<C, F>(listener: TcpListener, cutter: Cutter, call: C)
-where
+async fn accept_connections<C, F>(
+    listener: TcpListener,
+    connection_closer: ConnectionCloser,
+    handler: C,
+) where
     C: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
-    F: Future<Output = Answer> + Send + 'static,
+    F: Future<Output = ResponseResult> + Send + 'static,
 {
-    // Aborting this task drops the set, and with it every connection.
+    // Aborting this task drops the set, which aborts every connection.
     let mut connections = JoinSet::new();
     loop {
         tokio::select! {
             biased;
-            () = cutter.now.notified() => connections.abort_all(),
+            () = connection_closer.close_signal.notified() => connections.abort_all(),
             Some(_) = connections.join_next(), if !connections.is_empty() => {}
             accepted = listener.accept() => match accepted {
-                Ok((stream, _)) if !cutter.is_away() => {
-                    connections.spawn(connection(stream, call.clone()));
+                Ok((stream, _)) if !connection_closer.is_rejecting() => {
+                    connections.spawn(serve_connection(stream, handler.clone()));
                 }
                 Ok(_) => {}
-                // Out of file descriptors: wait for connections to end.
-                Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+                // Probably out of file descriptors; connections that end free some.
+                Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
             },
         }
     }
 }
 
-const ACCEPT_PAUSE: std::time::Duration = std::time::Duration::from_millis(10);
+/// Delay before the next attempt after `accept` failed.
+const ACCEPT_RETRY_DELAY: std::time::Duration = std::time::Duration::from_millis(10);
 
-async fn connection<C, F>(stream: TcpStream, call: C)
+async fn serve_connection<C, F>(stream: TcpStream, handler: C)
 where
     C: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
-    F: Future<Output = Answer> + Send + 'static,
+    F: Future<Output = ResponseResult> + Send + 'static,
 {
-    // Tokens are small writes: without this they would wait for one another.
+    // Each token is a small write, which Nagle's algorithm would delay.
     let _ = stream.set_nodelay(true);
-    // An error here is a peer that went away or a cut; both end the connection.
+    // Fails if the peer disconnects or the handler aborts the connection. The
+    // connection ends in either case.
     let _ = hyper::server::conn::http1::Builder::new()
-        .serve_connection(TokioIo::new(stream), service_fn(call))
+        .serve_connection(TokioIo::new(stream), service_fn(handler))
         .await;
 }
 
-/// A whole body.
-pub(crate) fn full(bytes: impl Into<Bytes>) -> Body {
+/// Returns a body that holds all of `bytes`.
+pub(crate) fn full_body(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into())
         .map_err(|never| match never {})
         .boxed()
 }
 
-/// An answer with a status and a short text.
-pub(crate) fn text(status: StatusCode, text: &'static str) -> Response<Body> {
-    let mut answer = Response::new(full(text));
-    *answer.status_mut() = status;
-    answer
+/// Returns a plain-text response.
+pub(crate) fn text_response(status: StatusCode, text: &'static str) -> Response<Body> {
+    let mut response = Response::new(full_body(text));
+    *response.status_mut() = status;
+    response
 }
 
-/// An answer in JSON.
-pub(crate) fn json<T: Serialize>(status: StatusCode, value: &T) -> Response<Body> {
-    // The stand-ins' own types have string keys and finite numbers only.
-    let bytes = serde_json::to_vec(value).expect("plain data can be written as JSON");
-    let mut answer = Response::new(full(bytes));
-    *answer.status_mut() = status;
-    let kind = hyper::header::HeaderValue::from_static("application/json");
-    answer
+/// Returns a JSON response.
+pub(crate) fn json_response<T: Serialize>(
+    status: StatusCode,
+    value: &T,
+) -> Response<Body> {
+    // The stand-ins' types have only string keys and finite numbers.
+    let bytes = serde_json::to_vec(value).expect("the type serializes to JSON");
+    let mut response = Response::new(full_body(bytes));
+    *response.status_mut() = status;
+    let content_type = hyper::header::HeaderValue::from_static("application/json");
+    response
         .headers_mut()
-        .insert(hyper::header::CONTENT_TYPE, kind);
-    answer
+        .insert(hyper::header::CONTENT_TYPE, content_type);
+    response
 }
 
-/// Reads a whole body of at most `max` bytes.
+/// Reads a complete body of at most `max` bytes.
 ///
 /// # Errors
 ///
-/// The answer to give: 413 for a larger body, a cut for a peer that broke off.
-pub(crate) async fn read(
+/// The inner error is the response to a larger body, 413. The outer error means that
+/// the peer closed the connection before the end of the body.
+pub(crate) async fn read_body(
     request: Request<Incoming>,
     max: usize,
-) -> Result<Result<Bytes, Response<Body>>, Cut> {
+) -> Result<Result<Bytes, Response<Body>>, ConnectionAborted> {
     match Limited::new(request.into_body(), max).collect().await {
         Ok(body) => Ok(Ok(body.to_bytes())),
-        Err(fault) if fault.is::<http_body_util::LengthLimitError>() => {
-            Ok(Err(text(StatusCode::PAYLOAD_TOO_LARGE, "body too large")))
-        }
-        Err(_) => Err(Cut),
+        Err(error) if error.is::<http_body_util::LengthLimitError>() => Ok(Err(
+            text_response(StatusCode::PAYLOAD_TOO_LARGE, "body too large"),
+        )),
+        Err(_) => Err(ConnectionAborted),
     }
 }
 
-/// Reads a body as JSON; the inner error is the 400 to give.
+/// Reads a JSON body. Besides the errors of [`read_body`], the inner error may be the
+/// response to invalid JSON, 400.
 pub(crate) async fn read_json<T: DeserializeOwned>(
     request: Request<Incoming>,
     max: usize,
-) -> Result<Result<T, Response<Body>>, Cut> {
-    let bytes = match read(request, max).await? {
+) -> Result<Result<T, Response<Body>>, ConnectionAborted> {
+    let bytes = match read_body(request, max).await? {
         Ok(bytes) => bytes,
-        Err(answer) => return Ok(Err(answer)),
+        Err(response) => return Ok(Err(response)),
     };
-    Ok(serde_json::from_slice(&bytes).map_err(|fault| {
-        json(
+    Ok(serde_json::from_slice(&bytes).map_err(|error| {
+        json_response(
             StatusCode::BAD_REQUEST,
-            &ErrorText {
-                error: fault.to_string(),
+            &ErrorBody {
+                error: error.to_string(),
             },
         )
     }))
 }
 
-/// Body of a refusal.
+/// JSON body of an error response.
 #[derive(Debug, Serialize)]
-pub(crate) struct ErrorText {
+pub(crate) struct ErrorBody {
     pub(crate) error: String,
 }
 
-/// One parameter of a query, with `%xx` decoded.
-pub(crate) fn query(request: &Request<Incoming>, name: &str) -> Option<String> {
+/// Returns a query parameter, percent-decoded.
+pub(crate) fn query_parameter(
+    request: &Request<Incoming>,
+    name: &str,
+) -> Option<String> {
     let pairs = request.uri().query()?.split('&');
     pairs
         .filter_map(|pair| pair.split_once('='))
         .find(|(key, _)| *key == name)
-        .map(|(_, value)| decode(value))
+        .map(|(_, value)| percent_decode(value))
 }
 
-/// Decodes `%xx`.
-pub(crate) fn decode(text: &str) -> String {
+/// Decodes percent-encoding; invalid escapes are left as they are.
+pub(crate) fn percent_decode(text: &str) -> String {
     let mut bytes = Vec::with_capacity(text.len());
     let mut rest = text.as_bytes();
     while let Some((&first, tail)) = rest.split_first() {
-        let escaped = (first == b'%').then(|| hex_pair(tail)).flatten();
+        let escaped = (first == b'%').then(|| parse_hex_pair(tail)).flatten();
         bytes.push(escaped.unwrap_or(first));
         rest = if escaped.is_some() { &tail[2..] } else { tail };
     }
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-fn hex_pair(tail: &[u8]) -> Option<u8> {
+fn parse_hex_pair(tail: &[u8]) -> Option<u8> {
     let pair = std::str::from_utf8(tail.get(..2)?).ok()?;
     u8::from_str_radix(pair, 16).ok()
 }
 
-/// A header as text.
-pub(crate) fn header<'a>(
+/// Returns a header's value if it is visible ASCII.
+pub(crate) fn header_text<'a>(
     request: &'a Request<Incoming>,
     name: &str,
 ) -> Option<&'a str> {
     request.headers().get(name)?.to_str().ok()
 }
 
-/// A header as a whole number.
-pub(crate) fn number(request: &Request<Incoming>, name: &str) -> Option<u64> {
-    header(request, name)?.trim().parse().ok()
+/// Returns a header's value if it is an unsigned integer.
+pub(crate) fn header_number(request: &Request<Incoming>, name: &str) -> Option<u64> {
+    header_text(request, name)?.trim().parse().ok()
 }
--- a/crates/fake/src/overhead/fleet.rs
+++ b/crates/fake/src/overhead/fleet.rs
@@ -1,28 +1,28 @@
-//! The benchmark's fleet configuration.
+//! Fleet configuration and workloads of the benchmark.
 
 use serde_json::{Value, json};
 
 use crate::demo::{DemoError, Deployment};
-use crate::load::{self, LoadOptions, Mix};
+use crate::load::{self, LoadOptions, Workload};
 
-/// Key of the benchmark's caller; its hash stands in the configuration.
-pub(super) const KEY: &str = "demo-key";
+/// API key of the benchmark's caller, whose hash is in the fleet configuration.
+pub(super) const CALLER_KEY: &str = "demo-key";
 
-/// Places of one engine's batch, more than any load here fills.
-pub(super) const SLOTS: usize = 256;
+/// Slots of one engine's batch, more than any load here fills.
+pub(super) const ENGINE_SLOTS: usize = 256;
 
-/// The profile that all work names.
+/// Profile of all requests.
 pub(super) const PROFILE: &str = "bench";
 
-/// As many models as engines, one to each.
+/// Returns the names of the models, one for each engine.
 pub(super) fn models(engines: usize) -> Vec<String> {
     (1..=engines)
-        .map(|place| format!("model-{place}"))
+        .map(|index| format!("model-{index}"))
         .collect()
 }
 
-/// The document for a number of engines with a step time.
-pub(super) fn document(engines: usize, step_us: u64) -> String {
+/// Returns the fleet configuration for a number of engines with a step time.
+pub(super) fn fleet_document(engines: usize, step_us: u64) -> String {
     let names = models(engines);
     let models: serde_json::Map<String, Value> = names
         .iter()
@@ -45,7 +45,7 @@
             "failure_domains": &domains[..engines.min(domains.len())],
             "accelerators_mib": [81_920],
             "step_time_us": step_us,
-            "concurrent_max": SLOTS,
+            "concurrent_max": ENGINE_SLOTS,
             "checks_fencing": true,
             "order_delay_max_ms": 1_000,
         }},
@@ -73,9 +73,9 @@
     .to_string()
 }
 
-/// Arguments of an engine for the benchmark.
+/// Returns the command-line arguments of each engine.
 pub(super) fn engine_arguments(step_us: u64) -> Vec<String> {
-    let slots = SLOTS.to_string();
+    let slots = ENGINE_SLOTS.to_string();
     let step_us = step_us.to_string();
     [
         "--check-fencing",
@@ -90,35 +90,36 @@
     .to_vec()
 }
 
-/// Work on each of some models alike.
-pub(super) fn mixes(models: &[String], max_tokens: u64) -> Vec<Mix> {
-    let mix = |model: &String| Mix {
+/// Returns a workload for each model, all with the same frequency.
+pub(super) fn workloads(models: &[String], max_tokens: u64) -> Vec<Workload> {
+    let workload = |model: &String| Workload {
         profile: PROFILE.to_owned(),
         models: vec![model.clone()],
         max_tokens,
-        ..Mix::default()
+        ..Workload::default()
     };
-    models.iter().map(mix).collect()
+    models.iter().map(workload).collect()
 }
 
-/// Publishes, waits for readiness and has each model loaded.
-pub(super) async fn bring_up(
+/// Publishes the configuration, waits until the deployment is ready, and sends one
+/// request to each model so that it is loaded.
+pub(super) async fn prepare(
     deployment: &Deployment,
     engines: usize,
     step_us: u64,
 ) -> Result<(), DemoError> {
-    let said = deployment.publish_with(&document(engines, step_us), &[])?;
-    if said.code != 0 {
-        return Err(DemoError::Command(said.text));
+    let output = deployment.publish_with(&fleet_document(engines, step_us), &[])?;
+    if output.exit_code != 0 {
+        return Err(DemoError::CommandFailed(output.text));
     }
-    deployment.until_ready().await?;
+    deployment.wait_ready().await?;
     for model in models(engines) {
         let report = load::run(LoadOptions {
-            targets: deployment.callers(),
+            targets: deployment.entry_addresses(),
             direct: false,
-            balanced: false,
-            key: KEY.to_owned(),
-            mixes: mixes(&[model], 4),
+            exclude_unavailable_targets: false,
+            caller_key: CALLER_KEY.to_owned(),
+            workloads: workloads(&[model], 4),
             concurrency: 1,
             rate_per_s: None,
             count: 1,
@@ -126,7 +127,7 @@
         })
         .await;
         if report.profiles[PROFILE].whole != 1 {
-            return Err(DemoError::Command(report.table()));
+            return Err(DemoError::CommandFailed(report.table()));
         }
     }
     Ok(())
--- a/crates/fake/src/platform/faults.rs
+++ b/crates/fake/src/platform/faults.rs
@@ -1,90 +1,95 @@
-//! Faults of the platform that can be switched on.
+//! Faults that can be injected into the platform.
 
 use rand_core::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 use serde::{Deserialize, Serialize};
 
-use crate::faults::take;
+use crate::fault_count::consume;
 
-/// Faults in force; the default is none.
+/// Active faults; the default is none.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Whether the platform is away, and how that shows.
+    /// Whether there is an outage, and of which form.
     pub outage: Outage,
-    /// Time added before each call takes effect.
+    /// Delay of each request before it takes effect.
     pub delay_ms: u64,
-    /// Next writes that take effect and whose connection is then closed.
+    /// Number of following writes that take effect and whose connection is then closed
+    /// without a response.
     pub lose_answers: u32,
-    /// Writes in a hundred that are treated like [`Self::lose_answers`].
+    /// Percentage of writes that are treated like [`Self::lose_answers`].
     pub lose_answers_percent: u32,
-    /// Next writes whose connection is closed before they take effect.
+    /// Number of following writes whose connection is closed before they take effect.
     pub lose_writes: u32,
-    /// Only writes to keys under this prefix are lost.
+    /// Prefix of the keys whose writes or responses are lost.
     pub lose_prefix: String,
-    /// Next reads and lists that are answered as of before the last change of
-    /// each object.
+    /// Number of following reads and lists that return the state before the last change
+    /// of each object.
     pub old_reads: u32,
-    /// Only reads under this prefix are old.
+    /// Prefix of the keys to which [`Self::old_reads`] applies.
     pub old_reads_prefix: String,
-    /// Next changes that no watch ever shows.
+    /// Number of following changes that no watch ever reports.
     pub missed_changes: u32,
-    /// Only changes under this prefix are missed.
+    /// Prefix of the keys to which [`Self::missed_changes`] applies.
     pub missed_prefix: String,
 }
 
-/// How an outage shows.
+/// Form of an outage.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outage {
     /// No outage.
     #[default]
     None,
-    /// Every call is answered 503.
+    /// Every request is refused with 503.
     Refuse,
-    /// Open connections are closed, and new ones at once.
+    /// Open connections are closed, and new ones as soon as accepted.
     Close,
 }
 
-/// What a fault does to one write.
+/// Effect of the faults on one write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum WriteFate {
-    Answered,
-    AnswerLost,
-    Lost,
+pub(super) enum WriteFault {
+    None,
+    ResponseLost,
+    RequestLost,
 }
 
 impl Faults {
-    /// Decides on one write and counts it off.
-    pub(super) fn write_fate(&mut self, key: &str, dice: &mut Dice) -> WriteFate {
+    /// Returns the fault that applies to a write and decrements its count.
+    pub(super) fn take_write_fault(
+        &mut self,
+        key: &str,
+        rng: &mut FaultRng,
+    ) -> WriteFault {
         if !key.starts_with(&self.lose_prefix) {
-            return WriteFate::Answered;
+            return WriteFault::None;
         }
-        if take(&mut self.lose_writes) {
-            return WriteFate::Lost;
+        if consume(&mut self.lose_writes) {
+            return WriteFault::RequestLost;
         }
-        if take(&mut self.lose_answers) || dice.percent(self.lose_answers_percent) {
-            return WriteFate::AnswerLost;
+        if consume(&mut self.lose_answers) || rng.percent(self.lose_answers_percent) {
+            return WriteFault::ResponseLost;
         }
-        WriteFate::Answered
+        WriteFault::None
     }
 
-    /// Whether one read or list is answered with an earlier state.
-    pub(super) fn read_is_old(&mut self, key: &str) -> bool {
-        key.starts_with(&self.old_reads_prefix) && take(&mut self.old_reads)
+    /// Returns whether a read or list returns an earlier state, and decrements the count.
+    pub(super) fn take_old_read(&mut self, key: &str) -> bool {
+        key.starts_with(&self.old_reads_prefix) && consume(&mut self.old_reads)
     }
 
-    /// Whether watches miss one change.
-    pub(super) fn change_is_missed(&mut self, key: &str) -> bool {
-        key.starts_with(&self.missed_prefix) && take(&mut self.missed_changes)
+    /// Returns whether watches miss a change, and decrements the count.
+    pub(super) fn take_missed_change(&mut self, key: &str) -> bool {
+        key.starts_with(&self.missed_prefix) && consume(&mut self.missed_changes)
     }
 }
 
-/// Seeded source of the faults that come with a probability.
+/// Seeded generator that decides on random faults.
 #[derive(Debug)]
-pub(super) struct Dice(Pcg64);
+pub(super) struct FaultRng(Pcg64);
 
-impl Dice {
+impl FaultRng {
     pub(super) fn new(seed: u64) -> Self {
         Self(Pcg64::seed_from_u64(seed))
     }
--- a/crates/fake/src/service.rs
+++ b/crates/fake/src/service.rs
@@ -1,7 +1,7 @@
-//! Stand-in for a plain service whose calls may not be repeated.
+//! Stand-in for a plain service whose requests must not run twice.
 //!
-//! Every call that is run is counted by its idempotency key and by its request
-//! id, so that a test sees at once whether one ran twice.
+//! Every request that runs is counted by its idempotency key and by its request id, so
+//! that a test can detect one that ran twice.
 
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
@@ -16,20 +16,20 @@
 use std::time::Duration;
 
 use crate::Handle;
-use crate::faults::take;
-use crate::handle::{self, ANY_PORT, StandIn, Tasks, handle_methods};
-use crate::http::{self, Answer, Body, Cut};
+use crate::fault_count::consume;
+use crate::handle::{self, ANY_PORT, StandIn, TaskSet, handle_methods};
+use crate::http::{self, Body, ConnectionAborted, ResponseResult};
 
-/// How to start the stand-in.
+/// Options of the stand-in.
 #[derive(Debug, Clone)]
 pub struct ServiceOptions {
-    /// Where calls are served.
+    /// Address of the service's listener.
     pub listen: SocketAddr,
-    /// Where faults are switched.
+    /// Address of the control listener.
     pub control: SocketAddr,
-    /// Time one call takes.
+    /// Duration of one request.
     pub work_ms: u64,
-    /// What `/healthz` shows; a restarted service has another.
+    /// Incarnation that `/healthz` returns; a restarted service has another.
     pub incarnation: u64,
 }
 
@@ -44,43 +44,44 @@
     }
 }
 
-/// Faults in force; the default is none.
+/// Active faults; the default is none.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Next calls that run and whose connection is closed in place of an answer.
+    /// Number of following requests that run and whose connection is then closed
+    /// without a response.
     pub break_after: u32,
-    /// Next calls whose connection is closed before they run.
+    /// Number of following requests whose connection is closed before they run.
     pub break_before: u32,
-    /// Next calls that run and are answered 500.
+    /// Number of following requests that run and get a 500 response.
     pub fail: u32,
-    /// Next calls that are answered 503 with `x-not-run: 1`.
+    /// Number of following requests that are refused with 503 and `x-not-run: 1`.
     pub refuse: u32,
-    /// Time added to each call before it runs.
+    /// Delay of each request before it runs.
     pub slow_ms: u64,
-    /// New and open connections are closed.
+    /// Whether open connections are closed, and new ones as soon as accepted.
     pub closed: bool,
 }
 
-/// Calls that were run since the start.
+/// Counters of the requests that ran since the start.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// All calls.
+    /// All requests.
     pub runs: u64,
-    /// Calls by idempotency key.
+    /// Requests by idempotency key.
     pub by_key: BTreeMap<String, u64>,
-    /// Calls by `x-request-id`.
+    /// Requests by `x-request-id`.
     pub by_request: BTreeMap<String, u64>,
-    /// Largest body seen.
+    /// Size of the largest request body.
     pub body_max_bytes: u64,
 }
 
-/// The stand-in's state.
+/// Plain service behind a [`Handle`].
 #[derive(Debug)]
 pub struct Service {
     options: ServiceOptions,
     inner: Mutex<Inner>,
-    cutter: http::Cutter,
+    connection_closer: http::ConnectionCloser,
 }
 
 #[derive(Debug, Default)]
@@ -89,37 +90,44 @@
     counts: Counts,
 }
 
-/// Answer to a call.
+/// JSON response to a request that ran.
 #[derive(Debug, Serialize)]
-struct Called {
-    /// How often the key, or without one the service, has run.
+struct RunResponse {
+    /// Number of runs so far with this key, or of all runs if there is no key.
     count: u64,
     key: String,
 }
 
-/// Answer to `/healthz`.
+/// JSON response of `/healthz`.
 #[derive(Debug, Serialize)]
-struct Health {
+struct HealthResponse {
     incarnation: u64,
 }
 
-/// Largest body that is read.
+/// Maximum size of a request body.
 const BODY_MAX_BYTES: usize = 8 << 20;
 
 /// Starts the stand-in.
 ///
 /// # Errors
 ///
-/// An address can't be bound.
+/// Returns an error if an address can't be bound.
 pub async fn start(options: ServiceOptions) -> io::Result<Handle<Service>> {
-    let cutter = http::Cutter::default();
+    let connection_closer = http::ConnectionCloser::default();
     let (listen, control) = (options.listen, options.control);
     let service = Arc::new(Service {
         options,
         inner: Mutex::default(),
-        cutter: cutter.clone(),
+        connection_closer: connection_closer.clone(),
     });
-    handle::start(service, listen, control, cutter, Tasks::default()).await
+    handle::start(
+        service,
+        listen,
+        control,
+        connection_closer,
+        TaskSet::default(),
+    )
+    .await
 }
 
 handle_methods!(Service, Faults, Counts);
@@ -128,15 +136,15 @@
     type Faults = Faults;
     type Counts = Counts;
 
-    fn call(
+    fn handle_request(
         self: Arc<Self>,
         request: Request<Incoming>,
-    ) -> Pin<Box<dyn Future<Output = Answer> + Send>> {
+    ) -> Pin<Box<dyn Future<Output = ResponseResult> + Send>> {
         Box::pin(async move { self.serve(request).await })
     }
 
     fn set_faults(&self, faults: Faults) {
-        self.cutter.set_away(faults.closed);
+        self.connection_closer.set_rejecting(faults.closed);
         self.inner.lock().faults = faults;
     }
 
@@ -149,56 +157,64 @@
     }
 }
 
-/// What a fault does to one call before it runs.
-enum Before {
+/// Effect of the faults on a request before it runs.
+enum PreRunEffect {
     Run,
-    Break,
+    Abort,
     Refuse,
 }
 
 impl Service {
-    async fn serve(&self, request: Request<Incoming>) -> Answer {
+    async fn serve(&self, request: Request<Incoming>) -> ResponseResult {
         match (request.method(), request.uri().path()) {
             (&Method::GET, "/healthz") => {
                 let incarnation = self.options.incarnation;
-                Ok(http::json(StatusCode::OK, &Health { incarnation }))
+                Ok(http::json_response(
+                    StatusCode::OK,
+                    &HealthResponse { incarnation },
+                ))
             }
-            (&Method::POST, _) => self.work(request).await,
-            _ => Ok(http::text(StatusCode::NOT_FOUND, "no such call")),
+            (&Method::POST, _) => self.run(request).await,
+            _ => Ok(http::text_response(StatusCode::NOT_FOUND, "no such call")),
         }
     }
 
-    async fn work(&self, request: Request<Incoming>) -> Answer {
-        let key = http::header(&request, "idempotency-key").map(str::to_owned);
-        let id = http::header(&request, "x-request-id").map(str::to_owned);
-        let body = match http::read(request, BODY_MAX_BYTES).await? {
+    async fn run(&self, request: Request<Incoming>) -> ResponseResult {
+        let key = http::header_text(&request, "idempotency-key").map(str::to_owned);
+        let id = http::header_text(&request, "x-request-id").map(str::to_owned);
+        let body = match http::read_body(request, BODY_MAX_BYTES).await? {
             Ok(body) => body,
-            Err(answer) => return Ok(answer),
+            Err(response) => return Ok(response),
         };
         let slow_ms = self.inner.lock().faults.slow_ms;
         tokio::time::sleep(Duration::from_millis(slow_ms)).await;
-        match self.before() {
-            Before::Run => {}
-            Before::Break => return Err(Cut),
-            Before::Refuse => return Ok(not_run()),
+        match self.take_pre_run_fault() {
+            PreRunEffect::Run => {}
+            PreRunEffect::Abort => return Err(ConnectionAborted),
+            PreRunEffect::Refuse => return Ok(not_run()),
         }
-        let called = self.count(key, id, body.len() as u64);
+        let result = self.count_run(key, id, body.len() as u64);
         tokio::time::sleep(Duration::from_millis(self.options.work_ms)).await;
-        self.answer(&called)
+        self.respond(&result)
     }
 
-    fn before(&self) -> Before {
+    fn take_pre_run_fault(&self) -> PreRunEffect {
         let faults = &mut self.inner.lock().faults;
-        if take(&mut faults.break_before) {
-            return Before::Break;
+        if consume(&mut faults.break_before) {
+            return PreRunEffect::Abort;
         }
-        if take(&mut faults.refuse) {
-            return Before::Refuse;
+        if consume(&mut faults.refuse) {
+            return PreRunEffect::Refuse;
         }
-        Before::Run
+        PreRunEffect::Run
     }
 
-    fn count(&self, key: Option<String>, id: Option<String>, bytes: u64) -> Called {
+    fn count_run(
+        &self,
+        key: Option<String>,
+        id: Option<String>,
+        bytes: u64,
+    ) -> RunResponse {
         let counts = &mut self.inner.lock().counts;
         counts.runs += 1;
         counts.body_max_bytes = counts.body_max_bytes.max(bytes);
@@ -206,36 +222,36 @@
             *counts.by_request.entry(id).or_default() += 1;
         }
         let Some(key) = key else {
-            return Called {
+            return RunResponse {
                 count: counts.runs,
                 key: String::new(),
             };
         };
-        let of_key = counts.by_key.entry(key.clone()).or_default();
-        *of_key += 1;
-        Called {
-            count: *of_key,
+        let key_runs = counts.by_key.entry(key.clone()).or_default();
+        *key_runs += 1;
+        RunResponse {
+            count: *key_runs,
             key,
         }
     }
 
-    fn answer(&self, called: &Called) -> Answer {
+    fn respond(&self, result: &RunResponse) -> ResponseResult {
         let faults = &mut self.inner.lock().faults;
-        if take(&mut faults.break_after) {
-            return Err(Cut);
+        if consume(&mut faults.break_after) {
+            return Err(ConnectionAborted);
         }
-        if take(&mut faults.fail) {
+        if consume(&mut faults.fail) {
             let status = StatusCode::INTERNAL_SERVER_ERROR;
-            return Ok(http::text(status, "failed"));
+            return Ok(http::text_response(status, "failed"));
         }
-        Ok(http::json(StatusCode::OK, called))
+        Ok(http::json_response(StatusCode::OK, result))
     }
 }
 
-/// 503 with the mark that nothing was run.
+/// Returns a 503 response whose `x-not-run` header says that nothing ran.
 pub(crate) fn not_run() -> Response<Body> {
-    let mut answer = http::text(StatusCode::SERVICE_UNAVAILABLE, "not run");
-    let mark = hyper::header::HeaderValue::from_static("1");
-    answer.headers_mut().insert("x-not-run", mark);
-    answer
+    let mut response = http::text_response(StatusCode::SERVICE_UNAVAILABLE, "not run");
+    let marker = hyper::header::HeaderValue::from_static("1");
+    response.headers_mut().insert("x-not-run", marker);
+    response
 }
--- a/crates/place/benches/queue/bound.rs
+++ b/crates/place/benches/queue/bound.rs
@@ -19,12 +19,14 @@
 /// Iterations of the subgradient search.
 const ROUNDS: usize = 250;
 
+/// Prices of the relaxed constraints, the first two per block of time.
 struct Prices {
     residency: Vec<f64>,
     batch_slot: Vec<f64>,
     load: f64,
 }
 
+/// Use of the priced resources by the schedules of all models.
 #[derive(Clone)]
 struct Usage {
     residency: Vec<f64>,
@@ -32,9 +34,11 @@
     loads: f64,
 }
 
-/// Arrivals per second for one base model.
+/// Interactive or batch requests for one base model and its adapters.
 struct Demand {
+    /// Requests that arrive in each second.
     arrivals: Vec<f64>,
+    /// Arrivals averaged over `max_wait_s`.
     smooth: Vec<f64>,
     /// Seconds that a request can wait for the model and still meet its deadline.
     max_wait_s: usize,
@@ -160,8 +164,8 @@
     let load_s = (setup.load_ms / 1_000) as usize;
     let resident = demand.max_wait_s + 1;
     let unreachable = f64::NEG_INFINITY;
-    // States 0..=max_wait_s count the seconds without the model; `resident` follows
-    // them.
+    // States 0..=max_wait_s count the seconds without the model, up to the longest that
+    // matters; the last state, `resident`, means that the model is resident.
     let mut values = vec![vec![unreachable; resident + 1]; seconds + 1];
     let mut origins: Vec<Vec<Origin>> = vec![vec![(0, 0); resident + 1]; seconds + 1];
     values[0][resident] = 0.0;
@@ -177,7 +181,7 @@
             if value == unreachable {
                 continue;
             }
-            let mut relax = |at: usize, to: usize, gain: f64| {
+            let mut update = |at: usize, to: usize, gain: f64| {
                 if value + gain > values[at][to] {
                     values[at][to] = value + gain;
                     origins[at][to] = (second, state);
@@ -185,11 +189,11 @@
             };
             if state == resident {
                 let (gain, _, _) = resident_second(setup, demand, prices, second);
-                relax(second + 1, resident, gain);
-                relax(second + 1, 1.min(demand.max_wait_s), 0.0);
+                update(second + 1, resident, gain);
+                update(second + 1, 1.min(demand.max_wait_s), 0.0);
                 continue;
             }
-            relax(second + 1, (state + 1).min(demand.max_wait_s), 0.0);
+            update(second + 1, (state + 1).min(demand.max_wait_s), 0.0);
             let ready = second + load_s;
             if ready <= seconds {
                 let backlog_s = (state + load_s).min(demand.max_wait_s).min(ready);
@@ -201,7 +205,7 @@
                 let residency_cost: f64 = (second..ready)
                     .map(|second| prices.residency[second / BLOCK_S])
                     .sum();
-                relax(ready, resident, gain - residency_cost - prices.load);
+                update(ready, resident, gain - residency_cost - prices.load);
             }
         }
     }
@@ -228,6 +232,7 @@
     total
 }
 
+/// Mean time for which a request occupies a batch slot.
 fn service_s(setup: &Setup) -> f64 {
     100.0 * setup.step_us as f64 / 1e6
 }
@@ -244,10 +249,10 @@
     let slot_price = prices.batch_slot[second / BLOCK_S];
     let service_s = service_s(setup);
     let capacity_per_s = setup.slots as f64 / service_s;
-    let count = demand.smooth[second];
+    let arrivals = demand.smooth[second];
     let net_value = 1.0 - slot_price * service_s;
-    let served = count.min(capacity_per_s);
-    let further = count - served;
+    let served = arrivals.min(capacity_per_s);
+    let beyond_capacity = arrivals - served;
     let mut gain = -residency_price;
     let mut batch_slots = 0.0;
     let mut residencies = 1.0;
@@ -255,10 +260,12 @@
         gain += served * net_value;
         batch_slots += served * service_s;
     }
+    // Arrivals beyond one accelerator's capacity are served by fractions of further
+    // accelerators, if that is worth their price.
     if net_value > residency_price / capacity_per_s {
-        gain += further * (net_value - residency_price / capacity_per_s);
-        batch_slots += further * service_s;
-        residencies += further / capacity_per_s;
+        gain += beyond_capacity * (net_value - residency_price / capacity_per_s);
+        batch_slots += beyond_capacity * service_s;
+        residencies += beyond_capacity / capacity_per_s;
     }
     (gain, residencies, batch_slots)
 }
--- a/crates/place/benches/queue/cell.rs
+++ b/crates/place/benches/queue/cell.rs
@@ -100,8 +100,8 @@
     }
 
     pub fn batch_share(&self, model: usize) -> f64 {
-        let [desk, batch] = &self.queues[model];
-        batch.len() as f64 / (desk.len() + batch.len()).max(1) as f64
+        let [interactive, batch] = &self.queues[model];
+        batch.len() as f64 / (interactive.len() + batch.len()).max(1) as f64
     }
 
     pub fn running(&self, server: usize) -> usize {
@@ -119,6 +119,7 @@
         self.outcome
     }
 
+    /// Simulates one step of `STEP_MS`.
     pub fn step(&mut self, now_ms: u64, traffic: &[Request]) {
         if now_ms.is_multiple_of(1_000) {
             self.outcome.seconds.push((0, 0));
@@ -160,6 +161,7 @@
         }
     }
 
+    /// Whether some server has the model, and its base model, loaded.
     fn is_served(&self, model: usize) -> bool {
         let base = self.setup.base(model);
         let loaded = |server: &Server, model: usize| {
@@ -174,7 +176,7 @@
     /// already wanted or in progress.
     pub fn available_load_starts(&self) -> usize {
         let residents = self.servers.iter().flat_map(|server| &server.residents);
-        let coming = residents
+        let in_progress = residents
             .filter(|r| matches!(r.stage, Stage::Queued | Stage::Loading))
             .count();
         let wanted = self.servers.iter().map(|server| {
@@ -184,11 +186,13 @@
                 .filter(|model| !server.residents.iter().any(|r| r.model == **model));
             missing.count()
         });
-        let coming = coming + wanted.sum::<usize>();
-        let at_once = self.setup.full_speed_loads.saturating_sub(coming);
+        let planned = in_progress + wanted.sum::<usize>();
+        let at_once = self.setup.full_speed_loads.saturating_sub(planned);
         at_once.min(self.store_tokens as usize)
     }
 
+    /// Fails servers, and brings them back empty, at the workload's times. Running
+    /// requests return to the head of their queues.
     fn fail_servers(&mut self, now_ms: u64) {
         let failed_servers: Vec<usize> = match self.workload {
             Workload::LoseServer => vec![0],
@@ -213,6 +217,7 @@
         }
     }
 
+    /// Queues the requests that have arrived and updates the arrival rates.
     fn arrive(&mut self, now_ms: u64, traffic: &[Request]) {
         let decay = (-(STEP_MS as f64) / RATE_SMOOTHING_MS).exp();
         for rate in &mut self.rate_per_s {
@@ -232,6 +237,7 @@
         }
     }
 
+    /// Ends the requests whose service time has passed.
     fn complete(&mut self, now_ms: u64) {
         for server in &mut self.servers {
             server.running.retain(|running| {
@@ -264,7 +270,7 @@
             let mut moves = 0;
             for resident in residents.iter_mut() {
                 let wanted = target.contains(&resident.model);
-                let runs = running.iter().any(|r| {
+                let in_use = running.iter().any(|r| {
                     r.request.model == resident.model
                         || setup.base(r.request.model) == resident.model
                 });
@@ -275,7 +281,7 @@
                         resident.since_ms = now_ms;
                     }
                     Stage::Draining if wanted => resident.stage = Stage::Loaded,
-                    Stage::Draining if !runs => {
+                    Stage::Draining if !in_use => {
                         resident.stage = Stage::Unloading;
                         resident.remaining_ms = UNLOAD_MS as f64;
                         resident.since_ms = now_ms;
@@ -316,6 +322,8 @@
         }
     }
 
+    /// Starts queued loads within the weight store's rate limit, and advances those in
+    /// progress.
     fn run_weight_store(&mut self, now_ms: u64) {
         let step_s = STEP_MS as f64 / 1_000.0;
         let tokens_max = self.setup.loads_per_s.max(1.0);
@@ -324,23 +332,23 @@
         let mut queued: BTreeMap<(u64, usize, usize), ()> = BTreeMap::new();
         let mut loading = 0;
         for (index, server) in self.servers.iter().enumerate() {
-            for (place, resident) in server.residents.iter().enumerate() {
+            for (position, resident) in server.residents.iter().enumerate() {
                 match resident.stage {
                     Stage::Queued => {
-                        queued.insert((resident.since_ms, index, place), ());
+                        queued.insert((resident.since_ms, index, position), ());
                     }
                     Stage::Loading => loading += 1,
                     _ => {}
                 }
             }
         }
-        for (_, server, place) in queued.into_keys() {
+        for (_, server, position) in queued.into_keys() {
             if self.store_tokens < 1.0 {
                 break;
             }
             self.store_tokens -= 1.0;
             loading += 1;
-            let resident = &mut self.servers[server].residents[place];
+            let resident = &mut self.servers[server].residents[position];
             resident.stage = Stage::Loading;
             resident.since_ms = now_ms;
             resident.remaining_ms = self.setup.load_ms as f64;
@@ -364,12 +372,15 @@
         }
     }
 
+    /// Drops waiting requests that can no longer meet their deadline.
     fn expire_requests(&mut self, now_ms: u64) {
         for queue in self.queues.iter_mut().flatten() {
             queue.retain(|request| now_ms + request.service_ms <= request.deadline_ms);
         }
     }
 
+    /// Starts waiting requests on holders with free batch slots, interactive requests
+    /// first. The first model differs from step to step, so that none is favored.
     fn dispatch(&mut self, now_ms: u64) {
         let models = self.setup.models();
         let first = (now_ms / STEP_MS) as usize * 7 % models;
@@ -403,13 +414,14 @@
             let mut residents = server.residents.iter();
             residents.any(|r| r.model == model && r.stage == Stage::Loaded)
         };
-        let open = self.servers.iter().enumerate().filter(|(_, server)| {
+        let with_free_slot = self.servers.iter().enumerate().filter(|(_, server)| {
             server.failed_at_ms.is_none()
                 && server.running.len() < self.setup.slots
                 && holds(server, base)
                 && holds(server, model)
         });
-        open.min_by_key(|(_, server)| server.running.len())
+        with_free_slot
+            .min_by_key(|(_, server)| server.running.len())
             .map(|(index, _)| index)
     }
 }
--- a/crates/role/src/agent/registration.rs
+++ b/crates/role/src/agent/registration.rs
@@ -31,9 +31,11 @@
     /// Version in the platform (`Some(None)` if absent); `None` if it must be
     /// read.
     known_version: Option<Option<ObjectVersion>>,
+    /// State last written; `None` if this process has written none.
     written: Option<DesiredState>,
     call: Option<(u64, Call)>,
     backoff: Backoff,
+    /// The registration belongs to a successor of this process.
     superseded: bool,
 }
 
@@ -71,6 +73,7 @@
         self.superseded || (self.call.is_none() && self.written == Some(self.desired))
     }
 
+    /// Makes the next call towards the desired state, unless one is in flight.
     pub(super) fn advance(
         &mut self,
         now: Instant,
--- a/crates/role/tests/agent/random/memory.rs
+++ b/crates/role/tests/agent/random/memory.rs
@@ -1,4 +1,4 @@
-//! Randomised test: successive agents beside one engine never overcommit its
+//! Randomized test: successive agents beside one engine never overcommit its
 //! memory.
 
 use super::{SEED, cases};
@@ -21,7 +21,7 @@
 }
 
 /// Successive agents beside one engine, each of which may be frozen or killed.
-struct World {
+struct Simulation {
     platform: Platform,
     engine: Engine,
     agents: Vec<TestAgent>,
@@ -37,9 +37,9 @@
     wanted: Vec<(&'static str, u32)>,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             platform: Platform::new(),
             engine: Engine::new(),
             agents: Vec::new(),
@@ -51,8 +51,8 @@
             now: Instant::from_ms(1_000),
             wanted: Vec::new(),
         };
-        world.start_agent();
-        world
+        simulation.start_agent();
+        simulation
     }
 
     fn start_agent(&mut self) {
@@ -96,8 +96,8 @@
         }
     }
 
-    /// The platform answers a call, is away, or loses the answer, with the
-    /// write taking effect at once, later or never.
+    /// The platform answers a call, is unavailable, or loses the answer, with
+    /// the write taking effect at once, later or never.
     fn answer(&mut self, index: usize, u: &mut Unstructured<'_>) -> Result<()> {
         let agent = &mut self.agents[index];
         let Some(call) = agent.calls.pop_front() else {
@@ -302,21 +302,21 @@
     }
 }
 
-/// Orders are lost, duplicated and late; the platform is away or loses answers;
-/// agents freeze, wake and are replaced while they live. In every sequence, no
-/// load is sent for which the accelerator has no room.
+/// Orders are lost, duplicated and late; the platform is unavailable or loses
+/// answers; agents freeze, wake and are replaced while they live. In every
+/// sequence, no load is sent for which the accelerator has no room.
 #[test]
 fn no_sequence_of_faults_overcommits() {
     let mut loads = 0;
     for case in 0..cases() {
         let seed = SEED + (case << 32);
         arbtest::arbtest(|u| {
-            let mut world = World::new();
+            let mut simulation = Simulation::new();
             while !u.is_empty() {
-                world.step(u)?;
-                world.check();
+                simulation.step(u)?;
+                simulation.check();
             }
-            loads += world
+            loads += simulation
                 .agents
                 .iter()
                 .map(|agent| agent.role.counters().loads)
--- a/crates/role/tests/entry/early_refusals.rs
+++ b/crates/role/tests/entry/early_refusals.rs
@@ -35,7 +35,8 @@
     });
 }
 
-fn fill(rig: &mut Rig, id: &str) {
+/// Reports an agent with all slots taken.
+fn occupy_all_slots(rig: &mut Rig, id: &str) {
     rig.agents.get_mut(id).expect("known").running = 9;
     rig.send_heartbeat(id);
 }
@@ -112,7 +113,7 @@
             ran: RunStatus::NotRun,
         },
         Case {
-            name: "a call of a service that has been down for long",
+            name: "a request to a service that has been down for long",
             set_up: |rig| {
                 rig.agent_in("s1", "desk", "d1", &[]);
                 rig.agents.get_mut("s1").expect("known").upstream_up = false;
@@ -158,13 +159,13 @@
             name: "a batch request behind later interactive ones",
             set_up: |rig| {
                 rig.agent("a1", &["m1"]);
-                fill(rig, "a1");
+                occupy_all_slots(rig, "a1");
                 let mut incoming =
                     rig.incoming(RequestedResource::Model(Some(ModelId::new("m1"))));
                 incoming.profile = Some(ProfileId::new("night"));
                 incoming.deadline_ms = Some(8_000);
                 let request = rig.submit(incoming);
-                assert!(rig.refusals(request).is_empty());
+                assert!(rig.errors(request).is_empty());
                 for _ in 0..40 {
                     rig.request_model("m1");
                 }
@@ -194,17 +195,17 @@
         let mut rig = configured(&config);
         let request = (case.set_up)(&mut rig);
         rig.advance(case.within_ms);
-        let refusals = rig.refusals(request);
-        assert_eq!(refusals.len(), 1, "{}: {refusals:?}", case.name);
-        let refusal = refusals[0];
+        let errors = rig.errors(request);
+        assert_eq!(errors.len(), 1, "{}: {errors:?}", case.name);
+        let error = errors[0];
         assert_eq!(
-            (refusal.code, refusal.ran),
+            (error.code, error.ran),
             (case.code, case.ran),
             "{}",
             case.name
         );
         assert!(
-            refusal.retry_after_ms.is_some_and(|ms| ms > 0),
+            error.retry_after_ms.is_some_and(|ms| ms > 0),
             "{}",
             case.name
         );
@@ -223,20 +224,16 @@
     let waited: Vec<RequestId> = (0..8).map(|_| rig.request_model("m1")).collect();
     rig.advance(2_000);
     rig.agents.get_mut("a1").expect("known").models = vec![("m1".to_owned(), 1)];
-    fill(&mut rig, "a1");
+    occupy_all_slots(&mut rig, "a1");
     let new = rig.request_model("m1");
-    let refusal = rig.refusal(new);
+    let error = rig.error(new);
     assert_eq!(
-        refusal.code,
+        error.code,
         ErrorCode::Overloaded,
         "a new request would miss its target"
     );
     rig.advance(600);
-    assert!(
-        waited
-            .iter()
-            .all(|request| rig.refusals(*request).is_empty())
-    );
+    assert!(waited.iter().all(|request| rig.errors(*request).is_empty()));
     rig.agents.get_mut("a1").expect("known").running = 0;
     rig.send_heartbeat("a1");
     assert_eq!(rig.runs(waited[0]).len(), 1);
@@ -255,29 +252,29 @@
     let burst: Vec<RequestId> = (0..12).map(|_| rig.request_model("m1")).collect();
     let refused = burst
         .iter()
-        .filter(|request| !rig.refusals(**request).is_empty());
+        .filter(|request| !rig.errors(**request).is_empty());
     assert_eq!(refused.count(), 4);
-    let refusal = rig.refusal(burst[11]);
+    let error = rig.error(burst[11]);
     assert_eq!(
-        (refusal.code, refusal.ran),
+        (error.code, error.ran),
         (ErrorCode::CallerLimit, RunStatus::NotRun)
     );
-    assert!(refusal.retry_after_ms.is_some());
+    assert!(error.retry_after_ms.is_some());
     let mut incoming = rig.incoming(RequestedResource::Model(Some(ModelId::new("m1"))));
     incoming.credential = access::Credential::from_key("other");
     let request = rig.submit(incoming);
-    assert!(rig.refusals(request).is_empty());
+    assert!(rig.errors(request).is_empty());
     // Requests that were sent no longer count towards the limit.
     rig.agents.get_mut("a1").expect("known").models = vec![("m1".to_owned(), 1)];
     rig.send_heartbeat("a1");
     assert!(rig.role.counters().waiting < 9);
-    fill(&mut rig, "a1");
+    occupy_all_slots(&mut rig, "a1");
     let again = rig.request_model("m1");
-    assert!(rig.refusals(again).is_empty());
+    assert!(rig.errors(again).is_empty());
 }
 
-/// When the deadline passes while a request runs, the refusal has a retry delay, unless
-/// the call is not idempotent and has no idempotency key.
+/// When the deadline passes while a request runs, the error has a retry delay, unless
+/// the request is not idempotent and has no idempotency key.
 #[test]
 fn a_missed_deadline_comes_with_a_retry_delay() {
     for (idempotent, key) in [(true, false), (false, true), (false, false)] {
@@ -292,8 +289,8 @@
         let run = rig.run(request);
         rig.started(&run);
         rig.advance(1_100);
-        let refusal = rig.refusal(request);
-        assert_eq!(refusal.ran, RunStatus::Ran);
-        assert_eq!(refusal.retry_after_ms.is_some(), idempotent || key);
+        let error = rig.error(request);
+        assert_eq!(error.ran, RunStatus::Ran);
+        assert_eq!(error.retry_after_ms.is_some(), idempotent || key);
     }
 }
--- a/crates/role/tests/entry/retries.rs
+++ b/crates/role/tests/entry/retries.rs
@@ -1,4 +1,4 @@
-//! Retries: which requests are sent again, and what refusals report about the rest.
+//! Retries: which requests are sent again, and what the errors of the others report.
 
 use crate::rig::{Rig, SentRun};
 use base::prelude::*;
@@ -14,6 +14,7 @@
 
 type Fault = fn(&mut Rig, &SentRun);
 
+/// Name of the fault, whether the agent can still be queried after it, and the fault.
 fn fault_table() -> Vec<(&'static str, bool, Fault)> {
     vec![
         ("link down", false, |r, run| r.link_down(&run.agent.clone())),
@@ -31,7 +32,7 @@
     ]
 }
 
-/// An idempotent request is retried at once. A call that is not idempotent and may have
+/// An idempotent request is retried at once. One that is not idempotent and may have
 /// run is not; its caller is told at once that the outcome is unknown, unless the agent
 /// can still be queried. Rows: fault, and whether the agent can be queried; each before
 /// and after the start was reported.
@@ -52,16 +53,16 @@
                 let request = if idempotent {
                     rig.request_model("m1")
                 } else {
-                    rig.call_orders()
+                    rig.request_orders()
                 };
                 let run = rig.run(request);
                 if started {
                     rig.started(&run);
                 }
                 fault(&mut rig, &run);
-                let outcome = match (rig.runs(request).len(), rig.refusals(request)) {
-                    (1, refusals) if refusals.is_empty() => Queried,
-                    (1, refusals) => Refused(refusals[0].code, refusals[0].ran),
+                let outcome = match (rig.runs(request).len(), rig.errors(request)) {
+                    (1, errors) if errors.is_empty() => Queried,
+                    (1, errors) => Refused(errors[0].code, errors[0].ran),
                     (2, _) => Retried,
                     other => panic!("{name}: {other:?}"),
                 };
@@ -87,8 +88,8 @@
                 if outcome == Queried {
                     // Without a reply of the agent the request still ends.
                     rig.advance(1_200);
-                    let refusal = rig.refusal(request);
-                    assert_eq!(refusal.ran, RunStatus::Unknown, "{row}");
+                    let error = rig.error(request);
+                    assert_eq!(error.ran, RunStatus::Unknown, "{row}");
                 }
                 assert_eq!(outcome, expected, "{row}");
             }
@@ -96,9 +97,9 @@
     }
 }
 
-/// The `Run` of a call that is not idempotent, or the answer to it, is lost. The agent is
-/// queried by `Revoke`, and its reply races with late frames. The call is sent again only
-/// if the agent reports that it did not run.
+/// The `Run` of a request that is not idempotent, or the answer to it, is lost. The
+/// agent is queried by `Revoke`, and its reply races with late frames. The request is
+/// sent again only if the agent reports that it did not run.
 #[test]
 fn the_reply_to_revoke_decides_about_a_retry() {
     type Steps = fn(&mut Rig, &SentRun);
@@ -119,7 +120,7 @@
             "unknown",
             |r, run| r.revoked(run, RunStatus::Unknown),
             |r, request, _| {
-                assert_eq!(r.refusal(request).ran, RunStatus::Unknown);
+                assert_eq!(r.error(request).ran, RunStatus::Unknown);
                 assert_eq!(r.runs(request).len(), 1);
             },
         ),
@@ -164,7 +165,7 @@
         let mut rig = Rig::new();
         rig.agent_in("s1", "desk", "d1", &[]);
         rig.agent_in("s2", "desk", "d1", &[]);
-        let request = rig.call_orders();
+        let request = rig.request_orders();
         let run = rig.run(request);
         rig.advance(3_100);
         assert_eq!(rig.revokes(&run), 1, "{name}");
@@ -173,8 +174,9 @@
     }
 }
 
-/// Callers rely on `not_run`. On every path that refuses a request, it is reported only if
-/// each attempt was refused by its agent or none was sent, and none is in flight.
+/// Callers rely on `not_run`. On every path that ends a request with an error, it is
+/// reported only if each attempt was refused by its agent or none was sent, and none is
+/// in flight.
 #[test]
 fn not_run_is_reported_only_without_open_attempts() {
     type Steps = fn(&mut Rig) -> RequestId;
@@ -206,9 +208,9 @@
             RunStatus::NotRun,
         ),
         (
-            "final refusal by the agent",
+            "final error by the agent",
             |r| {
-                let request = r.call_orders();
+                let request = r.request_orders();
                 let run = r.run(request);
                 r.refuse(&run, ErrorCode::KeyInProgress);
                 request
@@ -281,8 +283,8 @@
         rig.agent("a1", &["m1"]);
         rig.agent_in("s1", "desk", "d1", &[]);
         let request = steps(&mut rig);
-        let refusal = rig.refusal(request);
-        assert_eq!((refusal.code, refusal.ran), (*code, *ran), "{name}");
+        let error = rig.error(request);
+        assert_eq!((error.code, error.ran), (*code, *ran), "{name}");
         assert_eq!(rig.role.counters().running, 0, "{name}");
         assert_eq!(rig.role.counters().waiting, 0, "{name}");
     }
@@ -309,11 +311,11 @@
             rig.started(&run);
             rig.fail(&run, ErrorCode::UpstreamFault, RunStatus::Ran);
             let resent = rig.run(request).id() != run.id();
-            if !resent && rig.refusals(request).is_empty() {
+            if !resent && rig.errors(request).is_empty() {
                 rig.advance(150);
             }
         }
-        assert_eq!(rig.refusals(request).len(), 1);
+        assert_eq!(rig.errors(request).len(), 1);
         rig.send_heartbeats();
     }
     let counters = rig.role.counters();
@@ -328,8 +330,8 @@
 fn duplicate_keys_are_decided_by_the_agent() {
     let mut rig = Rig::new();
     rig.agent_in("s1", "desk", "d1", &[]);
-    let first = rig.call_orders();
-    let second = rig.call_orders();
+    let first = rig.request_orders();
+    let second = rig.request_orders();
     let (run1, run2) = (rig.run(first), rig.run(second));
     assert_eq!(run1.run.idempotency_key, run2.run.idempotency_key);
     rig.refuse(&run2, ErrorCode::KeyInProgress);
@@ -337,19 +339,20 @@
     rig.part(&run1, 0, 4);
     rig.end(&run1, 4);
     assert_eq!(rig.finished(first), Some(4));
-    assert_eq!(rig.refusal(second).code, ErrorCode::KeyInProgress);
+    assert_eq!(rig.error(second).code, ErrorCode::KeyInProgress);
 }
 
-/// The first call with a key is in progress at a frozen agent, and its caller retries
-/// through this entry. The agent reports that the key is in use, but not the outcome of
-/// that call. The caller gets this code with a retry delay: an unknown outcome would have
-/// to be handled by hand, though the answer may be available a second later.
+/// The first request with a key is in progress at a frozen agent, and its caller
+/// retries through this entry. The agent reports that the key is in use, but not the
+/// outcome of that request. The caller gets this code with a retry delay: an unknown
+/// outcome would have to be handled by hand, though the answer may be available a
+/// second later.
 #[test]
 fn a_key_in_progress_is_reported_as_such() {
     for started in [false, true] {
         let mut rig = Rig::new();
         rig.agent_in("s1", "desk", "d1", &[]);
-        let request = rig.call_orders();
+        let request = rig.request_orders();
         let run = rig.run(request);
         if started {
             rig.started(&run);
@@ -362,8 +365,8 @@
             ..End::default()
         });
         rig.frame(&run.agent, body);
-        let refusal = rig.refusal(request);
-        let reported = (refusal.code, refusal.ran, refusal.retry_after_ms);
+        let error = rig.error(request);
+        let reported = (error.code, error.ran, error.retry_after_ms);
         assert_eq!(
             reported,
             (ErrorCode::KeyInProgress, RunStatus::Unknown, Some(1_000))
@@ -395,7 +398,7 @@
             rig.fail(&run, ErrorCode::AnswerBroken, RunStatus::Ran);
             rig.advance(100);
             again += rig.runs(request).len() - 1;
-            if rig.refusals(request).is_empty() {
+            if rig.errors(request).is_empty() {
                 let run = rig.run(request);
                 rig.started(&run);
                 rig.end(&run, 0);
--- a/tests/all/processes/rig.rs
+++ b/tests/all/processes/rig.rs
@@ -1,9 +1,9 @@
-//! A deployment with what the tests ask it.
+//! Fixture of the process tests: a running deployment and helpers to query it.
 
 use bytes::Bytes;
-use fake::demo::{Deployment, DeploymentOptions, Probe};
+use fake::demo::{Deployment, DeploymentOptions, ProbeClient};
 use fake::engine;
-use fake::load::{self, LoadOptions, Mix, Report};
+use fake::load::{self, LoadOptions, Report, Workload};
 use fake::service;
 use http_body_util::Full;
 use hyper::Request;
@@ -17,84 +17,89 @@
 
 use super::fleet;
 
-/// What a test finds.
+/// Result of a test; the error describes the failure.
 pub(super) type TestResult<T = ()> = Result<T, String>;
 
-/// Bound on waiting for a condition; it decides nothing on a sound run.
-pub(super) const BOUND: Duration = Duration::from_secs(60);
+/// Timeout for each awaited condition, far above the time needed by a passing
+/// test.
+pub(super) const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
-const POLL: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Deployments that run at once. Each is a dozen processes, which would get too
-/// little of the machine for their heartbeats if all tests ran together.
+/// Maximum number of deployments that run at once. Each consists of a dozen
+/// processes. If all tests ran together, the processes would get too little CPU
+/// time to send their heartbeats.
 const DEPLOYMENTS_MAX: usize = 3;
 
 static RUNNING: Mutex<usize> = Mutex::new(0);
-static ENDED: Condvar = Condvar::new();
+static DEPLOYMENT_ENDED: Condvar = Condvar::new();
 
-/// Leave to run one deployment.
-struct Seat;
+/// Permit to run one deployment; dropping it releases the permit.
+struct DeploymentPermit;
 
-impl Seat {
-    fn take() -> Self {
+impl DeploymentPermit {
+    fn acquire() -> Self {
         let mut running = RUNNING.lock().unwrap_or_else(PoisonError::into_inner);
         while *running >= DEPLOYMENTS_MAX {
-            running = ENDED.wait(running).unwrap_or_else(PoisonError::into_inner);
+            running = DEPLOYMENT_ENDED
+                .wait(running)
+                .unwrap_or_else(PoisonError::into_inner);
         }
         *running += 1;
         Self
     }
 }
 
-impl Drop for Seat {
+impl Drop for DeploymentPermit {
     fn drop(&mut self) {
         *RUNNING.lock().unwrap_or_else(PoisonError::into_inner) -= 1;
-        ENDED.notify_one();
+        DEPLOYMENT_ENDED.notify_one();
     }
 }
 
-/// A deployment that is ready, and a client for its listeners.
+/// A deployment and a client for its listeners.
 #[derive(Debug)]
-pub(super) struct Rig {
+pub(super) struct Fixture {
     pub(super) deployment: Deployment,
-    pub(super) probe: Probe,
+    pub(super) probe: ProbeClient,
 }
 
-/// Runs a test on a deployment of its own; the logs of a failed one are kept.
+/// Runs a test on a new deployment once it is ready. The logs of a failed test are
+/// kept.
 pub(super) fn run<F>(test: F) -> TestResult
 where
-    F: AsyncFnOnce(&mut Rig) -> TestResult,
+    F: AsyncFnOnce(&mut Fixture) -> TestResult,
 {
-    let _seat = Seat::take();
+    let _permit = DeploymentPermit::acquire();
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
         .enable_all()
         .build()
-        .map_err(text)?;
+        .map_err(error_text)?;
     runtime.block_on(async {
-        let mut rig = Rig::start()?;
-        let result = match rig.ready().await {
-            Ok(()) => test(&mut rig).await,
-            Err(fault) => Err(fault),
+        let mut fixture = Fixture::start()?;
+        let result = match fixture.ready().await {
+            Ok(()) => test(&mut fixture).await,
+            Err(message) => Err(message),
         };
-        result.map_err(|fault| {
-            rig.deployment.keep_folder();
-            format!("{fault}\nlogs: {}", rig.deployment.folder().display())
+        result.map_err(|message| {
+            fixture.deployment.keep_directory();
+            format!("{message}\nlogs: {}", fixture.deployment.directory().display())
         })
     })
 }
 
-/// An error as a test's finding.
-pub(super) fn text<E: Display>(error: E) -> String {
+/// Converts an error to the message of a failed test.
+pub(super) fn error_text<E: Display>(error: E) -> String {
     error.to_string()
 }
 
-/// A finding unless a condition holds.
+/// Fails with a message unless a condition holds.
 pub(super) fn check(holds: bool, otherwise: impl FnOnce() -> String) -> TestResult {
     if holds { Ok(()) } else { Err(otherwise()) }
 }
 
-impl Rig {
+impl Fixture {
     fn start() -> TestResult<Self> {
         let options = DeploymentOptions {
             engines: 3,
@@ -102,65 +107,71 @@
             ..DeploymentOptions::default()
         };
         Ok(Self {
-            deployment: Deployment::start(options).map_err(text)?,
-            probe: Probe::new(),
+            deployment: Deployment::start(options).map_err(error_text)?,
+            probe: ProbeClient::new(),
         })
     }
 
     async fn ready(&self) -> TestResult {
         let document = fleet::document().to_string();
-        // The processes hear of the configuration as they start, so there may
-        // be none to wait for yet.
-        let said = self.deployment.publish_with(&document, &[]).map_err(text)?;
-        check(said.code == 0, || said.text.clone())?;
-        self.deployment.until_ready().await.map_err(text)?;
-        self.links_stand().await
+        // Processes fetch the configuration when they start, and none may be
+        // running yet. So this does not wait for them as `--wait` would.
+        let output = self
+            .deployment
+            .publish_with(&document, &[])
+            .map_err(error_text)?;
+        check(output.exit_code == 0, || output.text.clone())?;
+        self.deployment.wait_ready().await.map_err(error_text)?;
+        self.wait_for_agent_connections().await
     }
 
-    /// Waits until each entry hears each agent.
-    async fn links_stand(&self) -> TestResult {
+    /// Waits until each entry is connected to all five agents.
+    async fn wait_for_agent_connections(&self) -> TestResult {
         for entry in ["entry-1", "entry-2"] {
-            self.until(&format!("{entry} hears 5 agents"), async || {
+            self.wait_until(&format!("{entry} is connected to 5 agents"), async || {
                 let status = self.status(entry).await?;
                 let agents = status["agents"].as_array()?;
-                let heard = |agent: &&Value| {
+                let is_connected = |agent: &&Value| {
                     agent["connected"] == true && agent["state"] == "up"
                 };
-                (agents.iter().filter(heard).count() == 5).then_some(())
+                (agents.iter().filter(is_connected).count() == 5).then_some(())
             })
             .await?;
         }
         Ok(())
     }
 
-    /// Polls until something is there.
-    pub(super) async fn until<T>(
+    /// Polls until a value is present.
+    pub(super) async fn wait_until<T>(
         &self,
         what: &str,
-        look: impl AsyncFn() -> Option<T>,
+        poll: impl AsyncFn() -> Option<T>,
     ) -> TestResult<T> {
-        let until = Instant::now() + BOUND;
+        let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
-            if let Some(found) = look().await {
+            if let Some(found) = poll().await {
                 return Ok(found);
             }
-            check(Instant::now() < until, || format!("never: {what}"))?;
-            tokio::time::sleep(POLL).await;
+            check(Instant::now() < deadline, || {
+                format!("timed out waiting for: {what}")
+            })?;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// `/status` of a process; `None` if it does not answer.
+    /// Returns the `/status` document of a process, or `None` if it does not respond.
     pub(super) async fn status(&self, id: &str) -> Option<Value> {
-        let address = self.deployment.operators().get(id)?;
-        self.probe.json(*address, "/status").await
+        let address = self.deployment.operator_addresses().get(id)?;
+        self.probe.get_json(*address, "/status").await
     }
 
-    /// Entries' listeners.
-    pub(super) fn entry(&self, place: usize) -> SocketAddr {
-        self.deployment.callers()[place]
+    /// Returns the address at which an entry accepts entry_addresses' connections.
+    pub(super) fn entry_address(&self, index: usize) -> SocketAddr {
+        self.deployment.entry_addresses()[index]
     }
 
-    /// Sends a call as the tests' caller; status and body.
+    /// Sends a request as the tests' caller; returns the status and body of the
+    /// response.
     pub(super) async fn post(
         &self,
         entry: SocketAddr,
@@ -175,13 +186,14 @@
             request = request.header(*name, *value);
         }
         let body = Full::new(Bytes::from(body.to_string()));
-        let request = request.body(body).map_err(text)?;
+        let request = request.body(body).map_err(error_text)?;
         let answer = self.probe.send(request).await;
-        answer.ok_or_else(|| format!("no answer to {path}"))
+        answer.ok_or_else(|| format!("no response to {path}"))
     }
 
-    /// Sends an order under a key.
-    pub(super) async fn order(
+    /// Sends an order to the plain service with an idempotency key; returns the status
+    /// and JSON body of the response.
+    pub(super) async fn post_order(
         &self,
         entry: SocketAddr,
         key: &str,
@@ -194,26 +206,28 @@
         Ok((status, serde_json::from_str(&answer).unwrap_or(Value::Null)))
     }
 
-    /// Makes calls last long enough that some are in progress whenever a fault
-    /// comes.
-    pub(super) async fn slow_services(&self) -> TestResult {
+    /// Makes service calls take 400 ms, so that some are in progress when a fault
+    /// is injected.
+    pub(super) async fn slow_down_services(&self) -> TestResult {
         let faults = service::Faults {
             slow_ms: 400,
             ..service::Faults::default()
         };
-        for control in &self.deployment.controls().services {
+        for control in &self.deployment.control_addresses().services {
             let done = self.probe.set_faults(*control, &faults).await;
-            check(done, || "a service's control is silent".to_owned())?;
+            check(done, || {
+                "the control endpoint of a service does not respond".to_owned()
+            })?;
         }
         Ok(())
     }
 
-    /// Runs of all services by key; keys are told apart by their last part.
+    /// Number of runs by idempotency key, summed over all services.
     pub(super) async fn runs_by_key(&self) -> TestResult<BTreeMap<String, u64>> {
         let mut all = BTreeMap::new();
-        for control in &self.deployment.controls().services {
-            let counts = self.probe.json(*control, "/control/counts").await;
-            let counts: service::Counts = counts.ok_or("a service is silent")?;
+        for control in &self.deployment.control_addresses().services {
+            let counts = self.probe.get_json(*control, "/control/counts").await;
+            let counts: service::Counts = counts.ok_or("a service does not respond")?;
             for (key, runs) in counts.by_key {
                 *all.entry(key).or_default() += runs;
             }
@@ -221,22 +235,24 @@
         Ok(all)
     }
 
-    /// Counts of all engines.
-    pub(super) async fn engines(&self) -> TestResult<Vec<engine::Counts>> {
+    /// Returns the counters of all engines.
+    pub(super) async fn engine_counts(&self) -> TestResult<Vec<engine::Counts>> {
         let mut all = Vec::new();
-        for control in &self.deployment.controls().engines {
-            let counts = self.probe.json(*control, "/control/counts").await;
-            all.push(counts.ok_or("an engine is silent")?);
+        for control in &self.deployment.control_addresses().engines {
+            let counts = self.probe.get_json(*control, "/control/counts").await;
+            all.push(counts.ok_or("an engine does not respond")?);
         }
         Ok(all)
     }
 
-    /// No call ran twice, and no accelerator held more than its memory.
-    pub(super) async fn promises_held(&self) -> TestResult {
+    /// Checks that no call ran twice and no accelerator was overcommitted.
+    pub(super) async fn check_invariants(&self) -> TestResult {
         for (key, runs) in self.runs_by_key().await? {
-            check(runs <= 1, || format!("{key} ran {runs} times"))?;
+            check(runs <= 1, || {
+                format!("idempotency key {key} ran {runs} times")
+            })?;
         }
-        for counts in self.engines().await? {
+        for counts in self.engine_counts().await? {
             check(counts.overcommits == 0, || {
                 format!("memory overcommitted {} times", counts.overcommits)
             })?;
@@ -244,14 +260,19 @@
         Ok(())
     }
 
-    /// Work of all kinds on all entries.
-    pub(super) fn load(&self, rate_per_s: f64, count: u64, seed: u64) -> LoadOptions {
+    /// Options for a load of all kinds of requests, spread over all entries.
+    pub(super) fn load_options(
+        &self,
+        rate_per_s: f64,
+        count: u64,
+        seed: u64,
+    ) -> LoadOptions {
         LoadOptions {
-            targets: self.deployment.callers(),
+            targets: self.deployment.entry_addresses(),
             direct: false,
-            balanced: true,
-            key: fleet::KEY.to_owned(),
-            mixes: mixes(),
+            exclude_unavailable_targets: true,
+            caller_key: fleet::KEY.to_owned(),
+            workloads: workloads(),
             concurrency: 0,
             rate_per_s: Some(rate_per_s),
             count,
@@ -259,37 +280,37 @@
         }
     }
 
-    /// Loads the models that the work asks for, so that a fault meets work that
-    /// runs and not work that waits.
+    /// Sends a small load first, so that its models are loaded and a later fault
+    /// affects running requests and not waiting ones.
     pub(super) async fn warm_up(&self) -> TestResult {
-        let report = load::run(self.load(20.0, 40, 1)).await;
-        check(report.wrong_answers() == 0, || report.table())?;
-        check(whole(&report) > 0, || report.table())
+        let report = load::run(self.load_options(20.0, 40, 1)).await;
+        check(report.wrong_responses() == 0, || report.table())?;
+        check(complete_answers(&report) > 0, || report.table())
     }
 }
 
-/// Whole answers of all profiles.
-pub(super) fn whole(report: &Report) -> u64 {
+/// Number of complete answers, summed over all profiles.
+pub(super) fn complete_answers(report: &Report) -> u64 {
     report.profiles.values().map(|profile| profile.whole).sum()
 }
 
-/// The kinds of work: two hot models, an adapter and orders.
-fn mixes() -> Vec<Mix> {
+/// Kinds of requests: two busy models with an adapter, and orders to a service.
+fn workloads() -> Vec<Workload> {
     vec![
-        Mix {
+        Workload {
             profile: "desk".to_owned(),
             models: ["diagnosis-01", "diagnosis-02", "diagnosis-01-kingston"]
                 .map(str::to_owned)
                 .to_vec(),
             weight: 3,
             max_tokens: 24,
-            ..Mix::default()
+            ..Workload::default()
         },
-        Mix {
+        Workload {
             profile: "parts".to_owned(),
             service: "deskapp".to_owned(),
             weight: 1,
-            ..Mix::default()
+            ..Workload::default()
         },
     ]
 }
