--- a/ci/check.sh
+++ b/ci/check.sh
@@ -1,13 +1,13 @@
 #!/usr/bin/env bash
-# Formatting, lints, generated code and the crate graph.
+# Checks formatting, lints, generated code, crate dependencies and the use of wire names.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 cargo fmt --all --check
 cargo clippy --workspace --all-targets --locked -- -D warnings
 cargo run --locked --quiet -p schema-gen -- --check
 
-# The decisions must not reach a socket, a task or HTTP: scenarios and
-# benchmarks could otherwise not drive them on a paused clock.
+# The crates that make decisions must not depend on sockets, async tasks or HTTP;
+# otherwise scenarios and benchmarks could not drive them on a paused clock.
 for crate in access base conf live quota route place mem once role direct; do
   tree=$(cargo tree --locked -p "$crate" -e normal --prefix none)
   if grep -E '^(tokio|hyper|mio|socket2|futures-executor) ' <<<"$tree"; then
@@ -16,9 +16,10 @@
   fi
 done
 
-# The platform's names are decoded once, in platform/: a name that stands in the
-# product as well would have to be changed in two places, and its poor name would
-# be read there. Each needle is a header, a field, a path or a variable on the wire.
+# The platform's wire names are decoded in platform/ only. A name that also occurs
+# elsewhere would have to be changed in two places, and would bring the platform's
+# poor naming into the product's code. Each alternative of the pattern is a header,
+# a field, a path or a variable on the wire.
 names='Target-Instance|target-instance|Token-Usage|token-usage|Prefix-Hash|prefix-hash'
 names+='|Not-Executed|not-executed|Response-Signature|response-signature|Weight-Versions'
 names+='|Queue-Hold|queue-hold|Kv-From|kv-from|Kv-Backup|kv-backup|Model-Id|model-id'
--- a/ci/test.sh
+++ b/ci/test.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# All tests of the workspace. The last line adds up what cargo says of each test
-# binary: the last of them has none, and would read as if nothing had been run.
-# A red test that KNOWN-RED.txt names is printed and does not fail the run.
+# Runs all tests of the workspace. The last line of output is the sum over all test
+# binaries: the last binary has no tests, and its result alone would read as if
+# nothing had been run. A failed test that KNOWN-RED.txt lists is printed and does
+# not fail the run.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 cargo build --workspace --bins --locked
