--- a/crates/direct/benches/entry.rs
+++ b/crates/direct/benches/entry.rs
@@ -137,8 +137,8 @@
 }
 
 fn record(id: &Arc<str>, index: usize, models: &[Arc<str>]) -> UpstreamRecord {
-    let residents = (0..MODELS_HELD).map(|index| ResidentModel {
-        model: Arc::clone(&models[(index * MODELS_HELD + index) % models.len()]),
+    let residents = (0..MODELS_HELD).map(|slot| ResidentModel {
+        model: Arc::clone(&models[(index * MODELS_HELD + slot) % models.len()]),
         version: 1,
         adapters: Vec::new(),
     });
